--- a/internal/crashloop/crashloop.go
+++ b/internal/crashloop/crashloop.go
@@ -1,20 +1,22 @@
-// Package crashloop decides when a task is no longer started, as the hosts that start it
-// crash: which crashes are held against a task, and how many are enough.
+// Package crashloop decides when a task is no longer started because the hosts that start it
+// crash: which crashes are attributed to a task, and how many of them are enough.
 //
-// A crash ends everything on its host, and most of the tasks there did not cause it. So a
-// single crash says little: the task is started again, away from others that were there.
-// The second one tells more, if the task had just been started and nothing else had been
-// since; else the task is tried once more, on a host where nothing new comes beside it.
-// Crashes while hosts go all the time by themselves are noted, and count for little; hosts
-// that go with their whole rack accuse nobody.
+// A crash ends everything on its host, and most of the tasks there did not cause it. A single
+// crash is therefore weak evidence: the task is started again, apart from other tasks that ran
+// on that host. A second crash is stronger evidence if the task had just been started and no
+// task of another job was started after it. Otherwise the task is tried once more, on a host
+// where nothing new is started beside it. Crashes at a time when hosts often fail for other
+// causes are recorded but count for little. Hosts that fail together with their whole rack are
+// not attributed to any task.
 //
-// Giving a task up is final, so it rests on what is known. A crash is proven when the run
-// is known to have been on the host as that ended. One whose run was seen there, but may
-// have ended unheard before the host did, counts only where it is the last of many, and all
-// of them together are very improbable. What nobody saw there keeps its task apart, and no
-// amount of it gives the task up.
+// The decision to fail a task is final, so it requires confirmed facts. A crash is proven when
+// the run is known to have been on the host at the end of the host's incarnation. If the run
+// was observed on the host but may have ended unreported before the crash, the crash counts
+// only within a long series of crashes that together are very improbable. Crashes under runs
+// that were never observed on the host only keep the task apart from others, and no number of
+// them fails the task.
 //
-// Everything here is pure; the records are kept by whoever places tasks.
+// The package does no I/O. The component that places tasks stores the histories.
 package crashloop
 
 import (
@@ -24,83 +26,88 @@
 	"time"
 )
 
-// Limits of crashes under one task. Each crash costs a host for seconds, with all its work;
-// the least is the users' bound, which lets a task be given up after the second.
+// Limits of crashes per task. Each crash makes a host unavailable for seconds and ends all its
+// work. The lowest limit is the users' requirement: a task may be failed after its second
+// crash.
 const (
-	// enoughWithRecent proven crashes are enough to give a task up when one of them came
-	// right after its start, with nothing of another job started on the host since.
-	enoughWithRecent = 2
-	// enough proven crashes are so in any case, unless they had another likely cause.
-	enough = 3
-	// atRandom is how probable it may be, at the most, that all these hosts just went by
-	// themselves.
-	atRandom = 1e-5
-	// enoughAtAll crashes are so whatever other cause each of them may have, if enough of
-	// them are proven, or all of them were seen on machines of their own, and they are as
-	// improbable together as atRandomInAll or atRandomSeen: it bounds what a wrong guess at a cause can cost. The
-	// users' bound is five starts in all, three crashes and two more.
-	enoughAtAll   = 5
-	atRandomInAll = 1e-3
-	atRandomSeen  = 1e-6
-	// trialAfter crashes put a task on trial: nothing new is started beside it.
-	trialAfter = 2
+	// minProvenWithRecent proven crashes are enough to fail a task if one of them came right
+	// after the start of the task, with no task of another job started on the host since.
+	minProvenWithRecent = 2
+	// minProven proven crashes are enough in any case, unless they had another likely cause.
+	minProven = 3
+	// maxChance is the highest probability, for the crashes to be attributed to the task, that
+	// all these hosts failed spontaneously.
+	maxChance = 1e-5
+	// minTotal crashes are enough even if each of them may have another cause, provided that
+	// enough of them are proven with a joint probability of at most maxChanceProven, or that
+	// all of them were observed on different machines with a joint probability of at most
+	// maxChanceSeen. This bounds the cost of a wrong guess at a cause. The users' limit is five
+	// starts in total: three crashes and two more.
+	minTotal        = 5
+	maxChanceProven = 1e-3
+	maxChanceSeen   = 1e-6
+	// quarantineAfter crashes put a task into quarantine: nothing new is started beside it.
+	quarantineAfter = 2
 )
 
-// ProvenAfter is for how long a task that lasts has to run soundly for earlier crashes to
-// be forgotten, so that a service is given up for a row of them and not for those of a year.
+// ProvenAfter is how long a task of a service has to run without a crash for its earlier
+// crashes to be dropped, so that a service is failed for consecutive crashes and not for those
+// of a whole year.
 const ProvenAfter = 5 * time.Minute
 
-// Crash is one host that crashed under a task.
+// Crash is the crash of one host while a task may have been running on it.
 type Crash struct {
-	// Run is the number of the run that was lost; reports of one run count once.
+	// Run is the number of the run that was lost. Several reports of one run count once.
 	Run int `cbor:"1,keyasint"`
-	// Host is the life that ended.
+	// Host is the name of the incarnation that ended.
 	Host string `cbor:"2,keyasint"`
-	// Recent is true when the run had just begun, and nothing of another job since.
+	// Recent is true if the run had just started and no run of another job started on the host
+	// after it.
 	Recent bool `cbor:"3,keyasint,omitempty"`
-	// Excused is true when the crash has a likelier cause than the task.
+	// Excused is true if the crash has a more likely cause than the task.
 	Excused bool `cbor:"4,keyasint,omitempty"`
-	// Chance is how probable it was for the host to go by itself in that time.
+	// Chance is the probability that the host failed spontaneously during the run time.
 	Chance float32 `cbor:"5,keyasint,omitempty"`
-	// Unsure is true when nobody has seen the run on the host: its start was not answered.
+	// Unsure is true if the run was never observed on the host: its start was not acknowledged.
 	Unsure bool `cbor:"6,keyasint,omitempty"`
-	// RanMillis is for how long the run had been there, in milliseconds; zero when unknown.
+	// RanMillis is the run time on the host in milliseconds, or zero if unknown.
 	RanMillis int64 `cbor:"8,keyasint,omitempty"`
-	// Unheard is what versions before Proven read: without it they take a run for proven.
+	// Unheard is read by versions that do not know Proven; without it they take every run as
+	// proven.
 	Unheard bool `cbor:"9,keyasint,omitempty"`
-	// Machine is the address of the host, which its next lives have as well.
+	// Machine is the address of the host, which stays the same across its incarnations.
 	Machine string `cbor:"10,keyasint,omitempty"`
-	// Proven is true when the run is known to have been on the host as that ended. What was
-	// stored before this was told proves nothing.
+	// Proven is true if the run is known to have been on the host when the incarnation ended.
+	// Crashes stored before this field existed prove nothing.
 	Proven bool `cbor:"11,keyasint,omitempty"`
 }
 
-// Seen reports whether the run was seen on the host.
+// Seen reports whether the run was observed on the host.
 func (c Crash) Seen() bool { return !c.Unsure }
 
 func (c Crash) isProven() bool { return c.Proven }
 
-// mostCrashes bounds what is kept of one task, so that a job's record does not grow for as
-// long as the job lives.
-const mostCrashes = 16
+// maxCrashes bounds the crashes kept per task, so that the record of a job does not grow for as
+// long as the job exists.
+const maxCrashes = 16
 
-// With returns the history with one crash more. Of too many the oldest goes that proves
-// least.
+// With returns the history with c appended. A history that gets too long loses the oldest of
+// the crashes with the weakest evidence.
 func (h History) With(c Crash) History {
 	out := append(slices.Clone(h), c)
-	if len(out) <= mostCrashes {
+	if len(out) <= maxCrashes {
 		return out
 	}
 	least := 0
 	for i := range out[:len(out)-1] {
-		if out[i].weight() < out[least].weight() {
+		if out[i].evidenceRank() < out[least].evidenceRank() {
 			least = i
 		}
 	}
 	return slices.Delete(out, least, least+1)
 }
 
-func (c Crash) weight() int {
+func (c Crash) evidenceRank() int {
 	switch {
 	case c.Proven:
 		return 2
@@ -110,66 +117,67 @@
 	return 0
 }
 
-// History is the crashes under one task, the oldest first.
+// History is the crashes attributed to one task, oldest first.
 type History []Crash
 
-// Has reports whether the loss of a run is in the history already.
+// Has reports whether the loss of a run is already in the history.
 func (h History) Has(run int) bool {
 	return slices.ContainsFunc(h, func(c Crash) bool { return c.Run == run })
 }
 
-// On reports whether a host of a machine has crashed under the task: the next loss tells more
-// on another one.
+// On reports whether a host at the address of machine has crashed under the task. A further
+// loss on another machine is stronger evidence.
 func (h History) On(machine string) bool {
 	return slices.ContainsFunc(h, func(c Crash) bool { return c.Machine == machine })
 }
 
-// names reports whether the history holds the crash of a host.
-func (h History) names(host string) bool {
+// hasHost reports whether the history contains the crash of a host.
+func (h History) hasHost(host string) bool {
 	return slices.ContainsFunc(h, func(c Crash) bool { return c.Host == host })
 }
 
-// Without returns the history less the crashes of a host, which turned out to live.
+// Without returns the history without the crashes of a host that turned out to be alive.
 func (h History) Without(host string) History {
 	return slices.DeleteFunc(slices.Clone(h), func(c Crash) bool { return c.Host == host })
 }
 
-// WithoutUnproven returns the history less those crashes of a host that are not proven.
+// WithoutUnproven returns the history without the unproven crashes of a host.
 func (h History) WithoutUnproven(host string) History {
 	return slices.DeleteFunc(slices.Clone(h), func(c Crash) bool { return c.Host == host && !c.Proven })
 }
 
-// Standing is what a task's history says of it.
+// Standing is the level of suspicion that a history puts on its task.
 type Standing uint8
 
-// The standings, each worse than the one before.
+// The levels of suspicion, in ascending order.
 const (
 	Unsuspected Standing = iota
-	// Suspect tasks are kept apart from each other where that costs nothing.
+	// Suspect tasks prefer hosts without other suspect tasks, but may share a host.
 	Suspect
-	// OnTrial tasks start where nothing new comes beside them.
+	// OnTrial tasks are in quarantine: they start only where nothing new is started beside
+	// them.
 	OnTrial
 	// GivenUp tasks are not started again.
 	GivenUp
 )
 
-// AtRate returns the history judged anew at the rate, per second, at which hosts go by
-// themselves, where that is higher than before: of many hosts that go for one cause the
-// first is judged before the others are known.
+// AtRate returns the history assessed again with a rate, per second, of spontaneous host
+// failures, where that rate gives a higher probability than before. When many hosts fail for
+// one cause, the first failure is assessed before the others are known.
 func (h History) AtRate(rate float64) History {
 	out := slices.Clone(h)
 	for i := range out {
 		c := &out[i]
-		chance := chanceOf(time.Duration(c.RanMillis)*time.Millisecond, c.RanMillis == 0, rate)
+		chance := spontaneousFailureChance(time.Duration(c.RanMillis)*time.Millisecond, c.RanMillis == 0, rate)
 		c.Chance = max(c.Chance, float32(chance))
-		c.Excused = c.Excused || chance >= likely
+		c.Excused = c.Excused || chance >= minExcusedChance
 	}
 	return out
 }
 
-// Excuse returns the history with the crashes of a host put down to a cause that it shared with
-// its rack, such as power or a switch. One that is proven has none of these: its machine had
-// power, and could be reached, as it turned calls away.
+// Excuse returns the history with the unproven crashes of a host attributed to a cause that the
+// host shared with its rack, such as power or a switch. A proven crash has no such cause: its
+// machine had power and network, since it refused connections.
 func (h History) Excuse(host string) History {
 	out := slices.Clone(h)
 	for i := range out {
@@ -178,9 +186,9 @@
 	return out
 }
 
-// Standing judges the history.
+// Standing returns the level of suspicion for the history.
 func (h History) Standing() Standing {
-	if h.guilty() {
+	if h.isConclusive() {
 		return GivenUp
 	}
 	counted := 0
@@ -190,7 +198,7 @@
 		}
 	}
 	switch {
-	case counted >= trialAfter:
+	case counted >= quarantineAfter:
 		return OnTrial
 	case counted > 0:
 		return Suspect
@@ -198,34 +206,34 @@
 	return Unsuspected
 }
 
-// guilty reports whether the crashes are enough to give the task up.
-func (h History) guilty() bool {
+// isConclusive reports whether the crashes are enough to fail the task.
+func (h History) isConclusive() bool {
 	proven, seen := tallyOf(h, Crash.isProven), tallyOf(h, Crash.Seen)
-	if proven.chance <= atRandom && (proven.counted >= enough || proven.counted >= enoughWithRecent && proven.recent > 0) {
+	if proven.chance <= maxChance && (proven.counted >= minProven || proven.counted >= minProvenWithRecent && proven.recent > 0) {
 		return true
 	}
-	manyProven := proven.all >= enough && proven.chanceInAll <= atRandomInAll
-	allSeen := len(seen.machines) >= enoughAtAll && seen.chanceInAll <= atRandomSeen
-	return len(h) >= enoughAtAll && (manyProven || allSeen)
+	enoughProven := proven.total >= minProven && proven.chanceTotal <= maxChanceProven
+	enoughSeen := len(seen.machines) >= minTotal && seen.chanceTotal <= maxChanceSeen
+	return len(h) >= minTotal && (enoughProven || enoughSeen)
 }
 
-// tally is what crashes of one kind say together. Those that are excused stand in all and
-// chanceInAll alone.
+// tally summarises the crashes of one kind. Excused crashes are included only in total,
+// chanceTotal and machines.
 type tally struct {
-	all, counted, recent int
-	chance, chanceInAll  float64
-	machines             map[string]bool
+	total, counted, recent int
+	chance, chanceTotal    float64
+	machines               map[string]bool
 }
 
-func tallyOf(h History, is func(Crash) bool) tally {
-	t := tally{chance: 1, chanceInAll: 1, machines: map[string]bool{}}
+func tallyOf(h History, include func(Crash) bool) tally {
+	t := tally{chance: 1, chanceTotal: 1, machines: map[string]bool{}}
 	for _, c := range h {
-		if !is(c) {
+		if !include(c) {
 			continue
 		}
-		t.all++
+		t.total++
 		t.machines[c.Machine] = true
-		t.chanceInAll *= min(float64(c.Chance), 1)
+		t.chanceTotal *= min(float64(c.Chance), 1)
 		if c.Excused {
 			continue
 		}
@@ -238,7 +246,7 @@
 	return t
 }
 
-// String tells the hosts and runs, and how each was seen, the last first, for people.
+// String lists the hosts and runs for operators, newest first, with how each run was observed.
 func (h History) String() string {
 	parts := make([]string, 0, len(h))
 	for _, c := range slices.Backward(h) {
@@ -247,14 +255,14 @@
 	return fmt.Sprintf("%d hosts crashed under it: %s", len(h), strings.Join(parts, ", "))
 }
 
-// The ways in which a run that was lost with its host was seen there.
+// The ways in which a run that was lost with its host was observed there.
 const (
 	HowUnsure = "not seen there"
 	HowSeen   = "seen there, maybe not at its end"
 	HowProven = "there at its end"
 )
 
-// How tells how the run was seen on the host.
+// How returns how the run was observed on the host.
 func (c Crash) How() string {
 	switch {
 	case c.Unsure:
@@ -265,7 +273,7 @@
 	return HowProven
 }
 
-// String tells the host and run, and how that was seen, for people.
+// String describes the host and the run, and how the run was observed, for operators.
 func (c Crash) String() string {
 	notes := []string{c.How()}
 	if c.RanMillis > 0 && !c.Unsure {
@@ -283,18 +291,20 @@
 // Evidence is what is known of a run that was lost with its host.
 type Evidence struct {
 	Run int
-	// Host is the life that ended, Machine its address.
+	// Host is the name of the incarnation that ended, Machine its address.
 	Host, Machine string
-	// Ran is for how long the run had been there when the host was last known to live;
-	// Unknown where this process did not start it.
+	// Ran is how long the run had been on the host when the host was last known to be alive.
+	// Unknown is true if another process started the run.
 	Ran     time.Duration
 	Unknown bool
-	// Unsure is true when nobody has seen the run on the host, Proven when it is known to
-	// have been there as the host ended.
+	// Unsure is true if the run was never observed on the host, Proven if it is known to have
+	// been there when the incarnation ended.
 	Unsure, Proven bool
-	// Newest is true when no run of another job was started on the host as late.
+	// Newest is true if no run of another job was started on the host at the same time or
+	// later.
 	Newest bool
-	// Together is true when the host went with its rack, as for one cause; see Excuse.
+	// Together is true if the host failed together with its rack, presumably for one cause; see
+	// Excuse.
 	Together bool
 }
 
@@ -305,34 +315,35 @@
 	return max(e.Ran.Milliseconds(), 1)
 }
 
-// Times and shares for the judgement of one crash.
+// Times and probabilities for the assessment of one crash.
 const (
-	// justStarted is how soon after its start a crash comes that speaks against a task by
-	// itself: such tasks crash their hosts at once, but a look may tell of a host's end late.
-	justStarted = time.Second
-	// likely is how probable it is for the host to have gone by itself in the time that
-	// the run was there, for a crash to be excused.
-	likely = 0.05
-	// leastRan is the least time that is reckoned with: the moment at which a host ends is
-	// known no better.
-	leastRan = 20 * time.Millisecond
+	// maxRecentRunTime is the run time up to which a crash is evidence against a task by
+	// itself. Tasks that crash their hosts do so at once, but a poll may detect the end of a
+	// host late.
+	maxRecentRunTime = time.Second
+	// minExcusedChance is the probability of a spontaneous host failure during the run time
+	// from which on a crash is excused.
+	minExcusedChance = 0.05
+	// minRunTime is the lower bound of the run time in the calculation, since the moment at
+	// which a host ends is not known more precisely.
+	minRunTime = 20 * time.Millisecond
 )
 
-// Judge makes a crash of the evidence; rate is how often a host goes by itself, per second.
+// Judge assesses the evidence. The rate is that of spontaneous failures per host and second.
 func Judge(e Evidence, rate float64) Crash {
-	chance := chanceOf(e.Ran, e.Unknown, rate)
+	chance := spontaneousFailureChance(e.Ran, e.Unknown, rate)
 	return Crash{
 		Run: e.Run, Host: e.Host, Machine: e.Machine, Chance: float32(chance), Unsure: e.Unsure, Proven: e.Proven, Unheard: !e.Proven, RanMillis: e.ranMillis(),
-		Recent:  e.Newest && !e.Unknown && !e.Unsure && e.Ran <= justStarted,
-		Excused: e.Together && !e.Proven || chance >= likely,
+		Recent:  e.Newest && !e.Unknown && !e.Unsure && e.Ran <= maxRecentRunTime,
+		Excused: e.Together && !e.Proven || chance >= minExcusedChance,
 	}
 }
 
-// chanceOf is how probable it was for a host to go by itself in the time that a run was
-// there.
-func chanceOf(ran time.Duration, unknown bool, rate float64) float64 {
+// spontaneousFailureChance returns the probability that a host failed spontaneously during the
+// run time.
+func spontaneousFailureChance(ran time.Duration, unknown bool, rate float64) float64 {
 	if unknown {
-		ran = justStarted
+		ran = maxRecentRunTime
 	}
-	return rate * max(ran, leastRan).Seconds()
+	return rate * max(ran, minRunTime).Seconds()
 }
--- a/internal/crashloop/crashloop_test.go
+++ b/internal/crashloop/crashloop_test.go
@@ -21,35 +21,35 @@
 		h    History
 		want Standing
 	}{
-		"nothing":                     {nil, Unsuspected},
-		"one":                         {History{counted}, Suspect},
-		"one, just started":           {History{recent}, Suspect},
-		"one, excused":                {History{excused}, Unsuspected},
-		"two":                         {History{counted, counted}, OnTrial},
-		"two, one just started":       {History{counted, recent}, GivenUp},
-		"two, the first just started": {History{recent, counted}, GivenUp},
-		"two, one excused":            {History{recent, excused}, Suspect},
-		"three":                       {History{counted, counted, counted}, GivenUp},
-		"three, one excused":          {History{counted, excused, counted}, OnTrial},
-		"two, hosts go often":         {History{often, often}, OnTrial},
-		"three, hosts go often":       {History{often, often, often}, OnTrial},
-		"four, hosts go often":        {History{often, often, often, often}, GivenUp},
-		"four, excused":               {many(4, excused), Unsuspected},
-		"five, excused":               {many(5, excused), GivenUp},
-		"five, excused, likely":       {many(5, likely), Unsuspected},
-		"two, neither seen there":     {History{unseen, unseen}, OnTrial},
-		"two, one not seen there":     {History{recent, unseen}, OnTrial},
-		"three, two not seen there":   {History{counted, unseen, unseen}, OnTrial},
-		"three, none seen there":      {many(3, unseen), OnTrial},
-		"nine, none seen there":       {many(9, unseen), OnTrial},
-		"five, excused, not seen":     {many(5, Crash{Unsure: true, Excused: true, Chance: 0.05}), Unsuspected},
-		"two, one maybe not at end":   {History{recent, seen}, OnTrial},
-		"four, maybe not at end":      {many(4, seen), OnTrial},
-		"five, maybe not at end":      {onMachines(5, seen), GivenUp},
-		"five so, on four machines":   {append(onMachines(4, seen), onMachines(1, seen)...), OnTrial},
-		"five so, hosts go often":     {onMachines(5, Crash{Recent: true, Chance: 0.1}), OnTrial},
-		"five, two not at end":        {History{counted, counted, excused, seen, seen}, GivenUp},
-		"of a version before":         {many(3, Crash{Run: 1, Host: "a", Recent: true, Chance: 1e-3}), OnTrial},
+		"nothing":                          {nil, Unsuspected},
+		"one":                              {History{counted}, Suspect},
+		"one, just started":                {History{recent}, Suspect},
+		"one, excused":                     {History{excused}, Unsuspected},
+		"two":                              {History{counted, counted}, OnTrial},
+		"two, one just started":            {History{counted, recent}, GivenUp},
+		"two, the first just started":      {History{recent, counted}, GivenUp},
+		"two, one excused":                 {History{recent, excused}, Suspect},
+		"three":                            {History{counted, counted, counted}, GivenUp},
+		"three, one excused":               {History{counted, excused, counted}, OnTrial},
+		"two, hosts fail often":            {History{often, often}, OnTrial},
+		"three, hosts fail often":          {History{often, often, often}, OnTrial},
+		"four, hosts fail often":           {History{often, often, often, often}, GivenUp},
+		"four, excused":                    {many(4, excused), Unsuspected},
+		"five, excused":                    {many(5, excused), GivenUp},
+		"five, excused, likely":            {many(5, likely), Unsuspected},
+		"two, neither observed":            {History{unseen, unseen}, OnTrial},
+		"two, one not observed":            {History{recent, unseen}, OnTrial},
+		"three, two not observed":          {History{counted, unseen, unseen}, OnTrial},
+		"three, none observed":             {many(3, unseen), OnTrial},
+		"nine, none observed":              {many(9, unseen), OnTrial},
+		"five, excused, not observed":      {many(5, Crash{Unsure: true, Excused: true, Chance: 0.05}), Unsuspected},
+		"two, one unproven":                {History{recent, seen}, OnTrial},
+		"four, unproven":                   {many(4, seen), OnTrial},
+		"five, unproven":                   {onMachines(5, seen), GivenUp},
+		"five, unproven, on four machines": {append(onMachines(4, seen), onMachines(1, seen)...), OnTrial},
+		"five, unproven, hosts fail often": {onMachines(5, Crash{Recent: true, Chance: 0.1}), OnTrial},
+		"five, two unproven":               {History{counted, counted, excused, seen, seen}, GivenUp},
+		"stored by an earlier version":     {many(3, Crash{Run: 1, Host: "a", Recent: true, Chance: 1e-3}), OnTrial},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is.New(t).Equal(tc.h.Standing(), tc.want)
@@ -57,7 +57,7 @@
 	}
 }
 
-// onMachines is a crash on each of so many machines.
+// onMachines returns n crashes like c, each on a machine of its own.
 func onMachines(n int, c Crash) (h History) {
 	for i := range n {
 		c.Machine = string(rune('a' + i))
@@ -67,10 +67,10 @@
 }
 
 func TestJudge(t *testing.T) {
-	const calm, stormy = 0.001, 0.1 // hosts that go by themselves, per host and second
-	just := Evidence{Run: 4, Host: "a", Ran: 40 * time.Millisecond, Newest: true}
-	with := func(change func(*Evidence)) Evidence {
-		e := just
+	const lowRate, highRate = 0.001, 0.1 // spontaneous failures per host and second
+	base := Evidence{Run: 4, Host: "a", Ran: 40 * time.Millisecond, Newest: true}
+	modified := func(change func(*Evidence)) Evidence {
+		e := base
 		change(&e)
 		return e
 	}
@@ -79,16 +79,16 @@
 		rate             float64
 		recent, excusing bool
 	}{
-		"just started, the newest":              {just, calm, true, false},
-		"something started since":               {with(func(e *Evidence) { e.Newest = false }), calm, false, false},
-		"begun by a former holder":              {with(func(e *Evidence) { e.Unknown = true }), calm, false, false},
-		"long at work":                          {with(func(e *Evidence) { e.Ran = 5 * time.Second }), calm, false, false},
-		"just started, while hosts go often":    {just, stormy, true, false},
-		"a while ago, while hosts go often":     {with(func(e *Evidence) { e.Ran = 300 * time.Millisecond }), stormy, true, false},
-		"a second ago, while hosts go often":    {with(func(e *Evidence) { e.Ran = time.Second }), stormy, true, true},
-		"former holder's, while hosts go often": {with(func(e *Evidence) { e.Unknown = true; e.Ran = 0 }), stormy, false, true},
-		"with its rack":                         {with(func(e *Evidence) { e.Together = true }), calm, true, true},
-		"with its rack, and proven":             {with(func(e *Evidence) { e.Together, e.Proven = true, true }), calm, true, false},
+		"just started, the newest":            {base, lowRate, true, false},
+		"another job started since":           {modified(func(e *Evidence) { e.Newest = false }), lowRate, false, false},
+		"started by a previous holder":        {modified(func(e *Evidence) { e.Unknown = true }), lowRate, false, false},
+		"long-running":                        {modified(func(e *Evidence) { e.Ran = 5 * time.Second }), lowRate, false, false},
+		"just started, hosts fail often":      {base, highRate, true, false},
+		"after 300 ms, hosts fail often":      {modified(func(e *Evidence) { e.Ran = 300 * time.Millisecond }), highRate, true, false},
+		"after one second, hosts fail often":  {modified(func(e *Evidence) { e.Ran = time.Second }), highRate, true, true},
+		"previous holder's, hosts fail often": {modified(func(e *Evidence) { e.Unknown = true; e.Ran = 0 }), highRate, false, true},
+		"with its rack":                       {modified(func(e *Evidence) { e.Together = true }), lowRate, true, true},
+		"with its rack, and proven":           {modified(func(e *Evidence) { e.Together, e.Proven = true, true }), lowRate, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -111,7 +111,8 @@
 	is.Equal(len(h), 3)
 }
 
-// TestHistoryTellsHowEachWasSeen: an on-call engineer can check a verdict by its text.
+// TestHistoryTellsHowEachWasSeen checks the text of a history, by which an on-call engineer can
+// verify why a task was failed.
 func TestHistoryTellsHowEachWasSeen(t *testing.T) {
 	h := History{
 		{Run: 1, Host: "a", Unsure: true, Excused: true, RanMillis: 300},
@@ -122,42 +123,45 @@
 		"b under run 2 (seen there, maybe not at its end, after 2055 ms), a under run 1 (not seen there, excused)")
 }
 
-// TestHistoryIsBounded: what proves least goes first, and what is new stays.
+// TestHistoryIsBounded checks that the weakest evidence is dropped first and that the newest
+// crash is kept.
 func TestHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	var h History
-	for i := range 3 * mostCrashes {
+	for i := range 3 * maxCrashes {
 		h = h.With(Crash{Run: i, Unsure: i%8 != 0, Proven: i%8 == 0})
 	}
-	is.Equal(len(h), mostCrashes)
-	is.Equal(h[len(h)-1].Run, 3*mostCrashes-1)
+	is.Equal(len(h), maxCrashes)
+	is.Equal(h[len(h)-1].Run, 3*maxCrashes-1)
 	is.Equal(h[0], Crash{Run: 0, Proven: true})
-	is.Equal(tallyOf(h, Crash.isProven).all, 6)
+	is.Equal(tallyOf(h, Crash.isProven).total, 6)
 }
 
-// TestRevised: what is put down to another cause, or taken back.
+// TestRevised checks that crashes can be excused or removed without changing the original
+// history.
 func TestRevised(t *testing.T) {
 	is := is.New(t)
 	h := History{{Run: 1, Host: "a", Recent: true, Proven: true, Chance: 1e-4}, {Run: 2, Host: "b", Proven: true, Chance: 1e-4}, {Run: 3, Host: "c"}}
 	is.Equal(h.Standing(), GivenUp)
-	is.Equal(h.Excuse("a").Standing(), GivenUp) // its machine was there: it had power and network
+	is.Equal(h.Excuse("a").Standing(), GivenUp) // proven, so its machine had power and network
 	seen := History{{Run: 1, Host: "a", Chance: 1e-4}, {Run: 2, Host: "b", Chance: 1e-4}}
 	is.Equal(seen.Standing(), OnTrial)
 	is.Equal(seen.Excuse("a").Standing(), Suspect)
-	is.Equal(seen.Standing(), OnTrial) // the former one stays as it was
+	is.Equal(seen.Standing(), OnTrial) // the original history is unchanged
 	is.Equal(h.Standing(), GivenUp)
 	is.Equal(len(h.WithoutUnproven("a")), 3)
 	is.Equal(len(h.WithoutUnproven("c")), 2)
 }
 
-// TestAtRate: a host that was the first of many to go is judged by how many went.
+// TestAtRate checks that a host failure is assessed again with the higher rate that later
+// failures show.
 func TestAtRate(t *testing.T) {
 	is := is.New(t)
 	h := History{{Run: 1, Host: "a", RanMillis: 100, Chance: 1e-4}, {Run: 2, Host: "b", RanMillis: 5000, Chance: 1e-2}, {Run: 3, Host: "c", Chance: 1e-3}}
 	often := h.AtRate(0.1)
 	is.True(often[0].Chance > 0.009 && !often[0].Excused)
 	is.True(often[1].Excused)
-	is.True(often[2].Excused) // nobody knows for how long it ran
+	is.True(often[2].Excused) // its run time is unknown
 	is.Equal(h.AtRate(1e-9), h)
 }
 
@@ -166,28 +170,28 @@
 	t.Run("rate", func(t *testing.T) {
 		is := is.New(t)
 		var l Losses
-		alone := l.Rate(50, 0, nil, at.Add(moments+time.Second))
+		alone := l.Rate(50, 0, nil, at.Add(recentWindow+time.Second))
 		l.Add("a", "r1", at)
-		l.Add("a", "r1", at.Add(time.Second)) // told twice
+		l.Add("a", "r1", at.Add(time.Second)) // reported twice
 		l.Add("b", "r2", at)
-		is.Equal(l.Rate(50, 0, nil, at.Add(moments+time.Second)), 3*alone)
-		is.Equal(l.Rate(50, 2, nil, at.Add(moments+time.Second)), max(5*alone, 2/(50*moments.Seconds())))
-		is.Equal(l.Rate(50, 0, nil, at), 2/(50*moments.Seconds()))                                  // more went in the last moments
-		is.Equal(l.Rate(50, 0, History{{Run: 1, Host: "b"}}, at.Add(moments+time.Second)), 2*alone) // judged by others
+		is.Equal(l.Rate(50, 0, nil, at.Add(recentWindow+time.Second)), 3*alone)
+		is.Equal(l.Rate(50, 2, nil, at.Add(recentWindow+time.Second)), max(5*alone, 2/(50*recentWindow.Seconds())))
+		is.Equal(l.Rate(50, 0, nil, at), 2/(50*recentWindow.Seconds()))                                  // the recent window has the higher rate
+		is.Equal(l.Rate(50, 0, History{{Run: 1, Host: "b"}}, at.Add(recentWindow+time.Second)), 2*alone) // failures under the assessed task do not count
 		l.Explain(History{{Run: 1, Host: "b"}})
-		is.Equal(l.Rate(50, 0, nil, at.Add(moments+time.Second)), 2*alone)
-		l.Forget(at.Add(remembered + time.Millisecond))
-		is.Equal(l.Rate(50, 0, nil, at.Add(moments+time.Second)), alone)
+		is.Equal(l.Rate(50, 0, nil, at.Add(recentWindow+time.Second)), 2*alone)
+		l.Forget(at.Add(lossRetention + time.Millisecond))
+		is.Equal(l.Rate(50, 0, nil, at.Add(recentWindow+time.Second)), alone)
 	})
-	t.Run("together", func(t *testing.T) {
+	t.Run("rack failure", func(t *testing.T) {
 		is := is.New(t)
 		var l Losses
 		l.Add("b", "r1", at.Add(time.Second))
 		l.Add("c", "r2", at)
 		l.Add("d", "r1", at.Add(-time.Minute))
-		is.True(l.Together("a", "r1", at, 2, 2))  // b before it, two are silent
-		is.True(!l.Together("a", "r1", at, 1, 2)) // one of the rack lives
-		is.True(!l.Together("a", "r1", at, 0, 0)) // two hosts are no rack
-		is.True(!l.Together("a", "", at, 9, 9))   // no rack is known
+		is.True(l.Together("a", "r1", at, 2, 2))  // b failed before it, two are unresponsive
+		is.True(!l.Together("a", "r1", at, 1, 2)) // one host of the rack is alive
+		is.True(!l.Together("a", "r1", at, 0, 0)) // two hosts are fewer than minRackFailures
+		is.True(!l.Together("a", "", at, 9, 9))   // the rack is unknown
 	})
 }
--- a/internal/crashloop/losses.go
+++ b/internal/crashloop/losses.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// Times and shares of hosts that go.
+// Time windows and limits for host failures.
 const (
-	// remembered is for how long a host's end tells how often hosts go by themselves. Over a
-	// longer time the rate is found too low when hosts begin to go, and innocent jobs are
-	// given up.
-	remembered = 20 * time.Second
-	// moments is how far back the last moments go: about as long as a host is away.
-	moments = 4 * time.Second
-	// together is within which time hosts go that have one cause. The end of a host
-	// without power is noticed by the look that waits there, so it is noticed late.
-	togetherFor = 3 * time.Second
-	// leastTogether hosts, and their whole rack, have gone together when they share a
-	// cause, such as power or a switch. If a part of a rack were enough, tasks that crash
-	// their hosts at the same moment would excuse each other.
-	leastTogether = 3
+	// lossRetention is how long a host failure counts for the rate of spontaneous failures.
+	// Over a longer time the rate is underestimated when hosts begin to fail, and jobs are
+	// failed that did not cause the crashes.
+	lossRetention = 20 * time.Second
+	// recentWindow is the time for which the recent rate is calculated: about as long as a
+	// failed host is unavailable.
+	recentWindow = 4 * time.Second
+	// correlationWindow is the time within which hosts fail that have a common cause. The end
+	// of a host without power is detected only by a poll that waits for its time-out, so it is
+	// detected late.
+	correlationWindow = 3 * time.Second
+	// A common cause, such as power or a switch, is assumed only if at least minRackFailures
+	// hosts and the whole of their rack have failed together. If part of a rack were enough,
+	// tasks that crash their hosts at the same moment would excuse each other.
+	minRackFailures = 3
 )
 
-// Losses remembers which hosts have gone lately.
+// Losses records the hosts that failed recently.
 type Losses struct {
 	lost []loss
 }
@@ -30,12 +32,12 @@
 type loss struct {
 	host, rack string
 	at         time.Time
-	// explained is true once a task was found to have caused it.
+	// explained is true once a task was found to have caused the failure.
 	explained bool
 }
 
-// Add notes a host that has gone; at is since when it was silent. It reports whether that
-// is news.
+// Add records a host that failed and has been unresponsive since at. It reports whether the
+// failure was not recorded before.
 func (l *Losses) Add(host, rack string, at time.Time) bool {
 	if slices.ContainsFunc(l.lost, func(x loss) bool { return x.host == host }) {
 		return false
@@ -44,11 +46,11 @@
 	return true
 }
 
-// mostTold is how many hosts that have gone a next holder is told of.
-const mostTold = 64
+// maxInherited bounds the host failures that are handed over to the next holder.
+const maxInherited = 64
 
-// Names lists hosts that have gone lately and that no task is known to have caused, the
-// last ones if there are many.
+// Names lists the hosts that failed recently and whose failure is not attributed to a task;
+// only the latest if there are many.
 func (l *Losses) Names() []string {
 	var out []string
 	for _, x := range l.lost {
@@ -56,17 +58,18 @@
 			out = append(out, x.host)
 		}
 	}
-	return out[max(0, len(out)-mostTold):]
+	return out[max(0, len(out)-maxInherited):]
 }
 
-// Inherit takes in the hosts that a former holder had seen go, at the latest now.
+// Inherit adds the host failures that a previous holder recorded. Their time is taken to be
+// now, which is the latest possible.
 func (l *Losses) Inherit(names []string, now time.Time) {
 	for _, name := range names {
 		l.Add(name, "", now)
 	}
 }
 
-// With lists the hosts of a rack that went at about a moment.
+// With lists the hosts of a rack that failed at about the given time.
 func (l *Losses) With(rack string, at time.Time) []string {
 	var out []string
 	for _, x := range l.lost {
@@ -77,54 +80,56 @@
 	return out
 }
 
-// Forget drops losses that are too long ago.
+// Forget drops failures that are older than lossRetention.
 func (l *Losses) Forget(now time.Time) {
-	l.lost = slices.DeleteFunc(l.lost, func(x loss) bool { return now.Sub(x.at) > remembered })
+	l.lost = slices.DeleteFunc(l.lost, func(x loss) bool { return now.Sub(x.at) > lossRetention })
 }
 
-// Explain notes that tasks were found to have caused the losses in a history.
+// Explain marks the losses in a history as caused by tasks.
 func (l *Losses) Explain(h History) {
 	for i := range l.lost {
-		if h.names(l.lost[i].host) {
+		if h.hasHost(l.lost[i].host) {
 			l.lost[i].explained = true
 		}
 	}
 }
 
-// Rate is how often one of so many hosts goes by itself, per second: as of the whole time
-// that is remembered, or as of the last moments, when more went then. It counts those that
-// are silent now, and over the whole time one more than was seen: that none was says little
-// in a small cell. Those that went under the task that is judged by it are left out.
-func (l *Losses) Rate(hosts, silent int, under History, now time.Time) float64 {
-	all, late := 1+silent, silent
+// Rate returns the rate of spontaneous failures per host and second: the rate over the whole
+// retention time, or that over the recent window if it is higher. Hosts that are unresponsive
+// now count as failed. The rate over the whole time counts one failure more than observed,
+// since no failures in a small cell are little evidence. Failures attributed to a task, and
+// those in the history under, which is to be assessed with the rate, are not counted.
+func (l *Losses) Rate(hosts, unresponsive int, under History, now time.Time) float64 {
+	total, recent := 1+unresponsive, unresponsive
 	for _, x := range l.lost {
-		if x.explained || under.names(x.host) {
+		if x.explained || under.hasHost(x.host) {
 			continue
 		}
-		all++
-		if now.Sub(x.at) <= moments {
-			late++
+		total++
+		if now.Sub(x.at) <= recentWindow {
+			recent++
 		}
 	}
-	whole := float64(all) / remembered.Seconds()
-	return max(whole, float64(late)/moments.Seconds()) / float64(max(hosts, 1))
+	whole := float64(total) / lossRetention.Seconds()
+	return max(whole, float64(recent)/recentWindow.Seconds()) / float64(max(hosts, 1))
 }
 
-// Together reports whether the host that went at a moment went with its whole rack, of
-// which so many others are still there, and so many of them silent since about then.
-func (l *Losses) Together(host, rack string, at time.Time, silent, present int) bool {
-	if rack == "" || silent < present {
+// Together reports whether the host that failed at the given time failed with its whole rack.
+// present is the number of other hosts still in the rack, of which unresponsive stopped
+// answering at about that time.
+func (l *Losses) Together(host, rack string, at time.Time, unresponsive, present int) bool {
+	if rack == "" || unresponsive < present {
 		return false
 	}
-	gone := 0
+	failed := 0
 	for _, x := range l.lost {
 		if x.rack == rack && x.host != host && Near(x.at, at) {
-			gone++
+			failed++
 		}
 	}
-	return 1+gone+silent >= leastTogether
+	return 1+failed+unresponsive >= minRackFailures
 }
 
-// Near reports whether two hosts that fell silent at these moments may have done so for
-// one cause.
-func Near(a, b time.Time) bool { return a.Sub(b).Abs() <= togetherFor }
+// Near reports whether two hosts that became unresponsive at a and b may have failed for one
+// cause.
+func Near(a, b time.Time) bool { return a.Sub(b).Abs() <= correlationWindow }
