--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -18,7 +18,7 @@
 	total = spec.Resources{MilliCPU: 1000, MemoryMiB: 1000, Accelerators: 10}
 )
 
-func nothing(string) spec.Resources { return spec.Resources{} }
+func noUsage(string) spec.Resources { return spec.Resources{} }
 
 func TestReserve(t *testing.T) {
 	quota := Quota{MilliCPU: 10, MemoryMiB: -1, Accelerators: 0}
@@ -29,8 +29,8 @@
 		code  result.Code
 	}{
 		{"fits exactly", spec.Resources{MilliCPU: 3}, 2, 0},
-		{"no bound on memory", spec.Resources{MemoryMiB: 1 << 40}, 1, 0},
-		{"others hold it", spec.Resources{MilliCPU: 7}, 1, result.QuotaExceeded},
+		{"memory is unlimited", spec.Resources{MemoryMiB: 1 << 40}, 1, 0},
+		{"used by another job", spec.Resources{MilliCPU: 7}, 1, result.QuotaExceeded},
 		{"larger than the quota", spec.Resources{MilliCPU: 11}, 1, result.QuotaUnset},
 		{"none allowed", spec.Resources{Accelerators: 1}, 1, result.QuotaUnset},
 	}
@@ -45,13 +45,13 @@
 				return
 			}
 			is.Equal(err.Code, tt.code)
-			is.Equal(l.Used("team"), spec.Resources{MilliCPU: 4}) // nothing in part
+			is.Equal(l.Used("team"), spec.Resources{MilliCPU: 4}) // no partial reservation
 		})
 	}
 }
 
-// TestQuotaHolds runs random reservations and releases, some of them repeated,
-// against sums kept by the test.
+// TestQuotaHolds compares random reservations and releases, some of them repeated, with sums
+// that the test keeps itself.
 func TestQuotaHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
@@ -73,7 +73,7 @@
 				room := l.Room("team", quota, size(job), n)
 				err := l.Reserve("team", job, quota, size(job), n)
 				if (err == nil) != (room == n) {
-					t.Fatalf("room for %d of %d, but %v", room, n, err)
+					t.Fatalf("Room returned %d of %d, but Reserve returned %v", room, n, err)
 				}
 				if err == nil {
 					held[job] += n
@@ -82,13 +82,13 @@
 			"release": func(t *rapid.T) {
 				job, n := jobs.Draw(t, "job"), rapid.IntRange(1, 12).Draw(t, "n")
 				if got := l.Release("team", job, n); got != min(n, held[job]) {
-					t.Fatalf("released %d of %d held", got, held[job])
+					t.Fatalf("released %d, want %d", got, held[job])
 				}
 				held[job] -= min(n, held[job])
 			},
 			"": func(t *rapid.T) {
 				if l.Used("team") != sum() || quota.Exceeds(sum()) != "" {
-					t.Fatalf("ledger %v, held %v", l.Used("team"), sum())
+					t.Fatalf("ledger has %v, the test %v", l.Used("team"), sum())
 				}
 			},
 		})
@@ -106,17 +106,17 @@
 	q.Put(entry("also", "b", 1000))
 	q.Put(entry("small", "c", 10))
 	tasks := map[string]int{}
-	for _, p := range q.Round(start, 200, total, nothing) {
+	for _, p := range q.Round(start, 200, total, noUsage) {
 		tasks[p.Job] += p.Tasks
 	}
 	is.Equal(tasks, map[string]int{"big": 100, "also": 90, "small": 10})
 
 	used := func(team string) spec.Resources { return map[string]spec.Resources{"a": one.Times(500)}[team] }
-	is.Equal(q.Round(start, 10, total, used)[0].Job, "also") // a holds much already
+	is.Equal(q.Round(start, 10, total, used)[0].Job, "also") // team a already uses much
 }
 
-// TestOldBacklogKeepsShares: when everything has waited long, a team with much
-// more and older work does not get more than its share.
+// TestOldBacklogKeepsShares checks that a team with much more and older work does not get more
+// than its share when all work is aged.
 func TestOldBacklogKeepsShares(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(DefaultConfig())
@@ -129,7 +129,7 @@
 	e.Since = start.Add(-2 * time.Minute)
 	q.Put(e)
 	tasks := map[bool]int{}
-	for _, p := range q.Round(start, 6400, total, nothing) {
+	for _, p := range q.Round(start, 6400, total, noUsage) {
 		tasks[p.Job == "late"] += p.Tasks
 	}
 	is.True(tasks[true] >= 6400*2/5)
@@ -146,8 +146,8 @@
 		{"urgent before priority", func(a, b *Entry) { b.Urgent, a.Priority = true, 9 }, "b"},
 		{"aged before priority", func(a, b *Entry) { b.Since, a.Priority = start.Add(-time.Minute), 9 }, "b"},
 		{"urgent before aged", func(a, b *Entry) { a.Urgent, b.Since = true, start.Add(-time.Hour) }, "a"},
-		{"backing off", func(a, b *Entry) { a.NotBefore = start.Add(time.Millisecond) }, "b"},
-		{"back from backing off", func(a, b *Entry) { a.NotBefore = start }, "a"},
+		{"in backoff", func(a, b *Entry) { a.NotBefore = start.Add(time.Millisecond) }, "b"},
+		{"backoff has ended", func(a, b *Entry) { a.NotBefore = start }, "a"},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -157,7 +157,7 @@
 			q := NewQueue(DefaultConfig())
 			q.Put(a)
 			q.Put(b)
-			is.Equal(q.Round(start, 1, total, nothing)[0].Job, tt.first)
+			is.Equal(q.Round(start, 1, total, noUsage)[0].Job, tt.first)
 		})
 	}
 }
@@ -168,22 +168,22 @@
 	e := entry("gang", "a", 500)
 	e.Whole = true
 	q.Put(e)
-	is.Equal(q.Round(start, 10, total, nothing), []Pick{{Job: "gang", Tasks: 500}})
+	is.Equal(q.Round(start, 10, total, noUsage), []Pick{{Job: "gang", Tasks: 500}})
 }
 
-// TestNothingWaitsForEver floods the queue with urgent work, and gives every
-// round room for one task only.
+// TestNothingWaitsForEver checks that a job is picked within the configured ageing bounds while
+// urgent jobs keep arriving and each round has budget for one task only.
 func TestNothingWaitsForEver(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(DefaultConfig())
-	q.Put(entry("patient", "a", 1))
+	q.Put(entry("waiting", "a", 1))
 	now := start
 	for i := range 1000 {
 		e := entry(fmt.Sprint("urgent", i), "b", 1)
 		e.Urgent, e.Since = true, now
 		q.Put(e)
-		for _, p := range q.Round(now, 1, total, nothing) {
-			if p.Job == "patient" {
+		for _, p := range q.Round(now, 1, total, noUsage) {
+			if p.Job == "waiting" {
 				is.True(now.Sub(start) <= DefaultConfig().AgeAfter+time.Duration(DefaultConfig().AgedEvery)*time.Second)
 				return
 			}
@@ -191,11 +191,11 @@
 		}
 		now = now.Add(time.Second)
 	}
-	t.Fatal("the patient job was never picked")
+	t.Fatal("the waiting job was not picked in 1000 rounds")
 }
 
-// TestGangsNeitherDeadlockNorStarve lets gangs that each need every holder try
-// to hold them one by one; steps of different gangs come in any order.
+// TestGangsNeitherDeadlockNorStarve has gangs that each need every holder reserve them one by
+// one, with the steps of different gangs in random order.
 func TestGangsNeitherDeadlockNorStarve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holders := HolderOrder([]string{"c", "a", "b", "a"})
@@ -234,15 +234,15 @@
 				if s.held++; s.held == len(holders) {
 					s.done = true
 					left--
-					clear(owner) // it ran and ended
+					clear(owner) // the gang ran and ended
 				}
 			}
 		}
 	})
 }
 
-// BenchmarkRound measures the order of 1,024 tasks among so many waiting jobs of
-// 35 teams, as many as a placer of 16 would be home to.
+// BenchmarkRound measures the order of 1,024 tasks among the waiting jobs of 35 teams, up to
+// the number of jobs that one of 16 partitions would own.
 func BenchmarkRound(b *testing.B) {
 	for _, jobs := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(jobs, "-jobs"), func(b *testing.B) {
@@ -254,7 +254,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if len(q.Round(start, 1024, total, nothing)) == 0 {
+				if len(q.Round(start, 1024, total, noUsage)) == 0 {
 					b.Fatal("nothing picked")
 				}
 			}
--- a/internal/fairshare/ledger.go
+++ b/internal/fairshare/ledger.go
@@ -1,7 +1,7 @@
-// Package fairshare decides what teams and client accounts may have at once, and whose
-// work comes first: exact quotas, shares, ageing, and the
-// order in which gangs come back after a failed hold. It is pure: the caller passes the
-// time and serialises calls.
+// Package fairshare decides how much teams and client accounts may use at once and in which
+// order their work is placed: exact quotas, fair shares, ageing, and the retry order of gangs
+// after a failed reservation. It does no I/O and reads no clock: the caller passes the time and
+// serialises calls.
 package fairshare
 
 import (
@@ -9,67 +9,67 @@
 	"pulleyquay/internal/spec"
 )
 
-// Ledger counts what each team holds. It is exact because one home counts each
-// team; it is not safe for concurrent use.
+// Ledger counts the resources that each team uses. The counts are exact because a single home
+// partition accounts for each team. It is not safe for concurrent use.
 type Ledger struct {
-	teams map[string]*account
+	teams map[string]*teamUsage
 }
 
-// account is what one team holds.
-type account struct {
+// teamUsage is the resources that one team uses.
+type teamUsage struct {
 	used spec.Resources
-	jobs map[string]*holding
+	jobs map[string]*jobUsage
 }
 
-// holding is what one job holds: a number of tasks of one size.
-type holding struct {
+// jobUsage is the resources that one job uses: a number of tasks of one size.
+type jobUsage struct {
 	size  spec.Resources
 	tasks int
 }
 
-// NewLedger returns a ledger in which nothing is held.
-func NewLedger() *Ledger { return &Ledger{teams: map[string]*account{}} }
+// NewLedger returns an empty ledger.
+func NewLedger() *Ledger { return &Ledger{teams: map[string]*teamUsage{}} }
 
-// Reserve counts tasks of a job against the quota, all of them or none. It
-// refuses with QuotaExceeded when others of the team's jobs have to end first,
-// with QuotaUnset when the whole quota would not do.
+// Reserve counts tasks of a job against the quota, all of them or none. It returns
+// QuotaExceeded if other jobs of the team have to end first, and QuotaUnset if the request is
+// larger than the whole quota.
 func (l *Ledger) Reserve(team, job string, quota Quota, size spec.Resources, tasks int) *result.Error {
 	need := size.Times(int64(tasks))
-	if over := quota.Exceeds(need); over != "" {
-		return result.New(result.QuotaUnset, result.RanNo, "team %s: %s", team, over)
+	if exceeded := quota.Exceeds(need); exceeded != "" {
+		return result.New(result.QuotaUnset, result.RanNo, "team %s: %s", team, exceeded)
 	}
-	if over := quota.Exceeds(l.Used(team).Add(need)); over != "" {
-		return result.New(result.QuotaExceeded, result.RanNo, "team %s: %s", team, over)
+	if exceeded := quota.Exceeds(l.Used(team).Add(need)); exceeded != "" {
+		return result.New(result.QuotaExceeded, result.RanNo, "team %s: %s", team, exceeded)
 	}
 	l.Restore(team, job, size, tasks)
 	return nil
 }
 
-// Room returns how many tasks of the size the team's quota leaves room for, at
-// most limit.
+// Room returns how many tasks of the size fit into the remaining quota of the team, at most
+// limit.
 func (l *Ledger) Room(team string, quota Quota, size spec.Resources, limit int) int {
 	return quota.Room(l.Used(team), size, limit)
 }
 
-// Restore counts tasks that are known to run, whatever the quota says: after a
-// takeover, or when a quota was lowered under what runs.
+// Restore counts tasks that are known to run, regardless of the quota: after a failover or
+// handover, or when a quota was lowered below the current usage.
 func (l *Ledger) Restore(team, job string, size spec.Resources, tasks int) {
 	a := l.teams[team]
 	if a == nil {
-		a = &account{jobs: map[string]*holding{}}
+		a = &teamUsage{jobs: map[string]*jobUsage{}}
 		l.teams[team] = a
 	}
 	h := a.jobs[job]
 	if h == nil {
-		h = &holding{size: size}
+		h = &jobUsage{size: size}
 		a.jobs[job] = h
 	}
 	h.tasks += tasks
 	a.used = a.used.Add(h.size.Times(int64(tasks)))
 }
 
-// Release gives back tasks of a job. It returns how many the ledger had; less
-// than asked for means that something was released twice.
+// Release returns the quota of tasks of a job. The result is the number of tasks that the
+// ledger had counted; fewer than requested means that some were released twice.
 func (l *Ledger) Release(team, job string, tasks int) int {
 	a := l.teams[team]
 	if a == nil || a.jobs[job] == nil {
@@ -88,7 +88,7 @@
 	return tasks
 }
 
-// Used returns what a team holds.
+// Used returns the resources that a team uses.
 func (l *Ledger) Used(team string) spec.Resources {
 	if a := l.teams[team]; a != nil {
 		return a.used
--- a/internal/fairshare/queue.go
+++ b/internal/fairshare/queue.go
@@ -8,18 +8,18 @@
 	"pulleyquay/internal/spec"
 )
 
-// Config bounds how long order may keep work waiting.
+// Config limits how long work can be delayed by the scheduling order.
 type Config struct {
-	// AgeAfter is the wait after which a job goes before others of its team.
+	// AgeAfter is the wait after which a job is placed before other jobs of its team.
 	AgeAfter time.Duration
-	// AgedEvery sets one of so many picks aside for the job that has waited
-	// longest, so that a flood of urgent work can not starve the rest.
+	// AgedEvery reserves one in so many picks for the job that has waited longest, so that a
+	// stream of urgent work can not starve the rest.
 	AgedEvery int
-	// Batch is the largest number of tasks in one pick.
+	// Batch is the maximum number of tasks in one pick.
 	Batch int
 }
 
-// DefaultConfig is what a home starts with.
+// DefaultConfig returns the settings of a home partition.
 func DefaultConfig() Config {
 	return Config{AgeAfter: 60 * time.Second, AgedEvery: 8, Batch: 64}
 }
@@ -29,31 +29,31 @@
 	Job, Team string
 	Urgent    bool
 	Priority  int64
-	// Since is when the job began to wait: its submission, or when the first
-	// of its waiting tasks was lost.
+	// Since is when the job began to wait: its submission, or the loss of the first of its
+	// waiting tasks.
 	Since time.Time
-	// Size is that of one task.
+	// Size is the size of one task.
 	Size    spec.Resources
 	Pending int
-	// Whole jobs are picked with all their tasks or not at all: gangs.
+	// Whole jobs are gangs: they are picked with all their tasks or not at all.
 	Whole bool
-	// NotBefore is when a job that backs off may be picked again.
+	// NotBefore is the earliest time at which a job in backoff may be picked again.
 	NotBefore time.Time
 }
 
-// Pick is so many tasks of a job to ask for next.
+// Pick is a number of tasks of one job to be placed next.
 type Pick struct {
 	Job   string
 	Tasks int
-	// Aged picks came before their turn because the job waited too long.
+	// Aged picks were moved forward because the job has waited for AgeAfter.
 	Aged bool
 }
 
-// Queue holds the jobs with tasks waiting. It is not safe for concurrent use.
+// Queue holds the jobs with waiting tasks. It is not safe for concurrent use.
 type Queue struct {
 	config  Config
 	entries map[string]Entry
-	picks   int // since the start, for AgedEvery
+	picks   int // since creation, for AgedEvery
 }
 
 // NewQueue returns an empty queue.
@@ -61,8 +61,7 @@
 	return &Queue{config: config, entries: map[string]Entry{}}
 }
 
-// Put adds a job or replaces what is known of it. A job without pending tasks
-// is removed.
+// Put adds a job or replaces its entry. A job without pending tasks is removed.
 func (q *Queue) Put(e Entry) {
 	if e.Pending <= 0 {
 		delete(q.entries, e.Job)
@@ -71,18 +70,18 @@
 	q.entries[e.Job] = e
 }
 
-// Remove takes a job out.
+// Remove removes a job; an unknown job is ignored.
 func (q *Queue) Remove(job string) { delete(q.entries, job) }
 
-// Len returns the number of jobs waiting.
+// Len returns the number of waiting jobs.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Round gives the order in which to ask for tasks, up to budget of them:
-// urgent jobs, then the team with the smallest dominant share of total; within a
-// team aged jobs, then by priority, then by wait. One of AgedEvery picks goes to
-// the job that has waited longest, whatever its team. Shares grow by each pick,
-// so teams with backlog take turns. Gangs are picked whole even above budget.
-// used returns what a team holds already.
+// Round returns the order in which to place tasks, up to budget tasks: urgent jobs first, then
+// the team with the smallest dominant share of total; within a team aged jobs first, then by
+// priority, then by waiting time. One in AgedEvery picks goes to the job that has waited
+// longest, whichever its team. Each pick increases the share of its team, so that teams with a
+// backlog alternate. Gangs are picked with all their tasks even above the budget. used returns
+// the resources that a team already uses.
 func (q *Queue) Round(now time.Time, budget int, total spec.Resources, used func(team string) spec.Resources) []Pick {
 	r := q.newRound(now, total, used)
 	var picks []Pick
@@ -96,7 +95,7 @@
 		if e.Whole {
 			tasks = e.Pending
 		}
-		r.take(e, tasks)
+		r.charge(e, tasks)
 		budget -= tasks
 		picks = append(picks, Pick{Job: e.Job, Tasks: tasks, Aged: aged})
 	}
@@ -108,14 +107,15 @@
 	config Config
 	now    time.Time
 	total  spec.Resources
-	teams  []*teamRound
-	// urgent and aged hold jobs in the order they go first; the same entries
-	// are in their teams too.
+	teams  []*teamQueue
+	// urgent and aged hold jobs in the order of their wait. Their entries are shared with
+	// teams.
 	urgent, aged []*Entry
 }
 
-// teamRound is one team's jobs in order, with the share that it would have.
-type teamRound struct {
+// teamQueue is the jobs of one team in order, with the resources that the team would use after
+// the picks so far.
+type teamQueue struct {
 	name    string
 	entries []*Entry
 	used    spec.Resources
@@ -123,7 +123,7 @@
 
 func (q *Queue) newRound(now time.Time, total spec.Resources, used func(string) spec.Resources) *round {
 	r := &round{config: q.config, now: now, total: total}
-	teams := map[string]*teamRound{}
+	teams := map[string]*teamQueue{}
 	for _, e := range q.entries {
 		if now.Before(e.NotBefore) {
 			continue
@@ -131,7 +131,7 @@
 		e := &e
 		t := teams[e.Team]
 		if t == nil {
-			t = &teamRound{name: e.Team, used: used(e.Team)}
+			t = &teamQueue{name: e.Team, used: used(e.Team)}
 			teams[e.Team] = t
 			r.teams = append(r.teams, t)
 		}
@@ -148,22 +148,22 @@
 }
 
 func (r *round) sort() {
-	slices.SortFunc(r.teams, func(a, b *teamRound) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(r.teams, func(a, b *teamQueue) int { return cmp.Compare(a.name, b.name) })
 	for _, t := range r.teams {
 		slices.SortFunc(t.entries, func(a, b *Entry) int {
-			return cmp.Or(r.agedFirst(a, b), cmp.Compare(b.Priority, a.Priority), byWait(a, b))
+			return cmp.Or(r.compareAged(a, b), cmp.Compare(b.Priority, a.Priority), compareWait(a, b))
 		})
 	}
-	slices.SortFunc(r.urgent, byWait)
-	slices.SortFunc(r.aged, byWait)
+	slices.SortFunc(r.urgent, compareWait)
+	slices.SortFunc(r.aged, compareWait)
 }
 
-// isAged reports whether a job has waited long.
+// isAged reports whether a job has waited for AgeAfter.
 func (r *round) isAged(e *Entry) bool { return r.now.Sub(e.Since) >= r.config.AgeAfter }
 
-// agedFirst puts jobs that have waited long before others of their team. Between
-// teams the shares decide, else a team with much old work would get everything.
-func (r *round) agedFirst(a, b *Entry) int {
+// compareAged sorts aged jobs before the others of their team. Between teams the shares decide;
+// otherwise a team with much old work would get everything.
+func (r *round) compareAged(a, b *Entry) int {
 	switch {
 	case r.isAged(a) == r.isAged(b):
 		return 0
@@ -173,30 +173,29 @@
 	return 1
 }
 
-// byWait puts the job that has waited longest first.
-func byWait(a, b *Entry) int {
+// compareWait sorts the job that has waited longest first.
+func compareWait(a, b *Entry) int {
 	return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Job, b.Job))
 }
 
-// next returns the job whose turn it is. agedTurn is true for the picks set
-// aside for aged jobs.
-func (r *round) next(agedTurn bool) (e *Entry, aged bool) {
-	r.aged, r.urgent = waiting(r.aged), waiting(r.urgent)
-	if agedTurn && len(r.aged) > 0 {
+// next returns the job to pick next. agedPick is true for the picks reserved for aged jobs.
+func (r *round) next(agedPick bool) (e *Entry, aged bool) {
+	r.aged, r.urgent = dropExhausted(r.aged), dropExhausted(r.urgent)
+	if agedPick && len(r.aged) > 0 {
 		return r.aged[0], true
 	}
 	if len(r.urgent) > 0 {
 		return r.urgent[0], false
 	}
-	e = r.fairest()
+	e = r.nextByShare()
 	return e, e != nil && r.isAged(e)
 }
 
-// fairest returns the first job of the team with the smallest dominant share.
-func (r *round) fairest() *Entry {
-	var best *teamRound
+// nextByShare returns the first job of the team with the smallest dominant share.
+func (r *round) nextByShare() *Entry {
+	var best *teamQueue
 	for _, t := range r.teams {
-		t.entries = waiting(t.entries)
+		t.entries = dropExhausted(t.entries)
 		if len(t.entries) == 0 {
 			continue
 		}
@@ -210,8 +209,8 @@
 	return best.entries[0]
 }
 
-// take counts picked tasks into the team's share.
-func (r *round) take(e *Entry, tasks int) {
+// charge counts picked tasks towards the share of their team.
+func (r *round) charge(e *Entry, tasks int) {
 	e.Pending -= tasks
 	for _, t := range r.teams {
 		if t.name == e.Team {
@@ -220,11 +219,11 @@
 	}
 }
 
-// share is the largest part of any resource that the team would hold.
-func (r *round) share(t *teamRound) float64 { return DominantShare(t.used, r.total) }
+// share returns the largest fraction of any resource that the team would use.
+func (r *round) share(t *teamQueue) float64 { return DominantShare(t.used, r.total) }
 
-// waiting drops jobs at the front that have nothing pending.
-func waiting(entries []*Entry) []*Entry {
+// dropExhausted drops jobs without pending tasks from the front.
+func dropExhausted(entries []*Entry) []*Entry {
 	for len(entries) > 0 && entries[0].Pending <= 0 {
 		entries = entries[1:]
 	}
--- a/internal/fairshare/quota.go
+++ b/internal/fairshare/quota.go
@@ -7,18 +7,18 @@
 	"pulleyquay/internal/spec"
 )
 
-// Quota bounds what the jobs of a team or client account may hold at once; zero means
-// none allowed, negative means no bound.
+// Quota limits the resources that the jobs of a team or client account may use at once. Zero
+// allows none of a resource, and a negative value does not limit it.
 type Quota struct {
 	MilliCPU     int64 `cbor:"1,keyasint" json:"milli_cpu" validate:"min=-1"`
 	MemoryMiB    int64 `cbor:"2,keyasint" json:"memory_mib" validate:"min=-1"`
 	Accelerators int64 `cbor:"3,keyasint" json:"accelerators" validate:"min=-1"`
 }
 
-// Unlimited bounds nothing.
+// Unlimited limits no resource.
 var Unlimited = Quota{-1, -1, -1}
 
-// dimension is one kind of resource of a quota, and what is held and asked for of it.
+// dimension is one resource of a quota, with the amounts used and requested.
 type dimension struct {
 	name              string
 	quota, used, size int64
@@ -32,8 +32,8 @@
 	}
 }
 
-// Room returns how many tasks of a size the quota leaves room for beside what is used, at
-// most limit.
+// Room returns how many tasks of a size fit into the quota beside the used resources, at most
+// limit.
 func (q Quota) Room(used, size spec.Resources, limit int) int {
 	room := int64(limit)
 	for _, d := range q.dimensions(used, size) {
@@ -44,7 +44,8 @@
 	return int(room)
 }
 
-// Exceeds names the resources of need that are above the quota; "" when none is.
+// Exceeds names the resources in need that are above the quota, or returns "" if there are
+// none.
 func (q Quota) Exceeds(need spec.Resources) string {
 	var parts []string
 	for _, d := range q.dimensions(spec.Resources{}, need) {
@@ -55,24 +56,24 @@
 	return strings.Join(parts, "; ")
 }
 
-// Full is the largest part of any bounded resource of the quota that is used.
+// Full returns the highest utilization of any limited resource, as a fraction of the quota.
 func (q Quota) Full(used spec.Resources) float64 {
-	full := 0.0
+	utilization := 0.0
 	for _, d := range q.dimensions(used, spec.Resources{}) {
 		if d.quota > 0 {
-			full = max(full, part(d.used, d.quota))
+			utilization = max(utilization, fraction(d.used, d.quota))
 		}
 	}
-	return full
+	return utilization
 }
 
-// DominantShare is the largest part of any resource of total that is used.
+// DominantShare returns the largest fraction of any resource in total that is used.
 func DominantShare(used, total spec.Resources) float64 {
-	return max(part(used.MilliCPU, total.MilliCPU), part(used.MemoryMiB, total.MemoryMiB),
-		part(used.Accelerators, total.Accelerators))
+	return max(fraction(used.MilliCPU, total.MilliCPU), fraction(used.MemoryMiB, total.MemoryMiB),
+		fraction(used.Accelerators, total.Accelerators))
 }
 
-func part(used, total int64) float64 {
+func fraction(used, total int64) float64 {
 	if total <= 0 {
 		return 0
 	}
