--- a/internal/scheduler/allocation.go
+++ b/internal/scheduler/allocation.go
@@ -6,83 +6,82 @@
 	"pulleyquay/internal/spec"
 )
 
-// booking is one run in a worker's books.
-type booking struct {
+// allocation is one run in the record of a worker.
+type allocation struct {
 	Run
-	on *book
-	// at is the index in on.runs.
-	at      int
+	owner *record
+	// pos is the index in owner.runs.
+	pos     int
 	started time.Time
-	// fresh runs are not surely part of the last usage report.
-	fresh bool
+	// unreported is true while the last usage report may not include the run.
+	unreported bool
 }
 
-// book is one worker with everything that counts against its size.
-type book struct {
+// record is one worker with everything that counts against its size.
+type record struct {
 	Worker
-	runs []*booking
+	runs []*allocation
 	// declared is the sum of the sizes of all runs.
 	declared spec.Resources
-	// observed is the last usage report, taken some time before it arrived.
+	// observed is the last usage report, measured some time before it arrived.
 	observed spec.Resources
-	// fresh is the sum of the sizes of runs held or started since that report.
-	fresh spec.Resources
-	over  overload
+	// unreported is the sum of the sizes of the runs that the last report may not include.
+	unreported spec.Resources
+	overload   overuse
 
-	group  *group
-	bucket *bucket // nil unless ready
-	slot   int     // index in bucket.books
-	rack   string
-	// keptFor is the job that the worker is kept for, or "".
-	keptFor string
+	group     *group
+	bucket    *bucket // nil unless the worker is ready and not dedicated
+	bucketPos int     // index in bucket.workers
+	rack      string
+	// dedicatedTo is the job that the worker is dedicated to, or "".
+	dedicatedTo string
 }
 
-// used is what counts against the worker's size: the larger of what its runs
-// declare and what was observed plus what was started since.
-func (b *book) used() spec.Resources {
-	return b.declared.Max(b.observed.Add(b.fresh))
+// used returns what counts against the size of the worker: the larger of the declared sizes and
+// the observed usage plus the runs that the last report may not include.
+func (w *record) used() spec.Resources {
+	return w.declared.Max(w.observed.Add(w.unreported))
 }
 
-// free is what is left of the size; components are negative on a worker that
-// is over its size.
-func (b *book) free() spec.Resources {
-	return b.Info.Size.Sub(b.used())
+// free returns what is left of the size. Components are negative on an overloaded worker.
+func (w *record) free() spec.Resources {
+	return w.Info.Size.Sub(w.used())
 }
 
-// add books a run. It does not check for room.
-func (b *book) add(r Run, now time.Time) *booking {
-	k := &booking{Run: r, on: b, at: len(b.runs), started: now, fresh: true}
-	b.runs = append(b.runs, k)
-	b.declared = b.declared.Add(r.Size)
-	b.fresh = b.fresh.Add(r.Size)
-	return k
+// add allocates resources to a run without checking that they are free.
+func (w *record) add(r Run, now time.Time) *allocation {
+	alloc := &allocation{Run: r, owner: w, pos: len(w.runs), started: now, unreported: true}
+	w.runs = append(w.runs, alloc)
+	w.declared = w.declared.Add(r.Size)
+	w.unreported = w.unreported.Add(r.Size)
+	return alloc
 }
 
-// remove takes a run out. What was observed stays until the next report, since
-// nobody knows how much of it was the run's.
-func (b *book) remove(k *booking) {
-	last := len(b.runs) - 1
-	b.runs[k.at] = b.runs[last]
-	b.runs[k.at].at = k.at
-	b.runs[last] = nil
-	b.runs = b.runs[:last]
-	b.declared = b.declared.Sub(k.Size)
-	if k.fresh {
-		b.fresh = b.fresh.Sub(k.Size)
+// remove removes a run. The observed usage stays as it is until the next report, since the part
+// of the run in it is unknown.
+func (w *record) remove(alloc *allocation) {
+	last := len(w.runs) - 1
+	w.runs[alloc.pos] = w.runs[last]
+	w.runs[alloc.pos].pos = alloc.pos
+	w.runs[last] = nil
+	w.runs = w.runs[:last]
+	w.declared = w.declared.Sub(alloc.Size)
+	if alloc.unreported {
+		w.unreported = w.unreported.Sub(alloc.Size)
 	}
 }
 
-// observe takes in a usage report that arrived at now. Runs started in the lag
-// before it may not be part of it and go on counting on top.
-func (b *book) observe(usage spec.Resources, now time.Time, lag time.Duration) {
-	b.observed = usage
-	for _, k := range b.runs {
-		if k.fresh && !k.Held && now.Sub(k.started) > lag {
-			k.fresh = false
-			b.fresh = b.fresh.Sub(k.Size)
+// observe records a usage report that arrived at now. Held runs, and runs that started no more
+// than lag before now, may be missing from the report and still count in addition to it.
+func (w *record) observe(usage spec.Resources, now time.Time, lag time.Duration) {
+	w.observed = usage
+	for _, alloc := range w.runs {
+		if alloc.unreported && !alloc.Held && now.Sub(alloc.started) > lag {
+			alloc.unreported = false
+			w.unreported = w.unreported.Sub(alloc.Size)
 		}
 	}
 }
 
-// zero is no resources.
+// zero is the empty amount of resources.
 var zero spec.Resources
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -14,13 +14,13 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// benchSizes are the numbers of workers: today's, and towards the aim.
+// benchSizes are numbers of workers, from the present size of a cell up to the target size.
 var benchSizes = []int{48, 500, 3000, 18000}
 
-// benchWorker is the i-th worker of a mixed cell: eight makes, every fourth
-// worker with accelerators, four zones, eight workers to a rack.
+// benchWorker returns the i-th worker of a heterogeneous cell: eight machine types, every
+// fourth worker with accelerators, four zones, eight workers per rack.
 func benchWorker(i int) Worker {
-	w := ready(name(i), fmt.Sprint("zone", i/8%4), res(64000, 131072, 0))
+	w := readyWorker(workerName(i), fmt.Sprint("zone", i/8%4), resources(64000, 131072, 0))
 	w.Info.Rack = fmt.Sprint("rack", i/8)
 	w.Info.Generation = 1 + i%2
 	if i/2%2 == 1 {
@@ -33,16 +33,16 @@
 	return w
 }
 
-// benchShapes are kinds of work with sizes between a tenth of a core and a
-// quarter of a worker.
-func benchShapes() []Ask {
+// benchRequests returns requests for different shapes, with sizes between a tenth of a core and
+// a quarter of a worker.
+func benchRequests() []Ask {
 	sizes := []spec.Resources{
-		res(100, 256, 0), res(500, 1024, 0), res(1000, 2048, 0), res(2000, 8192, 0), res(4000, 4096, 0),
-		res(8000, 32768, 0), res(16000, 16384, 0), res(1500, 1500, 0), res(4000, 16384, 1), res(8000, 32768, 2),
+		resources(100, 256, 0), resources(500, 1024, 0), resources(1000, 2048, 0), resources(2000, 8192, 0), resources(4000, 4096, 0),
+		resources(8000, 32768, 0), resources(16000, 16384, 0), resources(1500, 1500, 0), resources(4000, 16384, 1), resources(8000, 32768, 2),
 	}
 	var out []Ask
 	for i, s := range sizes {
-		a := askFor(s)
+		a := requestFor(s)
 		a.Shape.Job = fmt.Sprint("job", i)
 		a.Shape.Policy.SpreadZones = i%3 == 0
 		a.Shape.Zones = map[string]int{}
@@ -54,25 +54,25 @@
 	return out
 }
 
-// load is a cell kept about as full as it was left: each placement past the
-// target ends the run placed longest ago.
-type load struct {
-	cell   *Cell
-	asks   []Ask
-	random *rand.Rand
-	runs   []Run
-	next   int
+// loadedCell is a cell whose utilization stays about constant: each placement is followed by
+// the end of a random run.
+type loadedCell struct {
+	cell     *Cell
+	requests []Ask
+	random   *rand.Rand
+	runs     []Run
+	next     int
 }
 
 // newLoad fills a cell of n workers to 80% of its processors.
-func newLoad(n int) *load {
-	l := &load{cell: NewCell(1), asks: benchShapes(), random: rand.New(rand.NewPCG(1, 2))}
+func newLoad(n int) *loadedCell {
+	l := &loadedCell{cell: NewCell(1), requests: benchRequests(), random: rand.New(rand.NewPCG(1, 2))}
 	for i := range n {
 		l.cell.Upsert(benchWorker(i))
 	}
 	target := int64(n) * 64000 * 8 / 10
 	for used := int64(0); used < target; {
-		a := &l.asks[l.random.IntN(len(l.asks))]
+		a := &l.requests[l.random.IntN(len(l.requests))]
 		if l.place(a, l.cell.Select) {
 			used += a.size().MilliCPU
 		}
@@ -80,7 +80,7 @@
 	return l
 }
 
-func (l *load) place(a *Ask, choose func(Ask) (Choice, *taskmsg.Refusal)) bool {
+func (l *loadedCell) place(a *Ask, choose func(Ask) (Choice, *taskmsg.Refusal)) bool {
 	choice, refusal := choose(*a)
 	if refusal != nil {
 		return false
@@ -94,9 +94,9 @@
 	return true
 }
 
-// turn places one task and ends another.
-func (l *load) turn(choose func(Ask) (Choice, *taskmsg.Refusal)) {
-	if l.place(&l.asks[l.next%len(l.asks)], choose) || len(l.runs) > 0 {
+// replaceRun places one task and ends another.
+func (l *loadedCell) replaceRun(choose func(Ask) (Choice, *taskmsg.Refusal)) {
+	if l.place(&l.requests[l.next%len(l.requests)], choose) || len(l.runs) > 0 {
 		i := l.random.IntN(len(l.runs))
 		l.cell.Unreserve(l.runs[i].Attempt)
 		l.runs[i] = l.runs[len(l.runs)-1]
@@ -104,22 +104,22 @@
 	}
 }
 
-// BenchmarkDecision measures select, reserve and the end of another run, one
-// by one, through the index and by a scan of all workers.
+// BenchmarkDecision measures Select, Reserve and the end of another run, one placement at a
+// time, through the index and by a scan of all workers.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range benchSizes {
-		for _, way := range []string{"index", "scan"} {
-			b.Run(fmt.Sprintf("%s/%d", way, n), func(b *testing.B) {
+		for _, method := range []string{"index", "scan"} {
+			b.Run(fmt.Sprintf("%s/%d", method, n), func(b *testing.B) {
 				l := newLoad(n)
 				choose := l.cell.Select
-				if way == "scan" {
+				if method == "scan" {
 					choose = func(a Ask) (Choice, *taskmsg.Refusal) { return l.cell.selectByScan(&a) }
 				}
 				h := hdrhistogram.New(1, int64(time.Second), 3)
 				b.ReportAllocs()
 				for b.Loop() {
 					t := time.Now()
-					l.turn(choose)
+					l.replaceRun(choose)
 					_ = h.RecordValue(int64(time.Since(t)))
 				}
 				b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99-ns")
@@ -129,8 +129,8 @@
 	}
 }
 
-// BenchmarkPlaceBatch measures 64 placements of one shape asked for together,
-// and their ends.
+// BenchmarkPlaceBatch measures the placement of 64 tasks of one shape in one call, and their
+// removal.
 func BenchmarkPlaceBatch(b *testing.B) {
 	const batch = 64
 	for _, n := range benchSizes {
@@ -139,7 +139,7 @@
 			runs := make([]Run, batch)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				a := &l.asks[i%len(l.asks)]
+				a := &l.requests[i%len(l.requests)]
 				for j := range runs {
 					l.next++
 					runs[j] = NewRun(&a.Shape, 0, taskmsg.Slot{Index: l.next, Attempt: 1})
@@ -154,21 +154,21 @@
 	}
 }
 
-// BenchmarkRefusal measures asks that no worker has room for now.
+// BenchmarkRefusal measures requests for which no worker has room at the moment.
 func BenchmarkRefusal(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l := newLoad(n)
-			for w := 0; w < n; w++ { // leave less than a core anywhere
-				if free, _ := l.cell.Free(name(w)); free.MilliCPU > 900 {
+			for w := 0; w < n; w++ { // leave less than one core free on every worker
+				if free, _ := l.cell.Free(workerName(w)); free.MilliCPU > 900 {
 					l.next++
-					_ = l.cell.Reserve(name(w), run("filler", l.next, res(free.MilliCPU-900+int64(w%400), 0, 0)), start)
+					_ = l.cell.Reserve(workerName(w), run("filler", l.next, resources(free.MilliCPU-900+int64(w%400), 0, 0)), start)
 				}
 			}
-			ask := askFor(res(1000, 100, 0))
+			request := requestFor(resources(1000, 100, 0))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, refusal := l.cell.Select(ask); refusal == nil {
+				if _, refusal := l.cell.Select(request); refusal == nil {
 					b.Fatal("found room")
 				}
 			}
@@ -176,45 +176,45 @@
 	}
 }
 
-// BenchmarkCellBytes measures the memory of a cell for each worker and each
-// run, as the growth of the heap.
+// BenchmarkCellBytes measures the memory of a cell per worker and per run, as the growth of the
+// heap.
 func BenchmarkCellBytes(b *testing.B) {
 	const workers, perWorker = 1000, 20
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		c := NewCell(1)
 		for i := range workers {
 			c.Upsert(benchWorker(i))
 		}
-		empty := heap()
+		empty := heapBytes()
 		for i := range workers * perWorker {
-			r := run("0198a3c2-7d1e-7000-8000-000000000000", i, res(1000, 1000, 0))
-			if err := c.Reserve(name(i%workers), r, start); err != nil {
+			r := run("0198a3c2-7d1e-7000-8000-000000000000", i, resources(1000, 1000, 0))
+			if err := c.Reserve(workerName(i%workers), r, start); err != nil {
 				b.Fatal(err)
 			}
 		}
-		full := heap()
+		full := heapBytes()
 		b.ReportMetric(float64(empty-before)/workers, "B/worker")
 		b.ReportMetric(float64(full-empty)/(workers*perWorker), "B/run")
 		runtime.KeepAlive(c)
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkObserve measures taking in a usage report of a worker with 11 runs.
+// BenchmarkObserve measures recording a usage report for a worker with 11 runs.
 func BenchmarkObserve(b *testing.B) {
 	c := NewCell(1)
 	for i := range 200 {
 		c.Upsert(benchWorker(i))
 	}
 	for i := range 200 * 11 {
-		if err := c.Reserve(name(i%200), run("job", i, res(1000, 1000, 0)), start); err != nil {
+		if err := c.Reserve(workerName(i%200), run("job", i, resources(1000, 1000, 0)), start); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -222,11 +222,11 @@
 	now := start
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(5 * time.Millisecond)
-		c.Observe(name(i%200), res(11000+int64(i%1000), 11000, 0), now)
+		c.Observe(workerName(i%200), resources(11000+int64(i%1000), 11000, 0), now)
 	}
 }
 
-// BenchmarkDigest measures the sum for a heartbeat.
+// BenchmarkDigest measures the summary for a heartbeat.
 func BenchmarkDigest(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/scheduler/cell.go
+++ b/internal/scheduler/cell.go
@@ -9,75 +9,75 @@
 	"pulleyquay/internal/worker"
 )
 
-// DefaultUsageLag is how old a usage report may be when it arrives.
+// DefaultUsageLag is the greatest expected age of a usage report on arrival.
 const DefaultUsageLag = 2 * time.Second
 
-// Cell is the workers of one holder with their books. It is not safe for
+// Cell is the workers of one holder with the resources allocated on them. It is not safe for
 // concurrent use.
 type Cell struct {
-	// UsageLag is how old a worker's usage report may be on arrival. Set it
-	// before the first Observe.
+	// UsageLag is the greatest age of a worker's usage report on arrival. It must be set before
+	// the first call of Observe.
 	UsageLag time.Duration
 
-	random *rand.Rand
-	books  map[string]*book
-	order  []*book // for walking all workers in a stable order
-	runs   map[worker.Attempt]*booking
-	recent *victimMemory
+	random        *rand.Rand
+	workers       map[string]*record
+	order         []*record // for iteration in a stable order
+	runs          map[worker.Attempt]*allocation
+	recentVictims *victimHistory
 	// replicas counts the started runs of each service.
-	replicas map[string]int64
-	kept     map[string]kept // by job
+	replicas  map[string]int64
+	dedicated map[string]dedicated // by job
 
 	index   index
 	scratch search
 }
 
-// NewCell returns an empty cell. The seed decides between equal choices.
+// NewCell returns an empty cell. The seed decides between equally good choices.
 func NewCell(seed uint64) *Cell {
 	return &Cell{
-		UsageLag: DefaultUsageLag,
-		random:   rand.New(rand.NewPCG(seed, seed)),
-		books:    map[string]*book{},
-		runs:     map[worker.Attempt]*booking{},
-		recent:   newVictimMemory(),
-		replicas: map[string]int64{},
-		kept:     map[string]kept{},
-		index:    newIndex(),
-	}
-}
-
-// Upsert adds a worker or replaces what is known of it; its runs stay booked.
-func (c *Cell) Upsert(w Worker) {
-	if b, ok := c.books[w.Info.Name]; ok {
-		c.index.leave(b)
-		b.Worker = w
-		c.index.join(b)
-		b.reindex()
+		UsageLag:      DefaultUsageLag,
+		random:        rand.New(rand.NewPCG(seed, seed)),
+		workers:       map[string]*record{},
+		runs:          map[worker.Attempt]*allocation{},
+		recentVictims: newVictimHistory(),
+		replicas:      map[string]int64{},
+		dedicated:     map[string]dedicated{},
+		index:         newIndex(),
+	}
+}
+
+// Upsert adds a worker or replaces its description; its runs stay allocated.
+func (c *Cell) Upsert(update Worker) {
+	if w, ok := c.workers[update.Info.Name]; ok {
+		c.index.removeWorker(w)
+		w.Worker = update
+		c.index.addWorker(w)
+		w.reindex()
 		return
 	}
-	b := &book{Worker: w}
-	c.books[w.Info.Name] = b
-	c.order = append(c.order, b)
-	c.index.join(b)
-	b.reindex()
+	w := &record{Worker: update}
+	c.workers[update.Info.Name] = w
+	c.order = append(c.order, w)
+	c.index.addWorker(w)
+	w.reindex()
 }
 
-// Remove forgets a worker and every run on it. It returns the runs.
+// Remove removes a worker and returns the runs that were allocated on it.
 func (c *Cell) Remove(name string) []Run {
-	b, ok := c.books[name]
+	w, ok := c.workers[name]
 	if !ok {
 		return nil
 	}
-	runs := b.copyRuns()
-	for _, k := range b.runs {
-		delete(c.runs, k.Attempt)
-		c.countReplica(&k.Run, -1)
+	runs := w.copyRuns()
+	for _, alloc := range w.runs {
+		delete(c.runs, alloc.Attempt)
+		c.countReplica(&alloc.Run, -1)
 	}
-	delete(c.books, name)
-	c.index.leave(b)
-	c.release(b.keptFor)
+	delete(c.workers, name)
+	c.index.removeWorker(w)
+	c.endDedication(w.dedicatedTo)
 	for i, o := range c.order {
-		if o == b {
+		if o == w {
 			c.order = append(c.order[:i], c.order[i+1:]...)
 			break
 		}
@@ -85,82 +85,81 @@
 	return runs
 }
 
-// SetStatus changes whether a worker takes new work.
+// SetStatus sets whether a worker takes new work.
 func (c *Cell) SetStatus(name string, s Status) error {
-	b, ok := c.books[name]
+	w, ok := c.workers[name]
 	if !ok {
 		return unknownWorker(name)
 	}
-	b.Status = s
-	b.reindex()
+	w.Status = s
+	w.reindex()
 	return nil
 }
 
-// Worker returns one worker as last given.
+// Worker returns the description of a worker as last passed to Upsert, with its current status.
 func (c *Cell) Worker(name string) (Worker, bool) {
-	b, ok := c.books[name]
+	w, ok := c.workers[name]
 	if !ok {
 		return Worker{}, false
 	}
-	return b.Worker, true
+	return w.Worker, true
 }
 
-// Runs returns what is booked on a worker, in no particular order.
+// Runs returns the runs that are allocated on a worker, in no particular order.
 func (c *Cell) Runs(name string) []Run {
-	b, ok := c.books[name]
+	w, ok := c.workers[name]
 	if !ok {
 		return nil
 	}
-	return b.copyRuns()
+	return w.copyRuns()
 }
 
-// Find returns the run of an attempt and the worker that it is booked on.
+// Find returns the run of an attempt and the name of the worker on which it is allocated.
 func (c *Cell) Find(a worker.Attempt) (run Run, name string, ok bool) {
-	k, ok := c.runs[a]
+	alloc, ok := c.runs[a]
 	if !ok {
 		return Run{}, "", false
 	}
-	return k.Run, k.on.Info.Name, true
+	return alloc.Run, alloc.owner.Info.Name, true
 }
 
-// Free returns what is left of a worker's size by its books.
+// Free returns the part of a worker's size that is not used.
 func (c *Cell) Free(name string) (spec.Resources, bool) {
-	b, ok := c.books[name]
+	w, ok := c.workers[name]
 	if !ok {
 		return spec.Resources{}, false
 	}
-	return b.free(), true
+	return w.free(), true
 }
 
-// Reserve books a run on a worker, from the moment now on. It refuses what
-// would take the worker over its size, a worker that is not ready, and a run
-// that is booked already.
+// Reserve allocates resources on a worker to a run, from now on. It returns an error if the
+// worker is not ready or has too little left, or if the run is allocated already.
 func (c *Cell) Reserve(name string, r Run, now time.Time) error {
-	b, ok := c.books[name]
+	w, ok := c.workers[name]
 	if !ok {
 		return unknownWorker(name)
 	}
-	if b.Status != StatusReady {
-		return result.New(result.WorkerClosed, result.RanNo, "worker %s is %s", name, b.Status)
+	if w.Status != StatusReady {
+		return result.New(result.WorkerClosed, result.RanNo, "worker %s is %s", name, w.Status)
 	}
-	if k, dup := c.runs[r.Attempt]; dup {
-		return result.New(result.RunBooked, result.RanNo, "%s attempt %d is booked on %s", r.Attempt.Task, r.Attempt.Attempt, k.on.Info.Name)
+	if alloc, dup := c.runs[r.Attempt]; dup {
+		return result.New(result.RunBooked, result.RanNo, "%s attempt %d is booked on %s", r.Attempt.Task, r.Attempt.Attempt, alloc.owner.Info.Name)
 	}
-	if free := b.free(); !r.Size.Fits(free) {
+	if free := w.free(); !r.Size.Fits(free) {
 		return result.New(result.WorkerFull, result.RanNo, "worker %s has %v left, the run needs %v", name, free, r.Size)
 	}
-	c.book(b, r, now)
+	c.record(w, r, now)
 	return nil
 }
 
-// book adds a run to a worker's books.
-func (c *Cell) book(b *book, r Run, now time.Time) {
-	c.runs[r.Attempt] = b.add(r, now)
+// record adds a run to the record of a worker.
+func (c *Cell) record(w *record, r Run, now time.Time) {
+	c.runs[r.Attempt] = w.add(r, now)
 	c.countReplica(&r, 1)
-	b.reindex()
+	w.reindex()
 }
 
-// countReplica adds to the started runs of a service.
+// countReplica adds n to the number of started runs of a service.
 func (c *Cell) countReplica(r *Run, n int64) {
 	if r.Kind != spec.KindService || r.Held {
 		return
@@ -171,64 +170,65 @@
 	}
 }
 
-// Adopt books a run that a worker's inventory shows. What runs, runs: it is
-// booked even where that takes the worker over its size. The run counts on top
-// of usage reports until one comes that is a lag later than started.
+// Adopt allocates a run that the inventory of a worker lists. The run is running already, so it
+// is allocated even if that takes the worker over its size. It counts in addition to usage
+// reports until one arrives more than UsageLag after started.
 func (c *Cell) Adopt(name string, r Run, started time.Time) error {
-	b, ok := c.books[name]
+	w, ok := c.workers[name]
 	if !ok {
 		return unknownWorker(name)
 	}
 	if _, dup := c.runs[r.Attempt]; dup {
 		return nil
 	}
-	c.book(b, r, started)
+	c.record(w, r, started)
 	return nil
 }
 
-// Unreserve takes a run out of the books: it has ended, or never started.
+// Unreserve removes a run that has ended or was never started. It reports whether the run was
+// allocated.
 func (c *Cell) Unreserve(a worker.Attempt) bool {
-	k, ok := c.runs[a]
+	alloc, ok := c.runs[a]
 	if !ok {
 		return false
 	}
 	delete(c.runs, a)
-	c.countReplica(&k.Run, -1)
-	k.on.remove(k)
-	k.on.reindex()
+	c.countReplica(&alloc.Run, -1)
+	alloc.owner.remove(alloc)
+	alloc.owner.reindex()
 	return true
 }
 
-// Commit turns a held run into a started one; for a started one it does nothing.
+// Commit turns a held run into a started one. It has no effect on a started run.
 func (c *Cell) Commit(a worker.Attempt, now time.Time) error {
-	k, ok := c.runs[a]
+	alloc, ok := c.runs[a]
 	if !ok {
 		return result.New(result.RunUnknown, result.RanNo, "%s attempt %d is not held", a.Task, a.Attempt)
 	}
-	if k.Held {
-		k.Held = false
-		k.started = now
-		c.countReplica(&k.Run, 1)
+	if alloc.Held {
+		alloc.Held = false
+		alloc.started = now
+		c.countReplica(&alloc.Run, 1)
 	}
 	return nil
 }
 
-// Observe takes in a worker's usage report that arrived at now.
+// Observe records a worker's usage report that arrived at now.
 func (c *Cell) Observe(name string, usage spec.Resources, now time.Time) {
-	b, ok := c.books[name]
+	w, ok := c.workers[name]
 	if !ok {
 		return
 	}
-	c.lapse(now)
-	b.observe(usage, now, c.UsageLag)
-	b.reindex()
-	b.over.note(usage, b.Info.Size, now)
+	c.expireDedications(now)
+	w.observe(usage, now, c.UsageLag)
+	w.reindex()
+	w.overload.update(usage, w.Info.Size, now)
 }
 
-func (b *book) copyRuns() []Run {
-	out := make([]Run, len(b.runs))
-	for i, k := range b.runs {
-		out[i] = k.Run
+func (w *record) copyRuns() []Run {
+	out := make([]Run, len(w.runs))
+	for i, alloc := range w.runs {
+		out[i] = alloc.Run
 	}
 	return out
 }
--- a/internal/scheduler/cell_property_test.go
+++ b/internal/scheduler/cell_property_test.go
@@ -11,9 +11,9 @@
 	"pulleyquay/internal/worker"
 )
 
-// model is an independent account of what the cell should hold. A worker's
-// load by the model is the larger of what its runs declare and the last report
-// plus the runs held or started in the lag before it or after it.
+// model calculates independently what the cell should contain. The usage of a worker in the
+// model is the larger of what its runs declare and the last report plus the runs that are held
+// or started no more than UsageLag before the report, or after it.
 type model struct {
 	cell     *Cell
 	now      time.Time
@@ -28,9 +28,9 @@
 	Run
 	worker  string
 	started time.Time
-	// covered is true once a report surely includes the run.
+	// covered is true once a report certainly includes the run.
 	covered bool
-	// adopted runs were running already when the worker was claimed.
+	// adopted runs were already running when the worker was claimed.
 	adopted bool
 }
 
@@ -40,31 +40,31 @@
 		observed: map[string]spec.Resources{}, reported: map[string]time.Time{},
 	}
 	for i := range workers {
-		m.join(name(i), size)
+		m.addWorker(workerName(i), size)
 	}
 	return m
 }
 
-func (m *model) join(name string, size spec.Resources) {
-	m.cell.Upsert(ready(name, "zone", size))
+func (m *model) addWorker(name string, size spec.Resources) {
+	m.cell.Upsert(readyWorker(name, "zone", size))
 	m.sizes[name] = size
 }
 
 func (m *model) load(name string) spec.Resources {
-	var declared, fresh spec.Resources
+	var declared, unreported spec.Resources
 	for _, r := range m.runs {
 		if r.worker != name {
 			continue
 		}
 		declared = declared.Add(r.Size)
 		if !r.covered {
-			fresh = fresh.Add(r.Size)
+			unreported = unreported.Add(r.Size)
 		}
 	}
-	return declared.Max(m.observed[name].Add(fresh))
+	return declared.Max(m.observed[name].Add(unreported))
 }
 
-func (m *model) book(r Run, name string, adopted bool) {
+func (m *model) record(r Run, name string, adopted bool) {
 	m.runs[r.Attempt] = &modelRun{Run: r, worker: name, started: m.now, adopted: adopted}
 }
 
@@ -78,26 +78,27 @@
 	}
 }
 
-func drawSize(t *rapid.T, label string, most int64) spec.Resources {
-	return res(rapid.Int64Range(0, most).Draw(t, label+"-cpu"), rapid.Int64Range(0, most).Draw(t, label+"-mem"), rapid.Int64Range(0, 3).Draw(t, label+"-acc"))
+func drawSize(t *rapid.T, label string, limit int64) spec.Resources {
+	return resources(rapid.Int64Range(0, limit).Draw(t, label+"-cpu"), rapid.Int64Range(0, limit).Draw(t, label+"-mem"), rapid.Int64Range(0, 3).Draw(t, label+"-acc"))
 }
 
-// TestNoSequenceOverfills runs random starts, holds, commits, reports, losses,
-// claims, cancels and preemptions. A start that the cell accepts must fit by
-// the model, and a start that it refuses as full must not.
+// TestNoSequenceOverfills performs random starts, reservations, commits, reports, worker
+// failures, claims, cancellations and preemptions. The model must have room for every start
+// that the cell accepts, and must not have room for a start that the cell rejects for lack of
+// resources.
 func TestNoSequenceOverfills(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(3, res(100, 100, 4))
+		m := newModel(3, resources(100, 100, 4))
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": m.reserve,
 			"place":   m.place,
 			"end":     m.end,
 			"commit":  m.commit,
-			"report":  func(t *rapid.T) { m.report(m.anyWorker(t), drawSize(t, "usage", 120)) },
+			"report":  func(t *rapid.T) { m.report(m.drawWorker(t), drawSize(t, "usage", 120)) },
 			"tick": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"lose":      m.lose,
+			"fail":      m.failWorker,
 			"claim":     m.claim,
 			"preempt":   m.preempt,
 			"setStatus": m.setStatus,
@@ -106,10 +107,12 @@
 	})
 }
 
-func (m *model) anyWorker(t *rapid.T) string { return name(rapid.IntRange(0, 2).Draw(t, "worker")) }
+func (m *model) drawWorker(t *rapid.T) string {
+	return workerName(rapid.IntRange(0, 2).Draw(t, "worker"))
+}
 
-// anyRun draws one of the runs, or returns nil when there are none.
-func (m *model) anyRun(t *rapid.T) *modelRun {
+// drawRun draws one of the runs, or returns nil if there are none.
+func (m *model) drawRun(t *rapid.T) *modelRun {
 	if len(m.runs) == 0 {
 		return nil
 	}
@@ -132,44 +135,44 @@
 }
 
 func (m *model) reserve(t *rapid.T) {
-	r, w := m.newRun(t), m.anyWorker(t)
+	r, w := m.newRun(t), m.drawWorker(t)
 	fits := r.Size.Fits(m.sizes[w].Sub(m.load(w)))
 	known, _ := m.cell.Worker(w)
 	err := m.cell.Reserve(w, r, m.now)
 	if open := known.Status == StatusReady; (err == nil) != (fits && open) {
-		t.Fatalf("reserve %v on %s: fits %v, open %v, got %v", r.Size, w, fits, open, err)
+		t.Fatalf("reserve %v on %s: fits %v, ready %v, got %v", r.Size, w, fits, open, err)
 	}
 	if err == nil {
-		m.book(r, w, false)
+		m.record(r, w, false)
 	}
 }
 
 func (m *model) place(t *rapid.T) {
 	runs := []Run{m.newRun(t)}
-	placed, refusal := m.cell.Place(askFor(runs[0].Size), runs, m.now)
+	placed, refusal := m.cell.Place(requestFor(runs[0].Size), runs, m.now)
 	if refusal != nil {
 		return
 	}
 	w := placed[0].Worker
 	if !runs[0].Size.Fits(m.sizes[w].Sub(m.load(w))) {
-		t.Fatalf("placed %v on %s, which holds %v of %v", runs[0].Size, w, m.load(w), m.sizes[w])
+		t.Fatalf("placed %v on %s, which uses %v of %v", runs[0].Size, w, m.load(w), m.sizes[w])
 	}
-	m.book(runs[0], w, false)
+	m.record(runs[0], w, false)
 }
 
 func (m *model) end(t *rapid.T) {
-	r := m.anyRun(t)
+	r := m.drawRun(t)
 	if r == nil {
 		return
 	}
 	if !m.cell.Unreserve(r.Attempt) {
-		t.Fatalf("run %v was not booked", r.Attempt)
+		t.Fatalf("run %v was not allocated", r.Attempt)
 	}
 	delete(m.runs, r.Attempt)
 }
 
 func (m *model) commit(t *rapid.T) {
-	r := m.anyRun(t)
+	r := m.drawRun(t)
 	if r == nil {
 		return
 	}
@@ -181,8 +184,8 @@
 	}
 }
 
-func (m *model) lose(t *rapid.T) {
-	w := m.anyWorker(t)
+func (m *model) failWorker(t *rapid.T) {
+	w := m.drawWorker(t)
 	m.cell.Remove(w)
 	for a, r := range m.runs {
 		if r.worker == w {
@@ -190,20 +193,20 @@
 		}
 	}
 	delete(m.observed, w)
-	m.join(w, m.sizes[w])
+	m.addWorker(w, m.sizes[w])
 }
 
 func (m *model) claim(t *rapid.T) {
-	w, r := m.anyWorker(t), m.newRun(t)
+	w, r := m.drawWorker(t), m.newRun(t)
 	r.Held = false
 	if err := m.cell.Adopt(w, r, m.now); err != nil {
 		t.Fatal(err)
 	}
-	m.book(r, w, true)
+	m.record(r, w, true)
 }
 
 func (m *model) preempt(t *rapid.T) {
-	a := askFor(drawSize(t, "ask", 80))
+	a := requestFor(drawSize(t, "ask", 80))
 	a.Shape.Urgent = true
 	w, victims := m.cell.Victims(a)
 	if w == "" {
@@ -212,7 +215,7 @@
 	m.cell.Preempted(victims)
 	for _, v := range victims {
 		if m.runs[v.Attempt] == nil || m.runs[v.Attempt].worker != w || v.Urgent || v.Held {
-			t.Fatalf("victim %v may not be taken", v)
+			t.Fatalf("victim %v must not be preempted", v)
 		}
 		m.cell.Unreserve(v.Attempt)
 		delete(m.runs, v.Attempt)
@@ -221,20 +224,20 @@
 
 func (m *model) setStatus(t *rapid.T) {
 	s := rapid.SampledFrom([]Status{StatusReady, StatusReady, StatusReady, StatusLeaving}).Draw(t, "status")
-	if err := m.cell.SetStatus(m.anyWorker(t), s); err != nil {
+	if err := m.cell.SetStatus(m.drawWorker(t), s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// check compares the books with the model.
+// check compares the cell with the model.
 func (m *model) check(t *rapid.T) {
 	for w, size := range m.sizes {
 		free, _ := m.cell.Free(w)
 		if want := size.Sub(m.load(w)); free != want {
-			t.Fatalf("%s: free by the books %v, by the model %v", w, free, want)
+			t.Fatalf("%s: the cell has %v free, the model %v", w, free, want)
 		}
 		if n := len(m.cell.Runs(w)); n != m.count(w) {
-			t.Fatalf("%s: %d runs in the books, %d in the model", w, n, m.count(w))
+			t.Fatalf("%s: the cell has %d runs, the model %d", w, n, m.count(w))
 		}
 	}
 }
@@ -251,7 +254,7 @@
 
 func ExampleNever() {
 	cell := NewCell(1)
-	cell.Upsert(ready("w", "a", res(64000, 131072, 0)))
-	fmt.Println(cell.Never(&spec.Task{Size: res(65000, 1024, 1)}).Detail)
+	cell.Upsert(readyWorker("w", "a", resources(64000, 131072, 0)))
+	fmt.Println(cell.Never(&spec.Task{Size: resources(65000, 1024, 1)}).Detail)
 	// Output: milli_cpu: needs 65000, the largest worker has 64000; accelerators: needs 1, the largest worker has 0
 }
--- a/internal/scheduler/dedication.go
+++ b/internal/scheduler/dedication.go
@@ -6,95 +6,98 @@
 	"pulleyquay/internal/spec"
 )
 
-// Work that needs much of a worker may never find it, because smaller work takes
-// each piece of room as it comes free. For aged work that is refused the cell
-// therefore keeps one worker: nothing else is placed there until the work fits
-// or the time is up.
+// Work that needs a large part of a worker may starve, because smaller work takes each part of
+// the resources as soon as it is free. The cell therefore dedicates one worker to an aged job
+// that is refused: no other job is placed there until the aged job fits or a time-out expires.
 
 const (
-	// keepTime is how long a worker is kept. The next refusal keeps it again.
-	keepTime = 2 * time.Minute
-	// keepShare bounds the kept workers to one in so many, and at least one.
-	keepShare = 20
-	// keepLooked is how many workers that could do are compared.
-	keepLooked = 64
+	// dedicationTimeout is how long a worker stays dedicated. Each further refusal of the job
+	// restarts the time-out.
+	dedicationTimeout = 2 * time.Minute
+	// workersPerDedicated bounds the dedicated workers to one in so many, plus one.
+	workersPerDedicated = 20
+	// maxDedicationCandidates is how many suitable workers are compared.
+	maxDedicationCandidates = 64
 )
 
-// kept is a worker kept for a job.
-type kept struct {
-	book  *book
-	until time.Time
+// dedicated is a worker that is dedicated to a job.
+type dedicated struct {
+	record *record
+	until  time.Time
 }
 
-// keep chooses a worker for a refused ask, if there may be one more. It takes
-// the one that lacks least, of those where enough room is held by work that ends.
-func (c *Cell) keep(a *Ask, now time.Time) {
-	if k, ok := c.kept[a.Shape.Job]; ok {
-		k.until = now.Add(keepTime)
-		c.kept[a.Shape.Job] = k
+// dedicate chooses a worker for a refused request, unless the bound on dedicated workers is
+// reached. Only workers are eligible on which the job fits once all work but services has
+// ended; of these it chooses the one with the smallest shortage.
+func (c *Cell) dedicate(a *Ask, now time.Time) {
+	if d, ok := c.dedicated[a.Shape.Job]; ok {
+		d.until = now.Add(dedicationTimeout)
+		c.dedicated[a.Shape.Job] = d
 		return
 	}
-	if len(c.kept) > len(c.order)/keepShare {
+	if len(c.dedicated) > len(c.order)/workersPerDedicated {
 		return
 	}
-	var best *book
-	var least float64
+	var best *record
+	var smallest float64
 	n := len(c.order)
 	first := c.random.IntN(max(n, 1))
-	for i, looked := 0, 0; i < n && looked < keepLooked; i++ {
-		b := c.order[(first+i)%n]
-		if b.keptFor != "" || !couldHold(a, b) || !a.size().Fits(b.Info.Size.Sub(b.endless())) {
+	for i, examined := 0, 0; i < n && examined < maxDedicationCandidates; i++ {
+		w := c.order[(first+i)%n]
+		if w.dedicatedTo != "" || !fitsWhenIdle(a, w) || !a.size().Fits(w.Info.Size.Sub(w.serviceUsage())) {
 			continue
 		}
-		looked++
-		if m := missing(a.size(), b); best == nil || m < least {
-			best, least = b, m
+		examined++
+		if m := shortage(a.size(), w); best == nil || m < smallest {
+			best, smallest = w, m
 		}
 	}
 	if best == nil {
 		return
 	}
-	best.keptFor = a.Shape.Job
+	best.dedicatedTo = a.Shape.Job
 	best.reindex()
-	c.kept[a.Shape.Job] = kept{book: best, until: now.Add(keepTime)}
+	c.dedicated[a.Shape.Job] = dedicated{record: best, until: now.Add(dedicationTimeout)}
 }
 
-// release lets others use the worker kept for a job again.
-func (c *Cell) release(job string) {
-	k, ok := c.kept[job]
+// endDedication makes the worker dedicated to a job available to other jobs.
+func (c *Cell) endDedication(job string) {
+	d, ok := c.dedicated[job]
 	if !ok {
 		return
 	}
-	delete(c.kept, job)
-	k.book.keptFor = ""
-	if k.book.group != nil { // it may have been removed
-		k.book.reindex()
+	delete(c.dedicated, job)
+	d.record.dedicatedTo = ""
+	if d.record.group != nil { // nil after Remove
+		d.record.reindex()
 	}
 }
 
-// lapse releases the workers whose time is up.
-func (c *Cell) lapse(now time.Time) {
-	for job, k := range c.kept {
-		if !now.Before(k.until) || k.book.group == nil {
-			c.release(job)
+// expireDedications ends the dedications that have timed out.
+func (c *Cell) expireDedications(now time.Time) {
+	for job, d := range c.dedicated {
+		if !now.Before(d.until) || d.record.group == nil {
+			c.endDedication(job)
 		}
 	}
 }
 
-// endless is what services hold on the worker: they do not end by themselves.
-func (b *book) endless() spec.Resources {
+// serviceUsage returns the declared sizes of the services on the worker, which do not end by
+// themselves.
+func (w *record) serviceUsage() spec.Resources {
 	var sum spec.Resources
-	for _, k := range b.runs {
-		if k.Kind == spec.KindService {
-			sum = sum.Add(k.Size)
+	for _, alloc := range w.runs {
+		if alloc.Kind == spec.KindService {
+			sum = sum.Add(alloc.Size)
 		}
 	}
 	return sum
 }
 
-// missing is the largest share of the worker's size that the ask lacks there.
-func missing(size spec.Resources, b *book) float64 {
-	lack := size.Sub(b.free())
-	return max(share(lack.MilliCPU, b.Info.Size.MilliCPU), share(lack.MemoryMiB, b.Info.Size.MemoryMiB),
-		share(lack.Accelerators, b.Info.Size.Accelerators))
+// shortage returns the largest shortage of a resource for a task of this size, as a fraction of
+// the worker's size.
+func shortage(size spec.Resources, w *record) float64 {
+	deficit := size.Sub(w.free())
+	return max(fraction(deficit.MilliCPU, w.Info.Size.MilliCPU), fraction(deficit.MemoryMiB, w.Info.Size.MemoryMiB),
+		fraction(deficit.Accelerators, w.Info.Size.Accelerators))
 }
--- a/internal/scheduler/filters.go
+++ b/internal/scheduler/filters.go
@@ -6,10 +6,10 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// Names of the rules that turn workers down, as they stand in a Refusal.
+// Names of the rules that reject workers, as they appear in a Refusal.
 const (
 	RuleStatus          = "status"
-	RuleKept            = "kept" // for aged work of another job
+	RuleDedicated       = "kept" // dedicated to an aged job
 	RuleAvoid           = "avoid"
 	RuleAcceleratorKind = "accelerator-kind"
 	RuleGeneration      = "generation"
@@ -19,14 +19,14 @@
 	RuleProcessors      = "processors"
 )
 
-// hardwareFilter looks only at what never changes on a worker.
+// hardwareFilter checks only properties of a worker that never change.
 type hardwareFilter struct {
 	rule   string
 	admits func(*Ask, *taskmsg.Size) bool
 }
 
-// hardwareFilters in the order of asking. A worker counts for the first rule
-// that turns it down.
+// hardwareFilters in the order of evaluation. A worker counts for the first rule that rejects
+// it.
 var hardwareFilters = []hardwareFilter{
 	{RuleAcceleratorKind, admitsAcceleratorKind},
 	{RuleGeneration, admitsGeneration},
@@ -51,48 +51,47 @@
 	return true
 }
 
-// roomFilter looks at what is left of a worker now.
-type roomFilter struct {
+// capacityFilter checks the current state of a worker against one request.
+type capacityFilter struct {
 	rule   string
-	admits func(*Ask, *book) bool
+	admits func(*Ask, *record) bool
 }
 
-// roomFilters in the order of asking, after the status and hardware filters.
-var roomFilters = []roomFilter{
+// capacityFilters in the order of evaluation, after the status and hardware filters.
+var capacityFilters = []capacityFilter{
 	{RuleAvoid, admitsAvoid},
 	{RuleAccelerators, admitsAccelerators},
 	{RuleMemory, admitsMemory},
 	{RuleProcessors, admitsProcessors},
 }
 
-func admitsAvoid(a *Ask, b *book) bool {
-	return !slices.Contains(a.Shape.Avoid, b.Info.Name)
+func admitsAvoid(a *Ask, w *record) bool {
+	return !slices.Contains(a.Shape.Avoid, w.Info.Name)
 }
 
-func admitsAccelerators(a *Ask, b *book) bool {
-	return a.size().Accelerators <= b.free().Accelerators
+func admitsAccelerators(a *Ask, w *record) bool {
+	return a.size().Accelerators <= w.free().Accelerators
 }
 
-func admitsMemory(a *Ask, b *book) bool {
-	return a.size().MemoryMiB <= b.free().MemoryMiB
+func admitsMemory(a *Ask, w *record) bool {
+	return a.size().MemoryMiB <= w.free().MemoryMiB
 }
 
-func admitsProcessors(a *Ask, b *book) bool {
-	return a.size().MilliCPU <= b.free().MilliCPU
+func admitsProcessors(a *Ask, w *record) bool {
+	return a.size().MilliCPU <= w.free().MilliCPU
 }
 
-// makeOf gives the part of a worker that the hardware filters look at.
-func makeOf(b *book) taskmsg.Size {
-	i := &b.Info
+// machineTypeOf returns the properties of a worker that the hardware filters check.
+func machineTypeOf(w *record) taskmsg.Size {
+	i := &w.Info
 	return taskmsg.Size{Size: i.Size, AcceleratorKind: i.AcceleratorKind, Generation: i.Generation, Labels: i.Labels}
 }
 
-// hardwareAdmits tells whether every hardware filter admits the make.
-func hardwareAdmits(a *Ask, m *taskmsg.Size) bool { return refusedByHardware(a, m) == "" }
+// hardwareMatches reports whether every hardware filter admits the machine type.
+func hardwareMatches(a *Ask, m *taskmsg.Size) bool { return rejectingHardwareRule(a, m) == "" }
 
-// refusedByHardware returns the first hardware filter that turns the make down,
-// or "".
-func refusedByHardware(a *Ask, m *taskmsg.Size) string {
+// rejectingHardwareRule returns the first hardware rule that rejects the machine type, or "".
+func rejectingHardwareRule(a *Ask, m *taskmsg.Size) string {
 	for _, f := range hardwareFilters {
 		if !f.admits(a, m) {
 			return f.rule
@@ -101,19 +100,19 @@
 	return ""
 }
 
-// refusedBy returns the first rule that turns the worker down, or "".
-func refusedBy(a *Ask, b *book) string {
-	if b.Status != StatusReady {
+// rejectingRule returns the first rule that rejects the worker, or "".
+func rejectingRule(a *Ask, w *record) string {
+	if w.Status != StatusReady {
 		return RuleStatus
 	}
-	if b.keptFor != "" && b.keptFor != a.Shape.Job {
-		return RuleKept
+	if w.dedicatedTo != "" && w.dedicatedTo != a.Shape.Job {
+		return RuleDedicated
 	}
-	if rule := refusedByHardware(a, &b.group.size); rule != "" {
+	if rule := rejectingHardwareRule(a, &w.group.size); rule != "" {
 		return rule
 	}
-	for _, f := range roomFilters {
-		if !f.admits(a, b) {
+	for _, f := range capacityFilters {
+		if !f.admits(a, w) {
 			return f.rule
 		}
 	}
--- a/internal/scheduler/filters_test.go
+++ b/internal/scheduler/filters_test.go
@@ -8,10 +8,10 @@
 
 func TestFilters(t *testing.T) {
 	base := func() (Worker, Ask) {
-		w := ready("w", "a", res(4000, 8000, 2))
+		w := readyWorker("w", "a", resources(4000, 8000, 2))
 		w.Info.AcceleratorKind, w.Info.Generation = "a100", 3
 		w.Info.Labels = map[string]string{"disk": "fast"}
-		a := askFor(res(4000, 8000, 2))
+		a := requestFor(resources(4000, 8000, 2))
 		a.Shape.Task.AcceleratorKind, a.Shape.Task.MinGeneration = "a100", 3
 		a.Shape.Task.Labels = map[string]string{"disk": "fast"}
 		return w, a
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -12,15 +12,15 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func res(cpu, mem, acc int64) spec.Resources {
+func resources(cpu, mem, acc int64) spec.Resources {
 	return spec.Resources{MilliCPU: cpu, MemoryMiB: mem, Accelerators: acc}
 }
 
-func ready(name, zone string, size spec.Resources) Worker {
+func readyWorker(name, zone string, size spec.Resources) Worker {
 	return Worker{Info: worker.Info{Name: name, Rack: "r-" + name, Zone: zone, Size: size}, Status: StatusReady}
 }
 
-func askFor(size spec.Resources) Ask {
+func requestFor(size spec.Resources) Ask {
 	return Ask{Shape: taskmsg.Shape{
 		Job: "job", Kind: spec.KindBatch, Task: spec.Task{Size: size},
 		Policy: taskmsg.Policy{Name: settings.PolicyPacking},
@@ -34,4 +34,4 @@
 	}
 }
 
-func name(i int) string { return fmt.Sprintf("w%05d", i) }
+func workerName(i int) string { return fmt.Sprintf("w%05d", i) }
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -11,18 +11,18 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// The index sorts ready workers by make and zone into groups, and within a
-// group by what is left of them into buckets. A decision looks at buckets, whose
-// number depends on how different workers are and hardly on how many.
+// The index sorts ready workers by machine type and zone into groups, and within a group by
+// their free resources into buckets. A decision examines buckets; their number depends on the
+// variety of the workers and hardly on how many there are.
 
-// Units of the levels. Amounts within a unit share a level.
+// Units of the levels. Amounts within one unit share a level.
 const (
 	unitMilliCPU  = 100
 	unitMemoryMiB = 64
 )
 
-// level grows with an amount, four levels to each doubling. Level 0 is below
-// zero. A higher level is always a higher amount.
+// level maps an amount to a logarithmic scale with four levels per doubling. Level 0 is for
+// amounts below zero. A higher level always means a higher amount.
 func level(amount, unit int64) uint8 {
 	if amount < 0 {
 		return 0
@@ -35,14 +35,14 @@
 	return uint8(1 + 4*(length-2) + int(q>>(length-3)&3))
 }
 
-// levels are the levels of an amount of resources.
+// levels is the levels of an amount of resources, by component.
 type levels struct{ accelerators, memory, cpu uint8 }
 
 func levelsOf(r spec.Resources) levels {
 	return levels{level(r.Accelerators, 1), level(r.MemoryMiB, unitMemoryMiB), level(r.MilliCPU, unitMilliCPU)}
 }
 
-// groupKey tells groups apart.
+// groupKey identifies a group.
 type groupKey struct {
 	size            spec.Resources
 	acceleratorKind string
@@ -50,35 +50,36 @@
 	labels, zone    string
 }
 
-// group is the workers of one make in one zone. Those that are not ready or
-// kept for a job count as members but are in no bucket.
+// group is the workers of one machine type in one zone. Workers that are dedicated or not ready
+// are members but in no bucket.
 type group struct {
 	key     groupKey
 	size    taskmsg.Size // Workers is the number of members
 	zone    string
-	ready   int // those in buckets
+	ready   int // number of members in buckets
 	byLevel map[levels]*bucket
-	buckets []*bucket // the occupied ones
+	buckets []*bucket // the non-empty buckets
 }
 
-// bucket is the ready workers of a group whose room has the same levels.
+// bucket is the ready workers of a group whose free resources have the same levels.
 type bucket struct {
-	levels levels
-	books  []*book
-	at     int // index in group.buckets
-	// most is at least what any one worker in the bucket has left, by component.
-	most spec.Resources
+	levels  levels
+	workers []*record
+	pos     int // index in group.buckets
+	// maxFree is an upper bound of the free resources of any one worker in the bucket, by
+	// component.
+	maxFree spec.Resources
 }
 
-// index finds groups by their key.
+// index finds groups by key and workers by rack.
 type index struct {
 	groups map[groupKey]*group
 	order  []*group // sorted by compareGroups
-	racks  map[string][]*book
+	racks  map[string][]*record
 }
 
 func newIndex() index {
-	return index{groups: map[groupKey]*group{}, racks: map[string][]*book{}}
+	return index{groups: map[groupKey]*group{}, racks: map[string][]*record{}}
 }
 
 func groupKeyOf(w *Worker) groupKey {
@@ -90,7 +91,7 @@
 	return groupKey{size: i.Size, acceleratorKind: i.AcceleratorKind, generation: i.Generation, labels: labels.String(), zone: i.Zone}
 }
 
-// compareGroups fixes an order that does not depend on the order of joining.
+// compareGroups defines an order that does not depend on the order in which workers were added.
 func compareGroups(a, b *group) int {
 	x, y := &a.key, &b.key
 	return cmp.Or(cmp.Compare(x.size.Accelerators, y.size.Accelerators), cmp.Compare(x.size.MemoryMiB, y.size.MemoryMiB),
@@ -98,141 +99,143 @@
 		cmp.Compare(x.acceleratorKind, y.acceleratorKind), cmp.Compare(x.labels, y.labels), cmp.Compare(x.zone, y.zone))
 }
 
-// join makes b a member of its group and rack.
-func (x *index) join(b *book) {
-	key := groupKeyOf(&b.Worker)
+// addWorker makes w a member of its group and rack.
+func (x *index) addWorker(w *record) {
+	key := groupKeyOf(&w.Worker)
 	g := x.groups[key]
 	if g == nil {
-		g = &group{key: key, size: makeOf(b), zone: b.Info.Zone, byLevel: map[levels]*bucket{}}
+		g = &group{key: key, size: machineTypeOf(w), zone: w.Info.Zone, byLevel: map[levels]*bucket{}}
 		x.groups[key] = g
-		at, _ := slices.BinarySearchFunc(x.order, g, compareGroups)
-		x.order = slices.Insert(x.order, at, g)
+		pos, _ := slices.BinarySearchFunc(x.order, g, compareGroups)
+		x.order = slices.Insert(x.order, pos, g)
 	}
 	g.size.Workers++
-	b.group = g
-	b.rack = rackOf(&b.Worker)
-	x.racks[b.rack] = append(x.racks[b.rack], b)
+	w.group = g
+	w.rack = rackOf(&w.Worker)
+	x.racks[w.rack] = append(x.racks[w.rack], w)
 }
 
-// leave undoes join.
-func (x *index) leave(b *book) {
-	b.unplace()
-	g := b.group
+// removeWorker reverses addWorker.
+func (x *index) removeWorker(w *record) {
+	w.removeFromBucket()
+	g := w.group
 	if g.size.Workers--; g.size.Workers == 0 {
 		delete(x.groups, g.key)
 		x.order = slices.DeleteFunc(x.order, func(o *group) bool { return o == g })
 	}
-	left := slices.DeleteFunc(x.racks[b.rack], func(o *book) bool { return o == b })
-	if x.racks[b.rack] = left; len(left) == 0 {
-		delete(x.racks, b.rack)
+	left := slices.DeleteFunc(x.racks[w.rack], func(o *record) bool { return o == w })
+	if x.racks[w.rack] = left; len(left) == 0 {
+		delete(x.racks, w.rack)
 	}
-	b.group = nil
+	w.group = nil
 }
 
 func rackOf(w *Worker) string { return w.Info.Zone + "\x00" + w.Info.Rack }
 
-// reindex puts b into the bucket of what is left of it. It has to be called
-// after each change of a worker's books or status.
-func (b *book) reindex() {
-	if b.Status != StatusReady || b.keptFor != "" {
-		b.unplace()
+// reindex puts w into the bucket for its free resources. It must be called after each change of
+// a worker's allocations, usage, status or dedication.
+func (w *record) reindex() {
+	if w.Status != StatusReady || w.dedicatedTo != "" {
+		w.removeFromBucket()
 		return
 	}
-	free := b.free()
+	free := w.free()
 	l := levelsOf(free)
-	if b.bucket != nil && b.bucket.levels == l {
-		b.bucket.most = b.bucket.most.Max(free)
+	if w.bucket != nil && w.bucket.levels == l {
+		w.bucket.maxFree = w.bucket.maxFree.Max(free)
 		return
 	}
-	b.unplace()
-	b.place(l, free)
-}
-
-// place puts b into a bucket of its group.
-func (b *book) place(l levels, free spec.Resources) {
-	g := b.group
-	k := g.byLevel[l]
-	if k == nil {
-		k = &bucket{levels: l, at: len(g.buckets), most: free}
-		g.byLevel[l] = k
-		g.buckets = append(g.buckets, k)
+	w.removeFromBucket()
+	w.addToBucket(l, free)
+}
+
+// addToBucket puts w into the bucket of its group that has the levels l.
+func (w *record) addToBucket(l levels, free spec.Resources) {
+	g := w.group
+	b := g.byLevel[l]
+	if b == nil {
+		b = &bucket{levels: l, pos: len(g.buckets), maxFree: free}
+		g.byLevel[l] = b
+		g.buckets = append(g.buckets, b)
 	}
-	k.most = k.most.Max(free)
-	b.bucket, b.slot = k, len(k.books)
-	k.books = append(k.books, b)
+	b.maxFree = b.maxFree.Max(free)
+	w.bucket, w.bucketPos = b, len(b.workers)
+	b.workers = append(b.workers, w)
 	g.ready++
 }
 
-// unplace takes b out of its bucket, if it is in one, and drops an empty bucket.
-func (b *book) unplace() {
-	k, g := b.bucket, b.group
-	if k == nil {
+// removeFromBucket takes w out of its bucket, if any, and deletes the bucket if it is empty.
+func (w *record) removeFromBucket() {
+	b, g := w.bucket, w.group
+	if b == nil {
 		return
 	}
-	last := len(k.books) - 1
-	k.books[b.slot] = k.books[last]
-	k.books[b.slot].slot = b.slot
-	k.books[last] = nil
-	k.books = k.books[:last]
-	b.bucket = nil
+	last := len(b.workers) - 1
+	b.workers[w.bucketPos] = b.workers[last]
+	b.workers[w.bucketPos].bucketPos = w.bucketPos
+	b.workers[last] = nil
+	b.workers = b.workers[:last]
+	w.bucket = nil
 	g.ready--
 	if last > 0 {
 		return
 	}
-	delete(g.byLevel, k.levels)
+	delete(g.byLevel, b.levels)
 	end := len(g.buckets) - 1
-	g.buckets[k.at] = g.buckets[end]
-	g.buckets[k.at].at = k.at
+	g.buckets[b.pos] = g.buckets[end]
+	g.buckets[b.pos].pos = b.pos
 	g.buckets[end] = nil
 	g.buckets = g.buckets[:end]
 }
 
-// tighten works out most anew, after a look at all workers found none that fits.
-func (k *bucket) tighten() {
-	k.most = k.books[0].free()
-	for _, b := range k.books[1:] {
-		k.most = k.most.Max(b.free())
+// recomputeMaxFree recalculates maxFree after all workers were examined and none of them had
+// room.
+func (b *bucket) recomputeMaxFree() {
+	b.maxFree = b.workers[0].free()
+	for _, w := range b.workers[1:] {
+		b.maxFree = b.maxFree.Max(w.free())
 	}
 }
 
-// verdict is what a bucket's levels say about an ask for all its workers.
-type verdict int
+// bucketFit is how many of a bucket's workers have room for a request, as far as their levels
+// show.
+type bucketFit int
 
 const (
-	allFit verdict = iota
-	noneFits
+	allFit bucketFit = iota
+	noneFit
 	someMayFit
 )
 
-// judge tells whether all, none or some of the bucket's workers have room.
-func (k *bucket) judge(l levels, ask *spec.Resources) verdict {
-	if k.levels.cpu < l.cpu || k.levels.memory < l.memory || k.levels.accelerators < l.accelerators || !ask.Fits(k.most) {
-		return noneFits
+// fit reports whether all, none or some of the bucket's workers have room.
+func (b *bucket) fit(l levels, need *spec.Resources) bucketFit {
+	if b.levels.cpu < l.cpu || b.levels.memory < l.memory || b.levels.accelerators < l.accelerators || !need.Fits(b.maxFree) {
+		return noneFit
 	}
-	if surely(k.levels.cpu, l.cpu, ask.MilliCPU) && surely(k.levels.memory, l.memory, ask.MemoryMiB) &&
-		surely(k.levels.accelerators, l.accelerators, ask.Accelerators) {
+	if levelSuffices(b.levels.cpu, l.cpu, need.MilliCPU) && levelSuffices(b.levels.memory, l.memory, need.MemoryMiB) &&
+		levelSuffices(b.levels.accelerators, l.accelerators, need.Accelerators) {
 		return allFit
 	}
 	return someMayFit
 }
 
-// surely tells whether every amount of the level have, which is not below that
-// of the ask, is enough.
-func surely(have, askLevel uint8, ask int64) bool { return have > askLevel || ask == 0 }
+// levelSuffices reports whether every amount of level have is enough. have must not be lower
+// than the level of the request.
+func levelSuffices(have, needLevel uint8, need int64) bool { return have > needLevel || need == 0 }
 
-// rule names the rule that turns all workers of the bucket down for want of
-// room, or "" where it may be one for some and another for others.
-func (k *bucket) rule(l levels, ask *spec.Resources) string {
+// rule returns the rule that rejects all workers of the bucket for lack of resources, or "" if
+// it may differ between the workers.
+func (b *bucket) rule(l levels, need *spec.Resources) string {
 	switch {
-	case k.levels.accelerators < l.accelerators || k.most.Accelerators < ask.Accelerators:
+	case b.levels.accelerators < l.accelerators || b.maxFree.Accelerators < need.Accelerators:
 		return RuleAccelerators
-	case !surely(k.levels.accelerators, l.accelerators, ask.Accelerators):
+	case !levelSuffices(b.levels.accelerators, l.accelerators, need.Accelerators):
 		return ""
-	case k.levels.memory < l.memory || k.most.MemoryMiB < ask.MemoryMiB:
+	case b.levels.memory < l.memory || b.maxFree.MemoryMiB < need.MemoryMiB:
 		return RuleMemory
-	case !surely(k.levels.memory, l.memory, ask.MemoryMiB):
+	case !levelSuffices(b.levels.memory, l.memory, need.MemoryMiB):
 		return ""
-	case k.levels.cpu < l.cpu || k.most.MilliCPU < ask.MilliCPU:
+	case b.levels.cpu < l.cpu || b.maxFree.MilliCPU < need.MilliCPU:
 		return RuleProcessors
 	}
 	return ""
--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -18,16 +18,16 @@
 	last := level(0, 100)
 	for v := int64(0); v < 1<<20; v += 7 {
 		l := level(v, 100)
-		is.True(l == last || l == last+1) // no level is left out
+		is.True(l == last || l == last+1) // levels are consecutive
 		last = l
 	}
 	is.True(level(1<<50, 1) < 255)
 }
 
-// randomWorker draws workers of few makes, with sizes at the edges of levels.
+// randomWorker draws workers of few machine types, with sizes at the boundaries between levels.
 func randomWorker(t *rapid.T, i int) Worker {
-	sizes := []spec.Resources{res(1000, 1024, 0), res(1000, 2048, 2), res(1600, 1088, 4)}
-	w := ready(name(i), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.SampledFrom(sizes).Draw(t, "size"))
+	sizes := []spec.Resources{resources(1000, 1024, 0), resources(1000, 2048, 2), resources(1600, 1088, 4)}
+	w := readyWorker(workerName(i), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.SampledFrom(sizes).Draw(t, "size"))
 	w.Info.Rack = fmt.Sprint("rack", i/3)
 	w.Info.Generation = rapid.IntRange(1, 2).Draw(t, "generation")
 	w.Status = rapid.SampledFrom([]Status{StatusReady, StatusReady, StatusReady, StatusLeaving}).Draw(t, "status")
@@ -40,15 +40,15 @@
 	return w
 }
 
-func randomAsk(t *rapid.T) Ask {
-	a := askFor(res(rapid.Int64Range(0, 1200).Draw(t, "cpu"), rapid.Int64Range(0, 1500).Draw(t, "mem"), rapid.Int64Range(0, 3).Draw(t, "acc")))
+func randomRequest(t *rapid.T) Ask {
+	a := requestFor(resources(rapid.Int64Range(0, 1200).Draw(t, "cpu"), rapid.Int64Range(0, 1500).Draw(t, "mem"), rapid.Int64Range(0, 3).Draw(t, "acc")))
 	a.Shape.Task.AcceleratorKind = rapid.SampledFrom([]string{"", "", "x", "z"}).Draw(t, "ask-kind")
 	a.Shape.Task.MinGeneration = rapid.IntRange(0, 2).Draw(t, "ask-generation")
 	if rapid.IntRange(0, 3).Draw(t, "ask-label") == 0 {
 		a.Shape.Task.Labels = map[string]string{"disk": "fast"}
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "avoids") {
-		a.Shape.Avoid = append(a.Shape.Avoid, name(rapid.IntRange(0, 20).Draw(t, "avoid")))
+		a.Shape.Avoid = append(a.Shape.Avoid, workerName(rapid.IntRange(0, 20).Draw(t, "avoid")))
 	}
 	a.Shape.Job = rapid.SampledFrom([]string{"job", "aged"}).Draw(t, "job")
 	a.Shape.Policy.SpreadZones = rapid.Bool().Draw(t, "spread-zones")
@@ -58,9 +58,9 @@
 	return a
 }
 
-// TestIndexFindsRoomIffScanDoes compares the index with a scan of all workers
-// while workers and runs come and go: the same verdict, the same counts of
-// refusals, and a choice that has room.
+// TestIndexFindsRoomIffScanDoes compares the index with a scan of all workers after random
+// changes of workers and runs. Both must agree whether there is room and how many workers each
+// rule rejects, and the worker that the index chooses must have room.
 func TestIndexFindsRoomIffScanDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCell(rapid.Uint64().Draw(t, "seed"))
@@ -70,7 +70,7 @@
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			changeCell(t, c, workers, i)
-			a := randomAsk(t)
+			a := randomRequest(t)
 			compareWithScan(t, c, a)
 			checkIndex(t, c)
 		}
@@ -79,22 +79,22 @@
 
 func changeCell(t *rapid.T, c *Cell, workers, i int) {
 	w := rapid.IntRange(0, workers-1).Draw(t, "changed")
-	size := res(rapid.Int64Range(0, 700).Draw(t, "r-cpu"), rapid.Int64Range(0, 900).Draw(t, "r-mem"), rapid.Int64Range(0, 2).Draw(t, "r-acc"))
+	size := resources(rapid.Int64Range(0, 700).Draw(t, "r-cpu"), rapid.Int64Range(0, 900).Draw(t, "r-mem"), rapid.Int64Range(0, 2).Draw(t, "r-acc"))
 	switch rapid.IntRange(0, 7).Draw(t, "change") {
 	case 7:
-		a := askFor(res(900, 900, 1))
+		a := requestFor(resources(900, 900, 1))
 		a.Shape.Job, a.Shape.Aged = "aged", true
-		_, _ = c.Place(a, []Run{run("aged", i, a.size())}, start) // keeps a worker when there is no room
+		_, _ = c.Place(a, []Run{run("aged", i, a.size())}, start) // dedicates a worker if there is no room
 	case 0:
-		c.Observe(name(w), size.Times(2), start)
+		c.Observe(workerName(w), size.Times(2), start)
 	case 1:
-		c.Remove(name(w))
+		c.Remove(workerName(w))
 	case 2:
 		c.Upsert(randomWorker(t, w))
 	case 3:
 		c.Unreserve(run("job", rapid.IntRange(0, i).Draw(t, "ended"), size).Attempt)
 	default:
-		_ = c.Reserve(name(w), run("job", i, size), start) // full or gone is as good
+		_ = c.Reserve(workerName(w), run("job", i, size), start) // an error for a full or removed worker is expected
 	}
 }
 
@@ -102,49 +102,50 @@
 	want, wantRefusal := c.selectByScan(&a)
 	got, refusal := c.Select(a)
 	if (refusal == nil) != (wantRefusal == nil) {
-		t.Fatalf("index %v %+v, scan %v %+v", got, refusal, want, wantRefusal)
+		t.Fatalf("index returned %v %+v, scan %v %+v", got, refusal, want, wantRefusal)
 	}
 	if refusal != nil {
 		if refusal.Never != wantRefusal.Never || refusal.Workers != wantRefusal.Workers || !maps.Equal(refusal.ByRule, wantRefusal.ByRule) {
-			t.Fatalf("refused by the index %+v, by the scan %+v", refusal, wantRefusal)
+			t.Fatalf("index rejects with %+v, scan with %+v", refusal, wantRefusal)
 		}
 		return
 	}
-	if rule := refusedBy(&a, c.books[got.Worker]); rule != "" || got.Score > want.Score {
-		t.Fatalf("index chose %v (refused by %q), scan %v", got, rule, want)
+	if rule := rejectingRule(&a, c.workers[got.Worker]); rule != "" || got.Score > want.Score {
+		t.Fatalf("index chose %v (rejected by %q), scan %v", got, rule, want)
 	}
 }
 
-// checkIndex checks that each ready worker is in exactly the bucket of its room.
+// checkIndex checks that each ready worker that is not dedicated is in exactly the bucket for
+// its free resources.
 func checkIndex(t *rapid.T, c *Cell) {
 	ready, members := 0, 0
 	for _, g := range c.index.order {
 		members += g.size.Workers
-		for at, k := range g.buckets {
-			if k.at != at || g.byLevel[k.levels] != k || len(k.books) == 0 {
-				t.Fatalf("bucket %v is misplaced", k.levels)
+		for pos, b := range g.buckets {
+			if b.pos != pos || g.byLevel[b.levels] != b || len(b.workers) == 0 {
+				t.Fatalf("bucket %v is empty or has a wrong position", b.levels)
 			}
-			for slot, b := range k.books {
+			for bucketPos, w := range b.workers {
 				ready++
-				if b.slot != slot || b.bucket != k || levelsOf(b.free()) != k.levels || !b.free().Fits(k.most) || b.Status != StatusReady {
-					t.Fatalf("worker %s is in the wrong bucket", b.Info.Name)
+				if w.bucketPos != bucketPos || w.bucket != b || levelsOf(w.free()) != b.levels || !w.free().Fits(b.maxFree) || w.Status != StatusReady {
+					t.Fatalf("worker %s is in the wrong bucket", w.Info.Name)
 				}
 			}
 		}
 	}
 	wantReady := 0
-	for _, b := range c.order {
-		if b.Status == StatusReady && b.keptFor == "" {
+	for _, w := range c.order {
+		if w.Status == StatusReady && w.dedicatedTo == "" {
 			wantReady++
 		}
 	}
 	if ready != wantReady || members != len(c.order) {
-		t.Fatalf("index has %d ready of %d, the cell %d of %d", ready, members, wantReady, len(c.order))
+		t.Fatalf("index has %d ready workers of %d, the cell %d of %d", ready, members, wantReady, len(c.order))
 	}
 }
 
-// TestOneInABucket hides the only worker with room among many whose room has the
-// same level: sampling alone would miss it.
+// TestOneInABucket checks that the only worker with room is found among many in the same
+// bucket, where random sampling alone would usually miss it.
 func TestOneInABucket(t *testing.T) {
 	is := is.New(t)
 	c := NewCell(1)
@@ -153,24 +154,25 @@
 		if i == 321 {
 			cpu = 1060
 		}
-		c.Upsert(ready(name(i), "a", res(2000, 1000, 0)))
-		is.NoErr(c.Reserve(name(i), run("filler", i, res(2000-cpu, 0, 0)), start))
+		c.Upsert(readyWorker(workerName(i), "a", resources(2000, 1000, 0)))
+		is.NoErr(c.Reserve(workerName(i), run("filler", i, resources(2000-cpu, 0, 0)), start))
 	}
 	for range 20 {
-		choice, refusal := c.Select(askFor(res(1055, 0, 0)))
+		choice, refusal := c.Select(requestFor(resources(1055, 0, 0)))
 		is.True(refusal == nil)
-		is.Equal(choice.Worker, name(321))
+		is.Equal(choice.Worker, workerName(321))
 	}
 }
 
-// TestRefusalsWithinABucket counts workers of one bucket under different rules.
+// TestRefusalsWithinABucket checks the counts if different rules reject the workers of one
+// bucket.
 func TestRefusalsWithinABucket(t *testing.T) {
 	is := is.New(t)
 	c := NewCell(1)
-	for i, free := range []spec.Resources{res(500, 960, 0), res(500, 1020, 0)} {
-		c.Upsert(ready(name(i), "a", res(1000, 2000, 0)))
-		is.NoErr(c.Reserve(name(i), run("filler", i, res(1000, 2000, 0).Sub(free)), start))
+	for i, free := range []spec.Resources{resources(500, 960, 0), resources(500, 1020, 0)} {
+		c.Upsert(readyWorker(workerName(i), "a", resources(1000, 2000, 0)))
+		is.NoErr(c.Reserve(workerName(i), run("filler", i, resources(1000, 2000, 0).Sub(free)), start))
 	}
-	_, refusal := c.Select(askFor(res(800, 1000, 0)))
+	_, refusal := c.Select(requestFor(resources(800, 1000, 0)))
 	is.Equal(refusal.ByRule, map[string]int{RuleMemory: 1, RuleProcessors: 1})
 }
--- a/internal/scheduler/never.go
+++ b/internal/scheduler/never.go
@@ -9,40 +9,40 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// Never tells whether no worker of the given makes could hold the task even if
-// empty: it returns a NeverFits error with the reason per resource, or nil.
-// With no makes known it returns nil, since then nothing is known.
-func Never(makes []taskmsg.Size, task *spec.Task) *result.Error {
-	if len(makes) == 0 {
+// Never reports whether no worker of the given machine types could run the task even if idle.
+// It returns a NeverFits error with the reason for each resource, or nil. It returns nil if no
+// machine types are known.
+func Never(machineTypes []taskmsg.Size, task *spec.Task) *result.Error {
+	if len(machineTypes) == 0 {
 		return nil
 	}
-	ask := &Ask{Shape: taskmsg.Shape{Task: *task}}
-	var left []taskmsg.Size
-	for _, m := range makes {
-		if hardwareAdmits(ask, &m) {
-			left = append(left, m)
+	request := &Ask{Shape: taskmsg.Shape{Task: *task}}
+	var matching []taskmsg.Size
+	for _, m := range machineTypes {
+		if hardwareMatches(request, &m) {
+			matching = append(matching, m)
 		}
 	}
-	if len(left) == 0 {
-		return result.New(result.NeverFits, result.RanNo, "no make of worker of %d has %s", len(makes), wanted(task))
+	if len(matching) == 0 {
+		return result.New(result.NeverFits, result.RanNo, "no make of worker of %d has %s", len(machineTypes), hardwareRequirements(task))
 	}
-	var most spec.Resources
-	for _, m := range left {
+	var largest spec.Resources
+	for _, m := range matching {
 		if task.Size.Fits(m.Size) {
 			return nil
 		}
-		most = most.Max(m.Size)
+		largest = largest.Max(m.Size)
 	}
-	return result.New(result.NeverFits, result.RanNo, "%s", shortfall(task.Size, most))
+	return result.New(result.NeverFits, result.RanNo, "%s", shortfall(task.Size, largest))
 }
 
-// Never applies the function Never to the workers of the cell.
+// Never checks the task against the machine types of the cell's workers.
 func (c *Cell) Never(task *spec.Task) *result.Error {
-	return Never(c.index.makes(), task)
+	return Never(c.index.machineTypes(), task)
 }
 
-// wanted names what the hardware filters looked for.
-func wanted(task *spec.Task) string {
+// hardwareRequirements describes what the hardware filters require.
+func hardwareRequirements(task *spec.Task) string {
 	var parts []string
 	if task.AcceleratorKind != "" && task.Size.Accelerators > 0 {
 		parts = append(parts, "accelerators of kind "+task.AcceleratorKind)
@@ -56,17 +56,17 @@
 	return strings.Join(parts, " and ")
 }
 
-// shortfall compares what is needed with the largest worker, per resource.
-func shortfall(need, most spec.Resources) string {
+// shortfall compares the need with the largest worker, by resource.
+func shortfall(need, largest spec.Resources) string {
 	var parts []string
-	add := func(name string, need, most int64) {
-		if need > most {
-			parts = append(parts, fmt.Sprintf("%s: needs %d, the largest worker has %d", name, need, most))
+	add := func(name string, need, largest int64) {
+		if need > largest {
+			parts = append(parts, fmt.Sprintf("%s: needs %d, the largest worker has %d", name, need, largest))
 		}
 	}
-	add("milli_cpu", need.MilliCPU, most.MilliCPU)
-	add("memory_mib", need.MemoryMiB, most.MemoryMiB)
-	add("accelerators", need.Accelerators, most.Accelerators)
+	add("milli_cpu", need.MilliCPU, largest.MilliCPU)
+	add("memory_mib", need.MemoryMiB, largest.MemoryMiB)
+	add("accelerators", need.Accelerators, largest.Accelerators)
 	if len(parts) == 0 {
 		return "no single worker has as much of every resource at once"
 	}
--- a/internal/scheduler/overload.go
+++ b/internal/scheduler/overload.go
@@ -8,15 +8,15 @@
 	"pulleyquay/internal/worker"
 )
 
-// overload follows a worker that was observed above its size.
-type overload struct {
-	since time.Time // zero when the last report was within the size
-	// excess is by how much the last report was above.
+// overuse tracks a worker whose observed usage is above its size.
+type overuse struct {
+	since time.Time // zero if the last report was within the size
+	// excess is the part of the last report above the size.
 	excess spec.Resources
 }
 
-// note takes in a usage report.
-func (o *overload) note(usage, size spec.Resources, now time.Time) {
+// update evaluates a usage report.
+func (o *overuse) update(usage, size spec.Resources, now time.Time) {
 	o.excess = usage.Sub(size).Max(zero)
 	if o.excess.IsZero() {
 		o.since = time.Time{}
@@ -27,14 +27,14 @@
 	}
 }
 
-// Step is what to do with one run on a worker that is over its size.
+// Step is the action against one run on an overloaded worker.
 type Step struct {
 	Run
 	Mode worker.StopMode
 }
 
-// Overload is a worker observed above its size and the steps against it, in
-// the order of doing.
+// Overload is an overloaded worker with the actions against the overload, in order of
+// execution.
 type Overload struct {
 	Worker string
 	Excess spec.Resources
@@ -42,75 +42,75 @@
 	Steps  []Step
 }
 
-// Over lists the workers whose last report was above their size. Against an
-// excess of processors it throttles, after two report lags it checkpoints,
-// after four it stops; an excess of memory can not be throttled and starts
-// with the checkpoint. The least urgent runs go first, as many as declare the
-// excess; services go last.
+// Over lists the workers whose last report was above their size. Runs are throttled against an
+// excess of processors, checkpointed after two report lags and stopped after four. An excess of
+// memory can not be reduced by throttling, so the first action against it is a checkpoint. The
+// least urgent runs are affected first, as many as are needed to cover the excess; services are
+// affected last.
 func (c *Cell) Over(now time.Time) []Overload {
 	var out []Overload
-	for _, b := range c.order {
-		if b.over.since.IsZero() {
+	for _, w := range c.order {
+		if w.overload.since.IsZero() {
 			continue
 		}
 		out = append(out, Overload{
-			Worker: b.Info.Name,
-			Excess: b.over.excess,
-			Since:  b.over.since,
-			Steps:  stepsFor(b, c.overMode(b, now)),
+			Worker: w.Info.Name,
+			Excess: w.overload.excess,
+			Since:  w.overload.since,
+			Steps:  actionsFor(w, c.enforcementMode(w, now)),
 		})
 	}
 	return out
 }
 
-// overMode is how hard to act by now.
-func (c *Cell) overMode(b *book, now time.Time) worker.StopMode {
-	lags := int(now.Sub(b.over.since) / c.UsageLag)
+// enforcementMode returns the action that is due at now.
+func (c *Cell) enforcementMode(w *record, now time.Time) worker.StopMode {
+	lags := int(now.Sub(w.overload.since) / c.UsageLag)
 	switch {
 	case lags >= 4:
 		return worker.Kill
-	case lags >= 2 || b.over.excess.MemoryMiB > 0:
+	case lags >= 2 || w.overload.excess.MemoryMiB > 0:
 		return worker.Checkpoint
 	}
 	return worker.Throttle
 }
 
-// throttledShare is what is expected of a throttled run: it goes on with one
-// part in throttledShare of its processors.
-const throttledShare = 2
+// throttleDivisor is the factor by which throttling is expected to reduce the processor usage
+// of a run.
+const throttleDivisor = 2
 
-// stepsFor picks the least urgent runs until their part of the observed usage
-// covers the excess.
-func stepsFor(b *book, mode worker.StopMode) []Step {
-	runs := slices.DeleteFunc(b.copyRuns(), func(r Run) bool { return r.Held })
+// actionsFor selects the least urgent runs until their part of the observed usage covers the
+// excess.
+func actionsFor(w *record, mode worker.StopMode) []Step {
+	runs := slices.DeleteFunc(w.copyRuns(), func(r Run) bool { return r.Held })
 	slices.SortFunc(runs, byUrgency)
-	var steps []Step
+	var actions []Step
 	var freed spec.Resources
 	for _, r := range runs {
-		if b.over.excess.Fits(freed) {
+		if w.overload.excess.Fits(freed) {
 			break
 		}
-		frees := partOf(b.observed, r.Size, b.declared)
+		reduction := usageShare(w.observed, r.Size, w.declared)
 		if mode == worker.Throttle {
-			frees.MilliCPU /= throttledShare
+			reduction.MilliCPU /= throttleDivisor
 		}
-		freed = freed.Add(frees)
-		steps = append(steps, Step{Run: r, Mode: mode})
+		freed = freed.Add(reduction)
+		actions = append(actions, Step{Run: r, Mode: mode})
 	}
-	return steps
+	return actions
 }
 
-// partOf is a run's part of what was observed, going by what it declares among
-// all that is declared; at least its declared size.
-func partOf(observed, size, declared spec.Resources) spec.Resources {
+// usageShare estimates a run's part of the observed usage in proportion to its part of the
+// declared sizes; it is at least the declared size of the run.
+func usageShare(observed, size, declared spec.Resources) spec.Resources {
 	return size.Max(spec.Resources{
-		MilliCPU:     scaled(observed.MilliCPU, size.MilliCPU, declared.MilliCPU),
-		MemoryMiB:    scaled(observed.MemoryMiB, size.MemoryMiB, declared.MemoryMiB),
-		Accelerators: scaled(observed.Accelerators, size.Accelerators, declared.Accelerators),
+		MilliCPU:     proportional(observed.MilliCPU, size.MilliCPU, declared.MilliCPU),
+		MemoryMiB:    proportional(observed.MemoryMiB, size.MemoryMiB, declared.MemoryMiB),
+		Accelerators: proportional(observed.Accelerators, size.Accelerators, declared.Accelerators),
 	})
 }
 
-func scaled(observed, size, declared int64) int64 {
+func proportional(observed, size, declared int64) int64 {
 	if declared == 0 {
 		return 0
 	}
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -10,31 +10,31 @@
 	"pulleyquay/internal/worker"
 )
 
-func TestOver(t *testing.T) {
-	size := res(1000, 1000, 0)
+func TestOverload(t *testing.T) {
+	size := resources(1000, 1000, 0)
 	cases := []struct {
 		name  string
 		usage spec.Resources
 		after time.Duration
-		mode  worker.StopMode // "" for none
+		mode  worker.StopMode // "" for no action
 		steps int
 	}{
-		{"at its size", size, 0, "", 0},
-		{"processors", res(1100, 1000, 0), 0, worker.Throttle, 1},
-		{"processors, still", res(1100, 1000, 0), 4 * time.Second, worker.Checkpoint, 1},
-		{"processors, for long", res(1100, 1000, 0), 8 * time.Second, worker.Kill, 1},
-		{"memory can not wait", res(1000, 1001, 0), 0, worker.Checkpoint, 1},
-		{"memory, for long", res(1000, 1001, 0), 8 * time.Second, worker.Kill, 1},
-		{"more than one run throttled", res(1500, 1000, 0), 0, worker.Throttle, 2},
-		{"more than one run checkpointed", res(1600, 1000, 0), 4 * time.Second, worker.Checkpoint, 2},
+		{"within its size", size, 0, "", 0},
+		{"processors", resources(1100, 1000, 0), 0, worker.Throttle, 1},
+		{"processors, after two lags", resources(1100, 1000, 0), 4 * time.Second, worker.Checkpoint, 1},
+		{"processors, after four lags", resources(1100, 1000, 0), 8 * time.Second, worker.Kill, 1},
+		{"memory is not throttled", resources(1000, 1001, 0), 0, worker.Checkpoint, 1},
+		{"memory, after four lags", resources(1000, 1001, 0), 8 * time.Second, worker.Kill, 1},
+		{"more than one run throttled", resources(1500, 1000, 0), 0, worker.Throttle, 2},
+		{"more than one run checkpointed", resources(1600, 1000, 0), 4 * time.Second, worker.Checkpoint, 2},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			c := NewCell(1)
-			c.Upsert(ready("w", "a", size))
+			c.Upsert(readyWorker("w", "a", size))
 			for i := range 3 {
-				r := run("job", i, res(300, 300, 0))
+				r := run("job", i, resources(300, 300, 0))
 				r.Urgent = i == 0
 				is.NoErr(c.Reserve("w", r, start))
 			}
@@ -50,8 +50,8 @@
 				is.Equal(s.Mode, tt.mode)
 				is.True(!s.Urgent) // the least urgent first
 			}
-			_, refusal := c.Select(askFor(res(0, 0, 0)))
-			is.True(refusal != nil) // nothing is placed there meanwhile
+			_, refusal := c.Select(requestFor(resources(0, 0, 0)))
+			is.True(refusal != nil) // an overloaded worker takes no new work
 			c.Observe("w", size, start.Add(time.Minute))
 			is.Equal(len(c.Over(start.Add(time.Minute))), 0)
 		})
--- a/internal/scheduler/refusal.go
+++ b/internal/scheduler/refusal.go
@@ -6,9 +6,9 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// refusal counts for each rule how many workers it turned down. A worker counts
-// for the first rule that does. It looks into a bucket only where the bucket's
-// levels do not settle the rule for all workers in it.
+// refusal counts for each rule how many workers it rejected. A worker counts for the first rule
+// that rejects it. Single workers are examined only in buckets whose levels do not determine
+// the rule for all workers.
 func (s *search) refusal() *taskmsg.Refusal {
 	r := &taskmsg.Refusal{Workers: len(s.cell.order), ByRule: map[string]int{}}
 	count := func(rule string, n int) {
@@ -16,48 +16,48 @@
 			r.ByRule[rule] += n
 		}
 	}
-	closed := 0
-	for _, k := range s.cell.kept {
-		if k.book.Status == StatusReady {
-			count(refusedBy(s.ask, k.book), 1)
-			closed-- // in no bucket, but not for its status
+	unavailable := 0
+	for _, k := range s.cell.dedicated {
+		if k.record.Status == StatusReady {
+			count(rejectingRule(s.request, k.record), 1)
+			unavailable-- // in no bucket, but for another rule than its status
 		}
 	}
 	for _, g := range s.cell.index.order {
-		closed += g.size.Workers - g.ready
-		if rule := refusedByHardware(s.ask, &g.size); rule != "" {
+		unavailable += g.size.Workers - g.ready
+		if rule := rejectingHardwareRule(s.request, &g.size); rule != "" {
 			count(rule, g.ready)
 			continue
 		}
 		for _, k := range g.buckets {
-			s.countBucket(k, count)
+			s.countBucketRejections(k, count)
 		}
 	}
-	count(RuleStatus, closed)
-	r.Never = s.cell.Never(&s.ask.Shape.Task) != nil
+	count(RuleStatus, unavailable)
+	r.Never = s.cell.Never(&s.request.Shape.Task) != nil
 	return r
 }
 
-// countBucket counts the refusals of one bucket.
-func (s *search) countBucket(k *bucket, count func(string, int)) {
-	if rule := k.rule(s.levels, &s.size); rule != "" {
-		avoided := s.avoidedIn(k)
+// countBucketRejections counts the rejections in one bucket.
+func (s *search) countBucketRejections(b *bucket, count func(string, int)) {
+	if rule := b.rule(s.levels, &s.size); rule != "" {
+		avoided := s.countAvoided(b)
 		count(RuleAvoid, avoided)
-		count(rule, len(k.books)-avoided)
+		count(rule, len(b.workers)-avoided)
 		return
 	}
-	for _, b := range k.books {
-		count(refusedBy(s.ask, b), 1)
+	for _, w := range b.workers {
+		count(rejectingRule(s.request, w), 1)
 	}
 }
 
-// avoidedIn counts the workers in the bucket that the ask avoids.
-func (s *search) avoidedIn(k *bucket) int {
-	names := slices.Clone(s.ask.Shape.Avoid)
+// countAvoided returns the number of workers in the bucket that the request avoids.
+func (s *search) countAvoided(b *bucket) int {
+	names := slices.Clone(s.request.Shape.Avoid)
 	slices.Sort(names)
 	n := 0
 	for _, name := range slices.Compact(names) {
-		if b := s.cell.books[name]; b != nil && b.bucket == k {
+		if w := s.cell.workers[name]; w != nil && w.bucket == b {
 			n++
 		}
 	}
--- a/internal/scheduler/scan_test.go
+++ b/internal/scheduler/scan_test.go
@@ -2,27 +2,27 @@
 
 import "pulleyquay/internal/taskmsg"
 
-// selectByScan looks at every worker. It is the reference that the index is
-// tested and measured against.
+// selectByScan evaluates every worker. It is the reference for tests and benchmarks of the
+// index.
 func (c *Cell) selectByScan(a *Ask) (Choice, *taskmsg.Refusal) {
-	s := search{cell: c, ask: a, size: a.size(), scores: scoresOf(&a.Shape.Policy)}
+	s := search{cell: c, request: a, size: a.size(), scorers: scorersOf(&a.Shape.Policy)}
 	for _, g := range c.index.order {
-		if g.ready > 0 && hardwareAdmits(a, &g.size) {
+		if g.ready > 0 && hardwareMatches(a, &g.size) {
 			s.groups = append(s.groups, rankedGroup{group: g})
 		}
 	}
-	s.least, s.most = s.zoneRange()
+	s.minRuns, s.maxRuns = s.zoneRange()
 	refusal := &taskmsg.Refusal{Workers: len(c.order), ByRule: map[string]int{}}
-	var best candidate
-	for _, b := range c.order {
-		if rule := refusedBy(a, b); rule != "" {
+	var best bestSoFar
+	for _, w := range c.order {
+		if rule := rejectingRule(a, w); rule != "" {
 			refusal.ByRule[rule]++
 			continue
 		}
-		s.rate(b, &rankedGroup{group: b.group, place: s.placeIn(b.group)}, &best)
+		s.evaluate(w, &rankedGroup{group: w.group, candidate: s.candidateIn(w.group)}, &best)
 	}
-	if best.book != nil {
-		return Choice{Worker: best.book.Info.Name, Score: best.score}, nil
+	if best.record != nil {
+		return Choice{Worker: best.record.Info.Name, Score: best.score}, nil
 	}
 	refusal.Never = c.Never(&a.Shape.Task) != nil
 	return Choice{}, refusal
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,9 +1,9 @@
-// Package scheduler decides on which worker a task runs. It is pure: no I/O, no
-// clock, no goroutines; the caller passes time and a seed and serialises calls.
+// Package scheduler decides on which worker a task runs. It has no I/O, clock or goroutines:
+// the caller passes the time and a seed, and serialises calls.
 //
-// A Cell holds the workers of one holder and their books. Select passes the
-// workers through a chain of named rules: filters (may it run there at all),
-// then scores (where is best). What was turned down is counted per rule.
+// A Cell holds the workers of one holder with the resources allocated on them. Select passes
+// the workers through a chain of named rules: filters decide which workers are admitted, then
+// scores decide which of them is best. Rejected workers are counted by rule.
 package scheduler
 
 import (
@@ -12,19 +12,19 @@
 	"pulleyquay/internal/worker"
 )
 
-// Status tells whether a worker takes new work.
+// Status is whether a worker takes new work.
 type Status int
 
 // The statuses of a worker.
 const (
-	StatusUnclaimed Status = iota // its inventory is not known; nothing is placed
+	StatusUnclaimed Status = iota // its inventory is unknown, so nothing is placed
 	StatusReady
-	StatusLeaving  // drains
-	StatusSetAside // failed tasks of different jobs; only probes
+	StatusLeaving  // draining
+	StatusSetAside // excluded, since tasks of several jobs failed there; takes only probes
 	StatusOver     // observed usage above its size
 )
 
-// Worker is one worker as the scheduler sees it.
+// Worker is the description of a worker.
 type Worker struct {
 	Info      worker.Info
 	Addr      string
@@ -32,22 +32,22 @@
 	Status    Status
 }
 
-// Ask is one placement to decide.
+// Ask is a request for one placement.
 type Ask struct {
 	Shape taskmsg.Shape
 }
 
-// size is what the task counts for in the books: what it declares.
+// size returns the declared resources of the task.
 func (a *Ask) size() spec.Resources { return a.Shape.Task.Size }
 
-// NewRun makes the entry for the books of one slot of a shape.
+// NewRun returns the run for one slot of a shape.
 func NewRun(shape *taskmsg.Shape, home int, slot taskmsg.Slot) Run {
-	ask := Ask{Shape: *shape}
+	request := Ask{Shape: *shape}
 	return Run{
 		Attempt:     worker.Attempt{Task: spec.TaskID{Job: shape.Job, Index: slot.Index}, Attempt: slot.Attempt},
 		Home:        home,
 		Kind:        shape.Kind,
-		Size:        ask.size(),
+		Size:        request.size(),
 		Priority:    shape.Policy.Priority,
 		Urgent:      shape.Urgent,
 		MinReplicas: shape.Policy.MinReplicas,
@@ -55,13 +55,13 @@
 	}
 }
 
-// Choice is the worker chosen, with the score that won.
+// Choice is the chosen worker with its score.
 type Choice struct {
 	Worker string
 	Score  float64
 }
 
-// Run is one entry in a worker's books.
+// Run is a run with the resources allocated to it on a worker.
 type Run struct {
 	Attempt  worker.Attempt
 	Home     int
@@ -71,10 +71,10 @@
 	Urgent   bool
 	// Held runs are reserved for a gang and not started.
 	Held bool
-	// MinReplicas is how many replicas of a service must stay. It is checked
-	// against the replicas in this cell alone, which errs to the safe side; a
-	// service whose minimum is not known (zero) is never preempted.
+	// MinReplicas is the number of replicas that a service must keep. Preemption compares it
+	// with the replicas in this cell alone, which errs on the safe side. A service whose
+	// minimum is unknown (zero) is never preempted.
 	MinReplicas int64
-	// Spared runs are not preempted: the task's previous attempt was.
+	// Spared runs are not preempted, because the previous attempt of the task was.
 	Spared bool
 }
--- a/internal/scheduler/scores.go
+++ b/internal/scheduler/scores.go
@@ -6,29 +6,29 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// place is one possible place for a task, as the scores see it.
-type place struct {
+// candidate is a possible placement of a task, as input of the scorers.
+type candidate struct {
 	size *taskmsg.Size
 	free spec.Resources
-	// zoneRuns and zoneSpan compare the job's runs in this zone with the zones
-	// that have fewest and most.
-	zoneRuns, zoneLeast, zoneMost int
+	// zoneRuns is the number of the job's runs in this zone, zoneMin and zoneMax the fewest and
+	// the most of its runs in any one zone.
+	zoneRuns, zoneMin, zoneMax int
 	// rackRuns is the number of the job's runs in this rack.
 	rackRuns int
 }
 
-// score rates a place between 0 (worst) and 1 (best).
-type score struct {
+// scorer rates a candidate between 0 (worst) and 1 (best).
+type scorer struct {
 	name   string
 	weight float64
-	rate   func(*Ask, *place) float64
-	// fixed scores do not depend on what is left of the worker, nor on its rack.
+	score  func(*Ask, *candidate) float64
+	// fixed scorers depend neither on the worker's free resources nor on its rack.
 	fixed bool
 }
 
-// The weights. Spreading outweighs all else because it is about surviving a
-// loss. Balance outweighs fit: what strands processors or memory is mostly that
-// the other has run out there; docs/PLACEMENT.md has the figures that chose it.
+// Weights of the scorers. Spreading outweighs everything else because it limits the effect of a
+// failure. Balance outweighs fit because processors or memory are stranded mostly where the
+// other of the two has run out. The measurements behind these weights are in docs/PLACEMENT.md.
 const (
 	weightZones        = 64
 	weightRacks        = 32
@@ -38,121 +38,123 @@
 	weightGeneration   = 0.5
 )
 
-// guestRate is the best rate of a worker with accelerators for a task without.
-const guestRate = 0.5
+// maxScoreNoAccelerators is the best score of a worker with accelerators for a task that needs
+// none.
+const maxScoreNoAccelerators = 0.5
 
 var (
-	spreadZones      = score{"spread-zones", weightZones, rateZones, true}
-	spreadRacks      = score{"spread-racks", weightRacks, rateRacks, false}
-	keepAccelerators = score{"keep-accelerators", weightAccelerators, rateAccelerators, false}
-	bestFit          = score{"best-fit", weightFit, rateBestFit, false}
-	leastUsed        = score{"least-used", weightFit, rateLeastUsed, false}
-	balance          = score{"balance", weightBalance, rateBalance, false}
-	keepNew          = score{"keep-new-processors", weightGeneration, rateGeneration, true}
+	spreadZones           = scorer{"spread-zones", weightZones, scoreZones, true}
+	spreadRacks           = scorer{"spread-racks", weightRacks, scoreRacks, false}
+	preserveAccelerators  = scorer{"keep-accelerators", weightAccelerators, scoreAccelerators, false}
+	bestFit               = scorer{"best-fit", weightFit, scoreBestFit, false}
+	leastUsed             = scorer{"least-used", weightFit, scoreLeastUsed, false}
+	balance               = scorer{"balance", weightBalance, scoreBalance, false}
+	preserveNewProcessors = scorer{"keep-new-processors", weightGeneration, scoreGeneration, true}
 )
 
-// scoresOf returns the scores that a policy adds up.
-func scoresOf(p *taskmsg.Policy) []score {
+// scorersOf returns the scorers of a policy.
+func scorersOf(p *taskmsg.Policy) []scorer {
 	if p.Name == settings.PolicyPacking {
-		return packingScores
+		return packingScorers
 	}
-	return waitingScores
+	return waitingScorers
 }
 
 var (
-	packingScores = []score{keepAccelerators, bestFit, balance, keepNew, spreadZones, spreadRacks}
-	waitingScores = []score{keepAccelerators, leastUsed, balance, keepNew, spreadZones, spreadRacks}
+	packingScorers = []scorer{preserveAccelerators, bestFit, balance, preserveNewProcessors, spreadZones, spreadRacks}
+	waitingScorers = []scorer{preserveAccelerators, leastUsed, balance, preserveNewProcessors, spreadZones, spreadRacks}
 )
 
-// total adds up the weighted scores of a place.
-func total(scores []score, a *Ask, p *place) float64 {
+// totalScore returns the weighted sum of the scores of a candidate.
+func totalScore(scorers []scorer, a *Ask, c *candidate) float64 {
 	var sum float64
-	for i := range scores {
-		sum += scores[i].weight * scores[i].rate(a, p)
+	for i := range scorers {
+		sum += scorers[i].weight * scorers[i].score(a, c)
 	}
 	return sum
 }
 
-// bound is the most that total can give for any worker of a group: fixed scores
-// count as they are, the others as 1.
-func bound(scores []score, a *Ask, p *place) float64 {
+// upperBound returns the highest totalScore that any worker of a group can have: fixed scorers
+// count with their score, the others with 1.
+func upperBound(scorers []scorer, a *Ask, c *candidate) float64 {
 	var sum float64
-	for i := range scores {
-		rate := 1.0
+	for i := range scorers {
+		score := 1.0
 		switch {
-		case scores[i].fixed:
-			rate = scores[i].rate(a, p)
-		case scores[i].name == keepAccelerators.name && a.size().Accelerators == 0 && p.size.Size.Accelerators > 0:
-			rate = guestRate
+		case scorers[i].fixed:
+			score = scorers[i].score(a, c)
+		case scorers[i].name == preserveAccelerators.name && a.size().Accelerators == 0 && c.size.Size.Accelerators > 0:
+			score = maxScoreNoAccelerators
 		}
-		sum += scores[i].weight * rate
+		sum += scorers[i].weight * score
 	}
 	return sum
 }
 
-// rateRacks prefers racks with few runs of the job.
-func rateRacks(_ *Ask, p *place) float64 { return 1 / float64(1+p.rackRuns) }
+// scoreRacks prefers racks with few runs of the job.
+func scoreRacks(_ *Ask, c *candidate) float64 { return 1 / float64(1+c.rackRuns) }
 
-// rateZones prefers the zones with the fewest runs of the job.
-func rateZones(a *Ask, p *place) float64 {
-	if !a.Shape.Policy.SpreadZones || p.zoneMost == p.zoneLeast {
+// scoreZones prefers the zones with the fewest runs of the job.
+func scoreZones(a *Ask, c *candidate) float64 {
+	if !a.Shape.Policy.SpreadZones || c.zoneMax == c.zoneMin {
 		return 1
 	}
-	return 1 - float64(p.zoneRuns-p.zoneLeast)/float64(p.zoneMost-p.zoneLeast)
+	return 1 - float64(c.zoneRuns-c.zoneMin)/float64(c.zoneMax-c.zoneMin)
 }
 
-// rateAccelerators keeps workers with accelerators for those who need them, and
-// among these the ones with many for those who need many. Other tasks that go
-// there after all go where the free accelerators keep their share of processors
-// and memory.
-func rateAccelerators(a *Ask, p *place) float64 {
-	have := p.size.Size.Accelerators
+// scoreAccelerators preserves workers with accelerators for tasks that need them, and among
+// these the workers with many for tasks that need many. Tasks without accelerators that are
+// placed there nevertheless prefer workers on which the free accelerators keep their fraction
+// of processors and memory.
+func scoreAccelerators(a *Ask, c *candidate) float64 {
+	have := c.size.Size.Accelerators
 	if have == 0 {
 		return 1
 	}
 	need := a.size().Accelerators
 	if need > 0 {
-		return 1 - share(p.free.Accelerators-need, have)
+		return 1 - fraction(c.free.Accelerators-need, have)
 	}
-	cpu, mem := leftover(a, p)
-	accelerators := share(p.free.Accelerators, have)
+	cpu, mem := remainingFractions(a, c)
+	accelerators := fraction(c.free.Accelerators, have)
 	if accelerators == 0 {
-		return guestRate
+		return maxScoreNoAccelerators
 	}
-	return guestRate * min(1, cpu/accelerators, mem/accelerators)
+	return maxScoreNoAccelerators * min(1, cpu/accelerators, mem/accelerators)
 }
 
-// rateBestFit prefers the place with the least left over.
-func rateBestFit(a *Ask, p *place) float64 {
-	cpu, mem := leftover(a, p)
+// scoreBestFit prefers the candidate with the least resources left over.
+func scoreBestFit(a *Ask, c *candidate) float64 {
+	cpu, mem := remainingFractions(a, c)
 	return 1 - (cpu+mem)/2
 }
 
-// rateLeastUsed prefers the place with most left of what is tightest there.
-func rateLeastUsed(a *Ask, p *place) float64 {
-	cpu, mem := leftover(a, p)
+// scoreLeastUsed prefers the candidate with the most left over of its scarcest resource.
+func scoreLeastUsed(a *Ask, c *candidate) float64 {
+	cpu, mem := remainingFractions(a, c)
 	return min(cpu, mem)
 }
 
-// rateBalance prefers places where processors and memory run out together.
-func rateBalance(a *Ask, p *place) float64 {
-	cpu, mem := leftover(a, p)
+// scoreBalance prefers candidates where processors and memory are used up evenly.
+func scoreBalance(a *Ask, c *candidate) float64 {
+	cpu, mem := remainingFractions(a, c)
 	return 1 - max(cpu-mem, mem-cpu)
 }
 
-// rateGeneration keeps newer processors for those who ask for them.
-func rateGeneration(a *Ask, p *place) float64 {
-	return 1 / float64(1+max(0, p.size.Generation-a.Shape.Task.MinGeneration))
+// scoreGeneration preserves newer processors for tasks that request them.
+func scoreGeneration(a *Ask, c *candidate) float64 {
+	return 1 / float64(1+max(0, c.size.Generation-a.Shape.Task.MinGeneration))
 }
 
-// leftover is the share of processors and memory left after the task.
-func leftover(a *Ask, p *place) (cpu, mem float64) {
-	left := p.free.Sub(a.size())
-	return share(left.MilliCPU, p.size.Size.MilliCPU), share(left.MemoryMiB, p.size.Size.MemoryMiB)
+// remainingFractions returns the fractions of processors and memory that are left over after
+// the placement.
+func remainingFractions(a *Ask, c *candidate) (cpu, mem float64) {
+	left := c.free.Sub(a.size())
+	return fraction(left.MilliCPU, c.size.Size.MilliCPU), fraction(left.MemoryMiB, c.size.Size.MemoryMiB)
 }
 
-// share is part of whole, zero when there is no whole.
-func share(part, whole int64) float64 {
+// fraction returns part divided by whole, or zero if whole is zero.
+func fraction(part, whole int64) float64 {
 	if whole == 0 {
 		return 0
 	}
--- a/internal/scheduler/select.go
+++ b/internal/scheduler/select.go
@@ -9,40 +9,41 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// Bounds of the work of one decision.
+// Bounds of the cost of one decision.
 const (
-	// placesLooked is how many places are rated at most for the first task of
-	// a shape, placesAgain for each further one that is asked for with it.
-	placesLooked = 128
-	placesAgain  = 32
-	// samplesInBucket is how many workers are tried in a bucket in which some
-	// may fit, before it is put off until all else has failed.
+	// maxCandidates is the maximum number of candidates evaluated for the first task of a
+	// shape, maxCandidatesRepeat for each further task in the same call.
+	maxCandidates       = 128
+	maxCandidatesRepeat = 32
+	// samplesInBucket is how many workers are sampled in a bucket of which only some may fit,
+	// before the bucket is deferred until all others have failed.
 	samplesInBucket = 4
-	// samplesInBest is how many more workers are rated in the best bucket.
-	samplesInBest = 4
+	// samplesInBestBucket is how many more workers are evaluated in the bucket of the best
+	// candidate.
+	samplesInBestBucket = 4
 )
 
-// Placed is one run with the worker that it was booked on.
+// Placed is a run with the worker on which it was allocated.
 type Placed struct {
 	Run
 	Choice
 }
 
-// Select chooses the best worker for one task, or tells which rule turned down
-// how many workers. Nothing is booked.
+// Select chooses the best worker for one task, or returns how many workers each rule rejected.
+// It does not allocate anything.
 func (c *Cell) Select(a Ask) (Choice, *taskmsg.Refusal) {
 	s := c.newSearch(&a)
-	b, score := s.best()
-	if b == nil {
+	w, score := s.best()
+	if w == nil {
 		return Choice{}, s.refusal()
 	}
-	return Choice{Worker: b.Info.Name, Score: score}, nil
+	return Choice{Worker: w.Info.Name, Score: score}, nil
 }
 
-// Place chooses a worker for each run of one shape and books it, until one
-// finds no room. The refusal is that of the first run not placed. A run that is
-// booked already is passed over and missing from the result. Where aged work
-// finds no room a worker is kept for it; see keep.
+// Place chooses a worker for each run of one shape and allocates the run there, until no worker
+// has room for one. The refusal is that of the first run that was not placed. A run that is
+// already allocated is skipped and missing from the result. If an aged job finds no room, a
+// worker is dedicated to it.
 func (c *Cell) Place(a Ask, runs []Run, now time.Time) ([]Placed, *taskmsg.Refusal) {
 	a.Shape.Zones = copyZones(a.Shape.Zones)
 	placed := make([]Placed, 0, len(runs))
@@ -51,21 +52,21 @@
 		if _, dup := c.runs[r.Attempt]; dup {
 			continue
 		}
-		b, score := s.best()
-		if b == nil {
+		w, score := s.best()
+		if w == nil {
 			refusal := s.refusal()
 			if a.Shape.Aged && !refusal.Never {
-				c.keep(&a, now)
+				c.dedicate(&a, now)
 			}
 			return placed, refusal
 		}
-		c.book(b, r, now)
-		if b.keptFor != "" {
-			c.release(b.keptFor)
+		c.record(w, r, now)
+		if w.dedicatedTo != "" {
+			c.endDedication(w.dedicatedTo)
 		}
-		s.last, s.limit = b, placesAgain
-		placed = append(placed, Placed{Run: r, Choice: Choice{Worker: b.Info.Name, Score: score}})
-		a.Shape.Zones[b.Info.Zone]++
+		s.last, s.limit = w, maxCandidatesRepeat
+		placed = append(placed, Placed{Run: r, Choice: Choice{Worker: w.Info.Name, Score: score}})
+		a.Shape.Zones[w.Info.Zone]++
 		if a.Shape.Policy.SpreadZones {
 			s.rank()
 		}
@@ -73,51 +74,52 @@
 	return placed, nil
 }
 
-// search is the state of the decisions for one ask.
+// search is the state of the decisions for one request.
 type search struct {
-	cell   *Cell
-	ask    *Ask
-	size   spec.Resources
-	levels levels
-	scores []score
-	groups []rankedGroup
-	unsure []unsureBucket
-	// place is the place being rated; it stands here so that rating one does
-	// not allocate.
-	place place
-	// least and most are the fewest and most runs of the job in a zone.
-	least, most int
-	// limit is how many places to rate.
+	cell     *Cell
+	request  *Ask
+	size     spec.Resources
+	levels   levels
+	scorers  []scorer
+	groups   []rankedGroup
+	deferred []deferredBucket
+	// candidate is the candidate being evaluated; a field of search avoids an allocation per
+	// candidate.
+	candidate candidate
+	// minRuns and maxRuns are the fewest and the most runs of the job in any one zone.
+	minRuns, maxRuns int
+	// limit is the maximum number of candidates to evaluate.
 	limit int
-	// last is the worker chosen last; the next of the same shape often fits
-	// best there too.
-	last *book
+	// last is the worker chosen last, which is often the best for the next task of the same
+	// shape too.
+	last *record
 }
 
-// rankedGroup is a group that the hardware filters admit, with the best score
-// that a worker in it could have.
+// rankedGroup is a group that the hardware filters admit, with the best score that a worker in
+// it could have.
 type rankedGroup struct {
 	*group
-	place place // without free
-	bound float64
+	candidate  candidate // without free and rackRuns
+	upperBound float64
 }
 
-// unsureBucket is a bucket in which no worker that fits was found by sampling.
-type unsureBucket struct {
+// deferredBucket is a bucket in which sampling found no worker that fits.
+type deferredBucket struct {
 	*bucket
 	group *rankedGroup
 }
 
-// newSearch reuses the cell's scratch memory: there is one search at a time.
+// newSearch reuses the memory of the previous search of the cell; there is at most one search
+// at a time.
 func (c *Cell) newSearch(a *Ask) *search {
 	s := &c.scratch
 	size := a.size()
 	*s = search{
-		cell: c, ask: a, size: size, levels: levelsOf(size), scores: scoresOf(&a.Shape.Policy), limit: placesLooked,
-		groups: s.groups[:0], unsure: s.unsure[:0],
+		cell: c, request: a, size: size, levels: levelsOf(size), scorers: scorersOf(&a.Shape.Policy), limit: maxCandidates,
+		groups: s.groups[:0], deferred: s.deferred[:0],
 	}
 	for _, g := range c.index.order {
-		if g.ready > 0 && hardwareAdmits(a, &g.size) {
+		if g.ready > 0 && hardwareMatches(a, &g.size) {
 			s.groups = append(s.groups, rankedGroup{group: g})
 		}
 	}
@@ -127,150 +129,150 @@
 
 // rank sorts the groups by the best score that a worker in them could have.
 func (s *search) rank() {
-	s.least, s.most = s.zoneRange()
+	s.minRuns, s.maxRuns = s.zoneRange()
 	for i := range s.groups {
 		g := &s.groups[i]
-		g.place = s.placeIn(g.group)
-		g.bound = bound(s.scores, s.ask, &g.place)
+		g.candidate = s.candidateIn(g.group)
+		g.upperBound = upperBound(s.scorers, s.request, &g.candidate)
 	}
-	slices.SortStableFunc(s.groups, func(a, b rankedGroup) int { return cmp.Compare(b.bound, a.bound) })
+	slices.SortStableFunc(s.groups, func(a, b rankedGroup) int { return cmp.Compare(b.upperBound, a.upperBound) })
 }
 
-// placeIn is what all places in a group have in common.
-func (s *search) placeIn(g *group) place {
-	return place{size: &g.size, zoneRuns: s.ask.Shape.Zones[g.zone], zoneLeast: s.least, zoneMost: s.most}
+// candidateIn returns what all candidates in a group have in common.
+func (s *search) candidateIn(g *group) candidate {
+	return candidate{size: &g.size, zoneRuns: s.request.Shape.Zones[g.zone], zoneMin: s.minRuns, zoneMax: s.maxRuns}
 }
 
-// zoneRange is the fewest and the most runs that the job has in a zone.
-func (s *search) zoneRange() (least, most int) {
+// zoneRange returns the fewest and the most runs of the job in any one zone.
+func (s *search) zoneRange() (minRuns, maxRuns int) {
 	for i := range s.groups {
-		n := s.ask.Shape.Zones[s.groups[i].zone]
-		if i == 0 || n < least {
-			least = n
+		n := s.request.Shape.Zones[s.groups[i].zone]
+		if i == 0 || n < minRuns {
+			minRuns = n
 		}
-		most = max(most, n)
+		maxRuns = max(maxRuns, n)
 	}
-	return least, most
+	return minRuns, maxRuns
 }
 
-// candidate is the best place found so far.
-type candidate struct {
-	book   *book
-	group  *rankedGroup
-	score  float64
-	looked int
+// bestSoFar is the best candidate found so far, with the number of candidates examined.
+type bestSoFar struct {
+	record   *record
+	group    *rankedGroup
+	score    float64
+	examined int
 }
 
-// best finds the best worker that the sampling sees, and any worker with room
-// before it finds none. It returns nil when no worker has room.
-func (s *search) best() (*book, float64) {
-	var c candidate
-	s.unsure = s.unsure[:0]
-	if k, ok := s.cell.kept[s.ask.Shape.Job]; ok && refusedBy(s.ask, k.book) == "" {
-		g := rankedGroup{group: k.book.group}
-		g.place = s.placeIn(k.book.group)
-		s.rate(k.book, &g, &c)
-		return c.book, c.score
+// best returns the best worker among those sampled and its score. If sampling finds no worker
+// with room, it examines all workers that may have room. It returns nil if none has.
+func (s *search) best() (*record, float64) {
+	var c bestSoFar
+	s.deferred = s.deferred[:0]
+	if d, ok := s.cell.dedicated[s.request.Shape.Job]; ok && rejectingRule(s.request, d.record) == "" {
+		g := rankedGroup{group: d.record.group}
+		g.candidate = s.candidateIn(d.record.group)
+		s.evaluate(d.record, &g, &c)
+		return c.record, c.score
 	}
 	for i := range s.groups {
 		g := &s.groups[i]
-		if c.book != nil && (g.bound <= c.score || c.looked >= s.limit) {
+		if c.record != nil && (g.upperBound <= c.score || c.examined >= s.limit) {
 			break
 		}
 		if s.last != nil && s.last.group == g.group {
-			s.rate(s.last, g, &c)
+			s.evaluate(s.last, g, &c)
 		}
-		s.lookAtGroup(g, &c)
+		s.evaluateGroup(g, &c)
 	}
-	if c.book == nil {
-		return s.fromUnsure()
+	if c.record == nil {
+		return s.searchDeferred()
 	}
-	for range samplesInBest {
-		s.rate(s.anyOf(c.book.bucket), c.group, &c)
+	for range samplesInBestBucket {
+		s.evaluate(s.randomWorkerIn(c.record.bucket), c.group, &c)
 	}
-	return c.book, c.score
+	return c.record, c.score
 }
 
-// lookAtGroup rates one worker of each bucket that has room, from a random
-// bucket on.
-func (s *search) lookAtGroup(g *rankedGroup, c *candidate) {
+// evaluateGroup evaluates one worker of each bucket that has room, starting at a random bucket.
+func (s *search) evaluateGroup(g *rankedGroup, c *bestSoFar) {
 	n := len(g.buckets)
 	if n == 0 {
-		return // its last worker was filled since the search began
+		return // the last worker with room was filled after the search began
 	}
 	first := s.cell.random.IntN(n)
 	for i := range n {
-		if c.looked >= s.limit {
+		if c.examined >= s.limit {
 			return
 		}
-		k := g.buckets[(first+i)%n]
-		switch k.judge(s.levels, &s.size) {
+		b := g.buckets[(first+i)%n]
+		switch b.fit(s.levels, &s.size) {
 		case allFit:
-			s.rateSome(k, g, c, 1+len(s.ask.Shape.Avoid))
+			s.evaluateSample(b, g, c, 1+len(s.request.Shape.Avoid))
 		case someMayFit:
-			s.rateSome(k, g, c, samplesInBucket)
+			s.evaluateSample(b, g, c, samplesInBucket)
 		}
 	}
 }
 
-// rateSome rates the first worker that fits of a number of random ones. When
-// there is none the bucket is put off.
-func (s *search) rateSome(k *bucket, g *rankedGroup, c *candidate, samples int) {
+// evaluateSample evaluates random workers of a bucket until one fits, at most the given number.
+// If none fits the bucket is deferred.
+func (s *search) evaluateSample(b *bucket, g *rankedGroup, c *bestSoFar, samples int) {
 	for range samples {
-		if s.rate(s.anyOf(k), g, c) {
+		if s.evaluate(s.randomWorkerIn(b), g, c) {
 			return
 		}
 	}
-	s.unsure = append(s.unsure, unsureBucket{k, g})
+	s.deferred = append(s.deferred, deferredBucket{b, g})
 }
 
-func (s *search) anyOf(k *bucket) *book {
-	if len(k.books) == 1 {
-		return k.books[0]
+func (s *search) randomWorkerIn(b *bucket) *record {
+	if len(b.workers) == 1 {
+		return b.workers[0]
 	}
-	return k.books[s.cell.random.IntN(len(k.books))]
+	return b.workers[s.cell.random.IntN(len(b.workers))]
 }
 
-// rate compares one worker with the best so far; it reports whether the worker
+// evaluate compares a worker with the best candidate so far. It reports whether the worker
 // fits.
-func (s *search) rate(b *book, g *rankedGroup, c *candidate) bool {
-	free := b.free()
-	if !s.size.Fits(free) || !admitsAvoid(s.ask, b) {
+func (s *search) evaluate(w *record, g *rankedGroup, c *bestSoFar) bool {
+	free := w.free()
+	if !s.size.Fits(free) || !admitsAvoid(s.request, w) {
 		return false
 	}
-	c.looked++
-	s.place = g.place
-	s.place.free = free
-	if s.ask.Shape.Policy.SpreadRacks {
-		s.place.rackRuns = s.cell.rackRuns(b, s.ask.Shape.Job)
+	c.examined++
+	s.candidate = g.candidate
+	s.candidate.free = free
+	if s.request.Shape.Policy.SpreadRacks {
+		s.candidate.rackRuns = s.cell.rackRuns(w, s.request.Shape.Job)
 	}
-	if score := total(s.scores, s.ask, &s.place); c.book == nil || score > c.score {
-		c.book, c.group, c.score = b, g, score
+	if score := totalScore(s.scorers, s.request, &s.candidate); c.record == nil || score > c.score {
+		c.record, c.group, c.score = w, g, score
 	}
 	return true
 }
 
-// fromUnsure looks at every worker that may fit, once sampling found none.
-func (s *search) fromUnsure() (*book, float64) {
-	var c candidate
-	for _, u := range s.unsure {
-		for _, b := range u.books {
-			s.rate(b, u.group, &c)
+// searchDeferred evaluates every worker in the deferred buckets, after sampling found none that
+// fits.
+func (s *search) searchDeferred() (*record, float64) {
+	var c bestSoFar
+	for _, u := range s.deferred {
+		for _, w := range u.workers {
+			s.evaluate(w, u.group, &c)
 		}
-		if c.book != nil {
-			return c.book, c.score
+		if c.record != nil {
+			return c.record, c.score
 		}
-		u.tighten()
+		u.recomputeMaxFree()
 	}
 	return nil, 0
 }
 
-// rackRuns counts the job's runs in the rack of b.
-func (c *Cell) rackRuns(b *book, job string) int {
+// rackRuns returns the number of the job's runs in the rack of w.
+func (c *Cell) rackRuns(w *record, job string) int {
 	n := 0
-	for _, other := range c.index.racks[b.rack] {
-		for _, k := range other.runs {
-			if k.Attempt.Task.Job == job {
+	for _, other := range c.index.racks[w.rack] {
+		for _, alloc := range other.runs {
+			if alloc.Attempt.Task.Job == job {
 				n++
 			}
 		}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// String gives the status's name for logs and dumps.
+// String returns the name of the status for logs and state dumps.
 func (s Status) String() string {
 	switch s {
 	case StatusUnclaimed:
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -9,44 +9,44 @@
 	"pulleyquay/internal/spec"
 )
 
-// victimsRemembered is how many tasks preempted last are spared next time.
-const victimsRemembered = 1024
+// maxRecentVictims is how many of the most recently preempted tasks are protected from another
+// preemption.
+const maxRecentVictims = 1024
 
-// victimMemory keeps the tasks that were preempted lately.
-type victimMemory struct {
+// victimHistory records the tasks that were preempted recently.
+type victimHistory struct {
 	tasks *lru.Cache[spec.TaskID, struct{}]
 }
 
-func newVictimMemory() *victimMemory {
-	tasks, err := lru.New[spec.TaskID, struct{}](victimsRemembered)
+func newVictimHistory() *victimHistory {
+	tasks, err := lru.New[spec.TaskID, struct{}](maxRecentVictims)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	return &victimMemory{tasks: tasks}
+	return &victimHistory{tasks: tasks}
 }
 
-// victimsLooked is how many workers with victims are compared.
-const victimsLooked = 64
+// maxVictimCandidates is how many workers with suitable victims are compared.
+const maxVictimCandidates = 64
 
-// Victims chooses runs of one worker whose end would make room for the ask:
-// strictly less urgent ones, the least urgent first, no service below its
-// minimum, no task that was the victim last time. It compares some workers from
-// a random one on, and looks at all before it returns "". The caller confirms
-// with Preempted.
+// Victims chooses runs on one worker to be preempted for the request: strictly less urgent
+// ones, least urgent first, no replica of a service at its minimum, no task that was preempted
+// recently. It compares a limited number of suitable workers, starting at a random one, and
+// returns "" only after examining all workers. The caller confirms the choice with Preempted.
 func (c *Cell) Victims(a Ask) (string, []Run) {
-	var best *book
+	var best *record
 	var bestRuns []Run
 	n := len(c.order)
 	first := c.random.IntN(max(n, 1))
-	for i, looked := 0, 0; i < n && looked < victimsLooked; i++ {
-		b := c.order[(first+i)%n]
-		runs, ok := c.victimsOn(&a, b)
+	for i, examined := 0, 0; i < n && examined < maxVictimCandidates; i++ {
+		w := c.order[(first+i)%n]
+		runs, ok := c.victimsOn(&a, w)
 		if !ok {
 			continue
 		}
-		looked++
-		if best == nil || milder(runs, bestRuns) {
-			best, bestRuns = b, runs
+		examined++
+		if best == nil || lessDisruptive(runs, bestRuns) {
+			best, bestRuns = w, runs
 		}
 	}
 	if best == nil {
@@ -55,81 +55,83 @@
 	return best.Info.Name, bestRuns
 }
 
-// Preempted notes that the runs are being stopped to make room.
+// Preempted records that the runs are being preempted.
 func (c *Cell) Preempted(runs []Run) {
 	for _, r := range runs {
-		c.recent.tasks.Add(r.Attempt.Task, struct{}{})
+		c.recentVictims.tasks.Add(r.Attempt.Task, struct{}{})
 	}
 }
 
-// victimsOn chooses victims on one worker; ok is false when none would do.
-func (c *Cell) victimsOn(a *Ask, b *book) (runs []Run, ok bool) {
-	if !couldHold(a, b) {
+// victimsOn chooses victims on one worker; ok is false if no choice of victims makes enough
+// room.
+func (c *Cell) victimsOn(a *Ask, w *record) (runs []Run, ok bool) {
+	if !fitsWhenIdle(a, w) {
 		return nil, false
 	}
-	declared := b.declared
-	observed := b.observed.Add(b.fresh)
+	declared := w.declared
+	observed := w.observed.Add(w.unreported)
 	need := a.size()
 	services := map[string]int64{}
-	for _, r := range c.candidates(a, b) {
-		if !c.mayLose(&r, services) {
+	for _, r := range c.preemptibleRuns(a, w) {
+		if !c.allowPreemption(&r, services) {
 			continue
 		}
 		declared = declared.Sub(r.Size)
 		observed = observed.Sub(r.Size)
 		runs = append(runs, r)
-		if need.Fits(b.Info.Size.Sub(declared.Max(observed))) {
+		if need.Fits(w.Info.Size.Sub(declared.Max(observed))) {
 			return runs, true
 		}
 	}
 	return nil, false
 }
 
-// couldHold tells whether the worker, if empty, would do.
-func couldHold(a *Ask, b *book) bool {
-	open := b.Status == StatusReady && (b.keptFor == "" || b.keptFor == a.Shape.Job)
-	return open && admitsAvoid(a, b) && hardwareAdmits(a, &b.group.size) && a.size().Fits(b.Info.Size)
+// fitsWhenIdle reports whether the worker would admit the request if nothing ran on it.
+func fitsWhenIdle(a *Ask, w *record) bool {
+	open := w.Status == StatusReady && (w.dedicatedTo == "" || w.dedicatedTo == a.Shape.Job)
+	return open && admitsAvoid(a, w) && hardwareMatches(a, &w.group.size) && a.size().Fits(w.Info.Size)
 }
 
-// candidates are the runs on b that the ask may preempt, least urgent first.
-func (c *Cell) candidates(a *Ask, b *book) []Run {
+// preemptibleRuns returns the runs on w that may be preempted for the request, least urgent
+// first.
+func (c *Cell) preemptibleRuns(a *Ask, w *record) []Run {
 	var out []Run
-	for _, k := range b.runs {
-		if !k.Held && !k.Spared && lessUrgent(&k.Run, a) && !c.recent.tasks.Contains(k.Attempt.Task) {
-			out = append(out, k.Run)
+	for _, alloc := range w.runs {
+		if !alloc.Held && !alloc.Spared && isPreemptible(&alloc.Run, a) && !c.recentVictims.tasks.Contains(alloc.Attempt.Task) {
+			out = append(out, alloc.Run)
 		}
 	}
 	slices.SortFunc(out, byUrgency)
 	return out
 }
 
-// mayLose tells whether the run may be taken, given the replicas taken so far,
-// and counts it when so.
-func (c *Cell) mayLose(r *Run, taken map[string]int64) bool {
+// allowPreemption reports whether a run may be preempted in addition to those in preempted,
+// which counts the replicas by job. If so, the run is added to preempted.
+func (c *Cell) allowPreemption(r *Run, preempted map[string]int64) bool {
 	if r.Kind != spec.KindService {
 		return true
 	}
 	job := r.Attempt.Task.Job
-	if r.MinReplicas <= 0 || c.replicas[job]-taken[job] <= r.MinReplicas {
+	if r.MinReplicas <= 0 || c.replicas[job]-preempted[job] <= r.MinReplicas {
 		return false
 	}
-	taken[job]++
+	preempted[job]++
 	return true
 }
 
-// lessUrgent tells whether r may be preempted by the ask.
-func lessUrgent(r *Run, a *Ask) bool {
+// isPreemptible reports whether r is less urgent than the request.
+func isPreemptible(r *Run, a *Ask) bool {
 	if r.Urgent != a.Shape.Urgent {
 		return a.Shape.Urgent
 	}
 	return r.Priority < a.Shape.Policy.Priority
 }
 
-// kindRank orders kinds by what their loss costs: a gang loses all its tasks.
+// kindRank orders kinds by the cost of losing a run: a gang loses all its tasks.
 var kindRank = map[spec.Kind]int{spec.KindBatch: 0, spec.KindGang: 1, spec.KindService: 2}
 
-// byUrgency sorts the least urgent first, by size among equals so that few
-// runs have to go.
+// byUrgency sorts the least urgent runs first, and larger runs first among equally urgent ones,
+// so that fewer runs have to be preempted.
 func byUrgency(x, y Run) int {
 	if x.Urgent != y.Urgent {
 		if x.Urgent {
@@ -146,9 +148,9 @@
 	)
 }
 
-// milder tells whether losing x costs less than losing y: the most urgent run
-// lost decides, then the number of runs.
-func milder(x, y []Run) bool {
+// lessDisruptive reports whether losing x costs less than losing y. The most urgent run lost
+// decides, then the number of runs.
+func lessDisruptive(x, y []Run) bool {
 	lx, ly := x[len(x)-1], y[len(y)-1]
 	if d := cmp.Or(cmp.Compare(lx.Priority, ly.Priority), cmp.Compare(kindRank[lx.Kind], kindRank[ly.Kind])); d != 0 {
 		return d < 0
--- a/internal/scheduler/victims_test.go
+++ b/internal/scheduler/victims_test.go
@@ -10,24 +10,24 @@
 )
 
 func TestVictims(t *testing.T) {
-	half := res(500, 500, 0)
+	half := resources(500, 500, 0)
 	cases := []struct {
 		name   string
 		change func(a *Ask, first, second *Run)
 		want   []int // indexes of the victims
 	}{
 		{"one is enough", func(*Ask, *Run, *Run) {}, []int{0}},
-		{"both are needed", func(a *Ask, _, _ *Run) { a.Shape.Task.Size = res(600, 0, 0) }, []int{0, 1}},
-		{"never would it fit", func(a *Ask, _, _ *Run) { a.Shape.Task.Size = res(1001, 0, 0) }, nil},
+		{"both are needed", func(a *Ask, _, _ *Run) { a.Shape.Task.Size = resources(600, 0, 0) }, []int{0, 1}},
+		{"infeasible task", func(a *Ask, _, _ *Run) { a.Shape.Task.Size = resources(1001, 0, 0) }, nil},
 		{"lowest priority first", func(_ *Ask, first, _ *Run) { first.Priority = 1 }, []int{1}},
 		{"not as urgent", func(_ *Ask, first, _ *Run) { first.Urgent = true }, []int{1}},
 		{"gang after batch", func(_ *Ask, first, _ *Run) { first.Kind = spec.KindGang }, []int{1}},
-		{"held runs stay", func(_ *Ask, first, _ *Run) { first.Held = true }, []int{1}},
-		{"spared runs stay", func(_ *Ask, first, _ *Run) { first.Spared = true }, []int{1}},
+		{"held runs are not preempted", func(_ *Ask, first, _ *Run) { first.Held = true }, []int{1}},
+		{"spared runs are not preempted", func(_ *Ask, first, _ *Run) { first.Spared = true }, []int{1}},
 		{"priority without urgency", func(a *Ask, first, _ *Run) {
 			a.Shape.Urgent, a.Shape.Policy.Priority, first.Priority = false, 1, 1
 		}, []int{1}},
-		{"equals are not preempted", func(a *Ask, _, _ *Run) { a.Shape.Urgent = false }, nil},
+		{"equally urgent runs are not preempted", func(a *Ask, _, _ *Run) { a.Shape.Urgent = false }, nil},
 		{"service at its minimum", func(a *Ask, first, second *Run) {
 			first.Kind, first.MinReplicas = spec.KindService, 1
 			second.Urgent = true
@@ -41,7 +41,7 @@
 			second.Urgent = true
 		}, nil},
 		{"down to the minimum and not below", func(a *Ask, first, second *Run) {
-			a.Shape.Task.Size = res(600, 0, 0)
+			a.Shape.Task.Size = resources(600, 0, 0)
 			first.Kind, first.MinReplicas = spec.KindService, 1
 			second.Kind, second.MinReplicas = spec.KindService, 1
 		}, nil},
@@ -49,11 +49,11 @@
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			a, first, second := askFor(half), run("job", 0, half), run("job", 1, half)
+			a, first, second := requestFor(half), run("job", 0, half), run("job", 1, half)
 			a.Shape.Urgent = true
 			tt.change(&a, &first, &second)
 			c := NewCell(1)
-			c.Upsert(ready("w", "a", res(1000, 1000, 0)))
+			c.Upsert(readyWorker("w", "a", resources(1000, 1000, 0)))
 			is.NoErr(c.Reserve("w", first, start))
 			is.NoErr(c.Reserve("w", second, start))
 			_, victims := c.Victims(a)
@@ -66,15 +66,15 @@
 	}
 }
 
-// TestNeverTheSameVictimTwiceInARow preempts a task, lets its next attempt start
-// and asks again.
+// TestNeverTheSameVictimTwiceInARow checks that the next attempt of a preempted task is not
+// preempted again.
 func TestNeverTheSameVictimTwiceInARow(t *testing.T) {
 	is := is.New(t)
 	c := NewCell(1)
-	c.Upsert(ready("w", "a", res(1000, 1000, 0)))
-	first := run("job", 0, res(1000, 1000, 0))
+	c.Upsert(readyWorker("w", "a", resources(1000, 1000, 0)))
+	first := run("job", 0, resources(1000, 1000, 0))
 	is.NoErr(c.Reserve("w", first, start))
-	a := askFor(res(1000, 1000, 0))
+	a := requestFor(resources(1000, 1000, 0))
 	a.Shape.Urgent = true
 	_, victims := c.Victims(a)
 	is.Equal(len(victims), 1)
@@ -86,21 +86,22 @@
 	is.Equal(len(victims), 0)
 }
 
-// TestVictimsLooksEverywhere hides the only worker with a victim among many.
+// TestVictimsLooksEverywhere checks that the only worker with a suitable victim is found among
+// many.
 func TestVictimsLooksEverywhere(t *testing.T) {
 	is := is.New(t)
 	c := NewCell(1)
 	for i := range 500 {
-		c.Upsert(ready(name(i), "a", res(1000, 1000, 0)))
-		r := run("job", i, res(1000, 1000, 0))
+		c.Upsert(readyWorker(workerName(i), "a", resources(1000, 1000, 0)))
+		r := run("job", i, resources(1000, 1000, 0))
 		r.Urgent = i != 321
-		is.NoErr(c.Reserve(name(i), r, start))
+		is.NoErr(c.Reserve(workerName(i), r, start))
 	}
-	a := askFor(res(10, 10, 0))
+	a := requestFor(resources(10, 10, 0))
 	a.Shape.Urgent = true
 	for range 20 {
 		w, _ := c.Victims(a)
-		is.Equal(w, name(321))
+		is.Equal(w, workerName(321))
 	}
 }
 
@@ -108,7 +109,7 @@
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l := newLoad(n)
-			a := askFor(res(60000, 100000, 0))
+			a := requestFor(resources(60000, 100000, 0))
 			a.Shape.Urgent = true
 			b.ReportAllocs()
 			for b.Loop() {
