--- a/internal/hold/mirror.go
+++ b/internal/hold/cache.go
@@ -27,30 +27,30 @@
 // mirror is this process's copy of the members and partitions in the store. A
 // key's state is replaced only by one of a higher revision, whatever order
 // lists, watches and answers come in.
-type mirror struct {
-	members    map[string]member.Entry
-	charters   map[right.Subject]member.Entry
-	partitions map[int]view.Partition
-	handOvers  map[int]string               // the attempt that moved each record
-	revisions  map[string]platform.Revision // of each key, also of deleted ones
-	gone       map[right.Subject]time.Time  // holders first seen without a key
-	count      int                          // as the store says, zero when not read
-	revision   platform.Revision
-	listed     map[string]bool // prefixes that were listed from the store
-}
-
-func newMirror() *mirror {
-	return &mirror{
-		members: map[string]member.Entry{}, charters: map[right.Subject]member.Entry{},
+type cache struct {
+	members      map[string]member.Entry
+	voterRecords map[right.Subject]member.Entry
+	partitions   map[int]view.Partition
+	handOvers    map[int]string               // the attempt that moved each record
+	revisions    map[string]platform.Revision // of each key, also of deleted ones
+	unregistered map[right.Subject]time.Time  // holders first seen without a key
+	count        int                          // as the store says, zero when not read
+	revision     platform.Revision
+	listed       map[string]bool // prefixes that were listed from the store
+}
+
+func newCache() *cache {
+	return &cache{
+		members: map[string]member.Entry{}, voterRecords: map[right.Subject]member.Entry{},
 		partitions: map[int]view.Partition{}, handOvers: map[int]string{}, revisions: map[string]platform.Revision{},
-		gone: map[right.Subject]time.Time{}, listed: map[string]bool{},
+		unregistered: map[right.Subject]time.Time{}, listed: map[string]bool{},
 	}
 }
 
 // list takes in all records under a prefix at a revision.
-func (m *mirror) list(prefix string, records []platform.Record, at platform.Revision) error {
+func (m *cache) list(prefix string, records []platform.Record, at platform.Revision) error {
 	if !m.listed[prefix] {
-		m.forgetAdopted(prefix)
+		m.dropAdopted(prefix)
 	}
 	present := map[string]bool{}
 	for _, rec := range records {
@@ -72,7 +72,7 @@
 }
 
 // apply takes in the state of one key unless a newer one is known.
-func (m *mirror) apply(c platform.Change) error {
+func (m *cache) apply(c platform.Change) error {
 	if c.ModRevision <= m.revisions[c.Key] {
 		return nil
 	}
@@ -87,18 +87,18 @@
 	return m.applyPartition(c)
 }
 
-func (m *mirror) applyMember(c platform.Change) error {
+func (m *cache) applyMember(c platform.Change) error {
 	entry, err := member.Decode(c.Record)
 	if err != nil {
 		return err
 	}
 	if entry.IsCharter() {
-		subject := right.Subject{Name: entry.Name, Incarnation: entry.Incarnation}
+		memberID := right.Subject{Name: entry.Name, Incarnation: entry.Incarnation}
 		if c.Deleted {
-			delete(m.charters, subject)
+			delete(m.voterRecords, memberID)
 			return nil
 		}
-		m.charters[subject] = entry
+		m.voterRecords[memberID] = entry
 		return nil
 	}
 	if c.Deleted {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (m *mirror) applyPartition(c platform.Change) error {
+func (m *cache) applyPartition(c platform.Change) error {
 	if c.Key == countKey {
 		m.count = 0
 		if c.Deleted {
@@ -135,7 +135,7 @@
 }
 
 // adopt takes in a table learned from a peer; only used before the first list.
-func (m *mirror) adopt(t *view.Table) {
+func (m *cache) adopt(t *view.Table) {
 	if len(m.listed) > 0 || t.Revision <= int64(m.revision) {
 		return
 	}
@@ -153,7 +153,7 @@
 
 // forgetAdopted drops what a peer's table said under a prefix, before the
 // store's own list takes its place.
-func (m *mirror) forgetAdopted(prefix string) {
+func (m *cache) dropAdopted(prefix string) {
 	if prefix == member.Prefix {
 		maps.DeleteFunc(m.members, func(name string, _ member.Entry) bool { return m.revisions[member.Key(name)] == 0 })
 		return
@@ -166,7 +166,7 @@
 // table returns a snapshot, sorted by name and by id. It names all partitions
 // of the cell or none: those that nobody has claimed yet have no holder and epoch
 // zero. Readers work out homes from their number.
-func (m *mirror) table() *view.Table {
+func (m *cache) table() *view.Table {
 	t := &view.Table{Revision: int64(m.revision)}
 	for _, e := range m.members {
 		t.Members = append(t.Members, *e.Member)
@@ -183,13 +183,13 @@
 }
 
 // alive reports whether the subject's key is in the store.
-func (m *mirror) alive(s right.Subject) bool {
+func (m *cache) registered(s right.Subject) bool {
 	e, ok := m.members[s.Name]
 	return ok && e.Member.Incarnation == s.Incarnation
 }
 
 // staying lists the members that do not leave.
-func (m *mirror) staying() []string {
+func (m *cache) remaining() []string {
 	var out []string
 	for name, e := range m.members {
 		if !e.Member.Leaving {
@@ -200,7 +200,7 @@
 }
 
 // voters lists the members as an electorate, sorted by name.
-func (m *mirror) voters() []right.Voter {
+func (m *cache) voters() []right.Voter {
 	var out []right.Voter
 	for _, e := range m.members {
 		out = append(out, right.Voter{Name: e.Member.Name, Incarnation: e.Member.Incarnation, Addr: e.Member.Addr})
@@ -210,22 +210,22 @@
 }
 
 // noteGone remembers since when each holder has been without a member key.
-func (m *mirror) noteGone(now time.Time) {
+func (m *cache) updateUnregistered(now time.Time) {
 	holders := map[right.Subject]bool{}
 	for _, p := range m.partitions {
 		s := holderOf(p)
-		if p.Holder != "" && !m.alive(s) {
+		if p.Holder != "" && !m.registered(s) {
 			holders[s] = true
 		}
 	}
-	for s := range m.gone {
+	for s := range m.unregistered {
 		if !holders[s] {
-			delete(m.gone, s)
+			delete(m.unregistered, s)
 		}
 	}
 	for s := range holders {
-		if _, known := m.gone[s]; !known {
-			m.gone[s] = now
+		if _, known := m.unregistered[s]; !known {
+			m.unregistered[s] = now
 		}
 	}
 }
--- a/internal/hold/mirror_test.go
+++ b/internal/hold/cache_test.go
@@ -20,7 +20,7 @@
 // where keys and teams belong, so it must not change while a cell is claimed.
 func TestTableNamesAllPartitions(t *testing.T) {
 	is := is.New(t)
-	m := newMirror()
+	m := newCache()
 	is.NoErr(m.apply(platform.Change{Record: partitionRecord("2", "2")}))
 	is.Equal(len(m.table().Partitions), 0) // the number is not known yet
 	is.NoErr(m.apply(platform.Change{Record: platform.Record{Key: countKey, ModRevision: 3, Value: []byte("4")}}))
@@ -29,7 +29,7 @@
 	}
 	is.Equal(m.table().Partitions, want)
 
-	started := newMirror() // learns from a peer while the store is away
+	started := newCache() // learns from a peer while the store is away
 	started.adopt(m.table())
 	is.Equal(started.table().Partitions, want)
 	is.Equal(len(started.partitions), 1) // unclaimed ones are not taken for records
--- a/internal/hold/cell_test.go
+++ b/internal/hold/cell_test.go
@@ -24,72 +24,72 @@
 // testCell is a set of Keepers over one store inside a synctest bubble, with
 // cuts between them and a referee of who acts.
 type testCell struct {
-	t       testing.TB
-	engine  *memstore.Engine
-	config  Config
-	net     *network
-	referee *referee
-	nodes   map[string]*node
-	prepare func(*node) // called for each process before its start
-	acting  time.Duration
+	t        testing.TB
+	engine   *memstore.Engine
+	config   Config
+	net      *network
+	checker  *checker
+	nodes    map[string]*node
+	prepare  func(*node) // called for each process before its start
+	useEvery time.Duration
 }
 
 // node is one placer process of a testCell.
 type node struct {
 	*Keeper
-	name     string
-	addr     string
-	client   *memstore.Client
-	store    *countingStore
-	resident *recorder
-	gate     *gate
-	stopAct  context.CancelFunc
-	acting   sync.WaitGroup
+	name      string
+	addr      string
+	client    *memstore.Client
+	store     *countingStore
+	component *recorder
+	gate      *gate
+	stopUsing context.CancelFunc
+	useLoop   sync.WaitGroup
 }
 
 // gate stops a process: while it is shut nothing goes in or out. What is on its
 // way in either direction waits and goes on late.
 type gate struct {
-	mu   sync.Mutex
-	shut chan struct{} // nil while open
+	mu     sync.Mutex
+	paused chan struct{} // nil while open
 }
 
-func (g *gate) close() {
+func (g *gate) pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut == nil {
-		g.shut = make(chan struct{})
+	if g.paused == nil {
+		g.paused = make(chan struct{})
 	}
 }
 
-func (g *gate) open() {
+func (g *gate) resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut != nil {
-		close(g.shut)
-		g.shut = nil
+	if g.paused != nil {
+		close(g.paused)
+		g.paused = nil
 	}
 }
 
 // pass waits until the gate is open or ctx ends.
-func (g *gate) pass(ctx context.Context) {
+func (g *gate) wait(ctx context.Context) {
 	g.mu.Lock()
-	shut := g.shut
+	paused := g.paused
 	g.mu.Unlock()
-	if shut == nil {
+	if paused == nil {
 		return
 	}
 	select {
-	case <-shut:
+	case <-paused:
 	case <-ctx.Done():
 	}
 }
 
 func newTestCell(t testing.TB, config Config) *testCell {
 	return &testCell{
-		t: t, engine: memstore.New(), config: config, acting: actInterval, nodes: map[string]*node{},
-		net:     &network{muxes: map[string]*peer.Mux{}, gates: map[string]*gate{}, cuts: map[[2]string]bool{}},
-		referee: &referee{last: map[int]map[string]use{}, epochs: map[int]uint64{}},
+		t: t, engine: memstore.New(), config: config, useEvery: useInterval, nodes: map[string]*node{},
+		net:     &network{muxes: map[string]*peer.Mux{}, gates: map[string]*gate{}, blocked: map[[2]string]bool{}},
+		checker: &checker{last: map[int]map[string]use{}, epochs: map[int]uint64{}},
 	}
 }
 
@@ -105,7 +105,7 @@
 		c.t.Fatalf("start %s: %v", name, err)
 	}
 	c.nodes[name] = n
-	n.act(c.acting)
+	n.startUsing(c.useEvery)
 	return n
 }
 
@@ -124,8 +124,8 @@
 		c.t.Fatal(err)
 	}
 	n.Keeper = k
-	n.resident = &recorder{referee: c.referee, node: k.Self().Incarnation, states: map[int]string{}, got: map[int]Takeover{}, ended: map[int]time.Time{}}
-	k.AddResident(n.resident)
+	n.component = &recorder{checker: c.checker, node: k.Self().Incarnation, states: map[int]string{}, acquired: map[int]Takeover{}, releasedTimes: map[int]time.Time{}}
+	k.AddResident(n.component)
 	c.net.set(n.addr, mux, n.gate)
 	return n
 }
@@ -133,11 +133,11 @@
 // kill ends a process without any leave-taking.
 func (c *testCell) kill(n *node) {
 	c.net.set(n.addr, nil, nil)
-	n.gate.open()
-	n.stopAct()
+	n.gate.resume()
+	n.stopUsing()
 	n.cancel()
-	n.acting.Wait()
-	n.done.Wait()
+	n.useLoop.Wait()
+	n.loops.Wait()
 	n.steps.Wait()
 	delete(c.nodes, n.name)
 }
@@ -151,7 +151,7 @@
 }
 
 // settled reports whether every partition is held, and by whom it should be.
-func (c *testCell) settled() bool {
+func (c *testCell) allHeld() bool {
 	held := 0
 	for _, n := range c.nodes {
 		for _, id := range n.Held() {
@@ -165,9 +165,9 @@
 }
 
 // waitSettled waits until every partition has a holder that may act.
-func (c *testCell) waitSettled(limit time.Duration) time.Duration {
+func (c *testCell) waitAllHeld(limit time.Duration) time.Duration {
 	c.t.Helper()
-	return c.wait(limit, "all partitions held", c.settled)
+	return c.wait(limit, "all partitions held", c.allHeld)
 }
 
 // wait polls in the bubble's time and returns how long it took.
@@ -200,7 +200,7 @@
 
 func (c *testCell) check() {
 	c.t.Helper()
-	for _, v := range c.referee.violations() {
+	for _, v := range c.checker.violations() {
 		c.t.Error(v)
 	}
 }
@@ -225,10 +225,10 @@
 // network carries calls between the cell's processes, in both directions cut or
 // not.
 type network struct {
-	mu    sync.Mutex
-	muxes map[string]*peer.Mux
-	gates map[string]*gate
-	cuts  map[[2]string]bool
+	mu      sync.Mutex
+	muxes   map[string]*peer.Mux
+	gates   map[string]*gate
+	blocked map[[2]string]bool
 }
 
 func (n *network) set(addr string, mux *peer.Mux, g *gate) {
@@ -238,17 +238,17 @@
 }
 
 // cut stops messages from one address to another, or lets them pass again.
-func (n *network) cut(from, to string, off bool) {
+func (n *network) setBlocked(from, to string, block bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{from, to}] = off
+	n.blocked[[2]string{from, to}] = block
 }
 
 // heal ends all cuts.
-func (n *network) heal() {
+func (n *network) repair() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cuts)
+	clear(n.blocked)
 }
 
 func (n *network) caller(from string, g *gate) peer.Caller {
@@ -264,28 +264,28 @@
 // Call passes a message on unless its way or the way back is cut. A cut loses
 // messages silently: the caller waits until its ctx ends.
 func (c *netCaller) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
-	c.gate.pass(ctx)
+	c.gate.wait(ctx)
 	c.net.mu.Lock()
 	mux, to := c.net.muxes[addr], c.net.gates[addr]
-	there, back := c.net.cuts[[2]string{c.from, addr}], c.net.cuts[[2]string{addr, c.from}]
+	outbound, inbound := c.net.blocked[[2]string{c.from, addr}], c.net.blocked[[2]string{addr, c.from}]
 	c.net.mu.Unlock()
-	if there || mux == nil {
+	if outbound || mux == nil {
 		<-ctx.Done()
 		return result.New(result.PeerLost, result.RanUnknown, "cut")
 	}
 	time.Sleep(time.Millisecond)
-	to.pass(ctx)
+	to.wait(ctx)
 	if ctx.Err() != nil {
 		return result.New(result.PeerLost, result.RanUnknown, "stopped")
 	}
 	var answer cbor.RawMessage
 	err := peer.Local{addr: mux}.Call(ctx, addr, kind, req, &answer)
-	to.pass(ctx)
-	c.gate.pass(ctx)
+	to.wait(ctx)
+	c.gate.wait(ctx)
 	if err != nil {
 		return err
 	}
-	if back {
+	if inbound {
 		<-ctx.Done()
 		return result.New(result.PeerLost, result.RanUnknown, "cut on the way back")
 	}
@@ -302,11 +302,11 @@
 
 // begin counts a call and returns what is to be done after it.
 func (s *countingStore) begin(ctx context.Context, kind string) func() {
-	s.gate.pass(ctx)
+	s.gate.wait(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[kind]++
-	return func() { s.gate.pass(ctx) }
+	return func() { s.gate.wait(ctx) }
 }
 
 func (s *countingStore) total() int {
@@ -332,7 +332,7 @@
 func (s *countingStore) Watch(ctx context.Context, prefix string, after platform.Revision, fn func(platform.Batch)) error {
 	defer s.begin(ctx, "watch")()
 	return s.Store.Watch(ctx, prefix, after, func(b platform.Batch) {
-		s.gate.pass(ctx)
+		s.gate.wait(ctx)
 		fn(b)
 	})
 }
--- a/internal/hold/referee_test.go
+++ b/internal/hold/checker_test.go
@@ -13,11 +13,11 @@
 
 // referee records every right to act that is used, and names each time at which
 // two processes could act for one partition.
-type referee struct {
+type checker struct {
 	mu     sync.Mutex
 	last   map[int]map[string]use // by partition and process
 	epochs map[int]uint64
-	faults []string
+	found  []string
 }
 
 // use is the last right a process had for a partition.
@@ -27,17 +27,17 @@
 }
 
 // granted records that a process has asked for the right at now.
-func (r *referee) granted(node string, g Grant, now time.Time) {
+func (r *checker) granted(node string, g Grant, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for other, u := range r.last[g.Partition] {
 		if other != node && now.Before(u.until) {
-			r.faults = append(r.faults, fmt.Sprintf("partition %d: %s acts at epoch %d while %s may act at epoch %d for %v",
+			r.found = append(r.found, fmt.Sprintf("partition %d: %s acts at epoch %d while %s may act at epoch %d for %v",
 				g.Partition, node, g.Epoch, other, u.epoch, u.until.Sub(now)))
 		}
 	}
 	if g.Epoch < r.epochs[g.Partition] {
-		r.faults = append(r.faults, fmt.Sprintf("partition %d: epoch %d after %d", g.Partition, g.Epoch, r.epochs[g.Partition]))
+		r.found = append(r.found, fmt.Sprintf("partition %d: epoch %d after %d", g.Partition, g.Epoch, r.epochs[g.Partition]))
 	}
 	r.epochs[g.Partition] = max(r.epochs[g.Partition], g.Epoch)
 	if r.last[g.Partition] == nil {
@@ -51,7 +51,7 @@
 }
 
 // signedOff records that a process has ended its work for a partition in order.
-func (r *referee) signedOff(node string, partition int, now time.Time) {
+func (r *checker) released(node string, partition int, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if u, ok := r.last[partition][node]; ok && u.until.After(now) {
@@ -60,26 +60,26 @@
 	}
 }
 
-func (r *referee) violations() []string {
+func (r *checker) violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.faults
+	return r.found
 }
 
 // actInterval is how often a process of a testCell uses its rights by default.
-const actInterval = 20 * time.Millisecond
+const useInterval = 20 * time.Millisecond
 
 // act uses every right the process has, again and again, until stopAct.
-func (n *node) act(every time.Duration) {
+func (n *node) startUsing(every time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
-	n.stopAct = cancel
-	n.acting.Add(1)
+	n.stopUsing = cancel
+	n.useLoop.Add(1)
 	go func() {
-		defer n.acting.Done()
+		defer n.useLoop.Done()
 		for ctx.Err() == nil {
 			for _, id := range n.Held() {
-				n.gate.pass(ctx)
-				n.resident.use(n.Keeper, id)
+				n.gate.wait(ctx)
+				n.component.use(n.Keeper, id)
 			}
 			select {
 			case <-ctx.Done():
@@ -92,20 +92,20 @@
 // recorder is a Resident whose state is a string that travels with the
 // partition.
 type recorder struct {
-	referee *referee
+	checker *checker
 	node    string
 	// skipExpiry plants a fault: act for what is held without asking the right.
-	skipExpiry atomic.Bool
+	ignoreExpiry atomic.Bool
 	// failRelease makes every Release fail, its work not finished.
 	failRelease atomic.Bool
 	// releaseTime is how long the work in flight takes, in nanoseconds.
 	releaseTime atomic.Int64
 
-	mu     sync.Mutex
-	states map[int]string
-	got    map[int]Takeover
-	counts struct{ acquire, release, drop int }
-	ended  map[int]time.Time // when a partition was last released
+	mu            sync.Mutex
+	states        map[int]string
+	acquired      map[int]Takeover
+	counts        struct{ acquire, release, drop int }
+	releasedTimes map[int]time.Time // when a partition was last released
 }
 
 func (r *recorder) Name() string { return "recorder" }
@@ -118,11 +118,11 @@
 		return
 	}
 	g, err := k.Check(id)
-	if r.skipExpiry.Load() && err != nil {
-		g, err = Grant{Partition: id, Epoch: r.got[id].Epoch, Until: time.Now().Add(actInterval)}, nil
+	if r.ignoreExpiry.Load() && err != nil {
+		g, err = Grant{Partition: id, Epoch: r.acquired[id].Epoch, Until: time.Now().Add(useInterval)}, nil
 	}
 	if err == nil {
-		r.referee.granted(r.node, g, time.Now())
+		r.checker.granted(r.node, g, time.Now())
 	}
 }
 
@@ -130,7 +130,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.acquire++
-	r.got[t.Partition] = t
+	r.acquired[t.Partition] = t
 	r.states[t.Partition] = string(t.State) + "/" + r.node
 	return nil
 }
@@ -144,8 +144,8 @@
 	r.counts.release++
 	state := r.states[id]
 	delete(r.states, id)
-	r.ended[id] = time.Now()
-	r.referee.signedOff(r.node, id, time.Now())
+	r.releasedTimes[id] = time.Now()
+	r.checker.released(r.node, id, time.Now())
 	return []byte(state), nil
 }
 
@@ -156,14 +156,14 @@
 	delete(r.states, id)
 }
 
-func (r *recorder) takeover(id int) Takeover {
+func (r *recorder) acquisition(id int) Takeover {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.got[id]
+	return r.acquired[id]
 }
 
 func (r *recorder) releasedAt(id int) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ended[id]
+	return r.releasedTimes[id]
 }
--- a/internal/hold/config.go
+++ b/internal/hold/config.go
@@ -59,38 +59,38 @@
 func (c Config) Check() error {
 	switch {
 	case c.Term < time.Second || c.Term%time.Second != 0:
-		return refuse("Term", "must be whole seconds, at least one")
+		return invalid("Term", "must be whole seconds, at least one")
 	case c.ClockMargin <= 0 || c.ClockMargin > maxClockMargin:
-		return refuse("ClockMargin", "must be from 1 to %d parts of a thousand", maxClockMargin)
+		return invalid("ClockMargin", "must be from 1 to %d parts of a thousand", maxClockMargin)
 	case c.OutageLimit < c.Term:
-		return refuse("OutageLimit", "must be at least the term")
+		return invalid("OutageLimit", "must be at least the term")
 	case c.Renew <= 0 || c.Renew > c.Term/3:
-		return refuse("Renew", "must be positive and at most a third of the term")
+		return invalid("Renew", "must be positive and at most a third of the term")
 	case c.Heartbeat <= 0 || c.Heartbeat > c.Term/3:
-		return refuse("Heartbeat", "must be positive and at most a third of the term")
+		return invalid("Heartbeat", "must be positive and at most a third of the term")
 	case c.Suspect <= c.Heartbeat:
-		return refuse("Suspect", "must be longer than the heartbeat interval")
+		return invalid("Suspect", "must be longer than the heartbeat interval")
 	case c.BackoffMax <= 0:
-		return refuse("BackoffMax", "must be positive")
+		return invalid("BackoffMax", "must be positive")
 	case c.Spread < 0:
-		return refuse("Spread", "must not be negative")
+		return invalid("Spread", "must not be negative")
 	case c.Partitions <= 0:
-		return refuse("Partitions", "must be positive")
+		return invalid("Partitions", "must be positive")
 	}
 	return nil
 }
 
-func refuse(field, format string, args ...any) error {
+func invalid(field, format string, args ...any) error {
 	return result.New(result.BadInput, result.RanNo, format, args...).At(field)
 }
 
 // checkSelf refuses names that would not be one part of a key in the store.
 func checkSelf(m view.Member) error {
 	if m.Name == "" || strings.Contains(m.Name, "/") {
-		return refuse("Name", "must not be empty nor contain a slash: %q", m.Name)
+		return invalid("Name", "must not be empty nor contain a slash: %q", m.Name)
 	}
 	if m.Addr == "" {
-		return refuse("Addr", "must not be empty")
+		return invalid("Addr", "must not be empty")
 	}
 	return nil
 }
@@ -100,7 +100,7 @@
 }
 
 // fresh is the age up to which a renewal counts as reaching the store.
-func (c Config) fresh() time.Duration { return c.Term / 2 }
+func (c Config) maxRenewalAge() time.Duration { return c.Term / 2 }
 
 // Deps is what a Keeper works with.
 type Deps struct {
--- a/internal/hold/config_test.go
+++ b/internal/hold/config_test.go
@@ -24,9 +24,9 @@
 	}
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Check())
-	for field, spoil := range tests {
+	for field, breakField := range tests {
 		c := DefaultConfig()
-		spoil(&c)
+		breakField(&c)
 		err := c.Check()
 		is.Equal(result.CodeOf(err), result.BadInput)
 		is.Equal(result.From(err).Field, field)
--- a/internal/hold/dump.go
+++ b/internal/hold/dump.go
@@ -28,8 +28,8 @@
 type FencingState struct {
 	Subject right.Subject `json:"subject"`
 	// Open are the voters that have not answered so that it counts.
-	Open []right.Voter `json:"open"`
-	Done bool          `json:"done"`
+	Pending []right.Voter `json:"open"`
+	Done    bool          `json:"done"`
 }
 
 // SlotState is one partition that this process owns or works on.
@@ -49,13 +49,13 @@
 
 // Dump returns the state for /debug/state.
 func (k *Keeper) Dump() any {
-	lacks, covered := k.Lacks(), k.covered()
+	notReady, delegated := k.Lacks(), k.delegated()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := uptime.Now()
 	out := State{
-		Self: k.session.Self(), Membership: k.session.State(), Lacks: lacks,
-		StoreUp: k.storeUp(), StoreAgeMS: k.storeAge().Milliseconds(), Table: k.Table(),
+		Self: k.session.Self(), Membership: k.session.State(), Lacks: notReady,
+		StoreUp: k.storeAvailable(), StoreAgeMS: k.storeAge().Milliseconds(), Table: k.Table(),
 	}
 	k.session.Right(func(h *right.Holder) {
 		out.LeaseMS = h.Lease().Sub(now).Milliseconds()
@@ -70,12 +70,12 @@
 		}
 	}
 	for s, f := range k.fencings {
-		out.Fencing = append(out.Fencing, FencingState{Subject: s, Open: f.tally.Open(), Done: f.tally.Done(now)})
+		out.Fencing = append(out.Fencing, FencingState{Subject: s, Pending: f.answers.Pending(), Done: f.answers.Done(now)})
 	}
-	for _, h := range k.beats.All() {
+	for _, h := range k.heartbeats.All() {
 		out.Heard = append(out.Heard, HeardState{Status: h.Status, AgeMS: now.Sub(h.At).Milliseconds()})
 	}
-	for _, p := range covered {
+	for _, p := range delegated {
 		out.Covered = append(out.Covered, p.ID)
 	}
 	return out
--- a/internal/hold/fault_test.go
+++ b/internal/hold/fault_test.go
@@ -10,7 +10,7 @@
 )
 
 // formed starts a cell of the named members and waits until it has settled.
-func formed(c *testCell, names ...string) {
+func startMembers(c *testCell, names ...string) {
 	c.t.Helper()
 	for _, name := range names {
 		c.start(name)
@@ -21,18 +21,18 @@
 				return false
 			}
 		}
-		return c.settled()
+		return c.allHeld()
 	})
 	time.Sleep(5 * time.Second)
 }
 
 // cutPeers cuts a member from all others, or heals the cut.
-func (c *testCell) cutPeers(name string, there, back bool) {
+func (c *testCell) blockPeers(name string, outbound, inbound bool) {
 	me := c.nodes[name].addr
 	for _, other := range c.nodes {
 		if other.addr != me {
-			c.net.cut(me, other.addr, there)
-			c.net.cut(other.addr, me, back)
+			c.net.setBlocked(me, other.addr, outbound)
+			c.net.setBlocked(other.addr, me, inbound)
 		}
 	}
 }
@@ -40,17 +40,17 @@
 func TestStoreOutageOfTenTermsStopsNobody(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a", "b", "c")
+		startMembers(c, "a", "b", "c")
 		before := c.epochs()
 		c.engine.SetFaults(memstore.Faults{Hang: true})
 		for end := time.Now().Add(10 * c.config.Term); time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
-			is.True(c.settled()) // every partition's holder may act all the time
+			is.True(c.allHeld()) // every partition's holder may act all the time
 		}
 		c.engine.SetFaults(memstore.Faults{})
 		for end := time.Now().Add(3 * c.config.Term); time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
-			is.True(c.settled())
+			is.True(c.allHeld())
 		}
 		is.Equal(c.epochs(), before) // and nothing has moved
 	})
@@ -60,21 +60,21 @@
 	for gap := time.Second / 2; gap <= 6*time.Second; gap += time.Second {
 		t.Run(gap.String(), func(t *testing.T) {
 			inBubble(t, testConfig(), func(c *testCell) {
-				formed(c, "a", "b", "c", "d", "e")
-				lapsed := 0
+				startMembers(c, "a", "b", "c", "d", "e")
+				expired := 0
 				for _, phase := range []struct {
 					faults memstore.Faults
 					length time.Duration
-				}{{down, 4 * c.config.Term}, {healthy, gap}, {down, 4 * c.config.Term}} {
+				}{{hanging, 4 * c.config.Term}, {healthy, gap}, {hanging, 4 * c.config.Term}} {
 					c.engine.SetFaults(phase.faults)
 					for end := time.Now().Add(phase.length); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-						if !c.settled() {
-							lapsed++
+						if !c.allHeld() {
+							expired++
 						}
 					}
 				}
-				if lapsed > 0 {
-					c.t.Errorf("not every partition could be acted for at %d looks", lapsed)
+				if expired > 0 {
+					c.t.Errorf("not every partition could be acted for at %d looks", expired)
 				}
 			})
 		})
@@ -94,29 +94,29 @@
 	return out
 }
 
-func TestMemberCutFromTheStoreAloneIsSucceeded(t *testing.T) {
+func TestMemberDisconnectedFromTheStoreAloneIsReplaced(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a", "b", "c")
+		startMembers(c, "a", "b", "c")
 		cut := c.nodes["b"]
 		cut.client.SetFaults(memstore.Faults{Hang: true})
 		c.wait(4*c.config.Term, "others hold all", func() bool {
 			return len(c.nodes["a"].Held())+len(c.nodes["c"].Held()) == c.config.Partitions
 		})
 		cut.client.SetFaults(memstore.Faults{})
-		c.wait(4*c.config.Term, "b has a share again", func() bool { return len(cut.Held()) > 0 && c.settled() })
+		c.wait(4*c.config.Term, "b has a share again", func() bool { return len(cut.Held()) > 0 && c.allHeld() })
 		is.True(cut.store.total() > 0)
 	})
 }
 
-func TestMemberCutFromPeersOnlyKeepsItsPartitions(t *testing.T) {
+func TestMemberDisconnectedFromPeersOnlyKeepsItsPartitions(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a", "b", "c")
+		startMembers(c, "a", "b", "c")
 		before := c.epochs()
-		c.cutPeers("b", true, true)
+		c.blockPeers("b", true, true)
 		time.Sleep(3 * c.config.Term)
-		is.True(c.settled())
+		is.True(c.allHeld())
 		is.Equal(c.epochs(), before)
 	})
 }
--- a/internal/hold/fence.go
+++ b/internal/hold/fence.go
@@ -21,22 +21,22 @@
 // fencing is the fence of one dead member's session, shared by all partitions
 // that this process wants of it. The Keeper's lock guards it.
 type fencing struct {
-	charter platform.Revision
-	tally   *right.Fencing
-	running bool
+	voterRecord platform.Revision
+	answers     *right.Fencing
+	running     bool
 }
 
 // fence starts or goes on asking the electorate of a dead holder. The lock is
 // held.
 func (k *Keeper) fence(ctx context.Context, s right.Subject) {
-	charter := k.mirror.charters[s]
+	voterRecord := k.cache.voterRecords[s]
 	f := k.fencings[s]
-	if f == nil || f.charter != charter.Revision {
-		var electorate right.Electorate
-		if charter.Charter != nil {
-			electorate = charter.Charter.Electorate
+	if f == nil || f.voterRecord != voterRecord.Revision {
+		var voterSet right.Electorate
+		if voterRecord.Charter != nil {
+			voterSet = voterRecord.Charter.Electorate
 		}
-		f = &fencing{charter: charter.Revision, tally: right.NewFencing(k.config.times(), electorate, uptime.Now())}
+		f = &fencing{voterRecord: voterRecord.Revision, answers: right.NewFencing(k.config.times(), voterSet, uptime.Now())}
 		k.fencings[s] = f
 		k.log.WithField("member", s.Name).WithField("incarnation", s.Incarnation).Info("asking its electorate to fence a dead holder")
 	}
@@ -47,20 +47,20 @@
 	k.steps.Add(1)
 	go func() {
 		defer k.steps.Done()
-		k.askFence(ctx, s, f)
+		k.requestFence(ctx, s, f)
 		k.mu.Lock()
 		f.running = false
 		k.mu.Unlock()
-		k.wake()
+		k.wakeDecide()
 	}()
 }
 
 // askFence asks every open voter once, and waits a little when that was not
 // enough, so that the next round does not follow at once.
-func (k *Keeper) askFence(ctx context.Context, s right.Subject, f *fencing) {
+func (k *Keeper) requestFence(ctx context.Context, s right.Subject, f *fencing) {
 	k.mu.Lock()
-	open := f.tally.Open()
-	request := FenceRequest{Subject: s, Session: f.tally.Electorate().Session}
+	open := f.answers.Pending()
+	request := FenceRequest{Subject: s, Session: f.answers.Electorate().Session}
 	k.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, k.config.Suspect)
 	defer cancel()
@@ -69,13 +69,13 @@
 		asked.Add(1)
 		go func() {
 			defer asked.Done()
-			answer, err := k.askVoter(ctx, v, request)
+			answer, err := k.callVoter(ctx, v, request)
 			if err != nil {
 				return
 			}
 			k.mu.Lock()
-			f.tally.Answered(v, answer)
-			if f.tally.Done(uptime.Now()) {
+			f.answers.RecordAnswer(v, answer)
+			if f.answers.Done(uptime.Now()) {
 				cancel()
 			}
 			k.mu.Unlock()
@@ -83,15 +83,15 @@
 	}
 	asked.Wait()
 	k.mu.Lock()
-	done := f.tally.Done(uptime.Now())
+	done := f.answers.Done(uptime.Now())
 	k.mu.Unlock()
 	if !done {
 		wait.For(ctx, k.config.Heartbeat/4+rand.N(k.config.Heartbeat/4+1))
 	}
 }
 
-func (k *Keeper) askVoter(ctx context.Context, v right.Voter, request FenceRequest) (right.FenceAnswer, error) {
-	if v.Incarnation == k.subject().Incarnation {
+func (k *Keeper) callVoter(ctx context.Context, v right.Voter, request FenceRequest) (right.FenceAnswer, error) {
+	if v.Incarnation == k.memberID().Incarnation {
 		return k.onFence(ctx, request)
 	}
 	var answer right.FenceAnswer
@@ -104,15 +104,15 @@
 	now := uptime.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	self := k.subject()
+	self := k.memberID()
 	answer := right.FenceAnswer{Incarnation: self.Incarnation, Age: now.Sub(k.started)}
 	answer.Remaining = k.promises.Fence(now, request.Subject, request.Session)
 	if request.Subject == self {
 		k.session.Right(func(h *right.Holder) {
 			if request.Session >= h.Session() {
-				h.Fenced()
+				h.MarkFenced()
 			}
-			answer.Remaining = max(answer.Remaining, h.Outstanding().Sub(now))
+			answer.Remaining = max(answer.Remaining, h.LatestEnd().Sub(now))
 		})
 	}
 	return answer, nil
--- a/internal/hold/handover.go
+++ b/internal/hold/handover.go
@@ -42,8 +42,8 @@
 // next has no name. When the record does not move, this process goes on.
 func (k *Keeper) handOver(ctx context.Context, s *slot, next view.Member, nextMod platform.Revision) {
 	select {
-	case k.moves <- struct{}{}:
-		defer func() { <-k.moves }()
+	case k.handOverLimit <- struct{}{}:
+		defer func() { <-k.handOverLimit }()
 	case <-ctx.Done():
 		return
 	}
@@ -51,11 +51,11 @@
 	s.event(eventRelease)
 	old := s.record
 	k.mu.Unlock()
-	states, inOrder := k.releaseAll(ctx, s.id)
+	states, graceful := k.releaseComponents(ctx, s.id)
 	k.mu.Lock()
 	s.event(eventReleased)
 	k.mu.Unlock()
-	if !inOrder && !k.sleepOut(ctx) {
+	if !graceful && !k.waitForExpiry(ctx) {
 		return
 	}
 	moved := old
@@ -68,7 +68,7 @@
 		conditions = append(conditions, platform.Condition{Key: member.Key(next.Name), ModRevision: nextMod})
 	}
 	attempt := ""
-	if next.Name != "" && inOrder {
+	if next.Name != "" && graceful {
 		attempt = uuid.NewString()
 		msg := HandOver{Partition: moved.ID, Epoch: moved.Epoch, Incarnation: next.Incarnation, ID: attempt, States: states}
 		if err := k.sendStates(ctx, next, msg); err != nil {
@@ -80,17 +80,17 @@
 	rec, err := k.writeRecord(ctx, record{Partition: moved, HandOver: attempt}, conditions)
 	switch {
 	case err == nil:
-		k.handedOver(ctx, s, next, rec, attempt)
+		k.completeHandOver(ctx, s, next, rec, attempt)
 	case errors.Is(err, platform.ErrUnavailable):
 		k.resume(ctx, s, states)
 	default:
-		k.settleMove(ctx, s, old, states)
+		k.resolveMove(ctx, s, old, states)
 	}
 }
 
 // handedOver ends a successful hand-over and tells the next holder, which would
 // otherwise see the record a watch's delay later.
-func (k *Keeper) handedOver(ctx context.Context, s *slot, next view.Member, rec view.Partition, attempt string) {
+func (k *Keeper) completeHandOver(ctx context.Context, s *slot, next view.Member, rec view.Partition, attempt string) {
 	k.mu.Lock()
 	s.event(eventDrop)
 	k.mu.Unlock()
@@ -108,13 +108,13 @@
 
 // settleMove finds out whether the record has moved. Writing it anew with the
 // old holder makes a delayed move fail; only then does this process go on.
-func (k *Keeper) settleMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
-	k.setSettling(s, true)
-	defer k.setSettling(s, false)
+func (k *Keeper) resolveMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
+	k.setResolving(s, true)
+	defer k.setResolving(s, false)
 	retry := k.newBackOff()
 	for {
 		k.mu.Lock()
-		known := k.mirror.partitions[s.id]
+		known := k.cache.partitions[s.id]
 		k.mu.Unlock()
 		if known.ModRevision > old.ModRevision && (holderOf(known) != holderOf(old) || known.Epoch != old.Epoch) {
 			k.mu.Lock()
@@ -139,11 +139,11 @@
 }
 
 // setSettling notes whether the outcome of a partition's move is being found out.
-func (k *Keeper) setSettling(s *slot, settling bool) {
+func (k *Keeper) setResolving(s *slot, resolving bool) {
 	k.mu.Lock()
-	s.settling = settling
+	s.resolving = resolving
 	k.mu.Unlock()
-	k.wake()
+	k.wakeDecide()
 }
 
 // resume takes a released partition up again with its own states.
@@ -151,31 +151,31 @@
 	k.mu.Lock()
 	s.event(eventResume)
 	k.mu.Unlock()
-	k.takeUp(ctx, s, states, true, false)
+	k.activate(ctx, s, states, true, false)
 }
 
 // sleepOut waits until no right given before can be in use.
-func (k *Keeper) sleepOut(ctx context.Context) bool {
+func (k *Keeper) waitForExpiry(ctx context.Context) bool {
 	var until time.Time
-	k.session.Right(func(h *right.Holder) { until = h.Outstanding() })
+	k.session.Right(func(h *right.Holder) { until = h.LatestEnd() })
 	return wait.For(ctx, uptime.Until(until))
 }
 
 // releaseAll ends the residents' work in order and collects their states. It
 // reports false when one of them could not finish: then the next holder gets no
 // states and counts as taking over from a dead one.
-func (k *Keeper) releaseAll(ctx context.Context, id int) (states map[string][]byte, inOrder bool) {
-	states, inOrder = map[string][]byte{}, true
-	for _, r := range k.residents {
+func (k *Keeper) releaseComponents(ctx context.Context, id int) (states map[string][]byte, graceful bool) {
+	states, graceful = map[string][]byte{}, true
+	for _, r := range k.components {
 		state, err := r.Release(ctx, id)
 		if err != nil {
 			k.log.WithError(err).WithField("resident", r.Name()).WithField("partition", id).Warn("not released in order")
-			inOrder = false
+			graceful = false
 			continue
 		}
 		states[r.Name()] = state
 	}
-	return states, inOrder
+	return states, graceful
 }
 
 func (k *Keeper) sendStates(ctx context.Context, next view.Member, msg HandOver) error {
@@ -195,7 +195,7 @@
 func (k *Keeper) onHandOver(_ context.Context, msg HandOver) (HandOverReply, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if msg.Incarnation != k.subject().Incarnation {
+	if msg.Incarnation != k.memberID().Incarnation {
 		return HandOverReply{}, result.New(result.HandOverFailed, result.RanNo, "this is another process than the one meant")
 	}
 	if msg.Partition < 0 || msg.Partition >= len(k.slots) {
@@ -205,11 +205,11 @@
 		return HandOverReply{}, result.New(result.Stopping, result.RanNo, "leaving")
 	}
 	if msg.Record != nil {
-		_ = k.mirror.apply(record{Partition: *msg.Record, HandOver: msg.ID}.change())
+		_ = k.cache.apply(record{Partition: *msg.Record, HandOver: msg.ID}.change())
 		k.publish()
 		return HandOverReply{Kept: true}, nil
 	}
-	k.slots[msg.Partition].inbox = &msg
+	k.slots[msg.Partition].receivedState = &msg
 	return HandOverReply{Kept: true}, nil
 }
 
--- a/internal/hold/beats.go
+++ b/internal/hold/heartbeats.go
@@ -13,15 +13,15 @@
 )
 
 // beatHost is the Keeper as its heartbeats see it.
-type beatHost struct{ *Keeper }
+type heartbeatHost struct{ *Keeper }
 
 // Status implements heartbeat.Host.
-func (b *beatHost) Status() heartbeat.Status {
+func (b *heartbeatHost) Status() heartbeat.Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return heartbeat.Status{
 		Member: b.session.Self(), TableRevision: b.Table().Revision, SettingsRevision: b.settings(),
-		StoreAge: b.storeAge(), Deputy: b.deputyOf(b.session.Self().Name),
+		StoreAge: b.storeAge(), Deputy: b.delegateFor(b.session.Self().Name),
 	}
 }
 
@@ -37,23 +37,23 @@
 
 // Asks implements heartbeat.Host. It asks once the store is not reached as
 // usual, well before the store lease ends.
-func (b *beatHost) Asks() []heartbeat.Ask {
+func (b *heartbeatHost) Asks() []heartbeat.Ask {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var asks []heartbeat.Ask
 	if b.needsPromises() {
 		var session uint64
 		b.session.Right(func(h *right.Holder) { session = h.Session() })
-		asks = append(asks, heartbeat.Ask{Subject: b.subject(), Session: session, For: b.config.Term})
+		asks = append(asks, heartbeat.Ask{Subject: b.memberID(), Session: session, For: b.config.Term})
 	}
-	for s, c := range b.covers {
+	for s, c := range b.renewals {
 		asks = append(asks, heartbeat.Ask{Subject: s, Session: c.right.Session(), For: b.config.Term})
 	}
 	now := uptime.Now()
-	self := b.subject().Incarnation
+	self := b.memberID().Incarnation
 	for _, ask := range asks {
 		if b.promise(now, ask) {
-			b.credit(ask, self, now)
+			b.recordPromise(ask, self, now)
 		}
 	}
 	return asks
@@ -63,11 +63,11 @@
 // store as usual. The lock is held.
 func (k *Keeper) needsPromises() bool {
 	_, answers := k.session.Renewed()
-	return k.session.State() != member.StateOutside && (!answers || k.storeAge() > k.config.fresh())
+	return k.session.State() != member.StateOutside && (!answers || k.storeAge() > k.config.maxRenewalAge())
 }
 
 // Urgent implements heartbeat.Host: within two beats the right may lapse.
-func (b *beatHost) Urgent() bool {
+func (b *heartbeatHost) Urgent() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.needsPromises() {
@@ -80,7 +80,7 @@
 }
 
 // OnAsk implements heartbeat.Host.
-func (b *beatHost) OnAsk(ask heartbeat.Ask) bool {
+func (b *heartbeatHost) OnAsk(ask heartbeat.Ask) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.promise(uptime.Now(), ask)
@@ -90,7 +90,7 @@
 // which makes promises needless and would only delay a takeover. The lock is
 // held.
 func (k *Keeper) promise(now time.Time, ask heartbeat.Ask) bool {
-	if ask.For > k.config.Term || k.storeUp() {
+	if ask.For > k.config.Term || k.storeAvailable() {
 		return false
 	}
 	if !k.promises.Ask(now, ask.Subject, ask.Session, ask.For) {
@@ -101,36 +101,36 @@
 }
 
 // OnReply implements heartbeat.Host.
-func (b *beatHost) OnReply(sent time.Time, reply heartbeat.Reply) {
+func (b *heartbeatHost) OnReply(sent time.Time, reply heartbeat.Reply) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, ask := range reply.Promised {
-		b.credit(ask, reply.Status.Member.Incarnation, sent)
+		b.recordPromise(ask, reply.Status.Member.Incarnation, sent)
 	}
-	if reply.Table != nil && len(b.mirror.listed) == 0 {
-		b.mirror.adopt(reply.Table)
+	if reply.Table != nil && len(b.cache.listed) == 0 {
+		b.cache.adopt(reply.Table)
 		b.publish()
 	}
 }
 
 // credit counts a voter's promise. The lock is held.
-func (k *Keeper) credit(ask heartbeat.Ask, voter string, sent time.Time) {
-	if ask.Subject == k.subject() {
-		k.session.Right(func(h *right.Holder) { h.Promised(voter, ask.Session, sent, ask.For) })
+func (k *Keeper) recordPromise(ask heartbeat.Ask, voter string, sent time.Time) {
+	if ask.Subject == k.memberID() {
+		k.session.Right(func(h *right.Holder) { h.RecordPromise(voter, ask.Session, sent, ask.For) })
 		return
 	}
-	if c := k.covers[ask.Subject]; c != nil {
-		c.right.Promised(voter, ask.Session, sent, ask.For)
+	if c := k.renewals[ask.Subject]; c != nil {
+		c.right.RecordPromise(voter, ask.Session, sent, ask.For)
 	}
 }
 
 // Targets implements heartbeat.Host: all members, the own electorate, and the
 // seeds while no member is known.
-func (b *beatHost) Targets() []string {
+func (b *heartbeatHost) Targets() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	addrs := map[string]bool{}
-	for _, e := range b.mirror.members {
+	for _, e := range b.cache.members {
 		addrs[e.Member.Addr] = true
 	}
 	b.session.Right(func(h *right.Holder) {
@@ -138,7 +138,7 @@
 			addrs[v.Addr] = true
 		}
 	})
-	if len(b.mirror.listed) == 0 {
+	if len(b.cache.listed) == 0 {
 		for _, seed := range b.config.Seeds {
 			addrs[seed] = true
 		}
@@ -153,32 +153,32 @@
 }
 
 // WantTable implements heartbeat.Host.
-func (b *beatHost) WantTable() bool {
+func (b *heartbeatHost) WantTable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.mirror.listed) == 0
+	return len(b.cache.listed) == 0
 }
 
 // storeUp reports whether a majority of the known members reaches the store, as
 // far as this process has heard. It decides nothing about safety: it only keeps
 // promises from being made when they would merely delay a takeover, and
 // claimants from acting while the store comes back. The lock is held.
-func (k *Keeper) storeUp() bool {
+func (k *Keeper) storeAvailable() bool {
 	var voters []right.Voter
 	k.session.Right(func(h *right.Holder) { voters = h.Electorate().Voters })
 	if len(voters) == 0 {
-		voters = k.mirror.voters()
+		voters = k.cache.voters()
 	}
-	self, fresh, up := k.subject(), k.config.fresh(), 0
+	self, maxRenewalAge, up := k.memberID(), k.config.maxRenewalAge(), 0
 	for _, v := range voters {
 		if v.Incarnation == self.Incarnation {
-			if age := k.storeAge(); age >= 0 && age < fresh {
+			if age := k.storeAge(); age >= 0 && age < maxRenewalAge {
 				up++
 			}
 			continue
 		}
-		h, ok := k.beats.Heard(v.Name)
-		if ok && h.Status.StoreAge >= 0 && h.Status.StoreAge+uptime.Since(h.At) < fresh {
+		h, ok := k.heartbeats.Heard(v.Name)
+		if ok && h.Status.StoreAge >= 0 && h.Status.StoreAge+uptime.Since(h.At) < maxRenewalAge {
 			up++
 		}
 	}
@@ -186,26 +186,26 @@
 }
 
 // heard reports whether the named member's beats come in. The lock is held.
-func (k *Keeper) heard(name string) bool {
-	e, ok := k.mirror.members[name]
-	return ok && k.heardSubject(right.Subject{Name: name, Incarnation: e.Member.Incarnation})
+func (k *Keeper) reachable(name string) bool {
+	e, ok := k.cache.members[name]
+	return ok && k.reachableMember(right.Subject{Name: name, Incarnation: e.Member.Incarnation})
 }
 
-func (k *Keeper) heardSubject(s right.Subject) bool {
-	return s == k.subject() || k.heardWithin(s, k.config.Suspect)
+func (k *Keeper) reachableMember(s right.Subject) bool {
+	return s == k.memberID() || k.heartbeatWithin(s, k.config.Suspect)
 }
 
-func (k *Keeper) heardWithin(s right.Subject, d time.Duration) bool {
-	h, ok := k.beats.Heard(s.Name)
+func (k *Keeper) heartbeatWithin(s right.Subject, d time.Duration) bool {
+	h, ok := k.heartbeats.Heard(s.Name)
 	return ok && h.Status.Member.Incarnation == s.Incarnation && uptime.Since(h.At) < d
 }
 
 // deputyOf returns who stands in for the named member: by rendezvous hashing
 // over the other members that are heard. The lock is held.
-func (k *Keeper) deputyOf(name string) string {
+func (k *Keeper) delegateFor(name string) string {
 	var others []string
-	for other := range k.mirror.members {
-		if other != name && (other == k.session.Self().Name || k.heard(other)) {
+	for other := range k.cache.members {
+		if other != name && (other == k.session.Self().Name || k.reachable(other)) {
 			others = append(others, other)
 		}
 	}
@@ -214,4 +214,4 @@
 }
 
 // Table implements heartbeat.Host.
-func (b *beatHost) Table() *view.Table { return b.Keeper.Table() }
+func (b *heartbeatHost) Table() *view.Table { return b.Keeper.Table() }
--- a/internal/hold/loops.go
+++ b/internal/hold/loops.go
@@ -32,7 +32,7 @@
 		Then: []platform.Write{{Key: countKey, Value: []byte(strconv.Itoa(k.config.Partitions))}},
 	})
 	if err != nil {
-		k.setLacks("number of partitions in the store not checked yet")
+		k.setNotReady("number of partitions in the store not checked yet")
 		return nil
 	}
 	for _, rec := range reply.Found {
@@ -40,14 +40,14 @@
 			return result.New(result.PartitionCount, result.RanNo, "configured %d, the store holds %s", k.config.Partitions, stored)
 		}
 	}
-	k.setLacks()
+	k.setNotReady()
 	return nil
 }
 
-func (k *Keeper) setLacks(lacks ...string) {
+func (k *Keeper) setNotReady(notReady ...string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lacks = lacks
+	k.notReady = notReady
 }
 
 // renewLoop joins, renews the lease, keeps the electorate and joins again when
@@ -67,7 +67,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-k.renew:
+		case <-k.renewNow:
 		case <-time.After(pause):
 		}
 	}
@@ -92,7 +92,7 @@
 			}
 			return err
 		}
-		return k.keepSession(ctx)
+		return k.maintainSession(ctx)
 	default:
 		return k.join(ctx)
 	}
@@ -100,9 +100,9 @@
 
 // keepSession does what a renewed session needs besides: settle a doubt, tell
 // that it leaves, or take new members into the electorate.
-func (k *Keeper) keepSession(ctx context.Context) error {
+func (k *Keeper) maintainSession(ctx context.Context) error {
 	k.mu.Lock()
-	leaving, voters, confirmed := k.leaving, k.mirror.voters(), k.confirmed
+	leaving, voters, confirmed := k.leaving, k.cache.voters(), k.confirmed
 	k.mu.Unlock()
 	var session uint64
 	k.session.Right(func(h *right.Holder) { session = h.Session() })
@@ -121,37 +121,37 @@
 	if err := k.session.SetVoters(ctx, voters); err != nil {
 		return err
 	}
-	return k.sweep(ctx)
+	return k.deleteUnusedRecords(ctx)
 }
 
 // join creates the member key and confirms the partitions that are still ours.
 func (k *Keeper) join(ctx context.Context) error {
-	if k.mirrorCount() != k.config.Partitions {
+	if k.cachedCount() != k.config.Partitions {
 		if err := k.checkCount(ctx); err != nil {
-			k.setLacks(err.Error())
+			k.setNotReady(err.Error())
 			return err
 		}
 	}
 	self := k.session.Self()
 	k.mu.Lock()
-	voters := k.mirror.voters()
+	voters := k.cache.voters()
 	k.mu.Unlock()
 	voters = withVoter(voters, right.Voter{Name: self.Name, Incarnation: self.Incarnation, Addr: self.Addr})
 	if err := k.session.Join(ctx, voters); err != nil {
 		if result.CodeOf(err) == result.NameTaken {
-			k.stepDown(err)
+			k.dropForTakenName(err)
 		}
 		return err
 	}
-	k.setLacks()
+	k.setNotReady()
 	k.log.WithField("incarnation", self.Incarnation).Info("joined")
 	return k.confirm(ctx)
 }
 
-func (k *Keeper) mirrorCount() int {
+func (k *Keeper) cachedCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.mirror.count
+	return k.cache.count
 }
 
 func withVoter(voters []right.Voter, self right.Voter) []right.Voter {
@@ -179,12 +179,12 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.mirror.list(PartitionPrefix, records, at); err != nil {
+	if err := k.cache.list(PartitionPrefix, records, at); err != nil {
 		return err
 	}
-	self := k.subject()
+	self := k.memberID()
 	for _, s := range k.slots {
-		rec, known := k.mirror.partitions[s.id]
+		rec, known := k.cache.partitions[s.id]
 		if s.owned() && known && holderOf(rec) == self && rec.Epoch == s.record.Epoch {
 			s.session = session
 		}
@@ -196,11 +196,11 @@
 
 // stepDown forgets everything because another process has the name. The older
 // process keeps the name while it lives; this one waits for it to end.
-func (k *Keeper) stepDown(err error) {
+func (k *Keeper) dropForTakenName(err error) {
 	if len(k.Held()) > 0 {
 		k.log.WithError(err).Error("another process has this member's name: partitions dropped")
 	}
-	k.setLacks(err.Error())
+	k.setNotReady(err.Error())
 	k.dropAll()
 }
 
@@ -214,7 +214,7 @@
 			retry.Reset()
 		}
 		if err != nil && ctx.Err() == nil {
-			k.metrics.watchBreaks.Inc()
+			k.metrics.watchFailures.Inc()
 		}
 		select {
 		case <-ctx.Done():
@@ -231,7 +231,7 @@
 		return err
 	}
 	k.mu.Lock()
-	err = k.mirror.list(prefix, records, at)
+	err = k.cache.list(prefix, records, at)
 	k.publish()
 	k.mu.Unlock()
 	if err != nil {
@@ -242,7 +242,7 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		for _, c := range b.Changes {
-			if err := k.mirror.apply(c); err != nil {
+			if err := k.cache.apply(c); err != nil {
 				k.log.WithError(err).Error("the store holds a record that can not be read")
 			}
 		}
@@ -253,22 +253,22 @@
 // publish makes the mirror's state visible and wakes the decision loop. The
 // lock is held.
 func (k *Keeper) publish() {
-	k.mirror.noteGone(uptime.Now())
-	k.table.Store(k.mirror.table())
+	k.cache.updateUnregistered(uptime.Now())
+	k.table.Store(k.cache.table())
 	k.changes.Tell()
-	k.wake()
+	k.wakeDecide()
 }
 
 // decideLoop looks at every partition when something has changed, and at least
 // once in each heartbeat interval.
 func (k *Keeper) decideLoop(ctx context.Context) {
-	var covered []view.Partition
+	var delegated []view.Partition
 	for ctx.Err() == nil {
 		k.decideAll(ctx)
-		covered = k.tellDeputy(covered)
+		delegated = k.notifyDelegate(delegated)
 		select {
 		case <-ctx.Done():
-		case <-k.kick:
+		case <-k.decideNow:
 		case <-time.After(k.config.Heartbeat/2 + rand.N(k.config.Heartbeat/2+1)):
 		}
 	}
--- a/internal/hold/keeper.go
+++ b/internal/hold/manager.go
@@ -20,45 +20,45 @@
 )
 
 // maxMoves is how many partitions are handed over at a time.
-const maxMoves = 8
+const maxHandOvers = 8
 
 // Keeper keeps this process's membership and partitions. It is the Right that
 // every order asks.
 type Keeper struct {
-	store    platform.Store
-	peers    peer.Caller
-	config   Config
-	log      *logrus.Entry
-	metrics  *metrics
-	session  *member.Session
-	beats    *heartbeat.Service
-	settings func() int64
-	started  time.Time
+	store      platform.Store
+	peers      peer.Caller
+	config     Config
+	log        *logrus.Entry
+	metrics    *metrics
+	session    *member.Session
+	heartbeats *heartbeat.Service
+	settings   func() int64
+	started    time.Time
 
-	residents []Resident
-	deputy    Deputy
+	components []Resident
+	delegate   Deputy
 
-	kick   chan struct{} // wakes the decision loop
-	renew  chan struct{} // wakes the renewal loop
-	cancel context.CancelFunc
-	done   sync.WaitGroup // loops
-	steps  sync.WaitGroup // steps of partitions and fences
-	table  atomic.Pointer[view.Table]
+	decideNow chan struct{} // wakes the decision loop
+	renewNow  chan struct{} // wakes the renewal loop
+	cancel    context.CancelFunc
+	loops     sync.WaitGroup // loops
+	steps     sync.WaitGroup // steps of partitions and fences
+	table     atomic.Pointer[view.Table]
 	// changes tells those who wait for a newer table.
-	changes view.Broadcast
-	moves   chan struct{} // bounds the hand-overs at a time
+	changes       view.Broadcast
+	handOverLimit chan struct{} // bounds the hand-overs at a time
 
-	mu       sync.Mutex
-	mirror   *mirror
-	slots    []*slot
-	promises *right.Promises
-	fencings map[right.Subject]*fencing
-	unused   map[right.Subject]time.Time // charters without use, since when
-	covers   map[right.Subject]*cover
-	leaving  bool
+	mu          sync.Mutex
+	cache       *cache
+	slots       []*slot
+	promises    *right.VoterState
+	fencings    map[right.Subject]*fencing
+	unusedSince map[right.Subject]time.Time // charters without use, since when
+	renewals    map[right.Subject]*delegateRenewal
+	leaving     bool
 	// confirmed is the store session in which the mirror's partitions were read.
 	confirmed uint64
-	lacks     []string // besides members and settings
+	notReady  []string // besides members and settings
 }
 
 // New returns a Keeper and registers its message kinds in the mux.
@@ -82,15 +82,15 @@
 	k := &Keeper{
 		store: d.Store, peers: d.Peers, config: d.Config, log: d.Log, settings: d.SettingsRevision,
 		metrics: newMetrics(d.Registry), session: member.NewSession(d.Store, d.Self, d.Config.times()),
-		kick: make(chan struct{}, 1), renew: make(chan struct{}, 1),
-		moves: make(chan struct{}, maxMoves), mirror: newMirror(), promises: right.NewPromises(),
-		fencings: map[right.Subject]*fencing{}, unused: map[right.Subject]time.Time{}, covers: map[right.Subject]*cover{},
+		decideNow: make(chan struct{}, 1), renewNow: make(chan struct{}, 1),
+		handOverLimit: make(chan struct{}, maxHandOvers), cache: newCache(), promises: right.NewVoterState(),
+		fencings: map[right.Subject]*fencing{}, unusedSince: map[right.Subject]time.Time{}, renewals: map[right.Subject]*delegateRenewal{},
 	}
 	for id := range d.Config.Partitions {
 		k.slots = append(k.slots, newSlot(id))
 	}
 	k.table.Store(&view.Table{})
-	k.beats = heartbeat.New(d.Peers, d.Mux, &beatHost{k}, d.Config.Heartbeat, d.Registry)
+	k.heartbeats = heartbeat.New(d.Peers, d.Mux, &heartbeatHost{k}, d.Config.Heartbeat, d.Registry)
 	peer.Handle(d.Mux, peer.KindHandOver, k.onHandOver)
 	peer.Handle(d.Mux, peer.KindFence, k.onFence)
 	return k, nil
@@ -98,18 +98,18 @@
 
 // AddResident adds a part of the placer that lives in partitions, before Start.
 // Partitions are released in the order of the calls and acquired in reverse.
-func (k *Keeper) AddResident(r Resident) { k.residents = append(k.residents, r) }
+func (k *Keeper) AddResident(r Resident) { k.components = append(k.components, r) }
 
 // SetDeputy names the part that renews dead members' task leases, before Start.
-func (k *Keeper) SetDeputy(d Deputy) { k.deputy = d }
+func (k *Keeper) SetDeputy(d Deputy) { k.delegate = d }
 
 // Provide adds a value to this process's heartbeats.
-func (k *Keeper) Provide(name string, fn func() any) { k.beats.Provide(name, fn) }
+func (k *Keeper) Provide(name string, fn func() any) { k.heartbeats.Provide(name, fn) }
 
 // Extra decodes what a member last provided under the name. This process's own
 // values are not among them.
 func (k *Keeper) Extra(member, name string, into any) (age time.Duration, ok bool) {
-	return k.beats.Extra(member, name, into)
+	return k.heartbeats.Extra(member, name, into)
 }
 
 // Self returns this process as a member.
@@ -130,13 +130,13 @@
 	}
 	ctx, k.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	for _, loop := range []func(context.Context){
-		k.renewLoop, k.decideLoop, k.beats.Run,
+		k.renewLoop, k.decideLoop, k.heartbeats.Run,
 		func(ctx context.Context) { k.watchLoop(ctx, member.Prefix) },
 		func(ctx context.Context) { k.watchLoop(ctx, PartitionPrefix) },
 	} {
-		k.done.Add(1)
+		k.loops.Add(1)
 		go func() {
-			defer k.done.Done()
+			defer k.loops.Done()
 			loop(ctx)
 		}()
 	}
@@ -153,10 +153,10 @@
 	if k.cancel == nil {
 		return nil
 	}
-	k.wakeRenew()
+	k.wakeRenewal()
 	err := k.waitHandedOver(ctx)
 	k.cancel()
-	k.done.Wait()
+	k.loops.Wait()
 	k.steps.Wait()
 	if err != nil {
 		// The member key stays until its lease ends: orders that were given
@@ -184,10 +184,10 @@
 			reached = uptime.Now()
 		}
 		if uptime.Since(reached) > k.config.Term {
-			k.finishInPlace(ctx)
+			k.releaseInPlace(ctx)
 			return result.New(result.HandOverFailed, result.RanNo, "the store is not reached; finished without hand-over")
 		}
-		k.wake()
+		k.wakeDecide()
 		select {
 		case <-ctx.Done():
 			return result.New(result.HandOverFailed, result.RanNo, "%d partitions were not handed over", len(k.Held()))
@@ -204,7 +204,7 @@
 
 // finishInPlace lets the residents finish what is in flight when there is no
 // way to hand over.
-func (k *Keeper) finishInPlace(ctx context.Context) {
+func (k *Keeper) releaseInPlace(ctx context.Context) {
 	var finished sync.WaitGroup
 	k.mu.Lock()
 	for _, s := range k.slots {
@@ -216,7 +216,7 @@
 		finished.Add(1)
 		go func() {
 			defer finished.Done()
-			k.releaseAll(ctx, s.id)
+			k.releaseComponents(ctx, s.id)
 			k.mu.Lock()
 			s.event(eventReleased)
 			s.busy = false
@@ -250,24 +250,24 @@
 	grant := k.grant(now, k.slots[id])
 	k.mu.Unlock()
 	if !grant.Until.After(now) {
-		k.metrics.lapsed.Inc()
+		k.metrics.expired.Inc()
 		return Grant{}, result.New(result.RightLapsed, result.RanNo, "partition %d epoch %d", id, grant.Epoch)
 	}
-	return grant.usable(now), nil
+	return grant.onGoClock(now), nil
 }
 
 // usable is the grant with its end by the clock of those who use it. Here it is by one that
 // counts suspensions of the machine: by the steady clock alone a process that was suspended
 // for seconds would act on beside its successor.
-func (g Grant) usable(now time.Time) Grant {
+func (g Grant) onGoClock(now time.Time) Grant {
 	g.Until = time.Now().Add(g.Until.Sub(now))
 	return g
 }
 
 // grantNow is the right for a slot as those use it who hold the partition. The lock is held.
-func (k *Keeper) grantNow(s *slot) Grant {
+func (k *Keeper) currentGrant(s *slot) Grant {
 	now := uptime.Now()
-	return k.grant(now, s).usable(now)
+	return k.grant(now, s).onGoClock(now)
 }
 
 // grant works out the right for a slot. The lock is held.
@@ -294,10 +294,10 @@
 func (k *Keeper) Lacks() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	out := append([]string(nil), k.lacks...)
-	if len(k.mirror.members) == 0 {
+	out := append([]string(nil), k.notReady...)
+	if len(k.cache.members) == 0 {
 		out = append(out, "members: neither the store nor a seed has answered")
-	} else if len(k.mirror.listed) < 2 {
+	} else if len(k.cache.listed) < 2 {
 		out = append(out, "the store's own list of members and partitions; those of a peer are in use")
 	}
 	if state := k.session.State(); state != member.StateJoined {
@@ -306,21 +306,21 @@
 	return out
 }
 
-func (k *Keeper) wake() {
+func (k *Keeper) wakeDecide() {
 	select {
-	case k.kick <- struct{}{}:
+	case k.decideNow <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Keeper) wakeRenew() {
+func (k *Keeper) wakeRenewal() {
 	select {
-	case k.renew <- struct{}{}:
+	case k.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Keeper) subject() right.Subject {
+func (k *Keeper) memberID() right.Subject {
 	self := k.session.Self()
 	return right.Subject{Name: self.Name, Incarnation: self.Incarnation}
 }
--- a/internal/hold/keeper_test.go
+++ b/internal/hold/manager_test.go
@@ -16,10 +16,10 @@
 		for _, name := range []string{"a", "b", "c"} {
 			c.start(name)
 		}
-		c.waitSettled(20 * time.Second)
+		c.waitAllHeld(20 * time.Second)
 		time.Sleep(5 * time.Second)
 		is := is.New(c.t)
-		is.True(c.settled())
+		is.True(c.allHeld())
 		for _, n := range c.nodes {
 			is.True(len(n.Held()) > 0) // each member has its share
 			is.Equal(n.Lacks(), nil)
@@ -27,13 +27,13 @@
 	})
 }
 
-func TestFreshPartitionsSayTheyAreFresh(t *testing.T) {
+func TestFirstHolderIsToldSo(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
 		a := c.start("a")
-		c.waitSettled(10 * time.Second)
-		is.True(a.resident.takeover(3).Fresh)
-		is.Equal(a.resident.takeover(3).Epoch, uint64(1))
+		c.waitAllHeld(10 * time.Second)
+		is.True(a.component.acquisition(3).Fresh)
+		is.Equal(a.component.acquisition(3).Epoch, uint64(1))
 	})
 }
 
@@ -41,18 +41,18 @@
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
 		a := c.start("a")
-		c.waitSettled(10 * time.Second)
+		c.waitAllHeld(10 * time.Second)
 		b := c.start("b")
-		c.wait(10*time.Second, "b has a share", func() bool { return len(b.Held()) > 0 && c.settled() })
+		c.wait(10*time.Second, "b has a share", func() bool { return len(b.Held()) > 0 && c.allHeld() })
 		time.Sleep(time.Second)
 		for _, id := range b.Held() {
-			got := b.resident.takeover(id)
-			is.True(got.SignedOff)
-			is.True(strings.Contains(string(got.State), a.Self().Incarnation))
-			is.Equal(got.Epoch, uint64(2))
+			acquired := b.component.acquisition(id)
+			is.True(acquired.SignedOff)
+			is.True(strings.Contains(string(acquired.State), a.Self().Incarnation))
+			is.Equal(acquired.Epoch, uint64(2))
 		}
 		is.Equal(len(a.Held())+len(b.Held()), c.config.Partitions)
-		is.Equal(a.resident.counts.drop, 0)
+		is.Equal(a.component.counts.drop, 0)
 	})
 }
 
@@ -60,29 +60,29 @@
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
 		a, b := c.start("a"), c.start("b")
-		c.wait(20*time.Second, "shared", func() bool { return c.settled() && len(b.Held()) > 0 && len(a.Held()) > 0 })
+		c.wait(20*time.Second, "shared", func() bool { return c.allHeld() && len(b.Held()) > 0 && len(a.Held()) > 0 })
 		moved := b.Held()
 		is.NoErr(b.Stop(context.Background()))
-		b.stopAct()
+		b.stopUsing()
 		delete(c.nodes, "b")
 		c.net.set(b.addr, nil, nil)
-		c.waitSettled(time.Second)
+		c.waitAllHeld(time.Second)
 		for _, id := range moved {
-			is.True(a.resident.takeover(id).SignedOff)
+			is.True(a.component.acquisition(id).SignedOff)
 		}
 	})
 }
 
-func TestKilledHolderIsSucceeded(t *testing.T) {
+func TestKilledHolderIsReplaced(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
 		for _, name := range []string{"a", "b", "c"} {
 			c.start(name)
 		}
-		c.waitSettled(20 * time.Second)
+		c.waitAllHeld(20 * time.Second)
 		time.Sleep(5 * time.Second)
 		c.kill(c.nodes["b"])
-		took := c.waitSettled(3 * c.config.Term)
+		took := c.waitAllHeld(3 * c.config.Term)
 		is.True(took < 2*c.config.Term)
 	})
 }
@@ -104,7 +104,7 @@
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
 		c.start("a")
-		c.waitSettled(10 * time.Second)
+		c.waitAllHeld(10 * time.Second)
 		c.config.Partitions++
 		b := c.build("b", "b:1")
 		is.Equal(result.CodeOf(b.Start(c.t.Context())), result.PartitionCount)
--- a/internal/hold/measure_test.go
+++ b/internal/hold/measure_test.go
@@ -29,10 +29,10 @@
 	return out
 }
 
-func measuredCell(c *testCell, members int) {
+func startMeasured(c *testCell, members int) {
 	c.engine.SetFaults(measuredStore)
-	c.acting = 10 * actInterval
-	formed(c, memberNames(members)...)
+	c.useEvery = 10 * useInterval
+	startMembers(c, memberNames(members)...)
 }
 
 func (c *testCell) storeCalls() int {
@@ -50,7 +50,7 @@
 			config := DefaultConfig()
 			config.Partitions = tt.partitions
 			inBubble(t, config, func(c *testCell) {
-				measuredCell(c, tt.members)
+				startMeasured(c, tt.members)
 				before, rest := c.storeCalls(), 20*time.Second
 				time.Sleep(rest)
 				perMember := float64(c.storeCalls()-before) / rest.Seconds() / float64(tt.members)
@@ -76,16 +76,16 @@
 			calls, moved := 0, 0
 			for run := range takeoverRuns {
 				inBubble(t, config, func(c *testCell) {
-					measuredCell(c, tt.members)
+					startMeasured(c, tt.members)
 					time.Sleep(time.Duration(run) * c.config.Renew / takeoverRuns) // any moment between renewals
 					dead := c.nodes["m01"]
 					lost := dead.Held()
 					held := config.Partitions - len(lost)
 					c.kill(dead)
 					before, begun := c.storeCalls(), time.Now()
-					c.wait(3*c.config.Term, "first claim", func() bool { return c.heldByAll() > held })
+					c.wait(3*c.config.Term, "first claim", func() bool { return c.totalHeld() > held })
 					first = append(first, time.Since(begun))
-					c.waitSettled(3 * c.config.Term)
+					c.waitAllHeld(3 * c.config.Term)
 					all = append(all, time.Since(begun))
 					calls += c.storeCalls() - before
 					moved += len(lost)
@@ -103,7 +103,7 @@
 	}
 }
 
-func (c *testCell) heldByAll() int {
+func (c *testCell) totalHeld() int {
 	sum := 0
 	for _, n := range c.nodes {
 		sum += len(n.Held())
@@ -115,7 +115,7 @@
 	config := DefaultConfig()
 	inBubble(t, config, func(c *testCell) {
 		is := is.New(c.t)
-		measuredCell(c, 7)
+		startMeasured(c, 7)
 		leaving := c.nodes["m01"]
 		moved := leaving.Held()
 		before, begun := c.storeCalls(), time.Now()
@@ -125,7 +125,7 @@
 		for _, id := range moved {
 			for _, n := range c.nodes {
 				if n != leaving && slices.Contains(n.Held(), id) {
-					gaps = append(gaps, n.resident.takeover(id).TakenAt.Sub(leaving.resident.releasedAt(id)))
+					gaps = append(gaps, n.component.acquisition(id).TakenAt.Sub(leaving.component.releasedAt(id)))
 				}
 			}
 		}
@@ -141,7 +141,7 @@
 	var back []time.Duration
 	for range takeoverRuns {
 		inBubble(t, DefaultConfig(), func(c *testCell) {
-			measuredCell(c, 7)
+			startMeasured(c, 7)
 			c.engine.SetFaults(memstore.Faults{Hang: true})
 			time.Sleep(10 * c.config.Term)
 			c.engine.SetFaults(measuredStore)
@@ -152,7 +152,7 @@
 						return false
 					}
 				}
-				return c.settled()
+				return c.allHeld()
 			}))
 		})
 	}
@@ -168,7 +168,7 @@
 	if err := n.Start(context.Background()); err != nil {
 		b.Fatal(err)
 	}
-	n.stopAct = func() {}
+	n.stopUsing = func() {}
 	c.nodes["a"] = n
 	for len(n.Held()) == 0 {
 		time.Sleep(time.Millisecond)
@@ -185,7 +185,7 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	c := newTestCell(b, DefaultConfig())
 	n := c.build("a", "a:1")
-	host := &beatHost{n.Keeper}
+	host := &heartbeatHost{n.Keeper}
 	beat := heartbeat.Beat{Status: host.Status(), Asks: host.Asks()}
 	encoded, err := cbor.Marshal(beat)
 	if err != nil {
--- a/internal/hold/outage_test.go
+++ b/internal/hold/outage_test.go
@@ -15,61 +15,61 @@
 )
 
 // coverRecorder is a Deputy that remembers what it was told.
-type coverRecorder struct {
+type delegateRecorder struct {
 	mu   sync.Mutex
 	list []view.Partition
 }
 
-func (d *coverRecorder) Cover(partitions []view.Partition) {
+func (d *delegateRecorder) Cover(partitions []view.Partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list = partitions
 }
 
-func (d *coverRecorder) covered() []view.Partition {
+func (d *delegateRecorder) delegated() []view.Partition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list
 }
 
-func TestDeputyCoversADeadHolderInAnOutage(t *testing.T) {
+func TestDelegateRenewsForADeadHolderInAnOutage(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		deputies := map[string]*coverRecorder{}
+		delegates := map[string]*delegateRecorder{}
 		c.prepare = func(n *node) {
-			deputies[n.name] = &coverRecorder{}
-			n.SetDeputy(deputies[n.name])
+			delegates[n.name] = &delegateRecorder{}
+			n.SetDeputy(delegates[n.name])
 		}
-		formed(c, "a", "b", "c")
+		startMembers(c, "a", "b", "c")
 		dead := c.nodes["b"].Held()
 		c.engine.SetFaults(memstore.Faults{Hang: true})
 		time.Sleep(2 * c.config.Term)
 		c.kill(c.nodes["b"])
 
-		var deputy *node
+		var delegate *node
 		c.wait(2*c.config.Term, "somebody covers", func() bool {
 			for name, n := range c.nodes {
-				if len(deputies[name].covered()) == len(dead) {
-					deputy = n
+				if len(delegates[name].delegated()) == len(dead) {
+					delegate = n
 				}
 			}
-			return deputy != nil
+			return delegate != nil
 		})
 		c.wait(c.config.Term, "the cover is promised", func() bool {
-			_, err := deputy.CheckCover(dead[0])
+			_, err := delegate.CheckCover(dead[0])
 			return err == nil
 		})
-		grant, err := deputy.CheckCover(dead[0])
+		grant, err := delegate.CheckCover(dead[0])
 		is.NoErr(err)
-		is.Equal(grant.Epoch, deputy.Table().Partitions[dead[0]].Epoch)        // the dead holder's own
-		is.Equal(len(deputies["a"].covered())*len(deputies["c"].covered()), 0) // one deputy
-		_, err = deputy.Check(dead[0])
+		is.Equal(grant.Epoch, delegate.Table().Partitions[dead[0]].Epoch)            // the dead holder's own
+		is.Equal(len(delegates["a"].delegated())*len(delegates["c"].delegated()), 0) // one deputy
+		_, err = delegate.Check(dead[0])
 		is.Equal(result.CodeOf(err), result.NotHolder) // renewing is not holding
 
 		c.engine.SetFaults(memstore.Faults{})
-		c.waitSettled(healLimit * c.config.Term)
+		c.waitAllHeld(recoveryTerms * c.config.Term)
 		is.True(time.Now().After(grant.Until)) // the claim waited for the cover's end
-		is.Equal(len(deputies[deputy.name].covered()), 0)
+		is.Equal(len(delegates[delegate.name].delegated()), 0)
 	})
 }
 
@@ -78,7 +78,7 @@
 	config.Seeds = []string{"a:1"}
 	inBubble(t, config, func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a", "b")
+		startMembers(c, "a", "b")
 		c.engine.SetFaults(memstore.Faults{Refuse: true})
 		time.Sleep(2 * c.config.Term)
 		d := c.start("d")
@@ -86,21 +86,21 @@
 		c.wait(c.config.Term, "the table comes from the seed", func() bool {
 			return len(d.Table().Members) == 2 && len(d.Table().Partitions) == c.config.Partitions
 		})
-		lacks := strings.Join(d.Lacks(), ";")
-		is.True(strings.Contains(lacks, "membership"))
-		is.True(strings.Contains(lacks, "those of a peer are in use"))
-		is.True(strings.Contains(lacks, "number of partitions"))
+		notReady := strings.Join(d.Lacks(), ";")
+		is.True(strings.Contains(notReady, "membership"))
+		is.True(strings.Contains(notReady, "those of a peer are in use"))
+		is.True(strings.Contains(notReady, "number of partitions"))
 		c.engine.SetFaults(memstore.Faults{})
 		c.wait(4*time.Second, "d has joined and lacks nothing", func() bool { return len(d.Lacks()) == 0 })
-		c.wait(2*c.config.Term, "d has a share", func() bool { return len(d.Held()) > 0 && c.settled() })
+		c.wait(2*c.config.Term, "d has a share", func() bool { return len(d.Held()) > 0 && c.allHeld() })
 	})
 }
 
 func TestPlannedStopInAnOutageFinishesItsWork(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a", "b", "c")
-		held, released := len(c.nodes["b"].Held()), c.nodes["b"].resident.counts.release
+		startMembers(c, "a", "b", "c")
+		held, released := len(c.nodes["b"].Held()), c.nodes["b"].component.counts.release
 		c.engine.SetFaults(memstore.Faults{Hang: true})
 		time.Sleep(c.config.Term)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*c.config.Term)
@@ -108,42 +108,42 @@
 		b := c.nodes["b"]
 		err := b.Stop(ctx)
 		is.Equal(result.CodeOf(err), result.HandOverFailed)
-		is.Equal(b.resident.counts.release-released, held)
+		is.Equal(b.component.counts.release-released, held)
 		is.NoErr(ctx.Err()) // it did not wait for the store
 		c.kill(b)
 		c.engine.SetFaults(memstore.Faults{})
-		c.waitSettled(healLimit * c.config.Term)
+		c.waitAllHeld(recoveryTerms * c.config.Term)
 	})
 }
 
-func TestStopThatIsCutShortLeavesNoOverlap(t *testing.T) {
+func TestStopThatTimesOutLeavesNoOverlap(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
-		formed(c, "a", "b", "c")
+		startMembers(c, "a", "b", "c")
 		b := c.nodes["b"]
-		b.resident.releaseTime.Store(int64(time.Minute))
+		b.component.releaseTime.Store(int64(time.Minute))
 		ctx, cancel := context.WithTimeout(context.Background(), c.config.Term/2)
 		defer cancel()
 		if err := b.Stop(ctx); result.CodeOf(err) != result.HandOverFailed {
 			c.t.Errorf("stop: %v", err)
 		}
 		c.kill(b)
-		c.waitSettled(healLimit * c.config.Term)
+		c.waitAllHeld(recoveryTerms * c.config.Term)
 	})
 }
 
-func TestReleaseThatFailsIsNoSignOff(t *testing.T) {
+func TestFailedReleaseIsNoHandOver(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a", "b")
+		startMembers(c, "a", "b")
 		b := c.nodes["b"]
 		held := b.Held()
-		b.resident.failRelease.Store(true)
+		b.component.failRelease.Store(true)
 		is.NoErr(b.Stop(context.Background()))
 		for _, id := range held {
-			is.True(!c.nodes["a"].resident.takeover(id).SignedOff)
+			is.True(!c.nodes["a"].component.acquisition(id).SignedOff)
 		}
 		c.kill(b)
-		c.waitSettled(c.config.Term)
+		c.waitAllHeld(c.config.Term)
 	})
 }
 
@@ -153,7 +153,7 @@
 func TestStateOfAnAbandonedHandOverIsNotUsed(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a", "b")
+		startMembers(c, "a", "b")
 		a, b := c.nodes["a"], c.nodes["b"]
 		id := b.Held()[0]
 		_, err := a.onHandOver(c.t.Context(), HandOver{
@@ -162,22 +162,22 @@
 		})
 		is.NoErr(err)
 		c.kill(b)
-		c.waitSettled(healLimit * c.config.Term)
-		is.True(!a.resident.takeover(id).SignedOff)
-		is.Equal(a.resident.takeover(id).State, nil)
+		c.waitAllHeld(recoveryTerms * c.config.Term)
+		is.True(!a.component.acquisition(id).SignedOff)
+		is.Equal(a.component.acquisition(id).State, nil)
 	})
 }
 
-func TestHandOverThatCanNotReachTheStoreIsTakenBack(t *testing.T) {
+func TestHandOverThatCanNotReachTheStoreIsReverted(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a", "b", "c")
+		startMembers(c, "a", "b", "c")
 		b := c.nodes["b"]
 		id := b.Held()[0]
-		b.resident.releaseTime.Store(int64(100 * time.Millisecond))
+		b.component.releaseTime.Store(int64(100 * time.Millisecond))
 		b.mu.Lock()
 		next := c.nodes["a"].Self()
-		s, mod := b.slots[id], b.mirror.members["a"].Revision
+		s, mod := b.slots[id], b.cache.members["a"].Revision
 		s.busy = true
 		b.mu.Unlock()
 		c.engine.SetFaults(memstore.Faults{Refuse: true})
@@ -197,21 +197,21 @@
 // TestHandOverOfUnknownOutcomeIsCovered: the store goes away in the moment in
 // which a hand-over is written. Until its outcome is known nobody may decide for
 // the partition, but its task leases have to be renewed.
-func TestHandOverOfUnknownOutcomeIsCovered(t *testing.T) {
+func TestHandOverOfUnknownOutcomeKeepsTaskLeasesRenewed(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		deputies := map[string]*coverRecorder{}
+		delegates := map[string]*delegateRecorder{}
 		c.prepare = func(n *node) {
-			deputies[n.name] = &coverRecorder{}
-			n.SetDeputy(deputies[n.name])
+			delegates[n.name] = &delegateRecorder{}
+			n.SetDeputy(delegates[n.name])
 		}
-		formed(c, "a", "b", "c")
+		startMembers(c, "a", "b", "c")
 		b := c.nodes["b"]
 		id := b.Held()[0]
 		epoch := b.epoch(id)
 		b.mu.Lock()
 		next := c.nodes["a"].Self()
-		s, mod := b.slots[id], b.mirror.members["a"].Revision
+		s, mod := b.slots[id], b.cache.members["a"].Revision
 		s.busy = true
 		b.mu.Unlock()
 		c.engine.SetFaults(memstore.Faults{Hang: true})
@@ -224,7 +224,7 @@
 			close(done)
 		}()
 		c.wait(4*c.config.Term, "the partition is covered by its own holder", func() bool {
-			return len(deputies["b"].covered()) == 1
+			return len(delegates["b"].delegated()) == 1
 		})
 		for range 10 { // the outage goes on
 			time.Sleep(c.config.Term)
@@ -236,8 +236,8 @@
 		}
 		c.engine.SetFaults(memstore.Faults{})
 		<-done
-		c.waitSettled(healLimit * c.config.Term)
-		c.wait(c.config.Term, "the cover ends", func() bool { return len(deputies["b"].covered()) == 0 })
+		c.waitAllHeld(recoveryTerms * c.config.Term)
+		c.wait(c.config.Term, "the cover ends", func() bool { return len(delegates["b"].delegated()) == 0 })
 	})
 }
 
@@ -249,18 +249,18 @@
 	return g.Epoch
 }
 
-func TestChartersOfEndedProcessesAreDeleted(t *testing.T) {
+func TestVoterRecordsOfEndedProcessesAreDeleted(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
-		formed(c, "a", "b")
+		startMembers(c, "a", "b")
 		for range 5 {
 			c.replace("b")
-			c.waitSettled(healLimit * c.config.Term)
+			c.waitAllHeld(recoveryTerms * c.config.Term)
 		}
-		c.wait(2*sweepTerms*c.config.Term, "only the living have charters", func() bool {
+		c.wait(2*unusedTerms*c.config.Term, "only the living have charters", func() bool {
 			a := c.nodes["a"]
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return len(a.mirror.charters) == 2
+			return len(a.cache.voterRecords) == 2
 		})
 	})
 }
@@ -268,7 +268,7 @@
 func TestWrongPartitionCountFoundAfterAnOutageHoldsNothing(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a")
+		startMembers(c, "a")
 		c.engine.SetFaults(memstore.Faults{Refuse: true})
 		c.config.Partitions *= 2
 		d := c.start("d")
@@ -284,20 +284,20 @@
 func TestLaterProcessOfANameWaitsForTheOlder(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
-		formed(c, "a", "b")
+		startMembers(c, "a", "b")
 		older := c.nodes["b"]
 		held := older.Held()
 		later := c.build("b", "b:2")
 		is.NoErr(later.Start(c.t.Context()))
-		later.act(c.acting)
+		later.startUsing(c.useEvery)
 		time.Sleep(3 * c.config.Term)
 		is.Equal(later.Held(), nil)
 		is.True(strings.Contains(strings.Join(later.Lacks(), ";"), "lives as"))
 		is.Equal(older.Held(), held)
 		c.kill(older)
 		c.nodes["b"] = later
-		c.wait(healLimit*c.config.Term, "the later one has joined and a share", func() bool {
-			return len(later.Held()) > 0 && c.settled()
+		c.wait(recoveryTerms*c.config.Term, "the later one has joined and a share", func() bool {
+			return len(later.Held()) > 0 && c.allHeld()
 		})
 	})
 }
--- a/internal/hold/report.go
+++ b/internal/hold/report.go
@@ -18,7 +18,7 @@
 	applied := map[string]int64{}
 	for _, m := range k.Table().Members {
 		applied[m.Name] = 0
-		if h, ok := k.beats.Heard(m.Name); ok && h.Status.Member.Incarnation == m.Incarnation {
+		if h, ok := k.heartbeats.Heard(m.Name); ok && h.Status.Member.Incarnation == m.Incarnation {
 			applied[m.Name] = h.Status.SettingsRevision
 		}
 	}
@@ -31,7 +31,7 @@
 func (k *Keeper) StoreUp() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.storeUp()
+	return k.storeAvailable()
 }
 
 // StoreAge returns how long ago the last successful renewal was sent to the
--- a/internal/hold/slot.go
+++ b/internal/hold/slot.go
@@ -39,9 +39,9 @@
 	// cancel ends a running Acquire when the partition is lost meanwhile.
 	cancel context.CancelFunc
 	// inbox is a state that the previous holder has sent ahead.
-	inbox *HandOver
+	receivedState *HandOver
 	// settling is true while the outcome of a hand-over is being found out.
-	settling bool
+	resolving bool
 }
 
 func newSlot(id int) *slot {
--- a/internal/hold/steps.go
+++ b/internal/hold/steps.go
@@ -20,9 +20,9 @@
 func (k *Keeper) decideAll(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := k.cell()
+	c := k.decisionInput()
 	for _, s := range k.slots {
-		rec, known := k.mirror.partitions[s.id]
+		rec, known := k.cache.partitions[s.id]
 		next, to := c.decide(s, rec, known)
 		if s.busy {
 			if next == stepDrop && s.cancel != nil {
@@ -32,7 +32,7 @@
 		}
 		k.begin(ctx, s, next, to, rec)
 	}
-	k.updateCovers()
+	k.updateRenewals()
 	k.metrics.held.Set(float64(k.countHeld()))
 }
 
@@ -50,13 +50,13 @@
 	case stepAcquire:
 		run = func() { k.acquire(ctx, s, rec, false) }
 	case stepClaim:
-		charter := k.mirror.charters[holderOf(rec)].Revision
-		run = func() { k.claim(ctx, s, rec, charter) }
+		recordRevision := k.cache.voterRecords[holderOf(rec)].Revision
+		run = func() { k.claim(ctx, s, rec, recordRevision) }
 	case stepHandOver:
-		next := *k.mirror.members[to].Member
-		nextMod := k.mirror.members[to].Revision
+		next := *k.cache.members[to].Member
+		nextMod := k.cache.members[to].Revision
 		run = func() { k.handOver(ctx, s, next, nextMod) }
-	case stepSignOff:
+	case stepRelease:
 		run = func() { k.handOver(ctx, s, view.Member{}, 0) }
 	}
 	s.busy = true
@@ -67,18 +67,18 @@
 		k.mu.Lock()
 		s.busy = false
 		k.mu.Unlock()
-		k.wake()
+		k.wakeDecide()
 	}()
 }
 
 // cell gathers what decisions are made from. The lock is held.
-func (k *Keeper) cell() cell {
-	return cell{
-		self: k.subject(), leaving: k.leaving, canMove: k.canMove(), eligible: k.eligible(),
-		alive: k.mirror.alive, heard: k.heard, mayFence: k.mayFence,
+func (k *Keeper) decisionInput() decisionInput {
+	return decisionInput{
+		self: k.memberID(), leaving: k.leaving, canMove: k.canMove(), eligible: k.eligible(),
+		registered: k.cache.registered, reachable: k.reachable, mayFence: k.mayFence,
 		fenced: func(s right.Subject) bool {
 			f := k.fencings[s]
-			return f != nil && f.charter == k.mirror.charters[s].Revision && f.tally.Done(uptime.Now())
+			return f != nil && f.voterRecord == k.cache.voterRecords[s].Revision && f.answers.Done(uptime.Now())
 		},
 	}
 }
@@ -89,16 +89,16 @@
 	if uptime.Since(k.started) < 2*k.config.Suspect {
 		return false
 	}
-	return mayFence(k.heardSubject(s), k.storeUp(), uptime.Since(k.mirror.gone[s]), k.config.Term)
+	return mayFence(k.reachableMember(s), k.storeAvailable(), uptime.Since(k.cache.unregistered[s]), k.config.Term)
 }
 
 // eligible lists the members that partitions may go to: those with a key that
 // do not leave, and holders that may only be slow to come back after an outage.
 // Counting the latter keeps partitions from moving twice. The lock is held.
 func (k *Keeper) eligible() []string {
-	out := k.mirror.staying()
-	for s := range k.mirror.gone {
-		if _, present := k.mirror.members[s.Name]; !present && !k.mayFence(s) {
+	out := k.cache.remaining()
+	for s := range k.cache.unregistered {
+		if _, present := k.cache.members[s.Name]; !present && !k.mayFence(s) {
 			out = append(out, s.Name)
 		}
 	}
@@ -110,7 +110,7 @@
 func (k *Keeper) canMove() bool {
 	_, answers := k.session.Renewed()
 	age := k.storeAge()
-	return answers && age >= 0 && age < k.config.fresh() && k.confirmed > 0
+	return answers && age >= 0 && age < k.config.maxRenewalAge() && k.confirmed > 0
 }
 
 func (k *Keeper) countHeld() int {
@@ -125,7 +125,7 @@
 
 // claim writes this process into the record of a partition that nobody may act
 // for: never held, signed off, or held by a fenced member.
-func (k *Keeper) claim(ctx context.Context, s *slot, old view.Partition, charter platform.Revision) {
+func (k *Keeper) claim(ctx context.Context, s *slot, old view.Partition, recordRevision platform.Revision) {
 	if !wait.For(ctx, rand.N(k.config.Spread+1)) {
 		return
 	}
@@ -136,14 +136,14 @@
 	conditions := []platform.Condition{k.session.Condition(), {Key: partitionKey(s.id), ModRevision: platform.Revision(old.ModRevision)}}
 	if old.Holder != "" {
 		k.mu.Lock()
-		holder, back := k.mirror.members[old.Holder].Revision, k.mirror.alive(holderOf(old))
+		holder, present := k.cache.members[old.Holder].Revision, k.cache.registered(holderOf(old))
 		k.mu.Unlock()
-		if back {
+		if present {
 			return
 		}
 		conditions = append(conditions,
 			platform.Condition{Key: member.Key(old.Holder), ModRevision: holder},
-			platform.Condition{Key: member.CharterKey(old.Holder, old.Incarnation), ModRevision: charter})
+			platform.Condition{Key: member.CharterKey(old.Holder, old.Incarnation), ModRevision: recordRevision})
 	}
 	k.metrics.claims.Inc()
 	rec, err := k.writeRecord(ctx, record{Partition: next}, conditions)
@@ -179,65 +179,65 @@
 		return next.Partition, err
 	}
 	if !reply.Applied {
-		k.takeFound(conditions, reply)
+		k.applyFound(conditions, reply)
 		return next.Partition, errMoved
 	}
 	next.ModRevision = int64(reply.Revision)
-	_ = k.mirror.apply(next.change())
+	_ = k.cache.apply(next.change())
 	k.publish()
 	return next.Partition, nil
 }
 
 // takeFound brings the mirror up to date with what a refused transaction found.
 // The lock is held.
-func (k *Keeper) takeFound(conditions []platform.Condition, reply platform.TxnReply) {
+func (k *Keeper) applyFound(conditions []platform.Condition, reply platform.TxnReply) {
 	found := map[string]bool{}
 	for _, rec := range reply.Found {
 		found[rec.Key] = true
-		if err := k.mirror.apply(platform.Change{Record: rec}); err != nil {
+		if err := k.cache.apply(platform.Change{Record: rec}); err != nil {
 			k.log.WithError(err).Error("the store holds a record that can not be read")
 		}
 	}
 	for _, c := range conditions {
 		if !found[c.Key] && c.ModRevision != 0 {
-			_ = k.mirror.apply(platform.Change{Record: platform.Record{Key: c.Key, ModRevision: reply.Revision}, Deleted: true})
+			_ = k.cache.apply(platform.Change{Record: platform.Record{Key: c.Key, ModRevision: reply.Revision}, Deleted: true})
 		}
 	}
 	k.publish()
 }
 
 // acquire takes up a partition whose record names this process.
-func (k *Keeper) acquire(ctx context.Context, s *slot, rec view.Partition, fresh bool) {
+func (k *Keeper) acquire(ctx context.Context, s *slot, rec view.Partition, neverHeld bool) {
 	k.mu.Lock()
 	s.event(eventAcquire)
 	s.record = rec
-	inbox, attempt := s.inbox, k.mirror.handOvers[s.id]
-	if k.mirror.partitions[s.id] != rec {
+	receivedState, attempt := s.receivedState, k.cache.handOvers[s.id]
+	if k.cache.partitions[s.id] != rec {
 		attempt = ""
 	}
-	s.inbox = nil
+	s.receivedState = nil
 	k.mu.Unlock()
-	if inbox != nil && attempt != "" && inbox.ID == attempt {
-		k.takeUp(ctx, s, inbox.States, true, false)
+	if receivedState != nil && attempt != "" && receivedState.ID == attempt {
+		k.activate(ctx, s, receivedState.States, true, false)
 		return
 	}
-	k.takeUp(ctx, s, nil, false, fresh)
+	k.activate(ctx, s, nil, false, neverHeld)
 }
 
 // takeUp lets the residents start work for a partition in state acquiring. The
 // record counts for the confirmed session only while the mirror still shows it:
 // the mirror was read after that session began.
-func (k *Keeper) takeUp(ctx context.Context, s *slot, states map[string][]byte, signedOff, fresh bool) {
+func (k *Keeper) activate(ctx context.Context, s *slot, states map[string][]byte, handedOver, neverHeld bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	k.mu.Lock()
 	s.cancel, s.session = cancel, 0
-	if k.mirror.partitions[s.id] == s.record {
+	if k.cache.partitions[s.id] == s.record {
 		s.session = k.confirmed
 	}
-	takeover := Takeover{Grant: k.grantNow(s), SignedOff: signedOff, Fresh: fresh, TakenAt: time.Now()}
+	acquisition := Takeover{Grant: k.currentGrant(s), SignedOff: handedOver, Fresh: neverHeld, TakenAt: time.Now()}
 	k.mu.Unlock()
-	k.acquireAll(ctx, takeover, states)
+	k.acquireComponents(ctx, acquisition, states)
 	k.mu.Lock()
 	s.cancel = nil
 	s.event(eventAcquired)
@@ -245,9 +245,9 @@
 }
 
 // acquireAll calls the residents in reverse order of their release.
-func (k *Keeper) acquireAll(ctx context.Context, t Takeover, states map[string][]byte) {
-	for i := len(k.residents) - 1; i >= 0; i-- {
-		r := k.residents[i]
+func (k *Keeper) acquireComponents(ctx context.Context, t Takeover, states map[string][]byte) {
+	for i := len(k.components) - 1; i >= 0; i-- {
+		r := k.components[i]
 		t.State = states[r.Name()]
 		if err := r.Acquire(ctx, t); err != nil && ctx.Err() == nil {
 			k.log.WithError(err).WithFields(logFields(view.Partition{ID: t.Partition, Epoch: t.Epoch})).
@@ -266,7 +266,7 @@
 	s.event(eventDrop)
 	lost := s.record
 	k.mu.Unlock()
-	for _, r := range k.residents {
+	for _, r := range k.components {
 		r.Drop(s.id)
 	}
 	k.metrics.drops.Inc()
--- a/internal/hold/suspended_test.go
+++ b/internal/hold/suspended_test.go
@@ -14,13 +14,13 @@
 // TestSuspendedHolderHasNoRight: the right to act is over for everybody else while a
 // machine is suspended. When it woke, the steady clock had stood still, and the right was
 // held for valid until the rest of its term had passed.
-func TestSuspendedHolderHasNoRight(t *testing.T) {
+func TestSuspendedHolderHasNoAuthority(t *testing.T) {
 	var suspended atomic.Int64
 	defer uptime.Use(func() time.Duration { return time.Duration(suspended.Load()) })()
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
 		a, b := c.start("a"), c.start("b")
-		c.waitSettled(20 * time.Second)
+		c.waitAllHeld(20 * time.Second)
 		for _, n := range []*node{a, b} {
 			for _, id := range n.Held() {
 				_, err := n.Check(id)
@@ -35,7 +35,7 @@
 			}
 		}
 		time.Sleep(2 * c.config.Term)
-		c.waitSettled(20 * time.Second)
+		c.waitAllHeld(20 * time.Second)
 		for _, n := range []*node{a, b} {
 			for _, id := range n.Held() {
 				grant, err := n.Check(id)
--- a/internal/hold/sweep.go
+++ b/internal/hold/sweep.go
@@ -15,30 +15,30 @@
 
 const (
 	// sweepMax bounds the charters deleted by one call to the store.
-	sweepMax = 16
+	maxRecordDeletes = 16
 	// sweepTerms is for how many terms a charter has to be without use.
-	sweepTerms = 10
+	unusedTerms = 10
 )
 
 // sweep forgets what is known of incarnations that are over and hold nothing.
 // One member deletes their charters from the store, so that these do not pile
 // up with every start of a process.
-func (k *Keeper) sweep(ctx context.Context) error {
+func (k *Keeper) deleteUnusedRecords(ctx context.Context) error {
 	k.mu.Lock()
-	used := k.usedSubjects()
+	used := k.usedMembers()
 	now := uptime.Now()
-	for s := range k.mirror.charters {
+	for s := range k.cache.voterRecords {
 		if used[s] {
-			delete(k.unused, s)
-		} else if _, known := k.unused[s]; !known {
-			k.unused[s] = now
+			delete(k.unusedSince, s)
+		} else if _, known := k.unusedSince[s]; !known {
+			k.unusedSince[s] = now
 		}
 	}
-	maps.DeleteFunc(k.unused, func(s right.Subject, _ time.Time) bool { return k.mirror.charters[s].Charter == nil })
+	maps.DeleteFunc(k.unusedSince, func(s right.Subject, _ time.Time) bool { return k.cache.voterRecords[s].Charter == nil })
 	maps.DeleteFunc(k.fencings, func(s right.Subject, f *fencing) bool { return !used[s] && !f.running })
-	txn := k.sweepTxn(now)
+	txn := k.deleteUnusedTxn(now)
 	k.mu.Unlock()
-	k.beats.Forget(func(h heartbeat.Heard) bool { return now.Sub(h.At) > sweepTerms*k.config.Term })
+	k.heartbeats.Forget(func(h heartbeat.Heard) bool { return now.Sub(h.At) > unusedTerms*k.config.Term })
 	if len(txn.Then) == 0 {
 		return nil
 	}
@@ -48,12 +48,12 @@
 
 // usedSubjects are the incarnations that live or hold a partition. The lock is
 // held.
-func (k *Keeper) usedSubjects() map[right.Subject]bool {
-	used := map[right.Subject]bool{k.subject(): true}
-	for _, e := range k.mirror.members {
+func (k *Keeper) usedMembers() map[right.Subject]bool {
+	used := map[right.Subject]bool{k.memberID(): true}
+	for _, e := range k.cache.members {
 		used[right.Subject{Name: e.Member.Name, Incarnation: e.Member.Incarnation}] = true
 	}
-	for _, p := range k.mirror.partitions {
+	for _, p := range k.cache.partitions {
 		used[holderOf(p)] = true
 	}
 	return used
@@ -62,21 +62,21 @@
 // sweepTxn deletes charters that have long been without use, if that is this
 // member's task. Its conditions fail when one of their members has come back:
 // that writes the charter. The lock is held.
-func (k *Keeper) sweepTxn(now time.Time) platform.Txn {
+func (k *Keeper) deleteUnusedTxn(now time.Time) platform.Txn {
 	var txn platform.Txn
-	staying := k.mirror.staying()
-	if len(staying) == 0 || slices.Min(staying) != k.session.Self().Name {
+	remaining := k.cache.remaining()
+	if len(remaining) == 0 || slices.Min(remaining) != k.session.Self().Name {
 		return txn
 	}
-	for s, since := range k.unused {
-		if len(txn.Then) == sweepMax {
+	for s, since := range k.unusedSince {
+		if len(txn.Then) == maxRecordDeletes {
 			break
 		}
-		if now.Sub(since) < sweepTerms*k.config.Term {
+		if now.Sub(since) < unusedTerms*k.config.Term {
 			continue
 		}
 		key := member.CharterKey(s.Name, s.Incarnation)
-		txn.If = append(txn.If, platform.Condition{Key: key, ModRevision: k.mirror.charters[s].Revision})
+		txn.If = append(txn.If, platform.Condition{Key: key, ModRevision: k.cache.voterRecords[s].Revision})
 		txn.Then = append(txn.Then, platform.Write{Key: key, Delete: true})
 	}
 	return txn
--- a/internal/hold/table_test.go
+++ b/internal/hold/table_test.go
@@ -21,7 +21,7 @@
 }
 
 var (
-	down     = memstore.Faults{Hang: true}
+	hanging  = memstore.Faults{Hang: true}
 	refusing = memstore.Faults{Refuse: true}
 	healthy  = memstore.Faults{}
 )
@@ -30,66 +30,66 @@
 	{"holder killed", func(c *testCell, _ time.Duration) { c.kill(c.nodes["b"]) }},
 	{"holder killed and replaced at its address", func(c *testCell, _ time.Duration) { c.replace("b") }},
 	{"holder stopped for four terms and resumed", func(c *testCell, term time.Duration) {
-		c.nodes["b"].gate.close()
+		c.nodes["b"].gate.pause()
 		time.Sleep(4 * term)
-		c.nodes["b"].gate.open()
+		c.nodes["b"].gate.resume()
 	}},
 	{"holder stopped while the store is down, resumed after", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+		c.engine.SetFaults(hanging)
 		time.Sleep(term)
-		c.nodes["b"].gate.close()
+		c.nodes["b"].gate.pause()
 		time.Sleep(term)
 		c.engine.SetFaults(healthy)
 		time.Sleep(4 * term)
-		c.nodes["b"].gate.open()
+		c.nodes["b"].gate.resume()
 	}},
 	{"cut from the store", func(c *testCell, term time.Duration) {
-		c.nodes["b"].client.SetFaults(down)
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
 	{"cut from its peers", func(c *testCell, term time.Duration) {
-		c.cutPeers("b", true, true)
+		c.blockPeers("b", true, true)
 		time.Sleep(4 * term)
 	}},
 	{"cut from both", func(c *testCell, term time.Duration) {
-		c.cutPeers("b", true, true)
-		c.nodes["b"].client.SetFaults(down)
+		c.blockPeers("b", true, true)
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
 	{"cut from its peers one way, out", func(c *testCell, term time.Duration) {
-		c.cutPeers("b", true, false)
-		c.nodes["b"].client.SetFaults(down)
+		c.blockPeers("b", true, false)
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
 	{"cut from its peers one way, in", func(c *testCell, term time.Duration) {
-		c.cutPeers("b", false, true)
-		c.nodes["b"].client.SetFaults(down)
+		c.blockPeers("b", false, true)
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
 	{"cut from both in an outage", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+		c.engine.SetFaults(hanging)
 		time.Sleep(term)
-		c.cutPeers("b", true, true)
+		c.blockPeers("b", true, true)
 		time.Sleep(2 * term)
 		c.engine.SetFaults(healthy)
 		c.nodes["b"].client.SetFaults(refusing)
 		time.Sleep(4 * term)
 	}},
 	{"outage of ten terms with a kill and a pause", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+		c.engine.SetFaults(hanging)
 		time.Sleep(2 * term)
 		c.kill(c.nodes["b"])
 		time.Sleep(2 * term)
-		c.nodes["c"].gate.close()
+		c.nodes["c"].gate.pause()
 		time.Sleep(2 * term)
-		c.nodes["c"].gate.open()
+		c.nodes["c"].gate.resume()
 		time.Sleep(4 * term)
 	}},
 	{"store back for one member first", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+		c.engine.SetFaults(hanging)
 		time.Sleep(3 * term)
-		c.nodes["b"].client.SetFaults(down)
-		c.nodes["c"].client.SetFaults(down)
+		c.nodes["b"].client.SetFaults(hanging)
+		c.nodes["c"].client.SetFaults(hanging)
 		c.engine.SetFaults(healthy)
 		time.Sleep(2 * term)
 	}},
@@ -124,7 +124,7 @@
 		}
 	}},
 	{"all killed and replaced in an outage", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+		c.engine.SetFaults(hanging)
 		time.Sleep(term)
 		for _, name := range []string{"a", "b", "c"} {
 			c.replace(name)
@@ -142,13 +142,13 @@
 }
 
 // heal ends every fault.
-func (c *testCell) heal() {
+func (c *testCell) repair() {
 	c.engine.SetFaults(healthy)
-	c.net.heal()
+	c.net.repair()
 	for _, name := range []string{"a", "b", "c"} {
 		c.engine.Client(name).SetFaults(healthy)
 		if n := c.nodes[name]; n != nil {
-			n.gate.open()
+			n.gate.resume()
 		}
 	}
 }
@@ -156,18 +156,18 @@
 // healLimit is how many terms a healed cell may take until every partition has
 // a holder that may act: the death of a member is known after one, a
 // replacement's vote counts after another.
-const healLimit = 5
+const recoveryTerms = 5
 
-func TestFaultsNeverMakeTwoHoldersAndHeal(t *testing.T) {
+func TestFaultsNeverMakeTwoHoldersAndCellRecovers(t *testing.T) {
 	for _, f := range faultTable {
 		t.Run(f.name, func(t *testing.T) {
 			inBubble(t, testConfig(), func(c *testCell) {
-				formed(c, "a", "b", "c")
+				startMembers(c, "a", "b", "c")
 				f.do(c, c.config.Term)
-				c.heal()
-				took := c.waitSettled(healLimit * c.config.Term)
+				c.repair()
+				took := c.waitAllHeld(recoveryTerms * c.config.Term)
 				time.Sleep(2 * c.config.Term)
-				if !c.settled() {
+				if !c.allHeld() {
 					c.t.Errorf("does not stay settled\n%s", c.describe())
 				}
 				c.t.Logf("all partitions held %v after the fault's end", took)
@@ -181,7 +181,7 @@
 
 // TestRandomFaultsNeverMakeTwoHoldersAndHeal strings faults of the table
 // together, each begun before the one before has healed.
-func TestRandomFaultsNeverMakeTwoHoldersAndHeal(t *testing.T) {
+func TestRandomFaultsNeverMakeTwoHoldersAndCellRecovers(t *testing.T) {
 	config := testConfig()
 	config.Partitions = 8
 	rapid.Check(t, func(rt *rapid.T) {
@@ -190,23 +190,23 @@
 			script = append(script, scriptStep{
 				kind:  rapid.IntRange(0, scriptKinds-1).Draw(rt, "kind"),
 				name:  rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "member"),
-				pause: time.Duration(rapid.IntRange(0, 4000).Draw(rt, "pause")) * time.Millisecond,
+				delay: time.Duration(rapid.IntRange(0, 4000).Draw(rt, "pause")) * time.Millisecond,
 			})
 		}
 		var violations []string
 		inBubble(t, config, func(c *testCell) {
-			formed(c, "a", "b", "c")
+			startMembers(c, "a", "b", "c")
 			for _, s := range script {
 				s.run(c)
 			}
-			c.heal()
+			c.repair()
 			for _, name := range []string{"a", "b", "c"} {
 				if c.nodes[name] == nil {
 					c.start(name)
 				}
 			}
-			violations = c.referee.violations()
-			if !poll(2*healLimit*c.config.Term, c.settled) {
+			violations = c.checker.violations()
+			if !poll(2*recoveryTerms*c.config.Term, c.allHeld) {
 				violations = append(violations, "does not heal:\n"+c.describe())
 			}
 		})
@@ -220,18 +220,18 @@
 type scriptStep struct {
 	kind  int
 	name  string
-	pause time.Duration
+	delay time.Duration
 }
 
 const scriptKinds = 14
 
-func (s scriptStep) String() string { return fmt.Sprintf("%d %s %v", s.kind, s.name, s.pause) }
+func (s scriptStep) String() string { return fmt.Sprintf("%d %s %v", s.kind, s.name, s.delay) }
 
 func (s scriptStep) run(c *testCell) {
 	n := c.nodes[s.name]
 	switch {
 	case s.kind == 0:
-		c.engine.SetFaults(down)
+		c.engine.SetFaults(hanging)
 	case s.kind == 1:
 		c.engine.SetFaults(refusing)
 	case s.kind == 2:
@@ -242,19 +242,19 @@
 	case s.kind == 4:
 		c.kill(n)
 	case s.kind == 5:
-		n.gate.close()
+		n.gate.pause()
 	case s.kind == 6:
-		n.gate.open()
+		n.gate.resume()
 	case s.kind == 7:
-		n.client.SetFaults(down)
+		n.client.SetFaults(hanging)
 	case s.kind == 8:
 		n.client.SetFaults(memstore.Faults{LoseAnswers: 2})
 	case s.kind == 9:
-		c.cutPeers(s.name, true, false)
+		c.blockPeers(s.name, true, false)
 	case s.kind == 10:
-		c.cutPeers(s.name, true, true)
+		c.blockPeers(s.name, true, true)
 	case s.kind == 12:
-		ctx, cancel := context.WithTimeout(context.Background(), s.pause)
+		ctx, cancel := context.WithTimeout(context.Background(), s.delay)
 		_ = n.Stop(ctx) // cut short more often than not
 		cancel()
 		c.kill(n)
@@ -262,22 +262,22 @@
 		n.client.SetFaults(memstore.Faults{RequestDelayMS: 700, WatchDelayMS: 900})
 	case s.kind == 11:
 		n.client.SetFaults(healthy)
-		c.cutPeers(s.name, false, false)
+		c.blockPeers(s.name, false, false)
 	}
-	time.Sleep(s.pause)
+	time.Sleep(s.delay)
 }
 
 // TestRefereeCatchesSkippedExpiry plants the fault that the referee is for.
-func TestRefereeCatchesSkippedExpiry(t *testing.T) {
+func TestCheckerDetectsIgnoredExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestCell(t, testConfig())
 		defer c.close()
-		formed(c, "a", "b", "c")
-		c.nodes["b"].resident.skipExpiry.Store(true)
-		c.cutPeers("b", true, true)
-		c.nodes["b"].client.SetFaults(down)
+		startMembers(c, "a", "b", "c")
+		c.nodes["b"].component.ignoreExpiry.Store(true)
+		c.blockPeers("b", true, true)
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * c.config.Term)
-		if len(c.referee.violations()) == 0 {
+		if len(c.checker.violations()) == 0 {
 			t.Fatal("a holder that acts without a right was not noticed")
 		}
 	})
--- a/internal/right/blocking_test.go
+++ b/internal/right/blocking_test.go
@@ -10,8 +10,8 @@
 func TestBlockingMeetsEveryMajority(t *testing.T) {
 	is := is.New(t)
 	for n := 1; n <= 16; n++ {
-		is.True(blocking(n)+majority(n) > n)    // they share a voter
-		is.True(blocking(n)+majority(n)-1 <= n) // one fewer would not
+		is.True(blockingSize(n)+majority(n) > n)    // they share a voter
+		is.True(blockingSize(n)+majority(n)-1 <= n) // one fewer would not
 	}
 }
 
@@ -24,6 +24,6 @@
 	dead, survivor := Voter{Incarnation: "1"}, Voter{Incarnation: "2"}
 	f := NewFencing(times, Electorate{Session: 1, Voters: []Voter{dead, survivor}}, start)
 	is.True(!f.Done(start))
-	f.Answered(survivor, FenceAnswer{Incarnation: "2"})
+	f.RecordAnswer(survivor, FenceAnswer{Incarnation: "2"})
 	is.True(f.Done(start))
 }
--- a/internal/right/fence.go
+++ b/internal/right/fence.go
@@ -14,31 +14,31 @@
 
 // Fencing collects the answers to the fence of one session.
 type Fencing struct {
-	times      Times
-	electorate Electorate
+	times    Times
+	voterSet Electorate
 	// since is when the claimant first saw the member's key gone.
-	since   time.Time
-	fenced  map[string]bool // voters that answered themselves, by incarnation
-	replied map[string]bool // voters that answered or are certainly over
+	since    time.Time
+	fenced   map[string]bool // voters that answered themselves, by incarnation
+	resolved map[string]bool // voters that answered or are certainly over
 }
 
 // NewFencing starts the fence of a session whose member key was first seen gone
 // at since.
 func NewFencing(times Times, e Electorate, since time.Time) *Fencing {
 	return &Fencing{
-		times: times, electorate: e, since: since,
-		fenced: map[string]bool{}, replied: map[string]bool{},
+		times: times, voterSet: e, since: since,
+		fenced: map[string]bool{}, resolved: map[string]bool{},
 	}
 }
 
 // Electorate returns whom to ask.
-func (f *Fencing) Electorate() Electorate { return f.electorate }
+func (f *Fencing) Electorate() Electorate { return f.voterSet }
 
 // Open lists the voters whose answers still count.
-func (f *Fencing) Open() []Voter {
+func (f *Fencing) Pending() []Voter {
 	var out []Voter
-	for _, v := range f.electorate.Voters {
-		if !f.replied[v.Incarnation] {
+	for _, v := range f.voterSet.Voters {
+		if !f.resolved[v.Incarnation] {
 			out = append(out, v)
 		}
 	}
@@ -48,13 +48,13 @@
 // Answered takes in what the process at the voter's address answered. A later
 // process at that address proves that the voter is over; it counts once it is
 // older than any promise the voter can have made.
-func (f *Fencing) Answered(v Voter, a FenceAnswer) {
+func (f *Fencing) RecordAnswer(v Voter, a FenceAnswer) {
 	switch {
 	case a.Incarnation == v.Incarnation && a.Remaining <= 0:
 		f.fenced[v.Incarnation] = true
-		f.replied[v.Incarnation] = true
-	case a.Incarnation > v.Incarnation && a.Age >= f.times.long(f.times.Term):
-		f.replied[v.Incarnation] = true
+		f.resolved[v.Incarnation] = true
+	case a.Incarnation > v.Incarnation && a.Age >= f.times.plusMargin(f.times.Term):
+		f.resolved[v.Incarnation] = true
 	}
 }
 
@@ -63,9 +63,9 @@
 // fenced it or been replaced at its address, or the limit of an outage has
 // passed.
 func (f *Fencing) Done(now time.Time) bool {
-	n := len(f.electorate.Voters)
-	if n < minVoters || len(f.fenced) >= blocking(n) || len(f.replied) == n {
+	n := len(f.voterSet.Voters)
+	if n < minVoters || len(f.fenced) >= blockingSize(n) || len(f.resolved) == n {
 		return true
 	}
-	return now.Sub(f.since) >= f.times.long(f.times.OutageLimit)
+	return now.Sub(f.since) >= f.times.plusMargin(f.times.OutageLimit)
 }
--- a/internal/right/model_test.go
+++ b/internal/right/model_test.go
@@ -13,13 +13,13 @@
 
 // variant plants a fault into the model's use of the rule; the zero value is
 // the rule as it stands.
-type variant struct {
-	skipExpiry      bool // act without looking at the end of the right
-	countFromAnswer bool // count the lease from the answer, not from the send
-	skipFence       bool // claim as soon as the member key is gone
-	oneVote         bool // a fence by one voter suffices
-	skipConfirm     bool // take records for current without a read in the session
-	noMargin        bool // leave the clocks' rates out
+type injectedFault struct {
+	ignoreExpiry     bool // act without looking at the end of the right
+	countFromReply   bool // count the lease from the answer, not from the send
+	skipFence        bool // claim as soon as the member key is gone
+	singleVoter      bool // a fence by one voter suffices
+	skipConfirmation bool // take records for current without a read in the session
+	noClockMargin    bool // leave the clocks' rates out
 }
 
 const (
@@ -45,7 +45,7 @@
 	expires     time.Duration // true time
 }
 
-type modelCharter struct {
+type modelVoterRecord struct {
 	Electorate
 	lease int
 	mod   int
@@ -53,15 +53,15 @@
 
 // modelStore is the store's state; a copy of it is what a read returns.
 type modelStore struct {
-	revision   int
-	members    map[string]modelMember
-	charters   map[Subject]modelCharter
-	partitions [modelPartitions]modelRecord
+	revision     int
+	members      map[string]modelMember
+	voterRecords map[Subject]modelVoterRecord
+	partitions   [modelPartitions]modelRecord
 }
 
 func (s *modelStore) copy() modelStore {
 	c := *s
-	c.members, c.charters = maps.Clone(s.members), maps.Clone(s.charters)
+	c.members, c.voterRecords = maps.Clone(s.members), maps.Clone(s.voterRecords)
 	return c
 }
 
@@ -71,43 +71,43 @@
 }
 
 // modelUse is a stretch of true time in which a process may act.
-type modelUse struct {
+type authorityUse struct {
 	by    Subject
 	epoch uint64
 	until time.Duration
 }
 
 type model struct {
-	choose    chooser
-	variant   variant
-	times     Times
-	now       time.Duration // true time
-	up        bool
-	lastLease int
-	store     modelStore
-	procs     []*modelProc
-	born      int
-	flying    []func()
-	uses      [modelPartitions]map[Subject]modelUse
-	epochs    [modelPartitions]uint64
-	faults    []string
-	trace     []string
-	granted   int // uses seen, so that an idle model does not count as proof
-	promised  int // of them by promises
-	succeeded int // claims over a dead holder
+	choose        chooser
+	injectedFault injectedFault
+	times         Times
+	now           time.Duration // true time
+	up            bool
+	lastLease     int
+	store         modelStore
+	procs         []*modelProc
+	started       int
+	inFlight      []func()
+	uses          [modelPartitions]map[Subject]authorityUse
+	epochs        [modelPartitions]uint64
+	violations    []string
+	trace         []string
+	granted       int // uses seen, so that an idle model does not count as proof
+	promised      int // of them by promises
+	takenOver     int // claims over a dead holder
 }
 
-func newModel(choose chooser, v variant) *model {
+func newModel(choose chooser, v injectedFault) *model {
 	m := &model{
-		choose: choose, variant: v, up: true,
+		choose: choose, injectedFault: v, up: true,
 		times: Times{Term: modelTerm, Margin: modelMargin, OutageLimit: time.Minute},
-		store: modelStore{members: map[string]modelMember{}, charters: map[Subject]modelCharter{}},
+		store: modelStore{members: map[string]modelMember{}, voterRecords: map[Subject]modelVoterRecord{}},
 	}
-	if v.noMargin {
+	if v.noClockMargin {
 		m.times.Margin = 0
 	}
 	for i := range m.uses {
-		m.uses[i] = map[Subject]modelUse{}
+		m.uses[i] = map[Subject]authorityUse{}
 	}
 	for i := range modelProcs {
 		m.procs = append(m.procs, m.newProc(fmt.Sprintf("p%d", i)))
@@ -120,13 +120,13 @@
 var modelRates = []int64{995, 1000, 1005}
 
 func (m *model) newProc(name string) *modelProc {
-	m.born++
+	m.started++
 	return &modelProc{
-		m: m, id: Subject{Name: name, Incarnation: fmt.Sprintf("%04d", m.born)},
-		rate: modelRates[m.choose("rate", len(modelRates))], born: m.now,
-		holder: NewHolder(m.times), promises: NewPromises(), sent: map[int]time.Time{},
+		m: m, id: Subject{Name: name, Incarnation: fmt.Sprintf("%04d", m.started)},
+		rate: modelRates[m.choose("rate", len(modelRates))], started: m.now,
+		holder: NewHolder(m.times), promises: NewVoterState(), sent: map[int]time.Time{},
 		owned: map[int]modelOwned{}, fencings: map[Subject]*modelFencing{},
-		view: modelStore{members: map[string]modelMember{}, charters: map[Subject]modelCharter{}},
+		view: modelStore{members: map[string]modelMember{}, voterRecords: map[Subject]modelVoterRecord{}},
 	}
 }
 
@@ -137,11 +137,11 @@
 	case a < 10:
 		m.advance()
 	case a < 12:
-		m.advanceToEnd(p)
+		m.advanceToExpiry(p)
 	case a < 30:
 		m.deliver()
 	case a < 32:
-		m.lose()
+		m.dropMessage()
 	case a < 33:
 		m.up = m.choose("up", 4) > 0
 	case a < 34:
@@ -159,29 +159,29 @@
 	case a < 62:
 		p.read()
 	case a < 72:
-		p.ask(m.procs[m.choose("voter", len(m.procs))])
+		p.requestPromise(m.procs[m.choose("voter", len(m.procs))])
 	case a < 79:
 		p.fence(m.choose("partition", modelPartitions))
 	case a < 82:
 		p.claim(m.choose("partition", modelPartitions))
 	case a < 84:
-		p.takeOver(m.choose("partition", modelPartitions))
+		p.failOver(m.choose("partition", modelPartitions))
 	case a < 86:
-		p.askAll()
+		p.requestPromises()
 	case a < 87:
-		p.askUseAndChange()
+		p.requestUseAndChange()
 	default:
 		p.use(m.choose("partition", modelPartitions))
 	}
 }
 
-var modelSteps = []time.Duration{
+var modelTimeSteps = []time.Duration{
 	time.Millisecond, 10 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, 900 * time.Millisecond,
 	3 * time.Second, 61 * time.Second,
 }
 
 func (m *model) advance() {
-	n := len(modelSteps)
+	n := len(modelTimeSteps)
 	// A whole term passes seldom, the outage limit more seldom.
 	switch long := m.choose("long", 50); {
 	case long > 4:
@@ -189,18 +189,18 @@
 	case long > 0:
 		n--
 	}
-	m.now += modelSteps[m.choose("advance", n)]
+	m.now += modelTimeSteps[m.choose("advance", n)]
 }
 
 // advanceToEnd goes to the moment at which a lease or a promise ends, where a
 // right that is counted too long shows.
-func (m *model) advanceToEnd(p *modelProc) {
+func (m *model) advanceToExpiry(p *modelProc) {
 	var ends []time.Duration
 	for _, name := range slices.Sorted(maps.Keys(m.store.members)) {
 		ends = append(ends, m.store.members[name].expires)
 	}
 	for _, q := range m.procs {
-		entry := p.promises.of[q.id]
+		entry := p.promises.byMember[q.id]
 		ends = append(ends, m.now+entry.until.Sub(p.clock())*1000/time.Duration(p.rate)+1)
 	}
 	if end := ends[m.choose("end", len(ends))]; end > m.now && end < m.now+2*modelTerm {
@@ -215,12 +215,12 @@
 		arrive()
 		return
 	}
-	m.flying = append(m.flying, arrive)
+	m.inFlight = append(m.inFlight, arrive)
 }
 
 // toStore puts a call to the store under way; it is lost when the store is down
 // on arrival.
-func (m *model) toStore(arrive func()) {
+func (m *model) sendToStore(arrive func()) {
 	m.send(func() {
 		if m.up {
 			arrive()
@@ -229,19 +229,19 @@
 }
 
 func (m *model) deliver() {
-	if len(m.flying) == 0 {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := m.choose("message", len(m.flying))
-	arrive := m.flying[i]
-	m.flying = slices.Delete(m.flying, i, i+1)
+	i := m.choose("message", len(m.inFlight))
+	arrive := m.inFlight[i]
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	arrive()
 }
 
-func (m *model) lose() {
-	if len(m.flying) > 0 {
-		i := m.choose("lost", len(m.flying))
-		m.flying = slices.Delete(m.flying, i, i+1)
+func (m *model) dropMessage() {
+	if len(m.inFlight) > 0 {
+		i := m.choose("lost", len(m.inFlight))
+		m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	}
 }
 
@@ -275,20 +275,20 @@
 }
 
 // used notes that a process may act until then, and finds overlaps.
-func (m *model) used(p *modelProc, id int, epoch uint64, until time.Time) {
+func (m *model) recordUse(p *modelProc, id int, epoch uint64, until time.Time) {
 	m.granted++
 	end := m.now + time.Duration(int64(until.Sub(p.clock()))*1000/p.rate)
 	for other, u := range m.uses[id] {
 		if other != p.id && m.now < u.until {
-			m.faults = append(m.faults, fmt.Sprintf("partition %d: %v acts at epoch %d while %v may act at %d for %v",
+			m.violations = append(m.violations, fmt.Sprintf("partition %d: %v acts at epoch %d while %v may act at %d for %v",
 				id, p.id, epoch, other, u.epoch, u.until-m.now))
 		}
 	}
 	if epoch < m.epochs[id] {
-		m.faults = append(m.faults, fmt.Sprintf("partition %d: epoch %d after %d", id, epoch, m.epochs[id]))
+		m.violations = append(m.violations, fmt.Sprintf("partition %d: epoch %d after %d", id, epoch, m.epochs[id]))
 	}
 	m.epochs[id] = epoch
-	m.uses[id][p.id] = modelUse{by: p.id, epoch: epoch, until: max(end, m.uses[id][p.id].until)}
+	m.uses[id][p.id] = authorityUse{by: p.id, epoch: epoch, until: max(end, m.uses[id][p.id].until)}
 	m.logf("%v uses %d at epoch %d until %v", p.id, id, epoch, end)
 }
 
--- a/internal/right/modelproc_test.go
+++ b/internal/right/modelproc_test.go
@@ -7,24 +7,24 @@
 // modelProc is one process of the model. It does what member.Session and
 // hold.Keeper do with the rule, without their I/O.
 type modelProc struct {
-	m    *model
-	id   Subject
-	rate int64 // of its clock, in parts of a thousand
-	born time.Duration
-	dead bool
+	m       *model
+	id      Subject
+	rate    int64 // of its clock, in parts of a thousand
+	started time.Duration
+	dead    bool
 
-	holder     *Holder
-	promises   *Promises
-	joined     bool
-	lease      int
-	session    uint64
-	memberMod  int
-	charterMod int
-	confirmed  uint64
-	sent       map[int]time.Time // when each lease was asked for
-	owned      map[int]modelOwned
-	fencings   map[Subject]*modelFencing
-	view       modelStore // what it last read
+	holder         *Holder
+	promises       *VoterState
+	joined         bool
+	lease          int
+	session        uint64
+	memberMod      int
+	voterRecordMod int
+	confirmed      uint64
+	sent           map[int]time.Time // when each lease was asked for
+	owned          map[int]modelOwned
+	fencings       map[Subject]*modelFencing
+	view           modelStore // what it last read
 }
 
 type modelOwned struct {
@@ -33,8 +33,8 @@
 }
 
 type modelFencing struct {
-	charter int
-	tally   *Fencing
+	voterRecord int
+	fencing     *Fencing
 }
 
 // clock is the process's own monotonic clock.
@@ -70,45 +70,45 @@
 	if old := p.holder.Electorate(); old.Session > 0 {
 		voters = old.Voters
 	}
-	charterMod := p.charterMod
+	voterRecordMod := p.voterRecordMod
 	m := p.m
 	m.lastLease++
 	lease := m.lastLease
 	p.sent[lease] = asked
-	m.toStore(func() {
-		charter, known := m.store.charters[p.id]
+	m.sendToStore(func() {
+		voterRecord, known := m.store.voterRecords[p.id]
 		member, taken := m.store.members[p.id.Name]
-		if taken || charter.mod != charterMod {
+		if taken || voterRecord.mod != voterRecordMod {
 			// What settle reads: an earlier attempt may have taken effect.
 			p.reply(func() {
-				p.charterMod, p.session = charter.mod, charter.Session
+				p.voterRecordMod, p.session = voterRecord.mod, voterRecord.Session
 				if taken && known && member.incarnation == p.id.Incarnation {
-					p.onJoined(charter, member.mod, charter.mod, asked)
+					p.onJoined(voterRecord, member.mod, voterRecord.mod, asked)
 				}
 			})
 			return
 		}
 		mod := m.store.next()
-		charter = modelCharter{Electorate{Session: charter.Session + 1, Voters: voters}, lease, mod}
-		m.store.charters[p.id] = charter
+		voterRecord = modelVoterRecord{Electorate{Session: voterRecord.Session + 1, Voters: voters}, lease, mod}
+		m.store.voterRecords[p.id] = voterRecord
 		m.store.members[p.id.Name] = modelMember{p.id.Incarnation, mod, lease, m.lease()}
-		m.logf("%v joined session %d voters %v", p.id, charter.Session, voters)
-		p.reply(func() { p.onJoined(charter, mod, mod, asked) })
+		m.logf("%v joined session %d voters %v", p.id, voterRecord.Session, voters)
+		p.reply(func() { p.onJoined(voterRecord, mod, mod, asked) })
 	})
 }
 
-func (p *modelProc) onJoined(charter modelCharter, memberMod, charterMod int, _ time.Time) {
-	if charter.Session < p.holder.Session() {
+func (p *modelProc) onJoined(voterRecord modelVoterRecord, memberMod, voterRecordMod int, _ time.Time) {
+	if voterRecord.Session < p.holder.Session() {
 		return // the answer of an older session, after a newer one
 	}
-	p.memberMod, p.charterMod, p.joined = memberMod, charterMod, true
-	p.lease, p.session = charter.lease, charter.Session
-	if p.holder.Session() != charter.Session {
-		sent := p.sent[charter.lease]
-		if p.m.variant.countFromAnswer {
+	p.memberMod, p.voterRecordMod, p.joined = memberMod, voterRecordMod, true
+	p.lease, p.session = voterRecord.lease, voterRecord.Session
+	if p.holder.Session() != voterRecord.Session {
+		sent := p.sent[voterRecord.lease]
+		if p.m.injectedFault.countFromReply {
 			sent = p.clock()
 		}
-		p.holder.Created(sent, charter.Electorate)
+		p.holder.Created(sent, voterRecord.Electorate)
 	}
 }
 
@@ -117,7 +117,7 @@
 		return
 	}
 	sent, lease, m := p.clock(), p.lease, p.m
-	m.toStore(func() {
+	m.sendToStore(func() {
 		member, ok := m.store.members[p.id.Name]
 		if !ok || member.lease != lease {
 			p.reply(func() { p.joined = p.joined && p.lease != lease })
@@ -126,7 +126,7 @@
 		member.expires = m.lease()
 		m.store.members[p.id.Name] = member
 		p.reply(func() {
-			if m.variant.countFromAnswer {
+			if m.injectedFault.countFromReply {
 				sent = p.clock()
 			}
 			p.holder.Renewed(sent)
@@ -148,18 +148,18 @@
 		next.Voters = p.voters()
 		p.holder.Changing(next)
 	}
-	memberMod, charterMod, lease := p.memberMod, p.charterMod, p.lease
-	m.toStore(func() {
-		member, charter := m.store.members[p.id.Name], m.store.charters[p.id]
-		if member.mod == memberMod && charter.mod == charterMod {
-			charter = modelCharter{next, lease, m.store.next()}
-			m.store.charters[p.id] = charter
+	memberMod, voterRecordMod, lease := p.memberMod, p.voterRecordMod, p.lease
+	m.sendToStore(func() {
+		member, voterRecord := m.store.members[p.id.Name], m.store.voterRecords[p.id]
+		if member.mod == memberMod && voterRecord.mod == voterRecordMod {
+			voterRecord = modelVoterRecord{next, lease, m.store.next()}
+			m.store.voterRecords[p.id] = voterRecord
 			m.logf("%v has voters %v", p.id, next.Voters)
 		}
 		p.reply(func() {
-			if charter.Session == p.holder.Session() && charter.mod > p.charterMod {
-				p.charterMod = charter.mod
-				p.holder.Settled(charter.Electorate)
+			if voterRecord.Session == p.holder.Session() && voterRecord.mod > p.voterRecordMod {
+				p.voterRecordMod = voterRecord.mod
+				p.holder.Settled(voterRecord.Electorate)
 			}
 		})
 	})
@@ -167,19 +167,19 @@
 
 // read takes a copy of the store and confirms the session with it.
 func (p *modelProc) read() {
-	m, session, begun := p.m, p.holder.Session(), p.memberMod
-	m.toStore(func() {
+	m, session, sentMod := p.m, p.holder.Session(), p.memberMod
+	m.sendToStore(func() {
 		state := m.store.copy()
-		p.reply(func() { p.onRead(state, session, begun) })
+		p.reply(func() { p.onRead(state, session, sentMod) })
 	})
 }
 
-func (p *modelProc) onRead(state modelStore, session uint64, begun int) {
+func (p *modelProc) onRead(state modelStore, session uint64, sentMod int) {
 	if state.revision > p.view.revision {
 		p.view = state
 	}
-	fresh := state.revision >= begun && session > 0
-	if p.m.variant.skipConfirm {
+	fresh := state.revision >= sentMod && session > 0
+	if p.m.injectedFault.skipConfirmation {
 		fresh, session = true, p.holder.Session()
 	}
 	if fresh && session > p.confirmed {
@@ -200,14 +200,14 @@
 }
 
 // ask asks a voter for a promise to this process, and votes for itself.
-func (p *modelProc) ask(v *modelProc) {
+func (p *modelProc) requestPromise(v *modelProc) {
 	session, sent, m := p.holder.Session(), p.clock(), p.m
 	if session == 0 {
 		return
 	}
 	if v == p {
 		if p.promises.Ask(sent, p.id, session, m.times.Term) {
-			p.holder.Promised(p.id.Incarnation, session, sent, m.times.Term)
+			p.holder.RecordPromise(p.id.Incarnation, session, sent, m.times.Term)
 		}
 		return
 	}
@@ -215,7 +215,7 @@
 		if v.dead || !v.promises.Ask(v.clock(), p.id, session, m.times.Term) {
 			return
 		}
-		p.reply(func() { p.holder.Promised(v.id.Incarnation, session, sent, m.times.Term) })
+		p.reply(func() { p.holder.RecordPromise(v.id.Incarnation, session, sent, m.times.Term) })
 	})
 }
 
@@ -226,13 +226,13 @@
 	if s == (Subject{}) || s == p.id || p.view.members[s.Name].incarnation == s.Incarnation {
 		return
 	}
-	charter := p.view.charters[s]
+	voterRecord := p.view.voterRecords[s]
 	f := p.fencings[s]
-	if f == nil || f.charter != charter.mod {
-		f = &modelFencing{charter.mod, NewFencing(m.times, charter.Electorate, p.clock())}
+	if f == nil || f.voterRecord != voterRecord.mod {
+		f = &modelFencing{voterRecord.mod, NewFencing(m.times, voterRecord.Electorate, p.clock())}
 		p.fencings[s] = f
 	}
-	open := f.tally.Open()
+	open := f.fencing.Pending()
 	if len(open) == 0 {
 		return
 	}
@@ -240,15 +240,15 @@
 	m.send(func() {
 		for _, v := range m.procs {
 			if v.id.Name == voter.Name {
-				answer := v.onFence(s, charter.Session)
-				p.reply(func() { f.tally.Answered(voter, answer) })
+				answer := v.onFence(s, voterRecord.Session)
+				p.reply(func() { f.fencing.RecordAnswer(voter, answer) })
 			}
 		}
 	})
 }
 
 // takeOver goes through all that a takeover needs, as the Keeper would.
-func (p *modelProc) takeOver(id int) {
+func (p *modelProc) failOver(id int) {
 	p.m.expire()
 	p.read()
 	for range modelProcs {
@@ -261,15 +261,15 @@
 }
 
 // askAll asks every process, as a round of heartbeats does.
-func (p *modelProc) askAll() {
+func (p *modelProc) requestPromises() {
 	for _, v := range p.m.procs {
-		p.ask(v)
+		p.requestPromise(v)
 	}
 }
 
 // askUseAndChange acts by promises and tries to change the electorate at once.
-func (p *modelProc) askUseAndChange() {
-	p.askAll()
+func (p *modelProc) requestUseAndChange() {
+	p.requestPromises()
 	for id := range modelPartitions {
 		p.use(id)
 	}
@@ -279,12 +279,12 @@
 func (p *modelProc) onFence(s Subject, session uint64) FenceAnswer {
 	now := p.clock()
 	answer := FenceAnswer{Incarnation: p.id.Incarnation, Remaining: p.promises.Fence(now, s, session)}
-	answer.Age = (p.m.now - p.born) * time.Duration(p.rate) / 1000
+	answer.Age = (p.m.now - p.started) * time.Duration(p.rate) / 1000
 	if s == p.id {
 		if session >= p.holder.Session() {
-			p.holder.Fenced()
+			p.holder.MarkFenced()
 		}
-		answer.Remaining = max(answer.Remaining, p.holder.Outstanding().Sub(now))
+		answer.Remaining = max(answer.Remaining, p.holder.LatestEnd().Sub(now))
 	}
 	return answer
 }
@@ -306,20 +306,20 @@
 			return
 		}
 	}
-	charterMod, memberMod := p.view.charters[old.holder].mod, p.memberMod
-	m.toStore(func() {
+	voterRecordMod, memberMod := p.view.voterRecords[old.holder].mod, p.memberMod
+	m.sendToStore(func() {
 		s := &m.store
 		me := s.members[p.id.Name]
 		if me.mod != memberMod || me.incarnation != p.id.Incarnation || s.partitions[id].mod != old.mod {
 			return
 		}
-		if old.holder != (Subject{}) && (s.members[old.holder.Name].mod != holderMod || s.charters[old.holder].mod != charterMod) {
+		if old.holder != (Subject{}) && (s.members[old.holder.Name].mod != holderMod || s.voterRecords[old.holder].mod != voterRecordMod) {
 			return
 		}
 		rec := modelRecord{p.id, old.epoch + 1, s.next()}
 		s.partitions[id] = rec
 		if old.holder != (Subject{}) {
-			m.succeeded++
+			m.takenOver++
 		}
 		m.logf("%v claimed %d at epoch %d from %v", p.id, id, rec.epoch, old.holder)
 		p.reply(func() { p.onClaimed(id, rec) })
@@ -329,14 +329,14 @@
 func (p *modelProc) mayClaim(s Subject) bool {
 	f := p.fencings[s]
 	switch {
-	case p.m.variant.skipFence:
+	case p.m.injectedFault.skipFence:
 		return true
-	case f == nil || f.charter != p.view.charters[s].mod:
+	case f == nil || f.voterRecord != p.view.voterRecords[s].mod:
 		return false
-	case p.m.variant.oneVote:
-		return len(f.tally.fenced) > 0
+	case p.m.injectedFault.singleVoter:
+		return len(f.fencing.fenced) > 0
 	}
-	return f.tally.Done(p.clock())
+	return f.fencing.Done(p.clock())
 }
 
 // onClaimed takes up a claimed partition unless something newer is known.
@@ -356,18 +356,18 @@
 	}
 	now := p.clock()
 	session := own.session
-	if p.m.variant.skipConfirm {
+	if p.m.injectedFault.skipConfirmation {
 		session = p.holder.Session()
 	}
 	until := p.holder.Until(now, session)
 	if !until.After(now) {
-		if p.m.variant.skipExpiry {
-			p.m.used(p, id, own.record.epoch, now.Add(1))
+		if p.m.injectedFault.ignoreExpiry {
+			p.m.recordUse(p, id, own.record.epoch, now.Add(1))
 		}
 		return
 	}
 	if until != p.holder.Lease() {
 		p.m.promised++
 	}
-	p.m.used(p, id, own.record.epoch, until)
+	p.m.recordUse(p, id, own.record.epoch, until)
 }
--- a/internal/right/property_test.go
+++ b/internal/right/property_test.go
@@ -12,30 +12,30 @@
 const (
 	propertySteps = 400
 	// plantedSeeds bounds the search for a planted fault.
-	plantedSeeds = 300
+	faultSeeds = 300
 )
 
 // TestNeverTwoHolders draws interleavings of pauses, losses, outages, restarts
 // and claims, and checks that no two processes may ever act for one partition.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newModel(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(rt, label) }, variant{})
+		m := newModel(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(rt, label) }, injectedFault{})
 		for range propertySteps {
 			m.step()
-			if len(m.faults) > 0 {
-				rt.Fatalf("%s\n%s", m.faults[0], strings.Join(m.trace, "\n"))
+			if len(m.violations) > 0 {
+				rt.Fatalf("%s\n%s", m.violations[0], strings.Join(m.trace, "\n"))
 			}
 		}
 	})
 }
 
 // seeded runs the model with a fixed seed for long.
-func seeded(seed uint64, steps int, v variant) *model {
+func runSeeded(seed uint64, steps int, v injectedFault) *model {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	m := newModel(func(_ string, n int) int { return rng.IntN(n) }, v)
 	for range steps {
 		m.step()
-		if len(m.faults) > 0 {
+		if len(m.violations) > 0 {
 			break
 		}
 	}
@@ -46,39 +46,39 @@
 // also by promises, and that partitions changed hands.
 func TestNeverTwoHoldersLong(t *testing.T) {
 	is := is.New(t)
-	var granted, promised, succeeded int
-	for seed := range uint64(plantedSeeds) {
-		m := seeded(seed, 10*propertySteps, variant{})
-		if len(m.faults) > 0 {
-			t.Fatalf("seed %d: %s\n%s", seed, m.faults[0], strings.Join(m.trace, "\n"))
+	var granted, promised, takenOver int
+	for seed := range uint64(faultSeeds) {
+		m := runSeeded(seed, 10*propertySteps, injectedFault{})
+		if len(m.violations) > 0 {
+			t.Fatalf("seed %d: %s\n%s", seed, m.violations[0], strings.Join(m.trace, "\n"))
 		}
-		granted, promised, succeeded = granted+m.granted, promised+m.promised, succeeded+m.succeeded
+		granted, promised, takenOver = granted+m.granted, promised+m.promised, takenOver+m.takenOver
 	}
-	t.Logf("%d rights used, %d of them by promises; %d partitions taken over", granted, promised, succeeded)
-	is.True(granted > plantedSeeds)
-	is.True(promised > plantedSeeds)
-	is.True(succeeded > plantedSeeds)
+	t.Logf("%d rights used, %d of them by promises; %d partitions taken over", granted, promised, takenOver)
+	is.True(granted > faultSeeds)
+	is.True(promised > faultSeeds)
+	is.True(takenOver > faultSeeds)
 }
 
 // TestPlantedFaultsAreCaught leaves one part of the rule out at a time; the
 // model must find two holders.
-func TestPlantedFaultsAreCaught(t *testing.T) {
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	tests := []struct {
-		name    string
-		variant variant
+		name          string
+		injectedFault injectedFault
 	}{
-		{"expiry not checked", variant{skipExpiry: true}},
-		{"term counted from the answer", variant{countFromAnswer: true}},
-		{"no fence before a claim", variant{skipFence: true}},
-		{"fence by one voter", variant{oneVote: true}},
-		{"records not confirmed in the session", variant{skipConfirm: true}},
-		{"clock rates left out", variant{noMargin: true}},
+		{"expiry not checked", injectedFault{ignoreExpiry: true}},
+		{"term counted from the answer", injectedFault{countFromReply: true}},
+		{"no fence before a claim", injectedFault{skipFence: true}},
+		{"fence by one voter", injectedFault{singleVoter: true}},
+		{"records not confirmed in the session", injectedFault{skipConfirmation: true}},
+		{"clock rates left out", injectedFault{noClockMargin: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			for seed := range uint64(10 * plantedSeeds) {
-				if m := seeded(seed, 10*propertySteps, tt.variant); len(m.faults) > 0 {
-					t.Logf("seed %d, step trace of %d lines: %s", seed, len(m.trace), m.faults[0])
+			for seed := range uint64(10 * faultSeeds) {
+				if m := runSeeded(seed, 10*propertySteps, tt.injectedFault); len(m.violations) > 0 {
+					t.Logf("seed %d, step trace of %d lines: %s", seed, len(m.trace), m.violations[0])
 					return
 				}
 			}
--- a/internal/right/right.go
+++ b/internal/right/right.go
@@ -51,12 +51,12 @@
 }
 
 // short returns d as the one who acts has to count it.
-func (t Times) short(d time.Duration) time.Duration {
+func (t Times) minusMargin(d time.Duration) time.Duration {
 	return d - d*time.Duration(t.Margin)/1000
 }
 
 // long returns d as the one who waits has to count it.
-func (t Times) long(d time.Duration) time.Duration {
+func (t Times) plusMargin(d time.Duration) time.Duration {
 	return d + d*time.Duration(t.Margin)/1000
 }
 
@@ -69,4 +69,4 @@
 // blocking is the smallest number of voters that shares one with every
 // majority: fencing needs no more. Of two voters it is one, so that the
 // survivor of a pair can succeed the other.
-func blocking(n int) int { return n - majority(n) + 1 }
+func blockingSize(n int) int { return n - majority(n) + 1 }
--- a/internal/right/right_test.go
+++ b/internal/right/right_test.go
@@ -9,13 +9,13 @@
 
 var (
 	testTimes = Times{Term: 3 * time.Second, Margin: 10, OutageLimit: time.Minute}
-	epochZero = time.Unix(1000, 0)
-	subjectA  = Subject{Name: "a", Incarnation: "1"}
+	baseTime  = time.Unix(1000, 0)
+	memberA   = Subject{Name: "a", Incarnation: "1"}
 )
 
-func at(ms int) time.Time { return epochZero.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return baseTime.Add(time.Duration(ms) * time.Millisecond) }
 
-func electorateOf(session uint64, names ...string) Electorate {
+func voterSetOf(session uint64, names ...string) Electorate {
 	e := Electorate{Session: session}
 	for _, n := range names {
 		e.Voters = append(e.Voters, Voter{Name: n, Incarnation: n + "1", Addr: n})
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	h := NewHolder(testTimes)
 	is.True(h.Until(at(0), 0).IsZero())
-	h.Created(at(0), electorateOf(1, "a", "b", "c"))
+	h.Created(at(0), voterSetOf(1, "a", "b", "c"))
 	is.Equal(h.Until(at(10), 1), at(2970))
 	h.Renewed(at(500))
 	h.Renewed(at(100)) // an older answer that came late takes nothing back
@@ -55,19 +55,19 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			h := NewHolder(testTimes)
-			h.Created(at(0), electorateOf(1, tt.voters...))
+			h.Created(at(0), voterSetOf(1, tt.voters...))
 			for _, v := range tt.promised {
-				h.Promised(v, 1, at(10000), testTimes.Term)
+				h.RecordPromise(v, 1, at(10000), testTimes.Term)
 			}
 			is.Equal(h.Until(at(10010), 1), tt.until)
 		})
 	}
 }
 
-func TestRightsThatNoLongerCount(t *testing.T) {
+func TestAuthorityThatNoLongerCounts(t *testing.T) {
 	promised := func(h *Holder, session uint64, from time.Time) {
-		h.Promised("a1", session, from, testTimes.Term)
-		h.Promised("b1", session, from, testTimes.Term)
+		h.RecordPromise("a1", session, from, testTimes.Term)
+		h.RecordPromise("b1", session, from, testTimes.Term)
 	}
 	tests := []struct {
 		name string
@@ -75,15 +75,15 @@
 		want time.Time
 	}{
 		{"promises to another session", func(h *Holder) { promised(h, 2, at(9000)) }, time.Time{}},
-		{"own vote given to a claimant", func(h *Holder) { promised(h, 1, at(9000)); h.Fenced() }, time.Time{}},
+		{"own vote given to a claimant", func(h *Holder) { promised(h, 1, at(9000)); h.MarkFenced() }, time.Time{}},
 		{"open change needs both majorities", func(h *Holder) {
 			promised(h, 1, at(9000))
-			h.Changing(electorateOf(1, "a", "c", "d"))
+			h.Changing(voterSetOf(1, "a", "c", "d"))
 		}, time.Time{}},
 		{"settled back to the old electorate", func(h *Holder) {
 			promised(h, 1, at(9000))
-			h.Changing(electorateOf(1, "a", "c", "d"))
-			h.Settled(electorateOf(1, "a", "b", "c"))
+			h.Changing(voterSetOf(1, "a", "c", "d"))
+			h.Settled(voterSetOf(1, "a", "b", "c"))
 		}, at(11970)},
 		{"limit of the outage", func(h *Holder) { promised(h, 1, at(58000)) }, at(59400)},
 	}
@@ -91,20 +91,20 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			h := NewHolder(testTimes)
-			h.Created(at(0), electorateOf(1, "a", "b", "c"))
+			h.Created(at(0), voterSetOf(1, "a", "b", "c"))
 			tt.do(h)
 			is.Equal(h.Until(at(9010), 1), tt.want)
 		})
 	}
 }
 
-func TestPartitionOfTheSessionBeforeLivesOnItsPromises(t *testing.T) {
+func TestPartitionOfThePreviousSessionKeepsItsPromisedEnd(t *testing.T) {
 	is := is.New(t)
 	h := NewHolder(testTimes)
-	e := electorateOf(1, "a", "b", "c")
+	e := voterSetOf(1, "a", "b", "c")
 	h.Created(at(0), e)
-	h.Promised("a1", 1, at(9000), testTimes.Term)
-	h.Promised("b1", 1, at(9000), testTimes.Term)
+	h.RecordPromise("a1", 1, at(9000), testTimes.Term)
+	h.RecordPromise("b1", 1, at(9000), testTimes.Term)
 	e.Session = 2
 	h.Created(at(9500), e)
 	is.Equal(h.Until(at(9600), 1), at(11970)) // not confirmed yet: what was promised
@@ -117,19 +117,19 @@
 // TestElectorateWaitsForPromisedRights shows why MayChange exists: two voters
 // of the new electorate complete a fence while a right that the old electorate
 // promised still runs.
-func TestElectorateWaitsForPromisedRights(t *testing.T) {
+func TestVoterSetChangeWaitsForPromisedAuthority(t *testing.T) {
 	is := is.New(t)
 	h := NewHolder(testTimes)
-	h.Created(at(0), electorateOf(1, "a", "d"))
-	h.Promised("a1", 1, at(2960), testTimes.Term)
-	h.Promised("d1", 1, at(2960), testTimes.Term)
+	h.Created(at(0), voterSetOf(1, "a", "d"))
+	h.RecordPromise("a1", 1, at(2960), testTimes.Term)
+	h.RecordPromise("d1", 1, at(2960), testTimes.Term)
 	until := h.Until(at(2980), 1)
 	is.Equal(until, at(5930)) // by promises: the lease has run out
 
-	next := electorateOf(1, "a", "b", "c")
+	next := voterSetOf(1, "a", "b", "c")
 	f := NewFencing(testTimes, next, at(3000))
-	f.Answered(next.Voters[1], FenceAnswer{Incarnation: "b1"})
-	f.Answered(next.Voters[2], FenceAnswer{Incarnation: "c1"})
+	f.RecordAnswer(next.Voters[1], FenceAnswer{Incarnation: "b1"})
+	f.RecordAnswer(next.Voters[2], FenceAnswer{Incarnation: "c1"})
 	is.True(f.Done(at(3010))) // complete although until is not reached
 
 	is.True(!h.MayChange(at(3000)))
@@ -139,32 +139,32 @@
 
 func TestVoterFencesAfterItsPromise(t *testing.T) {
 	is := is.New(t)
-	p := NewPromises()
-	is.True(p.Ask(at(0), subjectA, 1, testTimes.Term))
-	is.Equal(p.Fence(at(1000), subjectA, 1), 2*time.Second)
-	is.True(!p.Ask(at(1001), subjectA, 1, testTimes.Term)) // fenced
-	is.Equal(p.Fence(at(3000), subjectA, 1), time.Duration(0))
-	is.True(p.Ask(at(3001), subjectA, 2, testTimes.Term)) // a new session is not
-	is.True(p.Fenced(subjectA, 1))
-	is.True(!p.Fenced(subjectA, 2))
+	p := NewVoterState()
+	is.True(p.Ask(at(0), memberA, 1, testTimes.Term))
+	is.Equal(p.Fence(at(1000), memberA, 1), 2*time.Second)
+	is.True(!p.Ask(at(1001), memberA, 1, testTimes.Term)) // fenced
+	is.Equal(p.Fence(at(3000), memberA, 1), time.Duration(0))
+	is.True(p.Ask(at(3001), memberA, 2, testTimes.Term)) // a new session is not
+	is.True(p.Fenced(memberA, 1))
+	is.True(!p.Fenced(memberA, 2))
 }
 
-func TestFenceNeedsWhatBreaksAMajority(t *testing.T) {
+func TestFenceNeedsABlockingNumberOfVoters(t *testing.T) {
 	is := is.New(t)
 	needed := map[int]int{0: 0, 1: 0, 2: 1, 3: 2, 4: 2, 5: 3, 6: 3, 7: 4}
 	for n, want := range needed {
-		e := electorateOf(1, []string{"a", "b", "c", "d", "e", "f", "g"}[:n]...)
+		e := voterSetOf(1, []string{"a", "b", "c", "d", "e", "f", "g"}[:n]...)
 		f := NewFencing(testTimes, e, at(0))
 		got := 0
 		for ; !f.Done(at(0)); got++ {
-			f.Answered(e.Voters[got], FenceAnswer{Incarnation: e.Voters[got].Incarnation})
+			f.RecordAnswer(e.Voters[got], FenceAnswer{Incarnation: e.Voters[got].Incarnation})
 		}
 		is.Equal(got, want)
 	}
 }
 
 func TestFencingIsDone(t *testing.T) {
-	old := testTimes.long(testTimes.Term)
+	old := testTimes.plusMargin(testTimes.Term)
 	tests := []struct {
 		name    string
 		answers []FenceAnswer // by voters a, b, c; an empty incarnation is none
@@ -178,17 +178,17 @@
 		{"all replaced or fenced", []FenceAnswer{{Incarnation: "a1"}, {Incarnation: "b2", Age: old}, {Incarnation: "c2", Age: old}}, 0, true},
 		{"all replaced, one too young", []FenceAnswer{{Incarnation: "a2", Age: old}, {Incarnation: "b2", Age: old}, {Incarnation: "c2", Age: old - 1}}, 0, false},
 		{"an older process proves nothing", []FenceAnswer{{Incarnation: "a0", Age: old}, {Incarnation: "b0", Age: old}, {Incarnation: "c0", Age: old}}, 0, false},
-		{"limit of the outage", make([]FenceAnswer, 3), testTimes.long(testTimes.OutageLimit), true},
-		{"just before the limit", make([]FenceAnswer, 3), testTimes.long(testTimes.OutageLimit) - 1, false},
+		{"limit of the outage", make([]FenceAnswer, 3), testTimes.plusMargin(testTimes.OutageLimit), true},
+		{"just before the limit", make([]FenceAnswer, 3), testTimes.plusMargin(testTimes.OutageLimit) - 1, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			e := electorateOf(1, "a", "b", "c")
+			e := voterSetOf(1, "a", "b", "c")
 			f := NewFencing(testTimes, e, at(0))
 			for i, a := range tt.answers {
 				if a.Incarnation != "" {
-					f.Answered(e.Voters[i], a)
+					f.RecordAnswer(e.Voters[i], a)
 				}
 			}
 			is.Equal(f.Done(at(0).Add(tt.after)), tt.want)
--- a/internal/right/voter.go
+++ b/internal/right/voter.go
@@ -7,8 +7,8 @@
 // for the life of the process: whether a subject is over can not be told from a
 // copy of the store that may lag, and a forgotten fence would let a session
 // live on. It is not safe for concurrent use.
-type Promises struct {
-	of map[Subject]promise
+type VoterState struct {
+	byMember map[Subject]promise
 }
 
 type promise struct {
@@ -17,31 +17,31 @@
 }
 
 // NewPromises returns the state of a voter that has promised nothing.
-func NewPromises() *Promises { return &Promises{of: map[Subject]promise{}} }
+func NewVoterState() *VoterState { return &VoterState{byMember: map[Subject]promise{}} }
 
 // Ask promises d from now on, or refuses because the session is fenced.
-func (p *Promises) Ask(now time.Time, s Subject, session uint64, d time.Duration) bool {
-	entry := p.of[s]
+func (p *VoterState) Ask(now time.Time, s Subject, session uint64, d time.Duration) bool {
+	entry := p.byMember[s]
 	if session <= entry.fenced {
 		return false
 	}
 	if until := now.Add(d); until.After(entry.until) {
 		entry.until = until
 	}
-	p.of[s] = entry
+	p.byMember[s] = entry
 	return true
 }
 
 // Fence refuses all further promises to sessions up to the given one and
 // returns how long the promises already made still run.
-func (p *Promises) Fence(now time.Time, s Subject, session uint64) time.Duration {
-	entry := p.of[s]
+func (p *VoterState) Fence(now time.Time, s Subject, session uint64) time.Duration {
+	entry := p.byMember[s]
 	entry.fenced = max(entry.fenced, session)
-	p.of[s] = entry
+	p.byMember[s] = entry
 	return max(0, entry.until.Sub(now))
 }
 
 // Fenced reports whether the session gets no more promises.
-func (p *Promises) Fenced(s Subject, session uint64) bool {
-	return session <= p.of[s].fenced
+func (p *VoterState) Fenced(s Subject, session uint64) bool {
+	return session <= p.byMember[s].fenced
 }
