--- a/internal/hold/cache.go
+++ b/internal/hold/cache.go
@@ -15,28 +15,27 @@
 	"pulleyquay/internal/view"
 )
 
-// PartitionPrefix is where the partitions' records stand in the store.
+// PartitionPrefix is the store prefix of the partition records.
 const PartitionPrefix = "partitions/"
 
-// countKey holds the number of partitions that the cell was started with.
+// countKey holds the number of partitions with which the cell was created.
 const countKey = PartitionPrefix + "count"
 
-// partitionKey has a fixed width, so that no key is the prefix of another.
+// partitionKey has a fixed width, so that no key is a prefix of another.
 func partitionKey(id int) string { return fmt.Sprintf("%s%05d", PartitionPrefix, id) }
 
-// mirror is this process's copy of the members and partitions in the store. A
-// key's state is replaced only by one of a higher revision, whatever order
-// lists, watches and answers come in.
+// cache is this process's copy of the members and partitions in the store. The state of a key is
+// only replaced by one of a higher revision, in whatever order lists, watches and replies arrive.
 type cache struct {
 	members      map[string]member.Entry
 	voterRecords map[right.Subject]member.Entry
 	partitions   map[int]view.Partition
-	handOvers    map[int]string               // the attempt that moved each record
-	revisions    map[string]platform.Revision // of each key, also of deleted ones
-	unregistered map[right.Subject]time.Time  // holders first seen without a key
-	count        int                          // as the store says, zero when not read
+	handOvers    map[int]string               // attempt that moved each record
+	revisions    map[string]platform.Revision // of each key, including deleted ones
+	unregistered map[right.Subject]time.Time  // holders without a key, since when
+	count        int                          // number of partitions in the store, zero if not read
 	revision     platform.Revision
-	listed       map[string]bool // prefixes that were listed from the store
+	listed       map[string]bool // prefixes that have been listed from the store
 }
 
 func newCache() *cache {
@@ -47,7 +46,7 @@
 	}
 }
 
-// list takes in all records under a prefix at a revision.
+// list applies all records under a prefix at a revision.
 func (m *cache) list(prefix string, records []platform.Record, at platform.Revision) error {
 	if !m.listed[prefix] {
 		m.dropAdopted(prefix)
@@ -71,7 +70,7 @@
 	return nil
 }
 
-// apply takes in the state of one key unless a newer one is known.
+// apply applies the state of one key unless a newer one is known.
 func (m *cache) apply(c platform.Change) error {
 	if c.ModRevision <= m.revisions[c.Key] {
 		return nil
@@ -134,7 +133,7 @@
 	return nil
 }
 
-// adopt takes in a table learned from a peer; only used before the first list.
+// adopt applies a table received from a peer; it has no effect after the first list.
 func (m *cache) adopt(t *view.Table) {
 	if len(m.listed) > 0 || t.Revision <= int64(m.revision) {
 		return
@@ -151,8 +150,8 @@
 	}
 }
 
-// forgetAdopted drops what a peer's table said under a prefix, before the
-// store's own list takes its place.
+// dropAdopted discards the part of a peer's table under a prefix before the store's own list
+// replaces it.
 func (m *cache) dropAdopted(prefix string) {
 	if prefix == member.Prefix {
 		maps.DeleteFunc(m.members, func(name string, _ member.Entry) bool { return m.revisions[member.Key(name)] == 0 })
@@ -163,9 +162,9 @@
 
 func entryOf(m view.Member) member.Entry { return member.Entry{Name: m.Name, Member: &m} }
 
-// table returns a snapshot, sorted by name and by id. It names all partitions
-// of the cell or none: those that nobody has claimed yet have no holder and epoch
-// zero. Readers work out homes from their number.
+// table returns a snapshot, sorted by name and by id. It contains all partitions of the cell or
+// none: unclaimed partitions have no holder and epoch zero. Readers derive home partitions from the
+// number of partitions.
 func (m *cache) table() *view.Table {
 	t := &view.Table{Revision: int64(m.revision)}
 	for _, e := range m.members {
@@ -182,13 +181,13 @@
 	return t
 }
 
-// alive reports whether the subject's key is in the store.
+// registered reports whether the member's key is in the store.
 func (m *cache) registered(s right.Subject) bool {
 	e, ok := m.members[s.Name]
 	return ok && e.Member.Incarnation == s.Incarnation
 }
 
-// staying lists the members that do not leave.
+// remaining lists the members that are not leaving.
 func (m *cache) remaining() []string {
 	var out []string
 	for name, e := range m.members {
@@ -199,7 +198,7 @@
 	return out
 }
 
-// voters lists the members as an electorate, sorted by name.
+// voters lists the members as voters, sorted by name.
 func (m *cache) voters() []right.Voter {
 	var out []right.Voter
 	for _, e := range m.members {
@@ -209,7 +208,7 @@
 	return out
 }
 
-// noteGone remembers since when each holder has been without a member key.
+// updateUnregistered records since when each holder has been without a member key.
 func (m *cache) updateUnregistered(now time.Time) {
 	holders := map[right.Subject]bool{}
 	for _, p := range m.partitions {
@@ -234,15 +233,15 @@
 	return right.Subject{Name: p.Holder, Incarnation: p.Incarnation}
 }
 
-// record is what stands in the store under a partition's key.
+// record is the value stored under a partition's key.
 type record struct {
 	view.Partition
-	// HandOver names the attempt by which the previous holder moved the record;
-	// it is empty after a claim.
+	// HandOver identifies the attempt with which the previous holder moved the record; it is empty
+	// after a claim.
 	HandOver string `json:"hand_over,omitempty"`
 }
 
-// change is the record as the store shows it.
+// change returns the record in the form in which the store reports it.
 func (r record) change() platform.Change {
 	value, err := json.Marshal(r)
 	if err != nil {
--- a/internal/hold/cache_test.go
+++ b/internal/hold/cache_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestTableNamesAllPartitions: the number of partitions in a table decides
-// where keys and teams belong, so it must not change while a cell is claimed.
+// TestTableNamesAllPartitions: the number of partitions in a table determines the home partitions
+// of keys and teams, so it must not change while the partitions of a cell are being claimed.
 func TestTableNamesAllPartitions(t *testing.T) {
 	is := is.New(t)
 	m := newCache()
@@ -29,8 +29,8 @@
 	}
 	is.Equal(m.table().Partitions, want)
 
-	started := newCache() // learns from a peer while the store is away
+	started := newCache() // receives the table from a peer while the store is unavailable
 	started.adopt(m.table())
 	is.Equal(started.table().Partitions, want)
-	is.Equal(len(started.partitions), 1) // unclaimed ones are not taken for records
+	is.Equal(len(started.partitions), 1) // unclaimed ones are not treated as records
 }
--- a/internal/hold/cell_test.go
+++ b/internal/hold/cell_test.go
@@ -21,8 +21,8 @@
 	"pulleyquay/internal/view"
 )
 
-// testCell is a set of Keepers over one store inside a synctest bubble, with
-// cuts between them and a referee of who acts.
+// testCell is a set of Managers with one store inside a synctest bubble. The network between them
+// can be blocked, and a checker records which process acts.
 type testCell struct {
 	t        testing.TB
 	engine   *memstore.Engine
@@ -47,11 +47,11 @@
 	useLoop   sync.WaitGroup
 }
 
-// gate stops a process: while it is shut nothing goes in or out. What is on its
-// way in either direction waits and goes on late.
+// gate pauses a process: while it is paused, nothing goes in or out. Messages in transit in either
+// direction wait and are delivered late.
 type gate struct {
 	mu     sync.Mutex
-	paused chan struct{} // nil while open
+	paused chan struct{} // nil while not paused
 }
 
 func (g *gate) pause() {
@@ -71,7 +71,7 @@
 	}
 }
 
-// pass waits until the gate is open or ctx ends.
+// wait returns when the gate is not paused or ctx ends.
 func (g *gate) wait(ctx context.Context) {
 	g.mu.Lock()
 	paused := g.paused
@@ -93,8 +93,7 @@
 	}
 }
 
-// start adds a process; a second start of a name is a replacement at the same
-// address.
+// start adds a process; a second start of a name is a replacement at the same address.
 func (c *testCell) start(name string) *node {
 	c.t.Helper()
 	n := c.build(name, name+":1")
@@ -130,7 +129,7 @@
 	return n
 }
 
-// kill ends a process without any leave-taking.
+// kill ends a process without a graceful shutdown.
 func (c *testCell) kill(n *node) {
 	c.net.set(n.addr, nil, nil)
 	n.gate.resume()
@@ -142,7 +141,7 @@
 	delete(c.nodes, n.name)
 }
 
-// close ends everything, so that the bubble can end.
+// close ends all processes, so that the bubble can end.
 func (c *testCell) close() {
 	for _, n := range c.nodes {
 		c.kill(n)
@@ -150,7 +149,7 @@
 	c.engine.Close()
 }
 
-// settled reports whether every partition is held, and by whom it should be.
+// allHeld reports whether every partition has a holder with valid authority.
 func (c *testCell) allHeld() bool {
 	held := 0
 	for _, n := range c.nodes {
@@ -164,13 +163,13 @@
 	return held == c.config.Partitions
 }
 
-// waitSettled waits until every partition has a holder that may act.
+// waitAllHeld waits until every partition has a holder that may act.
 func (c *testCell) waitAllHeld(limit time.Duration) time.Duration {
 	c.t.Helper()
 	return c.wait(limit, "all partitions held", c.allHeld)
 }
 
-// wait polls in the bubble's time and returns how long it took.
+// wait polls in the bubble's time and returns the time that has passed.
 func (c *testCell) wait(limit time.Duration, what string, cond func() bool) time.Duration {
 	c.t.Helper()
 	begun := time.Now()
@@ -193,7 +192,7 @@
 	out := ""
 	for name, n := range c.nodes {
 		b, _ := json.Marshal(n.Dump().(State).Slots)
-		out += fmt.Sprintf("%s %s held %v lacks %v %s\n", name, n.session.State(), n.Held(), n.Lacks(), b)
+		out += fmt.Sprintf("%s %s held %v not ready %v %s\n", name, n.session.State(), n.Held(), n.Lacks(), b)
 	}
 	return out
 }
@@ -205,7 +204,7 @@
 	}
 }
 
-// inBubble runs a test of a cell in a synctest bubble and checks the referee.
+// inBubble runs a test of a cell in a synctest bubble and evaluates the checker.
 func inBubble(t *testing.T, config Config, fn func(c *testCell)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -222,8 +221,7 @@
 	return c
 }
 
-// network carries calls between the cell's processes, in both directions cut or
-// not.
+// network carries calls between the processes of the cell. Each direction can be blocked.
 type network struct {
 	mu      sync.Mutex
 	muxes   map[string]*peer.Mux
@@ -237,14 +235,14 @@
 	n.muxes[addr], n.gates[addr] = mux, g
 }
 
-// cut stops messages from one address to another, or lets them pass again.
+// setBlocked drops the messages from one address to another, or lets them pass again.
 func (n *network) setBlocked(from, to string, block bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked[[2]string{from, to}] = block
 }
 
-// heal ends all cuts.
+// repair unblocks all directions.
 func (n *network) repair() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -261,8 +259,8 @@
 	gate *gate
 }
 
-// Call passes a message on unless its way or the way back is cut. A cut loses
-// messages silently: the caller waits until its ctx ends.
+// Call delivers a message unless its direction or that of the reply is blocked. Blocked messages
+// are lost silently: the caller waits until its ctx ends.
 func (c *netCaller) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
 	c.gate.wait(ctx)
 	c.net.mu.Lock()
@@ -271,12 +269,12 @@
 	c.net.mu.Unlock()
 	if outbound || mux == nil {
 		<-ctx.Done()
-		return result.New(result.PeerLost, result.RanUnknown, "cut")
+		return result.New(result.PeerLost, result.RanUnknown, "blocked")
 	}
 	time.Sleep(time.Millisecond)
 	to.wait(ctx)
 	if ctx.Err() != nil {
-		return result.New(result.PeerLost, result.RanUnknown, "stopped")
+		return result.New(result.PeerLost, result.RanUnknown, "paused")
 	}
 	var answer cbor.RawMessage
 	err := peer.Local{addr: mux}.Call(ctx, addr, kind, req, &answer)
@@ -287,7 +285,7 @@
 	}
 	if inbound {
 		<-ctx.Done()
-		return result.New(result.PeerLost, result.RanUnknown, "cut on the way back")
+		return result.New(result.PeerLost, result.RanUnknown, "reply blocked")
 	}
 	return cbor.Unmarshal(answer, resp)
 }
@@ -300,7 +298,7 @@
 	calls map[string]int
 }
 
-// begin counts a call and returns what is to be done after it.
+// begin counts a call and returns a function to be run after it.
 func (s *countingStore) begin(ctx context.Context, kind string) func() {
 	s.gate.wait(ctx)
 	s.mu.Lock()
--- a/internal/hold/checker_test.go
+++ b/internal/hold/checker_test.go
@@ -11,8 +11,8 @@
 	"pulleyquay/internal/wait"
 )
 
-// referee records every right to act that is used, and names each time at which
-// two processes could act for one partition.
+// checker records every use of authority, and reports each time at which two processes could act
+// for one partition.
 type checker struct {
 	mu     sync.Mutex
 	last   map[int]map[string]use // by partition and process
@@ -20,13 +20,13 @@
 	found  []string
 }
 
-// use is the last right a process had for a partition.
+// use is the last authority that a process had for a partition.
 type use struct {
 	epoch uint64
 	until time.Time
 }
 
-// granted records that a process has asked for the right at now.
+// granted records that a process has obtained authority at now.
 func (r *checker) granted(node string, g Grant, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,7 +50,7 @@
 	r.last[g.Partition][node] = use{g.Epoch, until}
 }
 
-// signedOff records that a process has ended its work for a partition in order.
+// released records that a process has gracefully ended its work for a partition.
 func (r *checker) released(node string, partition int, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,10 +66,10 @@
 	return r.found
 }
 
-// actInterval is how often a process of a testCell uses its rights by default.
+// useInterval is the default interval at which a process of a testCell uses its authority.
 const useInterval = 20 * time.Millisecond
 
-// act uses every right the process has, again and again, until stopAct.
+// startUsing uses all authority of the process repeatedly until stopUsing is called.
 func (n *node) startUsing(every time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stopUsing = cancel
@@ -89,28 +89,27 @@
 	}()
 }
 
-// recorder is a Resident whose state is a string that travels with the
-// partition.
+// recorder is a Component whose state is a string that is handed over with the partition.
 type recorder struct {
 	checker *checker
 	node    string
-	// skipExpiry plants a fault: act for what is held without asking the right.
+	// ignoreExpiry injects a fault: the process acts for what it holds although Check refuses.
 	ignoreExpiry atomic.Bool
-	// failRelease makes every Release fail, its work not finished.
+	// failRelease makes every Release fail with its work unfinished.
 	failRelease atomic.Bool
-	// releaseTime is how long the work in flight takes, in nanoseconds.
+	// releaseTime is the duration of the work in progress, in nanoseconds.
 	releaseTime atomic.Int64
 
 	mu            sync.Mutex
 	states        map[int]string
 	acquired      map[int]Takeover
 	counts        struct{ acquire, release, drop int }
-	releasedTimes map[int]time.Time // when a partition was last released
+	releasedTimes map[int]time.Time // when each partition was last released
 }
 
 func (r *recorder) Name() string { return "recorder" }
 
-// use asks for the right and records it, unless the partition is being released.
+// use obtains authority and records it, unless the partition is being released.
 func (r *recorder) use(k *Keeper, id int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/hold/config.go
+++ b/internal/hold/config.go
@@ -15,30 +15,30 @@
 	"pulleyquay/internal/view"
 )
 
-// Config holds the durations of holding. All placers of a cell must agree on
-// Term, ClockMargin, OutageLimit and Partitions.
+// Config holds the timing and size settings of partition ownership. All placers of a cell must
+// agree on Term, ClockMargin, OutageLimit and Partitions.
 type Config struct {
-	// Term is the time to live of the member's store lease, in whole seconds,
-	// and the length of a promise while the store is down.
+	// Term is the time to live of the member's store lease, in whole seconds, and the length of a
+	// promise while the store is unavailable.
 	Term time.Duration
-	// ClockMargin is by how many parts of a thousand two clocks may run apart.
+	// ClockMargin is the largest difference in rate between two clocks, in per mille.
 	ClockMargin int64
-	// OutageLimit is the longest outage that a right outlives.
+	// OutageLimit is the longest store outage during which authority can be extended.
 	OutageLimit time.Duration
-	// Heartbeat is the interval of beats between placers.
+	// Heartbeat is the interval of heartbeats between placers.
 	Heartbeat time.Duration
-	// Renew is the interval of lease renewals; below a third of Term.
+	// Renew is the interval of lease renewals, at most a third of Term.
 	Renew time.Duration
-	// Suspect is after how long without a beat a member counts as unheard.
+	// Suspect is the time without a heartbeat after which a member counts as unreachable.
 	Suspect time.Duration
-	// BackoffMax bounds the wait between attempts on a store that fails.
+	// BackoffMax bounds the wait between attempts while the store fails.
 	BackoffMax time.Duration
-	// Spread is over how long claims of a dead member's partitions are spread.
+	// Spread is the time over which the claims of a dead member's partitions are spread.
 	Spread time.Duration
 	// Partitions is the number of partitions of the cell.
 	Partitions int
-	// Seeds are addresses of placers to learn the members from when the store
-	// is down at the start.
+	// Seeds are addresses of placers from which to learn the members if the store is unavailable at
+	// the start.
 	Seeds []string
 }
 
@@ -52,10 +52,10 @@
 	}
 }
 
-// maxClockMargin is beyond any clock that is in order.
+// maxClockMargin, in per mille, exceeds the error of any correct clock.
 const maxClockMargin = 100
 
-// Check returns BadInput with the name of the first field that does not fit.
+// Check returns BadInput with the name of the first invalid field.
 func (c Config) Check() error {
 	switch {
 	case c.Term < time.Second || c.Term%time.Second != 0:
@@ -84,7 +84,7 @@
 	return result.New(result.BadInput, result.RanNo, format, args...).At(field)
 }
 
-// checkSelf refuses names that would not be one part of a key in the store.
+// checkSelf rejects names that would not be a single segment of a store key.
 func checkSelf(m view.Member) error {
 	if m.Name == "" || strings.Contains(m.Name, "/") {
 		return invalid("Name", "must not be empty nor contain a slash: %q", m.Name)
@@ -99,10 +99,10 @@
 	return right.Times{Term: c.Term, Margin: c.ClockMargin, OutageLimit: c.OutageLimit}
 }
 
-// fresh is the age up to which a renewal counts as reaching the store.
+// maxRenewalAge is the age up to which the last renewal proves a connection to the store.
 func (c Config) maxRenewalAge() time.Duration { return c.Term / 2 }
 
-// Deps is what a Keeper works with.
+// Deps are the dependencies of a Manager.
 type Deps struct {
 	Store platform.Store
 	Peers peer.Caller
@@ -116,12 +116,12 @@
 	SettingsRevision func() int64
 }
 
-// Deputy is the part of the placer that renews the task leases of a member that
-// died while its partitions can not be taken over yet.
+// Delegate is the part of the placer that renews the task leases of a dead member while its
+// partitions can not be taken over yet.
 type Deputy interface {
-	// Cover names the partitions, with the records of their dead holder, whose
-	// workers' task leases are to be renewed from now on. It replaces the list
-	// given before; an empty list ends the cover. Orders need Keeper.CheckCover
-	// right before and must only renew. It must not block.
+	// SetRenewals names the partitions, with the records of their dead holder, whose workers' task
+	// leases are to be renewed from now on. It replaces the previous list; an empty list ends the
+	// renewal. Each order must be preceded by Manager.CheckRenewal and may only renew. SetRenewals
+	// must not block.
 	Cover(partitions []view.Partition)
 }
--- a/internal/hold/decide.go
+++ b/internal/hold/decide.go
@@ -8,38 +8,39 @@
 	"pulleyquay/internal/view"
 )
 
-// step is what to do about one partition next.
+// step is the next action for one partition.
 type step int
 
 const (
 	stepNone     step = iota
-	stepAcquire       // the record names this process: take it up
+	stepAcquire       // the record names this process: activate the partition
 	stepClaim         // write this process into the record
-	stepFence         // the holder is dead: ask its electorate first
-	stepDrop          // the record names another: forget it
+	stepFence         // the holder is dead: have its voter set fence it first
+	stepDrop          // the record names another holder: drop the partition
 	stepHandOver      // another member should hold it
-	stepRelease       // leaving with nobody to hand to
+	stepRelease       // leaving with no member to hand over to
 )
 
-// cell is what a decision is made from.
+// decisionInput is the state of the cell on which a decision is based.
 type decisionInput struct {
 	self    right.Subject
 	leaving bool
-	// canMove is false while the store is not reached: a hand-over would stick.
+	// canMove is false while this process is not connected to the store: a handover could not
+	// complete.
 	canMove  bool
 	eligible []string
-	// alive reports whether a member's key is in the store.
+	// registered reports whether a member's key is in the store.
 	registered func(right.Subject) bool
-	// heard reports whether a member's beats come in.
+	// reachable reports whether a member's heartbeats arrive.
 	reachable func(name string) bool
-	// mayFence is false while it is too early to act against a holder.
+	// mayFence is false during the grace period of a holder.
 	mayFence func(right.Subject) bool
-	// fenced is true once a holder's right has certainly run out.
+	// fenced is true once a holder's authority has certainly expired.
 	fenced func(right.Subject) bool
 }
 
-// decide returns the next step for a partition and, for a hand-over, to whom.
-// known is false when the store has no record of it.
+// decide returns the next step for a partition and, for a handover, the next holder. known is false
+// if the store has no record of the partition.
 func (c decisionInput) decide(s *slot, rec view.Partition, known bool) (step, string) {
 	mine := known && holderOf(rec) == c.self
 	if s.owned() {
@@ -88,9 +89,9 @@
 	return stepNone
 }
 
-// mayFence is the rule of patience: a holder that is not heard any more may be
-// fenced at once. One that is still heard has only lost the store; it is fenced
-// when a majority has the store again and it had a full term to come back.
+// mayFence is the rule of the grace period: an unreachable holder may be fenced at once. A
+// reachable holder has only lost the store; it may be fenced once a majority is connected to the
+// store again and the holder has had a full term to register.
 func mayFence(reachable, storeAvailable bool, unregistered, term time.Duration) bool {
 	return !reachable || (storeAvailable && unregistered > term)
 }
--- a/internal/hold/delegate.go
+++ b/internal/hold/delegate.go
@@ -10,15 +10,15 @@
 	"pulleyquay/internal/view"
 )
 
-// cover is a dead member for whom this process is the deputy. The right to
-// renew is promised by the dead member's electorate in its name, so that the
-// fence of a later claimant ends the cover too.
+// delegateRenewal is a dead member on whose behalf this process renews task leases as its delegate.
+// The authority to renew comes from promises of the dead member's voter set in that member's name,
+// so that the fence of a later claimant ends it too.
 type delegateRenewal struct {
 	right      *right.Holder
 	partitions []view.Partition
 }
 
-// updateCovers works out which dead members to cover. The lock is held.
+// updateRenewals determines for which dead members to renew task leases. The lock is held.
 func (k *Keeper) updateRenewals() {
 	renewals := map[right.Subject]*delegateRenewal{}
 	for _, p := range k.cache.partitions {
@@ -39,9 +39,9 @@
 	k.renewals = renewals
 }
 
-// covering reports whether this process is to stand in for the subject: it has
-// been silent for long, a majority does not reach the store, and its charter is
-// known.
+// shouldRenewFor reports whether this process is the delegate of the member now: no heartbeat of
+// the member has arrived for a long time, a majority is not connected to the store, and the
+// member's voter record is known.
 func (k *Keeper) shouldRenewFor(s right.Subject) bool {
 	if s == k.memberID() || uptime.Since(k.started) < 2*k.config.Suspect || k.storeAvailable() {
 		return false
@@ -64,7 +64,7 @@
 	return &delegateRenewal{right: right.NewDelegate(k.config.times(), voterSet, limit)}
 }
 
-// covered lists the partitions that the deputy is to know of, in order.
+// delegated lists the partitions whose task leases the delegate has to renew, in ascending order.
 func (k *Keeper) delegated() []view.Partition {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -81,14 +81,13 @@
 	return out
 }
 
-// coversItself reports whether this process renews the task leases of a
-// partition that it has released and can not move, since the store went away
-// while the hand-over was written. The rules are those of a deputy: only while
-// a majority does not reach the store, so that nobody declares runs lost
-// meanwhile. The lock is held.
+// renewsOwn reports whether this process renews the task leases of a partition that it has released
+// but can not move, because the store became unavailable while the handover was written. The rule
+// is that of a delegate: only while a majority is not connected to the store, so that nobody
+// declares runs lost meanwhile. The lock is held.
 func (k *Keeper) renewsOwn(s *slot) bool { return s.resolving && !k.storeAvailable() }
 
-// tellDeputy passes the list on when it has changed.
+// notifyDelegate passes the list on if it has changed.
 func (k *Keeper) notifyDelegate(last []view.Partition) []view.Partition {
 	now := k.delegated()
 	if k.delegate != nil && !slices.Equal(last, now) {
@@ -97,8 +96,8 @@
 	return now
 }
 
-// CheckCover returns the right to renew task leases on the workers of a covered
-// partition. Orders carry the grant's epoch and its end, and only renew.
+// CheckRenewal returns the authority to renew task leases on the workers of a delegated partition.
+// Orders carry the grant's epoch and its end, and may only renew.
 func (k *Keeper) CheckCover(id int) (Grant, error) {
 	now := uptime.Now()
 	k.mu.Lock()
@@ -118,7 +117,7 @@
 	return Grant{}, result.New(result.NotHolder, result.RanNo, "partition %d is not covered here", id)
 }
 
-// liveCover refuses a grant that has lapsed.
+// checkUnexpired refuses a grant that has expired.
 func checkUnexpired(g Grant, now time.Time) (Grant, error) {
 	if !g.Until.After(now) {
 		return Grant{}, result.New(result.RightLapsed, result.RanNo, "cover of partition %d", g.Partition)
--- a/internal/hold/dump.go
+++ b/internal/hold/dump.go
@@ -7,7 +7,7 @@
 	"pulleyquay/internal/view"
 )
 
-// State is the Keeper's part of the process dump.
+// State is the Manager's part of the process dump.
 type State struct {
 	Self       view.Member      `json:"self"`
 	Membership string           `json:"membership"`
@@ -20,19 +20,19 @@
 	Slots      []SlotState      `json:"slots"`
 	Heard      []HeardState     `json:"heard"`
 	Covered    []int            `json:"covered"`
-	// Fencing lists the dead holders whose partitions this process wants.
+	// Fencing lists the dead holders whose partitions this process is to acquire.
 	Fencing []FencingState `json:"fencing"`
 }
 
-// FencingState is how far the fence of a dead holder has come.
+// FencingState is the progress of fencing a dead holder.
 type FencingState struct {
 	Subject right.Subject `json:"subject"`
-	// Open are the voters that have not answered so that it counts.
+	// Pending are the voters whose replies are still needed.
 	Pending []right.Voter `json:"open"`
 	Done    bool          `json:"done"`
 }
 
-// SlotState is one partition that this process owns or works on.
+// SlotState is one partition that this process owns or has a step running for.
 type SlotState struct {
 	ID      int    `json:"id"`
 	State   string `json:"state"`
@@ -41,7 +41,7 @@
 	Busy    bool   `json:"busy,omitempty"`
 }
 
-// HeardState is what was last heard of a member.
+// HeardState is the last status received from a member.
 type HeardState struct {
 	Status heartbeat.Status `json:"status"`
 	AgeMS  int64            `json:"age_ms"`
--- a/internal/hold/fault_test.go
+++ b/internal/hold/fault_test.go
@@ -9,7 +9,8 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// formed starts a cell of the named members and waits until it has settled.
+// startMembers starts a cell of the named members and waits until each holds partitions and all
+// partitions are held.
 func startMembers(c *testCell, names ...string) {
 	c.t.Helper()
 	for _, name := range names {
@@ -26,7 +27,7 @@
 	time.Sleep(5 * time.Second)
 }
 
-// cutPeers cuts a member from all others, or heals the cut.
+// blockPeers sets whether messages between a member and all others are blocked, by direction.
 func (c *testCell) blockPeers(name string, outbound, inbound bool) {
 	me := c.nodes[name].addr
 	for _, other := range c.nodes {
@@ -45,14 +46,14 @@
 		c.engine.SetFaults(memstore.Faults{Hang: true})
 		for end := time.Now().Add(10 * c.config.Term); time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
-			is.True(c.allHeld()) // every partition's holder may act all the time
+			is.True(c.allHeld()) // every partition's holder may act at any time
 		}
 		c.engine.SetFaults(memstore.Faults{})
 		for end := time.Now().Add(3 * c.config.Term); time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 			is.True(c.allHeld())
 		}
-		is.Equal(c.epochs(), before) // and nothing has moved
+		is.Equal(c.epochs(), before) // and no partition has moved
 	})
 }
 
@@ -74,7 +75,7 @@
 					}
 				}
 				if expired > 0 {
-					c.t.Errorf("not every partition could be acted for at %d looks", expired)
+					c.t.Errorf("not every partition had a holder that may act at %d polls", expired)
 				}
 			})
 		})
@@ -100,7 +101,7 @@
 		startMembers(c, "a", "b", "c")
 		cut := c.nodes["b"]
 		cut.client.SetFaults(memstore.Faults{Hang: true})
-		c.wait(4*c.config.Term, "others hold all", func() bool {
+		c.wait(4*c.config.Term, "the others hold all partitions", func() bool {
 			return len(c.nodes["a"].Held())+len(c.nodes["c"].Held()) == c.config.Partitions
 		})
 		cut.client.SetFaults(memstore.Faults{})
--- a/internal/hold/fence.go
+++ b/internal/hold/fence.go
@@ -12,22 +12,21 @@
 	"pulleyquay/internal/wait"
 )
 
-// FenceRequest asks a voter to promise a member's session no more time.
+// FenceRequest asks a voter to make no more promises to a member's session.
 type FenceRequest struct {
 	Subject right.Subject `cbor:"1,keyasint"`
 	Session uint64        `cbor:"2,keyasint"`
 }
 
-// fencing is the fence of one dead member's session, shared by all partitions
-// that this process wants of it. The Keeper's lock guards it.
+// fencing is the fence of one dead member's session. All partitions that this process wants from
+// that member share it. The Manager's lock guards it.
 type fencing struct {
 	voterRecord platform.Revision
 	answers     *right.Fencing
 	running     bool
 }
 
-// fence starts or goes on asking the electorate of a dead holder. The lock is
-// held.
+// fence starts or continues to ask the voter set of a dead holder. The lock is held.
 func (k *Keeper) fence(ctx context.Context, s right.Subject) {
 	voterRecord := k.cache.voterRecords[s]
 	f := k.fencings[s]
@@ -38,7 +37,7 @@
 		}
 		f = &fencing{voterRecord: voterRecord.Revision, answers: right.NewFencing(k.config.times(), voterSet, uptime.Now())}
 		k.fencings[s] = f
-		k.log.WithField("member", s.Name).WithField("incarnation", s.Incarnation).Info("asking its electorate to fence a dead holder")
+		k.log.WithField("member", s.Name).WithField("incarnation", s.Incarnation).Info("asking the voter set of a dead holder to fence it")
 	}
 	if f.running {
 		return
@@ -55,8 +54,8 @@
 	}()
 }
 
-// askFence asks every open voter once, and waits a little when that was not
-// enough, so that the next round does not follow at once.
+// requestFence asks every pending voter once. If the fence is still incomplete it then waits, so
+// that the next round does not follow immediately.
 func (k *Keeper) requestFence(ctx context.Context, s right.Subject, f *fencing) {
 	k.mu.Lock()
 	open := f.answers.Pending()
--- a/internal/hold/handover.go
+++ b/internal/hold/handover.go
@@ -18,28 +18,28 @@
 	"pulleyquay/internal/wait"
 )
 
-// HandOver is sent to a partition's next holder twice: with the residents'
-// states before the record is moved, and with the moved record after.
+// HandOver is sent to a partition's next holder twice: with the components' states before the
+// record is moved, and with the moved record afterwards.
 type HandOver struct {
 	Partition int `cbor:"1,keyasint"`
-	// Epoch is the one that the next holder will have.
+	// Epoch is the epoch that the next holder will have.
 	Epoch uint64 `cbor:"2,keyasint"`
-	// Incarnation is that of the next holder.
+	// Incarnation is the incarnation of the next holder.
 	Incarnation string            `cbor:"3,keyasint"`
 	States      map[string][]byte `cbor:"4,keyasint,omitempty"`
 	Record      *view.Partition   `cbor:"5,keyasint,omitempty"`
-	// ID names the attempt. The moved record carries it, so that the states of
-	// an attempt that was abandoned are never used.
+	// ID identifies the attempt. The moved record carries it, so that the states of an abandoned
+	// attempt are never used.
 	ID string `cbor:"6,keyasint"`
 }
 
-// HandOverReply tells that the next holder has kept the states.
+// HandOverReply reports whether the next holder has kept the states.
 type HandOverReply struct {
 	Kept bool `cbor:"1,keyasint"`
 }
 
-// handOver releases a partition and moves its record to next, or to nobody when
-// next has no name. When the record does not move, this process goes on.
+// handOver releases a partition and moves its record to next, or clears the holder if next has no
+// name. If the record does not move, this process resumes the partition.
 func (k *Keeper) handOver(ctx context.Context, s *slot, next view.Member, nextMod platform.Revision) {
 	select {
 	case k.handOverLimit <- struct{}{}:
@@ -72,7 +72,7 @@
 		attempt = uuid.NewString()
 		msg := HandOver{Partition: moved.ID, Epoch: moved.Epoch, Incarnation: next.Incarnation, ID: attempt, States: states}
 		if err := k.sendStates(ctx, next, msg); err != nil {
-			k.log.WithError(err).WithFields(logFields(old)).Warn("next holder did not take the state")
+			k.log.WithError(err).WithFields(logFields(old)).Warn("next holder did not accept the state; resuming the partition")
 			k.resume(ctx, s, states)
 			return
 		}
@@ -88,8 +88,8 @@
 	}
 }
 
-// handedOver ends a successful hand-over and tells the next holder, which would
-// otherwise see the record a watch's delay later.
+// completeHandOver ends a successful handover and notifies the next holder, which would otherwise
+// see the record only after the delay of its watch.
 func (k *Keeper) completeHandOver(ctx context.Context, s *slot, next view.Member, rec view.Partition, attempt string) {
 	k.mu.Lock()
 	s.event(eventDrop)
@@ -102,12 +102,12 @@
 	msg := HandOver{Partition: rec.ID, Epoch: rec.Epoch, Incarnation: next.Incarnation, ID: attempt, Record: &rec}
 	var reply HandOverReply
 	if err := k.peers.Call(ctx, next.Addr, peer.KindHandOver, msg, &reply); err != nil {
-		k.log.WithError(err).Debug("next holder will see the record by its watch")
+		k.log.WithError(err).Debug("next holder not notified of the handover; it observes the record through its watch")
 	}
 }
 
-// settleMove finds out whether the record has moved. Writing it anew with the
-// old holder makes a delayed move fail; only then does this process go on.
+// resolveMove finds out whether the record has moved. It writes the record again with the old
+// holder, which makes a delayed move fail; only after that does this process resume the partition.
 func (k *Keeper) resolveMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
 	k.setResolving(s, true)
 	defer k.setResolving(s, false)
@@ -138,7 +138,7 @@
 	}
 }
 
-// setSettling notes whether the outcome of a partition's move is being found out.
+// setResolving sets whether the outcome of a partition's move is being resolved.
 func (k *Keeper) setResolving(s *slot, resolving bool) {
 	k.mu.Lock()
 	s.resolving = resolving
@@ -146,7 +146,7 @@
 	k.wakeDecide()
 }
 
-// resume takes a released partition up again with its own states.
+// resume activates a released partition again with its own states.
 func (k *Keeper) resume(ctx context.Context, s *slot, states map[string][]byte) {
 	k.mu.Lock()
 	s.event(eventResume)
@@ -154,22 +154,22 @@
 	k.activate(ctx, s, states, true, false)
 }
 
-// sleepOut waits until no right given before can be in use.
+// waitForExpiry waits until all authority granted so far has expired.
 func (k *Keeper) waitForExpiry(ctx context.Context) bool {
 	var until time.Time
 	k.session.Right(func(h *right.Holder) { until = h.LatestEnd() })
 	return wait.For(ctx, uptime.Until(until))
 }
 
-// releaseAll ends the residents' work in order and collects their states. It
-// reports false when one of them could not finish: then the next holder gets no
-// states and counts as taking over from a dead one.
+// releaseComponents ends the components' work in order and collects their states. It returns
+// graceful as false if one of them could not finish: the next holder then gets no states and treats
+// the partition as that of a dead holder.
 func (k *Keeper) releaseComponents(ctx context.Context, id int) (states map[string][]byte, graceful bool) {
 	states, graceful = map[string][]byte{}, true
 	for _, r := range k.components {
 		state, err := r.Release(ctx, id)
 		if err != nil {
-			k.log.WithError(err).WithField("resident", r.Name()).WithField("partition", id).Warn("not released in order")
+			k.log.WithError(err).WithField("resident", r.Name()).WithField("partition", id).Warn("component did not release the partition gracefully")
 			graceful = false
 			continue
 		}
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// onHandOver keeps a state that is sent ahead, or takes in the moved record.
+// onHandOver keeps states that are sent in advance, or applies the moved record.
 func (k *Keeper) onHandOver(_ context.Context, msg HandOver) (HandOverReply, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/hold/heartbeats.go
+++ b/internal/hold/heartbeats.go
@@ -12,7 +12,7 @@
 	"pulleyquay/internal/view"
 )
 
-// beatHost is the Keeper as its heartbeats see it.
+// heartbeatHost adapts the Manager to the heartbeat service.
 type heartbeatHost struct{ *Keeper }
 
 // Status implements heartbeat.Host.
@@ -25,8 +25,7 @@
 	}
 }
 
-// storeAge is how long ago the last successful renewal was sent; negative when
-// there was none.
+// storeAge is the time since the last successful renewal was sent; negative if there was none.
 func (k *Keeper) storeAge() time.Duration {
 	at, _ := k.session.Renewed()
 	if at.IsZero() {
@@ -35,8 +34,8 @@
 	return uptime.Since(at)
 }
 
-// Asks implements heartbeat.Host. It asks once the store is not reached as
-// usual, well before the store lease ends.
+// Asks implements heartbeat.Host. It requests promises as soon as renewals are overdue, well before
+// the store lease ends.
 func (b *heartbeatHost) Asks() []heartbeat.Ask {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,14 +58,14 @@
 	return asks
 }
 
-// needsPromises reports whether this process has joined and does not reach the
-// store as usual. The lock is held.
+// needsPromises reports whether this process has joined and its last renewal is overdue. The lock
+// is held.
 func (k *Keeper) needsPromises() bool {
 	_, answers := k.session.Renewed()
 	return k.session.State() != member.StateOutside && (!answers || k.storeAge() > k.config.maxRenewalAge())
 }
 
-// Urgent implements heartbeat.Host: within two beats the right may lapse.
+// Urgent implements heartbeat.Host: the authority may expire within two heartbeats.
 func (b *heartbeatHost) Urgent() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,9 +85,8 @@
 	return b.promise(uptime.Now(), ask)
 }
 
-// promise gives this process's vote unless the store is reached by a majority,
-// which makes promises needless and would only delay a takeover. The lock is
-// held.
+// promise gives this process's vote unless a majority is connected to the store. Promises are not
+// needed then and would only delay a failover. The lock is held.
 func (k *Keeper) promise(now time.Time, ask heartbeat.Ask) bool {
 	if ask.For > k.config.Term || k.storeAvailable() {
 		return false
@@ -113,7 +111,7 @@
 	}
 }
 
-// credit counts a voter's promise. The lock is held.
+// recordPromise counts a voter's promise. The lock is held.
 func (k *Keeper) recordPromise(ask heartbeat.Ask, voter string, sent time.Time) {
 	if ask.Subject == k.memberID() {
 		k.session.Right(func(h *right.Holder) { h.RecordPromise(voter, ask.Session, sent, ask.For) })
@@ -124,8 +122,8 @@
 	}
 }
 
-// Targets implements heartbeat.Host: all members, the own electorate, and the
-// seeds while no member is known.
+// Targets implements heartbeat.Host: all members, this member's voter set, and the seeds while no
+// member is known.
 func (b *heartbeatHost) Targets() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,10 +157,9 @@
 	return len(b.cache.listed) == 0
 }
 
-// storeUp reports whether a majority of the known members reaches the store, as
-// far as this process has heard. It decides nothing about safety: it only keeps
-// promises from being made when they would merely delay a takeover, and
-// claimants from acting while the store comes back. The lock is held.
+// storeAvailable reports whether a majority of the known members is connected to the store,
+// according to their heartbeats. Safety does not depend on it: it only prevents promises that would
+// merely delay a failover, and claims while the store is recovering. The lock is held.
 func (k *Keeper) storeAvailable() bool {
 	var voters []right.Voter
 	k.session.Right(func(h *right.Holder) { voters = h.Electorate().Voters })
@@ -185,7 +182,7 @@
 	return up >= len(voters)/2+1
 }
 
-// heard reports whether the named member's beats come in. The lock is held.
+// reachable reports whether heartbeats of the named member arrive. The lock is held.
 func (k *Keeper) reachable(name string) bool {
 	e, ok := k.cache.members[name]
 	return ok && k.reachableMember(right.Subject{Name: name, Incarnation: e.Member.Incarnation})
@@ -200,8 +197,8 @@
 	return ok && h.Status.Member.Incarnation == s.Incarnation && uptime.Since(h.At) < d
 }
 
-// deputyOf returns who stands in for the named member: by rendezvous hashing
-// over the other members that are heard. The lock is held.
+// delegateFor returns the delegate of the named member, by rendezvous hashing over the other
+// reachable members. The lock is held.
 func (k *Keeper) delegateFor(name string) string {
 	var others []string
 	for other := range k.cache.members {
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -1,5 +1,5 @@
-// Package hold decides which partitions this process holds and proves, at every
-// order, that it still may act for them.
+// Package hold decides which partitions this process holds, and checks before every order that it
+// still has the authority to act for them.
 package hold
 
 import (
@@ -7,49 +7,48 @@
 	"time"
 )
 
-// Grant is the right to act for a partition until a point on this process's
-// monotonic clock. It has to be asked for anew right before each order, and
-// the order carries Until with it.
+// Grant is the authority to act for a partition until a time on this process's monotonic clock. It
+// must be obtained anew immediately before each order, and the order carries Until.
 type Grant struct {
 	Partition int
 	Epoch     uint64
 	Until     time.Time
 }
 
-// Right is asked immediately before every order.
+// Authorizer is asked immediately before every order.
 type Right interface {
-	// Check returns a grant, or a *result.Error with code NotHolder or
-	// RightLapsed when this process may not act for the partition now.
+	// Check returns a grant, or a *result.Error with code NotHolder or RightLapsed if this process
+	// may not act for the partition now.
 	Check(partition int) (Grant, error)
-	// Held lists the partitions this process holds, in ascending order.
+	// Held lists the partitions that this process holds, in ascending order.
 	Held() []int
 }
 
-// Takeover tells a resident how it came to a partition.
+// Acquisition tells a component how this process acquired a partition.
 type Takeover struct {
 	Grant
-	// SignedOff is true when the previous holder handed over in order; State
-	// is then what its resident of the same name returned from Release.
+	// HandedOver is true if the previous holder released the partition gracefully; State is then
+	// the return value of Release of its component of the same name.
 	SignedOff bool
 	State     []byte
-	// Fresh is true when nobody ever held the partition.
+	// NeverHeld is true if the partition has had no holder before.
 	Fresh bool
-	// TakenAt is the wall clock at the takeover: keys minted before it that
+	// AcquiredAt is the wall-clock time of the acquisition: idempotency keys created earlier that
 	// the new holder does not know have an unknown outcome.
 	TakenAt time.Time
 }
 
-// Resident is a part of the placer that lives in partitions: request homes and
-// executors, workers, jobs. Calls for one partition never overlap.
+// Component is a part of the placer that keeps state per partition: requests and executors,
+// workers, jobs. Calls for one partition never overlap.
 type Resident interface {
-	// Name is unique in the process and stable between versions.
+	// Name is unique in the process and stable across versions.
 	Name() string
-	// Acquire starts work for a partition. It may take long; the partition
-	// counts as held from its call on.
+	// Acquire starts work for a partition. It may take long; the partition counts as held from the
+	// time of the call.
 	Acquire(ctx context.Context, t Takeover) error
-	// Release ends work in order: stop taking new work, finish or pack what
-	// is in flight, return the state for the next holder.
+	// Release ends work gracefully: it accepts no new work, finishes or serializes the work in
+	// progress, and returns the state for the next holder.
 	Release(ctx context.Context, partition int) ([]byte, error)
-	// Drop forgets a partition whose right is lost. It must not block.
+	// Drop discards a partition for which the authority is lost. It must not block.
 	Drop(partition int)
 }
--- a/internal/hold/loops.go
+++ b/internal/hold/loops.go
@@ -18,12 +18,12 @@
 	"pulleyquay/internal/view"
 )
 
-// errStaleRead: the store answered with an older state than it had confirmed.
+// errStaleRead: the store returned a state older than one that it had confirmed.
 var errStaleRead = errors.New("hold: stale read")
 
-// checkCount compares the configured number of partitions with the store's and
-// writes it when there is none. A store that does not answer is asked again by
-// the renewal loop before the first claim.
+// checkCount compares the configured number of partitions with the number in the store, and writes
+// it if there is none. If the store does not answer, the renewal loop repeats the check before the
+// first claim.
 func (k *Keeper) checkCount(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.config.Term/2)
 	defer cancel()
@@ -50,14 +50,13 @@
 	k.notReady = notReady
 }
 
-// renewLoop joins, renews the lease, keeps the electorate and joins again when
-// the lease is gone.
+// renewLoop joins, renews the lease, updates the voter set and joins again if the lease is lost.
 func (k *Keeper) renewLoop(ctx context.Context) {
 	retry := k.newBackOff()
 	for ctx.Err() == nil {
 		begun := uptime.Now()
 		err := k.renewOnce(ctx)
-		// A slow answer has used up part of the term: renew the sooner.
+		// A slow reply has used up part of the term: renew earlier.
 		pause := max(k.config.Renew-uptime.Since(begun), k.config.Renew/8)
 		if err != nil {
 			k.metrics.storeErrors.Inc()
@@ -98,8 +97,9 @@
 	}
 }
 
-// keepSession does what a renewed session needs besides: settle a doubt, tell
-// that it leaves, or take new members into the electorate.
+// maintainSession does the remaining work of a renewed session: it confirms the partitions,
+// announces that this member is leaving, resolves an unknown outcome, or adds new members to the
+// voter set.
 func (k *Keeper) maintainSession(ctx context.Context) error {
 	k.mu.Lock()
 	leaving, voters, confirmed := k.leaving, k.cache.voters(), k.confirmed
@@ -124,7 +124,7 @@
 	return k.deleteUnusedRecords(ctx)
 }
 
-// join creates the member key and confirms the partitions that are still ours.
+// join creates the member key and confirms the partitions that this process still holds.
 func (k *Keeper) join(ctx context.Context) error {
 	if k.cachedCount() != k.config.Partitions {
 		if err := k.checkCount(ctx); err != nil {
@@ -164,8 +164,8 @@
 	return append(voters, self)
 }
 
-// confirm reads the partitions after a new session has begun: those whose
-// records are unchanged are held on in the new session.
+// confirm reads the partitions after the start of a session: partitions with unchanged records stay
+// held in the new session.
 func (k *Keeper) confirm(ctx context.Context) error {
 	var session uint64
 	k.session.Right(func(h *right.Holder) { session = h.Session() })
@@ -194,17 +194,18 @@
 	return nil
 }
 
-// stepDown forgets everything because another process has the name. The older
-// process keeps the name while it lives; this one waits for it to end.
+// dropForTakenName drops all partitions because another process has the name. The older process
+// keeps the name as long as it is registered; this one waits until it has ended.
 func (k *Keeper) dropForTakenName(err error) {
 	if len(k.Held()) > 0 {
-		k.log.WithError(err).Error("another process has this member's name: partitions dropped")
+		k.log.WithError(err).Error("another process is registered under this member's name; all partitions dropped")
 	}
 	k.setNotReady(err.Error())
 	k.dropAll()
 }
 
-// watchLoop keeps the mirror of one prefix: list, then watch from there on.
+// watchLoop keeps the cache of one prefix current: it lists the prefix, then watches from that
+// revision on.
 func (k *Keeper) watchLoop(ctx context.Context, prefix string) {
 	retry := k.newBackOff()
 	for ctx.Err() == nil {
@@ -235,7 +236,7 @@
 	k.publish()
 	k.mu.Unlock()
 	if err != nil {
-		k.log.WithError(err).Error("the store holds a record that can not be read")
+		k.log.WithError(err).Error("store record can not be decoded")
 		return err
 	}
 	return k.store.Watch(ctx, prefix, at, func(b platform.Batch) {
@@ -243,15 +244,14 @@
 		defer k.mu.Unlock()
 		for _, c := range b.Changes {
 			if err := k.cache.apply(c); err != nil {
-				k.log.WithError(err).Error("the store holds a record that can not be read")
+				k.log.WithError(err).Error("store record can not be decoded")
 			}
 		}
 		k.publish()
 	})
 }
 
-// publish makes the mirror's state visible and wakes the decision loop. The
-// lock is held.
+// publish makes the cached state visible and wakes the decision loop. The lock is held.
 func (k *Keeper) publish() {
 	k.cache.updateUnregistered(uptime.Now())
 	k.table.Store(k.cache.table())
@@ -259,8 +259,8 @@
 	k.wakeDecide()
 }
 
-// decideLoop looks at every partition when something has changed, and at least
-// once in each heartbeat interval.
+// decideLoop decides on every partition when something has changed, and at least once per heartbeat
+// interval.
 func (k *Keeper) decideLoop(ctx context.Context) {
 	var delegated []view.Partition
 	for ctx.Err() == nil {
--- a/internal/hold/manager.go
+++ b/internal/hold/manager.go
@@ -19,11 +19,11 @@
 	"pulleyquay/internal/view"
 )
 
-// maxMoves is how many partitions are handed over at a time.
+// maxHandOvers is the number of concurrent handovers.
 const maxHandOvers = 8
 
-// Keeper keeps this process's membership and partitions. It is the Right that
-// every order asks.
+// Manager maintains this process's membership and partitions. It is the Authorizer that is asked
+// before every order.
 type Keeper struct {
 	store      platform.Store
 	peers      peer.Caller
@@ -41,27 +41,27 @@
 	decideNow chan struct{} // wakes the decision loop
 	renewNow  chan struct{} // wakes the renewal loop
 	cancel    context.CancelFunc
-	loops     sync.WaitGroup // loops
-	steps     sync.WaitGroup // steps of partitions and fences
+	loops     sync.WaitGroup // all loops
+	steps     sync.WaitGroup // running steps and fences
 	table     atomic.Pointer[view.Table]
-	// changes tells those who wait for a newer table.
+	// changes notifies those that wait for a newer table.
 	changes       view.Broadcast
-	handOverLimit chan struct{} // bounds the hand-overs at a time
+	handOverLimit chan struct{} // limits concurrent handovers
 
 	mu          sync.Mutex
 	cache       *cache
 	slots       []*slot
 	promises    *right.VoterState
 	fencings    map[right.Subject]*fencing
-	unusedSince map[right.Subject]time.Time // charters without use, since when
+	unusedSince map[right.Subject]time.Time // since when each unused voter record has been unused
 	renewals    map[right.Subject]*delegateRenewal
 	leaving     bool
-	// confirmed is the store session in which the mirror's partitions were read.
+	// confirmed is the store session in which the cached partitions were read.
 	confirmed uint64
-	notReady  []string // besides members and settings
+	notReady  []string // reasons besides members and settings
 }
 
-// New returns a Keeper and registers its message kinds in the mux.
+// New returns a Manager and registers its message handlers in the mux.
 func New(d Deps) (*Keeper, error) {
 	if err := d.Config.Check(); err != nil {
 		return nil, err
@@ -96,18 +96,19 @@
 	return k, nil
 }
 
-// AddResident adds a part of the placer that lives in partitions, before Start.
-// Partitions are released in the order of the calls and acquired in reverse.
+// AddComponent adds a component; it must be called before Start. Partitions are released in the
+// order of the calls and acquired in reverse order.
 func (k *Keeper) AddResident(r Resident) { k.components = append(k.components, r) }
 
-// SetDeputy names the part that renews dead members' task leases, before Start.
+// SetDelegate sets the part of the placer that renews dead members' task leases; it must be called
+// before Start.
 func (k *Keeper) SetDeputy(d Deputy) { k.delegate = d }
 
 // Provide adds a value to this process's heartbeats.
 func (k *Keeper) Provide(name string, fn func() any) { k.heartbeats.Provide(name, fn) }
 
-// Extra decodes what a member last provided under the name. This process's own
-// values are not among them.
+// Extra decodes the value that a member last sent under the name. This process's own values are not
+// included.
 func (k *Keeper) Extra(member, name string, into any) (age time.Duration, ok bool) {
 	return k.heartbeats.Extra(member, name, into)
 }
@@ -115,14 +116,14 @@
 // Self returns this process as a member.
 func (k *Keeper) Self() view.Member { return k.session.Self() }
 
-// Table returns the latest members and partitions. Its revision never goes down.
+// Table returns the latest members and partitions. Its revision never decreases.
 func (k *Keeper) Table() *view.Table { return k.table.Load() }
 
 // Changed returns a channel that is closed at the next change of the table.
 func (k *Keeper) Changed() <-chan struct{} { return k.changes.Next() }
 
-// Start checks the number of partitions if the store answers, and starts to
-// join, beat and claim. It returns at once; Lacks tells what is still missing.
+// Start checks the number of partitions if the store answers, and starts to join, send heartbeats
+// and claim. It returns at once; NotReadyReasons lists what is still missing.
 func (k *Keeper) Start(ctx context.Context) error {
 	k.started = uptime.Now()
 	if err := k.checkCount(ctx); err != nil {
@@ -143,9 +144,9 @@
 	return nil
 }
 
-// Stop hands every partition over, leaves the cell and ends all loops. When ctx
-// ends first, or the store is not reached, what is left is finished or dropped
-// and other members take it over as from a dead holder.
+// Stop hands over every partition, leaves the cell and ends all loops. If ctx ends first, or the
+// store is unavailable, the remaining partitions are finished or dropped, and other members take
+// them over as those of a dead holder.
 func (k *Keeper) Stop(ctx context.Context) error {
 	k.mu.Lock()
 	k.leaving = true
@@ -159,8 +160,8 @@
 	k.loops.Wait()
 	k.steps.Wait()
 	if err != nil {
-		// The member key stays until its lease ends: orders that were given
-		// may still be on their way under it.
+		// The member key stays until its lease ends: orders already sent under it may still be in
+		// transit.
 		k.dropAll()
 		return err
 	}
@@ -202,8 +203,7 @@
 	return k.canMove()
 }
 
-// finishInPlace lets the residents finish what is in flight when there is no
-// way to hand over.
+// releaseInPlace lets the components finish the work in progress when a handover is not possible.
 func (k *Keeper) releaseInPlace(ctx context.Context) {
 	var finished sync.WaitGroup
 	k.mu.Lock()
@@ -227,7 +227,7 @@
 	finished.Wait()
 }
 
-// idle reports whether no partition is owned and no step is on its way.
+// idle reports whether this process owns no partition and has no step running.
 func (k *Keeper) idle() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -239,7 +239,7 @@
 	return true
 }
 
-// Check implements Right.
+// Check implements Authorizer.
 func (k *Keeper) Check(id int) (Grant, error) {
 	now := uptime.Now()
 	k.mu.Lock()
@@ -256,28 +256,28 @@
 	return grant.onGoClock(now), nil
 }
 
-// usable is the grant with its end by the clock of those who use it. Here it is by one that
-// counts suspensions of the machine: by the steady clock alone a process that was suspended
-// for seconds would act on beside its successor.
+// onGoClock returns the grant with its end converted to the clock of its users. Inside this package
+// times come from a clock that counts suspensions of the machine: by the monotonic clock alone a
+// process that was suspended for seconds would continue to act beside its successor.
 func (g Grant) onGoClock(now time.Time) Grant {
 	g.Until = time.Now().Add(g.Until.Sub(now))
 	return g
 }
 
-// grantNow is the right for a slot as those use it who hold the partition. The lock is held.
+// currentGrant returns the grant for a slot on the clock of its users. The lock is held.
 func (k *Keeper) currentGrant(s *slot) Grant {
 	now := uptime.Now()
 	return k.grant(now, s).onGoClock(now)
 }
 
-// grant works out the right for a slot. The lock is held.
+// grant computes the authority over a slot's partition. The lock is held.
 func (k *Keeper) grant(now time.Time, s *slot) Grant {
 	g := Grant{Partition: s.id, Epoch: s.record.Epoch}
 	k.session.Right(func(h *right.Holder) { g.Until = h.Until(now, s.session) })
 	return g
 }
 
-// Held implements Right.
+// Held implements Authorizer.
 func (k *Keeper) Held() []int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -290,7 +290,7 @@
 	return out
 }
 
-// Lacks lists what this process still misses to do its full work, for /readyz.
+// NotReadyReasons lists what this process still lacks for full operation, for /readyz.
 func (k *Keeper) Lacks() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/hold/manager_test.go
+++ b/internal/hold/manager_test.go
@@ -60,7 +60,7 @@
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
 		a, b := c.start("a"), c.start("b")
-		c.wait(20*time.Second, "shared", func() bool { return c.allHeld() && len(b.Held()) > 0 && len(a.Held()) > 0 })
+		c.wait(20*time.Second, "both hold partitions", func() bool { return c.allHeld() && len(b.Held()) > 0 && len(a.Held()) > 0 })
 		moved := b.Held()
 		is.NoErr(b.Stop(context.Background()))
 		b.stopUsing()
--- a/internal/hold/measure_test.go
+++ b/internal/hold/measure_test.go
@@ -15,9 +15,9 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// These tests print the figures of docs/HOLDING.md with -v and hold them to
-// bounds. Time is the bubble's: a peer message takes 1 ms each way, a call to
-// the store 2 ms each way, and computing takes none.
+// These tests print the figures of docs/HOLDING.md with -v and check them against bounds. Time is
+// the bubble's: a peer message takes 1 ms each way, a call to the store 2 ms each way, and
+// computation takes none.
 
 var measuredStore = memstore.Faults{RequestDelayMS: 2, AnswerDelayMS: 2}
 
@@ -54,7 +54,7 @@
 				before, rest := c.storeCalls(), 20*time.Second
 				time.Sleep(rest)
 				perMember := float64(c.storeCalls()-before) / rest.Seconds() / float64(tt.members)
-				c.t.Logf("%.2f store calls a second and member", perMember)
+				c.t.Logf("%.2f store calls per second and member", perMember)
 				if perMember > 1.5 {
 					c.t.Errorf("more than the lease renewals: %.2f", perMember)
 				}
@@ -63,7 +63,7 @@
 	}
 }
 
-// takeoverRuns is how many kills the takeover figures are taken from.
+// takeoverRuns is the number of kills from which the failover figures are taken.
 const takeoverRuns = 3
 
 func TestTakeoverOfAWholeHost(t *testing.T) {
@@ -93,11 +93,11 @@
 			}
 			slices.Sort(first)
 			slices.Sort(all)
-			t.Logf("first claim median %v worst %v, all median %v worst %v after the death; %.1f store calls a takeover of %.1f partitions",
+			t.Logf("first claim median %v worst %v, all median %v worst %v after the kill; %.1f store calls per failover of %.1f partitions",
 				first[len(first)/2], first[len(first)-1], all[len(all)/2], all[len(all)-1],
 				float64(calls)/takeoverRuns, float64(moved)/takeoverRuns)
 			if worst := all[len(all)-1]; worst > config.Term+time.Second {
-				t.Errorf("takeover took %v", worst)
+				t.Errorf("failover took %v", worst)
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 			time.Sleep(10 * c.config.Term)
 			c.engine.SetFaults(measuredStore)
 			begun := time.Now()
-			back = append(back, c.wait(4*time.Second, "all members back", func() bool {
+			back = append(back, c.wait(4*time.Second, "all members registered again", func() bool {
 				for _, n := range c.nodes {
 					if age := n.storeAge(); n.session.State() != "joined" || age > time.Since(begun) || len(n.Table().Members) != 7 {
 						return false
@@ -157,10 +157,10 @@
 		})
 	}
 	slices.Sort(back)
-	t.Logf("all members back in the store, each seeing all: median %v worst %v", back[len(back)/2], back[len(back)-1])
+	t.Logf("all members registered again, each observing all: median %v worst %v", back[len(back)/2], back[len(back)-1])
 }
 
-// BenchmarkCheck is the cost that each order pays.
+// BenchmarkCheck measures the cost of the check before each order.
 func BenchmarkCheck(b *testing.B) {
 	c := newTestCell(b, DefaultConfig())
 	defer c.close()
@@ -181,7 +181,7 @@
 	}
 }
 
-// BenchmarkHeartbeat is one beat without extras, encoded, answered and decoded.
+// BenchmarkHeartbeat measures one heartbeat without extras: encoded, answered and decoded.
 func BenchmarkHeartbeat(b *testing.B) {
 	c := newTestCell(b, DefaultConfig())
 	n := c.build("a", "a:1")
--- a/internal/hold/metrics.go
+++ b/internal/hold/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics counts what holding does.
+// metrics are the metrics of partition ownership.
 type metrics struct {
 	held          prometheus.Gauge
 	claims        prometheus.Counter
--- a/internal/hold/outage_test.go
+++ b/internal/hold/outage_test.go
@@ -14,7 +14,7 @@
 	"pulleyquay/internal/view"
 )
 
-// coverRecorder is a Deputy that remembers what it was told.
+// delegateRecorder is a Delegate that records its last list of partitions.
 type delegateRecorder struct {
 	mu   sync.Mutex
 	list []view.Partition
@@ -47,7 +47,7 @@
 		c.kill(c.nodes["b"])
 
 		var delegate *node
-		c.wait(2*c.config.Term, "somebody covers", func() bool {
+		c.wait(2*c.config.Term, "a delegate renews", func() bool {
 			for name, n := range c.nodes {
 				if len(delegates[name].delegated()) == len(dead) {
 					delegate = n
@@ -55,20 +55,20 @@
 			}
 			return delegate != nil
 		})
-		c.wait(c.config.Term, "the cover is promised", func() bool {
+		c.wait(c.config.Term, "renewal is promised", func() bool {
 			_, err := delegate.CheckCover(dead[0])
 			return err == nil
 		})
 		grant, err := delegate.CheckCover(dead[0])
 		is.NoErr(err)
-		is.Equal(grant.Epoch, delegate.Table().Partitions[dead[0]].Epoch)            // the dead holder's own
-		is.Equal(len(delegates["a"].delegated())*len(delegates["c"].delegated()), 0) // one deputy
+		is.Equal(grant.Epoch, delegate.Table().Partitions[dead[0]].Epoch)            // the dead holder's epoch
+		is.Equal(len(delegates["a"].delegated())*len(delegates["c"].delegated()), 0) // a single delegate
 		_, err = delegate.Check(dead[0])
 		is.Equal(result.CodeOf(err), result.NotHolder) // renewing is not holding
 
 		c.engine.SetFaults(memstore.Faults{})
 		c.waitAllHeld(recoveryTerms * c.config.Term)
-		is.True(time.Now().After(grant.Until)) // the claim waited for the cover's end
+		is.True(time.Now().After(grant.Until)) // the claim waited until the delegate's authority had expired
 		is.Equal(len(delegates[delegate.name].delegated()), 0)
 	})
 }
@@ -91,7 +91,7 @@
 		is.True(strings.Contains(notReady, "those of a peer are in use"))
 		is.True(strings.Contains(notReady, "number of partitions"))
 		c.engine.SetFaults(memstore.Faults{})
-		c.wait(4*time.Second, "d has joined and lacks nothing", func() bool { return len(d.Lacks()) == 0 })
+		c.wait(4*time.Second, "d has joined and is ready", func() bool { return len(d.Lacks()) == 0 })
 		c.wait(2*c.config.Term, "d has a share", func() bool { return len(d.Held()) > 0 && c.allHeld() })
 	})
 }
@@ -147,9 +147,9 @@
 	})
 }
 
-// TestStateOfAnAbandonedHandOverIsNotUsed: the states were sent, the record did
-// not move, the old holder went on and died; the claim has the same epoch that
-// the hand-over would have had.
+// TestStateOfAnAbandonedHandOverIsNotUsed: the states were sent, but the record did not move, and
+// the old holder resumed the partition and died. The claim then has the epoch that the handover
+// would have had.
 func TestStateOfAnAbandonedHandOverIsNotUsed(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
@@ -189,14 +189,14 @@
 		s.busy = false
 		b.mu.Unlock()
 		_, err := b.Check(id)
-		is.NoErr(err) // nothing was sent: it goes on at once
+		is.NoErr(err) // nothing was sent to the store: the partition is resumed at once
 		c.engine.SetFaults(memstore.Faults{})
 	})
 }
 
-// TestHandOverOfUnknownOutcomeIsCovered: the store goes away in the moment in
-// which a hand-over is written. Until its outcome is known nobody may decide for
-// the partition, but its task leases have to be renewed.
+// TestHandOverOfUnknownOutcomeKeepsTaskLeasesRenewed: the store becomes unavailable while a
+// handover is written. Until the outcome is known no process may act for the partition, but its
+// task leases must be renewed.
 func TestHandOverOfUnknownOutcomeKeepsTaskLeasesRenewed(t *testing.T) {
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
@@ -223,21 +223,21 @@
 			b.mu.Unlock()
 			close(done)
 		}()
-		c.wait(4*c.config.Term, "the partition is covered by its own holder", func() bool {
+		c.wait(4*c.config.Term, "the holder renews its own partition", func() bool {
 			return len(delegates["b"].delegated()) == 1
 		})
-		for range 10 { // the outage goes on
+		for range 10 { // the outage continues
 			time.Sleep(c.config.Term)
 			grant, err := b.CheckCover(id)
 			is.NoErr(err)
 			is.Equal(grant.Epoch, epoch)
 			_, err = b.Check(id)
-			is.Equal(result.CodeOf(err), result.NotHolder) // it decides nothing
+			is.Equal(result.CodeOf(err), result.NotHolder) // it has no authority to act
 		}
 		c.engine.SetFaults(memstore.Faults{})
 		<-done
 		c.waitAllHeld(recoveryTerms * c.config.Term)
-		c.wait(c.config.Term, "the cover ends", func() bool { return len(delegates["b"].delegated()) == 0 })
+		c.wait(c.config.Term, "the renewal ends", func() bool { return len(delegates["b"].delegated()) == 0 })
 	})
 }
 
@@ -256,7 +256,7 @@
 			c.replace("b")
 			c.waitAllHeld(recoveryTerms * c.config.Term)
 		}
-		c.wait(2*unusedTerms*c.config.Term, "only the living have charters", func() bool {
+		c.wait(2*unusedTerms*c.config.Term, "only registered members have voter records", func() bool {
 			a := c.nodes["a"]
 			a.mu.Lock()
 			defer a.mu.Unlock()
@@ -296,7 +296,7 @@
 		is.Equal(older.Held(), held)
 		c.kill(older)
 		c.nodes["b"] = later
-		c.wait(recoveryTerms*c.config.Term, "the later one has joined and a share", func() bool {
+		c.wait(recoveryTerms*c.config.Term, "the later process has joined and has a share", func() bool {
 			return len(later.Held()) > 0 && c.allHeld()
 		})
 	})
--- a/internal/hold/report.go
+++ b/internal/hold/report.go
@@ -6,14 +6,12 @@
 	"pulleyquay/internal/uptime"
 )
 
-// PartitionKey returns the key of a partition's record in the store. A write
-// conditioned on that record's revision is refused once the partition has
-// another holder.
+// PartitionKey returns the key of a partition's record in the store. A write conditioned on that
+// record's revision is refused once the partition has another holder.
 func PartitionKey(id int) string { return partitionKey(id) }
 
-// Applied returns the settings revision that each live member said it has in
-// force, this process's own included. A member that was never heard counts as
-// having none.
+// SettingsRevisions returns the settings revision that each registered member has reported as in
+// force, including this process. A member that has not reported counts as having none.
 func (k *Keeper) Applied() map[string]int64 {
 	applied := map[string]int64{}
 	for _, m := range k.Table().Members {
@@ -26,16 +24,16 @@
 	return applied
 }
 
-// StoreUp reports whether a majority of the members reaches the store, as far
-// as this process has heard.
+// StoreAvailable reports whether a majority of the members is connected to the store, according to
+// their heartbeats.
 func (k *Keeper) StoreUp() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.storeAvailable()
 }
 
-// StoreAge returns how long ago the last successful renewal was sent to the
-// store, or how long this process has run when there was none.
+// StoreAge returns the time since the last successful renewal was sent to the store, or since the
+// start of this process if there was none.
 func (k *Keeper) StoreAge() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/hold/slot.go
+++ b/internal/hold/slot.go
@@ -11,10 +11,10 @@
 // States of a partition in this process.
 const (
 	stateFree      = "free"
-	stateAcquiring = "acquiring" // residents take it up; orders are allowed
+	stateAcquiring = "acquiring" // components start their work; orders are allowed
 	stateHeld      = "held"
-	stateReleasing = "releasing" // residents end their work; orders are allowed
-	stateReleased  = "released"  // nobody acts until the record has moved
+	stateReleasing = "releasing" // components end their work; orders are allowed
+	stateReleased  = "released"  // no process acts until the record has moved
 )
 
 const (
@@ -26,7 +26,7 @@
 	eventDrop     = "drop"
 )
 
-// slot is one partition as this process knows it. The Keeper's lock guards it.
+// slot is the state of one partition in this process. The Manager's lock guards it.
 type slot struct {
 	id      int
 	machine *fsm.FSM
@@ -34,13 +34,13 @@
 	record view.Partition
 	// session is the store session that last confirmed the record.
 	session uint64
-	// busy is true while a goroutine carries out a step for the partition.
+	// busy is true while a goroutine executes a step for the partition.
 	busy bool
-	// cancel ends a running Acquire when the partition is lost meanwhile.
+	// cancel ends a running Acquire if the partition is lost meanwhile.
 	cancel context.CancelFunc
-	// inbox is a state that the previous holder has sent ahead.
+	// receivedState is the state that the previous holder has sent in advance.
 	receivedState *HandOver
-	// settling is true while the outcome of a hand-over is being found out.
+	// resolving is true while the outcome of a handover is being resolved.
 	resolving bool
 }
 
@@ -55,11 +55,11 @@
 	}, fsm.Callbacks{})}
 }
 
-// event moves the state machine; an event that does not fit is a mistake in
-// the program and leaves the state.
+// event advances the state machine; an event that is invalid in the current state is a programming
+// error and has no effect.
 func (s *slot) event(name string) { _ = s.machine.Event(context.Background(), name) }
 
-// owned is true from the acquisition to the loss or the hand-over.
+// owned is true from the acquisition until the partition is dropped or handed over.
 func (s *slot) owned() bool { return s.machine.Current() != stateFree }
 
 // acts reports whether orders are allowed as far as this process knows.
--- a/internal/hold/steps.go
+++ b/internal/hold/steps.go
@@ -16,7 +16,7 @@
 	"pulleyquay/internal/wait"
 )
 
-// decideAll starts the next step of every partition that has none on its way.
+// decideAll starts the next step of every partition that has no step running.
 func (k *Keeper) decideAll(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -36,7 +36,7 @@
 	k.metrics.held.Set(float64(k.countHeld()))
 }
 
-// begin starts a step in a goroutine of its own. The lock is held.
+// begin starts a step in its own goroutine. The lock is held.
 func (k *Keeper) begin(ctx context.Context, s *slot, next step, to string, rec view.Partition) {
 	var run func()
 	switch next {
@@ -71,7 +71,7 @@
 	}()
 }
 
-// cell gathers what decisions are made from. The lock is held.
+// decisionInput collects the input of the decisions. The lock is held.
 func (k *Keeper) decisionInput() decisionInput {
 	return decisionInput{
 		self: k.memberID(), leaving: k.leaving, canMove: k.canMove(), eligible: k.eligible(),
@@ -83,8 +83,8 @@
 	}
 }
 
-// mayFence applies the rule of patience to a holder without a key. A process
-// that has just started has not heard anybody yet and waits. The lock is held.
+// mayFence applies the grace period to a holder without a member key. A process that has just
+// started has not received any heartbeat yet and waits. The lock is held.
 func (k *Keeper) mayFence(s right.Subject) bool {
 	if uptime.Since(k.started) < 2*k.config.Suspect {
 		return false
@@ -92,9 +92,9 @@
 	return mayFence(k.reachableMember(s), k.storeAvailable(), uptime.Since(k.cache.unregistered[s]), k.config.Term)
 }
 
-// eligible lists the members that partitions may go to: those with a key that
-// do not leave, and holders that may only be slow to come back after an outage.
-// Counting the latter keeps partitions from moving twice. The lock is held.
+// eligible lists the members that may receive partitions: registered members that are not leaving,
+// and holders that may merely be late to register after an outage. Counting the latter keeps
+// partitions from moving twice. The lock is held.
 func (k *Keeper) eligible() []string {
 	out := k.cache.remaining()
 	for s := range k.cache.unregistered {
@@ -106,7 +106,7 @@
 	return slices.Compact(out)
 }
 
-// canMove reports whether the store is reached and the session confirmed.
+// canMove reports whether this process is connected to the store and its session is confirmed.
 func (k *Keeper) canMove() bool {
 	_, answers := k.session.Renewed()
 	age := k.storeAge()
@@ -123,8 +123,8 @@
 	return n
 }
 
-// claim writes this process into the record of a partition that nobody may act
-// for: never held, signed off, or held by a fenced member.
+// claim writes this process into the record of a partition for which no process has authority: it
+// was never held, was released, or its holder is fenced.
 func (k *Keeper) claim(ctx context.Context, s *slot, old view.Partition, recordRevision platform.Revision) {
 	if !wait.For(ctx, rand.N(k.config.Spread+1)) {
 		return
@@ -155,12 +155,11 @@
 }
 
 // errMoved: the record or one of the members was not as expected.
-var errMoved = errors.New("hold: conditions of the record's move failed")
+var errMoved = errors.New("hold: partition record or a member changed; move not applied")
 
-// writeRecord moves a partition's record when the conditions hold. A lost
-// answer is settled by the watch or by the next attempt, which fails on the
-// revision when this one took effect. After platform.ErrUnavailable and
-// errMoved it certainly did not.
+// writeRecord moves a partition's record if the conditions hold. If the reply is lost, the watch
+// resolves the outcome, or the next attempt does: it fails on the revision if this one took effect.
+// After platform.ErrUnavailable and errMoved the write certainly had no effect.
 func (k *Keeper) writeRecord(ctx context.Context, next record, conditions []platform.Condition) (view.Partition, error) {
 	change := next.change()
 	callCtx, cancel := context.WithTimeout(ctx, k.config.Term)
@@ -188,14 +187,13 @@
 	return next.Partition, nil
 }
 
-// takeFound brings the mirror up to date with what a refused transaction found.
-// The lock is held.
+// applyFound updates the cache with what a refused transaction found. The lock is held.
 func (k *Keeper) applyFound(conditions []platform.Condition, reply platform.TxnReply) {
 	found := map[string]bool{}
 	for _, rec := range reply.Found {
 		found[rec.Key] = true
 		if err := k.cache.apply(platform.Change{Record: rec}); err != nil {
-			k.log.WithError(err).Error("the store holds a record that can not be read")
+			k.log.WithError(err).Error("store record can not be decoded")
 		}
 	}
 	for _, c := range conditions {
@@ -206,7 +204,7 @@
 	k.publish()
 }
 
-// acquire takes up a partition whose record names this process.
+// acquire activates a partition whose record names this process.
 func (k *Keeper) acquire(ctx context.Context, s *slot, rec view.Partition, neverHeld bool) {
 	k.mu.Lock()
 	s.event(eventAcquire)
@@ -224,9 +222,9 @@
 	k.activate(ctx, s, nil, false, neverHeld)
 }
 
-// takeUp lets the residents start work for a partition in state acquiring. The
-// record counts for the confirmed session only while the mirror still shows it:
-// the mirror was read after that session began.
+// activate lets the components start work for a partition in state acquiring. The record counts for
+// the confirmed session only while the cache still contains it: the cache was read after that
+// session began.
 func (k *Keeper) activate(ctx context.Context, s *slot, states map[string][]byte, handedOver, neverHeld bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -244,19 +242,19 @@
 	k.mu.Unlock()
 }
 
-// acquireAll calls the residents in reverse order of their release.
+// acquireComponents calls the components in reverse order of their release.
 func (k *Keeper) acquireComponents(ctx context.Context, t Takeover, states map[string][]byte) {
 	for i := len(k.components) - 1; i >= 0; i-- {
 		r := k.components[i]
 		t.State = states[r.Name()]
 		if err := r.Acquire(ctx, t); err != nil && ctx.Err() == nil {
 			k.log.WithError(err).WithFields(logFields(view.Partition{ID: t.Partition, Epoch: t.Epoch})).
-				WithField("resident", r.Name()).Error("partition not taken up")
+				WithField("resident", r.Name()).Error("component failed to acquire the partition")
 		}
 	}
 }
 
-// drop lets the residents forget a partition that another member holds.
+// drop lets the components discard a partition that another member holds.
 func (k *Keeper) drop(s *slot) {
 	k.mu.Lock()
 	if !s.owned() {
@@ -273,7 +271,7 @@
 	k.log.WithFields(logFields(lost)).Warn("partition lost")
 }
 
-// dropAll forgets every partition, waiting for none.
+// dropAll drops all partitions that have no step running, without waiting for the other steps.
 func (k *Keeper) dropAll() {
 	k.mu.Lock()
 	var owned []*slot
--- a/internal/hold/suspended_test.go
+++ b/internal/hold/suspended_test.go
@@ -11,9 +11,9 @@
 	"pulleyquay/internal/uptime"
 )
 
-// TestSuspendedHolderHasNoRight: the right to act is over for everybody else while a
-// machine is suspended. When it woke, the steady clock had stood still, and the right was
-// held for valid until the rest of its term had passed.
+// TestSuspendedHolderHasNoAuthority guards against authority that outlasts a suspension of the
+// machine. For all other processes it expires meanwhile, but the monotonic clock stands still:
+// after the wake-up, the authority was considered valid for the rest of its term.
 func TestSuspendedHolderHasNoAuthority(t *testing.T) {
 	var suspended atomic.Int64
 	defer uptime.Use(func() time.Duration { return time.Duration(suspended.Load()) })()
@@ -40,7 +40,7 @@
 			for _, id := range n.Held() {
 				grant, err := n.Check(id)
 				is.NoErr(err)
-				is.True(time.Until(grant.Until) <= c.config.Term) // by the clock of those who use it
+				is.True(time.Until(grant.Until) <= c.config.Term) // on the clock of the grant's users
 			}
 		}
 	})
--- a/internal/hold/sweep.go
+++ b/internal/hold/sweep.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// sweepMax bounds the charters deleted by one call to the store.
+	// maxRecordDeletes bounds the voter records deleted by one call to the store.
 	maxRecordDeletes = 16
-	// sweepTerms is for how many terms a charter has to be without use.
+	// unusedTerms is the number of terms for which a voter record must have been unused.
 	unusedTerms = 10
 )
 
-// sweep forgets what is known of incarnations that are over and hold nothing.
-// One member deletes their charters from the store, so that these do not pile
-// up with every start of a process.
+// deleteUnusedRecords discards what is known of incarnations that have ended and hold nothing. One
+// member deletes their voter records from the store, so that these do not accumulate with every
+// start of a process.
 func (k *Keeper) deleteUnusedRecords(ctx context.Context) error {
 	k.mu.Lock()
 	used := k.usedMembers()
@@ -46,8 +46,7 @@
 	return err
 }
 
-// usedSubjects are the incarnations that live or hold a partition. The lock is
-// held.
+// usedMembers are the incarnations that are registered or hold a partition. The lock is held.
 func (k *Keeper) usedMembers() map[right.Subject]bool {
 	used := map[right.Subject]bool{k.memberID(): true}
 	for _, e := range k.cache.members {
@@ -59,9 +58,9 @@
 	return used
 }
 
-// sweepTxn deletes charters that have long been without use, if that is this
-// member's task. Its conditions fail when one of their members has come back:
-// that writes the charter. The lock is held.
+// deleteUnusedTxn deletes voter records that have been unused for long, if this member is
+// responsible for it. Its conditions fail if one of their members has registered again, since that
+// writes the voter record. The lock is held.
 func (k *Keeper) deleteUnusedTxn(now time.Time) platform.Txn {
 	var txn platform.Txn
 	remaining := k.cache.remaining()
--- a/internal/hold/table_test.go
+++ b/internal/hold/table_test.go
@@ -13,8 +13,7 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// fault is something that goes wrong in a cell of a, b and c. The cell is
-// healed afterwards.
+// fault is a failure in a cell of a, b and c. The cell is repaired afterwards.
 type fault struct {
 	name string
 	do   func(c *testCell, term time.Duration)
@@ -29,12 +28,12 @@
 var faultTable = []fault{
 	{"holder killed", func(c *testCell, _ time.Duration) { c.kill(c.nodes["b"]) }},
 	{"holder killed and replaced at its address", func(c *testCell, _ time.Duration) { c.replace("b") }},
-	{"holder stopped for four terms and resumed", func(c *testCell, term time.Duration) {
+	{"holder paused for four terms and resumed", func(c *testCell, term time.Duration) {
 		c.nodes["b"].gate.pause()
 		time.Sleep(4 * term)
 		c.nodes["b"].gate.resume()
 	}},
-	{"holder stopped while the store is down, resumed after", func(c *testCell, term time.Duration) {
+	{"holder paused while the store is unavailable, resumed after", func(c *testCell, term time.Duration) {
 		c.engine.SetFaults(hanging)
 		time.Sleep(term)
 		c.nodes["b"].gate.pause()
@@ -43,30 +42,30 @@
 		time.Sleep(4 * term)
 		c.nodes["b"].gate.resume()
 	}},
-	{"cut from the store", func(c *testCell, term time.Duration) {
+	{"disconnected from the store", func(c *testCell, term time.Duration) {
 		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
-	{"cut from its peers", func(c *testCell, term time.Duration) {
+	{"disconnected from its peers", func(c *testCell, term time.Duration) {
 		c.blockPeers("b", true, true)
 		time.Sleep(4 * term)
 	}},
-	{"cut from both", func(c *testCell, term time.Duration) {
+	{"disconnected from both", func(c *testCell, term time.Duration) {
 		c.blockPeers("b", true, true)
 		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
-	{"cut from its peers one way, out", func(c *testCell, term time.Duration) {
+	{"disconnected from its peers, outbound only", func(c *testCell, term time.Duration) {
 		c.blockPeers("b", true, false)
 		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
-	{"cut from its peers one way, in", func(c *testCell, term time.Duration) {
+	{"disconnected from its peers, inbound only", func(c *testCell, term time.Duration) {
 		c.blockPeers("b", false, true)
 		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
-	{"cut from both in an outage", func(c *testCell, term time.Duration) {
+	{"disconnected from both in an outage", func(c *testCell, term time.Duration) {
 		c.engine.SetFaults(hanging)
 		time.Sleep(term)
 		c.blockPeers("b", true, true)
@@ -85,7 +84,7 @@
 		c.nodes["c"].gate.resume()
 		time.Sleep(4 * term)
 	}},
-	{"store back for one member first", func(c *testCell, term time.Duration) {
+	{"store available to one member first", func(c *testCell, term time.Duration) {
 		c.engine.SetFaults(hanging)
 		time.Sleep(3 * term)
 		c.nodes["b"].client.SetFaults(hanging)
@@ -101,7 +100,7 @@
 			time.Sleep(term / 4)
 		}
 	}},
-	{"answers of claims lost", func(c *testCell, term time.Duration) {
+	{"replies to claims lost", func(c *testCell, term time.Duration) {
 		c.nodes["a"].client.SetFaults(memstore.Faults{LoseAnswers: 5})
 		c.nodes["c"].client.SetFaults(memstore.Faults{LoseAnswers: 5})
 		c.kill(c.nodes["b"])
@@ -141,7 +140,7 @@
 	c.start(name)
 }
 
-// heal ends every fault.
+// repair ends all injected faults.
 func (c *testCell) repair() {
 	c.engine.SetFaults(healthy)
 	c.net.repair()
@@ -153,9 +152,9 @@
 	}
 }
 
-// healLimit is how many terms a healed cell may take until every partition has
-// a holder that may act: the death of a member is known after one, a
-// replacement's vote counts after another.
+// recoveryTerms is the number of terms that a repaired cell may take until every partition has a
+// holder that may act: the death of a member is known after one term, the vote of its replacement
+// counts after another.
 const recoveryTerms = 5
 
 func TestFaultsNeverMakeTwoHoldersAndCellRecovers(t *testing.T) {
@@ -168,9 +167,9 @@
 				took := c.waitAllHeld(recoveryTerms * c.config.Term)
 				time.Sleep(2 * c.config.Term)
 				if !c.allHeld() {
-					c.t.Errorf("does not stay settled\n%s", c.describe())
+					c.t.Errorf("not every partition stays held\n%s", c.describe())
 				}
-				c.t.Logf("all partitions held %v after the fault's end", took)
+				c.t.Logf("all partitions held %v after the repair", took)
 			})
 		})
 	}
@@ -179,8 +178,8 @@
 // scriptSteps is the length of a random script.
 const scriptSteps = 12
 
-// TestRandomFaultsNeverMakeTwoHoldersAndHeal strings faults of the table
-// together, each begun before the one before has healed.
+// TestRandomFaultsNeverMakeTwoHoldersAndCellRecovers combines random faults; each begins before the
+// cell has recovered from the previous one.
 func TestRandomFaultsNeverMakeTwoHoldersAndCellRecovers(t *testing.T) {
 	config := testConfig()
 	config.Partitions = 8
@@ -207,7 +206,7 @@
 			}
 			violations = c.checker.violations()
 			if !poll(2*recoveryTerms*c.config.Term, c.allHeld) {
-				violations = append(violations, "does not heal:\n"+c.describe())
+				violations = append(violations, "does not recover:\n"+c.describe())
 			}
 		})
 		if len(violations) > 0 {
@@ -216,7 +215,7 @@
 	})
 }
 
-// scriptStep is one fault, or the end of one, and how long to wait after it.
+// scriptStep is one fault, or the end of one, and the delay after it.
 type scriptStep struct {
 	kind  int
 	name  string
@@ -255,7 +254,7 @@
 		c.blockPeers(s.name, true, true)
 	case s.kind == 12:
 		ctx, cancel := context.WithTimeout(context.Background(), s.delay)
-		_ = n.Stop(ctx) // cut short more often than not
+		_ = n.Stop(ctx) // usually ends before all partitions are handed over
 		cancel()
 		c.kill(n)
 	case s.kind == 13:
@@ -267,7 +266,7 @@
 	time.Sleep(s.delay)
 }
 
-// TestRefereeCatchesSkippedExpiry plants the fault that the referee is for.
+// TestCheckerDetectsIgnoredExpiry injects the fault that the checker must detect.
 func TestCheckerDetectsIgnoredExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestCell(t, testConfig())
@@ -278,7 +277,7 @@
 		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * c.config.Term)
 		if len(c.checker.violations()) == 0 {
-			t.Fatal("a holder that acts without a right was not noticed")
+			t.Fatal("a holder that acts without authority was not detected")
 		}
 	})
 }
--- a/internal/right/blocking_test.go
+++ b/internal/right/blocking_test.go
@@ -10,13 +10,13 @@
 func TestBlockingMeetsEveryMajority(t *testing.T) {
 	is := is.New(t)
 	for n := 1; n <= 16; n++ {
-		is.True(blockingSize(n)+majority(n) > n)    // they share a voter
-		is.True(blockingSize(n)+majority(n)-1 <= n) // one fewer would not
+		is.True(blockingSize(n)+majority(n) > n)    // both sets share a voter
+		is.True(blockingSize(n)+majority(n)-1 <= n) // a smaller set need not share one
 	}
 }
 
-// TestSurvivorOfTwoFences failed while a fence took a majority: of two voters
-// that is both, and one is the dead member itself.
+// TestSurvivorOfTwoFences guards against a fence that requires a majority: of two voters that is
+// both, and one of them is the dead member itself.
 func TestSurvivorOfTwoFences(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
--- a/internal/right/fence.go
+++ b/internal/right/fence.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// FenceAnswer is what a process says when asked to fence a session.
+// FenceAnswer is a voter's reply to a request to fence a session.
 type FenceAnswer struct {
-	// Incarnation is that of the process that answers.
+	// Incarnation is the incarnation of the replying process.
 	Incarnation string `cbor:"1,keyasint"`
-	// Remaining is how long its promises still run; the fence counts at zero.
+	// Remaining is the time until the voter's last promise expires; the fence counts at zero.
 	Remaining time.Duration `cbor:"2,keyasint"`
-	// Age is how long the process has had its address.
+	// Age is how long the process has been running at its address.
 	Age time.Duration `cbor:"3,keyasint"`
 }
 
-// Fencing collects the answers to the fence of one session.
+// Fencing collects the replies to the fence requests for one session.
 type Fencing struct {
 	times    Times
 	voterSet Electorate
-	// since is when the claimant first saw the member's key gone.
+	// since is when the claimant first observed that the member key was missing.
 	since    time.Time
-	fenced   map[string]bool // voters that answered themselves, by incarnation
-	resolved map[string]bool // voters that answered or are certainly over
+	fenced   map[string]bool // voters that replied themselves, by incarnation
+	resolved map[string]bool // voters that replied or have certainly ended
 }
 
-// NewFencing starts the fence of a session whose member key was first seen gone
-// at since.
+// NewFencing starts fencing a session whose member key was first observed missing at since.
 func NewFencing(times Times, e Electorate, since time.Time) *Fencing {
 	return &Fencing{
 		times: times, voterSet: e, since: since,
@@ -31,10 +30,10 @@
 	}
 }
 
-// Electorate returns whom to ask.
+// VoterSet returns the voters to ask.
 func (f *Fencing) Electorate() Electorate { return f.voterSet }
 
-// Open lists the voters whose answers still count.
+// Pending lists the voters whose replies are still needed.
 func (f *Fencing) Pending() []Voter {
 	var out []Voter
 	for _, v := range f.voterSet.Voters {
@@ -45,9 +44,9 @@
 	return out
 }
 
-// Answered takes in what the process at the voter's address answered. A later
-// process at that address proves that the voter is over; it counts once it is
-// older than any promise the voter can have made.
+// RecordAnswer records the reply of the process at the voter's address. A later process at that
+// address proves that the voter has ended; its reply counts once the process is older than any
+// promise that the voter can have made.
 func (f *Fencing) RecordAnswer(v Voter, a FenceAnswer) {
 	switch {
 	case a.Incarnation == v.Incarnation && a.Remaining <= 0:
@@ -58,10 +57,9 @@
 	}
 }
 
-// Done reports whether the session's right has certainly run out: so many
-// voters have fenced it that the others are no majority, or every voter has
-// fenced it or been replaced at its address, or the limit of an outage has
-// passed.
+// Done reports whether the session's authority has certainly expired: so many voters have fenced it
+// that the rest is no majority, or every voter has fenced it or been replaced at its address, or
+// the outage limit has passed.
 func (f *Fencing) Done(now time.Time) bool {
 	n := len(f.voterSet.Voters)
 	if n < minVoters || len(f.fenced) >= blockingSize(n) || len(f.resolved) == n {
--- a/internal/right/holder.go
+++ b/internal/right/holder.go
@@ -5,33 +5,32 @@
 	"time"
 )
 
-// Holder works out until when one member may act. It is not safe for
-// concurrent use.
+// Authority computes until when one member may act. It is not safe for concurrent use.
 type Holder struct {
 	times   Times
 	session uint64
-	// lease is when the store lease ends at the earliest.
+	// lease is the earliest time at which the store lease can end.
 	lease time.Time
-	// limit is when promises alone no longer suffice.
+	// outageEnd is the time after which promises alone no longer suffice.
 	outageEnd time.Time
-	// electorates are those that the store may hold now: one, or two while the
-	// outcome of a change is open. A promise counts only by majority in each.
+	// voterSets are the sets that the store may contain now: one, or two while the outcome of a
+	// change is unknown. Promises count only if they form a majority in each set.
 	voterSets []Electorate
 	promised  map[string]time.Time // by incarnation
-	// carry is the promised right at the end of the session before.
+	// previousUntil is the end of the promised authority of the previous session.
 	previousUntil time.Time
-	// issued is the latest end of a right that promises have given.
+	// grantedUntil is the latest end of authority granted on the basis of promises.
 	grantedUntil time.Time
 	fenced       bool
 }
 
-// NewHolder returns a holder without any right.
+// NewAuthority returns an Authority that grants nothing yet.
 func NewHolder(times Times) *Holder {
 	return &Holder{times: times, promised: map[string]time.Time{}}
 }
 
-// Created tells that the member's key and electorate are in the store under a
-// new session, by a lease that was asked for at sent.
+// BeginSession records that the store has the member key and the voter set of a new session, under
+// a lease that was requested at sent.
 func (h *Holder) Created(sent time.Time, e Electorate) {
 	h.previousUntil = h.promisedUntil()
 	h.session = e.Session
@@ -41,7 +40,7 @@
 	h.Renewed(sent)
 }
 
-// Renewed tells that the store has answered a renewal that was sent at sent.
+// RecordRenewal records that the store has confirmed a lease renewal sent at sent.
 func (h *Holder) Renewed(sent time.Time) {
 	if end := sent.Add(h.times.minusMargin(h.times.Term)); end.After(h.lease) {
 		h.lease = end
@@ -51,8 +50,8 @@
 	}
 }
 
-// Promised tells that a voter has promised d in answer to a question that was
-// sent at sent for the given session.
+// RecordPromise records that a voter has promised d in reply to a request sent at sent for the
+// given session.
 func (h *Holder) RecordPromise(voter string, session uint64, sent time.Time, d time.Duration) {
 	if session != h.session {
 		return
@@ -62,29 +61,29 @@
 	}
 }
 
-// Fenced tells that the own vote has gone to a claimant. No promise counts any
-// more in this session; what was issued runs out by itself.
+// MarkFenced records that this process's own vote has been given to a claimant. No promise counts
+// any more in this session; authority that was already granted runs until its end.
 func (h *Holder) MarkFenced() { h.fenced = true }
 
-// Changing tells that a change to next is about to be written. Call Settled
-// once its outcome is known.
+// BeginVoterChange records that a change to next is about to be written. Call EndVoterChange once
+// the outcome is known.
 func (h *Holder) Changing(next Electorate) {
 	h.voterSets = append(h.voterSets, next)
 }
 
-// Settled tells which electorate the store holds.
+// EndVoterChange records which voter set the store has.
 func (h *Holder) Settled(e Electorate) { h.voterSets = []Electorate{e} }
 
-// MayChange is false while a right given by promises may still be in use: a
-// change of electorate has to wait for it.
+// MayChangeVoters is false while authority granted by promises may still be in use: a change of the
+// voter set has to wait until that has expired.
 func (h *Holder) MayChange(now time.Time) bool {
 	return len(h.voterSets) == 1 && !now.Before(h.grantedUntil) && !now.Before(h.previousUntil)
 }
 
-// Session returns the present session, zero before the first.
+// Session returns the current session, zero before the first.
 func (h *Holder) Session() uint64 { return h.session }
 
-// Electorate returns the electorate last known to be in the store.
+// VoterSet returns the last voter set that is known to be in the store.
 func (h *Holder) Electorate() Electorate {
 	if len(h.voterSets) == 0 {
 		return Electorate{}
@@ -92,8 +91,8 @@
 	return h.voterSets[0]
 }
 
-// Until returns the end of the right to act for a partition that was confirmed
-// in the given session. The right has lapsed when it is not after now.
+// Until returns the end of the authority over a partition that was confirmed in the given session.
+// The authority has expired if the end is not after now.
 func (h *Holder) Until(now time.Time, session uint64) time.Time {
 	switch {
 	case session == 0 || session > h.session:
@@ -113,10 +112,10 @@
 	return end
 }
 
-// Lease returns the end of the right by store lease.
+// Lease returns the end of the authority by store lease.
 func (h *Holder) Lease() time.Time { return h.lease }
 
-// Outstanding returns the latest end of any right that may be in use.
+// LatestEnd returns the latest end of any authority that may be in use.
 func (h *Holder) LatestEnd() time.Time {
 	out := h.grantedUntil
 	for _, t := range []time.Time{h.lease, h.previousUntil} {
@@ -127,7 +126,7 @@
 	return out
 }
 
-// promiseEnd returns until when a majority of every electorate has promised.
+// promisedUntil returns until when a majority of every voter set has promised.
 func (h *Holder) promisedUntil() time.Time {
 	if h.fenced || len(h.voterSets) == 0 {
 		return time.Time{}
@@ -141,9 +140,9 @@
 	return end
 }
 
-// majorityEnd returns until when a majority of the electorate has promised. A
-// lone voter's promise to itself is worth nothing: if it died, nobody could
-// tell a claimant that the promise is over.
+// majorityUntil returns until when a majority of the voter set has promised. The promise of a
+// single voter to itself does not count: if that process died, no other could confirm to a claimant
+// that the promise has expired.
 func (h *Holder) majorityUntil(e Electorate) time.Time {
 	if len(e.Voters) < minVoters {
 		return time.Time{}
@@ -156,12 +155,12 @@
 	return ends[majority(len(ends))-1]
 }
 
-// Open reports whether the outcome of a change of electorate is unknown.
+// VoterChangePending reports whether the outcome of a change of the voter set is unknown.
 func (h *Holder) Open() bool { return len(h.voterSets) > 1 }
 
-// NewDeputy returns the right to renew in the name of a dead member: promises
-// of its electorate only, bounded by the outage limit from the member's last
-// known renewal.
+// NewDelegate returns the authority to renew task leases on behalf of a dead member. It rests on
+// promises of that member's voter set only and ends an outage limit after the member's last known
+// renewal.
 func NewDelegate(times Times, e Electorate, renewed time.Time) *Holder {
 	h := NewHolder(times)
 	h.session, h.voterSets = e.Session, []Electorate{e}
--- a/internal/right/model_test.go
+++ b/internal/right/model_test.go
@@ -7,29 +7,28 @@
 	"time"
 )
 
-// The model is a cell of processes, a store and messages that may be lost or
-// come arbitrarily late, driven one random step at a time. It uses the rule of
-// this package as the Keeper does and notes every use of a right in true time.
+// The model is a cell of processes, a store and messages that may be lost or arbitrarily delayed,
+// driven one random step at a time. It applies the rule of this package as hold.Manager does and
+// records every use of authority in true time.
 
-// variant plants a fault into the model's use of the rule; the zero value is
-// the rule as it stands.
+// injectedFault leaves out a part of the rule; the zero value applies the whole rule.
 type injectedFault struct {
-	ignoreExpiry     bool // act without looking at the end of the right
-	countFromReply   bool // count the lease from the answer, not from the send
-	skipFence        bool // claim as soon as the member key is gone
+	ignoreExpiry     bool // act without checking the end of the authority
+	countFromReply   bool // count the lease from the reply, not from the request
+	skipFence        bool // claim as soon as the member key is missing
 	singleVoter      bool // a fence by one voter suffices
-	skipConfirmation bool // take records for current without a read in the session
-	noClockMargin    bool // leave the clocks' rates out
+	skipConfirmation bool // treat records as current without a read in the session
+	noClockMargin    bool // ignore differences of clock rates
 }
 
 const (
 	modelProcs      = 4
 	modelPartitions = 2
 	modelTerm       = 3 * time.Second
-	modelMargin     = 10 // parts of a thousand
+	modelMargin     = 10 // per mille
 )
 
-// chooser draws a number below n.
+// chooser draws a number in [0, n).
 type chooser func(label string, n int) int
 
 type modelRecord struct {
@@ -51,7 +50,7 @@
 	mod   int
 }
 
-// modelStore is the store's state; a copy of it is what a read returns.
+// modelStore is the state of the store; a read returns a copy of it.
 type modelStore struct {
 	revision     int
 	members      map[string]modelMember
@@ -70,7 +69,7 @@
 	return s.revision
 }
 
-// modelUse is a stretch of true time in which a process may act.
+// authorityUse is an interval of true time in which a process may act.
 type authorityUse struct {
 	by    Subject
 	epoch uint64
@@ -92,9 +91,9 @@
 	epochs        [modelPartitions]uint64
 	violations    []string
 	trace         []string
-	granted       int // uses seen, so that an idle model does not count as proof
-	promised      int // of them by promises
-	takenOver     int // claims over a dead holder
+	granted       int // recorded uses; shows that the model was not idle
+	promised      int // uses based on promises
+	takenOver     int // claims of a dead holder's partition
 }
 
 func newModel(choose chooser, v injectedFault) *model {
@@ -115,8 +114,7 @@
 	return m
 }
 
-// modelRates are clock rates in parts of a thousand, at most half the margin
-// away from true time.
+// modelRates are clock rates in per mille, at most half the margin away from true time.
 var modelRates = []int64{995, 1000, 1005}
 
 func (m *model) newProc(name string) *modelProc {
@@ -130,7 +128,7 @@
 	}
 }
 
-// step draws and carries out one step. Steps that do not apply do nothing.
+// step draws and executes one step. Steps that do not apply do nothing.
 func (m *model) step() {
 	p := m.procs[m.choose("process", len(m.procs))]
 	switch a := m.choose("step", 100); {
@@ -182,7 +180,7 @@
 
 func (m *model) advance() {
 	n := len(modelTimeSteps)
-	// A whole term passes seldom, the outage limit more seldom.
+	// Steps of a whole term are rare, steps beyond the outage limit rarer.
 	switch long := m.choose("long", 50); {
 	case long > 4:
 		n -= 2
@@ -192,8 +190,8 @@
 	m.now += modelTimeSteps[m.choose("advance", n)]
 }
 
-// advanceToEnd goes to the moment at which a lease or a promise ends, where a
-// right that is counted too long shows.
+// advanceToExpiry advances to the end of a lease or a promise, where authority that is counted too
+// long becomes visible.
 func (m *model) advanceToExpiry(p *modelProc) {
 	var ends []time.Duration
 	for _, name := range slices.Sorted(maps.Keys(m.store.members)) {
@@ -208,8 +206,8 @@
 	}
 }
 
-// send puts a message under way. Most arrive at once, the rest at any later
-// step or never.
+// send starts delivery of a message. Most messages arrive at once, the rest at any later step or
+// never.
 func (m *model) send(arrive func()) {
 	if m.choose("at once", 4) > 0 {
 		arrive()
@@ -218,8 +216,7 @@
 	m.inFlight = append(m.inFlight, arrive)
 }
 
-// toStore puts a call to the store under way; it is lost when the store is down
-// on arrival.
+// sendToStore starts a call to the store; it is lost if the store is unavailable on arrival.
 func (m *model) sendToStore(arrive func()) {
 	m.send(func() {
 		if m.up {
@@ -245,7 +242,7 @@
 	}
 }
 
-// replace kills a process; another of the same name and address starts.
+// replace kills a process and starts another with the same name and address.
 func (m *model) replace(p *modelProc) {
 	p.dead = true
 	for i := range m.procs {
@@ -256,8 +253,8 @@
 	m.logf("replaced %v", p.id)
 }
 
-// expire ends the leases whose term has run out; the store may be late with it,
-// and it may do so while nobody reaches it.
+// expire removes the members whose lease has run out. The store may do so late, and also while no
+// process reaches it.
 func (m *model) expire() {
 	for name, member := range m.store.members {
 		if m.now >= member.expires {
@@ -268,13 +265,13 @@
 	}
 }
 
-// lease returns when a lease that starts now ends by the store's own clock.
+// lease returns the end, by the store's own clock, of a lease that starts now.
 func (m *model) lease() time.Duration {
 	rate := modelRates[m.choose("store rate", len(modelRates))]
 	return m.now + modelTerm*1000/time.Duration(rate)
 }
 
-// used notes that a process may act until then, and finds overlaps.
+// recordUse records that a process may act until the given time, and detects overlaps.
 func (m *model) recordUse(p *modelProc, id int, epoch uint64, until time.Time) {
 	m.granted++
 	end := m.now + time.Duration(int64(until.Sub(p.clock()))*1000/p.rate)
--- a/internal/right/modelproc_test.go
+++ b/internal/right/modelproc_test.go
@@ -4,12 +4,12 @@
 	"time"
 )
 
-// modelProc is one process of the model. It does what member.Session and
-// hold.Keeper do with the rule, without their I/O.
+// modelProc is one process of the model. It applies the rule as member.Session and hold.Manager do,
+// without their I/O.
 type modelProc struct {
 	m       *model
 	id      Subject
-	rate    int64 // of its clock, in parts of a thousand
+	rate    int64 // rate of its clock, in per mille
 	started time.Duration
 	dead    bool
 
@@ -21,10 +21,10 @@
 	memberMod      int
 	voterRecordMod int
 	confirmed      uint64
-	sent           map[int]time.Time // when each lease was asked for
+	sent           map[int]time.Time // when each lease was requested
 	owned          map[int]modelOwned
 	fencings       map[Subject]*modelFencing
-	view           modelStore // what it last read
+	view           modelStore // the state that it read last
 }
 
 type modelOwned struct {
@@ -42,7 +42,7 @@
 	return time.Unix(0, 0).Add(p.m.now * time.Duration(p.rate) / 1000)
 }
 
-// reply puts an answer to this process under way; a dead process gets none.
+// reply starts delivery of a reply to this process; a dead process receives none.
 func (p *modelProc) reply(arrive func()) {
 	p.m.send(func() {
 		if !p.dead {
@@ -51,7 +51,7 @@
 	})
 }
 
-// voters draws an electorate among the present processes, always with p.
+// voters draws a voter set from the running processes; it always contains p.
 func (p *modelProc) voters() []Voter {
 	var out []Voter
 	for _, q := range p.m.procs {
@@ -79,7 +79,7 @@
 		voterRecord, known := m.store.voterRecords[p.id]
 		member, taken := m.store.members[p.id.Name]
 		if taken || voterRecord.mod != voterRecordMod {
-			// What settle reads: an earlier attempt may have taken effect.
+			// The store shows whether an earlier attempt took effect.
 			p.reply(func() {
 				p.voterRecordMod, p.session = voterRecord.mod, voterRecord.Session
 				if taken && known && member.incarnation == p.id.Incarnation {
@@ -99,7 +99,7 @@
 
 func (p *modelProc) onJoined(voterRecord modelVoterRecord, memberMod, voterRecordMod int, _ time.Time) {
 	if voterRecord.Session < p.holder.Session() {
-		return // the answer of an older session, after a newer one
+		return // reply of an older session, received after a newer one
 	}
 	p.memberMod, p.voterRecordMod, p.joined = memberMod, voterRecordMod, true
 	p.lease, p.session = voterRecord.lease, voterRecord.Session
@@ -134,7 +134,7 @@
 	})
 }
 
-// setVoters changes the electorate, or settles a change whose answer was lost.
+// setVoters changes the voter set, or resolves a change whose reply was lost.
 func (p *modelProc) setVoters() {
 	m := p.m
 	if !p.joined {
@@ -165,7 +165,7 @@
 	})
 }
 
-// read takes a copy of the store and confirms the session with it.
+// read takes a copy of the store and uses it to confirm the session.
 func (p *modelProc) read() {
 	m, session, sentMod := p.m, p.holder.Session(), p.memberMod
 	m.sendToStore(func() {
@@ -199,7 +199,7 @@
 	}
 }
 
-// ask asks a voter for a promise to this process, and votes for itself.
+// requestPromise asks a voter to promise to this process, and votes for itself.
 func (p *modelProc) requestPromise(v *modelProc) {
 	session, sent, m := p.holder.Session(), p.clock(), p.m
 	if session == 0 {
@@ -219,7 +219,7 @@
 	})
 }
 
-// fence asks one voter of a dead holder's electorate.
+// fence asks one voter of a dead holder's voter set to fence the holder.
 func (p *modelProc) fence(id int) {
 	m := p.m
 	s := p.view.partitions[id].holder
@@ -247,7 +247,7 @@
 	})
 }
 
-// takeOver goes through all that a takeover needs, as the Keeper would.
+// failOver performs all steps of a failover as hold.Manager would.
 func (p *modelProc) failOver(id int) {
 	p.m.expire()
 	p.read()
@@ -260,14 +260,14 @@
 	}
 }
 
-// askAll asks every process, as a round of heartbeats does.
+// requestPromises asks every process for a promise, as a round of heartbeats does.
 func (p *modelProc) requestPromises() {
 	for _, v := range p.m.procs {
 		p.requestPromise(v)
 	}
 }
 
-// askUseAndChange acts by promises and tries to change the electorate at once.
+// requestUseAndChange acts on promises and immediately tries to change the voter set.
 func (p *modelProc) requestUseAndChange() {
 	p.requestPromises()
 	for id := range modelPartitions {
@@ -339,7 +339,7 @@
 	return f.fencing.Done(p.clock())
 }
 
-// onClaimed takes up a claimed partition unless something newer is known.
+// onClaimed acquires a claimed partition unless a newer record is known.
 func (p *modelProc) onClaimed(id int, rec modelRecord) {
 	if rec.mod <= p.view.partitions[id].mod {
 		return
@@ -348,7 +348,7 @@
 	p.owned[id] = modelOwned{rec, p.confirmed}
 }
 
-// use checks the right and acts by it.
+// use checks the authority and acts on it.
 func (p *modelProc) use(id int) {
 	own, has := p.owned[id]
 	if !has {
--- a/internal/right/property_test.go
+++ b/internal/right/property_test.go
@@ -11,12 +11,12 @@
 
 const (
 	propertySteps = 400
-	// plantedSeeds bounds the search for a planted fault.
+	// faultSeeds bounds the search for the effect of an injected fault.
 	faultSeeds = 300
 )
 
-// TestNeverTwoHolders draws interleavings of pauses, losses, outages, restarts
-// and claims, and checks that no two processes may ever act for one partition.
+// TestNeverTwoHolders draws interleavings of pauses, message losses, outages, restarts and claims,
+// and checks that no two processes may ever act for one partition.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newModel(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(rt, label) }, injectedFault{})
@@ -29,7 +29,7 @@
 	})
 }
 
-// seeded runs the model with a fixed seed for long.
+// runSeeded runs the model with a fixed seed until it finds a violation or has made all steps.
 func runSeeded(seed uint64, steps int, v injectedFault) *model {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	m := newModel(func(_ string, n int) int { return rng.IntN(n) }, v)
@@ -42,8 +42,8 @@
 	return m
 }
 
-// TestNeverTwoHoldersLong runs fixed seeds, and checks that rights were used,
-// also by promises, and that partitions changed hands.
+// TestNeverTwoHoldersLong runs fixed seeds, and checks that authority was used, also on the basis
+// of promises, and that partitions changed their holder.
 func TestNeverTwoHoldersLong(t *testing.T) {
 	is := is.New(t)
 	var granted, promised, takenOver int
@@ -54,25 +54,25 @@
 		}
 		granted, promised, takenOver = granted+m.granted, promised+m.promised, takenOver+m.takenOver
 	}
-	t.Logf("%d rights used, %d of them by promises; %d partitions taken over", granted, promised, takenOver)
+	t.Logf("%d uses of authority, %d of them by promises; %d partitions taken over", granted, promised, takenOver)
 	is.True(granted > faultSeeds)
 	is.True(promised > faultSeeds)
 	is.True(takenOver > faultSeeds)
 }
 
-// TestPlantedFaultsAreCaught leaves one part of the rule out at a time; the
-// model must find two holders.
+// TestInjectedFaultsAreDetected leaves one part of the rule out at a time; the model must find two
+// holders.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	tests := []struct {
 		name          string
 		injectedFault injectedFault
 	}{
 		{"expiry not checked", injectedFault{ignoreExpiry: true}},
-		{"term counted from the answer", injectedFault{countFromReply: true}},
+		{"term counted from the reply", injectedFault{countFromReply: true}},
 		{"no fence before a claim", injectedFault{skipFence: true}},
 		{"fence by one voter", injectedFault{singleVoter: true}},
 		{"records not confirmed in the session", injectedFault{skipConfirmation: true}},
-		{"clock rates left out", injectedFault{noClockMargin: true}},
+		{"clock rates ignored", injectedFault{noClockMargin: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 					return
 				}
 			}
-			t.Fatal("not caught")
+			t.Fatal("fault not detected")
 		})
 	}
 }
--- a/internal/right/right_test.go
+++ b/internal/right/right_test.go
@@ -30,7 +30,7 @@
 	h.Created(at(0), voterSetOf(1, "a", "b", "c"))
 	is.Equal(h.Until(at(10), 1), at(2970))
 	h.Renewed(at(500))
-	h.Renewed(at(100)) // an older answer that came late takes nothing back
+	h.Renewed(at(100)) // a delayed older reply does not shorten the authority
 	is.Equal(h.Until(at(600), 1), at(3470))
 }
 
@@ -47,7 +47,7 @@
 		{"two of four", []string{"a", "b", "c", "d"}, []string{"a1", "b1"}, time.Time{}},
 		{"three of four", []string{"a", "b", "c", "d"}, []string{"a1", "b1", "d1"}, at(12970)},
 		{"a replacement does not count", []string{"a", "b", "c"}, []string{"a1", "b2"}, time.Time{}},
-		{"alone", []string{"a"}, []string{"a1"}, time.Time{}},
+		{"single voter", []string{"a"}, []string{"a1"}, time.Time{}},
 		{"both of two", []string{"a", "b"}, []string{"a1", "b1"}, at(12970)},
 		{"one of two", []string{"a", "b"}, []string{"a1"}, time.Time{}},
 	}
@@ -76,16 +76,16 @@
 	}{
 		{"promises to another session", func(h *Holder) { promised(h, 2, at(9000)) }, time.Time{}},
 		{"own vote given to a claimant", func(h *Holder) { promised(h, 1, at(9000)); h.MarkFenced() }, time.Time{}},
-		{"open change needs both majorities", func(h *Holder) {
+		{"pending change needs both majorities", func(h *Holder) {
 			promised(h, 1, at(9000))
 			h.Changing(voterSetOf(1, "a", "c", "d"))
 		}, time.Time{}},
-		{"settled back to the old electorate", func(h *Holder) {
+		{"change resolved to the old voter set", func(h *Holder) {
 			promised(h, 1, at(9000))
 			h.Changing(voterSetOf(1, "a", "c", "d"))
 			h.Settled(voterSetOf(1, "a", "b", "c"))
 		}, at(11970)},
-		{"limit of the outage", func(h *Holder) { promised(h, 1, at(58000)) }, at(59400)},
+		{"outage limit", func(h *Holder) { promised(h, 1, at(58000)) }, at(59400)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -107,16 +107,15 @@
 	h.RecordPromise("b1", 1, at(9000), testTimes.Term)
 	e.Session = 2
 	h.Created(at(9500), e)
-	is.Equal(h.Until(at(9600), 1), at(11970)) // not confirmed yet: what was promised
-	is.Equal(h.Until(at(9600), 2), at(12470)) // confirmed: the new lease
+	is.Equal(h.Until(at(9600), 1), at(11970)) // not confirmed yet: end of the promises
+	is.Equal(h.Until(at(9600), 2), at(12470)) // confirmed: end of the new lease
 	e.Session = 3
 	h.Created(at(9700), e)
 	is.True(h.Until(at(9800), 1).IsZero())
 }
 
-// TestElectorateWaitsForPromisedRights shows why MayChange exists: two voters
-// of the new electorate complete a fence while a right that the old electorate
-// promised still runs.
+// TestVoterSetChangeWaitsForPromisedAuthority shows why MayChangeVoters exists: two voters of the
+// new set complete a fence while authority that the old set promised is still valid.
 func TestVoterSetChangeWaitsForPromisedAuthority(t *testing.T) {
 	is := is.New(t)
 	h := NewHolder(testTimes)
@@ -124,13 +123,13 @@
 	h.RecordPromise("a1", 1, at(2960), testTimes.Term)
 	h.RecordPromise("d1", 1, at(2960), testTimes.Term)
 	until := h.Until(at(2980), 1)
-	is.Equal(until, at(5930)) // by promises: the lease has run out
+	is.Equal(until, at(5930)) // by promises: the lease has expired
 
 	next := voterSetOf(1, "a", "b", "c")
 	f := NewFencing(testTimes, next, at(3000))
 	f.RecordAnswer(next.Voters[1], FenceAnswer{Incarnation: "b1"})
 	f.RecordAnswer(next.Voters[2], FenceAnswer{Incarnation: "c1"})
-	is.True(f.Done(at(3010))) // complete although until is not reached
+	is.True(f.Done(at(3010))) // complete although until has not been reached
 
 	is.True(!h.MayChange(at(3000)))
 	is.True(!h.MayChange(at(5929)))
@@ -144,7 +143,7 @@
 	is.Equal(p.Fence(at(1000), memberA, 1), 2*time.Second)
 	is.True(!p.Ask(at(1001), memberA, 1, testTimes.Term)) // fenced
 	is.Equal(p.Fence(at(3000), memberA, 1), time.Duration(0))
-	is.True(p.Ask(at(3001), memberA, 2, testTimes.Term)) // a new session is not
+	is.True(p.Ask(at(3001), memberA, 2, testTimes.Term)) // a new session is not fenced
 	is.True(p.Fenced(memberA, 1))
 	is.True(!p.Fenced(memberA, 2))
 }
@@ -167,19 +166,19 @@
 	old := testTimes.plusMargin(testTimes.Term)
 	tests := []struct {
 		name    string
-		answers []FenceAnswer // by voters a, b, c; an empty incarnation is none
+		answers []FenceAnswer // of voters a, b, c; an empty incarnation means no reply
 		after   time.Duration
 		want    bool
 	}{
-		{"nobody answers", make([]FenceAnswer, 3), 0, false},
+		{"no replies", make([]FenceAnswer, 3), 0, false},
 		{"majority", []FenceAnswer{{Incarnation: "a1"}, {Incarnation: "b1"}, {}}, 0, true},
-		{"a promise still runs", []FenceAnswer{{Incarnation: "a1"}, {Incarnation: "b1", Remaining: 1}, {}}, 0, false},
+		{"a promise has not expired", []FenceAnswer{{Incarnation: "a1"}, {Incarnation: "b1", Remaining: 1}, {}}, 0, false},
 		{"a replacement is not in the majority", []FenceAnswer{{Incarnation: "a1"}, {Incarnation: "b2", Age: old}, {}}, 0, false},
 		{"all replaced or fenced", []FenceAnswer{{Incarnation: "a1"}, {Incarnation: "b2", Age: old}, {Incarnation: "c2", Age: old}}, 0, true},
 		{"all replaced, one too young", []FenceAnswer{{Incarnation: "a2", Age: old}, {Incarnation: "b2", Age: old}, {Incarnation: "c2", Age: old - 1}}, 0, false},
 		{"an older process proves nothing", []FenceAnswer{{Incarnation: "a0", Age: old}, {Incarnation: "b0", Age: old}, {Incarnation: "c0", Age: old}}, 0, false},
-		{"limit of the outage", make([]FenceAnswer, 3), testTimes.plusMargin(testTimes.OutageLimit), true},
-		{"just before the limit", make([]FenceAnswer, 3), testTimes.plusMargin(testTimes.OutageLimit) - 1, false},
+		{"outage limit", make([]FenceAnswer, 3), testTimes.plusMargin(testTimes.OutageLimit), true},
+		{"just before the outage limit", make([]FenceAnswer, 3), testTimes.plusMargin(testTimes.OutageLimit) - 1, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/right/voter.go
+++ b/internal/right/voter.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// Promises is what one process has promised and fenced. It is lost with the
-// process; a replacement has another incarnation and another vote. Entries stay
-// for the life of the process: whether a subject is over can not be told from a
-// copy of the store that may lag, and a forgotten fence would let a session
-// live on. It is not safe for concurrent use.
+// VoterState is what one process has promised and fenced. It is lost with the process; a
+// replacement has another incarnation and another vote. Entries are kept for the lifetime of the
+// process: a copy of the store, which may lag, can not prove that a member has ended, and after a
+// forgotten fence a session could receive promises again. VoterState is not safe for concurrent
+// use.
 type VoterState struct {
 	byMember map[Subject]promise
 }
 
 type promise struct {
 	until  time.Time
-	fenced uint64 // highest session that gets no more promises
+	fenced uint64 // highest session that receives no more promises
 }
 
-// NewPromises returns the state of a voter that has promised nothing.
 func NewVoterState() *VoterState { return &VoterState{byMember: map[Subject]promise{}} }
 
 // Ask promises d from now on, or refuses because the session is fenced.
@@ -32,8 +31,8 @@
 	return true
 }
 
-// Fence refuses all further promises to sessions up to the given one and
-// returns how long the promises already made still run.
+// Fence refuses all further promises to sessions up to the given one and returns the remaining time
+// of the promises already made.
 func (p *VoterState) Fence(now time.Time, s Subject, session uint64) time.Duration {
 	entry := p.byMember[s]
 	entry.fenced = max(entry.fenced, session)
@@ -41,7 +40,7 @@
 	return max(0, entry.until.Sub(now))
 }
 
-// Fenced reports whether the session gets no more promises.
+// Fenced reports whether the session receives no more promises.
 func (p *VoterState) Fenced(s Subject, session uint64) bool {
 	return session <= p.byMember[s].fenced
 }
