--- a/internal/hold/delegate.go
+++ b/internal/hold/delegate.go
@@ -57,11 +57,11 @@
 	if old := k.renewals[s]; old != nil && old.right.Session() == voterSet.Session {
 		return &delegateRenewal{right: old.right}
 	}
-	limit := uptime.Now()
+	lastRenewal := uptime.Now()
 	if h, ok := k.heartbeats.Heard(s.Name); ok && h.Status.StoreAge >= 0 {
-		limit = h.At.Add(-h.Status.StoreAge)
+		lastRenewal = h.At.Add(-h.Status.StoreAge)
 	}
-	return &delegateRenewal{right: right.NewDelegate(k.config.times(), voterSet, limit)}
+	return &delegateRenewal{right: right.NewDelegate(k.config.times(), voterSet, lastRenewal)}
 }
 
 // delegated lists the partitions whose task leases the delegate has to renew, in ascending order.
--- a/internal/hold/fault_test.go
+++ b/internal/hold/fault_test.go
@@ -99,14 +99,14 @@
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
 		startMembers(c, "a", "b", "c")
-		cut := c.nodes["b"]
-		cut.client.SetFaults(memstore.Faults{Hang: true})
+		disconnected := c.nodes["b"]
+		disconnected.client.SetFaults(memstore.Faults{Hang: true})
 		c.wait(4*c.config.Term, "the others hold all partitions", func() bool {
 			return len(c.nodes["a"].Held())+len(c.nodes["c"].Held()) == c.config.Partitions
 		})
-		cut.client.SetFaults(memstore.Faults{})
-		c.wait(4*c.config.Term, "b has a share again", func() bool { return len(cut.Held()) > 0 && c.allHeld() })
-		is.True(cut.store.total() > 0)
+		disconnected.client.SetFaults(memstore.Faults{})
+		c.wait(4*c.config.Term, "b has a share again", func() bool { return len(disconnected.Held()) > 0 && c.allHeld() })
+		is.True(disconnected.store.total() > 0)
 	})
 }
 
--- a/internal/hold/fence.go
+++ b/internal/hold/fence.go
@@ -58,13 +58,13 @@
 // that the next round does not follow immediately.
 func (k *Keeper) requestFence(ctx context.Context, s right.Subject, f *fencing) {
 	k.mu.Lock()
-	open := f.answers.Pending()
+	pending := f.answers.Pending()
 	request := FenceRequest{Subject: s, Session: f.answers.Electorate().Session}
 	k.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, k.config.Suspect)
 	defer cancel()
 	var asked sync.WaitGroup
-	for _, v := range open {
+	for _, v := range pending {
 		asked.Add(1)
 		go func() {
 			defer asked.Done()
--- a/internal/hold/manager.go
+++ b/internal/hold/manager.go
@@ -168,7 +168,7 @@
 	leaveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), k.config.Term)
 	defer cancel()
 	if leaveErr := k.session.Leave(leaveCtx); leaveErr != nil {
-		k.log.WithError(leaveErr).Warn("left without telling the store")
+		k.log.WithError(leaveErr).Warn("store did not confirm that this member has left")
 	}
 	return nil
 }
--- a/internal/right/modelproc_test.go
+++ b/internal/right/modelproc_test.go
@@ -55,7 +55,7 @@
 func (p *modelProc) voters() []Voter {
 	var out []Voter
 	for _, q := range p.m.procs {
-		if q == p || p.m.choose("in electorate", 4) > 0 {
+		if q == p || p.m.choose("in voter set", 4) > 0 {
 			out = append(out, Voter{Name: q.id.Name, Incarnation: q.id.Incarnation})
 		}
 	}
@@ -232,11 +232,11 @@
 		f = &modelFencing{voterRecord.mod, NewFencing(m.times, voterRecord.Electorate, p.clock())}
 		p.fencings[s] = f
 	}
-	open := f.fencing.Pending()
-	if len(open) == 0 {
+	pending := f.fencing.Pending()
+	if len(pending) == 0 {
 		return
 	}
-	voter := open[m.choose("fenced voter", len(open))]
+	voter := pending[m.choose("fenced voter", len(pending))]
 	m.send(func() {
 		for _, v := range m.procs {
 			if v.id.Name == voter.Name {
--- a/internal/right/voter.go
+++ b/internal/right/voter.go
@@ -16,6 +16,7 @@
 	fenced uint64 // highest session that receives no more promises
 }
 
+// NewVoterState returns the state of a voter that has made no promise.
 func NewVoterState() *VoterState { return &VoterState{byMember: map[Subject]promise{}} }
 
 // Ask promises d from now on, or refuses because the session is fenced.
