--- a/internal/hold/mirror_test.go
+++ b/internal/hold/cache_test.go
@@ -16,11 +16,11 @@
 	}
 }
 
-// TestTableNamesAllPartitions: the number of partitions in a table decides
-// where keys and teams belong, so it must not change while a cell is claimed.
+// TestTableNamesAllPartitions: the number of partitions in a table determines the home partitions
+// of keys and teams, so it must not change while the partitions of a cell are being claimed.
 func TestTableNamesAllPartitions(t *testing.T) {
 	is := is.New(t)
-	m := newMirror()
+	m := newCache()
 	is.NoErr(m.apply(platform.Change{Record: partitionRecord("2", "2")}))
 	is.Equal(len(m.table().Partitions), 0) // the number is not known yet
 	is.NoErr(m.apply(platform.Change{Record: platform.Record{Key: countKey, ModRevision: 3, Value: []byte("4")}}))
@@ -29,8 +29,8 @@
 	}
 	is.Equal(m.table().Partitions, want)
 
-	started := newMirror() // learns from a peer while the store is away
+	started := newCache() // receives the table from a peer while the store is unavailable
 	started.adopt(m.table())
 	is.Equal(started.table().Partitions, want)
-	is.Equal(len(started.partitions), 1) // unclaimed ones are not taken for records
+	is.Equal(len(started.partitions), 1) // unclaimed ones are not treated as records
 }
--- a/internal/hold/dump.go
+++ b/internal/hold/dump.go
@@ -7,7 +7,7 @@
 	"pulleyquay/internal/view"
 )
 
-// State is the Keeper's part of the process dump.
+// State is the Manager's part of the process dump.
 type State struct {
 	Self       view.Member      `json:"self"`
 	Membership string           `json:"membership"`
@@ -20,19 +20,19 @@
 	Slots      []SlotState      `json:"slots"`
 	Heard      []HeardState     `json:"heard"`
 	Covered    []int            `json:"covered"`
-	// Fencing lists the dead holders whose partitions this process wants.
+	// Fencing lists the dead holders whose partitions this process is to acquire.
 	Fencing []FencingState `json:"fencing"`
 }
 
-// FencingState is how far the fence of a dead holder has come.
+// FencingState is the progress of fencing a dead holder.
 type FencingState struct {
 	Subject right.Subject `json:"subject"`
-	// Open are the voters that have not answered so that it counts.
-	Open []right.Voter `json:"open"`
-	Done bool          `json:"done"`
+	// Pending are the voters whose replies are still needed.
+	Pending []right.Voter `json:"open"`
+	Done    bool          `json:"done"`
 }
 
-// SlotState is one partition that this process owns or works on.
+// SlotState is one partition that this process owns or has a step running for.
 type SlotState struct {
 	ID      int    `json:"id"`
 	State   string `json:"state"`
@@ -41,7 +41,7 @@
 	Busy    bool   `json:"busy,omitempty"`
 }
 
-// HeardState is what was last heard of a member.
+// HeardState is the last status received from a member.
 type HeardState struct {
 	Status heartbeat.Status `json:"status"`
 	AgeMS  int64            `json:"age_ms"`
@@ -49,13 +49,13 @@
 
 // Dump returns the state for /debug/state.
 func (k *Keeper) Dump() any {
-	lacks, covered := k.Lacks(), k.covered()
+	notReady, delegated := k.Lacks(), k.delegated()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := uptime.Now()
 	out := State{
-		Self: k.session.Self(), Membership: k.session.State(), Lacks: lacks,
-		StoreUp: k.storeUp(), StoreAgeMS: k.storeAge().Milliseconds(), Table: k.Table(),
+		Self: k.session.Self(), Membership: k.session.State(), Lacks: notReady,
+		StoreUp: k.storeAvailable(), StoreAgeMS: k.storeAge().Milliseconds(), Table: k.Table(),
 	}
 	k.session.Right(func(h *right.Holder) {
 		out.LeaseMS = h.Lease().Sub(now).Milliseconds()
@@ -70,12 +70,12 @@
 		}
 	}
 	for s, f := range k.fencings {
-		out.Fencing = append(out.Fencing, FencingState{Subject: s, Open: f.tally.Open(), Done: f.tally.Done(now)})
+		out.Fencing = append(out.Fencing, FencingState{Subject: s, Pending: f.answers.Pending(), Done: f.answers.Done(now)})
 	}
-	for _, h := range k.beats.All() {
+	for _, h := range k.heartbeats.All() {
 		out.Heard = append(out.Heard, HeardState{Status: h.Status, AgeMS: now.Sub(h.At).Milliseconds()})
 	}
-	for _, p := range covered {
+	for _, p := range delegated {
 		out.Covered = append(out.Covered, p.ID)
 	}
 	return out
--- a/internal/hold/fence.go
+++ b/internal/hold/fence.go
@@ -12,33 +12,32 @@
 	"pulleyquay/internal/wait"
 )
 
-// FenceRequest asks a voter to promise a member's session no more time.
+// FenceRequest asks a voter to make no more promises to a member's session.
 type FenceRequest struct {
 	Subject right.Subject `cbor:"1,keyasint"`
 	Session uint64        `cbor:"2,keyasint"`
 }
 
-// fencing is the fence of one dead member's session, shared by all partitions
-// that this process wants of it. The Keeper's lock guards it.
+// fencing is the fence of one dead member's session. All partitions that this process wants from
+// that member share it. The Manager's lock guards it.
 type fencing struct {
-	charter platform.Revision
-	tally   *right.Fencing
-	running bool
+	voterRecord platform.Revision
+	answers     *right.Fencing
+	running     bool
 }
 
-// fence starts or goes on asking the electorate of a dead holder. The lock is
-// held.
+// fence starts or continues to ask the voter set of a dead holder. The lock is held.
 func (k *Keeper) fence(ctx context.Context, s right.Subject) {
-	charter := k.mirror.charters[s]
+	voterRecord := k.cache.voterRecords[s]
 	f := k.fencings[s]
-	if f == nil || f.charter != charter.Revision {
-		var electorate right.Electorate
-		if charter.Charter != nil {
-			electorate = charter.Charter.Electorate
+	if f == nil || f.voterRecord != voterRecord.Revision {
+		var voterSet right.Electorate
+		if voterRecord.Charter != nil {
+			voterSet = voterRecord.Charter.Electorate
 		}
-		f = &fencing{charter: charter.Revision, tally: right.NewFencing(k.config.times(), electorate, uptime.Now())}
+		f = &fencing{voterRecord: voterRecord.Revision, answers: right.NewFencing(k.config.times(), voterSet, uptime.Now())}
 		k.fencings[s] = f
-		k.log.WithField("member", s.Name).WithField("incarnation", s.Incarnation).Info("asking its electorate to fence a dead holder")
+		k.log.WithField("member", s.Name).WithField("incarnation", s.Incarnation).Info("asking the voter set of a dead holder to fence it")
 	}
 	if f.running {
 		return
@@ -47,35 +46,35 @@
 	k.steps.Add(1)
 	go func() {
 		defer k.steps.Done()
-		k.askFence(ctx, s, f)
+		k.requestFence(ctx, s, f)
 		k.mu.Lock()
 		f.running = false
 		k.mu.Unlock()
-		k.wake()
+		k.wakeDecide()
 	}()
 }
 
-// askFence asks every open voter once, and waits a little when that was not
-// enough, so that the next round does not follow at once.
-func (k *Keeper) askFence(ctx context.Context, s right.Subject, f *fencing) {
+// requestFence asks every pending voter once. If the fence is still incomplete it then waits, so
+// that the next round does not follow immediately.
+func (k *Keeper) requestFence(ctx context.Context, s right.Subject, f *fencing) {
 	k.mu.Lock()
-	open := f.tally.Open()
-	request := FenceRequest{Subject: s, Session: f.tally.Electorate().Session}
+	pending := f.answers.Pending()
+	request := FenceRequest{Subject: s, Session: f.answers.Electorate().Session}
 	k.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, k.config.Suspect)
 	defer cancel()
 	var asked sync.WaitGroup
-	for _, v := range open {
+	for _, v := range pending {
 		asked.Add(1)
 		go func() {
 			defer asked.Done()
-			answer, err := k.askVoter(ctx, v, request)
+			answer, err := k.callVoter(ctx, v, request)
 			if err != nil {
 				return
 			}
 			k.mu.Lock()
-			f.tally.Answered(v, answer)
-			if f.tally.Done(uptime.Now()) {
+			f.answers.RecordAnswer(v, answer)
+			if f.answers.Done(uptime.Now()) {
 				cancel()
 			}
 			k.mu.Unlock()
@@ -83,15 +82,15 @@
 	}
 	asked.Wait()
 	k.mu.Lock()
-	done := f.tally.Done(uptime.Now())
+	done := f.answers.Done(uptime.Now())
 	k.mu.Unlock()
 	if !done {
 		wait.For(ctx, k.config.Heartbeat/4+rand.N(k.config.Heartbeat/4+1))
 	}
 }
 
-func (k *Keeper) askVoter(ctx context.Context, v right.Voter, request FenceRequest) (right.FenceAnswer, error) {
-	if v.Incarnation == k.subject().Incarnation {
+func (k *Keeper) callVoter(ctx context.Context, v right.Voter, request FenceRequest) (right.FenceAnswer, error) {
+	if v.Incarnation == k.memberID().Incarnation {
 		return k.onFence(ctx, request)
 	}
 	var answer right.FenceAnswer
@@ -104,15 +103,15 @@
 	now := uptime.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	self := k.subject()
+	self := k.memberID()
 	answer := right.FenceAnswer{Incarnation: self.Incarnation, Age: now.Sub(k.started)}
 	answer.Remaining = k.promises.Fence(now, request.Subject, request.Session)
 	if request.Subject == self {
 		k.session.Right(func(h *right.Holder) {
 			if request.Session >= h.Session() {
-				h.Fenced()
+				h.MarkFenced()
 			}
-			answer.Remaining = max(answer.Remaining, h.Outstanding().Sub(now))
+			answer.Remaining = max(answer.Remaining, h.LatestEnd().Sub(now))
 		})
 	}
 	return answer, nil
--- a/internal/hold/handover.go
+++ b/internal/hold/handover.go
@@ -18,32 +18,32 @@
 	"pulleyquay/internal/wait"
 )
 
-// HandOver is sent to a partition's next holder twice: with the residents'
-// states before the record is moved, and with the moved record after.
+// HandOver is sent to a partition's next holder twice: with the components' states before the
+// record is moved, and with the moved record afterwards.
 type HandOver struct {
 	Partition int `cbor:"1,keyasint"`
-	// Epoch is the one that the next holder will have.
+	// Epoch is the epoch that the next holder will have.
 	Epoch uint64 `cbor:"2,keyasint"`
-	// Incarnation is that of the next holder.
+	// Incarnation is the incarnation of the next holder.
 	Incarnation string            `cbor:"3,keyasint"`
 	States      map[string][]byte `cbor:"4,keyasint,omitempty"`
 	Record      *view.Partition   `cbor:"5,keyasint,omitempty"`
-	// ID names the attempt. The moved record carries it, so that the states of
-	// an attempt that was abandoned are never used.
+	// ID identifies the attempt. The moved record carries it, so that the states of an abandoned
+	// attempt are never used.
 	ID string `cbor:"6,keyasint"`
 }
 
-// HandOverReply tells that the next holder has kept the states.
+// HandOverReply reports whether the next holder has kept the states.
 type HandOverReply struct {
 	Kept bool `cbor:"1,keyasint"`
 }
 
-// handOver releases a partition and moves its record to next, or to nobody when
-// next has no name. When the record does not move, this process goes on.
+// handOver releases a partition and moves its record to next, or clears the holder if next has no
+// name. If the record does not move, this process resumes the partition.
 func (k *Keeper) handOver(ctx context.Context, s *slot, next view.Member, nextMod platform.Revision) {
 	select {
-	case k.moves <- struct{}{}:
-		defer func() { <-k.moves }()
+	case k.handOverLimit <- struct{}{}:
+		defer func() { <-k.handOverLimit }()
 	case <-ctx.Done():
 		return
 	}
@@ -51,11 +51,11 @@
 	s.event(eventRelease)
 	old := s.record
 	k.mu.Unlock()
-	states, inOrder := k.releaseAll(ctx, s.id)
+	states, graceful := k.releaseComponents(ctx, s.id)
 	k.mu.Lock()
 	s.event(eventReleased)
 	k.mu.Unlock()
-	if !inOrder && !k.sleepOut(ctx) {
+	if !graceful && !k.waitForExpiry(ctx) {
 		return
 	}
 	moved := old
@@ -68,11 +68,11 @@
 		conditions = append(conditions, platform.Condition{Key: member.Key(next.Name), ModRevision: nextMod})
 	}
 	attempt := ""
-	if next.Name != "" && inOrder {
+	if next.Name != "" && graceful {
 		attempt = uuid.NewString()
 		msg := HandOver{Partition: moved.ID, Epoch: moved.Epoch, Incarnation: next.Incarnation, ID: attempt, States: states}
 		if err := k.sendStates(ctx, next, msg); err != nil {
-			k.log.WithError(err).WithFields(logFields(old)).Warn("next holder did not take the state")
+			k.log.WithError(err).WithFields(logFields(old)).Warn("next holder did not accept the state; resuming the partition")
 			k.resume(ctx, s, states)
 			return
 		}
@@ -80,17 +80,17 @@
 	rec, err := k.writeRecord(ctx, record{Partition: moved, HandOver: attempt}, conditions)
 	switch {
 	case err == nil:
-		k.handedOver(ctx, s, next, rec, attempt)
+		k.completeHandOver(ctx, s, next, rec, attempt)
 	case errors.Is(err, platform.ErrUnavailable):
 		k.resume(ctx, s, states)
 	default:
-		k.settleMove(ctx, s, old, states)
+		k.resolveMove(ctx, s, old, states)
 	}
 }
 
-// handedOver ends a successful hand-over and tells the next holder, which would
-// otherwise see the record a watch's delay later.
-func (k *Keeper) handedOver(ctx context.Context, s *slot, next view.Member, rec view.Partition, attempt string) {
+// completeHandOver ends a successful handover and notifies the next holder, which would otherwise
+// see the record only after the delay of its watch.
+func (k *Keeper) completeHandOver(ctx context.Context, s *slot, next view.Member, rec view.Partition, attempt string) {
 	k.mu.Lock()
 	s.event(eventDrop)
 	k.mu.Unlock()
@@ -102,19 +102,19 @@
 	msg := HandOver{Partition: rec.ID, Epoch: rec.Epoch, Incarnation: next.Incarnation, ID: attempt, Record: &rec}
 	var reply HandOverReply
 	if err := k.peers.Call(ctx, next.Addr, peer.KindHandOver, msg, &reply); err != nil {
-		k.log.WithError(err).Debug("next holder will see the record by its watch")
+		k.log.WithError(err).Debug("next holder not notified of the handover; it observes the record through its watch")
 	}
 }
 
-// settleMove finds out whether the record has moved. Writing it anew with the
-// old holder makes a delayed move fail; only then does this process go on.
-func (k *Keeper) settleMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
-	k.setSettling(s, true)
-	defer k.setSettling(s, false)
+// resolveMove finds out whether the record has moved. It writes the record again with the old
+// holder, which makes a delayed move fail; only after that does this process resume the partition.
+func (k *Keeper) resolveMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
+	k.setResolving(s, true)
+	defer k.setResolving(s, false)
 	retry := k.newBackOff()
 	for {
 		k.mu.Lock()
-		known := k.mirror.partitions[s.id]
+		known := k.cache.partitions[s.id]
 		k.mu.Unlock()
 		if known.ModRevision > old.ModRevision && (holderOf(known) != holderOf(old) || known.Epoch != old.Epoch) {
 			k.mu.Lock()
@@ -138,44 +138,44 @@
 	}
 }
 
-// setSettling notes whether the outcome of a partition's move is being found out.
-func (k *Keeper) setSettling(s *slot, settling bool) {
+// setResolving sets whether the outcome of a partition's move is being resolved.
+func (k *Keeper) setResolving(s *slot, resolving bool) {
 	k.mu.Lock()
-	s.settling = settling
+	s.resolving = resolving
 	k.mu.Unlock()
-	k.wake()
+	k.wakeDecide()
 }
 
-// resume takes a released partition up again with its own states.
+// resume activates a released partition again with its own states.
 func (k *Keeper) resume(ctx context.Context, s *slot, states map[string][]byte) {
 	k.mu.Lock()
 	s.event(eventResume)
 	k.mu.Unlock()
-	k.takeUp(ctx, s, states, true, false)
+	k.activate(ctx, s, states, true, false)
 }
 
-// sleepOut waits until no right given before can be in use.
-func (k *Keeper) sleepOut(ctx context.Context) bool {
+// waitForExpiry waits until all authority granted so far has expired.
+func (k *Keeper) waitForExpiry(ctx context.Context) bool {
 	var until time.Time
-	k.session.Right(func(h *right.Holder) { until = h.Outstanding() })
+	k.session.Right(func(h *right.Holder) { until = h.LatestEnd() })
 	return wait.For(ctx, uptime.Until(until))
 }
 
-// releaseAll ends the residents' work in order and collects their states. It
-// reports false when one of them could not finish: then the next holder gets no
-// states and counts as taking over from a dead one.
-func (k *Keeper) releaseAll(ctx context.Context, id int) (states map[string][]byte, inOrder bool) {
-	states, inOrder = map[string][]byte{}, true
-	for _, r := range k.residents {
+// releaseComponents ends the components' work in order and collects their states. It returns
+// graceful as false if one of them could not finish: the next holder then gets no states and treats
+// the partition as that of a dead holder.
+func (k *Keeper) releaseComponents(ctx context.Context, id int) (states map[string][]byte, graceful bool) {
+	states, graceful = map[string][]byte{}, true
+	for _, r := range k.components {
 		state, err := r.Release(ctx, id)
 		if err != nil {
-			k.log.WithError(err).WithField("resident", r.Name()).WithField("partition", id).Warn("not released in order")
-			inOrder = false
+			k.log.WithError(err).WithField("resident", r.Name()).WithField("partition", id).Warn("component did not release the partition gracefully")
+			graceful = false
 			continue
 		}
 		states[r.Name()] = state
 	}
-	return states, inOrder
+	return states, graceful
 }
 
 func (k *Keeper) sendStates(ctx context.Context, next view.Member, msg HandOver) error {
@@ -191,11 +191,11 @@
 	return nil
 }
 
-// onHandOver keeps a state that is sent ahead, or takes in the moved record.
+// onHandOver keeps states that are sent in advance, or applies the moved record.
 func (k *Keeper) onHandOver(_ context.Context, msg HandOver) (HandOverReply, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if msg.Incarnation != k.subject().Incarnation {
+	if msg.Incarnation != k.memberID().Incarnation {
 		return HandOverReply{}, result.New(result.HandOverFailed, result.RanNo, "this is another process than the one meant")
 	}
 	if msg.Partition < 0 || msg.Partition >= len(k.slots) {
@@ -205,11 +205,11 @@
 		return HandOverReply{}, result.New(result.Stopping, result.RanNo, "leaving")
 	}
 	if msg.Record != nil {
-		_ = k.mirror.apply(record{Partition: *msg.Record, HandOver: msg.ID}.change())
+		_ = k.cache.apply(record{Partition: *msg.Record, HandOver: msg.ID}.change())
 		k.publish()
 		return HandOverReply{Kept: true}, nil
 	}
-	k.slots[msg.Partition].inbox = &msg
+	k.slots[msg.Partition].receivedState = &msg
 	return HandOverReply{Kept: true}, nil
 }
 
--- a/internal/hold/loops.go
+++ b/internal/hold/loops.go
@@ -18,12 +18,12 @@
 	"pulleyquay/internal/view"
 )
 
-// errStaleRead: the store answered with an older state than it had confirmed.
+// errStaleRead: the store returned a state older than one that it had confirmed.
 var errStaleRead = errors.New("hold: stale read")
 
-// checkCount compares the configured number of partitions with the store's and
-// writes it when there is none. A store that does not answer is asked again by
-// the renewal loop before the first claim.
+// checkCount compares the configured number of partitions with the number in the store, and writes
+// it if there is none. If the store does not answer, the renewal loop repeats the check before the
+// first claim.
 func (k *Keeper) checkCount(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.config.Term/2)
 	defer cancel()
@@ -32,7 +32,7 @@
 		Then: []platform.Write{{Key: countKey, Value: []byte(strconv.Itoa(k.config.Partitions))}},
 	})
 	if err != nil {
-		k.setLacks("number of partitions in the store not checked yet")
+		k.setNotReady("number of partitions in the store not checked yet")
 		return nil
 	}
 	for _, rec := range reply.Found {
@@ -40,24 +40,23 @@
 			return result.New(result.PartitionCount, result.RanNo, "configured %d, the store holds %s", k.config.Partitions, stored)
 		}
 	}
-	k.setLacks()
+	k.setNotReady()
 	return nil
 }
 
-func (k *Keeper) setLacks(lacks ...string) {
+func (k *Keeper) setNotReady(notReady ...string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lacks = lacks
+	k.notReady = notReady
 }
 
-// renewLoop joins, renews the lease, keeps the electorate and joins again when
-// the lease is gone.
+// renewLoop joins, renews the lease, updates the voter set and joins again if the lease is lost.
 func (k *Keeper) renewLoop(ctx context.Context) {
 	retry := k.newBackOff()
 	for ctx.Err() == nil {
 		begun := uptime.Now()
 		err := k.renewOnce(ctx)
-		// A slow answer has used up part of the term: renew the sooner.
+		// A slow reply has used up part of the term: renew earlier.
 		pause := max(k.config.Renew-uptime.Since(begun), k.config.Renew/8)
 		if err != nil {
 			k.metrics.storeErrors.Inc()
@@ -67,7 +66,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-k.renew:
+		case <-k.renewNow:
 		case <-time.After(pause):
 		}
 	}
@@ -92,17 +91,18 @@
 			}
 			return err
 		}
-		return k.keepSession(ctx)
+		return k.maintainSession(ctx)
 	default:
 		return k.join(ctx)
 	}
 }
 
-// keepSession does what a renewed session needs besides: settle a doubt, tell
-// that it leaves, or take new members into the electorate.
-func (k *Keeper) keepSession(ctx context.Context) error {
+// maintainSession does the remaining work of a renewed session: it confirms the partitions,
+// announces that this member is leaving, resolves an unknown outcome, or adds new members to the
+// voter set.
+func (k *Keeper) maintainSession(ctx context.Context) error {
 	k.mu.Lock()
-	leaving, voters, confirmed := k.leaving, k.mirror.voters(), k.confirmed
+	leaving, voters, confirmed := k.leaving, k.cache.voters(), k.confirmed
 	k.mu.Unlock()
 	var session uint64
 	k.session.Right(func(h *right.Holder) { session = h.Session() })
@@ -121,37 +121,37 @@
 	if err := k.session.SetVoters(ctx, voters); err != nil {
 		return err
 	}
-	return k.sweep(ctx)
+	return k.deleteUnusedRecords(ctx)
 }
 
-// join creates the member key and confirms the partitions that are still ours.
+// join creates the member key and confirms the partitions that this process still holds.
 func (k *Keeper) join(ctx context.Context) error {
-	if k.mirrorCount() != k.config.Partitions {
+	if k.cachedCount() != k.config.Partitions {
 		if err := k.checkCount(ctx); err != nil {
-			k.setLacks(err.Error())
+			k.setNotReady(err.Error())
 			return err
 		}
 	}
 	self := k.session.Self()
 	k.mu.Lock()
-	voters := k.mirror.voters()
+	voters := k.cache.voters()
 	k.mu.Unlock()
 	voters = withVoter(voters, right.Voter{Name: self.Name, Incarnation: self.Incarnation, Addr: self.Addr})
 	if err := k.session.Join(ctx, voters); err != nil {
 		if result.CodeOf(err) == result.NameTaken {
-			k.stepDown(err)
+			k.dropForTakenName(err)
 		}
 		return err
 	}
-	k.setLacks()
+	k.setNotReady()
 	k.log.WithField("incarnation", self.Incarnation).Info("joined")
 	return k.confirm(ctx)
 }
 
-func (k *Keeper) mirrorCount() int {
+func (k *Keeper) cachedCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.mirror.count
+	return k.cache.count
 }
 
 func withVoter(voters []right.Voter, self right.Voter) []right.Voter {
@@ -164,8 +164,8 @@
 	return append(voters, self)
 }
 
-// confirm reads the partitions after a new session has begun: those whose
-// records are unchanged are held on in the new session.
+// confirm reads the partitions after the start of a session: partitions with unchanged records stay
+// held in the new session.
 func (k *Keeper) confirm(ctx context.Context) error {
 	var session uint64
 	k.session.Right(func(h *right.Holder) { session = h.Session() })
@@ -179,12 +179,12 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.mirror.list(PartitionPrefix, records, at); err != nil {
+	if err := k.cache.list(PartitionPrefix, records, at); err != nil {
 		return err
 	}
-	self := k.subject()
+	self := k.memberID()
 	for _, s := range k.slots {
-		rec, known := k.mirror.partitions[s.id]
+		rec, known := k.cache.partitions[s.id]
 		if s.owned() && known && holderOf(rec) == self && rec.Epoch == s.record.Epoch {
 			s.session = session
 		}
@@ -194,17 +194,18 @@
 	return nil
 }
 
-// stepDown forgets everything because another process has the name. The older
-// process keeps the name while it lives; this one waits for it to end.
-func (k *Keeper) stepDown(err error) {
+// dropForTakenName drops all partitions because another process has the name. The older process
+// keeps the name as long as it is registered; this one waits until it has ended.
+func (k *Keeper) dropForTakenName(err error) {
 	if len(k.Held()) > 0 {
-		k.log.WithError(err).Error("another process has this member's name: partitions dropped")
+		k.log.WithError(err).Error("another process is registered under this member's name; all partitions dropped")
 	}
-	k.setLacks(err.Error())
+	k.setNotReady(err.Error())
 	k.dropAll()
 }
 
-// watchLoop keeps the mirror of one prefix: list, then watch from there on.
+// watchLoop keeps the cache of one prefix current: it lists the prefix, then watches from that
+// revision on.
 func (k *Keeper) watchLoop(ctx context.Context, prefix string) {
 	retry := k.newBackOff()
 	for ctx.Err() == nil {
@@ -214,7 +215,7 @@
 			retry.Reset()
 		}
 		if err != nil && ctx.Err() == nil {
-			k.metrics.watchBreaks.Inc()
+			k.metrics.watchFailures.Inc()
 		}
 		select {
 		case <-ctx.Done():
@@ -231,44 +232,43 @@
 		return err
 	}
 	k.mu.Lock()
-	err = k.mirror.list(prefix, records, at)
+	err = k.cache.list(prefix, records, at)
 	k.publish()
 	k.mu.Unlock()
 	if err != nil {
-		k.log.WithError(err).Error("the store holds a record that can not be read")
+		k.log.WithError(err).Error("store record can not be decoded")
 		return err
 	}
 	return k.store.Watch(ctx, prefix, at, func(b platform.Batch) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		for _, c := range b.Changes {
-			if err := k.mirror.apply(c); err != nil {
-				k.log.WithError(err).Error("the store holds a record that can not be read")
+			if err := k.cache.apply(c); err != nil {
+				k.log.WithError(err).Error("store record can not be decoded")
 			}
 		}
 		k.publish()
 	})
 }
 
-// publish makes the mirror's state visible and wakes the decision loop. The
-// lock is held.
+// publish makes the cached state visible and wakes the decision loop. The lock is held.
 func (k *Keeper) publish() {
-	k.mirror.noteGone(uptime.Now())
-	k.table.Store(k.mirror.table())
+	k.cache.updateUnregistered(uptime.Now())
+	k.table.Store(k.cache.table())
 	k.changes.Tell()
-	k.wake()
+	k.wakeDecide()
 }
 
-// decideLoop looks at every partition when something has changed, and at least
-// once in each heartbeat interval.
+// decideLoop decides on every partition when something has changed, and at least once per heartbeat
+// interval.
 func (k *Keeper) decideLoop(ctx context.Context) {
-	var covered []view.Partition
+	var delegated []view.Partition
 	for ctx.Err() == nil {
 		k.decideAll(ctx)
-		covered = k.tellDeputy(covered)
+		delegated = k.notifyDelegate(delegated)
 		select {
 		case <-ctx.Done():
-		case <-k.kick:
+		case <-k.decideNow:
 		case <-time.After(k.config.Heartbeat/2 + rand.N(k.config.Heartbeat/2+1)):
 		}
 	}
--- a/internal/hold/measure_test.go
+++ b/internal/hold/measure_test.go
@@ -15,9 +15,9 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// These tests print the figures of docs/HOLDING.md with -v and hold them to
-// bounds. Time is the bubble's: a peer message takes 1 ms each way, a call to
-// the store 2 ms each way, and computing takes none.
+// These tests print the figures of docs/HOLDING.md with -v and check them against bounds. Time is
+// the bubble's: a peer message takes 1 ms each way, a call to the store 2 ms each way, and
+// computation takes none.
 
 var measuredStore = memstore.Faults{RequestDelayMS: 2, AnswerDelayMS: 2}
 
@@ -29,10 +29,10 @@
 	return out
 }
 
-func measuredCell(c *testCell, members int) {
+func startMeasured(c *testCell, members int) {
 	c.engine.SetFaults(measuredStore)
-	c.acting = 10 * actInterval
-	formed(c, memberNames(members)...)
+	c.useEvery = 10 * useInterval
+	startMembers(c, memberNames(members)...)
 }
 
 func (c *testCell) storeCalls() int {
@@ -50,11 +50,11 @@
 			config := DefaultConfig()
 			config.Partitions = tt.partitions
 			inBubble(t, config, func(c *testCell) {
-				measuredCell(c, tt.members)
+				startMeasured(c, tt.members)
 				before, rest := c.storeCalls(), 20*time.Second
 				time.Sleep(rest)
 				perMember := float64(c.storeCalls()-before) / rest.Seconds() / float64(tt.members)
-				c.t.Logf("%.2f store calls a second and member", perMember)
+				c.t.Logf("%.2f store calls per second and member", perMember)
 				if perMember > 1.5 {
 					c.t.Errorf("more than the lease renewals: %.2f", perMember)
 				}
@@ -63,7 +63,7 @@
 	}
 }
 
-// takeoverRuns is how many kills the takeover figures are taken from.
+// takeoverRuns is the number of kills from which the failover figures are taken.
 const takeoverRuns = 3
 
 func TestTakeoverOfAWholeHost(t *testing.T) {
@@ -76,16 +76,16 @@
 			calls, moved := 0, 0
 			for run := range takeoverRuns {
 				inBubble(t, config, func(c *testCell) {
-					measuredCell(c, tt.members)
+					startMeasured(c, tt.members)
 					time.Sleep(time.Duration(run) * c.config.Renew / takeoverRuns) // any moment between renewals
 					dead := c.nodes["m01"]
 					lost := dead.Held()
 					held := config.Partitions - len(lost)
 					c.kill(dead)
 					before, begun := c.storeCalls(), time.Now()
-					c.wait(3*c.config.Term, "first claim", func() bool { return c.heldByAll() > held })
+					c.wait(3*c.config.Term, "first claim", func() bool { return c.totalHeld() > held })
 					first = append(first, time.Since(begun))
-					c.waitSettled(3 * c.config.Term)
+					c.waitAllHeld(3 * c.config.Term)
 					all = append(all, time.Since(begun))
 					calls += c.storeCalls() - before
 					moved += len(lost)
@@ -93,17 +93,17 @@
 			}
 			slices.Sort(first)
 			slices.Sort(all)
-			t.Logf("first claim median %v worst %v, all median %v worst %v after the death; %.1f store calls a takeover of %.1f partitions",
+			t.Logf("first claim median %v worst %v, all median %v worst %v after the kill; %.1f store calls per failover of %.1f partitions",
 				first[len(first)/2], first[len(first)-1], all[len(all)/2], all[len(all)-1],
 				float64(calls)/takeoverRuns, float64(moved)/takeoverRuns)
 			if worst := all[len(all)-1]; worst > config.Term+time.Second {
-				t.Errorf("takeover took %v", worst)
+				t.Errorf("failover took %v", worst)
 			}
 		})
 	}
 }
 
-func (c *testCell) heldByAll() int {
+func (c *testCell) totalHeld() int {
 	sum := 0
 	for _, n := range c.nodes {
 		sum += len(n.Held())
@@ -115,7 +115,7 @@
 	config := DefaultConfig()
 	inBubble(t, config, func(c *testCell) {
 		is := is.New(c.t)
-		measuredCell(c, 7)
+		startMeasured(c, 7)
 		leaving := c.nodes["m01"]
 		moved := leaving.Held()
 		before, begun := c.storeCalls(), time.Now()
@@ -125,7 +125,7 @@
 		for _, id := range moved {
 			for _, n := range c.nodes {
 				if n != leaving && slices.Contains(n.Held(), id) {
-					gaps = append(gaps, n.resident.takeover(id).TakenAt.Sub(leaving.resident.releasedAt(id)))
+					gaps = append(gaps, n.component.acquisition(id).TakenAt.Sub(leaving.component.releasedAt(id)))
 				}
 			}
 		}
@@ -141,26 +141,26 @@
 	var back []time.Duration
 	for range takeoverRuns {
 		inBubble(t, DefaultConfig(), func(c *testCell) {
-			measuredCell(c, 7)
+			startMeasured(c, 7)
 			c.engine.SetFaults(memstore.Faults{Hang: true})
 			time.Sleep(10 * c.config.Term)
 			c.engine.SetFaults(measuredStore)
 			begun := time.Now()
-			back = append(back, c.wait(4*time.Second, "all members back", func() bool {
+			back = append(back, c.wait(4*time.Second, "all members registered again", func() bool {
 				for _, n := range c.nodes {
 					if age := n.storeAge(); n.session.State() != "joined" || age > time.Since(begun) || len(n.Table().Members) != 7 {
 						return false
 					}
 				}
-				return c.settled()
+				return c.allHeld()
 			}))
 		})
 	}
 	slices.Sort(back)
-	t.Logf("all members back in the store, each seeing all: median %v worst %v", back[len(back)/2], back[len(back)-1])
+	t.Logf("all members registered again, each observing all: median %v worst %v", back[len(back)/2], back[len(back)-1])
 }
 
-// BenchmarkCheck is the cost that each order pays.
+// BenchmarkCheck measures the cost of the check before each order.
 func BenchmarkCheck(b *testing.B) {
 	c := newTestCell(b, DefaultConfig())
 	defer c.close()
@@ -168,7 +168,7 @@
 	if err := n.Start(context.Background()); err != nil {
 		b.Fatal(err)
 	}
-	n.stopAct = func() {}
+	n.stopUsing = func() {}
 	c.nodes["a"] = n
 	for len(n.Held()) == 0 {
 		time.Sleep(time.Millisecond)
@@ -181,11 +181,11 @@
 	}
 }
 
-// BenchmarkHeartbeat is one beat without extras, encoded, answered and decoded.
+// BenchmarkHeartbeat measures one heartbeat without extras: encoded, answered and decoded.
 func BenchmarkHeartbeat(b *testing.B) {
 	c := newTestCell(b, DefaultConfig())
 	n := c.build("a", "a:1")
-	host := &beatHost{n.Keeper}
+	host := &heartbeatHost{n.Keeper}
 	beat := heartbeat.Beat{Status: host.Status(), Asks: host.Asks()}
 	encoded, err := cbor.Marshal(beat)
 	if err != nil {
--- a/internal/hold/suspended_test.go
+++ b/internal/hold/suspended_test.go
@@ -11,16 +11,16 @@
 	"pulleyquay/internal/uptime"
 )
 
-// TestSuspendedHolderHasNoRight: the right to act is over for everybody else while a
-// machine is suspended. When it woke, the steady clock had stood still, and the right was
-// held for valid until the rest of its term had passed.
-func TestSuspendedHolderHasNoRight(t *testing.T) {
+// TestSuspendedHolderHasNoAuthority guards against authority that outlasts a suspension of the
+// machine. For all other processes it expires meanwhile, but the monotonic clock stands still:
+// after the wake-up, the authority was considered valid for the rest of its term.
+func TestSuspendedHolderHasNoAuthority(t *testing.T) {
 	var suspended atomic.Int64
 	defer uptime.Use(func() time.Duration { return time.Duration(suspended.Load()) })()
 	inBubble(t, testConfig(), func(c *testCell) {
 		is := is.New(c.t)
 		a, b := c.start("a"), c.start("b")
-		c.waitSettled(20 * time.Second)
+		c.waitAllHeld(20 * time.Second)
 		for _, n := range []*node{a, b} {
 			for _, id := range n.Held() {
 				_, err := n.Check(id)
@@ -35,12 +35,12 @@
 			}
 		}
 		time.Sleep(2 * c.config.Term)
-		c.waitSettled(20 * time.Second)
+		c.waitAllHeld(20 * time.Second)
 		for _, n := range []*node{a, b} {
 			for _, id := range n.Held() {
 				grant, err := n.Check(id)
 				is.NoErr(err)
-				is.True(time.Until(grant.Until) <= c.config.Term) // by the clock of those who use it
+				is.True(time.Until(grant.Until) <= c.config.Term) // on the clock of the grant's users
 			}
 		}
 	})
--- a/internal/hold/table_test.go
+++ b/internal/hold/table_test.go
@@ -13,15 +13,14 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// fault is something that goes wrong in a cell of a, b and c. The cell is
-// healed afterwards.
+// fault is a failure in a cell of a, b and c. The cell is repaired afterwards.
 type fault struct {
 	name string
 	do   func(c *testCell, term time.Duration)
 }
 
 var (
-	down     = memstore.Faults{Hang: true}
+	hanging  = memstore.Faults{Hang: true}
 	refusing = memstore.Faults{Refuse: true}
 	healthy  = memstore.Faults{}
 )
@@ -29,67 +28,67 @@
 var faultTable = []fault{
 	{"holder killed", func(c *testCell, _ time.Duration) { c.kill(c.nodes["b"]) }},
 	{"holder killed and replaced at its address", func(c *testCell, _ time.Duration) { c.replace("b") }},
-	{"holder stopped for four terms and resumed", func(c *testCell, term time.Duration) {
-		c.nodes["b"].gate.close()
+	{"holder paused for four terms and resumed", func(c *testCell, term time.Duration) {
+		c.nodes["b"].gate.pause()
 		time.Sleep(4 * term)
-		c.nodes["b"].gate.open()
+		c.nodes["b"].gate.resume()
 	}},
-	{"holder stopped while the store is down, resumed after", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+	{"holder paused while the store is unavailable, resumed after", func(c *testCell, term time.Duration) {
+		c.engine.SetFaults(hanging)
 		time.Sleep(term)
-		c.nodes["b"].gate.close()
+		c.nodes["b"].gate.pause()
 		time.Sleep(term)
 		c.engine.SetFaults(healthy)
 		time.Sleep(4 * term)
-		c.nodes["b"].gate.open()
+		c.nodes["b"].gate.resume()
 	}},
-	{"cut from the store", func(c *testCell, term time.Duration) {
-		c.nodes["b"].client.SetFaults(down)
+	{"disconnected from the store", func(c *testCell, term time.Duration) {
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
-	{"cut from its peers", func(c *testCell, term time.Duration) {
-		c.cutPeers("b", true, true)
+	{"disconnected from its peers", func(c *testCell, term time.Duration) {
+		c.blockPeers("b", true, true)
 		time.Sleep(4 * term)
 	}},
-	{"cut from both", func(c *testCell, term time.Duration) {
-		c.cutPeers("b", true, true)
-		c.nodes["b"].client.SetFaults(down)
+	{"disconnected from both", func(c *testCell, term time.Duration) {
+		c.blockPeers("b", true, true)
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
-	{"cut from its peers one way, out", func(c *testCell, term time.Duration) {
-		c.cutPeers("b", true, false)
-		c.nodes["b"].client.SetFaults(down)
+	{"disconnected from its peers, outbound only", func(c *testCell, term time.Duration) {
+		c.blockPeers("b", true, false)
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
-	{"cut from its peers one way, in", func(c *testCell, term time.Duration) {
-		c.cutPeers("b", false, true)
-		c.nodes["b"].client.SetFaults(down)
+	{"disconnected from its peers, inbound only", func(c *testCell, term time.Duration) {
+		c.blockPeers("b", false, true)
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * term)
 	}},
-	{"cut from both in an outage", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+	{"disconnected from both in an outage", func(c *testCell, term time.Duration) {
+		c.engine.SetFaults(hanging)
 		time.Sleep(term)
-		c.cutPeers("b", true, true)
+		c.blockPeers("b", true, true)
 		time.Sleep(2 * term)
 		c.engine.SetFaults(healthy)
 		c.nodes["b"].client.SetFaults(refusing)
 		time.Sleep(4 * term)
 	}},
 	{"outage of ten terms with a kill and a pause", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+		c.engine.SetFaults(hanging)
 		time.Sleep(2 * term)
 		c.kill(c.nodes["b"])
 		time.Sleep(2 * term)
-		c.nodes["c"].gate.close()
+		c.nodes["c"].gate.pause()
 		time.Sleep(2 * term)
-		c.nodes["c"].gate.open()
+		c.nodes["c"].gate.resume()
 		time.Sleep(4 * term)
 	}},
-	{"store back for one member first", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+	{"store available to one member first", func(c *testCell, term time.Duration) {
+		c.engine.SetFaults(hanging)
 		time.Sleep(3 * term)
-		c.nodes["b"].client.SetFaults(down)
-		c.nodes["c"].client.SetFaults(down)
+		c.nodes["b"].client.SetFaults(hanging)
+		c.nodes["c"].client.SetFaults(hanging)
 		c.engine.SetFaults(healthy)
 		time.Sleep(2 * term)
 	}},
@@ -101,7 +100,7 @@
 			time.Sleep(term / 4)
 		}
 	}},
-	{"answers of claims lost", func(c *testCell, term time.Duration) {
+	{"replies to claims lost", func(c *testCell, term time.Duration) {
 		c.nodes["a"].client.SetFaults(memstore.Faults{LoseAnswers: 5})
 		c.nodes["c"].client.SetFaults(memstore.Faults{LoseAnswers: 5})
 		c.kill(c.nodes["b"])
@@ -124,7 +123,7 @@
 		}
 	}},
 	{"all killed and replaced in an outage", func(c *testCell, term time.Duration) {
-		c.engine.SetFaults(down)
+		c.engine.SetFaults(hanging)
 		time.Sleep(term)
 		for _, name := range []string{"a", "b", "c"} {
 			c.replace(name)
@@ -141,36 +140,36 @@
 	c.start(name)
 }
 
-// heal ends every fault.
-func (c *testCell) heal() {
+// repair ends all injected faults.
+func (c *testCell) repair() {
 	c.engine.SetFaults(healthy)
-	c.net.heal()
+	c.net.repair()
 	for _, name := range []string{"a", "b", "c"} {
 		c.engine.Client(name).SetFaults(healthy)
 		if n := c.nodes[name]; n != nil {
-			n.gate.open()
+			n.gate.resume()
 		}
 	}
 }
 
-// healLimit is how many terms a healed cell may take until every partition has
-// a holder that may act: the death of a member is known after one, a
-// replacement's vote counts after another.
-const healLimit = 5
+// recoveryTerms is the number of terms that a repaired cell may take until every partition has a
+// holder that may act: the death of a member is known after one term, the vote of its replacement
+// counts after another.
+const recoveryTerms = 5
 
-func TestFaultsNeverMakeTwoHoldersAndHeal(t *testing.T) {
+func TestFaultsNeverMakeTwoHoldersAndCellRecovers(t *testing.T) {
 	for _, f := range faultTable {
 		t.Run(f.name, func(t *testing.T) {
 			inBubble(t, testConfig(), func(c *testCell) {
-				formed(c, "a", "b", "c")
+				startMembers(c, "a", "b", "c")
 				f.do(c, c.config.Term)
-				c.heal()
-				took := c.waitSettled(healLimit * c.config.Term)
+				c.repair()
+				took := c.waitAllHeld(recoveryTerms * c.config.Term)
 				time.Sleep(2 * c.config.Term)
-				if !c.settled() {
-					c.t.Errorf("does not stay settled\n%s", c.describe())
+				if !c.allHeld() {
+					c.t.Errorf("not every partition stays held\n%s", c.describe())
 				}
-				c.t.Logf("all partitions held %v after the fault's end", took)
+				c.t.Logf("all partitions held %v after the repair", took)
 			})
 		})
 	}
@@ -179,9 +178,9 @@
 // scriptSteps is the length of a random script.
 const scriptSteps = 12
 
-// TestRandomFaultsNeverMakeTwoHoldersAndHeal strings faults of the table
-// together, each begun before the one before has healed.
-func TestRandomFaultsNeverMakeTwoHoldersAndHeal(t *testing.T) {
+// TestRandomFaultsNeverMakeTwoHoldersAndCellRecovers combines random faults; each begins before the
+// cell has recovered from the previous one.
+func TestRandomFaultsNeverMakeTwoHoldersAndCellRecovers(t *testing.T) {
 	config := testConfig()
 	config.Partitions = 8
 	rapid.Check(t, func(rt *rapid.T) {
@@ -190,24 +189,24 @@
 			script = append(script, scriptStep{
 				kind:  rapid.IntRange(0, scriptKinds-1).Draw(rt, "kind"),
 				name:  rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "member"),
-				pause: time.Duration(rapid.IntRange(0, 4000).Draw(rt, "pause")) * time.Millisecond,
+				delay: time.Duration(rapid.IntRange(0, 4000).Draw(rt, "pause")) * time.Millisecond,
 			})
 		}
 		var violations []string
 		inBubble(t, config, func(c *testCell) {
-			formed(c, "a", "b", "c")
+			startMembers(c, "a", "b", "c")
 			for _, s := range script {
 				s.run(c)
 			}
-			c.heal()
+			c.repair()
 			for _, name := range []string{"a", "b", "c"} {
 				if c.nodes[name] == nil {
 					c.start(name)
 				}
 			}
-			violations = c.referee.violations()
-			if !poll(2*healLimit*c.config.Term, c.settled) {
-				violations = append(violations, "does not heal:\n"+c.describe())
+			violations = c.checker.violations()
+			if !poll(2*recoveryTerms*c.config.Term, c.allHeld) {
+				violations = append(violations, "does not recover:\n"+c.describe())
 			}
 		})
 		if len(violations) > 0 {
@@ -216,22 +215,22 @@
 	})
 }
 
-// scriptStep is one fault, or the end of one, and how long to wait after it.
+// scriptStep is one fault, or the end of one, and the delay after it.
 type scriptStep struct {
 	kind  int
 	name  string
-	pause time.Duration
+	delay time.Duration
 }
 
 const scriptKinds = 14
 
-func (s scriptStep) String() string { return fmt.Sprintf("%d %s %v", s.kind, s.name, s.pause) }
+func (s scriptStep) String() string { return fmt.Sprintf("%d %s %v", s.kind, s.name, s.delay) }
 
 func (s scriptStep) run(c *testCell) {
 	n := c.nodes[s.name]
 	switch {
 	case s.kind == 0:
-		c.engine.SetFaults(down)
+		c.engine.SetFaults(hanging)
 	case s.kind == 1:
 		c.engine.SetFaults(refusing)
 	case s.kind == 2:
@@ -242,43 +241,43 @@
 	case s.kind == 4:
 		c.kill(n)
 	case s.kind == 5:
-		n.gate.close()
+		n.gate.pause()
 	case s.kind == 6:
-		n.gate.open()
+		n.gate.resume()
 	case s.kind == 7:
-		n.client.SetFaults(down)
+		n.client.SetFaults(hanging)
 	case s.kind == 8:
 		n.client.SetFaults(memstore.Faults{LoseAnswers: 2})
 	case s.kind == 9:
-		c.cutPeers(s.name, true, false)
+		c.blockPeers(s.name, true, false)
 	case s.kind == 10:
-		c.cutPeers(s.name, true, true)
+		c.blockPeers(s.name, true, true)
 	case s.kind == 12:
-		ctx, cancel := context.WithTimeout(context.Background(), s.pause)
-		_ = n.Stop(ctx) // cut short more often than not
+		ctx, cancel := context.WithTimeout(context.Background(), s.delay)
+		_ = n.Stop(ctx) // usually ends before all partitions are handed over
 		cancel()
 		c.kill(n)
 	case s.kind == 13:
 		n.client.SetFaults(memstore.Faults{RequestDelayMS: 700, WatchDelayMS: 900})
 	case s.kind == 11:
 		n.client.SetFaults(healthy)
-		c.cutPeers(s.name, false, false)
+		c.blockPeers(s.name, false, false)
 	}
-	time.Sleep(s.pause)
+	time.Sleep(s.delay)
 }
 
-// TestRefereeCatchesSkippedExpiry plants the fault that the referee is for.
-func TestRefereeCatchesSkippedExpiry(t *testing.T) {
+// TestCheckerDetectsIgnoredExpiry injects the fault that the checker must detect.
+func TestCheckerDetectsIgnoredExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestCell(t, testConfig())
 		defer c.close()
-		formed(c, "a", "b", "c")
-		c.nodes["b"].resident.skipExpiry.Store(true)
-		c.cutPeers("b", true, true)
-		c.nodes["b"].client.SetFaults(down)
+		startMembers(c, "a", "b", "c")
+		c.nodes["b"].component.ignoreExpiry.Store(true)
+		c.blockPeers("b", true, true)
+		c.nodes["b"].client.SetFaults(hanging)
 		time.Sleep(4 * c.config.Term)
-		if len(c.referee.violations()) == 0 {
-			t.Fatal("a holder that acts without a right was not noticed")
+		if len(c.checker.violations()) == 0 {
+			t.Fatal("a holder that acts without authority was not detected")
 		}
 	})
 }
--- a/internal/right/model_test.go
+++ b/internal/right/model_test.go
@@ -7,29 +7,28 @@
 	"time"
 )
 
-// The model is a cell of processes, a store and messages that may be lost or
-// come arbitrarily late, driven one random step at a time. It uses the rule of
-// this package as the Keeper does and notes every use of a right in true time.
+// The model is a cell of processes, a store and messages that may be lost or arbitrarily delayed,
+// driven one random step at a time. It applies the rule of this package as hold.Manager does and
+// records every use of authority in true time.
 
-// variant plants a fault into the model's use of the rule; the zero value is
-// the rule as it stands.
-type variant struct {
-	skipExpiry      bool // act without looking at the end of the right
-	countFromAnswer bool // count the lease from the answer, not from the send
-	skipFence       bool // claim as soon as the member key is gone
-	oneVote         bool // a fence by one voter suffices
-	skipConfirm     bool // take records for current without a read in the session
-	noMargin        bool // leave the clocks' rates out
+// injectedFault leaves out a part of the rule; the zero value applies the whole rule.
+type injectedFault struct {
+	ignoreExpiry     bool // act without checking the end of the authority
+	countFromReply   bool // count the lease from the reply, not from the request
+	skipFence        bool // claim as soon as the member key is missing
+	singleVoter      bool // a fence by one voter suffices
+	skipConfirmation bool // treat records as current without a read in the session
+	noClockMargin    bool // ignore differences of clock rates
 }
 
 const (
 	modelProcs      = 4
 	modelPartitions = 2
 	modelTerm       = 3 * time.Second
-	modelMargin     = 10 // parts of a thousand
+	modelMargin     = 10 // per mille
 )
 
-// chooser draws a number below n.
+// chooser draws a number in [0, n).
 type chooser func(label string, n int) int
 
 type modelRecord struct {
@@ -45,23 +44,23 @@
 	expires     time.Duration // true time
 }
 
-type modelCharter struct {
+type modelVoterRecord struct {
 	Electorate
 	lease int
 	mod   int
 }
 
-// modelStore is the store's state; a copy of it is what a read returns.
+// modelStore is the state of the store; a read returns a copy of it.
 type modelStore struct {
-	revision   int
-	members    map[string]modelMember
-	charters   map[Subject]modelCharter
-	partitions [modelPartitions]modelRecord
+	revision     int
+	members      map[string]modelMember
+	voterRecords map[Subject]modelVoterRecord
+	partitions   [modelPartitions]modelRecord
 }
 
 func (s *modelStore) copy() modelStore {
 	c := *s
-	c.members, c.charters = maps.Clone(s.members), maps.Clone(s.charters)
+	c.members, c.voterRecords = maps.Clone(s.members), maps.Clone(s.voterRecords)
 	return c
 }
 
@@ -70,44 +69,44 @@
 	return s.revision
 }
 
-// modelUse is a stretch of true time in which a process may act.
-type modelUse struct {
+// authorityUse is an interval of true time in which a process may act.
+type authorityUse struct {
 	by    Subject
 	epoch uint64
 	until time.Duration
 }
 
 type model struct {
-	choose    chooser
-	variant   variant
-	times     Times
-	now       time.Duration // true time
-	up        bool
-	lastLease int
-	store     modelStore
-	procs     []*modelProc
-	born      int
-	flying    []func()
-	uses      [modelPartitions]map[Subject]modelUse
-	epochs    [modelPartitions]uint64
-	faults    []string
-	trace     []string
-	granted   int // uses seen, so that an idle model does not count as proof
-	promised  int // of them by promises
-	succeeded int // claims over a dead holder
+	choose        chooser
+	injectedFault injectedFault
+	times         Times
+	now           time.Duration // true time
+	up            bool
+	lastLease     int
+	store         modelStore
+	procs         []*modelProc
+	started       int
+	inFlight      []func()
+	uses          [modelPartitions]map[Subject]authorityUse
+	epochs        [modelPartitions]uint64
+	violations    []string
+	trace         []string
+	granted       int // recorded uses; shows that the model was not idle
+	promised      int // uses based on promises
+	takenOver     int // claims of a dead holder's partition
 }
 
-func newModel(choose chooser, v variant) *model {
+func newModel(choose chooser, v injectedFault) *model {
 	m := &model{
-		choose: choose, variant: v, up: true,
+		choose: choose, injectedFault: v, up: true,
 		times: Times{Term: modelTerm, Margin: modelMargin, OutageLimit: time.Minute},
-		store: modelStore{members: map[string]modelMember{}, charters: map[Subject]modelCharter{}},
+		store: modelStore{members: map[string]modelMember{}, voterRecords: map[Subject]modelVoterRecord{}},
 	}
-	if v.noMargin {
+	if v.noClockMargin {
 		m.times.Margin = 0
 	}
 	for i := range m.uses {
-		m.uses[i] = map[Subject]modelUse{}
+		m.uses[i] = map[Subject]authorityUse{}
 	}
 	for i := range modelProcs {
 		m.procs = append(m.procs, m.newProc(fmt.Sprintf("p%d", i)))
@@ -115,33 +114,32 @@
 	return m
 }
 
-// modelRates are clock rates in parts of a thousand, at most half the margin
-// away from true time.
+// modelRates are clock rates in per mille, at most half the margin away from true time.
 var modelRates = []int64{995, 1000, 1005}
 
 func (m *model) newProc(name string) *modelProc {
-	m.born++
+	m.started++
 	return &modelProc{
-		m: m, id: Subject{Name: name, Incarnation: fmt.Sprintf("%04d", m.born)},
-		rate: modelRates[m.choose("rate", len(modelRates))], born: m.now,
-		holder: NewHolder(m.times), promises: NewPromises(), sent: map[int]time.Time{},
+		m: m, id: Subject{Name: name, Incarnation: fmt.Sprintf("%04d", m.started)},
+		rate: modelRates[m.choose("rate", len(modelRates))], started: m.now,
+		holder: NewHolder(m.times), promises: NewVoterState(), sent: map[int]time.Time{},
 		owned: map[int]modelOwned{}, fencings: map[Subject]*modelFencing{},
-		view: modelStore{members: map[string]modelMember{}, charters: map[Subject]modelCharter{}},
+		view: modelStore{members: map[string]modelMember{}, voterRecords: map[Subject]modelVoterRecord{}},
 	}
 }
 
-// step draws and carries out one step. Steps that do not apply do nothing.
+// step draws and executes one step. Steps that do not apply do nothing.
 func (m *model) step() {
 	p := m.procs[m.choose("process", len(m.procs))]
 	switch a := m.choose("step", 100); {
 	case a < 10:
 		m.advance()
 	case a < 12:
-		m.advanceToEnd(p)
+		m.advanceToExpiry(p)
 	case a < 30:
 		m.deliver()
 	case a < 32:
-		m.lose()
+		m.dropMessage()
 	case a < 33:
 		m.up = m.choose("up", 4) > 0
 	case a < 34:
@@ -159,48 +157,48 @@
 	case a < 62:
 		p.read()
 	case a < 72:
-		p.ask(m.procs[m.choose("voter", len(m.procs))])
+		p.requestPromise(m.procs[m.choose("voter", len(m.procs))])
 	case a < 79:
 		p.fence(m.choose("partition", modelPartitions))
 	case a < 82:
 		p.claim(m.choose("partition", modelPartitions))
 	case a < 84:
-		p.takeOver(m.choose("partition", modelPartitions))
+		p.failOver(m.choose("partition", modelPartitions))
 	case a < 86:
-		p.askAll()
+		p.requestPromises()
 	case a < 87:
-		p.askUseAndChange()
+		p.requestUseAndChange()
 	default:
 		p.use(m.choose("partition", modelPartitions))
 	}
 }
 
-var modelSteps = []time.Duration{
+var modelTimeSteps = []time.Duration{
 	time.Millisecond, 10 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, 900 * time.Millisecond,
 	3 * time.Second, 61 * time.Second,
 }
 
 func (m *model) advance() {
-	n := len(modelSteps)
-	// A whole term passes seldom, the outage limit more seldom.
+	n := len(modelTimeSteps)
+	// Steps of a whole term are rare, steps beyond the outage limit rarer.
 	switch long := m.choose("long", 50); {
 	case long > 4:
 		n -= 2
 	case long > 0:
 		n--
 	}
-	m.now += modelSteps[m.choose("advance", n)]
+	m.now += modelTimeSteps[m.choose("advance", n)]
 }
 
-// advanceToEnd goes to the moment at which a lease or a promise ends, where a
-// right that is counted too long shows.
-func (m *model) advanceToEnd(p *modelProc) {
+// advanceToExpiry advances to the end of a lease or a promise, where authority that is counted too
+// long becomes visible.
+func (m *model) advanceToExpiry(p *modelProc) {
 	var ends []time.Duration
 	for _, name := range slices.Sorted(maps.Keys(m.store.members)) {
 		ends = append(ends, m.store.members[name].expires)
 	}
 	for _, q := range m.procs {
-		entry := p.promises.of[q.id]
+		entry := p.promises.byMember[q.id]
 		ends = append(ends, m.now+entry.until.Sub(p.clock())*1000/time.Duration(p.rate)+1)
 	}
 	if end := ends[m.choose("end", len(ends))]; end > m.now && end < m.now+2*modelTerm {
@@ -208,19 +206,18 @@
 	}
 }
 
-// send puts a message under way. Most arrive at once, the rest at any later
-// step or never.
+// send starts delivery of a message. Most messages arrive at once, the rest at any later step or
+// never.
 func (m *model) send(arrive func()) {
 	if m.choose("at once", 4) > 0 {
 		arrive()
 		return
 	}
-	m.flying = append(m.flying, arrive)
+	m.inFlight = append(m.inFlight, arrive)
 }
 
-// toStore puts a call to the store under way; it is lost when the store is down
-// on arrival.
-func (m *model) toStore(arrive func()) {
+// sendToStore starts a call to the store; it is lost if the store is unavailable on arrival.
+func (m *model) sendToStore(arrive func()) {
 	m.send(func() {
 		if m.up {
 			arrive()
@@ -229,23 +226,23 @@
 }
 
 func (m *model) deliver() {
-	if len(m.flying) == 0 {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := m.choose("message", len(m.flying))
-	arrive := m.flying[i]
-	m.flying = slices.Delete(m.flying, i, i+1)
+	i := m.choose("message", len(m.inFlight))
+	arrive := m.inFlight[i]
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	arrive()
 }
 
-func (m *model) lose() {
-	if len(m.flying) > 0 {
-		i := m.choose("lost", len(m.flying))
-		m.flying = slices.Delete(m.flying, i, i+1)
+func (m *model) dropMessage() {
+	if len(m.inFlight) > 0 {
+		i := m.choose("lost", len(m.inFlight))
+		m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	}
 }
 
-// replace kills a process; another of the same name and address starts.
+// replace kills a process and starts another with the same name and address.
 func (m *model) replace(p *modelProc) {
 	p.dead = true
 	for i := range m.procs {
@@ -256,8 +253,8 @@
 	m.logf("replaced %v", p.id)
 }
 
-// expire ends the leases whose term has run out; the store may be late with it,
-// and it may do so while nobody reaches it.
+// expire removes the members whose lease has run out. The store may do so late, and also while no
+// process reaches it.
 func (m *model) expire() {
 	for name, member := range m.store.members {
 		if m.now >= member.expires {
@@ -268,27 +265,27 @@
 	}
 }
 
-// lease returns when a lease that starts now ends by the store's own clock.
+// lease returns the end, by the store's own clock, of a lease that starts now.
 func (m *model) lease() time.Duration {
 	rate := modelRates[m.choose("store rate", len(modelRates))]
 	return m.now + modelTerm*1000/time.Duration(rate)
 }
 
-// used notes that a process may act until then, and finds overlaps.
-func (m *model) used(p *modelProc, id int, epoch uint64, until time.Time) {
+// recordUse records that a process may act until the given time, and detects overlaps.
+func (m *model) recordUse(p *modelProc, id int, epoch uint64, until time.Time) {
 	m.granted++
 	end := m.now + time.Duration(int64(until.Sub(p.clock()))*1000/p.rate)
 	for other, u := range m.uses[id] {
 		if other != p.id && m.now < u.until {
-			m.faults = append(m.faults, fmt.Sprintf("partition %d: %v acts at epoch %d while %v may act at %d for %v",
+			m.violations = append(m.violations, fmt.Sprintf("partition %d: %v acts at epoch %d while %v may act at %d for %v",
 				id, p.id, epoch, other, u.epoch, u.until-m.now))
 		}
 	}
 	if epoch < m.epochs[id] {
-		m.faults = append(m.faults, fmt.Sprintf("partition %d: epoch %d after %d", id, epoch, m.epochs[id]))
+		m.violations = append(m.violations, fmt.Sprintf("partition %d: epoch %d after %d", id, epoch, m.epochs[id]))
 	}
 	m.epochs[id] = epoch
-	m.uses[id][p.id] = modelUse{by: p.id, epoch: epoch, until: max(end, m.uses[id][p.id].until)}
+	m.uses[id][p.id] = authorityUse{by: p.id, epoch: epoch, until: max(end, m.uses[id][p.id].until)}
 	m.logf("%v uses %d at epoch %d until %v", p.id, id, epoch, end)
 }
 
