--- a/internal/engine/account.go
+++ b/internal/engine/account.go
@@ -20,15 +20,15 @@
 	quota fairshare.Quota
 	// used is the size of the recorded runs, unsure that of tasks that may run on hosts that have not
 	// reported since the failover. Backfill tasks are counted per step.
-	used, unsure  spec.Resources
-	unsureFillers map[*group]int64
+	used, unconfirmed   spec.Resources
+	unconfirmedBackfill map[*group]int64
 	// left and leftFillers are the sizes that jobs which the previous holder had just ended may still have
 	// running on such hosts.
 	left, leftFillers spec.Resources
 	// withheld is the quota that is withheld in this scheduling pass for steps earlier in the queue.
-	promised spec.Resources
-	known    bool // the configuration names the account
-	atQuota  bool // last logged state: steps wait for the quota
+	withheld   spec.Resources
+	configured bool // the configuration names the account
+	atQuota    bool // last logged state: steps wait for the quota
 }
 
 // accountOf returns the usage record of an account, or nil for an empty name.
@@ -38,7 +38,7 @@
 	}
 	a := e.accounts[name]
 	if a == nil {
-		a = &account{name: name, quota: fairshare.Unlimited, unsureFillers: map[*group]int64{}}
+		a = &account{name: name, quota: fairshare.Unlimited, unconfirmedBackfill: map[*group]int64{}}
 		e.accounts[name] = a
 		e.applyAccount(a)
 	}
@@ -48,20 +48,20 @@
 // applyAccount applies the configuration of an account. An account that is not configured any more keeps
 // its last quota.
 func (e *Engine) applyAccount(a *account) {
-	said := e.catalog.Account(a.name)
-	if said == nil {
+	config := e.catalog.Account(a.name)
+	if config == nil {
 		return
 	}
-	a.quota, a.known = said.Quota, true
+	a.quota, a.configured = config.Quota, true
 }
 
 // applyAccounts applies a new configuration. A changed quota counts as a change of capacity, so that
 // waiting steps are retried.
 func (e *Engine) applyAccounts() {
 	for _, a := range e.accounts {
-		before, known := a.quota, a.known
+		before, configured := a.quota, a.configured
 		e.applyAccount(a)
-		if a.quota != before && known {
+		if a.quota != before && configured {
 			e.room++
 			e.logQuota(a)
 		}
@@ -91,15 +91,15 @@
 }
 
 // doubt adds n tasks of a step that may run on hosts that have not reported; a negative n removes them.
-func (a *account) doubt(g *group, n int64) {
+func (a *account) addUnconfirmed(g *group, n int64) {
 	switch {
 	case a == nil:
 	case !g.step.Filler:
-		a.unsure = a.unsure.Add(g.step.Size.Times(n))
+		a.unconfirmed = a.unconfirmed.Add(g.step.Size.Times(n))
 	default:
-		a.unsureFillers[g] += n
-		if a.unsureFillers[g] == 0 {
-			delete(a.unsureFillers, g)
+		a.unconfirmedBackfill[g] += n
+		if a.unconfirmedBackfill[g] == 0 {
+			delete(a.unconfirmedBackfill, g)
 		}
 	}
 }
@@ -114,24 +114,24 @@
 // Backfill tasks take no processors there, so they may run beside other tasks, as far as the other
 // dimensions allow.
 func (e *Engine) inDoubt(a *account) spec.Resources {
-	sum := a.unsure.Add(a.left).Min(e.unheard.room)
-	if len(e.unheard.sizes) > 0 {
+	sum := a.unconfirmed.Add(a.left).Min(e.unreported.capacity)
+	if len(e.unreported.sizes) > 0 {
 		sum = sum.Add(a.leftFillers)
 	}
-	for g, n := range a.unsureFillers {
-		sum = sum.Add(g.step.Size.Times(min(n, e.unheard.holds(g.step.Booked()))))
+	for g, n := range a.unconfirmedBackfill {
+		sum = sum.Add(g.step.Size.Times(min(n, e.unreported.holds(g.step.Booked()))))
 	}
 	return sum
 }
 
 // unreportedHosts are the hosts that have not reported since the failover.
-type unheardHosts struct {
-	room  spec.Resources // total
-	sizes []spec.Resources
+type unreportedHosts struct {
+	capacity spec.Resources // total
+	sizes    []spec.Resources
 }
 
 // holds returns how many tasks of a size these hosts can hold.
-func (u *unheardHosts) holds(size spec.Resources) (n int64) {
+func (u *unreportedHosts) holds(size spec.Resources) (n int64) {
 	for _, s := range u.sizes {
 		n += int64(s.Holds(size))
 	}
@@ -139,8 +139,8 @@
 }
 
 // measureUnreported computes the capacity of the hosts that have not reported.
-func (e *Engine) weighUnheard(now time.Time) {
-	e.unheard = unheardHosts{sizes: e.unheard.sizes[:0]}
+func (e *Engine) measureUnreported(now time.Time) {
+	e.unreported = unreportedHosts{sizes: e.unreported.sizes[:0]}
 	if !e.unsettled && len(e.held) == 0 {
 		return
 	}
@@ -150,15 +150,15 @@
 		}
 		size := h.info.Size
 		if size.IsZero() {
-			size = unboundedRoom // only its name is known
+			size = unboundedCapacity // only its name is known
 		}
-		e.unheard.room = e.unheard.room.Add(size).Min(unboundedRoom)
-		e.unheard.sizes = append(e.unheard.sizes, size)
+		e.unreported.capacity = e.unreported.capacity.Add(size).Min(unboundedCapacity)
+		e.unreported.sizes = append(e.unreported.sizes, size)
 	}
 }
 
 // unboundedCapacity exceeds the capacity of all hosts together.
-var unboundedRoom = spec.Resources{MilliCPU: 1 << 60, MemoryMiB: 1 << 60, Accelerators: 1 << 60}
+var unboundedCapacity = spec.Resources{MilliCPU: 1 << 60, MemoryMiB: 1 << 60, Accelerators: 1 << 60}
 
 // allowedNow returns how many waiting tasks of a step the account's quota allows to start now: all members
 // of a gang, or none.
@@ -170,7 +170,7 @@
 	if e.catalog == nil {
 		return 0 // the quota is not known yet
 	}
-	n := a.quota.Room(e.counted(a).Add(a.promised), g.step.Size, g.waiting)
+	n := a.quota.Room(e.counted(a).Add(a.withheld), g.step.Size, g.waiting)
 	if g.step.Gang && n < g.waiting {
 		return 0
 	}
@@ -180,22 +180,22 @@
 // withholdQuota withholds the quota that a step waits for from later steps of its account, also that of a
 // gang for which others were preempted. Otherwise small tasks would take quota as it comes free, and
 // earlier steps that need more at once would starve.
-func (e *Engine) promise(g *group, now time.Time) {
+func (e *Engine) withholdQuota(g *group, now time.Time) {
 	a := g.job.account
-	if a != nil && g.waiting > 0 && (now.Before(g.roomAt) || e.allowedNow(g) < g.waiting) {
-		if a.promised.IsZero() {
-			e.promising = append(e.promising, a)
+	if a != nil && g.waiting > 0 && (now.Before(g.preemptedAt) || e.allowedNow(g) < g.waiting) {
+		if a.withheld.IsZero() {
+			e.withheldAccounts = append(e.withheldAccounts, a)
 		}
-		a.promised = a.promised.Add(g.step.Size.Times(int64(g.waiting)))
+		a.withheld = a.withheld.Add(g.step.Size.Times(int64(g.waiting)))
 	}
 }
 
 // clearWithheld resets the withheld quota at the end of a scheduling pass.
-func (e *Engine) clearPromises() {
-	for _, a := range e.promising {
-		a.promised = spec.Resources{}
+func (e *Engine) clearWithheld() {
+	for _, a := range e.withheldAccounts {
+		a.withheld = spec.Resources{}
 	}
-	e.promising = e.promising[:0]
+	e.withheldAccounts = e.withheldAccounts[:0]
 }
 
 // quotaLacks describes the quota that a step lacks to start any task; empty if it does not wait for quota.
@@ -205,11 +205,11 @@
 		return ""
 	}
 	need := g.step.AtOnce()
-	if never := a.quota.Exceeds(need); never != "" {
-		return fmt.Sprintf("waits for its account's quota to rise: %s needs more at once than %s may have: %s", g.id, a.name, never)
+	if exceeded := a.quota.Exceeds(need); exceeded != "" {
+		return fmt.Sprintf("waits for its account's quota to rise: %s needs more at once than %s may have: %s", g.id, a.name, exceeded)
 	}
 	return fmt.Sprintf("waits for its account's quota: %s has %s, of it %s in doubt, and %s promised to steps before it",
-		a.name, a.quota.Exceeds(e.counted(a).Add(a.promised).Add(need)), describeSize(e.inDoubt(a)), describeSize(a.promised))
+		a.name, a.quota.Exceeds(e.counted(a).Add(a.withheld).Add(need)), describeSize(e.inDoubt(a)), describeSize(a.withheld))
 }
 
 func describeSize(r spec.Resources) string {
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -184,5 +184,5 @@
 	for i := range n {
 		w.setQuota(fmt.Sprint("account-", i), half)
 	}
-	w.accountOf = func(id string) string { return fmt.Sprint("account-", fnvOf(id)%uint32(n)) }
+	w.accountOf = func(id string) string { return fmt.Sprint("account-", hashOf(id)%uint32(n)) }
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -66,21 +66,21 @@
 	// accounts are the client accounts with jobs in this partition, by name.
 	accounts map[string]*account
 	// withheldAccounts are the accounts with quota withheld in the current scheduling pass.
-	promising []*account
+	withheldAccounts []*account
 	// unheard are the hosts that have not reported since the failover, unowned is the size of all orphan
 	// runs.
-	unheard unheardHosts
-	unowned spec.Resources
-	jobs    map[string]*job
-	live    map[string]*job
+	unreported unreportedHosts
+	unowned    spec.Resources
+	jobs       map[string]*job
+	live       map[string]*job
 	// ready holds the steps with tasks to start, in no order.
 	ready map[spec.StepID]*group
 	// queue holds the ready steps that are due, in scheduling order; fresh holds those that are not in the
 	// queue yet.
-	queue, fresh []*group
+	queue, incoming []*group
 	// nextPassAt is the earliest time of the next scheduling pass.
-	planAt time.Time
-	hosts  map[host.ID]*hostState
+	nextPassAt time.Time
+	hosts      map[host.ID]*hostState
 	// foreign are the listed hosts of services that the configuration does not name.
 	foreign map[host.ID]host.Info
 	// sorted are the hosts in the order of their ids.
@@ -90,7 +90,7 @@
 	// room is incremented whenever capacity comes free or hosts become usable, so that a step that found
 	// no capacity is retried only after the next change.
 	room       uint64
-	orderedAt  time.Time // when the queue was last sorted
+	sortedAt   time.Time // when the queue was last sorted
 	loadToldAt time.Time // when the load of the cell was last logged
 	watchedAt  time.Time // when the runs were last checked for progress
 	expiredAt  time.Time // when hosts were last checked for missing answers
@@ -137,8 +137,8 @@
 	unpaced map[*hostState]struct{}
 	// backfillOverloadShare is the share at which backfill tasks of an image last overloaded the serving
 	// tasks beside them, by image.
-	fillShare map[string]int
-	shrunk    shrinking // the largest recent capacity reduction
+	backfillOverloadShare map[string]int
+	shrunk                shrinking // the largest recent capacity reduction
 	// losses are the incarnations of hosts that ended recently, exiles the presumed-ended ones that are
 	// attributed to tasks although the host may still answer, trials counts the hosts that are quarantined
 	// for a suspect job.
@@ -152,13 +152,13 @@
 	// retried is true while the store lacks a run of a task that is suspected of host crashes.
 	retried bool
 	// upkeep plans maintenance rollouts; nil where the platform offers no orders to machines.
-	upkeep   *upkeep.Planner
-	upkeepAt time.Time // when maintenance was last planned
+	upkeep          *upkeep.Planner
+	upkeepPlannedAt time.Time // when maintenance was last planned
 	// reservingGangs counts the gangs with reservations in this pass, reservingLarge the steps of large
 	// tasks.
-	reserving, reservingLarge int
+	reservingGangs, reservingLarge int
 	// hostBuf is reused for the placeable hosts of each pass.
-	scratch []*hostState
+	hostBuf []*hostState
 	// waitsTold counts the steps whose reason to wait was logged in the current interval.
 	waitsTold int
 }
@@ -173,27 +173,27 @@
 // no earlier job before the failover is reconciled, or until settleBy.
 func New(cfg Config) *Engine {
 	return &Engine{
-		cfg:          cfg,
-		rnd:          rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch)),
-		accounts:     map[string]*account{},
-		jobs:         map[string]*job{},
-		live:         map[string]*job{},
-		ready:        map[spec.StepID]*group{},
-		hosts:        map[host.ID]*hostState{},
-		foreign:      map[host.ID]host.Info{},
-		asks:         map[uint64]*question{},
-		unwanted:     map[*run]struct{}{},
-		dirty:        map[string]*job{},
-		good:         map[string]float64{},
-		unpaced:      map[*hostState]struct{}{},
-		fillShare:    map[string]int{},
-		lanes:        advice.NewLanes(),
-		runtimes:     runtimes.NewLearner(),
-		strangerEnds: map[string][]strangerEnd{},
-		claiming:     map[host.ID]struct{}{},
-		held:         map[spec.StepTask]int{},
-		pools:        map[string]*pool{},
-		exiles:       map[string]time.Time{},
+		cfg:                   cfg,
+		rnd:                   rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch)),
+		accounts:              map[string]*account{},
+		jobs:                  map[string]*job{},
+		live:                  map[string]*job{},
+		ready:                 map[spec.StepID]*group{},
+		hosts:                 map[host.ID]*hostState{},
+		foreign:               map[host.ID]host.Info{},
+		asks:                  map[uint64]*question{},
+		unwanted:              map[*run]struct{}{},
+		dirty:                 map[string]*job{},
+		good:                  map[string]float64{},
+		unpaced:               map[*hostState]struct{}{},
+		backfillOverloadShare: map[string]int{},
+		lanes:                 advice.NewLanes(),
+		runtimes:              runtimes.NewLearner(),
+		strangerEnds:          map[string][]strangerEnd{},
+		claiming:              map[host.ID]struct{}{},
+		held:                  map[spec.StepTask]int{},
+		pools:                 map[string]*pool{},
+		exiles:                map[string]time.Time{},
 	}
 }
 
@@ -294,18 +294,18 @@
 		return e.out, now.Add(restInterval)
 	}
 	e.settle(now)
-	e.begin(now)
+	e.setReadyTimes(now)
 	e.expireHosts(now)
 	e.watchRuns(now)
-	if now.Before(e.proved) && !now.Before(e.planAt) {
+	if now.Before(e.proved) && !now.Before(e.nextPassAt) {
 		e.plan(now)
 	}
 	e.planStops(now)
-	e.planPaces(now)
+	e.planThrottling(now)
 	e.planUpkeep(now)
 	e.tellLoad(now)
 	e.planLooks(now)
-	e.forgetEnded(now)
+	e.expireEndedJobs(now)
 	e.planCommit()
 	return e.out, e.nextDue(now)
 }
@@ -316,8 +316,8 @@
 // nextDue returns when something becomes due by the passage of time alone.
 func (e *Engine) nextDue(now time.Time) time.Time {
 	next := now.Add(restInterval)
-	if e.planAt.After(now) && e.planAt.Before(next) {
-		next = e.planAt
+	if e.nextPassAt.After(now) && e.nextPassAt.Before(next) {
+		next = e.nextPassAt
 	}
 	if !e.lookDue.IsZero() && e.lookDue.Before(next) {
 		next = e.lookDue
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -173,35 +173,35 @@
 func TestFaults(t *testing.T) {
 	tests := map[string]struct {
 		faults faults
-		strike func(w *world)
+		inject func(w *world)
 	}{
 		"none":              {},
 		"requests lost":     {faults: faults{lostRequest: 0.1}},
 		"answers lost":      {faults: faults{lostAnswer: 0.1}},
 		"orders late":       {faults: faults{late: 0.1}},
 		"all of these":      {faults: faults{lostRequest: 0.05, lostAnswer: 0.05, late: 0.05}},
-		"a host crashes":    {strike: func(w *world) { w.host("h01").Crash() }},
-		"a host is cut off": {strike: func(w *world) { w.host("h01").Cut(true) }},
-		"a host is cut, a while": {strike: func(w *world) {
+		"a host crashes":    {inject: func(w *world) { w.host("h01").Crash() }},
+		"a host is cut off": {inject: func(w *world) { w.host("h01").Cut(true) }},
+		"a host is cut, a while": {inject: func(w *world) {
 			w.host("h01").Cut(true)
 			w.after(3*time.Second, func() { w.host("h01").Cut(false) })
 		}},
-		"a host is cut, longer": {strike: func(w *world) {
+		"a host is cut, longer": {inject: func(w *world) {
 			w.host("h01").Cut(true)
 			w.after(9*time.Second, func() { w.host("h01").Cut(false) })
 		}},
-		"a host fails all":    {strike: func(w *world) { w.host("h02").Fail(true) }},
-		"a host stands still": {strike: func(w *world) { w.host("h02").Stall(true) }},
-		"a host is slow":      {strike: func(w *world) { w.host("h02").Slow(6) }},
-		"takeover":            {strike: func(w *world) { w.takeOver() }},
-		"two takeovers":       {strike: func(w *world) { w.takeOver(); w.after(50*time.Millisecond, w.takeOver) }},
-		"takeover, late orders": {faults: faults{late: 0.1}, strike: func(w *world) {
+		"a host fails all":    {inject: func(w *world) { w.host("h02").Fail(true) }},
+		"a host stands still": {inject: func(w *world) { w.host("h02").Stall(true) }},
+		"a host is slow":      {inject: func(w *world) { w.host("h02").Slow(6) }},
+		"takeover":            {inject: func(w *world) { w.takeOver() }},
+		"two takeovers":       {inject: func(w *world) { w.takeOver(); w.after(50*time.Millisecond, w.takeOver) }},
+		"takeover, late orders": {faults: faults{late: 0.1}, inject: func(w *world) {
 			w.takeOver()
 			w.after(700*time.Millisecond, w.takeOver)
 		}},
-		"takeover, a host crashes": {strike: func(w *world) { w.host("h03").Crash(); w.takeOver() }},
-		"takeover, answers lost":   {faults: faults{lostAnswer: 0.1}, strike: func(w *world) { w.takeOver() }},
-		"hosts' clocks apart": {strike: func(w *world) {
+		"takeover, a host crashes": {inject: func(w *world) { w.host("h03").Crash(); w.takeOver() }},
+		"takeover, answers lost":   {faults: faults{lostAnswer: 0.1}, inject: func(w *world) { w.takeOver() }},
+		"hosts' clocks apart": {inject: func(w *world) {
 			w.host("h01").SetRate(0.98)
 			w.host("h01").Cut(true)
 			w.takeOver()
@@ -216,8 +216,8 @@
 				w.faults = tc.faults
 				mixedWork(w, 12)
 				w.after(2*time.Second, func() {
-					if tc.strike != nil {
-						tc.strike(w)
+					if tc.inject != nil {
+						tc.inject(w)
 					}
 				})
 				w.run(12 * time.Second)
@@ -259,7 +259,7 @@
 
 // TestNothingStartsWithoutTheRight checks that a process which can not prove that it is the holder issues
 // no orders.
-func TestNothingStartsWithoutTheRight(t *testing.T) {
+func TestNothingStartsWithoutAuthority(t *testing.T) {
 	w := quietWorld(t, 2)
 	w.run(time.Second)
 	w.engine.Accept(&record.Job{ID: "a", Service: "s", Rules: catalog.Rules{Attempts: 1}, Graph: spec.Graph{Steps: []spec.Step{step(1, 1, 1, 100)}}}, true, w.now(), w.now())
@@ -307,7 +307,7 @@
 
 // TestLostStartIsSettledSoon guards against late urgent work: a lost start is resolved by a stop, but its
 // task waits until the poll that is held at the host returns.
-func TestLostStartIsSettledSoon(t *testing.T) {
+func TestLostStartIsResolvedSoon(t *testing.T) {
 	is := is.New(t)
 	w := quietWorld(t, 1)
 	w.submit("long", catalog.Rules{}, step(1, 8, 8, 30000))
--- a/internal/engine/estimate.go
+++ b/internal/engine/estimate.go
@@ -10,57 +10,57 @@
 // progress of a run is a better predictor once it covers enough time.
 const (
 	// minRateWindow is how long the progress of a run has to be observed before its rate is used.
-	rateAfter = 400 * time.Millisecond
+	minRateWindow = 400 * time.Millisecond
 	// estimateFactor multiplies the expected run time of a run without an observed rate.
-	doubtFactor = 1.3
+	estimateFactor = 1.3
 	// minRemaining is the lower bound of the expected remaining time of a run.
-	leastLeft = 30 * time.Millisecond
+	minRemaining = 30 * time.Millisecond
 )
 
 // takes returns the expected run time of a task of the step.
-func (g *group) takes() time.Duration {
+func (g *group) runTimeBound() time.Duration {
 	if g.step.LongRunning {
-		return forever
+		return unboundedDuration
 	}
-	return time.Duration(doubtFactor * float64(g.expected))
+	return time.Duration(estimateFactor * float64(g.expected))
 }
 
 // unboundedDuration exceeds every planning horizon.
-const forever = 24 * time.Hour
+const unboundedDuration = 24 * time.Hour
 
 // endsBy returns the expected end of a run. A gang ends with its slowest member.
 func (r *run) endsBy(now time.Time) time.Time {
 	g := r.group
 	if g == nil || g.step.LongRunning {
-		return now.Add(forever)
+		return now.Add(unboundedDuration)
 	}
 	if !g.step.Gang {
-		return r.aloneEndsBy(now)
+		return r.workEndsBy(now)
 	}
-	if now.Sub(g.endsAsOf) < reserveEvery {
-		return g.ends
+	if now.Sub(g.estimatedAt) < reservationInterval {
+		return g.estimatedEnd
 	}
-	g.ends, g.endsAsOf = time.Time{}, now
+	g.estimatedEnd, g.estimatedAt = time.Time{}, now
 	for i := range g.tasks {
 		if cur := g.tasks[i].cur; cur != nil {
-			g.ends = later(g.ends, cur.aloneEndsBy(now))
+			g.estimatedEnd = later(g.estimatedEnd, cur.workEndsBy(now))
 		}
 	}
-	return g.ends
+	return g.estimatedEnd
 }
 
 // workEndsBy returns when a run is expected to complete its own work.
-func (r *run) aloneEndsBy(now time.Time) time.Time {
+func (r *run) workEndsBy(now time.Time) time.Time {
 	if r.unwanted {
-		return now.Add(leastLeft)
+		return now.Add(minRemaining)
 	}
-	left := r.group.takes() - now.Sub(r.sent)
-	seen := r.progressAt.Sub(r.firstAt)
-	if done := r.percent - r.firstPercent; seen > rateAfter && done > 0 {
-		whole := float64(workDone-r.percent) / done * float64(seen)
-		left = time.Duration(whole) - now.Sub(r.progressAt)
+	left := r.group.runTimeBound() - now.Sub(r.sent)
+	observed := r.progressAt.Sub(r.firstAt)
+	if done := r.percent - r.firstPercent; observed > minRateWindow && done > 0 {
+		remaining := float64(workDone-r.percent) / done * float64(observed)
+		left = time.Duration(remaining) - now.Sub(r.progressAt)
 	}
-	return now.Add(max(left, leastLeft))
+	return now.Add(max(left, minRemaining))
 }
 
 // seen records the reported progress of a run.
--- a/internal/engine/filters.go
+++ b/internal/engine/filters.go
@@ -2,8 +2,8 @@
 
 // filter is a rule that decides whether a step may run on a host, regardless of free capacity.
 type filter struct {
-	name   string
-	admits func(*group, *hostState) bool
+	name    string
+	accepts func(*group, *hostState) bool
 }
 
 // filters in the order of evaluation; a host is counted under the first filter that rejects it.
@@ -20,7 +20,7 @@
 // refusedBy returns the name of the first filter that rejects a host, or "".
 func refusedBy(g *group, h *hostState) string {
 	for _, f := range filters {
-		if !f.admits(g, h) {
+		if !f.accepts(g, h) {
 			return f.name
 		}
 	}
--- a/internal/engine/gang.go
+++ b/internal/engine/gang.go
@@ -12,8 +12,8 @@
 // gangReleased handles a member's run that ended before the gang was done.
 func (e *Engine) gangReleased(g *group, r *run, now time.Time) {
 	g.run = max(g.run, r.No)
-	if r.checkpoint != "" && r.percent >= g.checked {
-		g.checkpoint, g.checked = r.checkpoint, r.percent
+	if r.checkpoint != "" && r.percent >= g.checkpointPercent {
+		g.checkpoint, g.checkpointPercent = r.checkpoint, r.percent
 	}
 	g.setState(r.Task.Index, taskWaiting)
 	for i := range g.tasks {
@@ -30,17 +30,17 @@
 }
 
 // startGang starts every member on the chosen hosts.
-func (e *Engine) startGang(g *group, seats []seat, now time.Time) {
+func (e *Engine) startGang(g *group, slots []seat, now time.Time) {
 	g.run, g.startedHere = e.nextRun(g.run), true
-	e.logStart(g, len(g.tasks), len(seats), now)
+	e.logStart(g, len(g.tasks), len(slots), now)
 	i := 0
-	for _, s := range seats {
+	for _, s := range slots {
 		for range s.n {
 			e.start(g, i, g.run, s.host, g.checkpoint, now)
 			i++
 		}
 	}
-	g.unreserve()
+	g.releaseReservation()
 	e.refresh(g)
 }
 
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -12,12 +12,12 @@
 
 // job is an accepted job.
 type job struct {
-	rec     *record.Job
-	account *account // the client account that owns it; nil if it has none
-	state   record.State
-	groups  []*group // by occurrence, then step
-	steps   int      // steps per occurrence
-	open    int      // groups that are not done
+	rec          *record.Job
+	account      *account // the client account that owns it; nil if it has none
+	state        record.State
+	groups       []*group // by occurrence, then step
+	steps        int      // steps per occurrence
+	undoneGroups int      // groups that are not done
 	// started is true once any of its tasks has run.
 	started bool
 	// told is the batch that stores the final state: callers are told of a final state only once that
@@ -27,7 +27,7 @@
 	storedProgress bool
 	accepted       time.Time
 	urgency        urgency
-	judgedAt       time.Time // when urgency was computed
+	urgencyAt      time.Time // when urgency was computed
 	// crashesNew is true while crashes attributed to its tasks are not part of a batch; crashesIn is the
 	// last batch that held some.
 	crashesNew bool
@@ -81,11 +81,11 @@
 	waiting, leftOver int
 	// large is true when a host holds only a few of its tasks. It is valid once classified is set; see
 	// plan_large.go.
-	large, sized bool
+	largeTasks, classified bool
 	// sampledTasks counts the done tasks whose run times were sampled; sampledTime is the sum of these
 	// times, normalised to a host of mean speed.
-	siblings int
-	usual    float64
+	sampledTasks int
+	sampledTime  float64
 	// expected is the expected run time of a task.
 	expected time.Duration
 	// doneAt is when its last task was done.
@@ -97,32 +97,32 @@
 	// perHost counts active tasks by host.
 	perHost map[*hostState]int
 	// standing is the highest crash suspicion of its tasks.
-	standing crashloop.Standing
-	advice   opinion
-	tried    attempt
-	ready    bool // in the engine's ready steps
-	queued   bool // in the engine's queue
-	fresh    bool // ready and waiting to be enqueued
+	standing    crashloop.Standing
+	advice      policyState
+	lastAttempt placementAttempt
+	ready       bool // in the engine's ready steps
+	queued      bool // in the engine's queue
+	incoming    bool // ready and waiting to be enqueued
 
 	// The following fields concern gangs, which run as a whole.
-	startedHere  bool  // by this holder
-	run          int   // number of the gang's current or last run
-	failed       []int // numbers of the gang's failed runs
-	checkpoint   string
-	checked      float64 // percent of work saved in checkpoint
-	reserved     []*hostState
-	reservedAt   time.Time // when the reservation was computed
-	reservedFrom time.Time // when the reserved slots are expected to be free
-	settled      time.Time // the reservation is kept until then, as tickets for its hosts are on their way
-	roomAt       time.Time // when the capacity that is being preempted for the gang is free
-	clearAt      time.Time // when to preempt others for the gang
-	ends         time.Time // expected end of its run, computed at estimatedAt
-	endsAsOf     time.Time
-	notBefore    time.Time
+	startedHere       bool  // by this holder
+	run               int   // number of the gang's current or last run
+	failed            []int // numbers of the gang's failed runs
+	checkpoint        string
+	checkpointPercent float64 // percent of work saved in checkpoint
+	reserved          []*hostState
+	reservedAt        time.Time // when the reservation was computed
+	reservedFrom      time.Time // when the reserved slots are expected to be free
+	settled           time.Time // the reservation is kept until then, as tickets for its hosts are on their way
+	preemptedAt       time.Time // when the capacity that is being preempted for the gang is free
+	preemptAt         time.Time // when to preempt others for the gang
+	estimatedEnd      time.Time // expected end of its run, computed at estimatedAt
+	estimatedAt       time.Time
+	notBefore         time.Time
 }
 
 // policyState is what the policy service has replied for a step.
-type opinion struct {
+type policyState struct {
 	known   map[*hostState]bool // false: the host may never run the step
 	good    []*hostState        // hosts that may run the step
 	tickets map[*hostState]ticket
@@ -133,9 +133,9 @@
 }
 
 // attempt is the last placement attempt of a step and the state on which it was based.
-type attempt struct {
+type placementAttempt struct {
 	at      time.Time
-	gap     time.Duration // until the next attempt
+	backoff time.Duration // until the next attempt
 	room    uint64
 	answers int
 }
@@ -158,7 +158,7 @@
 			j.groups = append(j.groups, newGroup(j, occurrence, i))
 		}
 	}
-	j.open = len(j.groups)
+	j.undoneGroups = len(j.groups)
 	return j
 }
 
@@ -201,14 +201,14 @@
 	case taskWaiting:
 		g.waiting--
 	case taskUnsure:
-		g.job.account.doubt(g, -1)
+		g.job.account.addUnconfirmed(g, -1)
 	}
 	t.state = s
 	switch s {
 	case taskWaiting:
 		g.waiting++
 	case taskUnsure:
-		g.job.account.doubt(g, 1)
+		g.job.account.addUnconfirmed(g, 1)
 	}
 }
 
@@ -236,24 +236,24 @@
 // refresh updates the membership of the group in the ready set.
 func (e *Engine) refresh(g *group) {
 	if g.needs > 0 || g.waiting == 0 || g.job.state.Final() {
-		e.notReady(g)
+		e.removeReady(g)
 		return
 	}
 	if !g.ready {
 		g.ready = true
 		e.ready[g.id] = g
 	}
-	if !g.queued && !g.fresh {
-		g.fresh = true
-		e.fresh = append(e.fresh, g)
+	if !g.queued && !g.incoming {
+		g.incoming = true
+		e.incoming = append(e.incoming, g)
 	}
 }
 
 // removeReady takes a group out of the ready set.
-func (e *Engine) notReady(g *group) {
+func (e *Engine) removeReady(g *group) {
 	g.ready = false
 	delete(e.ready, g.id)
-	g.unreserve()
+	g.releaseReservation()
 }
 
 // touch marks the stored record of the job as out of date. A job in a final state has its record stored
@@ -268,9 +268,9 @@
 // stepDone releases the steps that depend on a step, and ends the job after the last step.
 func (e *Engine) stepDone(g *group, now time.Time) {
 	j := g.job
-	j.open--
+	j.undoneGroups--
 	g.doneAt = now
-	e.notReady(g)
+	e.removeReady(g)
 	for _, other := range j.groups {
 		if other.id.Occurrence != g.id.Occurrence {
 			continue
@@ -285,7 +285,7 @@
 			e.refresh(other)
 		}
 	}
-	if j.open == 0 {
+	if j.undoneGroups == 0 {
 		e.finish(j, record.StateCompleted, now)
 	}
 }
@@ -300,7 +300,7 @@
 	delete(e.live, j.id())
 	e.ended = append(e.ended, endedJob{j.id(), now})
 	for _, g := range j.groups {
-		e.notReady(g)
+		e.removeReady(g)
 		for i := range g.tasks {
 			if r := g.tasks[i].cur; r != nil && s != record.StateCompleted {
 				e.unwant(r, "its job is over: "+string(s))
@@ -311,7 +311,7 @@
 }
 
 // expireEndedJobs drops jobs whose result need not be kept any longer.
-func (e *Engine) forgetEnded(now time.Time) {
+func (e *Engine) expireEndedJobs(now time.Time) {
 	n := 0
 	for n < len(e.ended) && now.Sub(e.ended[n].at) > e.cfg.Bounds.RememberEnded {
 		id := e.ended[n].id
@@ -323,8 +323,8 @@
 }
 
 // setReadyTimes marks the fresh steps ready whose occurrence is due.
-func (e *Engine) begin(now time.Time) {
-	for _, g := range e.fresh {
+func (e *Engine) setReadyTimes(now time.Time) {
+	for _, g := range e.incoming {
 		if g.readySince.IsZero() && !now.Before(g.due) {
 			g.readySince = now
 		}
--- a/internal/engine/large_test.go
+++ b/internal/engine/large_test.go
@@ -22,15 +22,15 @@
 // policy service, beside tasks of one accelerator that fit anywhere and can wait. 80% of the accelerators
 // are in use. The figures are those of a production site.
 const (
-	accelHosts     = 13
-	wholeHost      = "whole"
-	oneAccelerator = "single"
+	accelHosts = 13
+	largeKind  = "whole"
+	smallKind  = "single"
 )
 
 var (
-	wholeRules = catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000,
+	largeRules = catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000,
 		Advice: &catalog.Advice{DecideMillis: 490, PerHostMillis: 7, ValidMillis: 2000}}
-	singleRules = catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000,
+	smallRules = catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000,
 		Advice: &catalog.Advice{DecideMillis: 140, PerHostMillis: 2, ValidMillis: 2000}}
 )
 
@@ -39,7 +39,7 @@
 	w         *world
 	rnd       *rand.Rand
 	submitted map[string]time.Time
-	promised  map[string]time.Duration
+	target    map[string]time.Duration
 }
 
 // newAccelLoad submits the load for a duration, with random sizes and times.
@@ -47,7 +47,7 @@
 	w := newWorld(t, seed)
 	w.fleet.Add(accelHosts, "s", spec.Resources{MilliCPU: 64000, MemoryMiB: 131072, Accelerators: 8})
 	w.takeOver()
-	share := map[string]uint32{wholeHost: 30, oneAccelerator: 45}
+	share := map[string]uint32{largeKind: 30, smallKind: 45}
 	w.good = func(step spec.StepID, h host.ID) bool {
 		f := fnv.New32a()
 		fmt.Fprint(f, step, h, seed)
@@ -57,21 +57,21 @@
 	w.advised = func(o AskOrder) time.Duration {
 		return w.jobs[o.Step.Job].Rules.Advice.Took(len(o.Hosts))
 	}
-	l := &accelLoad{w: w, rnd: rand.New(rand.NewPCG(seed, 2)), submitted: map[string]time.Time{}, promised: map[string]time.Duration{}}
+	l := &accelLoad{w: w, rnd: rand.New(rand.NewPCG(seed, 2)), submitted: map[string]time.Time{}, target: map[string]time.Duration{}}
 	sizes := []int64{2, 4, 8, 8}
-	l.arrive(wholeHost, 1.84, d, wholeRules, func() spec.Step {
+	l.arrive(largeKind, 1.84, d, largeRules, func() spec.Step {
 		return spec.Step{Count: 1 + l.rnd.IntN(2), Size: spec.Resources{MilliCPU: 31000, MemoryMiB: 45000, Accelerators: sizes[l.rnd.IntN(4)]},
-			EstimateMillis: l.takes(3600), Checkpointing: true}
+			EstimateMillis: l.runTimeMillis(3600), Checkpointing: true}
 	})
-	l.arrive(oneAccelerator, 1.9, d, singleRules, func() spec.Step {
+	l.arrive(smallKind, 1.9, d, smallRules, func() spec.Step {
 		return spec.Step{Count: 2 + l.rnd.IntN(5), Size: spec.Resources{MilliCPU: 5600, MemoryMiB: 11000, Accelerators: 1},
-			EstimateMillis: l.takes(3800), Checkpointing: true}
+			EstimateMillis: l.runTimeMillis(3800), Checkpointing: true}
 	})
 	return l
 }
 
 // takes draws a run time in milliseconds, with a spread of about a half around the mean.
-func (l *accelLoad) takes(mean float64) int64 {
+func (l *accelLoad) runTimeMillis(mean float64) int64 {
 	const spread = 0.45
 	return int64(min(mean*math.Exp(spread*l.rnd.NormFloat64()-spread*spread/2), 2.5*mean))
 }
@@ -84,7 +84,7 @@
 		n++
 		l.w.after(at, func() {
 			l.submitted[id] = l.w.now()
-			l.promised[id] = time.Duration(rules.Stretch*float64(s.Estimate())) + time.Duration(rules.TargetMillis)*time.Millisecond
+			l.target[id] = time.Duration(rules.Stretch*float64(s.Estimate())) + time.Duration(rules.TargetMillis)*time.Millisecond
 			l.w.submit(id, rules, s)
 		})
 	}
@@ -92,14 +92,14 @@
 
 // onTimeShare returns the share of the jobs of a kind that completed within the target duration of their
 // queue.
-func (l *accelLoad) served(kind string) float64 {
+func (l *accelLoad) onTimeShare(kind string) float64 {
 	good, all := 0, 0
 	for id, at := range l.submitted {
 		if !strings.HasPrefix(id, kind) {
 			continue
 		}
 		all++
-		if l.w.shown[id] == record.StateCompleted && l.w.ended[id].Sub(at) <= l.promised[id] {
+		if l.w.shown[id] == record.StateCompleted && l.w.ended[id].Sub(at) <= l.target[id] {
 			good++
 		}
 	}
@@ -109,16 +109,16 @@
 // TestWholeHostsAreKeptForLargeTasks runs the accelerator load. It guards against large tasks that use
 // only capacity that is free at the moment: small tasks refill each host first, and the large ones end
 // late.
-func TestWholeHostsAreKeptForLargeTasks(t *testing.T) {
+func TestHostsAreReservedForLargeTasks(t *testing.T) {
 	const seeds = 8
 	var whole, single float64
 	for seed := uint64(1); seed <= seeds; seed++ {
 		l := newAccelLoad(t, seed, 40*time.Second)
 		l.w.run(100 * time.Second)
 		l.w.check()
-		whole += l.served(wholeHost) / seeds
-		single += l.served(oneAccelerator) / seeds
-		t.Logf("seed %d: in time %.3f of the large tasks' jobs, %.3f of the others", seed, l.served(wholeHost), l.served(oneAccelerator))
+		whole += l.onTimeShare(largeKind) / seeds
+		single += l.onTimeShare(smallKind) / seeds
+		t.Logf("seed %d: in time %.3f of the large tasks' jobs, %.3f of the others", seed, l.onTimeShare(largeKind), l.onTimeShare(smallKind))
 	}
 	t.Logf("in time: %.3f of the large tasks' jobs, %.3f of the others", whole, single)
 	is := is.New(t)
@@ -128,15 +128,15 @@
 
 // TestRoomIsNotKeptFromMoreUrgentSteps guards against reservations of large tasks of a less urgent queue
 // that block the reservations of gangs.
-func TestRoomIsNotKeptFromMoreUrgentSteps(t *testing.T) {
+func TestReservationsYieldToMoreUrgentSteps(t *testing.T) {
 	of := func(priority int) *group {
 		rec := &record.Job{Rules: catalog.Rules{Priority: priority}}
 		return &group{job: &job{rec: rec}, step: &spec.Step{Size: size(18, 26)}}
 	}
 	h := &hostState{reserved: []reservation{{group: of(1), n: 2}}}
 	is := is.New(t)
-	is.Equal(h.reservedFor(of(0)), spec.Resources{})
-	is.Equal(h.reservedFor(of(1)), size(18, 26).Times(2))
-	is.Equal(h.reservedFor(of(2)), size(18, 26).Times(2))
-	is.Equal(h.reservedFor(h.reserved[0].group), spec.Resources{})
+	is.Equal(h.reservedAheadOf(of(0)), spec.Resources{})
+	is.Equal(h.reservedAheadOf(of(1)), size(18, 26).Times(2))
+	is.Equal(h.reservedAheadOf(of(2)), size(18, 26).Times(2))
+	is.Equal(h.reservedAheadOf(h.reserved[0].group), spec.Resources{})
 }
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -23,7 +23,7 @@
 const sampleEvery = 450 * time.Millisecond
 
 // serves reports whether the run is a serving task with a latency target.
-func (r *run) serves() bool { return r.group != nil && r.group.step.TailTargetMillis > 0 }
+func (r *run) isServing() bool { return r.group != nil && r.group.step.TailTargetMillis > 0 }
 
 // fills reports whether the run is a backfill task.
 func (r *run) fills() bool { return r.group != nil && r.group.step.Filler }
@@ -33,9 +33,9 @@
 
 // worstTailRatio returns the highest ratio of a serving task's tail latency to its target on the host;
 // serving is false when no serving task is ready there.
-func (h *hostState) pressure() (worst float64, serving bool) {
+func (h *hostState) worstTailRatio() (worst float64, serving bool) {
 	for _, r := range h.runs {
-		if r.serves() && r.percent >= atWork {
+		if r.isServing() && r.percent >= atWork {
 			serving = true
 			worst = max(worst, r.gauge/float64(r.group.step.TailTargetMillis))
 		}
@@ -47,7 +47,7 @@
 func (h *hostState) mixed() bool {
 	serving, filling := false, false
 	for _, r := range h.runs {
-		serving = serving || r.serves()
+		serving = serving || r.isServing()
 		filling = filling || r.fills()
 	}
 	return serving && filling
@@ -59,17 +59,17 @@
 		if !h.mixed() {
 			return
 		}
-		h.governor = pacing.NewGovernor(e.cfg.Tuning.Pacing, e.learnedShare(h))
+		h.governor = pacing.NewGovernor(e.cfg.Tuning.Pacing, e.initialBackfillShare(h))
 	}
-	ratio, serving := h.pressure()
+	ratio, serving := h.worstTailRatio()
 	changed := false
 	if serving {
-		changed = h.governor.Observe(ratio, h.fillersUse(), now)
+		changed = h.governor.Observe(ratio, h.backfillCPUPercent(), now)
 	} else if !h.mixed() {
 		changed = h.governor.Idle(now)
 	}
 	if changed {
-		e.learnShare(h)
+		e.recordOverloadShare(h)
 		e.log(Event{What: "fillers paced", Host: string(h.info.ID),
 			Why: fmt.Sprintf("to %d%% of its processors, tail at %.2f of its target", h.governor.Share(), ratio), Age: now.Sub(h.viewed)})
 	}
@@ -81,7 +81,7 @@
 
 // backfillCPUPercent returns the share of the host's processors that its backfill tasks may use at their
 // current throttles, in percent.
-func (h *hostState) fillersUse() int {
+func (h *hostState) backfillCPUPercent() int {
 	sum := int64(0)
 	for _, r := range h.runs {
 		if r.fills() && r.state == runRunning {
@@ -93,7 +93,7 @@
 
 // backfillByProgress returns the host's backfill tasks in the order in which they receive processor time:
 // the furthest advanced first, so that some complete instead of all running slowly.
-func (h *hostState) fillersInTurn() []*run {
+func (h *hostState) backfillByProgress() []*run {
 	var out []*run
 	for _, r := range h.runs {
 		if r.fills() && !r.unwanted {
@@ -107,7 +107,7 @@
 }
 
 // planThrottling issues orders for the throttles that differ from the intended ones.
-func (e *Engine) planPaces(now time.Time) {
+func (e *Engine) planThrottling(now time.Time) {
 	if !now.Before(e.proved) {
 		return
 	}
@@ -116,26 +116,26 @@
 		if h.gone || !h.claimed {
 			continue
 		}
-		e.paceFillers(h)
+		e.throttleBackfill(h)
 	}
 }
 
 // throttleBackfill distributes the backfill share of a host's processors among its backfill tasks, in
 // order.
-func (e *Engine) paceFillers(h *hostState) {
+func (e *Engine) throttleBackfill(h *hostState) {
 	budget := int64(spec.Unbounded) * pacing.Full
 	if h.governor != nil && h.governor.Share() < pacing.Full {
 		budget = h.info.Size.MilliCPU * int64(h.governor.Share())
 	}
-	for _, r := range h.fillersInTurn() {
+	for _, r := range h.backfillByProgress() {
 		size := max(r.group.step.Size.MilliCPU, 1)
-		want := min(budget/size, pacing.Full)
-		budget -= want * size
-		if r.pacing || r.pace == int(want) || r.state != runRunning {
+		percent := min(budget/size, pacing.Full)
+		budget -= percent * size
+		if r.pacing || r.pace == int(percent) || r.state != runRunning {
 			continue
 		}
 		r.pacing = true
-		e.out.Paces = append(e.out.Paces, PaceOrder{To: h.info, Run: r.Run, Percent: int(want)})
+		e.out.Paces = append(e.out.Paces, PaceOrder{To: h.info, Run: r.Run, Percent: int(percent)})
 	}
 }
 
@@ -170,23 +170,23 @@
 }
 
 // recordOverloadShare records the share at which the images of a host's backfill tasks overloaded it.
-func (e *Engine) learnShare(h *hostState) {
+func (e *Engine) recordOverloadShare(h *hostState) {
 	for _, r := range h.runs {
 		if r.fills() {
-			e.fillShare[r.group.step.Image] = h.governor.TooMuch()
+			e.backfillOverloadShare[r.group.step.Image] = h.governor.TooMuch()
 		}
 	}
 }
 
 // initialBackfillShare returns the share with which the host's backfill tasks start beside serving tasks,
 // derived from the behaviour of their images on other hosts.
-func (e *Engine) learnedShare(h *hostState) int {
+func (e *Engine) initialBackfillShare(h *hostState) int {
 	share := pacing.Full
 	for _, r := range h.runs {
 		if !r.fills() {
 			continue
 		}
-		if tooMuch, known := e.fillShare[r.group.step.Image]; known {
+		if tooMuch, known := e.backfillOverloadShare[r.group.step.Image]; known {
 			share = min(share, int(e.cfg.Tuning.Pacing.Near*float64(tooMuch)))
 		}
 	}
--- a/internal/engine/plan_large.go
+++ b/internal/engine/plan_large.go
@@ -16,98 +16,98 @@
 // would cost them as much as it gained. With reservations more such jobs meet the target of their queue.
 
 // maxLargePerHost is the number of tasks of a step on an empty host up to which they are large.
-const largePerHost = 2
+const maxLargePerHost = 2
 
 // planLarge starts the large tasks that have capacity and permission. For the others it determines the
 // hosts that may run them, reserves slots there, and requests tickets in time.
 func (e *Engine) planLarge(g *group, hosts []*hostState, now time.Time) {
-	e.startTasks(g, e.permitted(g, hosts, now), now)
+	e.startTasks(g, e.permittedHosts(g, hosts, now), now)
 	if g.waiting == 0 {
 		return
 	}
 	if g.job.rec.Rules.Advice == nil {
-		e.reserveEach(g, e.candidates(g, hosts, now), now)
+		e.reserveLarge(g, e.candidateHosts(g, hosts, now), now)
 		return
 	}
-	good := e.goodHosts(g, now)
-	e.reserveEach(g, good, now)
+	permitted := e.goodHosts(g, now)
+	e.reserveLarge(g, permitted, now)
 	if !e.mayAsk(g, now) {
 		return
 	}
-	if !g.knowsEnough(good) {
+	if !g.hasEnoughPermitted(permitted) {
 		if unknown := e.unknownHosts(g, hosts); len(unknown) > 0 {
-			e.ask(g, e.soonest(g, unknown, now), now)
+			e.ask(g, e.earliestHosts(g, unknown, now), now)
 			return
 		}
 	}
 	if len(g.reserved) > 0 && (e.placesComeSoon(g, now) || e.lanes.Idle(g.job.rec.Rules.Advice.Took(1), now)) {
-		e.askForTickets(g, good, now)
+		e.askForTickets(g, permitted, now)
 	}
 }
 
 // earliestHosts selects the hosts for a policy query about large tasks: those that have capacity first, as
 // many as are expected to include enough permitted ones.
-func (e *Engine) soonest(g *group, unknown []*hostState, now time.Time) []*hostState {
+func (e *Engine) earliestHosts(g *group, unknown []*hostState, now time.Time) []*hostState {
 	at := make(map[*hostState]time.Duration, len(unknown))
 	for _, h := range unknown {
-		at[h] = e.roomIn(g, h, now)
+		at[h] = e.timeToCapacity(g, h, now)
 	}
 	out := slices.Clone(unknown)
 	slices.SortStableFunc(out, func(a, b *hostState) int { return cmp.Compare(at[a], at[b]) })
-	want := spareKnown * float64(g.waiting) / e.goodShare(g)
+	slots := permittedHostsFactor * float64(g.waiting) / e.goodShare(g)
 	n := 0
-	for want > 0 && n < len(out) && n < e.cfg.Tuning.AskMost {
-		want -= float64(g.fits(out[n], out[n].info.Size))
+	for slots > 0 && n < len(out) && n < e.cfg.Tuning.AskMost {
+		slots -= float64(g.fits(out[n], out[n].info.Size))
 		n++
 	}
 	return out[:max(n, min(leastAsked, len(out)))]
 }
 
 // timeToCapacity returns the expected time until a host has capacity for one more task.
-func (e *Engine) roomIn(g *group, h *hostState, now time.Time) time.Duration {
-	for _, d := range horizons {
+func (e *Engine) timeToCapacity(g *group, h *hostState, now time.Time) time.Duration {
+	for _, d := range reservationHorizons {
 		if g.fits(h, e.roomAt(g, h, d, now)) > 0 {
 			return d
 		}
 	}
-	return forever
+	return unboundedDuration
 }
 
 // roomAt returns what a step may use of a host after the given time: the expected free capacity less
 // reservations of other steps.
-func (e *Engine) roomAt(g *group, h *hostState, in time.Duration, now time.Time) spec.Resources {
-	return h.freeAt(now.Add(in), now).Sub(h.reservedFor(g))
+func (e *Engine) roomAt(g *group, h *hostState, after time.Duration, now time.Time) spec.Resources {
+	return h.freeAt(now.Add(after), now).Sub(h.reservedAheadOf(g))
 }
 
 // hostsPerLargeReservation is the number of hosts for each step of large tasks with reservations, as each
 // reservation may keep a host idle.
-const hostsPerLarge = 4
+const hostsPerLargeReservation = 4
 
 // mayReserveLarge reports whether one more step of large tasks may have reservations.
 func (e *Engine) mayReserveLarge() bool {
-	return e.reservingLarge < max(leastReserving, len(e.sorted)/hostsPerLarge)
+	return e.reservingLarge < max(minReservingSteps, len(e.sorted)/hostsPerLargeReservation)
 }
 
 // reserveLarge reserves a slot for each waiting task of a step, each from the earliest moment at which one
 // is expected to be free.
-func (e *Engine) reserveEach(g *group, hosts []*hostState, now time.Time) {
+func (e *Engine) reserveLarge(g *group, hosts []*hostState, now time.Time) {
 	if !e.mayReserveLarge() {
-		g.unreserve()
+		g.releaseReservation()
 		return
 	}
 	e.reservingLarge++
-	if len(g.reserved) > 0 && now.Sub(g.reservedAt) < reserveEvery && e.stillServes(g) {
+	if len(g.reserved) > 0 && now.Sub(g.reservedAt) < reservationInterval && e.reservationValid(g) {
 		return
 	}
-	kept := g.reserved
-	g.unreserve()
+	former := g.reserved
+	g.releaseReservation()
 	g.reservedAt = now
 	want := e.allowedNow(g)
 	if want == 0 {
 		return
 	}
-	for _, d := range horizons {
-		for _, s := range e.placesIn(g, hosts, kept, d, now) {
+	for _, d := range reservationHorizons {
+		for _, s := range e.slotsAfter(g, hosts, former, d, now) {
 			n := min(s.n, want)
 			if n == 0 || slices.Contains(g.reserved, s.host) {
 				continue
@@ -127,15 +127,15 @@
 
 // slotsAfter returns the hosts that are expected to have slots for a step after the given time: hosts of
 // its former reservation first, then by cost.
-func (e *Engine) placesIn(g *group, hosts, kept []*hostState, in time.Duration, now time.Time) []seat {
+func (e *Engine) slotsAfter(g *group, hosts, former []*hostState, after time.Duration, now time.Time) []seat {
 	var all []seat
 	for _, h := range hosts {
-		if n := g.fits(h, e.roomAt(g, h, in, now)); n > 0 {
+		if n := g.fits(h, e.roomAt(g, h, after, now)); n > 0 {
 			all = append(all, seat{h, n})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b seat) int {
-		x, y := slices.Contains(kept, a.host), slices.Contains(kept, b.host)
+		x, y := slices.Contains(former, a.host), slices.Contains(former, b.host)
 		if x != y {
 			if x {
 				return -1
@@ -151,23 +151,23 @@
 // computed at the first attempt and cached, as hosts that join or leave rarely change it. One host that
 // holds more tasks decides it, mostly the first one: checking all hosts for each new step would take most
 // of the decision time in a large cell.
-func (e *Engine) sizeUp(g *group, hosts []*hostState) bool {
-	if g.sized {
-		return g.large
+func (e *Engine) isLarge(g *group, hosts []*hostState) bool {
+	if g.classified {
+		return g.largeTasks
 	}
 	size := g.step.Booked()
 	for _, h := range hosts {
 		if refusedBy(g, h) != "" {
 			continue
 		}
-		g.sized, g.large = true, true
-		if g.step.LongRunning || g.step.Filler || h.info.Size.Holds(size) > largePerHost {
-			g.large = false
+		g.classified, g.largeTasks = true, true
+		if g.step.LongRunning || g.step.Filler || h.info.Size.Holds(size) > maxLargePerHost {
+			g.largeTasks = false
 			break
 		}
-		if h.pool.biggest.Holds(size) <= largePerHost {
+		if h.pool.biggest.Holds(size) <= maxLargePerHost {
 			break // no host holds more
 		}
 	}
-	return g.large
+	return g.largeTasks
 }
--- a/internal/engine/preempt.go
+++ b/internal/engine/preempt.go
@@ -13,7 +13,7 @@
 // free.
 
 // maxPreemptions is how often one task may be preempted.
-const mostPreempted = 2
+const maxPreemptions = 2
 
 // preemptMargin is how much longer than a stop a ticket has to be valid when tasks are preempted for it:
 // the stop and the start each take a round trip, and the end of a run is reported by a poll.
@@ -21,21 +21,21 @@
 
 // preemptibleBy reports whether tasks of the step may be preempted by a gang: the gang comes first in the
 // scheduling order, and its queue has a higher priority.
-func (g *group) yieldsTo(gang *group) bool {
+func (g *group) preemptibleBy(gang *group) bool {
 	return gang.step.Gang && g.step.Checkpointing && !g.step.Gang && !g.step.LongRunning &&
 		g.job.rec.Rules.Priority > gang.job.rec.Rules.Priority && before(gang, g) < 0
 }
 
-// preemptibleBy reports whether a run may be preempted by a gang now.
-func (r *run) yields(gang *group) bool {
-	return r.group != nil && r.state == runRunning && !r.unwanted && r.group.yieldsTo(gang) &&
-		r.group.tasks[r.Task.Index].preempted < mostPreempted
+// preemptibleNow reports whether a run may be preempted by a gang now.
+func (r *run) preemptibleNow(gang *group) bool {
+	return r.group != nil && r.state == runRunning && !r.unwanted && r.group.preemptibleBy(gang) &&
+		r.group.tasks[r.Task.Index].preempted < maxPreemptions
 }
 
 // preemptibleSize returns the capacity that preemption for a gang would free on a host.
-func (h *hostState) yielding(gang *group) (sum spec.Resources) {
+func (h *hostState) preemptibleSize(gang *group) (sum spec.Resources) {
 	for _, r := range h.runs {
-		if r.yields(gang) {
+		if r.preemptibleNow(gang) {
 			sum = sum.Add(r.size)
 		}
 	}
@@ -44,36 +44,36 @@
 
 // preemptFor preempts tasks for a gang that has permission for enough hosts to start once these tasks have
 // ended. It reports whether preemption is under way.
-func (e *Engine) makeRoom(g *group, permitted []*hostState, now time.Time) bool {
-	if now.Before(g.roomAt) {
-		e.clearPlaces(g, now)
+func (e *Engine) preemptFor(g *group, permitted []*hostState, now time.Time) bool {
+	if now.Before(g.preemptedAt) {
+		e.preemptScheduled(g, now)
 		return true // preemption is under way
 	}
 	var all []seat
 	for _, h := range permitted {
-		if !e.ticketLasts(g, h, now) {
+		if !e.ticketOutlastsStop(g, h, now) {
 			continue
 		}
-		room := e.roomFor(g, h, now).Add(h.yielding(g))
-		if n := g.fits(h, room); n > 0 {
+		capacity := e.roomFor(g, h, now).Add(h.preemptibleSize(g))
+		if n := g.fits(h, capacity); n > 0 {
 			all = append(all, seat{h, n})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b seat) int { return cmp.Compare(b.n, a.n) })
-	var seats []seat
+	var slots []seat
 	if g.step.SameRack {
-		seats = e.oneRack(g, all, g.left)
+		slots = e.chooseOneRack(g, all, g.left)
 	}
-	if seats == nil {
-		seats = e.fill(g, all, g.left)
+	if slots == nil {
+		slots = e.takeCheapest(g, all, g.left)
 	}
-	if seats == nil {
+	if slots == nil {
 		return false
 	}
-	g.roomAt, g.clearAt = now.Add(e.cfg.Bounds.StopTakes+preemptMargin), time.Time{}
-	g.unreserve()
-	for _, s := range seats {
-		e.stopFor(g, s, now)
+	g.preemptedAt, g.preemptAt = now.Add(e.cfg.Bounds.StopTakes+preemptMargin), time.Time{}
+	g.releaseReservation()
+	for _, s := range slots {
+		e.preemptOnHost(g, s, now)
 		s.host.reserved = append(s.host.reserved, reservation{group: g, n: s.n, at: now})
 		g.reserved = append(g.reserved, s.host)
 	}
@@ -84,21 +84,21 @@
 // clearAhead schedules preemption on the hosts of a gang's reservation, for which tickets were just
 // requested, so that the capacity is free when the tickets arrive.
 func (e *Engine) clearAhead(g *group, took time.Duration, now time.Time) {
-	g.clearAt = now.Add(max(took-e.cfg.Bounds.StopTakes, 0))
-	g.roomAt = now.Add(max(took, e.cfg.Bounds.StopTakes) + preemptMargin)
+	g.preemptAt = now.Add(max(took-e.cfg.Bounds.StopTakes, 0))
+	g.preemptedAt = now.Add(max(took, e.cfg.Bounds.StopTakes) + preemptMargin)
 }
 
 // preemptScheduled carries out the scheduled preemption when it is due.
-func (e *Engine) clearPlaces(g *group, now time.Time) {
-	if g.clearAt.IsZero() || now.Before(g.clearAt) {
+func (e *Engine) preemptScheduled(g *group, now time.Time) {
+	if g.preemptAt.IsZero() || now.Before(g.preemptAt) {
 		return
 	}
-	g.clearAt = time.Time{}
+	g.preemptAt = time.Time{}
 	for _, h := range g.reserved {
 		for i := range h.reserved {
 			if r := &h.reserved[i]; r.group == g {
 				r.at = now
-				e.stopFor(g, seat{h, r.n}, now)
+				e.preemptOnHost(g, seat{h, r.n}, now)
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 
 // ticketOutlastsStop reports whether the gang's ticket for a host remains valid until a stop there has
 // ended.
-func (e *Engine) ticketLasts(g *group, h *hostState, now time.Time) bool {
+func (e *Engine) ticketOutlastsStop(g *group, h *hostState, now time.Time) bool {
 	if g.job.rec.Rules.Advice == nil {
 		return true
 	}
@@ -114,12 +114,12 @@
 }
 
 // preemptOnHost preempts as many tasks on a host as the gang needs for its slots there, the largest first.
-func (e *Engine) stopFor(g *group, s seat, now time.Time) {
+func (e *Engine) preemptOnHost(g *group, s seat, now time.Time) {
 	need := g.step.Booked().Times(int64(s.n))
-	room := e.roomFor(g, s.host, now)
+	capacity := e.roomFor(g, s.host, now)
 	var victims []*run
 	for _, r := range s.host.runs {
-		if r.yields(g) {
+		if r.preemptibleNow(g) {
 			victims = append(victims, r)
 		}
 	}
@@ -127,10 +127,10 @@
 		return cmp.Or(cmp.Compare(b.size.MilliCPU, a.size.MilliCPU), cmp.Compare(a.Task.String(), b.Task.String()))
 	})
 	for _, r := range victims {
-		if need.Fits(room) {
+		if need.Fits(capacity) {
 			return
 		}
-		room = room.Add(r.size)
+		capacity = capacity.Add(r.size)
 		r.group.tasks[r.Task.Index].preempted++
 		e.unwant(r, "a gang of a more urgent queue takes its room")
 	}
--- a/internal/engine/preempt_test.go
+++ b/internal/engine/preempt_test.go
@@ -13,7 +13,7 @@
 )
 
 // busyWorld is a cell of four hosts filled with tasks of a less urgent queue.
-func busyWorld(t *testing.T, change func(*spec.Step, *catalog.Rules)) *world {
+func loadedWorld(t *testing.T, change func(*spec.Step, *catalog.Rules)) *world {
 	w := quietWorld(t, 4)
 	s, rules := step(32, 8, 8, 9000), catalog.Rules{Priority: 2}
 	s.Checkpointing = true
@@ -25,10 +25,10 @@
 
 // TestGangsPreemptCheckpointingTasks guards against gangs that wait for capacity while tasks run that lose
 // nothing when stopped, and against processors that stay idle until a gang has all of its slots.
-func TestGangsTakeRoomFromSavedWork(t *testing.T) {
+func TestGangsPreemptCheckpointingTasks(t *testing.T) {
 	tests := map[string]struct {
-		change func(*spec.Step, *catalog.Rules)
-		yields bool
+		change    func(*spec.Step, *catalog.Rules)
+		preempted bool
 	}{
 		"less urgent, saved":           {func(*spec.Step, *catalog.Rules) {}, true},
 		"its progress is lost":         {func(s *spec.Step, _ *catalog.Rules) { s.Checkpointing = false }, false},
@@ -41,7 +41,7 @@
 		for _, advised := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", advice ", advised), func(t *testing.T) {
 				is := is.New(t)
-				w := busyWorld(t, tc.change)
+				w := loadedWorld(t, tc.change)
 				before := w.fleet.Judge().Starts()
 				is.Equal(before, 32)
 				gang := step(6, 18, 26, 1000)
@@ -52,10 +52,10 @@
 				}
 				w.submit("gang", rules, gang)
 				w.run(time.Second)
-				is.Equal(w.running("gang") == 6, tc.yields)
+				is.Equal(w.running("gang") == 6, tc.preempted)
 				w.run(60 * time.Second)
 				w.check()
-				if tc.yields {
+				if tc.preempted {
 					is.Equal(w.shown["busy"], record.StateCompleted)
 				}
 			})
@@ -64,9 +64,9 @@
 }
 
 // TestPreemptionsOfATaskAreLimited checks that a task is preempted only a limited number of times.
-func TestTasksAreNotStoppedForEver(t *testing.T) {
+func TestPreemptionsOfATaskAreLimited(t *testing.T) {
 	is := is.New(t)
-	w := busyWorld(t, func(*spec.Step, *catalog.Rules) {})
+	w := loadedWorld(t, func(*spec.Step, *catalog.Rules) {})
 	for i := range 40 {
 		w.after(time.Duration(i)*700*time.Millisecond, func() {
 			gang := step(6, 18, 26, 600)
@@ -78,5 +78,5 @@
 	w.check()
 	is.Equal(w.shown["busy"], record.StateCompleted)
 	is.Equal(w.completed(), 41)
-	is.True(w.fleet.Judge().Starts() <= 40*6+32*(1+mostPreempted))
+	is.True(w.fleet.Judge().Starts() <= 40*6+32*(1+maxPreemptions))
 }
--- a/internal/engine/quota_test.go
+++ b/internal/engine/quota_test.go
@@ -55,20 +55,20 @@
 	const quota = 8
 	filler := step(20, 2, 1, 60000)
 	filler.Filler = true
-	lasting := step(20, 2, 1, 0)
-	lasting.LongRunning = true
+	longRunning := step(20, 2, 1, 0)
+	longRunning.LongRunning = true
 	gang := step(3, 2, 1, 2000)
 	gang.Gang = true
 	memory := step(20, 1, 4, 1000)
 	cases := map[string]struct {
-		step spec.Step
-		q    fairshare.Quota
-		most int64 // processors
-		ends bool
+		step     spec.Step
+		q        fairshare.Quota
+		maxCores int64 // processors
+		ends     bool
 	}{
 		"tasks":   {step(20, 2, 1, 1000), cores(quota), 8, true},
 		"memory":  {memory, fairshare.Quota{MilliCPU: -1, MemoryMiB: 12 << 10, Accelerators: -1}, 3, true},
-		"lasting": {lasting, cores(quota), 8, false},
+		"lasting": {longRunning, cores(quota), 8, false},
 		"fillers": {filler, cores(quota), 8, false},
 		"a gang":  {gang, cores(quota), 6, true},
 		"none":    {step(20, 2, 1, 1000), fairshare.Unlimited, 64, true},
@@ -80,15 +80,15 @@
 			w.setQuota("crew", tc.q)
 			w.takeOver()
 			w.run(time.Second)
-			most := int64(0)
+			maxCores := int64(0)
 			w.submit("crew-1", catalog.Rules{}, tc.step)
 			w.submit("crew-2", catalog.Rules{}, tc.step)
 			for range 200 {
 				w.run(100 * time.Millisecond)
-				most = max(most, w.coresOf("crew"))
+				maxCores = max(maxCores, w.coresOf("crew"))
 			}
 			w.check()
-			is.Equal(most, tc.most)
+			is.Equal(maxCores, tc.maxCores)
 			if tc.ends {
 				is.Equal(w.completed(), 2)
 				is.Equal(w.engine.accounts["crew"].used, spec.Resources{}) // ended work counts no longer
@@ -99,7 +99,7 @@
 
 // TestAccountsDoNotHoldEachOtherUp checks that an account at its quota waits although capacity is free,
 // and that other accounts use that capacity at once.
-func TestAccountsDoNotHoldEachOtherUp(t *testing.T) {
+func TestAccountsDoNotBlockEachOther(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 5, 4)
 	w.setQuota("full", cores(8))
@@ -123,10 +123,14 @@
 // that a raised quota lets work start at once, also under a new holder.
 func TestQuotasFallAndRise(t *testing.T) {
 	for name, between := range map[string]func(w *world){
-		"one holder":       func(*world) {},
-		"the next holder":  func(w *world) { w.takeOver() },
-		"twice the next":   func(w *world) { w.takeOver(); w.run(50 * time.Millisecond); w.takeOver() },
-		"its hosts silent": func(w *world) { w.cutAll(true); w.takeOver(); w.after(2*time.Second, func() { w.cutAll(false) }) },
+		"one holder":      func(*world) {},
+		"the next holder": func(w *world) { w.takeOver() },
+		"twice the next":  func(w *world) { w.takeOver(); w.run(50 * time.Millisecond); w.takeOver() },
+		"its hosts silent": func(w *world) {
+			w.setAllDisconnected(true)
+			w.takeOver()
+			w.after(2*time.Second, func() { w.setAllDisconnected(false) })
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -137,7 +141,7 @@
 			is.Equal(w.coresOf("crew"), int64(32))
 			w.setQuota("crew", cores(4))
 			between(w)
-			w.run(quotaSettles)
+			w.run(quotaSettleTime)
 			is.True(w.coresOf("crew") <= 4)
 			w.setQuota("crew", cores(24))
 			w.run(500 * time.Millisecond)
@@ -148,9 +152,9 @@
 }
 
 // quotaSettles is the time after which everything that ran under the former quota has ended on all hosts.
-const quotaSettles = 25 * time.Second
+const quotaSettleTime = 25 * time.Second
 
-func (w *world) cutAll(cut bool) {
+func (w *world) setAllDisconnected(cut bool) {
 	for _, h := range w.fleet.Hosts() {
 		h.Cut(cut)
 	}
@@ -158,7 +162,7 @@
 
 // TestHostsNotHeardCount: after a failover some hosts do not report, and an account's tasks may run there.
 // They count until it is certain that they do not run.
-func TestHostsNotHeardCount(t *testing.T) {
+func TestUnreportedHostsCount(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 4, 24)
 	w.submit("crew-1", catalog.Rules{}, step(12, 2, 1, 30000))
@@ -196,17 +200,17 @@
 // TestBooksAgainstTheHosts runs accounts at their quotas while calls are lost or delayed, hosts are
 // disconnected, crash and restart, holders change, also twice in a row, and quotas fall and rise. The
 // hosts check each start against the quotas, and at the end all usage has to be zero.
-func TestBooksAgainstTheHosts(t *testing.T) {
+func TestUsageMatchesHosts(t *testing.T) {
 	seeds := uint64(24)
 	if testing.Short() {
 		seeds = 6
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playQuotas(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runQuotaScenario(t, seed) })
 	}
 }
 
-func playQuotas(t testing.TB, seed uint64) {
+func runQuotaScenario(t testing.TB, seed uint64) {
 	w := accountWorld(t, seed, 12)
 	accounts := []string{"crew", "county", "school"}
 	for i, name := range accounts {
@@ -219,17 +223,17 @@
 	w.faults = []faults{{}, {lostAnswer: 0.3}, {late: 0.15}, {lostRequest: 0.2}, {lateLooks: 0.3}, {lateViews: 0.3}}[seed%6]
 	const busy = 30 * time.Second
 	for at := time.Duration(0); at < busy; at += 150 * time.Millisecond {
-		w.after(at, func() { w.submitSome(accounts[w.rnd.IntN(len(accounts))], at) })
+		w.after(at, func() { w.submitRandom(accounts[w.rnd.IntN(len(accounts))], at) })
 	}
 	for at := time.Second; at < busy; at += time.Duration(300+w.rnd.IntN(2000)) * time.Millisecond {
-		w.after(at, func() { w.disturb(accounts) })
+		w.after(at, func() { w.injectFault(accounts) })
 	}
 	w.run(busy)
 	w.faults = faults{}
 	for i, name := range accounts {
 		w.setQuota(name, cores(int64(48+48*i)))
 	}
-	w.cutAll(false)
+	w.setAllDisconnected(false)
 	w.run(150 * time.Second)
 	w.check()
 	for id := range w.jobs {
@@ -238,10 +242,10 @@
 		}
 	}
 	for name, a := range w.engine.accounts {
-		if !a.used.IsZero() || !a.unsure.IsZero() {
-			t.Errorf("account %s has %v and %v in doubt in an empty cell", name, a.used, a.unsure)
+		if !a.used.IsZero() || !a.unconfirmed.IsZero() {
+			t.Errorf("account %s has %v and %v in doubt in an empty cell", name, a.used, a.unconfirmed)
 		}
-		if n := len(a.unsureFillers); n > 0 {
+		if n := len(a.unconfirmedBackfill); n > 0 {
 			t.Errorf("account %s has fillers of %d steps in doubt in an empty cell", name, n)
 		}
 	}
@@ -252,7 +256,7 @@
 
 // Guards against a gang that starts above the quota after others were preempted for it: more urgent tasks
 // of its account use up the quota meanwhile. An account had 312 cores running with a quota of 277.
-func TestRoomMadeForAGangIsNoQuota(t *testing.T) {
+func TestPreemptionForAGangGrantsNoQuota(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 17, 4)
 	w.setQuota("crew", cores(32))
@@ -267,7 +271,7 @@
 	gang.Gang = true
 	w.submit("crew-1", catalog.Rules{Priority: 1}, gang)
 	w.run(20 * time.Millisecond) // others are being preempted for it
-	is.True(!w.engine.jobs["crew-1"].groups[0].roomAt.IsZero())
+	is.True(!w.engine.jobs["crew-1"].groups[0].preemptedAt.IsZero())
 	w.submit("crew-2", catalog.Rules{Priority: 0}, step(32, 1, 1, 5000))
 	w.run(30 * time.Second)
 	w.check()
@@ -275,7 +279,7 @@
 }
 
 // submitSome submits a job of a random kind.
-func (w *world) submitSome(account string, at time.Duration) {
+func (w *world) submitRandom(account string, at time.Duration) {
 	s := step(1+w.rnd.IntN(12), 1+w.rnd.Int64N(4), 1, 200+w.rnd.Int64N(4000))
 	rules := catalog.Rules{Attempts: 20, Priority: w.rnd.IntN(3)}
 	id := fmt.Sprint(account, "-", at)
@@ -299,7 +303,7 @@
 }
 
 // disturb injects one random fault or change.
-func (w *world) disturb(accounts []string) {
+func (w *world) injectFault(accounts []string) {
 	h := w.fleet.Hosts()[w.rnd.IntN(len(w.fleet.Hosts()))]
 	switch w.rnd.IntN(9) {
 	case 0:
@@ -329,7 +333,7 @@
 // TestFillersNotHeardCount guards against unconfirmed backfill tasks that are counted only up to the
 // capacity of the hosts that have not reported since the failover. Backfill tasks take none of the
 // processors there but count in full against their account, which had 56 cores running with a quota of 48.
-func TestFillersNotHeardCount(t *testing.T) {
+func TestUnconfirmedBackfillCounts(t *testing.T) {
 	for name, most := range map[string]int64{"little memory each": 48, "all the memory of a host": 16} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -355,7 +359,7 @@
 // TestFillersNotHeardLeaveTheRest checks that unconfirmed backfill tasks count for no more than the hosts
 // that have not reported can hold, so that one such host does not block the quota of an account with many
 // waiting backfill tasks.
-func TestFillersNotHeardLeaveTheRest(t *testing.T) {
+func TestUnconfirmedBackfillIsBounded(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 4, 40)
 	fillers := step(100, 4, 32, 30000) // two per host
@@ -449,7 +453,7 @@
 // hosts can hold. Many jobs are cancelled within seconds, the holder changes, and one host does not
 // report. All former runs of these jobs counted until the host's lease expired: accounts stood at up to
 // 246% of their quotas and started nothing for nine seconds while nearly the whole cell was free.
-func TestCancelledJobsLeaveTheRest(t *testing.T) {
+func TestCancelledJobsAreBounded(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 8, 64)
 	for i := range 10 {
--- a/internal/engine/reserve.go
+++ b/internal/engine/reserve.go
@@ -25,76 +25,76 @@
 	// hostsPerGangReservation is the number of hosts for each gang that may reserve slots which are not
 	// free yet, minReservingSteps the number of such gangs in a small cell: each of them keeps capacity
 	// idle until all of its slots are free.
-	hostsPerReserving = 400
-	leastReserving    = 2
+	hostsPerGangReservation = 400
+	minReservingSteps       = 2
 	// reservationInterval is the time between two computations of a gang's reservation.
-	reserveEvery = 250 * time.Millisecond
+	reservationInterval = 250 * time.Millisecond
 )
 
 // reservationHorizons are the times from now at which capacity for a gang is searched.
-var horizons = []time.Duration{
+var reservationHorizons = []time.Duration{
 	0, 300 * time.Millisecond, 700 * time.Millisecond, 1200 * time.Millisecond, 2 * time.Second, 3 * time.Second,
 	4500 * time.Millisecond, 6500 * time.Millisecond, 9 * time.Second, 13 * time.Second, 20 * time.Second,
 }
 
 // mayReserveGang reports whether one more gang may have a reservation.
-func (e *Engine) mayReserve() bool {
-	return e.reserving < max(leastReserving, len(e.sorted)/hostsPerReserving)
+func (e *Engine) mayReserveGang() bool {
+	return e.reservingGangs < max(minReservingSteps, len(e.sorted)/hostsPerGangReservation)
 }
 
 // reserveGang finds the earliest moment at which the hosts, which the policy permits, have capacity for a
 // gang, and reserves it. It reports whether the gang is among those that may reserve slots that are not
 // free yet.
-func (e *Engine) reserve(g *group, hosts []*hostState, now time.Time) bool {
-	first := e.mayReserve()
-	if first {
-		e.reserving++
+func (e *Engine) reserveGang(g *group, hosts []*hostState, now time.Time) bool {
+	mayWait := e.mayReserveGang()
+	if mayWait {
+		e.reservingGangs++
 	}
-	if len(g.reserved) > 0 && (now.Sub(g.reservedAt) < reserveEvery || now.Before(g.settled)) && e.stillServes(g) {
-		return first
+	if len(g.reserved) > 0 && (now.Sub(g.reservedAt) < reservationInterval || now.Before(g.settled)) && e.reservationValid(g) {
+		return mayWait
 	}
-	kept := g.reserved
-	g.unreserve()
+	former := g.reserved
+	g.releaseReservation()
 	g.reservedAt = now
-	look := horizons
-	if !first {
-		look = horizons[:1] // it may reserve only what is free now
+	horizons := reservationHorizons
+	if !mayWait {
+		horizons = reservationHorizons[:1] // it may reserve only what is free now
 	}
-	for _, d := range look {
-		seats := e.seatsAt(g, hosts, kept, now.Add(d), now)
-		if seats == nil {
+	for _, d := range horizons {
+		slots := e.slotsAt(g, hosts, former, now.Add(d), now)
+		if slots == nil {
 			continue
 		}
 		g.reservedFrom = now.Add(d)
-		for _, s := range seats {
+		for _, s := range slots {
 			s.host.reserved = append(s.host.reserved, reservation{group: g, n: s.n, at: now.Add(d)})
 			g.reserved = append(g.reserved, s.host)
 		}
-		return first
+		return mayWait
 	}
-	return first
+	return mayWait
 }
 
 // reservationMargin is the share of additional slots that are reserved: urgent tasks and runs that end
 // later than estimated take some.
-const spareReserved = 0.2
+const reservationMargin = 0.2
 
 // slotsAt chooses slots that a gang is expected to have at a moment: hosts of its former reservation
 // first, then as few hosts as possible. It returns nil when there are not enough slots, and adds spare
 // slots when there are more.
-func (e *Engine) seatsAt(g *group, hosts, kept []*hostState, at, now time.Time) []seat {
+func (e *Engine) slotsAt(g *group, hosts, former []*hostState, at, now time.Time) []seat {
 	var all []seat
 	for _, h := range hosts {
-		room := h.freeAt(at, now).Sub(h.reservedFor(g))
+		capacity := h.freeAt(at, now).Sub(h.reservedAheadOf(g))
 		if at.Sub(now) >= e.cfg.Bounds.StopTakes {
-			room = room.Add(h.yielding(g))
+			capacity = capacity.Add(h.preemptibleSize(g))
 		}
-		if n := g.fits(h, room); n > 0 {
+		if n := g.fits(h, capacity); n > 0 {
 			all = append(all, seat{h, n})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b seat) int {
-		if x, y := slices.Contains(kept, a.host), slices.Contains(kept, b.host); x != y {
+		if x, y := slices.Contains(former, a.host), slices.Contains(former, b.host); x != y {
 			if x {
 				return -1
 			}
@@ -102,7 +102,7 @@
 		}
 		return fastestFirst(a, b)
 	})
-	n := g.left + int(math.Ceil(spareReserved*float64(g.left)))
+	n := g.left + int(math.Ceil(reservationMargin*float64(g.left)))
 	need := g.left
 	for i := range all {
 		all[i].n = min(all[i].n, n)
@@ -119,7 +119,7 @@
 
 // reservedAheadOf returns what is reserved on a host for steps that come before g in the scheduling order.
 // Reservations of later steps do not count.
-func (h *hostState) reservedFor(g *group) spec.Resources {
+func (h *hostState) reservedAheadOf(g *group) spec.Resources {
 	var sum spec.Resources
 	for _, r := range h.reserved {
 		if r.group != g && before(r.group, g) <= 0 {
@@ -152,12 +152,12 @@
 	if len(h.reserved) == 0 {
 		return free
 	}
-	ends := now.Add(g.takes())
+	ends := now.Add(g.runTimeBound())
 	for _, r := range h.reserved {
 		if r.group == g || before(g, r.group) < 0 || !ends.After(r.at) {
 			continue
 		}
-		if g.yieldsTo(r.group) && r.at.Sub(now) > e.cfg.Bounds.StopTakes {
+		if g.preemptibleBy(r.group) && r.at.Sub(now) > e.cfg.Bounds.StopTakes {
 			continue
 		}
 		free = free.Min(h.freeAt(r.at, now).Sub(r.size()))
@@ -166,7 +166,7 @@
 }
 
 // reservationValid reports whether all hosts with reserved slots still accept the gang.
-func (e *Engine) stillServes(g *group) bool {
+func (e *Engine) reservationValid(g *group) bool {
 	for _, h := range g.reserved {
 		if h.gone || !h.listed || h.info.Draining || e.hosts[h.info.ID] != h {
 			return false
@@ -176,7 +176,7 @@
 }
 
 // releaseReservation releases the reserved slots of the group.
-func (g *group) unreserve() {
+func (g *group) releaseReservation() {
 	for _, h := range g.reserved {
 		h.reserved = slices.DeleteFunc(h.reserved, func(r reservation) bool { return r.group == g })
 	}
@@ -186,6 +186,6 @@
 // unreserveHost releases all reservations that include the host, so that their steps choose other hosts.
 func (h *hostState) unreserveHost() {
 	for len(h.reserved) > 0 {
-		h.reserved[0].group.unreserve()
+		h.reserved[0].group.releaseReservation()
 	}
 }
--- a/internal/engine/room.go
+++ b/internal/engine/room.go
@@ -17,11 +17,11 @@
 // refusalTTL is how long a refusal for lack of capacity applies, unless the host's entry changes or a run
 // there ends before: the next heartbeat reports the capacity. Without it a task would be refused there
 // repeatedly although other hosts have capacity.
-const fullFor = 2 * time.Second
+const refusalTTL = 2 * time.Second
 
 // noteFull records that a host had no capacity for a size.
 func (h *hostState) noteFull(s spec.Resources, now time.Time) {
-	h.fullSize, h.fullUntil = s, now.Add(fullFor)
+	h.fullSize, h.fullUntil = s, now.Add(refusalTTL)
 }
 
 // full reports whether the host has recently refused a start of this size or a smaller one.
@@ -37,10 +37,10 @@
 
 const (
 	// reductionTTL is how long after a capacity reduction other hosts are expected to shrink as well.
-	shrunkFor = time.Minute
+	reductionTTL = time.Minute
 	// maxEntryDelay is the longest delay from a host's entry to the engine, caused by the interval between
 	// queries for changes.
-	newsTakes = 700 * time.Millisecond
+	maxEntryDelay = 700 * time.Millisecond
 )
 
 // roomSaid applies the capacity in a host's entry. An entry that is read a second time is not new, and the
@@ -50,11 +50,11 @@
 	if h.listed && (info.Beat != h.info.Beat || info.Life != h.info.Life) {
 		h.saidAt = now
 	}
-	if share := shareLeft(h.info.Size, info.Size); share < 1 && (e.shrunk.share == 0 || share < e.shrunk.share) {
+	if share := minRemainingShare(h.info.Size, info.Size); share < 1 && (e.shrunk.share == 0 || share < e.shrunk.share) {
 		e.shrunk.share = share
 		e.rosterBehind = true
 	}
-	if shareLeft(h.info.Size, info.Size) < 1 {
+	if minRemainingShare(h.info.Size, info.Size) < 1 {
 		e.shrunk.at = now
 	}
 	if h.info.Size != info.Size {
@@ -67,14 +67,14 @@
 }
 
 // minRemainingShare returns the smallest share that remains of a size in any dimension.
-func shareLeft(before, after spec.Resources) float64 {
-	left := 1.0
+func minRemainingShare(before, after spec.Resources) float64 {
+	smallest := 1.0
 	for _, d := range [][2]int64{{before.MilliCPU, after.MilliCPU}, {before.MemoryMiB, after.MemoryMiB}, {before.Accelerators, after.Accelerators}} {
 		if d[0] > 0 {
-			left = min(left, float64(d[1])/float64(d[0]))
+			smallest = min(smallest, float64(d[1])/float64(d[0]))
 		}
 	}
-	return left
+	return smallest
 }
 
 // ageRoom limits the usable capacity of a host whose last report is too old, if hosts have recently
@@ -82,10 +82,10 @@
 // outage of the store stops no starts. The limit keeps hosts that shrink just before an outage from being
 // over-committed.
 func (e *Engine) ageRoom(h *hostState, now time.Time) {
-	if e.shrunk.share > 0 && now.Sub(e.shrunk.at) > shrunkFor {
+	if e.shrunk.share > 0 && now.Sub(e.shrunk.at) > reductionTTL {
 		e.shrunk = shrinking{}
 	}
-	if e.shrunk.share == 0 || e.cfg.Bounds.RoomNews == 0 || now.Sub(h.saidAt) < e.cfg.Bounds.RoomNews-newsTakes {
+	if e.shrunk.share == 0 || e.cfg.Bounds.RoomNews == 0 || now.Sub(h.saidAt) < e.cfg.Bounds.RoomNews-maxEntryDelay {
 		return
 	}
 	h.room = scaled(h.info.Size, e.shrunk.share)
@@ -101,18 +101,18 @@
 	// overcommitGrace is how long a host has to be over-committed before tasks are stopped: about the
 	// longest delay of the report. Tasks that end by themselves or capacity that returns meanwhile cost
 	// nothing.
-	overFor = 4500 * time.Millisecond
+	overcommitGrace = 4500 * time.Millisecond
 	// evictionMinRemaining is the remaining time below which a run is not evicted: about the time of a
 	// stop and a start elsewhere.
-	endsSoon = 2 * time.Second
+	evictionMinRemaining = 2 * time.Second
 )
 
 // relieve evicts tasks from a host that stays over-committed: tasks that checkpoint, and long-running
 // tasks that fit elsewhere, the least urgent first and no more than the excess. Tasks whose work would be
 // lost run to their end, as do gang members, each of which would stop its whole gang.
 func (e *Engine) relieve(h *hostState, now time.Time) {
-	over := !h.used.Fits(h.info.Size)
-	if !over || h.info.Draining || h.closed {
+	overcommitted := !h.used.Fits(h.info.Size)
+	if !overcommitted || h.info.Draining || h.closed {
 		h.overSince = time.Time{}
 		return
 	}
@@ -120,7 +120,7 @@
 		h.overSince = now
 		e.log(Event{What: "host over its room", Host: string(h.info.ID), Why: fmt.Sprintf("holds %v of %v", h.used, h.info.Size)})
 	}
-	if now.Sub(h.overSince) < overFor {
+	if now.Sub(h.overSince) < overcommitGrace {
 		return
 	}
 	left := h.used
@@ -129,7 +129,7 @@
 			left = left.Sub(r.size)
 		}
 	}
-	for _, r := range e.yieldable(h, now) {
+	for _, r := range e.evictableRuns(h, now) {
 		if left.Fits(h.info.Size) {
 			return
 		}
@@ -143,14 +143,14 @@
 
 // evictableRuns returns the runs that may be evicted from an over-committed host: the least urgent first,
 // then the largest, so that the fewest are stopped. Each loses at most the work since its last checkpoint.
-func (e *Engine) yieldable(h *hostState, now time.Time) []*run {
+func (e *Engine) evictableRuns(h *hostState, now time.Time) []*run {
 	var out []*run
 	for _, r := range h.runs {
 		g := r.group
 		if g == nil || r.unwanted || r.state != runRunning || g.step.Gang || g.job.state.Final() {
 			continue
 		}
-		if g.step.LongRunning || g.step.Checkpointing && r.endsBy(now).Sub(now) > endsSoon {
+		if g.step.LongRunning || g.step.Checkpointing && r.endsBy(now).Sub(now) > evictionMinRemaining {
 			out = append(out, r)
 		}
 	}
--- a/internal/engine/room_test.go
+++ b/internal/engine/room_test.go
@@ -24,7 +24,7 @@
 
 // TestRoomShrinksAndGrows checks that starts respect the capacity that a host reports, also under a new
 // holder and while runs are being stopped, and that added capacity is used at once.
-func TestRoomShrinksAndGrows(t *testing.T) {
+func TestCapacityShrinksAndGrows(t *testing.T) {
 	for _, guards := range []bool{false, true} {
 		t.Run(fmt.Sprint("guarded ", guards), func(t *testing.T) {
 			is := is.New(t)
@@ -53,7 +53,7 @@
 // TestGuardedRoomIsBelieved guards against repeated refused starts: a host whose capacity has just shrunk
 // refuses a start, and until its entry shows the new capacity the same start is sent there again every few
 // milliseconds although other hosts are free.
-func TestGuardedRoomIsBelieved(t *testing.T) {
+func TestCapacityRefusalIsRespected(t *testing.T) {
 	is := is.New(t)
 	w := roomWorld(t, 3)
 	w.fleet.Guards = true
@@ -75,21 +75,21 @@
 // TestOvercommittedHostsAreRelieved checks that tasks which checkpoint, or are long-running and fit
 // elsewhere, are evicted from a host that stays over-committed, and no more than the excess. Work that
 // would be lost runs to its end, and capacity that returns soon costs nothing.
-func TestHostsOverTheirRoomAreRelieved(t *testing.T) {
-	saving := step(8, 7, 10, 60000)
-	saving.Checkpointing = true
+func TestOvercommittedHostsAreRelieved(t *testing.T) {
+	checkpointing := step(8, 7, 10, 60000)
+	checkpointing.Checkpointing = true
 	service := step(8, 7, 10, 0)
 	service.LongRunning, service.MayMiss = true, 1
 	for name, tc := range map[string]struct {
-		step   spec.Step
-		back   time.Duration // when the capacity returns; zero for never
-		stops  int           // stopped runs at most
-		sooner time.Duration // when the host is within its capacity again, if at all
+		step         spec.Step
+		returnsAfter time.Duration // when the capacity returns; zero for never
+		stops        int           // stopped runs at most
+		within       time.Duration // when the host is within its capacity again, if at all
 	}{
-		"saved progress":             {step: saving, stops: 4, sooner: 8 * time.Second},
-		"a service":                  {step: service, stops: 4, sooner: 25 * time.Second},
+		"saved progress":             {step: checkpointing, stops: 4, within: 8 * time.Second},
+		"a service":                  {step: service, stops: 4, within: 25 * time.Second},
 		"would be lost":              {step: step(8, 7, 10, 60000)},
-		"saved, the room comes back": {step: saving, back: 3 * time.Second, stops: 0, sooner: 4 * time.Second},
+		"saved, the room comes back": {step: checkpointing, returnsAfter: 3 * time.Second, stops: 0, within: 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -106,11 +106,11 @@
 				}
 			}
 			h.Resize(size(30, 128), heartbeat)
-			if tc.back > 0 {
-				w.after(tc.back, func() { h.Resize(size(64, 128), heartbeat) })
+			if tc.returnsAfter > 0 {
+				w.after(tc.returnsAfter, func() { h.Resize(size(64, 128), heartbeat) })
 			}
-			w.run(tc.sooner)
-			is.Equal(h.Over(), tc.sooner == 0)
+			w.run(tc.within)
+			is.Equal(h.Over(), tc.within == 0)
 			w.run(10 * time.Second)
 			w.check()
 			is.True(stops <= tc.stops)
@@ -122,7 +122,7 @@
 // TestRestartingHostIsNotChosenAgain guards against repeated starts of an urgent task on a host whose
 // address refuses calls between two incarnations, although other hosts have capacity: the task starts
 // after most of its slack is used up.
-func TestHostBetweenTwoLivesIsLeftAlone(t *testing.T) {
+func TestRestartingHostIsNotChosenAgain(t *testing.T) {
 	is := is.New(t)
 	w := roomWorld(t, 3)
 	w.submit("first", catalog.Rules{}, step(1, 40, 40, 60000)) // the next task fits best beside it
@@ -134,20 +134,20 @@
 	}
 	starts := 0
 	at := w.now()
-	var began time.Duration
+	var delay time.Duration
 	w.engine.cfg.Log = func(e Event) {
 		if e.What == "step started" && e.Job == "urgent" {
 			starts++
-			began = w.now().Sub(at)
+			delay = w.now().Sub(at)
 		}
 	}
 	w.submit("urgent", catalog.Rules{}, step(1, 6, 10, 300))
 	w.run(900 * time.Millisecond)
 	w.check()
-	t.Log(starts, "tries, the last after", began)
+	t.Log(starts, "tries, the last after", delay)
 	is.Equal(w.shown["urgent"], record.StateCompleted)
 	is.True(starts <= 2)
-	is.True(began < 100*time.Millisecond)
+	is.True(delay < 100*time.Millisecond)
 }
 
 // The next test guards against starts by a size that is too old. The capacity of half of the hosts shrinks
@@ -157,16 +157,16 @@
 
 // TestRoomsShrinkBeforeAnOutage checks that sizes which are too old are not used for starts if hosts have
 // recently shrunk, and that an outage stops no starts otherwise.
-func TestRoomsShrinkBeforeAnOutage(t *testing.T) {
+func TestCapacityShrinksBeforeAnOutage(t *testing.T) {
 	for name, tc := range map[string]struct {
-		shrink bool
-		next   time.Duration // when another holder takes over; zero for never
+		shrink     bool
+		failoverAt time.Duration // when another holder takes over; zero for never
 	}{
 		"rooms shrink":                        {shrink: true},
-		"rooms shrink, another holder before": {shrink: true, next: 8 * time.Second},
-		"rooms shrink, another holder after":  {shrink: true, next: 16*time.Second + 50*time.Millisecond},
+		"rooms shrink, another holder before": {shrink: true, failoverAt: 8 * time.Second},
+		"rooms shrink, another holder after":  {shrink: true, failoverAt: 16*time.Second + 50*time.Millisecond},
 		"rooms stay":                          {},
-		"rooms stay, another holder before":   {next: 8 * time.Second},
+		"rooms stay, another holder before":   {failoverAt: 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -177,8 +177,8 @@
 				w.after(2*time.Second, func() { w.host("h00").Resize(size(24, 48), heartbeat) })
 				w.after(6*time.Second, func() { w.host("h00").Resize(size(64, 128), heartbeat) })
 			}
-			if tc.next > 0 {
-				w.after(tc.next, w.takeOver)
+			if tc.failoverAt > 0 {
+				w.after(tc.failoverAt, w.takeOver)
 			}
 			w.after(10*time.Second, func() {
 				w.storeAway = true
@@ -192,10 +192,10 @@
 			w.run(15 * time.Second)
 			before := w.fleet.Judge().Starts()
 			w.run(time.Second)
-			within := w.fleet.Judge().Starts() - before
-			t.Logf("%d starts in the last second of the outage", within)
+			starts := w.fleet.Judge().Starts() - before
+			t.Logf("%d starts in the last second of the outage", starts)
 			if !tc.shrink {
-				is.True(within >= 45) // 60 tasks arrive per second
+				is.True(starts >= 45) // 60 tasks arrive per second
 			}
 			w.run(60 * time.Second)
 			w.check()
--- a/internal/engine/scores.go
+++ b/internal/engine/scores.go
@@ -8,15 +8,15 @@
 // Costs of placing a task on a host; the host with the lowest sum is chosen. The leftover decides between
 // hosts that are equal otherwise.
 const (
-	costLeftover = 1.0
-	costFar      = 100.0 // outside the rack of its data
-	costAvoided  = 50.0  // the task failed on this host before
-	costReserved = 300.0 // slots are reserved there for another step
-	costFails    = 5.0   // the last task on this host failed
-	costSuspects = 30.0  // for a suspect task, a host with suspects of other jobs: separated, suspects crash fewer hosts
-	costCrowded  = 20.0  // for a backfill task: no processor time is left over there
-	costSlow     = 3.0   // for latency-sensitive work, a host that takes twice as long as the mean
-	gainSlow     = 1.0   // for other work, likewise
+	costLeftover         = 1.0
+	costRemoteData       = 100.0 // outside the rack of its data
+	costFailedBefore     = 50.0  // the task failed on this host before
+	costReserved         = 300.0 // slots are reserved there for another step
+	costHostFailures     = 5.0   // the last task on this host failed
+	costSuspects         = 30.0  // for a suspect task, a host with suspects of other jobs: separated, suspects crash fewer hosts
+	costBackfillCrowding = 20.0  // for a backfill task: no processor time is left over there
+	costSlowHost         = 3.0   // for latency-sensitive work, a host that takes twice as long as the mean
+	gainSlowHost         = 1.0   // for other work, likewise
 )
 
 // cost returns the placement cost of a task of a step on a host.
@@ -26,7 +26,7 @@
 	left := free.Sub(size)
 	cost := costLeftover * leftover(left, h.info.Size)
 	if g.step.DataRack != "" && g.step.DataRack != h.info.Rack {
-		cost += costFar
+		cost += costRemoteData
 	}
 	for _, r := range h.reserved {
 		if r.group != g {
@@ -35,19 +35,19 @@
 		}
 	}
 	if h.fails > 0 {
-		cost += costFails
+		cost += costHostFailures
 	}
-	if slower := h.slowness() - 1; g.tight() {
-		cost += costSlow * slower
+	if slower := h.relativeRunTime() - 1; g.latencySensitive() {
+		cost += costSlowHost * slower
 	} else {
-		cost -= gainSlow * slower
+		cost -= gainSlowHost * slower
 	}
 	if g.standing >= crashloop.Suspect && h.suspects > g.suspectsOn(h) {
 		cost += costSuspects
 	}
 	if g.step.Filler {
 		idle := free.MilliCPU - h.filling().MilliCPU
-		cost += costCrowded * (1 - share(idle, h.info.Size.MilliCPU))
+		cost += costBackfillCrowding * (1 - share(idle, h.info.Size.MilliCPU))
 	}
 	return cost
 }
--- a/internal/engine/services_test.go
+++ b/internal/engine/services_test.go
@@ -42,14 +42,14 @@
 }
 
 // serving returns a step of serving tasks, which are long-running and have a latency target.
-func serving(count int, cores, gib int64) spec.Step {
+func servingStep(count int, cores, gib int64) spec.Step {
 	s := lasting(count, cores, gib)
 	s.Image, s.TailTargetMillis, s.MostPerHost = "web", 40, 2
 	return s
 }
 
 // filler returns a step of backfill tasks.
-func filler(image string, count int, cores, gib, ms int64) spec.Step {
+func backfillStep(image string, count int, cores, gib, ms int64) spec.Step {
 	s := step(count, cores, gib, ms)
 	s.Filler, s.Image = true, image
 	return s
@@ -81,7 +81,7 @@
 	return n
 }
 
-func TestLastingTasksAreStartedAgain(t *testing.T) {
+func TestLongRunningTasksAreRestarted(t *testing.T) {
 	tests := map[string]func(w *world){
 		"nothing happens": func(*world) {},
 		"a host crashes": func(w *world) {
@@ -106,7 +106,7 @@
 		"takeover":                    func(w *world) { w.takeOver() },
 		"takeover, a host crashes":    func(w *world) { w.host("h01").Crash(); w.takeOver() },
 	}
-	for name, strike := range tests {
+	for name, inject := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := quietWorld(t, 4)
 			w.submit("web", catalog.Rules{}, lasting(8, 6, 4))
@@ -114,7 +114,7 @@
 			is := is.New(t)
 			is.Equal(w.running("web"), 8)
 			is.True(len(w.host("h01").Running()) > 0)
-			strike(w)
+			inject(w)
 			w.run(16 * time.Second)
 			w.check()
 			is.Equal(w.atWork("web"), 8)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestCancelledLastingJobEnds(t *testing.T) {
+func TestCancelledLongRunningJobEnds(t *testing.T) {
 	w := quietWorld(t, 4)
 	w.submit("web", catalog.Rules{}, lasting(8, 6, 4))
 	w.run(2 * time.Second)
@@ -136,7 +136,7 @@
 
 // TestSavedWorkLeavesWithItsHost checks that tasks which checkpoint and would not end in time are moved
 // before their host leaves, and that those which end in time stay.
-func TestSavedWorkLeavesWithItsHost(t *testing.T) {
+func TestCheckpointingTasksLeaveDrainingHosts(t *testing.T) {
 	is := is.New(t)
 	w := quietWorld(t, 2)
 	long := step(6, 8, 8, 20000)
@@ -165,13 +165,13 @@
 
 // harmful is the longest uninterrupted time for which the platform tolerates that backfill tasks cause a
 // target to be missed.
-const harmful = 4 * time.Second
+const maxHarm = 4 * time.Second
 
 func TestFillersKeepTargets(t *testing.T) {
 	tests := map[string]struct {
 		harm   float64
 		faults faults
-		strike func(w *world)
+		inject func(w *world)
 		// slack is how much longer targets may be missed because of the fault.
 		slack time.Duration
 	}{
@@ -179,30 +179,30 @@
 		"harmful":               {harm: 0.4},
 		"very harmful":          {harm: 3},
 		"answers lost":          {harm: 0.4, faults: faults{lostAnswer: 0.1, lostRequest: 0.05}, slack: time.Second},
-		"takeover":              {harm: 0.4, strike: func(w *world) { w.takeOver() }, slack: time.Second},
-		"very harmful takeover": {harm: 3, strike: func(w *world) { w.takeOver() }, slack: time.Second},
+		"takeover":              {harm: 0.4, inject: func(w *world) { w.takeOver() }, slack: time.Second},
+		"very harmful takeover": {harm: 3, inject: func(w *world) { w.takeOver() }, slack: time.Second},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := quietWorld(t, 3)
 			w.fleet.Harm = map[string]float64{"mill": tc.harm}
-			w.submit("web", catalog.Rules{}, serving(6, 8, 8))
+			w.submit("web", catalog.Rules{}, servingStep(6, 8, 8))
 			w.run(time.Second)
 			w.faults = tc.faults
 			for i := range 6 {
 				w.after(time.Duration(i)*4*time.Second, func() {
-					w.submit(fmt.Sprint("mill", i), catalog.Rules{}, filler("mill", 6, 10, 4, 6000))
+					w.submit(fmt.Sprint("mill", i), catalog.Rules{}, backfillStep("mill", 6, 10, 4, 6000))
 				})
 			}
 			w.after(7*time.Second, func() {
-				if tc.strike != nil {
-					tc.strike(w)
+				if tc.inject != nil {
+					tc.inject(w)
 				}
 			})
 			w.run(150 * time.Second)
 			w.check()
 			is := is.New(t)
-			is.True(w.longestOver < harmful+tc.slack)
+			is.True(w.longestOver < maxHarm+tc.slack)
 			is.Equal(w.running("web"), 6)
 			if tc.harm < 1 {
 				is.Equal(w.completed(), 6) // the backfill tasks complete as well
@@ -216,7 +216,7 @@
 	w := quietWorld(t, 4)
 	w.submit("busy", catalog.Rules{}, step(2, 60, 8, 8000))
 	w.run(200 * time.Millisecond)
-	w.submit("mill", catalog.Rules{}, filler("mill", 8, 10, 4, 3000))
+	w.submit("mill", catalog.Rules{}, backfillStep("mill", 8, 10, 4, 3000))
 	w.run(200 * time.Millisecond)
 	w.check()
 	is := is.New(t)
--- a/internal/engine/speed.go
+++ b/internal/engine/speed.go
@@ -15,13 +15,13 @@
 const (
 	// speedWindow is the approximate number of runs over which a host's speed is averaged, as the tasks of
 	// one step differ in run time.
-	speedMemory = 12
+	speedWindow = 12
 	// minSampledTasks is how many tasks of a step have to be done before another task is compared with
 	// them.
-	leastSiblings = 2
+	minSampledTasks = 2
 	// latencySensitiveStretch is the ratio of target duration to work up to which a queue is
 	// latency-sensitive: a slow host uses up most of the slack of such work.
-	tightStretch = 2.5
+	latencySensitiveStretch = 2.5
 )
 
 // paceOfWork is the run time of tasks on a host, relative to the mean.
@@ -31,7 +31,7 @@
 }
 
 // relativeRunTime returns the run time of tasks on the host, as a multiple of the mean.
-func (h *hostState) slowness() float64 {
+func (h *hostState) relativeRunTime() float64 {
 	if h.work.runs == 0 {
 		return 1
 	}
@@ -45,12 +45,12 @@
 		return
 	}
 	took := float64(now.Sub(r.known))
-	own := r.on.slowness()
-	if g.siblings >= leastSiblings {
-		r.on.work.observe(took / (g.usual / float64(g.siblings)))
+	relative := r.on.relativeRunTime()
+	if g.sampledTasks >= minSampledTasks {
+		r.on.work.observe(took / (g.sampledTime / float64(g.sampledTasks)))
 	}
-	g.siblings++
-	g.usual += took / own
+	g.sampledTasks++
+	g.sampledTime += took / relative
 }
 
 // observe records the run time of a task relative to other tasks of its step.
@@ -59,15 +59,15 @@
 		p.factor = 1
 	}
 	p.runs++
-	p.factor += (factor - p.factor) / float64(min(p.runs+1, speedMemory))
+	p.factor += (factor - p.factor) / float64(min(p.runs+1, speedWindow))
 }
 
 // slowHostFactor is the relative run time above which a host is slow: it exceeds the error of the
 // estimate.
-const slowHost = 1.08
+const slowHostFactor = 1.08
 
 // slow reports whether tasks take significantly longer on the host than the mean.
-func (h *hostState) slow() bool { return h.slowness() > slowHost }
+func (h *hostState) slow() bool { return h.relativeRunTime() > slowHostFactor }
 
 // fastestFirst orders hosts for a gang: slow hosts last, then by the number of slots.
 func fastestFirst(a, b seat) int {
@@ -81,7 +81,7 @@
 }
 
 // latencySensitive reports whether work of the step has little slack.
-func (g *group) tight() bool {
+func (g *group) latencySensitive() bool {
 	s := g.job.rec.Rules.Stretch
-	return g.step.Gang || s > 0 && s <= tightStretch
+	return g.step.Gang || s > 0 && s <= latencySensitiveStretch
 }
--- a/internal/engine/speed_test.go
+++ b/internal/engine/speed_test.go
@@ -14,7 +14,7 @@
 // TestTightWorkGoesToFastHosts: a third of the hosts take 1.3 times as long, without any information about
 // it. The test guards against urgent work, whose slack is half of its run time, being placed on them as on
 // the others; they should run work that can wait.
-func TestTightWorkGoesToFastHosts(t *testing.T) {
+func TestUrgentWorkGoesToFastHosts(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	slow := map[string]bool{}
@@ -25,7 +25,7 @@
 		}
 	}
 	w.takeOver()
-	on := map[string][2]int{} // tasks on fast and on slow hosts, by kind
+	placed := map[string][2]int{} // tasks on fast and on slow hosts, by kind
 	counting := false
 	w.engine.cfg.Log = func(Event) {}
 	submit := func(kind string, n int, rules catalog.Rules, s spec.Step) {
@@ -52,18 +52,18 @@
 					continue
 				}
 				seen[r.Task] = true
-				n := on[r.Task.Job[:5]]
+				n := placed[r.Task.Job[:5]]
 				if slow[string(h.Info().ID)] {
 					n[1]++
 				} else {
 					n[0]++
 				}
-				on[r.Task.Job[:5]] = n
+				placed[r.Task.Job[:5]] = n
 			}
 		}
 	}
 	w.check()
-	share := func(kind string) float64 { return float64(on[kind][1]) / float64(on[kind][0]+on[kind][1]) }
+	share := func(kind string) float64 { return float64(placed[kind][1]) / float64(placed[kind][0]+placed[kind][1]) }
 	t.Logf("on slow hosts: %.2f of the urgent tasks, %.2f of the others", share("tight"), share("loose"))
 	is.True(share("tight") < 0.15)
 	is.True(share("loose") > 0.4)
@@ -71,10 +71,10 @@
 
 // TestSpeedIsLearnt checks that the mean over tasks whose run times differ by a sixth identifies hosts
 // that are slower by a third.
-func TestSpeedIsLearnt(t *testing.T) {
+func TestHostSpeedIsEstimated(t *testing.T) {
 	is := is.New(t)
 	fast, slow := &hostState{}, &hostState{}
-	is.Equal(fast.slowness(), 1.0) // no observation yet
+	is.Equal(fast.relativeRunTime(), 1.0) // no observation yet
 	for i := range 40 {
 		uneven := 1 + 0.16*float64(i%3-1)
 		fast.work.observe(0.92 * uneven)
@@ -82,5 +82,5 @@
 	}
 	is.True(!fast.slow())
 	is.True(slow.slow())
-	is.True(slow.slowness()-fast.slowness() > 0.2)
+	is.True(slow.relativeRunTime()-fast.relativeRunTime() > 0.2)
 }
--- a/internal/engine/turns_test.go
+++ b/internal/engine/turns_test.go
@@ -30,15 +30,15 @@
 // Guards against expired jobs that precede all jobs of less urgent queues. A burst of urgent jobs exceeds
 // the capacity of the cell, and less urgent jobs arrive all the while. Steps of the urgent queue waited up
 // to 20 s, and the capacity that expired jobs used was lost to jobs that could still meet their target.
-func TestWhatIsTooLateHoldsNobodyUp(t *testing.T) {
+func TestExpiredJobsDoNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 29)
 	w.fleet.Add(4, "s", size(16, 64))
 	w.takeOver()
 	w.run(time.Second)
 	urgent := catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000}
-	less := catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000}
-	const burst, small = 40, 60
+	lessUrgent := catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000}
+	const burst, others = 40, 60
 	gang := step(8, 4, 1, 2000)
 	gang.Gang = true
 	survey := step(8, 3, 1, 2000)
@@ -46,21 +46,21 @@
 	for i := range burst {
 		w.submit(fmt.Sprint("burst-", i), urgent, gang)
 	}
-	for i := range small {
-		w.after(time.Duration(i)*time.Second, func() { w.submit(fmt.Sprint("less-", i), less, survey) })
+	for i := range others {
+		w.after(time.Duration(i)*time.Second, func() { w.submit(fmt.Sprint("less-", i), lessUrgent, survey) })
 	}
 	w.run(150 * time.Second)
 	w.check()
-	is.Equal(w.completed(), burst+small)
+	is.Equal(w.completed(), burst+others)
 	// From 17 s on every job of the burst has expired: three times 5.4 s have passed. The other jobs take
 	// three quarters of the cell, in addition to their backlog at that time.
-	is.True(3*w.completedIn("less", 17, small, 11*time.Second) >= 2*(small-17))
+	is.True(3*w.completedIn("less", 17, others, 11*time.Second) >= 2*(others-17))
 }
 
 // Guards against small tasks that use up the quota of their account as it comes free, while urgent work of
 // the same account needs more at once and waits for the quota: 53 steps waited, the last of them 9.8 s.
 // Free quota has to be withheld for steps earlier in the queue.
-func TestAnAccountsSmallWorkLeavesItsUrgentWorkTheQuota(t *testing.T) {
+func TestSmallTasksLeaveQuotaForUrgentSteps(t *testing.T) {
 	for name, gang := range map[string]bool{"a gang": true, "its tasks one by one": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -89,19 +89,19 @@
 // cost of a query grows with its hosts, and the queries of later gangs waited: 26 to 29 queries were open
 // at any moment, and 31 steps waited with 28% of the processors free. The load is gangs for half of a
 // cell, a quarter of whose hosts are permitted for each.
-func TestGangsLeaveThePolicyServiceTimeForOthers(t *testing.T) {
+func TestGangsDoNotExhaustThePolicyService(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 37)
 	w.members = nil
 	for i := range 7 {
 		w.members = append(w.members, fmt.Sprintf("m%02d", i))
 	}
-	w.good = func(step spec.StepID, h host.ID) bool { return fnvOf(step.String()+string(h))%4 == 0 }
+	w.good = func(step spec.StepID, h host.ID) bool { return hashOf(step.String()+string(h))%4 == 0 }
 	advice := &catalog.Advice{DecideMillis: 455, PerHostMillis: 6.5, ValidMillis: 1500}
-	free := map[string]time.Time{} // when a member's queries are answered
+	answeredAt := map[string]time.Time{} // when a member's queries are answered
 	w.advised = func(o AskOrder) time.Duration {
-		free[o.Lane] = later(free[o.Lane], w.now()).Add(advice.Took(len(o.Hosts)))
-		return free[o.Lane].Sub(w.now())
+		answeredAt[o.Lane] = later(answeredAt[o.Lane], w.now()).Add(advice.Took(len(o.Hosts)))
+		return answeredAt[o.Lane].Sub(w.now())
 	}
 	w.fleet.Add(96, "s", size(16, 64))
 	w.takeOver()
@@ -109,17 +109,17 @@
 	rules := catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000, Advice: advice}
 	gang := step(6, 4, 1, 4000)
 	gang.Gang = true
-	const gangs, promised = 200, 11200 * time.Millisecond // 2.2 times the work and one query, plus 1 s
+	const gangs, target = 200, 11200 * time.Millisecond // 2.2 times the work and one query, plus 1 s
 	for i := range gangs {
 		w.after(time.Duration(i)*125*time.Millisecond, func() { w.submit(fmt.Sprint("gang-", i), rules, gang) })
 	}
 	w.run(60 * time.Second)
 	w.check()
-	t.Logf("%d of %d gangs in time", w.completedIn("gang", 0, gangs, promised), gangs)
-	is.True(10*w.completedIn("gang", 0, gangs, promised) >= 9*gangs)
+	t.Logf("%d of %d gangs in time", w.completedIn("gang", 0, gangs, target), gangs)
+	is.True(10*w.completedIn("gang", 0, gangs, target) >= 9*gangs)
 }
 
-func fnvOf(s string) uint32 {
+func hashOf(s string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(s)) // a hash never returns an error
 	return h.Sum32()
--- a/internal/engine/upkeep.go
+++ b/internal/engine/upkeep.go
@@ -32,15 +32,15 @@
 }
 
 // upkeepInterval is the time between two planning steps of the rollouts.
-const upkeepEvery = 100 * time.Millisecond
+const upkeepInterval = 100 * time.Millisecond
 
 // planUpkeep advances the maintenance rollouts.
 func (e *Engine) planUpkeep(now time.Time) {
-	if e.upkeep == nil || !now.Before(e.proved) || e.unsettled || now.Sub(e.upkeepAt) < upkeepEvery {
+	if e.upkeep == nil || !now.Before(e.proved) || e.unsettled || now.Sub(e.upkeepPlannedAt) < upkeepInterval {
 		return
 	}
-	e.upkeepAt = now
-	orders, list := e.upkeep.Next(emptier{e, now}, now)
+	e.upkeepPlannedAt = now
+	orders, list := e.upkeep.Next(hostDrainer{e, now}, now)
 	e.out.ListMachines = list
 	for _, o := range orders {
 		e.log(Event{What: "machine ordered down", Host: string(o.Host), Why: string(o.Machine), Version: o.Wave})
@@ -63,22 +63,22 @@
 		e.deposed = true
 		return
 	}
-	e.upkeep.Answered(o, out, err, emptier{e, now}, now)
+	e.upkeep.Answered(o, out, err, hostDrainer{e, now}, now)
 	if h := e.hosts[o.Host]; h != nil && !h.looking {
 		h.lookAt = now // the poll shows whether the host is gone
 	}
 }
 
 // hostDrainer drains hosts for the maintenance planner.
-type emptier struct {
+type hostDrainer struct {
 	*Engine
 	at time.Time
 }
 
-var _ upkeep.Cell = emptier{}
+var _ upkeep.Cell = hostDrainer{}
 
 // Empty implements upkeep.Cell.
-func (e emptier) Empty(id host.ID) bool {
+func (e hostDrainer) Empty(id host.ID) bool {
 	h := e.hosts[id]
 	if h == nil {
 		return true
@@ -93,7 +93,7 @@
 }
 
 // Keep implements upkeep.Cell.
-func (e emptier) Keep(id host.ID) {
+func (e hostDrainer) Keep(id host.ID) {
 	if h := e.hosts[id]; h != nil && h.closed {
 		h.closed = false
 		e.room++
@@ -101,7 +101,7 @@
 }
 
 // Load implements upkeep.Cell.
-func (e emptier) Load(id host.ID) int {
+func (e hostDrainer) Load(id host.ID) int {
 	if h := e.hosts[id]; h != nil {
 		return len(h.runs)
 	}
@@ -110,7 +110,7 @@
 
 // MayEnd implements upkeep.Cell: it protects long-running tasks, whose absence is bounded, and gangs,
 // which would lose much work.
-func (e emptier) MayEnd(id host.ID) bool {
+func (e hostDrainer) MayEnd(id host.ID) bool {
 	h := e.hosts[id]
 	if h == nil {
 		return true
--- a/internal/engine/upkeep_test.go
+++ b/internal/engine/upkeep_test.go
@@ -26,7 +26,7 @@
 }
 
 // askWave requests a maintenance rollout over all machines.
-func (w *world) askWave(atOnce int) upkeep.Wave {
+func (w *world) requestWave(atOnce int) upkeep.Wave {
 	wave := upkeep.Wave{ID: 1, AtOnce: atOnce}
 	for _, m := range w.machines {
 		wave.Machines = append(wave.Machines, m.ID)
@@ -103,15 +103,15 @@
 func TestUpkeepKeepsServicesUp(t *testing.T) {
 	tests := map[string]struct {
 		faults faults
-		strike func(w *world, wave upkeep.Wave)
+		inject func(w *world, wave upkeep.Wave)
 	}{
 		"calm":         {},
 		"answers lost": {faults: faults{lostAnswer: 0.1}},
-		"takeover": {strike: func(w *world, wave upkeep.Wave) {
+		"takeover": {inject: func(w *world, wave upkeep.Wave) {
 			w.takeOver()
 			w.engine.SetWave(wave)
 		}},
-		"two takeovers, answers lost": {faults: faults{lostAnswer: 0.1}, strike: func(w *world, wave upkeep.Wave) {
+		"two takeovers, answers lost": {faults: faults{lostAnswer: 0.1}, inject: func(w *world, wave upkeep.Wave) {
 			w.takeOver()
 			w.after(8*time.Second, func() { w.takeOver(); w.engine.SetWave(wave) })
 		}},
@@ -130,11 +130,11 @@
 					w.submit(fmt.Sprint("batch", i), catalog.Rules{}, step(4, 4, 4, 2500))
 				})
 			}
-			wave := w.askWave(2)
+			wave := w.requestWave(2)
 			w.faults = tc.faults
 			w.run(3 * time.Second)
-			if tc.strike != nil {
-				tc.strike(w, wave)
+			if tc.inject != nil {
+				tc.inject(w, wave)
 			}
 			w.run(150 * time.Second)
 			w.check()
@@ -157,7 +157,7 @@
 	w.submit("web", catalog.Rules{}, web)
 	w.run(2 * time.Second)
 	w.host("h03").Crash() // its two tasks fit on no other host, as the limit is two per host
-	w.askWave(1)
+	w.requestWave(1)
 	w.run(20 * time.Second)
 	w.check()
 	is.Equal(w.running("web"), 6)
--- a/internal/engine/urgency.go
+++ b/internal/engine/urgency.go
@@ -6,44 +6,44 @@
 type urgency uint8
 
 const (
-	inTime  urgency = iota // it can complete within the target duration of its queue
+	onTime  urgency = iota // it can complete within the target duration of its queue
 	late                   // it can complete while that still has value
-	tooLate                // its completion has no value any more; it is run all the same
+	expired                // its completion has no value any more; it is run all the same
 )
 
 // expiryFactor is the multiple of its target duration after which the completion of a job has no value.
-const worthless = 3
+const expiryFactor = 3
 
 // urgencyMargin is the share by which the remaining work of a job may exceed its estimate while the job
 // counts as on time: estimates are rough, and a job that just misses its target has displaced one that
 // would have met its own.
-const slackShare = 0.1
+const urgencyMargin = 0.1
 
 // urgencyInterval is the time between two computations of the urgency of waiting jobs.
-const urgencyEvery = 250 * time.Millisecond
+const urgencyInterval = 250 * time.Millisecond
 
 // updateUrgency classifies the job by its expected completion. Jobs whose occurrences have due times of
 // their own stay on time.
-func (e *Engine) judgeUrgency(j *job, now time.Time) {
-	if now.Sub(j.judgedAt) < urgencyEvery || j.rec.Graph.Repeat.Times > 0 {
+func (e *Engine) updateUrgency(j *job, now time.Time) {
+	if now.Sub(j.urgencyAt) < urgencyInterval || j.rec.Graph.Repeat.Times > 0 {
 		return
 	}
-	j.judgedAt = now
-	promised, rest := e.promised(j), e.rest(j)
-	took := now.Sub(j.accepted)
+	j.urgencyAt = now
+	targetDuration, remainingDuration := e.targetDuration(j), e.remainingDuration(j)
+	elapsed := now.Sub(j.accepted)
 	switch {
-	case took+rest+time.Duration(slackShare*float64(rest)) <= promised:
-		j.urgency = inTime
-	case took+rest <= worthless*promised:
+	case elapsed+remainingDuration+time.Duration(urgencyMargin*float64(remainingDuration)) <= targetDuration:
+		j.urgency = onTime
+	case elapsed+remainingDuration <= expiryFactor*targetDuration:
 		j.urgency = late
 	default:
-		j.urgency = tooLate
+		j.urgency = expired
 	}
 }
 
 // expiredRank returns 1 for an expired job and 0 for others.
-func (j *job) lastOfAll() int {
-	if j.urgency == tooLate {
+func (j *job) expiredRank() int {
+	if j.urgency == expired {
 		return 1
 	}
 	return 0
@@ -51,18 +51,18 @@
 
 // targetDuration returns the time in which a job should complete: its critical path multiplied by the
 // factor of its queue, plus the fixed allowance of the queue.
-func (e *Engine) promised(j *job) time.Duration {
+func (e *Engine) targetDuration(j *job) time.Duration {
 	rules := j.rec.Rules
 	if rules.Stretch <= 0 {
-		return forever
+		return unboundedDuration
 	}
-	chain := e.chain(j, func(g *group) time.Duration { return g.expected })
-	return time.Duration(rules.Stretch*float64(chain)) + time.Duration(rules.TargetMillis)*time.Millisecond
+	criticalPath := e.criticalPath(j, func(g *group) time.Duration { return g.expected })
+	return time.Duration(rules.Stretch*float64(criticalPath)) + time.Duration(rules.TargetMillis)*time.Millisecond
 }
 
 // remainingDuration returns the least time that the job's critical path still takes.
-func (e *Engine) rest(j *job) time.Duration {
-	return e.chain(j, func(g *group) time.Duration {
+func (e *Engine) remainingDuration(j *job) time.Duration {
+	return e.criticalPath(j, func(g *group) time.Duration {
 		if g.left == 0 {
 			return 0
 		}
@@ -71,16 +71,16 @@
 }
 
 // criticalPath returns the length of the longest dependency chain of one occurrence.
-func (e *Engine) chain(j *job, takes func(*group) time.Duration) time.Duration {
+func (e *Engine) criticalPath(j *job, duration func(*group) time.Duration) time.Duration {
 	longest := time.Duration(0)
-	upTo := make([]time.Duration, j.steps)
+	pathTo := make([]time.Duration, j.steps)
 	for i := range j.steps {
 		g := j.groups[i]
 		for _, before := range g.step.After {
-			upTo[i] = max(upTo[i], upTo[before])
+			pathTo[i] = max(pathTo[i], pathTo[before])
 		}
-		upTo[i] += takes(g)
-		longest = max(longest, upTo[i])
+		pathTo[i] += duration(g)
+		longest = max(longest, pathTo[i])
 	}
 	return longest
 }
