--- a/internal/engine/account.go
+++ b/internal/engine/account.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// doubt adds n tasks of a step that may run on hosts that have not reported; a negative n removes them.
+// addUnconfirmed adds n tasks of a step that may run on hosts that have not reported; a negative n removes
+// them.
 func (a *account) addUnconfirmed(g *group, n int64) {
 	switch {
 	case a == nil:
@@ -218,6 +219,6 @@
 
 // logQuota logs a changed quota.
 func (e *Engine) logQuota(a *account) {
-	e.log(Event{What: "quota changed", Why: fmt.Sprintf("account %s may have %d of milli_cpu, %d of memory_mib, %d of accelerators (-1: no bound), and may have running %s",
+	e.log(Event{What: "quota changed", Why: fmt.Sprintf("account %s has a quota of %d milli_cpu, %d memory_mib, %d accelerators (-1: unlimited); may be running: %s",
 		a.name, a.quota.MilliCPU, a.quota.MemoryMiB, a.quota.Accelerators, describeSize(e.counted(a)))})
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -67,7 +67,7 @@
 	accounts map[string]*account
 	// withheldAccounts are the accounts with quota withheld in the current scheduling pass.
 	withheldAccounts []*account
-	// unheard are the hosts that have not reported since the failover, unowned is the size of all orphan
+	// unreported are the hosts that have not reported since the failover, unowned is the size of all orphan
 	// runs.
 	unreported unreportedHosts
 	unowned    spec.Resources
@@ -75,8 +75,8 @@
 	live       map[string]*job
 	// ready holds the steps with tasks to start, in no order.
 	ready map[spec.StepID]*group
-	// queue holds the ready steps that are due, in scheduling order; fresh holds those that are not in the
-	// queue yet.
+	// queue holds the ready steps that are due, in scheduling order; incoming holds those that are not in
+	// the queue yet.
 	queue, incoming []*group
 	// nextPassAt is the earliest time of the next scheduling pass.
 	nextPassAt time.Time
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -175,33 +175,33 @@
 		faults faults
 		inject func(w *world)
 	}{
-		"none":              {},
-		"requests lost":     {faults: faults{lostRequest: 0.1}},
-		"answers lost":      {faults: faults{lostAnswer: 0.1}},
-		"orders late":       {faults: faults{late: 0.1}},
-		"all of these":      {faults: faults{lostRequest: 0.05, lostAnswer: 0.05, late: 0.05}},
-		"a host crashes":    {inject: func(w *world) { w.host("h01").Crash() }},
-		"a host is cut off": {inject: func(w *world) { w.host("h01").Cut(true) }},
-		"a host is cut, a while": {inject: func(w *world) {
+		"none":                   {},
+		"requests lost":          {faults: faults{lostRequest: 0.1}},
+		"answers lost":           {faults: faults{lostAnswer: 0.1}},
+		"orders late":            {faults: faults{late: 0.1}},
+		"all of the above":       {faults: faults{lostRequest: 0.05, lostAnswer: 0.05, late: 0.05}},
+		"a host crashes":         {inject: func(w *world) { w.host("h01").Crash() }},
+		"a host is disconnected": {inject: func(w *world) { w.host("h01").Cut(true) }},
+		"a host is disconnected for 3 s": {inject: func(w *world) {
 			w.host("h01").Cut(true)
 			w.after(3*time.Second, func() { w.host("h01").Cut(false) })
 		}},
-		"a host is cut, longer": {inject: func(w *world) {
+		"a host is disconnected for 9 s": {inject: func(w *world) {
 			w.host("h01").Cut(true)
 			w.after(9*time.Second, func() { w.host("h01").Cut(false) })
 		}},
-		"a host fails all":    {inject: func(w *world) { w.host("h02").Fail(true) }},
-		"a host stands still": {inject: func(w *world) { w.host("h02").Stall(true) }},
-		"a host is slow":      {inject: func(w *world) { w.host("h02").Slow(6) }},
-		"takeover":            {inject: func(w *world) { w.takeOver() }},
-		"two takeovers":       {inject: func(w *world) { w.takeOver(); w.after(50*time.Millisecond, w.takeOver) }},
-		"takeover, late orders": {faults: faults{late: 0.1}, inject: func(w *world) {
+		"a host fails all tasks": {inject: func(w *world) { w.host("h02").Fail(true) }},
+		"a host stalls":          {inject: func(w *world) { w.host("h02").Stall(true) }},
+		"a host is slow":         {inject: func(w *world) { w.host("h02").Slow(6) }},
+		"failover":               {inject: func(w *world) { w.takeOver() }},
+		"two failovers":          {inject: func(w *world) { w.takeOver(); w.after(50*time.Millisecond, w.takeOver) }},
+		"failover, late orders": {faults: faults{late: 0.1}, inject: func(w *world) {
 			w.takeOver()
 			w.after(700*time.Millisecond, w.takeOver)
 		}},
-		"takeover, a host crashes": {inject: func(w *world) { w.host("h03").Crash(); w.takeOver() }},
-		"takeover, answers lost":   {faults: faults{lostAnswer: 0.1}, inject: func(w *world) { w.takeOver() }},
-		"hosts' clocks apart": {inject: func(w *world) {
+		"failover, a host crashes": {inject: func(w *world) { w.host("h03").Crash(); w.takeOver() }},
+		"failover, answers lost":   {faults: faults{lostAnswer: 0.1}, inject: func(w *world) { w.takeOver() }},
+		"clock drift, failover": {inject: func(w *world) {
 			w.host("h01").SetRate(0.98)
 			w.host("h01").Cut(true)
 			w.takeOver()
@@ -257,7 +257,7 @@
 
 var testAdvice = &catalog.Advice{DecideMillis: 6, PerHostMillis: 0.1, ValidMillis: 1500}
 
-// TestNothingStartsWithoutTheRight checks that a process which can not prove that it is the holder issues
+// TestNothingStartsWithoutAuthority checks that a process which can not prove that it is the holder issues
 // no orders.
 func TestNothingStartsWithoutAuthority(t *testing.T) {
 	w := quietWorld(t, 2)
@@ -305,7 +305,7 @@
 	is.Equal(len(o.Looks)+len(o.Starts)+len(o.Stops), 0)
 }
 
-// TestLostStartIsSettledSoon guards against late urgent work: a lost start is resolved by a stop, but its
+// TestLostStartIsResolvedSoon guards against late urgent work: a lost start is resolved by a stop, but its
 // task waits until the poll that is held at the host returns.
 func TestLostStartIsResolvedSoon(t *testing.T) {
 	is := is.New(t)
--- a/internal/engine/gang.go
+++ b/internal/engine/gang.go
@@ -18,7 +18,7 @@
 	g.setState(r.Task.Index, taskWaiting)
 	for i := range g.tasks {
 		if cur := g.tasks[i].cur; cur != nil {
-			e.unwant(cur, "another member of its gang is over")
+			e.unwant(cur, "another member of its gang has ended")
 		}
 	}
 	if g.gangIdle() {
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -79,7 +79,7 @@
 	left  int // tasks that are not done
 	// waiting counts the tasks in taskWaiting, leftOver the superseded runs that its tasks wait for.
 	waiting, leftOver int
-	// large is true when a host holds only a few of its tasks. It is valid once classified is set; see
+	// largeTasks is true when a host holds only a few of its tasks. It is valid once classified is set; see
 	// plan_large.go.
 	largeTasks, classified bool
 	// sampledTasks counts the done tasks whose run times were sampled; sampledTime is the sum of these
@@ -132,7 +132,7 @@
 	askAfter time.Time
 }
 
-// attempt is the last placement attempt of a step and the state on which it was based.
+// placementAttempt is the last placement attempt of a step and the state on which it was based.
 type placementAttempt struct {
 	at      time.Time
 	backoff time.Duration // until the next attempt
@@ -303,7 +303,7 @@
 		e.removeReady(g)
 		for i := range g.tasks {
 			if r := g.tasks[i].cur; r != nil && s != record.StateCompleted {
-				e.unwant(r, "its job is over: "+string(s))
+				e.unwant(r, "its job has ended: "+string(s))
 			}
 		}
 	}
@@ -322,7 +322,7 @@
 	e.ended = e.ended[n:]
 }
 
-// setReadyTimes marks the fresh steps ready whose occurrence is due.
+// setReadyTimes marks the incoming steps ready whose occurrence is due.
 func (e *Engine) setReadyTimes(now time.Time) {
 	for _, g := range e.incoming {
 		if g.readySince.IsZero() && !now.Before(g.due) {
--- a/internal/engine/large_test.go
+++ b/internal/engine/large_test.go
@@ -70,7 +70,7 @@
 	return l
 }
 
-// takes draws a run time in milliseconds, with a spread of about a half around the mean.
+// runTimeMillis draws a run time in milliseconds, with a spread of about a half around the mean.
 func (l *accelLoad) runTimeMillis(mean float64) int64 {
 	const spread = 0.45
 	return int64(min(mean*math.Exp(spread*l.rnd.NormFloat64()-spread*spread/2), 2.5*mean))
@@ -106,7 +106,7 @@
 	return float64(good) / float64(all)
 }
 
-// TestWholeHostsAreKeptForLargeTasks runs the accelerator load. It guards against large tasks that use
+// TestHostsAreReservedForLargeTasks runs the accelerator load. It guards against large tasks that use
 // only capacity that is free at the moment: small tasks refill each host first, and the large ones end
 // late.
 func TestHostsAreReservedForLargeTasks(t *testing.T) {
@@ -118,15 +118,15 @@
 		l.w.check()
 		whole += l.onTimeShare(largeKind) / seeds
 		single += l.onTimeShare(smallKind) / seeds
-		t.Logf("seed %d: in time %.3f of the large tasks' jobs, %.3f of the others", seed, l.onTimeShare(largeKind), l.onTimeShare(smallKind))
+		t.Logf("seed %d: on time %.3f of the jobs of large tasks, %.3f of the others", seed, l.onTimeShare(largeKind), l.onTimeShare(smallKind))
 	}
-	t.Logf("in time: %.3f of the large tasks' jobs, %.3f of the others", whole, single)
+	t.Logf("on time: %.3f of the jobs of large tasks, %.3f of the others", whole, single)
 	is := is.New(t)
 	is.True(whole >= 0.88)
 	is.True(single >= 0.93)
 }
 
-// TestRoomIsNotKeptFromMoreUrgentSteps guards against reservations of large tasks of a less urgent queue
+// TestReservationsYieldToMoreUrgentSteps guards against reservations of large tasks of a less urgent queue
 // that block the reservations of gangs.
 func TestReservationsYieldToMoreUrgentSteps(t *testing.T) {
 	of := func(priority int) *group {
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -22,7 +22,7 @@
 // cover half a second.
 const sampleEvery = 450 * time.Millisecond
 
-// serves reports whether the run is a serving task with a latency target.
+// isServing reports whether the run is a serving task with a latency target.
 func (r *run) isServing() bool { return r.group != nil && r.group.step.TailTargetMillis > 0 }
 
 // fills reports whether the run is a backfill task.
@@ -71,7 +71,7 @@
 	if changed {
 		e.recordOverloadShare(h)
 		e.log(Event{What: "fillers paced", Host: string(h.info.ID),
-			Why: fmt.Sprintf("to %d%% of its processors, tail at %.2f of its target", h.governor.Share(), ratio), Age: now.Sub(h.viewed)})
+			Why: fmt.Sprintf("to %d%% of its processors, tail latency at %.2f of its target", h.governor.Share(), ratio), Age: now.Sub(h.viewed)})
 	}
 	e.repace(h)
 }
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -183,7 +183,7 @@
 	return e.queue
 }
 
-// enqueueFresh inserts the fresh steps that are due into the queue.
+// enqueueIncoming inserts the incoming steps that are due into the queue.
 func (e *Engine) enqueueIncoming(now time.Time) {
 	notDue := e.incoming[:0]
 	for _, g := range e.incoming {
@@ -270,7 +270,7 @@
 	e.refresh(g)
 }
 
-// withCapacity filters the hosts that have capacity for a task of the step, regardless of reservations of
+// withCapacity returns the hosts that have capacity for a task of the step, regardless of reservations of
 // other steps.
 func (e *Engine) withCapacity(g *group, hosts []*hostState) []*hostState {
 	size := g.step.Booked()
--- a/internal/engine/plan_gang.go
+++ b/internal/engine/plan_gang.go
@@ -23,19 +23,19 @@
 		e.reserveGang(g, e.candidateHosts(g, hosts, now), now)
 		return
 	}
-	permitted := e.goodHosts(g, now)
-	mayReserve := e.reserveGang(g, permitted, now)
+	approved := e.goodHosts(g, now)
+	mayReserve := e.reserveGang(g, approved, now)
 	if !e.mayAsk(g, now) {
 		return
 	}
 	idle := e.lanes.Idle(g.job.rec.Rules.Advice.Took(1), now)
 	switch {
 	case len(g.reserved) > 0 && e.placesComeSoon(g, now):
-		e.askForTickets(g, permitted, now)
-	case mayReserve && !g.hasEnoughPermitted(permitted) || idle || g.advice.answers == 0:
+		e.askForTickets(g, approved, now)
+	case mayReserve && !g.hasEnoughPermitted(approved) || idle || g.advice.answers == 0:
 		// The permitted hosts that are known can not hold the gang, or the query slots are idle and other
 		// hosts may have capacity.
-		e.askForPlaces(g, permitted, e.unknownHosts(g, hosts), now)
+		e.askForPlaces(g, approved, e.unknownHosts(g, hosts), now)
 	}
 }
 
--- a/internal/engine/plan_large.go
+++ b/internal/engine/plan_large.go
@@ -29,19 +29,19 @@
 		e.reserveLarge(g, e.candidateHosts(g, hosts, now), now)
 		return
 	}
-	permitted := e.goodHosts(g, now)
-	e.reserveLarge(g, permitted, now)
+	approved := e.goodHosts(g, now)
+	e.reserveLarge(g, approved, now)
 	if !e.mayAsk(g, now) {
 		return
 	}
-	if !g.hasEnoughPermitted(permitted) {
+	if !g.hasEnoughPermitted(approved) {
 		if unknown := e.unknownHosts(g, hosts); len(unknown) > 0 {
 			e.ask(g, e.earliestHosts(g, unknown, now), now)
 			return
 		}
 	}
 	if len(g.reserved) > 0 && (e.placesComeSoon(g, now) || e.lanes.Idle(g.job.rec.Rules.Advice.Took(1), now)) {
-		e.askForTickets(g, permitted, now)
+		e.askForTickets(g, approved, now)
 	}
 }
 
--- a/internal/engine/preempt.go
+++ b/internal/engine/preempt.go
@@ -132,6 +132,6 @@
 		}
 		capacity = capacity.Add(r.size)
 		r.group.tasks[r.Task.Index].preempted++
-		e.unwant(r, "a gang of a more urgent queue takes its room")
+		e.unwant(r, "preempted by a gang of a more urgent queue")
 	}
 }
--- a/internal/engine/preempt_test.go
+++ b/internal/engine/preempt_test.go
@@ -12,7 +12,7 @@
 	"pulleyquay/internal/spec"
 )
 
-// busyWorld is a cell of four hosts filled with tasks of a less urgent queue.
+// loadedWorld is a cell of four hosts filled with tasks of a less urgent queue.
 func loadedWorld(t *testing.T, change func(*spec.Step, *catalog.Rules)) *world {
 	w := quietWorld(t, 4)
 	s, rules := step(32, 8, 8, 9000), catalog.Rules{Priority: 2}
@@ -30,12 +30,12 @@
 		change    func(*spec.Step, *catalog.Rules)
 		preempted bool
 	}{
-		"less urgent, saved":           {func(*spec.Step, *catalog.Rules) {}, true},
-		"its progress is lost":         {func(s *spec.Step, _ *catalog.Rules) { s.Checkpointing = false }, false},
-		"as urgent":                    {func(_ *spec.Step, r *catalog.Rules) { r.Priority = 1 }, false},
-		"it lasts":                     {func(s *spec.Step, _ *catalog.Rules) { s.LongRunning = true }, false},
-		"a gang itself":                {func(s *spec.Step, _ *catalog.Rules) { s.Gang = true }, false},
-		"less urgent, with a deadline": {func(_ *spec.Step, r *catalog.Rules) { r.Stretch = 3 }, true},
+		"less urgent, checkpointing":     {func(*spec.Step, *catalog.Rules) {}, true},
+		"less urgent, not checkpointing": {func(s *spec.Step, _ *catalog.Rules) { s.Checkpointing = false }, false},
+		"equally urgent":                 {func(_ *spec.Step, r *catalog.Rules) { r.Priority = 1 }, false},
+		"long-running":                   {func(s *spec.Step, _ *catalog.Rules) { s.LongRunning = true }, false},
+		"a gang":                         {func(s *spec.Step, _ *catalog.Rules) { s.Gang = true }, false},
+		"less urgent, with a deadline":   {func(_ *spec.Step, r *catalog.Rules) { r.Stretch = 3 }, true},
 	}
 	for name, tc := range tests {
 		for _, advised := range []bool{false, true} {
--- a/internal/engine/quota_test.go
+++ b/internal/engine/quota_test.go
@@ -66,12 +66,12 @@
 		maxCores int64 // processors
 		ends     bool
 	}{
-		"tasks":   {step(20, 2, 1, 1000), cores(quota), 8, true},
-		"memory":  {memory, fairshare.Quota{MilliCPU: -1, MemoryMiB: 12 << 10, Accelerators: -1}, 3, true},
-		"lasting": {longRunning, cores(quota), 8, false},
-		"fillers": {filler, cores(quota), 8, false},
-		"a gang":  {gang, cores(quota), 6, true},
-		"none":    {step(20, 2, 1, 1000), fairshare.Unlimited, 64, true},
+		"tasks":        {step(20, 2, 1, 1000), cores(quota), 8, true},
+		"memory":       {memory, fairshare.Quota{MilliCPU: -1, MemoryMiB: 12 << 10, Accelerators: -1}, 3, true},
+		"long-running": {longRunning, cores(quota), 8, false},
+		"backfill":     {filler, cores(quota), 8, false},
+		"a gang":       {gang, cores(quota), 6, true},
+		"unlimited":    {step(20, 2, 1, 1000), fairshare.Unlimited, 64, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestAccountsDoNotHoldEachOtherUp checks that an account at its quota waits although capacity is free,
+// TestAccountsDoNotBlockEachOther checks that an account at its quota waits although capacity is free,
 // and that other accounts use that capacity at once.
 func TestAccountsDoNotBlockEachOther(t *testing.T) {
 	is := is.New(t)
@@ -123,10 +123,10 @@
 // that a raised quota lets work start at once, also under a new holder.
 func TestQuotasFallAndRise(t *testing.T) {
 	for name, between := range map[string]func(w *world){
-		"one holder":      func(*world) {},
-		"the next holder": func(w *world) { w.takeOver() },
-		"twice the next":  func(w *world) { w.takeOver(); w.run(50 * time.Millisecond); w.takeOver() },
-		"its hosts silent": func(w *world) {
+		"one holder":    func(*world) {},
+		"failover":      func(w *world) { w.takeOver() },
+		"two failovers": func(w *world) { w.takeOver(); w.run(50 * time.Millisecond); w.takeOver() },
+		"failover, hosts unresponsive": func(w *world) {
 			w.setAllDisconnected(true)
 			w.takeOver()
 			w.after(2*time.Second, func() { w.setAllDisconnected(false) })
@@ -151,7 +151,8 @@
 	}
 }
 
-// quotaSettles is the time after which everything that ran under the former quota has ended on all hosts.
+// quotaSettleTime is the time after which everything that ran under the former quota has ended on all
+// hosts.
 const quotaSettleTime = 25 * time.Second
 
 func (w *world) setAllDisconnected(cut bool) {
@@ -160,8 +161,8 @@
 	}
 }
 
-// TestHostsNotHeardCount: after a failover some hosts do not report, and an account's tasks may run there.
-// They count until it is certain that they do not run.
+// TestUnreportedHostsCount: after a failover some hosts do not report, and an account's tasks may run
+// there. They count until it is certain that they do not run.
 func TestUnreportedHostsCount(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 4, 24)
@@ -197,7 +198,7 @@
 	is.Equal(w.coresOf("crew"), int64(8))
 }
 
-// TestBooksAgainstTheHosts runs accounts at their quotas while calls are lost or delayed, hosts are
+// TestUsageMatchesHosts runs accounts at their quotas while calls are lost or delayed, hosts are
 // disconnected, crash and restart, holders change, also twice in a row, and quotas fall and rise. The
 // hosts check each start against the quotas, and at the end all usage has to be zero.
 func TestUsageMatchesHosts(t *testing.T) {
@@ -238,24 +239,25 @@
 	w.check()
 	for id := range w.jobs {
 		if s := w.shown[id]; !s.Final() {
-			t.Errorf("%s waits in a calm cell: %s", id, w.describe(id))
+			t.Errorf("job %s still waits in an idle cell: %s", id, w.describe(id))
 		}
 	}
 	for name, a := range w.engine.accounts {
 		if !a.used.IsZero() || !a.unconfirmed.IsZero() {
-			t.Errorf("account %s has %v and %v in doubt in an empty cell", name, a.used, a.unconfirmed)
+			t.Errorf("account %s has usage %v and unconfirmed usage %v in an empty cell", name, a.used, a.unconfirmed)
 		}
 		if n := len(a.unconfirmedBackfill); n > 0 {
-			t.Errorf("account %s has fillers of %d steps in doubt in an empty cell", name, n)
+			t.Errorf("account %s has unconfirmed backfill tasks of %d steps in an empty cell", name, n)
 		}
 	}
 	if !w.engine.unowned.IsZero() {
-		t.Errorf("%v runs for nobody in an empty cell", w.engine.unowned)
+		t.Errorf("orphan runs use %v in an empty cell", w.engine.unowned)
 	}
 }
 
-// Guards against a gang that starts above the quota after others were preempted for it: more urgent tasks
-// of its account use up the quota meanwhile. An account had 312 cores running with a quota of 277.
+// TestPreemptionForAGangGrantsNoQuota guards against a gang that starts above the quota after others were
+// preempted for it: more urgent tasks of its account use up the quota meanwhile. An account had 312 cores
+// running with a quota of 277.
 func TestPreemptionForAGangGrantsNoQuota(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 17, 4)
@@ -278,7 +280,7 @@
 	is.Equal(w.completed(), 2) // one after the other
 }
 
-// submitSome submits a job of a random kind.
+// submitRandom submits a job of a random kind.
 func (w *world) submitRandom(account string, at time.Duration) {
 	s := step(1+w.rnd.IntN(12), 1+w.rnd.Int64N(4), 1, 200+w.rnd.Int64N(4000))
 	rules := catalog.Rules{Attempts: 20, Priority: w.rnd.IntN(3)}
@@ -302,7 +304,7 @@
 	w.submit(id, rules, s)
 }
 
-// disturb injects one random fault or change.
+// injectFault injects one random fault or change.
 func (w *world) injectFault(accounts []string) {
 	h := w.fleet.Hosts()[w.rnd.IntN(len(w.fleet.Hosts()))]
 	switch w.rnd.IntN(9) {
@@ -330,7 +332,7 @@
 	}
 }
 
-// TestFillersNotHeardCount guards against unconfirmed backfill tasks that are counted only up to the
+// TestUnconfirmedBackfillCounts guards against unconfirmed backfill tasks that are counted only up to the
 // capacity of the hosts that have not reported since the failover. Backfill tasks take none of the
 // processors there but count in full against their account, which had 56 cores running with a quota of 48.
 func TestUnconfirmedBackfillCounts(t *testing.T) {
@@ -356,7 +358,7 @@
 	}
 }
 
-// TestFillersNotHeardLeaveTheRest checks that unconfirmed backfill tasks count for no more than the hosts
+// TestUnconfirmedBackfillIsBounded checks that unconfirmed backfill tasks count for no more than the hosts
 // that have not reported can hold, so that one such host does not block the quota of an account with many
 // waiting backfill tasks.
 func TestUnconfirmedBackfillIsBounded(t *testing.T) {
@@ -449,7 +451,7 @@
 	is.Equal(w.coresOf("crew"), int64(8))
 }
 
-// TestCancelledJobsLeaveTheRest guards against unconfirmed work that counts for more than the unconfirmed
+// TestCancelledJobsAreBounded guards against unconfirmed work that counts for more than the unconfirmed
 // hosts can hold. Many jobs are cancelled within seconds, the holder changes, and one host does not
 // report. All former runs of these jobs counted until the host's lease expired: accounts stood at up to
 // 246% of their quotas and started nothing for nine seconds while nearly the whole cell was free.
--- a/internal/engine/room.go
+++ b/internal/engine/room.go
@@ -60,7 +60,7 @@
 	if h.info.Size != info.Size {
 		e.log(Event{
 			What: "host's room changed", Host: string(h.info.ID), Age: now.Sub(h.saidAt),
-			Why: fmt.Sprintf("from %v to %v, holds %v; entry %d, the one before %d", h.info.Size, info.Size, h.used, info.Beat, h.info.Beat),
+			Why: fmt.Sprintf("from %v to %v, allocated %v; entry %d, previous entry %d", h.info.Size, info.Size, h.used, info.Beat, h.info.Beat),
 		})
 	}
 	h.room = info.Size
@@ -118,7 +118,7 @@
 	}
 	if h.overSince.IsZero() {
 		h.overSince = now
-		e.log(Event{What: "host over its room", Host: string(h.info.ID), Why: fmt.Sprintf("holds %v of %v", h.used, h.info.Size)})
+		e.log(Event{What: "host over its room", Host: string(h.info.ID), Why: fmt.Sprintf("allocated %v of %v", h.used, h.info.Size)})
 	}
 	if now.Sub(h.overSince) < overcommitGrace {
 		return
@@ -137,7 +137,7 @@
 			continue
 		}
 		left = left.Sub(r.size)
-		e.unwant(r, "its host is over its room, which has shrunk")
+		e.unwant(r, "its host is over its capacity, which has shrunk")
 	}
 }
 
--- a/internal/engine/room_test.go
+++ b/internal/engine/room_test.go
@@ -22,11 +22,11 @@
 	return w
 }
 
-// TestRoomShrinksAndGrows checks that starts respect the capacity that a host reports, also under a new
+// TestCapacityShrinksAndGrows checks that starts respect the capacity that a host reports, also under a new
 // holder and while runs are being stopped, and that added capacity is used at once.
 func TestCapacityShrinksAndGrows(t *testing.T) {
 	for _, guards := range []bool{false, true} {
-		t.Run(fmt.Sprint("guarded ", guards), func(t *testing.T) {
+		t.Run(fmt.Sprint("capacity enforced ", guards), func(t *testing.T) {
 			is := is.New(t)
 			w := roomWorld(t, 6)
 			w.fleet.Guards = guards
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestGuardedRoomIsBelieved guards against repeated refused starts: a host whose capacity has just shrunk
-// refuses a start, and until its entry shows the new capacity the same start is sent there again every few
-// milliseconds although other hosts are free.
+// TestCapacityRefusalIsRespected guards against repeated refused starts: a host whose capacity has just
+// shrunk refuses a start, and until its entry shows the new capacity the same start is sent there again
+// every few milliseconds although other hosts are free.
 func TestCapacityRefusalIsRespected(t *testing.T) {
 	is := is.New(t)
 	w := roomWorld(t, 3)
@@ -86,10 +86,10 @@
 		stops        int           // stopped runs at most
 		within       time.Duration // when the host is within its capacity again, if at all
 	}{
-		"saved progress":             {step: checkpointing, stops: 4, within: 8 * time.Second},
-		"a service":                  {step: service, stops: 4, within: 25 * time.Second},
-		"would be lost":              {step: step(8, 7, 10, 60000)},
-		"saved, the room comes back": {step: checkpointing, returnsAfter: 3 * time.Second, stops: 0, within: 4 * time.Second},
+		"checkpointing":                   {step: checkpointing, stops: 4, within: 8 * time.Second},
+		"a service":                       {step: service, stops: 4, within: 25 * time.Second},
+		"not checkpointing":               {step: step(8, 7, 10, 60000)},
+		"checkpointing, capacity returns": {step: checkpointing, returnsAfter: 3 * time.Second, stops: 0, within: 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -144,7 +144,7 @@
 	w.submit("urgent", catalog.Rules{}, step(1, 6, 10, 300))
 	w.run(900 * time.Millisecond)
 	w.check()
-	t.Log(starts, "tries, the last after", delay)
+	t.Log(starts, "attempts, the last after", delay)
 	is.Equal(w.shown["urgent"], record.StateCompleted)
 	is.True(starts <= 2)
 	is.True(delay < 100*time.Millisecond)
@@ -155,18 +155,18 @@
 // work: its size came from an entry older than the outage, and the period in which starts above a reduced
 // capacity are tolerated was over.
 
-// TestRoomsShrinkBeforeAnOutage checks that sizes which are too old are not used for starts if hosts have
-// recently shrunk, and that an outage stops no starts otherwise.
+// TestCapacityShrinksBeforeAnOutage checks that sizes which are too old are not used for starts if hosts
+// have recently shrunk, and that an outage stops no starts otherwise.
 func TestCapacityShrinksBeforeAnOutage(t *testing.T) {
 	for name, tc := range map[string]struct {
 		shrink     bool
 		failoverAt time.Duration // when another holder takes over; zero for never
 	}{
-		"rooms shrink":                        {shrink: true},
-		"rooms shrink, another holder before": {shrink: true, failoverAt: 8 * time.Second},
-		"rooms shrink, another holder after":  {shrink: true, failoverAt: 16*time.Second + 50*time.Millisecond},
-		"rooms stay":                          {},
-		"rooms stay, another holder before":   {failoverAt: 8 * time.Second},
+		"capacity shrinks":                    {shrink: true},
+		"capacity shrinks, failover before":   {shrink: true, failoverAt: 8 * time.Second},
+		"capacity shrinks, failover after":    {shrink: true, failoverAt: 16*time.Second + 50*time.Millisecond},
+		"capacity unchanged":                  {},
+		"capacity unchanged, failover before": {failoverAt: 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/engine/services_test.go
+++ b/internal/engine/services_test.go
@@ -41,14 +41,14 @@
 	return s
 }
 
-// serving returns a step of serving tasks, which are long-running and have a latency target.
+// servingStep returns a step of serving tasks, which are long-running and have a latency target.
 func servingStep(count int, cores, gib int64) spec.Step {
 	s := lasting(count, cores, gib)
 	s.Image, s.TailTargetMillis, s.MostPerHost = "web", 40, 2
 	return s
 }
 
-// filler returns a step of backfill tasks.
+// backfillStep returns a step of backfill tasks.
 func backfillStep(image string, count int, cores, gib, ms int64) spec.Step {
 	s := step(count, cores, gib, ms)
 	s.Filler, s.Image = true, image
@@ -95,16 +95,16 @@
 			w.engine.SetHost(h.Info(), w.now())
 			w.after(2500*time.Millisecond, func() {
 				if n := len(h.Running()); n > 0 {
-					w.fleet.Judge().Breach("%d tasks still on the host that leaves", n)
+					w.fleet.Judge().Breach("%d tasks still on the departing host", n)
 				}
 				h.Crash()
 				h.List(false)
 				w.engine.DropHost("h01", w.now())
 			})
 		},
-		"tasks stand still on a host": func(w *world) { w.host("h01").Stall(true) },
-		"takeover":                    func(w *world) { w.takeOver() },
-		"takeover, a host crashes":    func(w *world) { w.host("h01").Crash(); w.takeOver() },
+		"tasks stall on a host":    func(w *world) { w.host("h01").Stall(true) },
+		"failover":                 func(w *world) { w.takeOver() },
+		"failover, a host crashes": func(w *world) { w.host("h01").Crash(); w.takeOver() },
 	}
 	for name, inject := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -134,8 +134,8 @@
 	is.New(t).Equal(w.running("web"), 0)
 }
 
-// TestSavedWorkLeavesWithItsHost checks that tasks which checkpoint and would not end in time are moved
-// before their host leaves, and that those which end in time stay.
+// TestCheckpointingTasksLeaveDrainingHosts checks that tasks which checkpoint and would not end in time
+// are moved before their host leaves, and that those which end in time stay.
 func TestCheckpointingTasksLeaveDrainingHosts(t *testing.T) {
 	is := is.New(t)
 	w := quietWorld(t, 2)
@@ -163,7 +163,7 @@
 	is.Equal(w.completed(), 2)
 }
 
-// harmful is the longest uninterrupted time for which the platform tolerates that backfill tasks cause a
+// maxHarm is the longest uninterrupted time for which the platform tolerates that backfill tasks cause a
 // target to be missed.
 const maxHarm = 4 * time.Second
 
@@ -175,12 +175,12 @@
 		// slack is how much longer targets may be missed because of the fault.
 		slack time.Duration
 	}{
-		"harmless":              {harm: 0.05},
-		"harmful":               {harm: 0.4},
-		"very harmful":          {harm: 3},
-		"answers lost":          {harm: 0.4, faults: faults{lostAnswer: 0.1, lostRequest: 0.05}, slack: time.Second},
-		"takeover":              {harm: 0.4, inject: func(w *world) { w.takeOver() }, slack: time.Second},
-		"very harmful takeover": {harm: 3, inject: func(w *world) { w.takeOver() }, slack: time.Second},
+		"harmless":               {harm: 0.05},
+		"harmful":                {harm: 0.4},
+		"very harmful":           {harm: 3},
+		"answers lost":           {harm: 0.4, faults: faults{lostAnswer: 0.1, lostRequest: 0.05}, slack: time.Second},
+		"failover":               {harm: 0.4, inject: func(w *world) { w.takeOver() }, slack: time.Second},
+		"very harmful, failover": {harm: 3, inject: func(w *world) { w.takeOver() }, slack: time.Second},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/engine/speed_test.go
+++ b/internal/engine/speed_test.go
@@ -11,7 +11,7 @@
 	"pulleyquay/internal/spec"
 )
 
-// TestTightWorkGoesToFastHosts: a third of the hosts take 1.3 times as long, without any information about
+// TestUrgentWorkGoesToFastHosts: a third of the hosts take 1.3 times as long, without any information about
 // it. The test guards against urgent work, whose slack is half of its run time, being placed on them as on
 // the others; they should run work that can wait.
 func TestUrgentWorkGoesToFastHosts(t *testing.T) {
@@ -69,8 +69,8 @@
 	is.True(share("loose") > 0.4)
 }
 
-// TestSpeedIsLearnt checks that the mean over tasks whose run times differ by a sixth identifies hosts
-// that are slower by a third.
+// TestHostSpeedIsEstimated checks that the mean over tasks whose run times differ by a sixth identifies
+// hosts that are slower by a third.
 func TestHostSpeedIsEstimated(t *testing.T) {
 	is := is.New(t)
 	fast, slow := &hostState{}, &hostState{}
--- a/internal/engine/turns_test.go
+++ b/internal/engine/turns_test.go
@@ -27,9 +27,10 @@
 	return n
 }
 
-// Guards against expired jobs that precede all jobs of less urgent queues. A burst of urgent jobs exceeds
-// the capacity of the cell, and less urgent jobs arrive all the while. Steps of the urgent queue waited up
-// to 20 s, and the capacity that expired jobs used was lost to jobs that could still meet their target.
+// TestExpiredJobsDoNotDelayOthers guards against expired jobs that precede all jobs of less urgent queues.
+// A burst of urgent jobs exceeds the capacity of the cell, and less urgent jobs arrive all the while.
+// Steps of the urgent queue waited up to 20 s, and the capacity that expired jobs used was lost to jobs
+// that could still meet their target.
 func TestExpiredJobsDoNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 29)
@@ -57,11 +58,11 @@
 	is.True(3*w.completedIn("less", 17, others, 11*time.Second) >= 2*(others-17))
 }
 
-// Guards against small tasks that use up the quota of their account as it comes free, while urgent work of
-// the same account needs more at once and waits for the quota: 53 steps waited, the last of them 9.8 s.
-// Free quota has to be withheld for steps earlier in the queue.
+// TestSmallTasksLeaveQuotaForUrgentSteps guards against small tasks that use up the quota of their account
+// as it comes free, while urgent work of the same account needs more at once and waits for the quota: 53
+// steps waited, the last of them 9.8 s. Free quota has to be withheld for steps earlier in the queue.
 func TestSmallTasksLeaveQuotaForUrgentSteps(t *testing.T) {
-	for name, gang := range map[string]bool{"a gang": true, "its tasks one by one": false} {
+	for name, gang := range map[string]bool{"a gang": true, "independent tasks": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := accountWorld(t, 31, 4)
@@ -84,11 +85,11 @@
 	}
 }
 
-// Guards against gangs that use up the policy service's time. On a cell of small hosts a gang without
-// known permitted hosts queried every host, as only all of them together hold twenty times its slots. The
-// cost of a query grows with its hosts, and the queries of later gangs waited: 26 to 29 queries were open
-// at any moment, and 31 steps waited with 28% of the processors free. The load is gangs for half of a
-// cell, a quarter of whose hosts are permitted for each.
+// TestGangsDoNotExhaustThePolicyService guards against gangs that use up the policy service's time. On a
+// cell of small hosts a gang without known permitted hosts queried every host, as only all of them
+// together hold twenty times its slots. The cost of a query grows with its hosts, and the queries of later
+// gangs waited: 26 to 29 queries were open at any moment, and 31 steps waited with 28% of the processors
+// free. The load is gangs for half of a cell, a quarter of whose hosts are permitted for each.
 func TestGangsDoNotExhaustThePolicyService(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 37)
@@ -115,7 +116,7 @@
 	}
 	w.run(60 * time.Second)
 	w.check()
-	t.Logf("%d of %d gangs in time", w.completedIn("gang", 0, gangs, target), gangs)
+	t.Logf("%d of %d gangs on time", w.completedIn("gang", 0, gangs, target), gangs)
 	is.True(10*w.completedIn("gang", 0, gangs, target) >= 9*gangs)
 }
 
--- a/internal/engine/upkeep_test.go
+++ b/internal/engine/upkeep_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// askWave requests a maintenance rollout over all machines.
+// requestWave requests a maintenance rollout over all machines.
 func (w *world) requestWave(atOnce int) upkeep.Wave {
 	wave := upkeep.Wave{ID: 1, AtOnce: atOnce}
 	for _, m := range w.machines {
@@ -107,11 +107,11 @@
 	}{
 		"calm":         {},
 		"answers lost": {faults: faults{lostAnswer: 0.1}},
-		"takeover": {inject: func(w *world, wave upkeep.Wave) {
+		"failover": {inject: func(w *world, wave upkeep.Wave) {
 			w.takeOver()
 			w.engine.SetWave(wave)
 		}},
-		"two takeovers, answers lost": {faults: faults{lostAnswer: 0.1}, inject: func(w *world, wave upkeep.Wave) {
+		"two failovers, answers lost": {faults: faults{lostAnswer: 0.1}, inject: func(w *world, wave upkeep.Wave) {
 			w.takeOver()
 			w.after(8*time.Second, func() { w.takeOver(); w.engine.SetWave(wave) })
 		}},
