--- a/internal/engine/account.go
+++ b/internal/engine/account.go
@@ -10,7 +10,7 @@
 
 // The quota of a client account bounds what it has running at once on all hosts. Everything that may be
 // running counts, from the start order until the host has reported the end or can not run it any more:
-// unacknowledged starts, runs on unreachable hosts, runs that are being stopped and, after a failover,
+// unacknowledged starts, runs on unresponsive hosts, runs that are being stopped and, after a failover,
 // tasks that may run on hosts that have not reported. So incomplete knowledge of the holder never lets an
 // account exceed its quota.
 
@@ -18,7 +18,7 @@
 type account struct {
 	name  string
 	quota fairshare.Quota
-	// used is the size of the recorded runs, unsure that of tasks that may run on hosts that have not
+	// used is the size of the recorded runs, unconfirmed that of tasks that may run on hosts that have not
 	// reported since the failover. Backfill tasks are counted per step.
 	used, unconfirmed   spec.Resources
 	unconfirmedBackfill map[*group]int64
--- a/internal/engine/room.go
+++ b/internal/engine/capacity.go
@@ -12,7 +12,7 @@
 
 // The capacity of a host may shrink and grow while tasks run there. The engine uses the capacity that the
 // host last reported, which is up to a heartbeat old. Meanwhile a host that enforces its capacity refuses
-// starts, and tasks are evicted from a host that stays over-committed.
+// starts, and tasks are evicted from a host that stays overcommitted.
 
 // refusalTTL is how long a refusal for lack of capacity applies, unless the host's entry changes or a run
 // there ends before: the next heartbeat reports the capacity. Without it a task would be refused there
@@ -44,7 +44,7 @@
 )
 
 // roomSaid applies the capacity in a host's entry. An entry that is read a second time is not new, and the
-// age of the first entry that is read of a host is unknown: a new holder that read the entries just after
+// age of the first entry that is read of a host is unknown: a next holder that read the entries just after
 // a store outage filled hosts whose capacity had shrunk before.
 func (e *Engine) roomSaid(h *hostState, info host.Info, now time.Time) {
 	if h.listed && (info.Beat != h.info.Beat || info.Life != h.info.Life) {
@@ -80,7 +80,7 @@
 // ageRoom limits the usable capacity of a host whose last report is too old, if hosts have recently
 // shrunk: its capacity may be down to the smallest share that was observed. If no host has shrunk, an
 // outage of the store stops no starts. The limit keeps hosts that shrink just before an outage from being
-// over-committed.
+// overcommitted.
 func (e *Engine) ageRoom(h *hostState, now time.Time) {
 	if e.shrunk.share > 0 && now.Sub(e.shrunk.at) > reductionTTL {
 		e.shrunk = shrinking{}
@@ -96,9 +96,9 @@
 	return spec.Resources{MilliCPU: part(s.MilliCPU), MemoryMiB: part(s.MemoryMiB), Accelerators: part(s.Accelerators)}
 }
 
-// Limits for over-committed hosts.
+// Limits for overcommitted hosts.
 const (
-	// overcommitGrace is how long a host has to be over-committed before tasks are stopped: about the
+	// overcommitGrace is how long a host has to be overcommitted before tasks are stopped: about the
 	// longest delay of the report. Tasks that end by themselves or capacity that returns meanwhile cost
 	// nothing.
 	overcommitGrace = 4500 * time.Millisecond
@@ -107,7 +107,7 @@
 	evictionMinRemaining = 2 * time.Second
 )
 
-// relieve evicts tasks from a host that stays over-committed: tasks that checkpoint, and long-running
+// relieve evicts tasks from a host that stays overcommitted: tasks that checkpoint, and long-running
 // tasks that fit elsewhere, the least urgent first and no more than the excess. Tasks whose work would be
 // lost run to their end, as do gang members, each of which would stop its whole gang.
 func (e *Engine) relieve(h *hostState, now time.Time) {
@@ -141,7 +141,7 @@
 	}
 }
 
-// evictableRuns returns the runs that may be evicted from an over-committed host: the least urgent first,
+// evictableRuns returns the runs that may be evicted from an overcommitted host: the least urgent first,
 // then the largest, so that the fewest are stopped. Each loses at most the work since its last checkpoint.
 func (e *Engine) evictableRuns(h *hostState, now time.Time) []*run {
 	var out []*run
--- a/internal/engine/room_test.go
+++ b/internal/engine/capacity_test.go
@@ -12,8 +12,8 @@
 	"pulleyquay/internal/spec"
 )
 
-// roomWorld is a cell of 64-core hosts whose capacity can change.
-func roomWorld(t testing.TB, hosts int) *world {
+// capacityWorld is a cell of 64-core hosts whose capacity can change.
+func capacityWorld(t testing.TB, hosts int) *world {
 	w := newWorld(t, 21)
 	w.follows = true
 	w.fleet.Add(hosts, "s", size(64, 128))
@@ -28,7 +28,7 @@
 	for _, guards := range []bool{false, true} {
 		t.Run(fmt.Sprint("capacity enforced ", guards), func(t *testing.T) {
 			is := is.New(t)
-			w := roomWorld(t, 6)
+			w := capacityWorld(t, 6)
 			w.fleet.Guards = guards
 			w.bystanders(20 * time.Second)
 			for i, h := range w.fleet.Hosts() {
@@ -55,7 +55,7 @@
 // every few milliseconds although other hosts are free.
 func TestCapacityRefusalIsRespected(t *testing.T) {
 	is := is.New(t)
-	w := roomWorld(t, 3)
+	w := capacityWorld(t, 3)
 	w.fleet.Guards = true
 	w.submit("first", catalog.Rules{}, step(1, 40, 40, 60000)) // the following tasks fit best beside it
 	w.run(time.Second)
@@ -72,10 +72,10 @@
 	is.True(w.fleet.Judge().RefusedForRoom() <= 2)
 }
 
-// TestOvercommittedHostsAreRelieved checks that tasks which checkpoint, or are long-running and fit
-// elsewhere, are evicted from a host that stays over-committed, and no more than the excess. Work that
+// TestOvercommittedHostsEvictTasks checks that tasks which checkpoint, or are long-running and fit
+// elsewhere, are evicted from a host that stays overcommitted, and no more than the excess. Work that
 // would be lost runs to its end, and capacity that returns soon costs nothing.
-func TestOvercommittedHostsAreRelieved(t *testing.T) {
+func TestOvercommittedHostsEvictTasks(t *testing.T) {
 	checkpointing := step(8, 7, 10, 60000)
 	checkpointing.Checkpointing = true
 	service := step(8, 7, 10, 0)
@@ -93,7 +93,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := roomWorld(t, 1)
+			w := capacityWorld(t, 1)
 			w.submit("a", catalog.Rules{}, tc.step)
 			w.run(3 * time.Second)
 			h := w.fleet.Hosts()[0]
@@ -124,7 +124,7 @@
 // after most of its slack is used up.
 func TestRestartingHostIsNotChosenAgain(t *testing.T) {
 	is := is.New(t)
-	w := roomWorld(t, 3)
+	w := capacityWorld(t, 3)
 	w.submit("first", catalog.Rules{}, step(1, 40, 40, 60000)) // the next task fits best beside it
 	w.run(time.Second)
 	for _, h := range w.fleet.Hosts() {
@@ -150,13 +150,11 @@
 	is.True(delay < 100*time.Millisecond)
 }
 
-// The next test guards against starts by a size that is too old. The capacity of half of the hosts shrinks
-// a second before a store outage of three seconds. After the outage an over-committed host was given more
-// work: its size came from an entry older than the outage, and the period in which starts above a reduced
-// capacity are tolerated was over.
-
 // TestCapacityShrinksBeforeAnOutage checks that sizes which are too old are not used for starts if hosts
-// have recently shrunk, and that an outage stops no starts otherwise.
+// have recently shrunk, and that an outage stops no starts otherwise. It guards against more work for an
+// overcommitted host: the capacity of half of the hosts shrank a second before a store outage of three
+// seconds, and after it the known size of a host came from an entry older than the outage, while the period
+// in which starts above a reduced capacity are tolerated was over.
 func TestCapacityShrinksBeforeAnOutage(t *testing.T) {
 	for name, tc := range map[string]struct {
 		shrink     bool
@@ -171,7 +169,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			const outage = 6 * time.Second
-			w := roomWorld(t, 6)
+			w := capacityWorld(t, 6)
 			w.fullLoad(24 * time.Second)
 			if tc.shrink {
 				w.after(2*time.Second, func() { w.host("h00").Resize(size(24, 48), heartbeat) })
@@ -212,11 +210,11 @@
 	}
 }
 
-// TestSizesReadAtATakeover checks that the full capacity of a host is used only from its next heartbeat
+// TestSizesReadAtAFailover checks that the full capacity of a host is used only from its next heartbeat
 // on, as the age of the first entry that a holder reads of a host is unknown.
-func TestSizesReadAtATakeover(t *testing.T) {
+func TestSizesReadAtAFailover(t *testing.T) {
 	is := is.New(t)
-	w := roomWorld(t, 2)
+	w := capacityWorld(t, 2)
 	w.host("h00").Resize(size(32, 64), 0)
 	w.run(3 * time.Second)
 	w.takeOver()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -67,7 +67,7 @@
 	is.Equal(w.fleet.Judge().Starts(), 10)
 }
 
-// TestFailureCountsOnce guards against counting a failure twice: a new holder receives a failure that the
+// TestFailureCountsOnce guards against counting a failure twice: a next holder receives a failure that the
 // previous holder had stored but the host had not been told to delete, and a job fails before a task has
 // used up its attempts.
 func TestFailureCountsOnce(t *testing.T) {
@@ -135,7 +135,7 @@
 	is.True(!known)
 }
 
-// TestTakeover checks that a new holder finds the runs on the hosts and starts none of them again.
+// TestTakeover checks that a next holder finds the runs on the hosts and starts none of them again.
 func TestTakeover(t *testing.T) {
 	w := quietWorld(t, 4)
 	gang := step(6, 18, 20, 3000)
@@ -151,9 +151,9 @@
 	is.Equal(w.fleet.Judge().Starts(), 16)
 }
 
-// TestTakeoverWaitsForSilentHosts checks that tasks which may run on a host that the new holder can not
+// TestFailoverWaitsForUnresponsiveHosts checks that tasks which may run on a host that the next holder can not
 // reach are restarted only after the host's lease must have expired.
-func TestTakeoverWaitsForSilentHosts(t *testing.T) {
+func TestFailoverWaitsForUnresponsiveHosts(t *testing.T) {
 	w := quietWorld(t, 4)
 	w.submit("a", catalog.Rules{}, step(12, 16, 4, 20_000))
 	w.run(time.Second)
--- a/internal/engine/estimate.go
+++ b/internal/engine/estimate.go
@@ -17,7 +17,7 @@
 	minRemaining = 30 * time.Millisecond
 )
 
-// takes returns the expected run time of a task of the step.
+// runTimeBound returns the expected run time of a task of the step, with a margin for the error of estimates.
 func (g *group) runTimeBound() time.Duration {
 	if g.step.LongRunning {
 		return unboundedDuration
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -213,7 +213,7 @@
 }
 
 // left returns the size of the tasks of the job that may be running; backfill tasks are summed separately.
-func (j *job) left() (others, fillers spec.Resources) {
+func (j *job) left() (others, backfill spec.Resources) {
 	for _, g := range j.groups {
 		n := g.leftOver
 		for i := range g.tasks {
@@ -222,12 +222,12 @@
 			}
 		}
 		if g.step.Filler {
-			fillers = fillers.Add(g.step.Size.Times(int64(n)))
+			backfill = backfill.Add(g.step.Size.Times(int64(n)))
 		} else {
 			others = others.Add(g.step.Size.Times(int64(n)))
 		}
 	}
-	return others, fillers
+	return others, backfill
 }
 
 // task returns the name of a task of the group.
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -45,12 +45,12 @@
 
 // mixed reports whether the host runs both serving tasks and backfill tasks.
 func (h *hostState) mixed() bool {
-	serving, filling := false, false
+	serving, backfill := false, false
 	for _, r := range h.runs {
 		serving = serving || r.isServing()
-		filling = filling || r.fills()
+		backfill = backfill || r.fills()
 	}
-	return serving && filling
+	return serving && backfill
 }
 
 // govern updates the governor with a host's measurements and adjusts the throttle of its backfill tasks.
@@ -186,8 +186,8 @@
 		if !r.fills() {
 			continue
 		}
-		if tooMuch, known := e.backfillOverloadShare[r.group.step.Image]; known {
-			share = min(share, int(e.cfg.Tuning.Pacing.Near*float64(tooMuch)))
+		if overload, known := e.backfillOverloadShare[r.group.step.Image]; known {
+			share = min(share, int(e.cfg.Tuning.Pacing.Near*float64(overload)))
 		}
 	}
 	return share
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -57,8 +57,8 @@
 	return attemptCost
 }
 
-// overQuota reports whether the quota of the step's account allows no task of it to start. The step then
-// holds no reservations, which others could use.
+// overQuota reports whether the quota of the step's account allows no task of it to start. Reservations of
+// the step are released meanwhile, so that other steps can use the capacity.
 func (e *Engine) overQuota(g *group, now time.Time) bool {
 	if e.allowedNow(g) > 0 {
 		return false
@@ -127,15 +127,15 @@
 // retryNotDue reports whether the backoff of the step has not expired, or nothing has changed since its
 // last failed attempt.
 func (e *Engine) retryNotDue(g *group, now time.Time) bool {
-	t := &g.lastAttempt
-	if t.at.IsZero() || g.advice.answers != t.answers {
+	last := &g.lastAttempt
+	if last.at.IsZero() || g.advice.answers != last.answers {
 		return false
 	}
-	since := now.Sub(t.at)
-	if since < t.backoff {
+	since := now.Sub(last.at)
+	if since < last.backoff {
 		return true
 	}
-	return t.room == e.room && since < unconditionalRetry
+	return last.room == e.room && since < unconditionalRetry
 }
 
 // recordAttempt records an attempt of the step and computes the backoff that applies if the attempt fails.
--- a/internal/engine/quota_test.go
+++ b/internal/engine/quota_test.go
@@ -34,9 +34,9 @@
 
 // crewWorld is a cell in which the account "crew" has a quota of the given number of processors, one
 // second after its first holder took over.
-func crewWorld(t testing.TB, seed uint64, hosts int, most int64) *world {
+func crewWorld(t testing.TB, seed uint64, hosts int, quota int64) *world {
 	w := accountWorld(t, seed, hosts)
-	w.setQuota("crew", cores(most))
+	w.setQuota("crew", cores(quota))
 	w.takeOver()
 	w.run(time.Second)
 	return w
@@ -53,8 +53,8 @@
 // kinds of work, and that ended work counts no longer.
 func TestQuotasHold(t *testing.T) {
 	const quota = 8
-	filler := step(20, 2, 1, 60000)
-	filler.Filler = true
+	backfill := step(20, 2, 1, 60000)
+	backfill.Filler = true
 	longRunning := step(20, 2, 1, 0)
 	longRunning.LongRunning = true
 	gang := step(3, 2, 1, 2000)
@@ -69,7 +69,7 @@
 		"tasks":        {step(20, 2, 1, 1000), cores(quota), 8, true},
 		"memory":       {memory, fairshare.Quota{MilliCPU: -1, MemoryMiB: 12 << 10, Accelerators: -1}, 3, true},
 		"long-running": {longRunning, cores(quota), 8, false},
-		"backfill":     {filler, cores(quota), 8, false},
+		"backfill":     {backfill, cores(quota), 8, false},
 		"a gang":       {gang, cores(quota), 6, true},
 		"unlimited":    {step(20, 2, 1, 1000), fairshare.Unlimited, 64, true},
 	}
@@ -120,7 +120,7 @@
 }
 
 // TestQuotasFallAndRise checks that a reduced quota stops nothing and lets nothing start above it, and
-// that a raised quota lets work start at once, also under a new holder.
+// that a raised quota lets work start at once, also under a next holder.
 func TestQuotasFallAndRise(t *testing.T) {
 	for name, between := range map[string]func(w *world){
 		"one holder":    func(*world) {},
@@ -265,9 +265,9 @@
 	w.setQuota("other", cores(64))
 	w.takeOver()
 	w.run(time.Second)
-	less := step(32, 2, 1, 60000)
-	less.Checkpointing = true
-	w.submit("other-1", catalog.Rules{Priority: 2}, less)
+	lessUrgent := step(32, 2, 1, 60000)
+	lessUrgent.Checkpointing = true
+	w.submit("other-1", catalog.Rules{Priority: 2}, lessUrgent)
 	w.run(time.Second)
 	gang := step(14, 2, 1, 5000)
 	gang.Gang = true
@@ -336,24 +336,24 @@
 // capacity of the hosts that have not reported since the failover. Backfill tasks take none of the
 // processors there but count in full against their account, which had 56 cores running with a quota of 48.
 func TestUnconfirmedBackfillCounts(t *testing.T) {
-	for name, most := range map[string]int64{"little memory each": 48, "all the memory of a host": 16} {
+	for name, quota := range map[string]int64{"little memory each": 48, "all the memory of a host": 16} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := crewWorld(t, 11, 2, most)
-			fillers := step(int(most)/4, 4, 1, 30000)
-			fillers.Filler = true
-			if most == 16 {
-				fillers.Size.MemoryMiB = 32 << 10 // two per host
+			w := crewWorld(t, 11, 2, quota)
+			backfill := step(int(quota)/4, 4, 1, 30000)
+			backfill.Filler = true
+			if quota == 16 {
+				backfill.Size.MemoryMiB = 32 << 10 // two per host
 			}
-			w.submit("crew-1", catalog.Rules{}, fillers)
+			w.submit("crew-1", catalog.Rules{}, backfill)
 			w.run(time.Second)
-			is.Equal(w.coresOf("crew"), most)
+			is.Equal(w.coresOf("crew"), quota)
 			w.host("h00").Cut(true)
 			w.takeOver()
 			w.submit("crew-2", catalog.Rules{}, step(12, 2, 1, 1000))
 			w.run(5 * time.Second)
 			w.check()
-			is.Equal(w.coresOf("crew"), most)
+			is.Equal(w.coresOf("crew"), quota)
 		})
 	}
 }
@@ -364,9 +364,9 @@
 func TestUnconfirmedBackfillIsBounded(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 4, 40)
-	fillers := step(100, 4, 32, 30000) // two per host
-	fillers.Filler = true
-	w.submit("crew-1", catalog.Rules{}, fillers)
+	backfill := step(100, 4, 32, 30000) // two per host
+	backfill.Filler = true
+	w.submit("crew-1", catalog.Rules{}, backfill)
 	w.run(time.Second)
 	is.Equal(w.coresOf("crew"), int64(32))
 	w.host("h00").Cut(true)
@@ -378,7 +378,7 @@
 }
 
 // TestRunsOfUnknownJobsCount guards against quotas that cover only known jobs: a job is accepted and
-// started by the previous holder during a change of holders, and the new holder sees its runs before its
+// started by the previous holder during a change of holders, and the next holder sees its runs before its
 // record. It counted them for no account and started other work of the account: 16 cores with a quota of
 // 8.
 func TestRunsOfUnknownJobsCount(t *testing.T) {
@@ -410,7 +410,7 @@
 }
 
 // TestRunsOfEndedJobsCount guards against quotas that ignore the runs of ended jobs: a job is cancelled
-// and the holder changes while a host with some of its runs is disconnected. The new holder knew the job
+// and the holder changes while a host with some of its runs is disconnected. The next holder knew the job
 // as ended and did not count them: 16 cores with a quota of 8.
 func TestRunsOfEndedJobsCount(t *testing.T) {
 	is := is.New(t)
--- a/internal/engine/services_test.go
+++ b/internal/engine/services_test.go
@@ -167,7 +167,7 @@
 // target to be missed.
 const maxHarm = 4 * time.Second
 
-func TestFillersKeepTargets(t *testing.T) {
+func TestBackfillKeepsTargets(t *testing.T) {
 	tests := map[string]struct {
 		harm   float64
 		faults faults
@@ -211,8 +211,8 @@
 	}
 }
 
-// TestFillersSpread checks that backfill tasks are placed where processor time is left over.
-func TestFillersSpread(t *testing.T) {
+// TestBackfillIsSpread checks that backfill tasks are placed where processor time is left over.
+func TestBackfillIsSpread(t *testing.T) {
 	w := quietWorld(t, 4)
 	w.submit("busy", catalog.Rules{}, step(2, 60, 8, 8000))
 	w.run(200 * time.Millisecond)
@@ -221,15 +221,15 @@
 	w.check()
 	is := is.New(t)
 	for _, h := range w.fleet.Hosts() {
-		busy, fills := 0, 0
+		busy, backfill := 0, 0
 		for _, r := range h.Running() {
 			if r.Task.Job == "busy" {
 				busy++
 			} else {
-				fills++
+				backfill++
 			}
 		}
-		is.True(busy == 0 || fills == 0)
-		is.True(fills <= 4)
+		is.True(busy == 0 || backfill == 0)
+		is.True(backfill <= 4)
 	}
 }
