--- /dev/null
+++ b/internal/engine/capacity.go
@@ -0,0 +1,165 @@
+package engine
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"pulleyquay/internal/host"
+	"pulleyquay/internal/spec"
+)
+
+// The capacity of a host may shrink and grow while tasks run there. The engine uses the capacity that the
+// host last reported, which is up to a heartbeat old. Meanwhile a host that enforces its capacity refuses
+// starts, and tasks are evicted from a host that stays overcommitted.
+
+// refusalTTL is how long a refusal for lack of capacity applies, unless the host's entry changes or a run
+// there ends before: the next heartbeat reports the capacity. Without it a task would be refused there
+// repeatedly although other hosts have capacity.
+const refusalTTL = 2 * time.Second
+
+// noteFull records that a host had no capacity for a size.
+func (h *hostState) noteFull(s spec.Resources, now time.Time) {
+	h.fullSize, h.fullUntil = s, now.Add(refusalTTL)
+}
+
+// full reports whether the host has recently refused a start of this size or a smaller one.
+func (h *hostState) full(s spec.Resources, now time.Time) bool {
+	return now.Before(h.fullUntil) && h.fullSize.Fits(s)
+}
+
+// shrinking is the largest recent capacity reduction, as the remaining share.
+type shrinking struct {
+	share float64 // zero if there was none
+	at    time.Time
+}
+
+const (
+	// reductionTTL is how long after a capacity reduction other hosts are expected to shrink as well.
+	reductionTTL = time.Minute
+	// maxEntryDelay is the longest delay from a host's entry to the engine, caused by the interval between
+	// queries for changes.
+	maxEntryDelay = 700 * time.Millisecond
+)
+
+// roomSaid applies the capacity in a host's entry. An entry that is read a second time is not new, and the
+// age of the first entry that is read of a host is unknown: a next holder that read the entries just after
+// a store outage filled hosts whose capacity had shrunk before.
+func (e *Engine) roomSaid(h *hostState, info host.Info, now time.Time) {
+	if h.listed && (info.Beat != h.info.Beat || info.Life != h.info.Life) {
+		h.saidAt = now
+	}
+	if share := minRemainingShare(h.info.Size, info.Size); share < 1 && (e.shrunk.share == 0 || share < e.shrunk.share) {
+		e.shrunk.share = share
+		e.rosterBehind = true
+	}
+	if minRemainingShare(h.info.Size, info.Size) < 1 {
+		e.shrunk.at = now
+	}
+	if h.info.Size != info.Size {
+		e.log(Event{
+			What: "host's room changed", Host: string(h.info.ID), Age: now.Sub(h.saidAt),
+			Why: fmt.Sprintf("from %v to %v, allocated %v; entry %d, previous entry %d", h.info.Size, info.Size, h.used, info.Beat, h.info.Beat),
+		})
+	}
+	h.room = info.Size
+}
+
+// minRemainingShare returns the smallest share that remains of a size in any dimension.
+func minRemainingShare(before, after spec.Resources) float64 {
+	smallest := 1.0
+	for _, d := range [][2]int64{{before.MilliCPU, after.MilliCPU}, {before.MemoryMiB, after.MemoryMiB}, {before.Accelerators, after.Accelerators}} {
+		if d[0] > 0 {
+			smallest = min(smallest, float64(d[1])/float64(d[0]))
+		}
+	}
+	return smallest
+}
+
+// ageRoom limits the usable capacity of a host whose last report is too old, if hosts have recently
+// shrunk: its capacity may be down to the smallest share that was observed. If no host has shrunk, an
+// outage of the store stops no starts. The limit keeps hosts that shrink just before an outage from being
+// overcommitted.
+func (e *Engine) ageRoom(h *hostState, now time.Time) {
+	if e.shrunk.share > 0 && now.Sub(e.shrunk.at) > reductionTTL {
+		e.shrunk = shrinking{}
+	}
+	if e.shrunk.share == 0 || e.cfg.Bounds.RoomNews == 0 || now.Sub(h.saidAt) < e.cfg.Bounds.RoomNews-maxEntryDelay {
+		return
+	}
+	h.room = scaled(h.info.Size, e.shrunk.share)
+}
+
+func scaled(s spec.Resources, share float64) spec.Resources {
+	part := func(n int64) int64 { return int64(float64(n) * share) }
+	return spec.Resources{MilliCPU: part(s.MilliCPU), MemoryMiB: part(s.MemoryMiB), Accelerators: part(s.Accelerators)}
+}
+
+// Limits for overcommitted hosts.
+const (
+	// overcommitGrace is how long a host has to be overcommitted before tasks are stopped: about the
+	// longest delay of the report. Tasks that end by themselves or capacity that returns meanwhile cost
+	// nothing.
+	overcommitGrace = 4500 * time.Millisecond
+	// evictionMinRemaining is the remaining time below which a run is not evicted: about the time of a
+	// stop and a start elsewhere.
+	evictionMinRemaining = 2 * time.Second
+)
+
+// relieve evicts tasks from a host that stays overcommitted: tasks that checkpoint, and long-running
+// tasks that fit elsewhere, the least urgent first and no more than the excess. Tasks whose work would be
+// lost run to their end, as do gang members, each of which would stop its whole gang.
+func (e *Engine) relieve(h *hostState, now time.Time) {
+	overcommitted := !h.used.Fits(h.info.Size)
+	if !overcommitted || h.info.Draining || h.closed {
+		h.overSince = time.Time{}
+		return
+	}
+	if h.overSince.IsZero() {
+		h.overSince = now
+		e.log(Event{What: "host over its room", Host: string(h.info.ID), Why: fmt.Sprintf("allocated %v of %v", h.used, h.info.Size)})
+	}
+	if now.Sub(h.overSince) < overcommitGrace {
+		return
+	}
+	left := h.used
+	for _, r := range h.runs {
+		if r.unwanted {
+			left = left.Sub(r.size)
+		}
+	}
+	for _, r := range e.evictableRuns(h, now) {
+		if left.Fits(h.info.Size) {
+			return
+		}
+		if r.group.step.LongRunning && !(e.roomElsewhere(r.group, h, now) && (r.percent < atWork || r.group.mayMiss(r))) {
+			continue
+		}
+		left = left.Sub(r.size)
+		e.unwant(r, "its host is over its capacity, which has shrunk")
+	}
+}
+
+// evictableRuns returns the runs that may be evicted from an overcommitted host: the least urgent first,
+// then the largest, so that the fewest are stopped. Each loses at most the work since its last checkpoint.
+func (e *Engine) evictableRuns(h *hostState, now time.Time) []*run {
+	var out []*run
+	for _, r := range h.runs {
+		g := r.group
+		if g == nil || r.unwanted || r.state != runRunning || g.step.Gang || g.job.state.Final() {
+			continue
+		}
+		if g.step.LongRunning || g.step.Checkpointing && r.endsBy(now).Sub(now) > evictionMinRemaining {
+			out = append(out, r)
+		}
+	}
+	slices.SortFunc(out, func(a, b *run) int {
+		return cmp.Or(
+			cmp.Compare(b.group.job.rec.Rules.Priority, a.group.job.rec.Rules.Priority),
+			cmp.Compare(b.size.MilliCPU, a.size.MilliCPU),
+			cmp.Compare(a.Task.String(), b.Task.String()),
+		)
+	})
+	return out
+}
--- a/internal/engine/estimate.go
+++ b/internal/engine/estimate.go
@@ -6,66 +6,64 @@
 	"pulleyquay/internal/pacing"
 )
 
-// Estimates of run times. What callers declare may be wrong by a factor of
-// several; what a run has done in the time that it has had is better, once it has
-// had some.
+// Estimates of run times. Estimates declared by callers may be wrong by a factor of several; the observed
+// progress of a run is a better predictor once it covers enough time.
 const (
-	// rateAfter is for how long a run's progress has to be seen before its rate
-	// counts.
-	rateAfter = 400 * time.Millisecond
-	// doubtFactor stretches what is expected of a run without a rate.
-	doubtFactor = 1.3
-	// leastLeft is the least time that a run is expected to go on for.
-	leastLeft = 30 * time.Millisecond
+	// minRateWindow is how long the progress of a run has to be observed before its rate is used.
+	minRateWindow = 400 * time.Millisecond
+	// estimateFactor multiplies the expected run time of a run without an observed rate.
+	estimateFactor = 1.3
+	// minRemaining is the lower bound of the expected remaining time of a run.
+	minRemaining = 30 * time.Millisecond
 )
 
-// takes is how long a task of the step is expected to run.
-func (g *group) takes() time.Duration {
+// runTimeBound returns the expected run time of a task of the step, with a margin for the error of estimates.
+func (g *group) runTimeBound() time.Duration {
 	if g.step.LongRunning {
-		return forever
+		return unboundedDuration
 	}
-	return time.Duration(doubtFactor * float64(g.expected))
+	return time.Duration(estimateFactor * float64(g.expected))
 }
 
-// forever is longer than anything that is planned.
-const forever = 24 * time.Hour
+// unboundedDuration exceeds every planning horizon.
+const unboundedDuration = 24 * time.Hour
 
-// endsBy is when a run is expected to end. A gang ends with its slowest member.
+// endsBy returns the expected end of a run. A gang ends with its slowest member.
 func (r *run) endsBy(now time.Time) time.Time {
 	g := r.group
 	if g == nil || g.step.LongRunning {
-		return now.Add(forever)
+		return now.Add(unboundedDuration)
 	}
 	if !g.step.Gang {
-		return r.aloneEndsBy(now)
+		return r.workEndsBy(now)
 	}
-	if now.Sub(g.endsAsOf) < reserveEvery {
-		return g.ends
+	if now.Sub(g.estimatedAt) < reservationInterval {
+		return g.estimatedEnd
 	}
-	g.ends, g.endsAsOf = time.Time{}, now
+	g.estimatedEnd, g.estimatedAt = time.Time{}, now
 	for i := range g.tasks {
 		if cur := g.tasks[i].cur; cur != nil {
-			g.ends = later(g.ends, cur.aloneEndsBy(now))
+			g.estimatedEnd = later(g.estimatedEnd, cur.workEndsBy(now))
 		}
 	}
-	return g.ends
+	return g.estimatedEnd
 }
 
-// aloneEndsBy is when a run is expected to have done its own work.
-func (r *run) aloneEndsBy(now time.Time) time.Time {
+// workEndsBy returns when a run is expected to complete its own work.
+func (r *run) workEndsBy(now time.Time) time.Time {
 	if r.unwanted {
-		return now.Add(leastLeft)
+		return now.Add(minRemaining)
 	}
-	left := r.group.takes() - now.Sub(r.sent)
-	seen := r.progressAt.Sub(r.firstAt)
-	if done := r.percent - r.firstPercent; seen > rateAfter && done > 0 {
-		whole := float64(workDone-r.percent) / done * float64(seen)
-		left = time.Duration(whole) - now.Sub(r.progressAt)
+	left := r.group.runTimeBound() - now.Sub(r.sent)
+	observed := r.progressAt.Sub(r.firstAt)
+	if done := r.percent - r.firstPercent; observed > minRateWindow && done > 0 {
+		remaining := float64(workDone-r.percent) / done * float64(observed)
+		left = time.Duration(remaining) - now.Sub(r.progressAt)
 	}
-	return now.Add(max(left, leastLeft))
+	return now.Add(max(left, minRemaining))
 }
 
-// seen takes in how far a run has come.
+// seen records the reported progress of a run.
 func (r *run) seen(percent float64, now time.Time) {
 	if r.firstAt.IsZero() {
 		r.firstPercent, r.firstAt, r.progressAt = percent, now, now
@@ -75,7 +73,7 @@
 	}
 }
 
-// atWork takes in whether a long-running task is at work.
+// atWork records whether a long-running task is ready.
 func (r *run) atWork(percent float64, now time.Time) {
 	r.percent = percent
 	if percent >= atWork {
@@ -83,13 +81,13 @@
 	}
 }
 
-// expect works out how long a task of the step is likely to run.
+// expect updates the expected run time of the step's tasks.
 func (e *Engine) expect(g *group) {
 	g.expected = e.runtimes.Expect(g.job.rec.Queue, g.step.Estimate())
 }
 
-// learnRuntime takes in how long a run took that is done, if it ran from its
-// beginning and at full speed.
+// learnRuntime records the run time of a completed run that started from the beginning and ran at full
+// speed.
 func (e *Engine) learnRuntime(r *run, now time.Time) {
 	if r.group == nil || r.known.IsZero() || r.resumed || r.pace != pacing.Full {
 		return
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -10,30 +10,30 @@
 	"pulleyquay/internal/spec"
 )
 
-// job is one accepted job.
+// job is an accepted job.
 type job struct {
-	rec     *record.Job
-	account *account // whose it is; nil for nobody's
-	state   record.State
-	groups  []*group // by occurrence, then step
-	steps   int      // steps of one occurrence
-	open    int      // groups that are not done
-	// started is true once any task of it has run.
+	rec          *record.Job
+	account      *account // the client account that owns it; nil if it has none
+	state        record.State
+	groups       []*group // by occurrence, then step
+	steps        int      // steps per occurrence
+	undoneGroups int      // groups that are not done
+	// started is true once any of its tasks has run.
 	started bool
-	// told is until which batch the state was not yet stored: callers are told of
-	// a final state only once that batch is durable.
+	// told is the batch that stores the final state: callers are told of a final state only once that
+	// batch is durable.
 	told uint64
 	// storedProgress is true while the store holds a progress record.
 	storedProgress bool
 	accepted       time.Time
 	urgency        urgency
-	judgedAt       time.Time // when urgency was worked out
-	// crashesNew is true while crashes under its tasks are in no batch, crashesIn is the
-	// batch that last held some.
+	urgencyAt      time.Time // when urgency was computed
+	// crashesNew is true while crashes attributed to its tasks are not part of a batch; crashesIn is the
+	// last batch that held some.
 	crashesNew bool
 	crashesIn  uint64
-	trialAt    *hostState // where it is on trial, as long as that says so too
-	why        string     // for which reason it ended, where its state does not say it
+	trialAt    *hostState // host on which it is quarantined, valid only while that host's trialOf refers to this job
+	why        string     // reason of its end, where the state does not tell it
 }
 
 func (j *job) id() string { return j.rec.ID }
@@ -42,100 +42,100 @@
 type taskState uint8
 
 const (
-	taskWaiting taskState = iota // nothing of it runs
-	taskUnsure                   // it may run on a host not heard of since the takeover
-	taskActive                   // it is ordered, runs, or is being stopped
+	taskWaiting taskState = iota // not running
+	taskUnsure                   // may run on a host that has not reported since the failover
+	taskActive                   // ordered, running or being stopped
 	taskDone
 )
 
 // task is one task of a step.
 type task struct {
 	state taskState
-	run   int // number of the present or last run
+	run   int // number of the current or last run
 	cur   *run
-	// leftOver counts the other runs of it in hosts' books: it does not start before they are gone.
+	// leftOver counts the recorded superseded runs of the task. It does not start before they are gone.
 	leftOver int
-	failed   []int // numbers of the runs that failed
-	// crashes are the hosts that crashed under it.
+	failed   []int // numbers of the failed runs
+	// crashes are the crashes of hosts that ran the task.
 	crashes crashloop.History
-	// checkpoint is where the next run goes on; empty begins anew.
+	// checkpoint is where the next run resumes; empty starts from the beginning.
 	checkpoint string
-	// avoid is the host where it failed last.
+	// avoid is the host of the last failure.
 	avoid host.ID
-	// notBefore delays the next start.
+	// notBefore is the earliest time of the next start.
 	notBefore time.Time
-	// preempted is how often it was stopped for others.
+	// preempted counts the preemptions of the task.
 	preempted int
 }
 
-// group is one step of one occurrence of a job.
+// group is a step of one occurrence of a job.
 type group struct {
 	job   *job
 	id    spec.StepID
 	step  *spec.Step
-	due   time.Time // not before; zero for no such time
-	needs int       // steps before this one that are not done
+	due   time.Time // earliest start; zero if there is none
+	needs int       // preceding steps that are not done
 	tasks []task
 	left  int // tasks that are not done
-	// waiting counts tasks in taskWaiting, leftOver the runs that its tasks wait for.
+	// waiting counts the tasks in taskWaiting, leftOver the superseded runs that its tasks wait for.
 	waiting, leftOver int
-	// large is true when a host holds very few of its tasks, as far as sized says that
-	// this was found out; see plan_large.go.
-	large, sized bool
-	// siblings are the tasks done whose time counts, usual is the sum of their times, as
-	// if on hosts of usual speed.
-	siblings int
-	usual    float64
-	// expected is how long one of its tasks is likely to run.
+	// largeTasks is true when a host holds only a few of its tasks. It is valid once classified is set; see
+	// plan_large.go.
+	largeTasks, classified bool
+	// sampledTasks counts the done tasks whose run times were sampled; sampledTime is the sum of these
+	// times, normalised to a host of mean speed.
+	sampledTasks int
+	sampledTime  float64
+	// expected is the expected run time of a task.
 	expected time.Duration
 	// doneAt is when its last task was done.
 	doneAt time.Time
-	toldAt time.Time // when the log last said why it waits
-	// readySince is when the step's turn came.
+	toldAt time.Time // when the reason to wait was last logged
+	// readySince is when the step became due.
 	readySince time.Time
 
 	// perHost counts active tasks by host.
 	perHost map[*hostState]int
-	// standing is the worst of its tasks', by the hosts that crashed under them.
-	standing crashloop.Standing
-	advice   opinion
-	tried    attempt
-	ready    bool // among the engine's ready steps
-	queued   bool // among the engine's queue
-	fresh    bool // ready, and to be queued when its time has come
+	// standing is the highest crash suspicion of its tasks.
+	standing    crashloop.Standing
+	advice      policyState
+	lastAttempt placementAttempt
+	ready       bool // in the engine's ready steps
+	queued      bool // in the engine's queue
+	incoming    bool // ready and waiting to be enqueued
 
-	// gang steps run as a whole.
-	startedHere  bool  // by this holder
-	run          int   // number of the present or last run of a gang
-	failed       []int // numbers of the gang's runs that failed
-	checkpoint   string
-	checked      float64 // percent of work behind checkpoint
-	reserved     []*hostState
-	reservedAt   time.Time // when that was worked out
-	reservedFrom time.Time // from when on they are expected to be free
-	settled      time.Time // until when it keeps its places, as its tickets for them come
-	roomAt       time.Time // when the room that is being made for it is there
-	clearAt      time.Time // when to stop others for it
-	ends         time.Time // when its run is expected to end, as of endsAsOf
-	endsAsOf     time.Time
-	notBefore    time.Time
+	// The following fields concern gangs, which run as a whole.
+	startedHere       bool  // by this holder
+	run               int   // number of the gang's current or last run
+	failed            []int // numbers of the gang's failed runs
+	checkpoint        string
+	checkpointPercent float64 // percent of work saved in checkpoint
+	reserved          []*hostState
+	reservedAt        time.Time // when the reservation was computed
+	reservedFrom      time.Time // when the reserved slots are expected to be free
+	settled           time.Time // the reservation is kept until then, as tickets for its hosts are on their way
+	preemptedAt       time.Time // when the capacity that is being preempted for the gang is free
+	preemptAt         time.Time // when to preempt others for the gang
+	estimatedEnd      time.Time // expected end of its run, computed at estimatedAt
+	estimatedAt       time.Time
+	notBefore         time.Time
 }
 
-// opinion is what the policy service has said about a step.
-type opinion struct {
+// policyState is what the policy service has replied for a step.
+type policyState struct {
 	known   map[*hostState]bool // false: the host may never run the step
-	good    []*hostState        // those that may
+	good    []*hostState        // hosts that may run the step
 	tickets map[*hostState]ticket
 	asking  int
-	answers int // to questions, so far
-	// askAfter delays the next question.
+	answers int // queries answered so far
+	// askAfter is the earliest time of the next query.
 	askAfter time.Time
 }
 
-// attempt is when a step was last tried, and what was known then.
-type attempt struct {
+// placementAttempt is the last placement attempt of a step and the state on which it was based.
+type placementAttempt struct {
 	at      time.Time
-	gap     time.Duration // until the next
+	backoff time.Duration // until the next attempt
 	room    uint64
 	answers int
 }
@@ -145,7 +145,7 @@
 	until time.Time
 }
 
-// newJob makes the table of a live job.
+// newJob returns the state of a live job.
 func newJob(rec *record.Job, now time.Time) *job {
 	j := &job{rec: rec, state: record.StateQueued, accepted: now}
 	if rec.Ended != "" {
@@ -158,7 +158,7 @@
 			j.groups = append(j.groups, newGroup(j, occurrence, i))
 		}
 	}
-	j.open = len(j.groups)
+	j.undoneGroups = len(j.groups)
 	return j
 }
 
@@ -181,7 +181,7 @@
 	return j.groups[i]
 }
 
-// groupOf returns the step that a task belongs to while its job is live.
+// groupOf returns the step of a task while its job is live.
 func (e *Engine) groupOf(t spec.StepTask) *group {
 	j := e.live[t.Job]
 	if j == nil {
@@ -194,26 +194,26 @@
 	return g
 }
 
-// setState moves a task between states and keeps the counts.
+// setState changes the state of a task and updates the counts.
 func (g *group) setState(i int, s taskState) {
 	t := &g.tasks[i]
 	switch t.state {
 	case taskWaiting:
 		g.waiting--
 	case taskUnsure:
-		g.job.account.doubt(g, -1)
+		g.job.account.addUnconfirmed(g, -1)
 	}
 	t.state = s
 	switch s {
 	case taskWaiting:
 		g.waiting++
 	case taskUnsure:
-		g.job.account.doubt(g, 1)
+		g.job.account.addUnconfirmed(g, 1)
 	}
 }
 
-// left is what the job's tasks may have running, apart for those that fill.
-func (j *job) left() (others, fillers spec.Resources) {
+// left returns the size of the tasks of the job that may be running; backfill tasks are summed separately.
+func (j *job) left() (others, backfill spec.Resources) {
 	for _, g := range j.groups {
 		n := g.leftOver
 		for i := range g.tasks {
@@ -222,55 +222,55 @@
 			}
 		}
 		if g.step.Filler {
-			fillers = fillers.Add(g.step.Size.Times(int64(n)))
+			backfill = backfill.Add(g.step.Size.Times(int64(n)))
 		} else {
 			others = others.Add(g.step.Size.Times(int64(n)))
 		}
 	}
-	return others, fillers
+	return others, backfill
 }
 
-// task names one task of the group.
+// task returns the name of a task of the group.
 func (g *group) task(i int) spec.StepTask { return spec.StepTask{StepID: g.id, Index: i} }
 
-// refresh keeps the group among those with tasks to start, or takes it out.
+// refresh updates the membership of the group in the ready set.
 func (e *Engine) refresh(g *group) {
 	if g.needs > 0 || g.waiting == 0 || g.job.state.Final() {
-		e.notReady(g)
+		e.removeReady(g)
 		return
 	}
 	if !g.ready {
 		g.ready = true
 		e.ready[g.id] = g
 	}
-	if !g.queued && !g.fresh {
-		g.fresh = true
-		e.fresh = append(e.fresh, g)
+	if !g.queued && !g.incoming {
+		g.incoming = true
+		e.incoming = append(e.incoming, g)
 	}
 }
 
-// notReady takes a group out of those with tasks to start.
-func (e *Engine) notReady(g *group) {
+// removeReady takes a group out of the ready set.
+func (e *Engine) removeReady(g *group) {
 	g.ready = false
 	delete(e.ready, g.id)
-	g.unreserve()
+	g.releaseReservation()
 }
 
-// touch notes that the job's stored record is behind. One that has ended is stored as such
-// and stays so: news of a run that is left over would else have its end told as not stored.
+// touch marks the stored record of the job as out of date. A job in a final state has its record stored
+// once and is not marked again: a later report of a superseded run would otherwise make its end count as
+// not stored.
 func (e *Engine) touch(j *job) {
 	if !j.state.Final() {
 		e.dirty[j.id()] = j
 	}
 }
 
-// stepDone opens the steps that waited for a step, and ends the job after the
-// last one.
+// stepDone releases the steps that depend on a step, and ends the job after the last step.
 func (e *Engine) stepDone(g *group, now time.Time) {
 	j := g.job
-	j.open--
+	j.undoneGroups--
 	g.doneAt = now
-	e.notReady(g)
+	e.removeReady(g)
 	for _, other := range j.groups {
 		if other.id.Occurrence != g.id.Occurrence {
 			continue
@@ -285,12 +285,12 @@
 			e.refresh(other)
 		}
 	}
-	if j.open == 0 {
+	if j.undoneGroups == 0 {
 		e.finish(j, record.StateCompleted, now)
 	}
 }
 
-// finish makes a job final; what still runs of it is stopped.
+// finish puts a job into a final state and requests the stop of its runs.
 func (e *Engine) finish(j *job, s record.State, now time.Time) {
 	if j.state.Final() {
 		return
@@ -300,18 +300,18 @@
 	delete(e.live, j.id())
 	e.ended = append(e.ended, endedJob{j.id(), now})
 	for _, g := range j.groups {
-		e.notReady(g)
+		e.removeReady(g)
 		for i := range g.tasks {
 			if r := g.tasks[i].cur; r != nil && s != record.StateCompleted {
-				e.unwant(r, "its job is over: "+string(s))
+				e.unwant(r, "its job has ended: "+string(s))
 			}
 		}
 	}
 	e.log(Event{What: "job ended", Job: j.id(), Why: strings.TrimSpace(string(s) + " " + j.why), Age: now.Sub(j.accepted)})
 }
 
-// forgetEnded lets go of jobs whose end need not be remembered any more.
-func (e *Engine) forgetEnded(now time.Time) {
+// expireEndedJobs drops jobs whose result need not be kept any longer.
+func (e *Engine) expireEndedJobs(now time.Time) {
 	n := 0
 	for n < len(e.ended) && now.Sub(e.ended[n].at) > e.cfg.Bounds.RememberEnded {
 		id := e.ended[n].id
@@ -322,9 +322,9 @@
 	e.ended = e.ended[n:]
 }
 
-// begin makes occurrences ready whose time has come.
-func (e *Engine) begin(now time.Time) {
-	for _, g := range e.fresh {
+// setReadyTimes marks the incoming steps ready whose occurrence is due.
+func (e *Engine) setReadyTimes(now time.Time) {
+	for _, g := range e.incoming {
 		if g.readySince.IsZero() && !now.Before(g.due) {
 			g.readySince = now
 		}
--- a/internal/engine/preempt.go
+++ b/internal/engine/preempt.go
@@ -8,73 +8,72 @@
 	"pulleyquay/internal/spec"
 )
 
-// A gang takes room from less urgent tasks that save their progress when they are
-// stopped: nothing of their work is lost but the time to go on elsewhere. So the
-// room that is kept for a gang is not left empty until it has all its places.
+// A gang preempts less urgent tasks that checkpoint when they are stopped: they lose only the time to
+// resume elsewhere. So the capacity reserved for a gang does not stay idle until all of its slots are
+// free.
 
-// mostPreempted is how often one task may be stopped for others.
-const mostPreempted = 2
+// maxPreemptions is how often one task may be preempted.
+const maxPreemptions = 2
 
-// preemptMargin is how long before its end a ticket has to be, beyond the time of a
-// stop, when room is made for it: the stop and the start each take a round trip,
-// and ends are listed by a look.
+// preemptMargin is how much longer than a stop a ticket has to be valid when tasks are preempted for it:
+// the stop and the start each take a round trip, and the end of a run is reported by a poll.
 const preemptMargin = 200 * time.Millisecond
 
-// yieldsTo reports whether tasks of the step may be stopped for a gang: one whose turn comes
-// first, and whose queue is more urgent.
-func (g *group) yieldsTo(gang *group) bool {
+// preemptibleBy reports whether tasks of the step may be preempted by a gang: the gang comes first in the
+// scheduling order, and its queue has a higher priority.
+func (g *group) preemptibleBy(gang *group) bool {
 	return gang.step.Gang && g.step.Checkpointing && !g.step.Gang && !g.step.LongRunning &&
 		g.job.rec.Rules.Priority > gang.job.rec.Rules.Priority && before(gang, g) < 0
 }
 
-// yields reports whether a run may be stopped for a gang now.
-func (r *run) yields(gang *group) bool {
-	return r.group != nil && r.state == runRunning && !r.unwanted && r.group.yieldsTo(gang) &&
-		r.group.tasks[r.Task.Index].preempted < mostPreempted
+// preemptibleNow reports whether a run may be preempted by a gang now.
+func (r *run) preemptibleNow(gang *group) bool {
+	return r.group != nil && r.state == runRunning && !r.unwanted && r.group.preemptibleBy(gang) &&
+		r.group.tasks[r.Task.Index].preempted < maxPreemptions
 }
 
-// yielding is the room on a host that would come free if a gang took it.
-func (h *hostState) yielding(gang *group) (sum spec.Resources) {
+// preemptibleSize returns the capacity that preemption for a gang would free on a host.
+func (h *hostState) preemptibleSize(gang *group) (sum spec.Resources) {
 	for _, r := range h.runs {
-		if r.yields(gang) {
+		if r.preemptibleNow(gang) {
 			sum = sum.Add(r.size)
 		}
 	}
 	return sum
 }
 
-// makeRoom stops tasks for a gang that has leave on enough hosts to start once they
-// are gone. It reports whether it did.
-func (e *Engine) makeRoom(g *group, permitted []*hostState, now time.Time) bool {
-	if now.Before(g.roomAt) {
-		e.clearPlaces(g, now)
-		return true // it is being made
+// preemptFor preempts tasks for a gang that has permission for enough hosts to start once these tasks have
+// ended. It reports whether preemption is under way.
+func (e *Engine) preemptFor(g *group, permitted []*hostState, now time.Time) bool {
+	if now.Before(g.preemptedAt) {
+		e.preemptScheduled(g, now)
+		return true // preemption is under way
 	}
 	var all []seat
 	for _, h := range permitted {
-		if !e.ticketLasts(g, h, now) {
+		if !e.ticketOutlastsStop(g, h, now) {
 			continue
 		}
-		room := e.roomFor(g, h, now).Add(h.yielding(g))
-		if n := g.fits(h, room); n > 0 {
+		capacity := e.roomFor(g, h, now).Add(h.preemptibleSize(g))
+		if n := g.fits(h, capacity); n > 0 {
 			all = append(all, seat{h, n})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b seat) int { return cmp.Compare(b.n, a.n) })
-	var seats []seat
+	var slots []seat
 	if g.step.SameRack {
-		seats = e.oneRack(g, all, g.left)
+		slots = e.chooseOneRack(g, all, g.left)
 	}
-	if seats == nil {
-		seats = e.fill(g, all, g.left)
+	if slots == nil {
+		slots = e.takeCheapest(g, all, g.left)
 	}
-	if seats == nil {
+	if slots == nil {
 		return false
 	}
-	g.roomAt, g.clearAt = now.Add(e.cfg.Bounds.StopTakes+preemptMargin), time.Time{}
-	g.unreserve()
-	for _, s := range seats {
-		e.stopFor(g, s, now)
+	g.preemptedAt, g.preemptAt = now.Add(e.cfg.Bounds.StopTakes+preemptMargin), time.Time{}
+	g.releaseReservation()
+	for _, s := range slots {
+		e.preemptOnHost(g, s, now)
 		s.host.reserved = append(s.host.reserved, reservation{group: g, n: s.n, at: now})
 		g.reserved = append(g.reserved, s.host)
 	}
@@ -82,46 +81,45 @@
 	return true
 }
 
-// clearAhead plans to make room on the hosts where a gang has places reserved, and
-// for which it has just asked for tickets, so that the room is there when they come.
+// clearAhead schedules preemption on the hosts of a gang's reservation, for which tickets were just
+// requested, so that the capacity is free when the tickets arrive.
 func (e *Engine) clearAhead(g *group, took time.Duration, now time.Time) {
-	g.clearAt = now.Add(max(took-e.cfg.Bounds.StopTakes, 0))
-	g.roomAt = now.Add(max(took, e.cfg.Bounds.StopTakes) + preemptMargin)
+	g.preemptAt = now.Add(max(took-e.cfg.Bounds.StopTakes, 0))
+	g.preemptedAt = now.Add(max(took, e.cfg.Bounds.StopTakes) + preemptMargin)
 }
 
-// clearPlaces makes the room that was planned, when it is time.
-func (e *Engine) clearPlaces(g *group, now time.Time) {
-	if g.clearAt.IsZero() || now.Before(g.clearAt) {
+// preemptScheduled carries out the scheduled preemption when it is due.
+func (e *Engine) preemptScheduled(g *group, now time.Time) {
+	if g.preemptAt.IsZero() || now.Before(g.preemptAt) {
 		return
 	}
-	g.clearAt = time.Time{}
+	g.preemptAt = time.Time{}
 	for _, h := range g.reserved {
 		for i := range h.reserved {
 			if r := &h.reserved[i]; r.group == g {
 				r.at = now
-				e.stopFor(g, seat{h, r.n}, now)
+				e.preemptOnHost(g, seat{h, r.n}, now)
 			}
 		}
 	}
 }
 
-// ticketLasts reports whether the gang's ticket on a host is good until a stop there
-// is over.
-func (e *Engine) ticketLasts(g *group, h *hostState, now time.Time) bool {
+// ticketOutlastsStop reports whether the gang's ticket for a host remains valid until a stop there has
+// ended.
+func (e *Engine) ticketOutlastsStop(g *group, h *hostState, now time.Time) bool {
 	if g.job.rec.Rules.Advice == nil {
 		return true
 	}
 	return now.Add(e.cfg.Bounds.StopTakes + preemptMargin).Before(g.advice.tickets[h].until)
 }
 
-// stopFor stops as many tasks on a host as a gang needs for its places there, the
-// largest first.
-func (e *Engine) stopFor(g *group, s seat, now time.Time) {
+// preemptOnHost preempts as many tasks on a host as the gang needs for its slots there, the largest first.
+func (e *Engine) preemptOnHost(g *group, s seat, now time.Time) {
 	need := g.step.Booked().Times(int64(s.n))
-	room := e.roomFor(g, s.host, now)
+	capacity := e.roomFor(g, s.host, now)
 	var victims []*run
 	for _, r := range s.host.runs {
-		if r.yields(g) {
+		if r.preemptibleNow(g) {
 			victims = append(victims, r)
 		}
 	}
@@ -129,11 +127,11 @@
 		return cmp.Or(cmp.Compare(b.size.MilliCPU, a.size.MilliCPU), cmp.Compare(a.Task.String(), b.Task.String()))
 	})
 	for _, r := range victims {
-		if need.Fits(room) {
+		if need.Fits(capacity) {
 			return
 		}
-		room = room.Add(r.size)
+		capacity = capacity.Add(r.size)
 		r.group.tasks[r.Task.Index].preempted++
-		e.unwant(r, "a gang of a more urgent queue takes its room")
+		e.unwant(r, "preempted by a gang of a more urgent queue")
 	}
 }
--- a/internal/engine/preempt_test.go
+++ b/internal/engine/preempt_test.go
@@ -12,8 +12,8 @@
 	"pulleyquay/internal/spec"
 )
 
-// busyWorld has four hosts filled with tasks of a less urgent queue.
-func busyWorld(t *testing.T, change func(*spec.Step, *catalog.Rules)) *world {
+// loadedWorld is a cell of four hosts filled with tasks of a less urgent queue.
+func loadedWorld(t *testing.T, change func(*spec.Step, *catalog.Rules)) *world {
 	w := quietWorld(t, 4)
 	s, rules := step(32, 8, 8, 9000), catalog.Rules{Priority: 2}
 	s.Checkpointing = true
@@ -23,26 +23,25 @@
 	return w
 }
 
-// TestGangsTakeRoomFromSavedWork: gangs waited for room while tasks ran that lose
-// nothing when they are stopped, and processors were kept empty for gangs until they had
-// all their places.
-func TestGangsTakeRoomFromSavedWork(t *testing.T) {
+// TestGangsPreemptCheckpointingTasks guards against gangs that wait for capacity while tasks run that lose
+// nothing when stopped, and against processors that stay idle until a gang has all of its slots.
+func TestGangsPreemptCheckpointingTasks(t *testing.T) {
 	tests := map[string]struct {
-		change func(*spec.Step, *catalog.Rules)
-		yields bool
+		change    func(*spec.Step, *catalog.Rules)
+		preempted bool
 	}{
-		"less urgent, saved":           {func(*spec.Step, *catalog.Rules) {}, true},
-		"its progress is lost":         {func(s *spec.Step, _ *catalog.Rules) { s.Checkpointing = false }, false},
-		"as urgent":                    {func(_ *spec.Step, r *catalog.Rules) { r.Priority = 1 }, false},
-		"it lasts":                     {func(s *spec.Step, _ *catalog.Rules) { s.LongRunning = true }, false},
-		"a gang itself":                {func(s *spec.Step, _ *catalog.Rules) { s.Gang = true }, false},
-		"less urgent, with a deadline": {func(_ *spec.Step, r *catalog.Rules) { r.Stretch = 3 }, true},
+		"less urgent, checkpointing":     {func(*spec.Step, *catalog.Rules) {}, true},
+		"less urgent, not checkpointing": {func(s *spec.Step, _ *catalog.Rules) { s.Checkpointing = false }, false},
+		"equally urgent":                 {func(_ *spec.Step, r *catalog.Rules) { r.Priority = 1 }, false},
+		"long-running":                   {func(s *spec.Step, _ *catalog.Rules) { s.LongRunning = true }, false},
+		"a gang":                         {func(s *spec.Step, _ *catalog.Rules) { s.Gang = true }, false},
+		"less urgent, with a deadline":   {func(_ *spec.Step, r *catalog.Rules) { r.Stretch = 3 }, true},
 	}
 	for name, tc := range tests {
 		for _, advised := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", advice ", advised), func(t *testing.T) {
 				is := is.New(t)
-				w := busyWorld(t, tc.change)
+				w := loadedWorld(t, tc.change)
 				before := w.fleet.Judge().Starts()
 				is.Equal(before, 32)
 				gang := step(6, 18, 26, 1000)
@@ -53,10 +52,10 @@
 				}
 				w.submit("gang", rules, gang)
 				w.run(time.Second)
-				is.Equal(w.running("gang") == 6, tc.yields)
+				is.Equal(w.running("gang") == 6, tc.preempted)
 				w.run(60 * time.Second)
 				w.check()
-				if tc.yields {
+				if tc.preempted {
 					is.Equal(w.shown["busy"], record.StateCompleted)
 				}
 			})
@@ -64,10 +63,10 @@
 	}
 }
 
-// TestTasksAreNotStoppedForEver: a task makes room a few times and then keeps its.
-func TestTasksAreNotStoppedForEver(t *testing.T) {
+// TestPreemptionsOfATaskAreLimited checks that a task is preempted only a limited number of times.
+func TestPreemptionsOfATaskAreLimited(t *testing.T) {
 	is := is.New(t)
-	w := busyWorld(t, func(*spec.Step, *catalog.Rules) {})
+	w := loadedWorld(t, func(*spec.Step, *catalog.Rules) {})
 	for i := range 40 {
 		w.after(time.Duration(i)*700*time.Millisecond, func() {
 			gang := step(6, 18, 26, 600)
@@ -79,5 +78,5 @@
 	w.check()
 	is.Equal(w.shown["busy"], record.StateCompleted)
 	is.Equal(w.completed(), 41)
-	is.True(w.fleet.Judge().Starts() <= 40*6+32*(1+mostPreempted))
+	is.True(w.fleet.Judge().Starts() <= 40*6+32*(1+maxPreemptions))
 }
--- a/internal/engine/quota_test.go
+++ b/internal/engine/quota_test.go
@@ -13,11 +13,10 @@
 	"pulleyquay/internal/spec"
 )
 
-// On the shifted deployment client accounts had more running than their quotas, on calm days
-// as well: nothing counted it ("QUOTA 8" on quiet-1 of the baseline). What may be running is now
-// in the holder's books, whatever becomes of calls, hosts and holders.
+// Tests of client account quotas. Everything that may be running has to count against the quota, whatever
+// happens to calls, hosts and holders.
 
-// accountWorld is a cell with client accounts; jobs are named "account/...".
+// accountWorld is a cell with client accounts; jobs are named "account-...".
 func accountWorld(t testing.TB, seed uint64, hosts int) *world {
 	w := newWorld(t, seed)
 	w.follows = true
@@ -33,11 +32,11 @@
 	return w
 }
 
-// crewWorld is a cell in which the account "crew" may have so many processors, a second after its
-// first holder took over.
-func crewWorld(t testing.TB, seed uint64, hosts int, most int64) *world {
+// crewWorld is a cell in which the account "crew" has a quota of the given number of processors, one
+// second after its first holder took over.
+func crewWorld(t testing.TB, seed uint64, hosts int, quota int64) *world {
 	w := accountWorld(t, seed, hosts)
-	w.setQuota("crew", cores(most))
+	w.setQuota("crew", cores(quota))
 	w.takeOver()
 	w.run(time.Second)
 	return w
@@ -47,32 +46,32 @@
 	return fairshare.Quota{MilliCPU: n * 1000, MemoryMiB: -1, Accelerators: -1}
 }
 
-// coresOf is how many processors an account's tasks take, by the hosts.
+// coresOf returns the processors in use by an account's tasks, as seen by the hosts.
 func (w *world) coresOf(account string) int64 { return w.fleet.RunningOf(account).MilliCPU / 1000 }
 
-// TestQuotasHold: what may run of an account counts in every dimension, whatever kind of work
-// it is, and what is over counts no more.
+// TestQuotasHold checks that everything an account may have running counts in every dimension, for all
+// kinds of work, and that ended work counts no longer.
 func TestQuotasHold(t *testing.T) {
 	const quota = 8
-	filler := step(20, 2, 1, 60000)
-	filler.Filler = true
-	lasting := step(20, 2, 1, 0)
-	lasting.LongRunning = true
+	backfill := step(20, 2, 1, 60000)
+	backfill.Filler = true
+	longRunning := step(20, 2, 1, 0)
+	longRunning.LongRunning = true
 	gang := step(3, 2, 1, 2000)
 	gang.Gang = true
 	memory := step(20, 1, 4, 1000)
 	cases := map[string]struct {
-		step spec.Step
-		q    fairshare.Quota
-		most int64 // processors
-		ends bool
+		step     spec.Step
+		q        fairshare.Quota
+		maxCores int64 // processors
+		ends     bool
 	}{
-		"tasks":   {step(20, 2, 1, 1000), cores(quota), 8, true},
-		"memory":  {memory, fairshare.Quota{MilliCPU: -1, MemoryMiB: 12 << 10, Accelerators: -1}, 3, true},
-		"lasting": {lasting, cores(quota), 8, false},
-		"fillers": {filler, cores(quota), 8, false},
-		"a gang":  {gang, cores(quota), 6, true},
-		"none":    {step(20, 2, 1, 1000), fairshare.Unlimited, 64, true},
+		"tasks":        {step(20, 2, 1, 1000), cores(quota), 8, true},
+		"memory":       {memory, fairshare.Quota{MilliCPU: -1, MemoryMiB: 12 << 10, Accelerators: -1}, 3, true},
+		"long-running": {longRunning, cores(quota), 8, false},
+		"backfill":     {backfill, cores(quota), 8, false},
+		"a gang":       {gang, cores(quota), 6, true},
+		"unlimited":    {step(20, 2, 1, 1000), fairshare.Unlimited, 64, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -81,26 +80,26 @@
 			w.setQuota("crew", tc.q)
 			w.takeOver()
 			w.run(time.Second)
-			most := int64(0)
+			maxCores := int64(0)
 			w.submit("crew-1", catalog.Rules{}, tc.step)
 			w.submit("crew-2", catalog.Rules{}, tc.step)
 			for range 200 {
 				w.run(100 * time.Millisecond)
-				most = max(most, w.coresOf("crew"))
+				maxCores = max(maxCores, w.coresOf("crew"))
 			}
 			w.check()
-			is.Equal(most, tc.most)
+			is.Equal(maxCores, tc.maxCores)
 			if tc.ends {
 				is.Equal(w.completed(), 2)
-				is.Equal(w.engine.accounts["crew"].used, spec.Resources{}) // what is over counts no more
+				is.Equal(w.engine.accounts["crew"].used, spec.Resources{}) // ended work counts no longer
 			}
 		})
 	}
 }
 
-// TestAccountsDoNotHoldEachOtherUp: an account that is at its quota waits beside room, and
-// others start there at once.
-func TestAccountsDoNotHoldEachOtherUp(t *testing.T) {
+// TestAccountsDoNotBlockEachOther checks that an account at its quota waits although capacity is free,
+// and that other accounts use that capacity at once.
+func TestAccountsDoNotBlockEachOther(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 5, 4)
 	w.setQuota("full", cores(8))
@@ -120,14 +119,18 @@
 	w.check()
 }
 
-// TestQuotasFallAndRise: a quota that falls stops nothing, and nothing starts over it; one that
-// rises lets work start at once, also under the next holder.
+// TestQuotasFallAndRise checks that a reduced quota stops nothing and lets nothing start above it, and
+// that a raised quota lets work start at once, also under a next holder.
 func TestQuotasFallAndRise(t *testing.T) {
 	for name, between := range map[string]func(w *world){
-		"one holder":       func(*world) {},
-		"the next holder":  func(w *world) { w.takeOver() },
-		"twice the next":   func(w *world) { w.takeOver(); w.run(50 * time.Millisecond); w.takeOver() },
-		"its hosts silent": func(w *world) { w.cutAll(true); w.takeOver(); w.after(2*time.Second, func() { w.cutAll(false) }) },
+		"one holder":    func(*world) {},
+		"failover":      func(w *world) { w.takeOver() },
+		"two failovers": func(w *world) { w.takeOver(); w.run(50 * time.Millisecond); w.takeOver() },
+		"failover, hosts unresponsive": func(w *world) {
+			w.setAllDisconnected(true)
+			w.takeOver()
+			w.after(2*time.Second, func() { w.setAllDisconnected(false) })
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -138,7 +141,7 @@
 			is.Equal(w.coresOf("crew"), int64(32))
 			w.setQuota("crew", cores(4))
 			between(w)
-			w.run(quotaSettles)
+			w.run(quotaSettleTime)
 			is.True(w.coresOf("crew") <= 4)
 			w.setQuota("crew", cores(24))
 			w.run(500 * time.Millisecond)
@@ -148,18 +151,19 @@
 	}
 }
 
-// quotaSettles is when what ran under a former quota is over, wherever it ran.
-const quotaSettles = 25 * time.Second
+// quotaSettleTime is the time after which everything that ran under the former quota has ended on all
+// hosts.
+const quotaSettleTime = 25 * time.Second
 
-func (w *world) cutAll(cut bool) {
+func (w *world) setAllDisconnected(cut bool) {
 	for _, h := range w.fleet.Hosts() {
 		h.Cut(cut)
 	}
 }
 
-// TestHostsNotHeardCount: the next holder does not hear some hosts, on which an account's tasks
-// may run. They count until it is certain that they do not.
-func TestHostsNotHeardCount(t *testing.T) {
+// TestUnreportedHostsCount: after a failover some hosts do not report, and an account's tasks may run
+// there. They count until it is certain that they do not run.
+func TestUnreportedHostsCount(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 4, 24)
 	w.submit("crew-1", catalog.Rules{}, step(12, 2, 1, 30000))
@@ -174,12 +178,12 @@
 	}
 	w.check()
 	w.run(30 * time.Second)
-	is.Equal(w.coresOf("crew"), int64(24)) // what ran there has started again
+	is.Equal(w.coresOf("crew"), int64(24)) // tasks of the unreachable hosts were restarted
 	w.check()
 }
 
-// TestNothingStartsBeforeQuotasAreKnown: a holder that took over without a configuration starts
-// no account's work.
+// TestNothingStartsBeforeQuotasAreKnown checks that a holder without a configuration starts no work of
+// client accounts.
 func TestNothingStartsBeforeQuotasAreKnown(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 13, 4)
@@ -194,20 +198,20 @@
 	is.Equal(w.coresOf("crew"), int64(8))
 }
 
-// TestBooksAgainstTheHosts plays accounts at their quotas while calls get lost and late, hosts
-// are cut off, crash and start again, holders change, twice in a row too, and quotas fall and
-// rise. The hosts hold each start against the quotas, and once all is calm nothing is left.
-func TestBooksAgainstTheHosts(t *testing.T) {
+// TestUsageMatchesHosts runs accounts at their quotas while calls are lost or delayed, hosts are
+// disconnected, crash and restart, holders change, also twice in a row, and quotas fall and rise. The
+// hosts check each start against the quotas, and at the end all usage has to be zero.
+func TestUsageMatchesHosts(t *testing.T) {
 	seeds := uint64(24)
 	if testing.Short() {
 		seeds = 6
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playQuotas(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runQuotaScenario(t, seed) })
 	}
 }
 
-func playQuotas(t testing.TB, seed uint64) {
+func runQuotaScenario(t testing.TB, seed uint64) {
 	w := accountWorld(t, seed, 12)
 	accounts := []string{"crew", "county", "school"}
 	for i, name := range accounts {
@@ -220,65 +224,64 @@
 	w.faults = []faults{{}, {lostAnswer: 0.3}, {late: 0.15}, {lostRequest: 0.2}, {lateLooks: 0.3}, {lateViews: 0.3}}[seed%6]
 	const busy = 30 * time.Second
 	for at := time.Duration(0); at < busy; at += 150 * time.Millisecond {
-		w.after(at, func() { w.submitSome(accounts[w.rnd.IntN(len(accounts))], at) })
+		w.after(at, func() { w.submitRandom(accounts[w.rnd.IntN(len(accounts))], at) })
 	}
 	for at := time.Second; at < busy; at += time.Duration(300+w.rnd.IntN(2000)) * time.Millisecond {
-		w.after(at, func() { w.disturb(accounts) })
+		w.after(at, func() { w.injectFault(accounts) })
 	}
 	w.run(busy)
 	w.faults = faults{}
 	for i, name := range accounts {
 		w.setQuota(name, cores(int64(48+48*i)))
 	}
-	w.cutAll(false)
+	w.setAllDisconnected(false)
 	w.run(150 * time.Second)
 	w.check()
 	for id := range w.jobs {
 		if s := w.shown[id]; !s.Final() {
-			t.Errorf("%s waits in a calm cell: %s", id, w.describe(id))
+			t.Errorf("job %s still waits in an idle cell: %s", id, w.describe(id))
 		}
 	}
 	for name, a := range w.engine.accounts {
-		if !a.used.IsZero() || !a.unsure.IsZero() {
-			t.Errorf("account %s has %v and %v in doubt in an empty cell", name, a.used, a.unsure)
+		if !a.used.IsZero() || !a.unconfirmed.IsZero() {
+			t.Errorf("account %s has usage %v and unconfirmed usage %v in an empty cell", name, a.used, a.unconfirmed)
 		}
-		if n := len(a.unsureFillers); n > 0 {
-			t.Errorf("account %s has fillers of %d steps in doubt in an empty cell", name, n)
+		if n := len(a.unconfirmedBackfill); n > 0 {
+			t.Errorf("account %s has unconfirmed backfill tasks of %d steps in an empty cell", name, n)
 		}
 	}
 	if !w.engine.unowned.IsZero() {
-		t.Errorf("%v runs for nobody in an empty cell", w.engine.unowned)
+		t.Errorf("orphan runs use %v in an empty cell", w.engine.unowned)
 	}
 }
 
-// A gang for which others had been stopped started though its account had no quota left by then:
-// more urgent tasks of the account had begun meanwhile. An account had 312 cores running of 277,
-// and the holder's own books said so: "waits for its account's quota: has milli_cpu: 359650 of
-// 277082 ..., and 0 cores promised to gangs before it".
-func TestRoomMadeForAGangIsNoQuota(t *testing.T) {
+// TestPreemptionForAGangGrantsNoQuota guards against a gang that starts above the quota after others were
+// preempted for it: more urgent tasks of its account use up the quota meanwhile. An account had 312 cores
+// running with a quota of 277.
+func TestPreemptionForAGangGrantsNoQuota(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 17, 4)
 	w.setQuota("crew", cores(32))
 	w.setQuota("other", cores(64))
 	w.takeOver()
 	w.run(time.Second)
-	less := step(32, 2, 1, 60000)
-	less.Checkpointing = true
-	w.submit("other-1", catalog.Rules{Priority: 2}, less)
+	lessUrgent := step(32, 2, 1, 60000)
+	lessUrgent.Checkpointing = true
+	w.submit("other-1", catalog.Rules{Priority: 2}, lessUrgent)
 	w.run(time.Second)
 	gang := step(14, 2, 1, 5000)
 	gang.Gang = true
 	w.submit("crew-1", catalog.Rules{Priority: 1}, gang)
-	w.run(20 * time.Millisecond) // others are being stopped for it
-	is.True(!w.engine.jobs["crew-1"].groups[0].roomAt.IsZero())
+	w.run(20 * time.Millisecond) // others are being preempted for it
+	is.True(!w.engine.jobs["crew-1"].groups[0].preemptedAt.IsZero())
 	w.submit("crew-2", catalog.Rules{Priority: 0}, step(32, 1, 1, 5000))
 	w.run(30 * time.Second)
 	w.check()
 	is.Equal(w.completed(), 2) // one after the other
 }
 
-// submitSome hands in a job of some kind.
-func (w *world) submitSome(account string, at time.Duration) {
+// submitRandom submits a job of a random kind.
+func (w *world) submitRandom(account string, at time.Duration) {
 	s := step(1+w.rnd.IntN(12), 1+w.rnd.Int64N(4), 1, 200+w.rnd.Int64N(4000))
 	rules := catalog.Rules{Attempts: 20, Priority: w.rnd.IntN(3)}
 	id := fmt.Sprint(account, "-", at)
@@ -301,8 +304,8 @@
 	w.submit(id, rules, s)
 }
 
-// disturb does one thing to the cell.
-func (w *world) disturb(accounts []string) {
+// injectFault injects one random fault or change.
+func (w *world) injectFault(accounts []string) {
 	h := w.fleet.Hosts()[w.rnd.IntN(len(w.fleet.Hosts()))]
 	switch w.rnd.IntN(9) {
 	case 0:
@@ -329,42 +332,41 @@
 	}
 }
 
-// After a takeover the tasks that hosts not yet heard of may run counted by no more than the room
-// of those hosts. Tasks that fill take none of it, and count in full against their account: it had
-// 56 cores running of 48.
-//
-// TestFillersNotHeardCount guards against work in doubt that is bounded by what does not bound it.
-func TestFillersNotHeardCount(t *testing.T) {
-	for name, most := range map[string]int64{"little memory each": 48, "all the memory of a host": 16} {
+// TestUnconfirmedBackfillCounts guards against unconfirmed backfill tasks that are counted only up to the
+// capacity of the hosts that have not reported since the failover. Backfill tasks take none of the
+// processors there but count in full against their account, which had 56 cores running with a quota of 48.
+func TestUnconfirmedBackfillCounts(t *testing.T) {
+	for name, quota := range map[string]int64{"little memory each": 48, "all the memory of a host": 16} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := crewWorld(t, 11, 2, most)
-			fillers := step(int(most)/4, 4, 1, 30000)
-			fillers.Filler = true
-			if most == 16 {
-				fillers.Size.MemoryMiB = 32 << 10 // two to a host
+			w := crewWorld(t, 11, 2, quota)
+			backfill := step(int(quota)/4, 4, 1, 30000)
+			backfill.Filler = true
+			if quota == 16 {
+				backfill.Size.MemoryMiB = 32 << 10 // two per host
 			}
-			w.submit("crew-1", catalog.Rules{}, fillers)
+			w.submit("crew-1", catalog.Rules{}, backfill)
 			w.run(time.Second)
-			is.Equal(w.coresOf("crew"), most)
+			is.Equal(w.coresOf("crew"), quota)
 			w.host("h00").Cut(true)
 			w.takeOver()
 			w.submit("crew-2", catalog.Rules{}, step(12, 2, 1, 1000))
 			w.run(5 * time.Second)
 			w.check()
-			is.Equal(w.coresOf("crew"), most)
+			is.Equal(w.coresOf("crew"), quota)
 		})
 	}
 }
 
-// TestFillersNotHeardLeaveTheRest: no more of them counts than the hosts can hold that were not
-// heard of, so that an account with many that wait is not kept from its quota by one host.
-func TestFillersNotHeardLeaveTheRest(t *testing.T) {
+// TestUnconfirmedBackfillIsBounded checks that unconfirmed backfill tasks count for no more than the hosts
+// that have not reported can hold, so that one such host does not block the quota of an account with many
+// waiting backfill tasks.
+func TestUnconfirmedBackfillIsBounded(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 4, 40)
-	fillers := step(100, 4, 32, 30000) // two to a host
-	fillers.Filler = true
-	w.submit("crew-1", catalog.Rules{}, fillers)
+	backfill := step(100, 4, 32, 30000) // two per host
+	backfill.Filler = true
+	w.submit("crew-1", catalog.Rules{}, backfill)
 	w.run(time.Second)
 	is.Equal(w.coresOf("crew"), int64(32))
 	w.host("h00").Cut(true)
@@ -375,11 +377,10 @@
 	is.Equal(w.coresOf("crew"), int64(40))
 }
 
-// A job was accepted, and started by the former holder, while the partition changed hands: the
-// next one saw its runs before its record, counted them against nobody, and started other work
-// of the account: 16 cores of 8.
-//
-// TestRunsOfUnknownJobsCount guards against quotas that hold only for jobs that are known.
+// TestRunsOfUnknownJobsCount guards against quotas that cover only known jobs: a job is accepted and
+// started by the previous holder during a change of holders, and the next holder sees its runs before its
+// record. It counted them for no account and started other work of the account: 16 cores with a quota of
+// 8.
 func TestRunsOfUnknownJobsCount(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 11, 4)
@@ -401,17 +402,16 @@
 	w.tell(w.engine, func() { w.engine.Accept(w.jobs["crew-1"], false, w.now(), w.now()) })
 	w.submit("county-1", catalog.Rules{}, step(4, 2, 1, 1000))
 	w.run(500 * time.Millisecond)
-	is.Equal(w.coresOf("county"), int64(8)) // nobody else waits for it any more
+	is.Equal(w.coresOf("county"), int64(8)) // the runs no longer count against other accounts
 	w.run(20 * time.Second)
 	w.check()
 	is.Equal(w.completed(), 3)
 	is.True(w.engine.unowned.IsZero())
 }
 
-// A job was cancelled, and its holder succeeded, while a host that ran some of it was cut off. The
-// next holder knew the job as ended and counted nothing of it: an account had 16 cores of 8.
-//
-// TestRunsOfEndedJobsCount guards against quotas that leave out what a job may still have running.
+// TestRunsOfEndedJobsCount guards against quotas that ignore the runs of ended jobs: a job is cancelled
+// and the holder changes while a host with some of its runs is disconnected. The next holder knew the job
+// as ended and did not count them: 16 cores with a quota of 8.
 func TestRunsOfEndedJobsCount(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 4, 8)
@@ -429,12 +429,12 @@
 	w.submit("crew-2", catalog.Rules{}, step(4, 2, 1, 60000))
 	w.run(time.Second)
 	w.check()
-	w.run(12 * time.Second) // leases are over
+	w.run(12 * time.Second) // leases have expired
 	w.check()
 	is.Equal(w.coresOf("crew"), int64(8))
 }
 
-// TestLongEndedJobsCountNothing: what a job had running as it ended is over some seconds later.
+// TestLongEndedJobsCountNothing checks that the runs of a job which ended long before count no longer.
 func TestLongEndedJobsCountNothing(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 4, 8)
@@ -451,14 +451,11 @@
 	is.Equal(w.coresOf("crew"), int64(8))
 }
 
-// Many jobs were cancelled within some seconds, the holder was succeeded, and one host was not heard
-// of. All that had run of these jobs counted against their accounts until nothing could run there
-// any more: accounts stood at up to 246% of their quotas and started nothing for nine seconds, with
-// nearly the whole cell free.
-//
-// TestCancelledJobsLeaveTheRest guards against work in doubt that counts for more than the hosts in
-// doubt can hold.
-func TestCancelledJobsLeaveTheRest(t *testing.T) {
+// TestCancelledJobsAreBounded guards against unconfirmed work that counts for more than the unconfirmed
+// hosts can hold. Many jobs are cancelled within seconds, the holder changes, and one host does not
+// report. All former runs of these jobs counted until the host's lease expired: accounts stood at up to
+// 246% of their quotas and started nothing for nine seconds while nearly the whole cell was free.
+func TestCancelledJobsAreBounded(t *testing.T) {
 	is := is.New(t)
 	w := crewWorld(t, 11, 8, 64)
 	for i := range 10 {
@@ -473,5 +470,5 @@
 	w.submit("crew-next", catalog.Rules{}, step(12, 4, 1, 60000))
 	w.run(time.Second)
 	w.check()
-	is.Equal(w.coresOf("crew"), int64(48)) // less than the quota by the one host
+	is.Equal(w.coresOf("crew"), int64(48)) // the quota less the capacity of one host
 }
--- a/internal/engine/services_test.go
+++ b/internal/engine/services_test.go
@@ -12,7 +12,7 @@
 	"pulleyquay/internal/spec"
 )
 
-// watchTails follows for how long serving tasks are over their targets.
+// watchTails records how long serving tasks exceed their latency targets.
 func (w *world) watchTails() {
 	if w.fleet.Harm == nil {
 		return
@@ -34,28 +34,28 @@
 	w.over = over
 }
 
-// lasting is a step of long-running tasks.
+// lasting returns a step of long-running tasks.
 func lasting(count int, cores, gib int64) spec.Step {
 	s := step(count, cores, gib, 0)
 	s.LongRunning, s.MostPerHost = true, 3
 	return s
 }
 
-// serving is a step of long-running tasks with users of their own.
-func serving(count int, cores, gib int64) spec.Step {
+// servingStep returns a step of serving tasks, which are long-running and have a latency target.
+func servingStep(count int, cores, gib int64) spec.Step {
 	s := lasting(count, cores, gib)
 	s.Image, s.TailTargetMillis, s.MostPerHost = "web", 40, 2
 	return s
 }
 
-// filler is a step of tasks that take what the others leave.
-func filler(image string, count int, cores, gib, ms int64) spec.Step {
+// backfillStep returns a step of backfill tasks.
+func backfillStep(image string, count int, cores, gib, ms int64) spec.Step {
 	s := step(count, cores, gib, ms)
 	s.Filler, s.Image = true, image
 	return s
 }
 
-// running counts the tasks of a job that run.
+// running counts the running tasks of a job.
 func (w *world) running(job string) int {
 	n := 0
 	for _, h := range w.fleet.Hosts() {
@@ -68,7 +68,7 @@
 	return n
 }
 
-// atWork counts the tasks of a job that the engine has seen at work.
+// atWork counts the tasks of a job that the engine knows to be ready.
 func (w *world) atWork(job string) int {
 	n := 0
 	for _, h := range w.engine.hosts {
@@ -81,7 +81,7 @@
 	return n
 }
 
-func TestLastingTasksAreStartedAgain(t *testing.T) {
+func TestLongRunningTasksAreRestarted(t *testing.T) {
 	tests := map[string]func(w *world){
 		"nothing happens": func(*world) {},
 		"a host crashes": func(w *world) {
@@ -95,18 +95,18 @@
 			w.engine.SetHost(h.Info(), w.now())
 			w.after(2500*time.Millisecond, func() {
 				if n := len(h.Running()); n > 0 {
-					w.fleet.Judge().Breach("%d tasks still on the host that leaves", n)
+					w.fleet.Judge().Breach("%d tasks still on the departing host", n)
 				}
 				h.Crash()
 				h.List(false)
 				w.engine.DropHost("h01", w.now())
 			})
 		},
-		"tasks stand still on a host": func(w *world) { w.host("h01").Stall(true) },
-		"takeover":                    func(w *world) { w.takeOver() },
-		"takeover, a host crashes":    func(w *world) { w.host("h01").Crash(); w.takeOver() },
+		"tasks stall on a host":    func(w *world) { w.host("h01").Stall(true) },
+		"failover":                 func(w *world) { w.takeOver() },
+		"failover, a host crashes": func(w *world) { w.host("h01").Crash(); w.takeOver() },
 	}
-	for name, strike := range tests {
+	for name, inject := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := quietWorld(t, 4)
 			w.submit("web", catalog.Rules{}, lasting(8, 6, 4))
@@ -114,7 +114,7 @@
 			is := is.New(t)
 			is.Equal(w.running("web"), 8)
 			is.True(len(w.host("h01").Running()) > 0)
-			strike(w)
+			inject(w)
 			w.run(16 * time.Second)
 			w.check()
 			is.Equal(w.atWork("web"), 8)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestCancelledLastingJobEnds(t *testing.T) {
+func TestCancelledLongRunningJobEnds(t *testing.T) {
 	w := quietWorld(t, 4)
 	w.submit("web", catalog.Rules{}, lasting(8, 6, 4))
 	w.run(2 * time.Second)
@@ -134,9 +134,9 @@
 	is.New(t).Equal(w.running("web"), 0)
 }
 
-// TestSavedWorkLeavesWithItsHost: tasks that checkpoint and would not end in time
-// go on elsewhere before their host leaves; those that will end stay.
-func TestSavedWorkLeavesWithItsHost(t *testing.T) {
+// TestCheckpointingTasksLeaveDrainingHosts checks that tasks which checkpoint and would not end in time
+// are moved before their host leaves, and that those which end in time stay.
+func TestCheckpointingTasksLeaveDrainingHosts(t *testing.T) {
 	is := is.New(t)
 	w := quietWorld(t, 2)
 	long := step(6, 8, 8, 20000)
@@ -163,73 +163,73 @@
 	is.Equal(w.completed(), 2)
 }
 
-// harmful is for how long on end the platform lets a target be missed because of
-// fillers.
-const harmful = 4 * time.Second
+// maxHarm is the longest uninterrupted time for which the platform tolerates that backfill tasks cause a
+// target to be missed.
+const maxHarm = 4 * time.Second
 
-func TestFillersKeepTargets(t *testing.T) {
+func TestBackfillKeepsTargets(t *testing.T) {
 	tests := map[string]struct {
 		harm   float64
 		faults faults
-		strike func(w *world)
-		// slack is how much longer targets may be missed, as the fault excuses it.
+		inject func(w *world)
+		// slack is how much longer targets may be missed because of the fault.
 		slack time.Duration
 	}{
-		"harmless":              {harm: 0.05},
-		"harmful":               {harm: 0.4},
-		"very harmful":          {harm: 3},
-		"answers lost":          {harm: 0.4, faults: faults{lostAnswer: 0.1, lostRequest: 0.05}, slack: time.Second},
-		"takeover":              {harm: 0.4, strike: func(w *world) { w.takeOver() }, slack: time.Second},
-		"very harmful takeover": {harm: 3, strike: func(w *world) { w.takeOver() }, slack: time.Second},
+		"harmless":               {harm: 0.05},
+		"harmful":                {harm: 0.4},
+		"very harmful":           {harm: 3},
+		"answers lost":           {harm: 0.4, faults: faults{lostAnswer: 0.1, lostRequest: 0.05}, slack: time.Second},
+		"failover":               {harm: 0.4, inject: func(w *world) { w.takeOver() }, slack: time.Second},
+		"very harmful, failover": {harm: 3, inject: func(w *world) { w.takeOver() }, slack: time.Second},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := quietWorld(t, 3)
 			w.fleet.Harm = map[string]float64{"mill": tc.harm}
-			w.submit("web", catalog.Rules{}, serving(6, 8, 8))
+			w.submit("web", catalog.Rules{}, servingStep(6, 8, 8))
 			w.run(time.Second)
 			w.faults = tc.faults
 			for i := range 6 {
 				w.after(time.Duration(i)*4*time.Second, func() {
-					w.submit(fmt.Sprint("mill", i), catalog.Rules{}, filler("mill", 6, 10, 4, 6000))
+					w.submit(fmt.Sprint("mill", i), catalog.Rules{}, backfillStep("mill", 6, 10, 4, 6000))
 				})
 			}
 			w.after(7*time.Second, func() {
-				if tc.strike != nil {
-					tc.strike(w)
+				if tc.inject != nil {
+					tc.inject(w)
 				}
 			})
 			w.run(150 * time.Second)
 			w.check()
 			is := is.New(t)
-			is.True(w.longestOver < harmful+tc.slack)
+			is.True(w.longestOver < maxHarm+tc.slack)
 			is.Equal(w.running("web"), 6)
 			if tc.harm < 1 {
-				is.Equal(w.completed(), 6) // the fillers are served as well
+				is.Equal(w.completed(), 6) // the backfill tasks complete as well
 			}
 		})
 	}
 }
 
-// TestFillersSpread: fillers go where processor time is left over.
-func TestFillersSpread(t *testing.T) {
+// TestBackfillIsSpread checks that backfill tasks are placed where processor time is left over.
+func TestBackfillIsSpread(t *testing.T) {
 	w := quietWorld(t, 4)
 	w.submit("busy", catalog.Rules{}, step(2, 60, 8, 8000))
 	w.run(200 * time.Millisecond)
-	w.submit("mill", catalog.Rules{}, filler("mill", 8, 10, 4, 3000))
+	w.submit("mill", catalog.Rules{}, backfillStep("mill", 8, 10, 4, 3000))
 	w.run(200 * time.Millisecond)
 	w.check()
 	is := is.New(t)
 	for _, h := range w.fleet.Hosts() {
-		busy, fills := 0, 0
+		busy, backfill := 0, 0
 		for _, r := range h.Running() {
 			if r.Task.Job == "busy" {
 				busy++
 			} else {
-				fills++
+				backfill++
 			}
 		}
-		is.True(busy == 0 || fills == 0)
-		is.True(fills <= 4)
+		is.True(busy == 0 || backfill == 0)
+		is.True(backfill <= 4)
 	}
 }
--- a/internal/engine/upkeep_test.go
+++ b/internal/engine/upkeep_test.go
@@ -13,10 +13,10 @@
 	"pulleyquay/internal/upkeep"
 )
 
-// upkeepTakes is how long a machine is down for its upkeep.
+// upkeepTakes is how long the maintenance of a machine takes.
 const upkeepTakes = 2 * time.Second
 
-// addMachines makes each host run on a machine of its own.
+// addMachines gives each host a machine of its own.
 func (w *world) addMachines() {
 	w.begun = map[upkeep.MachineID]bool{}
 	for _, h := range w.fleet.Hosts() {
@@ -25,8 +25,8 @@
 	}
 }
 
-// askWave is an operator's wave over all machines.
-func (w *world) askWave(atOnce int) upkeep.Wave {
+// requestWave requests a maintenance rollout over all machines.
+func (w *world) requestWave(atOnce int) upkeep.Wave {
 	wave := upkeep.Wave{ID: 1, AtOnce: atOnce}
 	for _, m := range w.machines {
 		wave.Machines = append(wave.Machines, m.ID)
@@ -35,7 +35,7 @@
 	return wave
 }
 
-// service carries out the engine's orders to the service for machines.
+// service carries out the engine's orders to the machine service.
 func (w *world) service(e *Engine, o Orders) {
 	for _, u := range o.Upkeeps {
 		w.after(oneWay, func() {
@@ -83,7 +83,7 @@
 	return upkeep.NotInWave
 }
 
-// waves reads the stored progress of waves.
+// waves returns the stored progress of rollouts.
 func (w *world) waves() (out []upkeep.Progress) {
 	for key, value := range w.store {
 		if !strings.HasPrefix(key, "waves/") {
@@ -98,21 +98,20 @@
 	return out
 }
 
-// TestUpkeepKeepsServicesUp: a wave over all machines takes no more of a service's
-// tasks away than it may miss, throws no batch work away, and is said to be
-// completed when it is.
+// TestUpkeepKeepsServicesUp checks that a rollout over all machines takes down no more of a service's
+// tasks than the service tolerates, loses no batch work, and is reported as completed at its end.
 func TestUpkeepKeepsServicesUp(t *testing.T) {
 	tests := map[string]struct {
 		faults faults
-		strike func(w *world, wave upkeep.Wave)
+		inject func(w *world, wave upkeep.Wave)
 	}{
 		"calm":         {},
 		"answers lost": {faults: faults{lostAnswer: 0.1}},
-		"takeover": {strike: func(w *world, wave upkeep.Wave) {
+		"failover": {inject: func(w *world, wave upkeep.Wave) {
 			w.takeOver()
 			w.engine.SetWave(wave)
 		}},
-		"two takeovers, answers lost": {faults: faults{lostAnswer: 0.1}, strike: func(w *world, wave upkeep.Wave) {
+		"two failovers, answers lost": {faults: faults{lostAnswer: 0.1}, inject: func(w *world, wave upkeep.Wave) {
 			w.takeOver()
 			w.after(8*time.Second, func() { w.takeOver(); w.engine.SetWave(wave) })
 		}},
@@ -131,11 +130,11 @@
 					w.submit(fmt.Sprint("batch", i), catalog.Rules{}, step(4, 4, 4, 2500))
 				})
 			}
-			wave := w.askWave(2)
+			wave := w.requestWave(2)
 			w.faults = tc.faults
 			w.run(3 * time.Second)
-			if tc.strike != nil {
-				tc.strike(w, wave)
+			if tc.inject != nil {
+				tc.inject(w, wave)
 			}
 			w.run(150 * time.Second)
 			w.check()
@@ -147,8 +146,8 @@
 	}
 }
 
-// TestBudgetStopsTheWave: while a service already misses as many tasks as it may,
-// no machine is taken down under it.
+// TestBudgetStopsTheWave checks that no machine of a service is taken down while as many tasks of the
+// service are absent as it tolerates.
 func TestBudgetStopsTheWave(t *testing.T) {
 	is := is.New(t)
 	w := quietWorld(t, 4)
@@ -157,8 +156,8 @@
 	web.MayMiss, web.MostPerHost = 1, 2
 	w.submit("web", catalog.Rules{}, web)
 	w.run(2 * time.Second)
-	w.host("h03").Crash() // its two tasks have no other host, as two a host are the most
-	w.askWave(1)
+	w.host("h03").Crash() // its two tasks fit on no other host, as the limit is two per host
+	w.requestWave(1)
 	w.run(20 * time.Second)
 	w.check()
 	is.Equal(w.running("web"), 6)
--- a/internal/engine/urgency.go
+++ b/internal/engine/urgency.go
@@ -2,68 +2,67 @@
 
 import "time"
 
-// urgency says what a job can still reach by when its work can be done.
+// urgency classifies a job by the value that its completion can still have.
 type urgency uint8
 
 const (
-	inTime  urgency = iota // it can complete in the time that its queue promises
-	late                   // it can complete while that is still worth something
-	tooLate                // it is not worth anything any more, but is done all the same
+	onTime  urgency = iota // it can complete within the target duration of its queue
+	late                   // it can complete while that still has value
+	expired                // its completion has no value any more; it is run all the same
 )
 
-// worthless is how many times its promised time a job may take before its
-// completion is worth nothing.
-const worthless = 3
+// expiryFactor is the multiple of its target duration after which the completion of a job has no value.
+const expiryFactor = 3
 
-// slackShare is by how much more than expected the rest of a job may take when it
-// counts as in time: estimates are rough, and a job that just misses its time has
-// taken the place of one that would not have.
-const slackShare = 0.1
+// urgencyMargin is the share by which the remaining work of a job may exceed its estimate while the job
+// counts as on time: estimates are rough, and a job that just misses its target has displaced one that
+// would have met its own.
+const urgencyMargin = 0.1
 
-// urgencyEvery is how often it is worked out again what waiting jobs can reach.
-const urgencyEvery = 250 * time.Millisecond
+// urgencyInterval is the time between two computations of the urgency of waiting jobs.
+const urgencyInterval = 250 * time.Millisecond
 
-// judgeUrgency works out what the job can reach from now on. Jobs whose occurrences
-// have times of their own are left in time.
-func (e *Engine) judgeUrgency(j *job, now time.Time) {
-	if now.Sub(j.judgedAt) < urgencyEvery || j.rec.Graph.Repeat.Times > 0 {
+// updateUrgency classifies the job by its expected completion. Jobs whose occurrences have due times of
+// their own stay on time.
+func (e *Engine) updateUrgency(j *job, now time.Time) {
+	if now.Sub(j.urgencyAt) < urgencyInterval || j.rec.Graph.Repeat.Times > 0 {
 		return
 	}
-	j.judgedAt = now
-	promised, rest := e.promised(j), e.rest(j)
-	took := now.Sub(j.accepted)
+	j.urgencyAt = now
+	targetDuration, remainingDuration := e.targetDuration(j), e.remainingDuration(j)
+	elapsed := now.Sub(j.accepted)
 	switch {
-	case took+rest+time.Duration(slackShare*float64(rest)) <= promised:
-		j.urgency = inTime
-	case took+rest <= worthless*promised:
+	case elapsed+remainingDuration+time.Duration(urgencyMargin*float64(remainingDuration)) <= targetDuration:
+		j.urgency = onTime
+	case elapsed+remainingDuration <= expiryFactor*targetDuration:
 		j.urgency = late
 	default:
-		j.urgency = tooLate
+		j.urgency = expired
 	}
 }
 
-// lastOfAll is 1 for a job that is not worth anything any more, and 0 for others.
-func (j *job) lastOfAll() int {
-	if j.urgency == tooLate {
+// expiredRank returns 1 for an expired job and 0 for others.
+func (j *job) expiredRank() int {
+	if j.urgency == expired {
 		return 1
 	}
 	return 0
 }
 
-// promised is the time in which a job is to be completed: its longest chain of work
-// stretched by its queue's factor, and some more.
-func (e *Engine) promised(j *job) time.Duration {
+// targetDuration returns the time in which a job should complete: its critical path multiplied by the
+// factor of its queue, plus the fixed allowance of the queue.
+func (e *Engine) targetDuration(j *job) time.Duration {
 	rules := j.rec.Rules
 	if rules.Stretch <= 0 {
-		return forever
+		return unboundedDuration
 	}
-	chain := e.chain(j, func(g *group) time.Duration { return g.expected })
-	return time.Duration(rules.Stretch*float64(chain)) + time.Duration(rules.TargetMillis)*time.Millisecond
+	criticalPath := e.criticalPath(j, func(g *group) time.Duration { return g.expected })
+	return time.Duration(rules.Stretch*float64(criticalPath)) + time.Duration(rules.TargetMillis)*time.Millisecond
 }
 
-// rest is how long the job's chain of work still takes at least.
-func (e *Engine) rest(j *job) time.Duration {
-	return e.chain(j, func(g *group) time.Duration {
+// remainingDuration returns the least time that the job's critical path still takes.
+func (e *Engine) remainingDuration(j *job) time.Duration {
+	return e.criticalPath(j, func(g *group) time.Duration {
 		if g.left == 0 {
 			return 0
 		}
@@ -71,17 +70,17 @@
 	})
 }
 
-// chain is the longest chain of steps of one occurrence.
-func (e *Engine) chain(j *job, takes func(*group) time.Duration) time.Duration {
+// criticalPath returns the length of the longest dependency chain of one occurrence.
+func (e *Engine) criticalPath(j *job, duration func(*group) time.Duration) time.Duration {
 	longest := time.Duration(0)
-	upTo := make([]time.Duration, j.steps)
+	pathTo := make([]time.Duration, j.steps)
 	for i := range j.steps {
 		g := j.groups[i]
 		for _, before := range g.step.After {
-			upTo[i] = max(upTo[i], upTo[before])
+			pathTo[i] = max(pathTo[i], pathTo[before])
 		}
-		upTo[i] += takes(g)
-		longest = max(longest, upTo[i])
+		pathTo[i] += duration(g)
+		longest = max(longest, pathTo[i])
 	}
 	return longest
 }
