--- a/internal/fleet/claim.go
+++ b/internal/fleet/claim.go
@@ -10,12 +10,12 @@
 	"pulleyquay/internal/worker"
 )
 
-// errOtherWorker is the outcome of a claim that another worker answered: the
-// host list's address is out of date.
+// errOtherWorker is the outcome of a claim that a different worker answered: the
+// address in the host list is out of date.
 var errOtherWorker = errors.New("fleet: another worker answered at the address")
 
-// claimWorker fences older holders at the worker and takes in its inventory.
-func (f *Fleet) claimWorker(a *agent) {
+// claimWorker fences previous holders at the worker and processes its inventory.
+func (f *Fleet) claimWorker(w *managedWorker) {
 	select {
 	case f.claims <- struct{}{}:
 		defer func() { <-f.claims }()
@@ -23,122 +23,122 @@
 		return
 	}
 	f.mu.Lock()
-	addr := a.addr
+	addr := w.addr
 	f.mu.Unlock()
-	ctx, cancel := context.WithTimeout(f.ctx, f.times.call)
+	ctx, cancel := context.WithTimeout(f.ctx, f.timings.callTimeout)
 	defer cancel()
-	grant, err := f.cfg.Right.Check(a.part.id)
-	if err != nil || grant.Epoch != a.part.epoch {
-		f.delay(a)
+	grant, err := f.cfg.Right.Check(w.heldPartition.id)
+	if err != nil || grant.Epoch != w.heldPartition.epoch {
+		f.backOffUnauthorized(w)
 		return
 	}
 	sent := time.Now()
 	reply, err := f.cfg.Client.Claim(ctx, addr, worker.ClaimRequest{
-		Partition: a.part.id, Epoch: a.part.epoch, Holder: f.cfg.Name,
+		Partition: w.heldPartition.id, Epoch: w.heldPartition.epoch, Holder: f.cfg.Name,
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.gone {
+	if w.removed {
 		return
 	}
 	now := time.Now()
-	if err == nil && reply.Info.Name != a.name {
+	if err == nil && reply.Info.Name != w.name {
 		err = errOtherWorker
 	}
-	f.metrics.claims.WithLabelValues(outcomeLabel(err)).Inc()
+	f.metrics.claims.WithLabelValues(callOutcomeLabel(err)).Inc()
 	switch {
 	case err == nil:
-		f.applyClaim(a, reply, sent, now)
+		f.applyClaim(w, reply, sent, now)
 	case errors.Is(err, worker.ErrFenced):
-		f.moveClaim(a, eventFenced)
+		f.applyClaimEvent(w, eventFenced)
 	default:
-		f.retryLater(a, now)
+		f.scheduleRetry(w, now)
 	}
 }
 
-// delay makes the agent wait when this process has no right to act.
-func (f *Fleet) delay(a *agent) {
+// backOffUnauthorized delays the next call because this process has no authority for the partition.
+func (f *Fleet) backOffUnauthorized(w *managedWorker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.metrics.denied.Inc()
-	f.retryLater(a, time.Now())
+	f.scheduleRetry(w, time.Now())
 }
 
-// applyClaim takes in an inventory. The worker counts as claimed once no start
-// of a lost order is open any more.
-func (f *Fleet) applyClaim(a *agent, reply worker.ClaimReply, sent, now time.Time) {
-	if a.clock.restarted(reply.Now, sent) {
-		a.restarted = true
+// applyClaim processes an inventory. The worker counts as claimed once the outcome
+// of every start in an unanswered order is known.
+func (f *Fleet) applyClaim(w *managedWorker, reply worker.ClaimReply, sent, now time.Time) {
+	if w.clock.restarted(reply.Now, sent) {
+		w.restarted = true
 	}
-	before := a.mayRunUntil
-	a.clock = anchor{reading: reply.Now, at: now}
-	a.info, a.life, a.usage = reply.Info, reply.Life, reply.Usage
-	// The leases in the inventory were renewed before now; older orders that
-	// are still under way are part of lostUntil.
-	a.mayRunUntil = later(a.lostUntil, now.Add(f.times.leaseBound()))
-	f.cell.Upsert(scheduler.Worker{Info: a.info, Addr: a.addr, Partition: a.part.id, Status: a.status()})
-	f.cell.Observe(a.name, a.usage, now)
-	open := f.reconcile(a, reply, before, now)
-	a.heard = sent
-	if open > 0 {
-		f.retryLater(a, now)
+	previousBound := w.leasesEndBy
+	w.clock = clockAnchor{reading: reply.Now, at: now}
+	w.info, w.incarnation, w.usage = reply.Info, reply.Life, reply.Usage
+	// The leases in the inventory were renewed before now; orders that are still
+	// in transit are covered by lostLeasesEndBy.
+	w.leasesEndBy = later(w.lostLeasesEndBy, now.Add(f.timings.leaseBound()))
+	f.cell.Upsert(scheduler.Worker{Info: w.info, Addr: w.addr, Partition: w.heldPartition.id, Status: w.status()})
+	f.cell.Observe(w.name, w.usage, now)
+	openStarts := f.reconcile(w, reply, previousBound, now)
+	w.confirmedAt = sent
+	if openStarts > 0 {
+		f.scheduleRetry(w, now)
 		return
 	}
-	a.restarted = false
-	a.backoff.Reset()
-	a.retryAt, a.renewAt = time.Time{}, now
-	delete(a.part.expected, a.name)
-	f.moveClaim(a, eventClaimed)
-	f.grantWishes(now)
+	w.restarted = false
+	w.backoff.Reset()
+	w.retryAt, w.renewAt = time.Time{}, now
+	delete(w.heldPartition.awaited, w.name)
+	f.applyClaimEvent(w, eventClaimed)
+	f.placeWaitingSlots(now)
 }
 
-// reconcile compares the books with an inventory and returns the number of
-// starts whose outcome is still open: not in the inventory, but in an order
+// reconcile compares the recorded runs with an inventory and returns the number
+// of starts whose outcome is still unknown: not in the inventory, but in an order
 // that the worker would still accept.
 //
-// An inventory proves that a start which was refused for its expiry did not
-// happen. It does not prove that a run is over: the process that answers may
-// have replaced the one that ran it, on another machine with the same address.
-// Such runs lapse: they are lost at the bound of the leases from before.
-func (f *Fleet) reconcile(a *agent, reply worker.ClaimReply, before, now time.Time) int {
-	seen := make(map[worker.Attempt]struct{}, len(reply.Runs))
+// If a start is missing from an inventory taken after its order expired, it did not
+// happen. A missing run has not necessarily ended: the process that answers may have
+// replaced the one that ran it, on another machine with the same address. Such
+// runs are marked missing and declared lost at the previous bound of the leases.
+func (f *Fleet) reconcile(w *managedWorker, reply worker.ClaimReply, previousBound, now time.Time) int {
+	reported := make(map[worker.Attempt]struct{}, len(reply.Runs))
 	for i := range reply.Runs {
 		r := &reply.Runs[i]
-		seen[worker.Attempt{Task: r.Task, Attempt: r.Attempt}] = struct{}{}
-		f.observeRun(a, r, now)
+		reported[worker.Attempt{Task: r.Task, Attempt: r.Attempt}] = struct{}{}
+		f.observeRun(w, r, now)
 	}
-	open := 0
-	for id, r := range a.runs {
-		if _, ok := seen[id]; ok {
+	openStarts := 0
+	for id, r := range w.runs {
+		if _, ok := reported[id]; ok {
 			continue
 		}
 		switch r.state {
 		case runUnknown:
 			switch {
-			case a.restarted:
-				f.lapse(r, before, began(reply, now))
-			case reply.Now <= r.expires:
-				open++
+			case w.restarted:
+				f.markMissing(r, previousBound, incarnationStart(reply, now))
+			case reply.Now <= r.startExpires:
+				openStarts++
 			default:
 				f.endRun(r, taskmsg.RunNever, 0, now)
 			}
 		case runRunning:
-			f.lapse(r, before, began(reply, now))
+			f.markMissing(r, previousBound, incarnationStart(reply, now))
 		case runEnded:
-			f.noteOtherLife(r, began(reply, now))
+			f.reportNewIncarnation(r, incarnationStart(reply, now))
 		case runAcked:
-			f.noteOtherLife(r, began(reply, now))
+			f.reportNewIncarnation(r, incarnationStart(reply, now))
 			if r.state == runAcked {
-				f.forget(r)
+				f.forgetRun(r)
 			}
 		}
 	}
-	return open
+	return openStarts
 }
 
 // restarted reports whether a reading, taken after the local time sent, can only
-// come from a worker that has started anew since the anchor.
-func (c anchor) restarted(reading worker.Millis, sent time.Time) bool {
+// come from a worker that has restarted since the anchor was taken.
+func (c clockAnchor) restarted(reading worker.Millis, sent time.Time) bool {
 	return !c.at.IsZero() && reading < c.expiry(sent)
 }
 
--- a/internal/fleet/claimstate.go
+++ b/internal/fleet/claimstate.go
@@ -8,46 +8,46 @@
 
 // The states of a worker's claim.
 const (
-	claimNone  = "unclaimed" // never claimed with this epoch, or restarted
-	claimHeld  = "claimed"
-	claimDoubt = "doubtful" // an order was lost or not received; claim again
-	claimOver  = "fenced"   // a higher epoch claimed it; nothing more is sent
+	claimUnclaimed = "unclaimed" // not claimed with this epoch, or restarted since
+	claimHeld      = "claimed"
+	claimUncertain = "doubtful" // an order was not received or not answered; claim again
+	claimFenced    = "fenced"   // claimed by a higher epoch; nothing more is sent
 )
 
 // The events of a worker's claim.
 const (
 	eventClaimed   = "claimed"
-	eventLost      = "order-lost"
+	eventOrderLost = "order-lost"
 	eventRestarted = "restarted"
 	eventFenced    = "fenced"
 )
 
-// newClaimMachine returns the machine that all agents share: its state is set
-// to the agent's before each event, which costs no memory per worker.
+// newClaimMachine returns the state machine shared by all workers: its state is
+// set to the worker's before each event, so that it needs no memory per worker.
 func newClaimMachine() *fsm.FSM {
-	return fsm.NewFSM(claimNone, fsm.Events{
-		{Name: eventClaimed, Src: []string{claimNone, claimDoubt}, Dst: claimHeld},
-		{Name: eventLost, Src: []string{claimHeld, claimDoubt}, Dst: claimDoubt},
-		{Name: eventRestarted, Src: []string{claimHeld, claimDoubt, claimNone}, Dst: claimNone},
-		{Name: eventFenced, Src: []string{claimNone, claimHeld, claimDoubt}, Dst: claimOver},
+	return fsm.NewFSM(claimUnclaimed, fsm.Events{
+		{Name: eventClaimed, Src: []string{claimUnclaimed, claimUncertain}, Dst: claimHeld},
+		{Name: eventOrderLost, Src: []string{claimHeld, claimUncertain}, Dst: claimUncertain},
+		{Name: eventRestarted, Src: []string{claimHeld, claimUncertain, claimUnclaimed}, Dst: claimUnclaimed},
+		{Name: eventFenced, Src: []string{claimUnclaimed, claimHeld, claimUncertain}, Dst: claimFenced},
 	}, nil)
 }
 
-// moveClaim applies an event to an agent's claim and reports whether the state
-// changed. An event that does not fit the state leaves it alone.
-func (f *Fleet) moveClaim(a *agent, event string) bool {
-	f.machine.SetState(a.claim)
-	if !f.machine.Can(event) {
+// applyClaimEvent applies an event to a worker's claim and reports whether the state
+// changed. An event that is not valid in the current state is ignored.
+func (f *Fleet) applyClaimEvent(w *managedWorker, event string) bool {
+	f.claimMachine.SetState(w.claimState)
+	if !f.claimMachine.Can(event) {
 		return false
 	}
-	before := a.claim
-	// The only errors left are those for events without a change of state.
-	_ = f.machine.Event(context.Background(), event)
-	a.claim = f.machine.Current()
-	if a.claim == before {
+	before := w.claimState
+	// The only remaining errors are for events that do not change the state.
+	_ = f.claimMachine.Event(context.Background(), event)
+	w.claimState = f.claimMachine.Current()
+	if w.claimState == before {
 		return false
 	}
-	f.log.WithFields(map[string]any{"worker": a.name, "from": before, "to": a.claim}).Info("worker claim changed")
-	f.setStatus(a)
+	f.log.WithFields(map[string]any{"worker": w.name, "from": before, "to": w.claimState}).Info("worker claim changed")
+	f.setStatus(w)
 	return true
 }
--- a/internal/fleet/crash.go
+++ b/internal/fleet/crash.go
@@ -7,63 +7,65 @@
 	"pulleyquay/internal/worker"
 )
 
-// What is known of a run that was lost with its worker. Homes give work up for crashes, so
-// a loss counts as one only if the run was there as its worker ended: the worker has said so
-// just before its next life began. A worker that is silent may be cut off, and be heard again;
-// and what ends on it meanwhile is not heard of, so a run that another life does not know was
-// there once, and maybe not at the end.
+// Evidence about runs that were lost with their worker. Homes fail jobs because of crashes, so
+// a loss counts as a crash only if the run was present when the worker's incarnation ended: the
+// worker has confirmed it just before its next incarnation started. An unresponsive worker may
+// only be disconnected and answer again later. Ends of runs on it in the meantime are not
+// reported, so a run that a new incarnation does not list may have ended before the restart.
 
 const (
-	// justAnswered is how long ago a worker has answered at the most for a connection that
-	// breaks to mean that it broke under the order, and not before it was sent.
-	justAnswered = time.Second
-	// justBefore is how long before the worker's next life began a run was there at the most
-	// for it to have been there at the end of the former one.
-	justBefore = 75 * time.Millisecond
+	// recentReply is the maximum age of a worker's last reply for which a broken connection is
+	// taken to have failed during the order, and not before the order was sent.
+	recentReply = time.Second
+	// presenceWindow is the maximum time between the last confirmation of a run and the start
+	// of the worker's next incarnation for which the run counts as present at the end of the
+	// previous one.
+	presenceWindow = 75 * time.Millisecond
 )
 
-// sight is what is known of the run's loss.
-func (r *run) sight() taskmsg.Sight {
+// lossEvidence returns what is known about how the run was lost.
+func (r *run) lossEvidence() taskmsg.Sight {
 	switch {
-	case !r.begun || !r.otherLife || r.excused:
+	case !r.startConfirmed || !r.newIncarnationSeen || r.crashExempt:
 		return taskmsg.SightNone
-	case r.atEnd:
+	case r.presentAtEnd:
 		return taskmsg.SightCrash
 	}
 	return taskmsg.SightThere
 }
 
-// loseSilent notes that the run's lease is over and its worker silent.
-func (f *Fleet) loseSilent(r *run, now time.Time) {
-	r.excused = r.excused || r.agent.leaving
+// loseUnresponsive declares a run lost whose lease has expired on an unresponsive worker.
+func (f *Fleet) loseUnresponsive(r *run, now time.Time) {
+	r.crashExempt = r.crashExempt || r.managedWorker.leaving
 	f.endRun(r, taskmsg.RunLost, 0, now)
-	r.lostSilent = true
+	r.lostUnresponsive = true
 }
 
-// noteOtherLife notes that the worker has answered without a run that was lost in its
-// silence: it would list that until it is told to forget it. The home is told anew.
-func (f *Fleet) noteOtherLife(r *run, began time.Time) {
-	if !r.lostSilent || r.otherLife {
+// reportNewIncarnation handles that the worker has answered without a run that was declared lost
+// while the worker was unresponsive. The same incarnation would list the run until its end is
+// acknowledged, so this is a new one. The loss is reported to the home again.
+func (f *Fleet) reportNewIncarnation(r *run, startedAt time.Time) {
+	if !r.lostUnresponsive || r.newIncarnationSeen {
 		return
 	}
-	r.meetOtherLife(began)
-	if r.sight() == taskmsg.SightNone {
+	r.recordNewIncarnation(startedAt)
+	if r.lossEvidence() == taskmsg.SightNone {
 		return
 	}
 	r.state = runEnded
-	f.tell(r, taskmsg.RunLost)
+	f.queueUpdate(r, taskmsg.RunLost)
 }
 
-// meetOtherLife notes that another life of the worker has answered, which has begun at a time;
-// zero where that is not known.
-func (r *run) meetOtherLife(began time.Time) {
-	r.otherLife = true
-	r.atEnd = !began.IsZero() && began.Sub(r.agent.heard) <= justBefore
+// recordNewIncarnation records that a new incarnation of the worker, which started at startedAt,
+// has answered; startedAt is zero if not known.
+func (r *run) recordNewIncarnation(startedAt time.Time) {
+	r.newIncarnationSeen = true
+	r.presentAtEnd = !startedAt.IsZero() && startedAt.Sub(r.managedWorker.confirmedAt) <= presenceWindow
 }
 
-// began is when the life that answers a claim has begun, at the latest, or zero where that is
-// not told.
-func began(reply worker.ClaimReply, now time.Time) time.Time {
+// incarnationStart returns the latest possible start of the incarnation that answered a claim,
+// or zero if the reply does not contain it.
+func incarnationStart(reply worker.ClaimReply, now time.Time) time.Time {
 	if reply.Up == 0 {
 		return time.Time{}
 	}
--- a/internal/fleet/crash_test.go
+++ b/internal/fleet/crash_test.go
@@ -11,139 +11,138 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// A holder told the home of each run on a worker that had been silent until its leases were
-// over as if a worker had crashed under it: "worker lost, leases over", and then, at the
-// home, "3 hosts crashed under it". The workers had only been cut off, and answered again in
-// the same life; others had been told to leave. A run counts as one that its worker crashed
-// under when the worker has shown it just before its next life began; where that life began
-// later, the run was there once, and may have ended unheard.
+// These tests guard against reporting runs as crashes that were lost in another way. Workers that
+// were only disconnected until their leases had expired answer again in the same incarnation, and
+// others leave as planned; homes would fail jobs whose tasks crashed no worker. A loss counts as a
+// crash only if the worker has reported the run just before its next incarnation started. If more
+// time lies between, the run may have ended before the restart without being reported.
 
-// lossCase is one way in which a run is lost.
+// lossCase is a sequence of events in which a run is lost.
 type lossCase struct {
-	// before is what goes on before the run's start is ordered, after when it has been.
-	before, after func(b *bench)
-	// later is what goes on once the run was told as lost.
-	later func(b *bench)
-	// seen is what is told with the loss, seenLater what holds in the end.
-	seen, seenLater taskmsg.Sight
+	// beforeStart happens before the start is ordered, afterStart after it.
+	beforeStart, afterStart func(b *testbed)
+	// afterLoss happens after the run was reported as lost.
+	afterLoss func(b *testbed)
+	// want is the evidence reported with the loss, wantFinally the last one reported.
+	want, wantFinally taskmsg.Sight
 }
 
-func (b *bench) worker0() *workersim.Worker { return b.sim.Worker("w0") }
+func (b *testbed) worker0() *workersim.Worker { return b.sim.Worker("w0") }
 
-func (b *bench) faults(f workersim.Faults) { b.worker0().SetFaults(f) }
+func (b *testbed) setFaults(f workersim.Faults) { b.worker0().SetFaults(f) }
 
-// settleIn waits long enough for news, claims and leases.
-func settleIn() { time.Sleep(3 * testLease) }
+// waitForUpdates waits until updates and claims have been processed and leases have expired.
+func waitForUpdates() { time.Sleep(3 * testLease) }
 
-func (b *bench) leave() {
+func (b *testbed) announceDeparture() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts[0].Leaving = true
 }
 
-func (b *bench) stay() {
+func (b *testbed) cancelDeparture() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts[0].Leaving = false
 }
 
-func TestWhichLossesAreSeenAsCrashes(t *testing.T) {
-	silent := workersim.Faults{Unreachable: true}
-	sound := workersim.Faults{}
+func TestWhichLossesCountAsCrashes(t *testing.T) {
+	unreachable := workersim.Faults{Unreachable: true}
+	noFaults := workersim.Faults{}
 	cases := map[string]lossCase{
-		"restarted under it": {
-			after: func(b *bench) { b.worker0().Restart() }, seen: taskmsg.SightCrash, seenLater: taskmsg.SightCrash,
+		"worker restarted": {
+			afterStart: func(b *testbed) { b.worker0().Restart() }, want: taskmsg.SightCrash, wantFinally: taskmsg.SightCrash,
 		},
-		"only silent": {
-			after: func(b *bench) { b.faults(silent) },
-			later: func(b *bench) { b.faults(sound) },
+		"worker unresponsive": {
+			afterStart: func(b *testbed) { b.setFaults(unreachable) },
+			afterLoss:  func(b *testbed) { b.setFaults(noFaults) },
 		},
-		"silent for good": {after: func(b *bench) { b.faults(silent) }},
-		"silent, then restarted": {
-			after:     func(b *bench) { b.faults(silent) },
-			later:     func(b *bench) { b.worker0().Restart(); b.faults(sound) },
-			seenLater: taskmsg.SightThere,
+		"worker unresponsive permanently": {afterStart: func(b *testbed) { b.setFaults(unreachable) }},
+		"worker unresponsive, then restarted": {
+			afterStart:  func(b *testbed) { b.setFaults(unreachable) },
+			afterLoss:   func(b *testbed) { b.worker0().Restart(); b.setFaults(noFaults) },
+			wantFinally: taskmsg.SightThere,
 		},
-		"only silent, restarted long after": {
-			after: func(b *bench) { b.faults(silent) },
-			later: func(b *bench) { b.faults(sound); settleIn(); b.worker0().Restart() },
+		"worker unresponsive, restarted long after": {
+			afterStart: func(b *testbed) { b.setFaults(unreachable) },
+			afterLoss:  func(b *testbed) { b.setFaults(noFaults); waitForUpdates(); b.worker0().Restart() },
 		},
-		"told to leave": {
-			after: func(b *bench) { b.leave(); time.Sleep(time.Second); b.faults(silent) },
-			later: func(b *bench) { b.worker0().Restart(); b.stay(); b.faults(sound) },
+		"worker leaving": {
+			afterStart: func(b *testbed) { b.announceDeparture(); time.Sleep(time.Second); b.setFaults(unreachable) },
+			afterLoss:  func(b *testbed) { b.worker0().Restart(); b.cancelDeparture(); b.setFaults(noFaults) },
 		},
-		"told to leave, restarted before its leases are over": {
-			after: func(b *bench) { b.leave(); time.Sleep(time.Second); b.worker0().Restart() },
+		"worker leaving, restarted before its leases have expired": {
+			afterStart: func(b *testbed) { b.announceDeparture(); time.Sleep(time.Second); b.worker0().Restart() },
 		},
-		"its name went to another machine": {
-			after: func(b *bench) { b.faults(silent) },
-			later: func(b *bench) {
+		"name moved to another machine": {
+			afterStart: func(b *testbed) { b.setFaults(unreachable) },
+			afterLoss: func(b *testbed) {
 				b.sim.Add("w0-new", worker.Info{Name: "w0", Rack: "r0", Zone: "z0", Size: testSize})
 				b.mu.Lock()
 				defer b.mu.Unlock()
 				b.hosts = []platform.Host{{Name: "w0", Role: platform.RoleWorker, Addr: "w0-new", Rack: "r0", Zone: "z0"}}
 			},
 		},
-		"the start hung": {
-			before: func(b *bench) { b.faults(workersim.Faults{Slow: 10 * time.Second}) },
-			after: func(b *bench) {
-				time.Sleep(13 * time.Second) // the worker has refused it by then, as too late
+		"start delayed": {
+			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{Slow: 10 * time.Second}) },
+			afterStart: func(b *testbed) {
+				time.Sleep(13 * time.Second) // by then the worker has refused the expired order
 				b.worker0().Restart()
-				b.faults(sound)
+				b.setFaults(noFaults)
 			},
 		},
-		"the start hung, and another life carried it out and fell silent": {
-			before: func(b *bench) { b.faults(workersim.Faults{Slow: 5 * time.Second, Lifeless: true}) },
-			after: func(b *bench) {
+		"start delayed, carried out by another incarnation that becomes unresponsive": {
+			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{Slow: 5 * time.Second, Lifeless: true}) },
+			afterStart: func(b *testbed) {
 				b.worker0().Restart()
-				b.faults(workersim.Faults{Lifeless: true})
+				b.setFaults(workersim.Faults{Lifeless: true})
 				time.Sleep(testLease / 2)
 				b.is.Equal(b.running(), 1)
-				b.faults(silent)
+				b.setFaults(unreachable)
 			},
 		},
-		"the start hung, and another life turned it away": {
-			before: func(b *bench) { b.faults(workersim.Faults{Slow: 5 * time.Second}) },
-			after: func(b *bench) {
+		"start delayed, refused by another incarnation": {
+			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{Slow: 5 * time.Second}) },
+			afterStart: func(b *testbed) {
 				b.worker0().Restart()
-				b.faults(sound)
+				b.setFaults(noFaults)
 				time.Sleep(testLease / 2)
 				b.is.Equal(b.running(), 0)
 			},
 		},
-		"the connection broke under the start, and it restarted": {
-			before: func(b *bench) { b.faults(workersim.Faults{LoseAnswers: 1}) },
-			after:  func(b *bench) { b.worker0().Restart() }, seen: taskmsg.SightCrash, seenLater: taskmsg.SightCrash,
+		"connection broken during the start, worker restarted": {
+			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{LoseAnswers: 1}) },
+			afterStart:  func(b *testbed) { b.worker0().Restart() }, want: taskmsg.SightCrash, wantFinally: taskmsg.SightCrash,
 		},
-		"the connection broke under the start, and it had been silent": {
-			before: func(b *bench) { time.Sleep(4 * time.Second); b.faults(workersim.Faults{LoseAnswers: 1}) },
-			after:  func(b *bench) { b.worker0().Restart() },
+		"connection broken during the start, no recent reply": {
+			beforeStart: func(b *testbed) { time.Sleep(4 * time.Second); b.setFaults(workersim.Faults{LoseAnswers: 1}) },
+			afterStart:  func(b *testbed) { b.worker0().Restart() },
 		},
-		"the connection broke under the start, and it was only silent": {
-			before: func(b *bench) { b.faults(workersim.Faults{LoseAnswers: 1}) },
-			after:  func(b *bench) { b.faults(silent) },
-			later:  func(b *bench) { b.faults(sound) },
+		"connection broken during the start, worker unresponsive": {
+			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{LoseAnswers: 1}) },
+			afterStart:  func(b *testbed) { b.setFaults(unreachable) },
+			afterLoss:   func(b *testbed) { b.setFaults(noFaults) },
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 1, func(b *bench) { b.tryLoss(c) })
+			runTestbed(t, 1, func(b *testbed) { b.runLossCase(c) })
 		})
 	}
 }
 
-// tryLoss plays one case.
-func (b *bench) tryLoss(c lossCase) {
+// runLossCase runs one case and checks the reported evidence.
+func (b *testbed) runLossCase(c lossCase) {
 	m := b.member("a")
 	defer m.stop()
-	m.take(1, nil)
+	m.accept(1, nil)
 	time.Sleep(testLease)
-	m.put(shapeOf("earlier", 1000, 0), 1) // so that the worker has just answered
-	if c.before != nil {
-		c.before(b)
+	m.placeTasks(shapeOf("earlier", 1000, 0), 1) // so that the worker has replied recently
+	if c.beforeStart != nil {
+		c.beforeStart(b)
 	}
-	m.put(shapeOf("job", 1000, 0), 1)
-	c.after(b)
+	m.placeTasks(shapeOf("job", 1000, 0), 1)
+	c.afterStart(b)
 	id := attempt("job", 0)
 	for range 1000 {
 		if b.home.state(id) == taskmsg.RunLost {
@@ -152,75 +151,75 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	b.is.Equal(b.home.state(id), taskmsg.RunLost)
-	b.is.Equal(b.home.sight(id), c.seen)
-	if c.later != nil {
-		c.later(b)
+	b.is.Equal(b.home.lossEvidence(id), c.want)
+	if c.afterLoss != nil {
+		c.afterLoss(b)
 	}
-	settleIn()
+	waitForUpdates()
 	b.is.Equal(b.home.state(id), taskmsg.RunLost)
-	b.is.Equal(b.home.sight(id), c.seenLater)
+	b.is.Equal(b.home.lossEvidence(id), c.wantFinally)
 }
 
-// TestHomeIsToldWhatWasSeen: what is learned of a worker while the home has not yet
-// acknowledged the loss of a run there is told as well.
-func TestHomeIsToldWhatWasSeen(t *testing.T) {
-	sound, silent := workersim.Faults{}, workersim.Faults{Unreachable: true}
+// TestLaterEvidenceIsReportedToHome checks that evidence found before the home has
+// acknowledged a loss is reported to it as well.
+func TestLaterEvidenceIsReportedToHome(t *testing.T) {
+	noFaults, unreachable := workersim.Faults{}, workersim.Faults{Unreachable: true}
 	cases := map[string]struct {
-		back func(b *bench, m *member) // the worker answers again
-		seen taskmsg.Sight
+		reconnect func(b *testbed, m *member) // the worker answers again
+		want      taskmsg.Sight
 	}{
-		"in another life, while the home is away": {func(b *bench, _ *member) {
-			b.home.setDeaf(true)
+		"in another incarnation, home unavailable": {func(b *testbed, _ *member) {
+			b.home.setUnavailable(true)
 			time.Sleep(2 * testLease)
 			b.worker0().Restart()
-			b.faults(sound)
+			b.setFaults(noFaults)
 			time.Sleep(testLease)
 		}, taskmsg.SightThere},
-		"at once in another life, while the home is away": {func(b *bench, m *member) {
-			b.home.setDeaf(true)
-			b.faults(sound)
+		"soon in another incarnation, home unavailable": {func(b *testbed, m *member) {
+			b.home.setUnavailable(true)
+			b.setFaults(noFaults)
 			time.Sleep(testLease / 2)
-			m.put(shapeOf("beside", 1000, 0), 1) // so that it has just answered
+			m.placeTasks(shapeOf("beside", 1000, 0), 1) // so that it has replied recently
 			b.worker0().Restart()
 			time.Sleep(testLease)
 		}, taskmsg.SightCrash},
-		"in the same life, then in another one, while the home is away": {func(b *bench, _ *member) {
-			b.home.setDeaf(true)
+		"in the same incarnation, then in another, home unavailable": {func(b *testbed, _ *member) {
+			b.home.setUnavailable(true)
 			time.Sleep(2 * testLease)
-			b.faults(sound)
+			b.setFaults(noFaults)
 			time.Sleep(testLease)
 			b.worker0().Restart()
 			time.Sleep(testLease)
 		}, taskmsg.SightNone},
-		"in another life, while the home answers": {func(b *bench, m *member) {
-			b.home.setSlow(newsTimeout - time.Millisecond)
+		"in another incarnation, home slow to reply": {func(b *testbed, m *member) {
+			b.home.setDelay(updateTimeout - time.Millisecond)
 			for b.home.state(attempt("job", 0)) != taskmsg.RunLost {
 				time.Sleep(10 * time.Millisecond)
 			}
 			b.worker0().Restart()
-			b.faults(sound)
+			b.setFaults(noFaults)
 			m.mu.Lock()
-			m.agents["w0"].retryAt = time.Now()
+			m.workers["w0"].retryAt = time.Now()
 			m.mu.Unlock()
 			time.Sleep(testLease)
-			b.home.setSlow(0)
+			b.home.setDelay(0)
 		}, taskmsg.SightThere},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 1, func(b *bench) {
+			runTestbed(t, 1, func(b *testbed) {
 				m := b.member("a")
 				defer m.stop()
-				m.take(1, nil)
+				m.accept(1, nil)
 				synctest.Wait()
-				m.put(shapeOf("job", 1000, 0), 1)
+				m.placeTasks(shapeOf("job", 1000, 0), 1)
 				time.Sleep(time.Second)
-				b.faults(silent)
-				c.back(b, m)
-				b.home.setDeaf(false)
-				settleIn()
+				b.setFaults(unreachable)
+				c.reconnect(b, m)
+				b.home.setUnavailable(false)
+				waitForUpdates()
 				b.is.Equal(b.home.state(attempt("job", 0)), taskmsg.RunLost)
-				b.is.Equal(b.home.sight(attempt("job", 0)), c.seen)
+				b.is.Equal(b.home.lossEvidence(attempt("job", 0)), c.want)
 			})
 		})
 	}
--- a/internal/fleet/driver_test.go
+++ b/internal/fleet/driver_test.go
@@ -12,18 +12,18 @@
 	"pulleyquay/internal/worker"
 )
 
-// gate is a worker.Client that can hold a member's calls back at the very point
-// where the order is complete and its right checked, as a pause of the process
-// there would. What is held back is sent at the resumption, however late.
-type gate struct {
+// pausableClient is a worker.Client that can block a member's calls after the order is
+// complete and the authority checked, like a pause of the process at that point.
+// Blocked calls are sent on resume, however late.
+type pausableClient struct {
 	worker.Client
 	mu     sync.Mutex
-	paused chan struct{} // nil while open
-	// spoil, when set, spoils each order: a planted fault.
-	spoil func(*worker.Order)
+	paused chan struct{} // nil while not paused
+	// corrupt, if set, modifies each order: an injected fault.
+	corrupt func(*worker.Order)
 }
 
-func (g *gate) pause() {
+func (g *pausableClient) pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.paused == nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-func (g *gate) resume() {
+func (g *pausableClient) resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.paused != nil {
@@ -40,9 +40,9 @@
 	}
 }
 
-// pass waits while the gate is closed. It returns a context that the wait has
-// not ended.
-func (g *gate) pass(ctx context.Context) context.Context {
+// waitResumed blocks while the client is paused. After a pause it returns a context
+// without the caller's deadline, so that the call is still sent.
+func (g *pausableClient) waitResumed(ctx context.Context) context.Context {
 	g.mu.Lock()
 	paused := g.paused
 	g.mu.Unlock()
@@ -53,63 +53,63 @@
 	return context.WithoutCancel(ctx)
 }
 
-func (g *gate) Claim(ctx context.Context, addr string, req worker.ClaimRequest) (worker.ClaimReply, error) {
-	return g.Client.Claim(g.pass(ctx), addr, req)
+func (g *pausableClient) Claim(ctx context.Context, addr string, req worker.ClaimRequest) (worker.ClaimReply, error) {
+	return g.Client.Claim(g.waitResumed(ctx), addr, req)
 }
 
-func (g *gate) Order(ctx context.Context, addr string, o worker.Order) (worker.OrderReply, error) {
-	ctx = g.pass(ctx)
-	if g.spoil != nil {
-		g.spoil(&o)
+func (g *pausableClient) Order(ctx context.Context, addr string, o worker.Order) (worker.OrderReply, error) {
+	ctx = g.waitResumed(ctx)
+	if g.corrupt != nil {
+		g.corrupt(&o)
 	}
 	return g.Client.Order(ctx, addr, o)
 }
 
-// wanted is a task that the driver keeps running.
-type wanted struct {
+// desiredTask is a task that the driver keeps running.
+type desiredTask struct {
 	attempt int
-	state   wantedState
-	epoch   uint64 // of the workers' partition when it was asked for
+	state   taskState
+	epoch   uint64 // of the workers' partition at the request
 }
 
-type wantedState int
+type taskState int
 
 const (
-	idle wantedState = iota
-	asked
-	doubt // the call's outcome is unknown
-	runs
+	taskIdle taskState = iota
+	taskRequested
+	taskUncertain // the call's outcome is unknown
+	taskRunning
 )
 
-// driver is a home with one job whose tasks it keeps running: it starts a task
-// again as soon as it is told that the last attempt is over, which is when a
-// wrong report shows as a task in two places.
+// driver is a home with one job whose tasks it keeps running. It starts the next attempt
+// as soon as the previous one is reported as ended, so that a wrong report results in a
+// task that runs twice.
 type driver struct {
-	b     *bench
-	mu    sync.Mutex
-	epoch uint64
-	tasks []wanted
-	deaf  bool
-	// covered is the epoch up to which the workers' partition was reconciled.
-	covered uint64
-	holder  *member
-	done    chan struct{}
+	b           *testbed
+	mu          sync.Mutex
+	epoch       uint64
+	tasks       []desiredTask
+	unavailable bool
+	// reconciled is the last epoch of the workers' partition that was reconciled.
+	reconciled uint64
+	holder     *member
+	done       chan struct{}
 }
 
 const driverJob = "job"
 
-func newDriver(b *bench, tasks int) *driver {
-	d := &driver{b: b, epoch: 1, tasks: make([]wanted, tasks), done: make(chan struct{})}
+func newDriver(b *testbed, tasks int) *driver {
+	d := &driver{b: b, epoch: 1, tasks: make([]desiredTask, tasks), done: make(chan struct{})}
 	for i := range d.tasks {
 		d.tasks[i].attempt = 1
 	}
 	mux := peer.NewMux()
-	peer.Handle(mux, peer.KindTaskNews, d.take)
+	peer.Handle(mux, peer.KindTaskNews, d.accept)
 	b.peers[homeAddr] = mux
 	return d
 }
 
-// run asks for what is missing until ctx ends.
+// run requests missing tasks until ctx ends.
 func (d *driver) run(ctx context.Context) {
 	defer close(d.done)
 	for ctx.Err() == nil {
@@ -128,7 +128,7 @@
 	if !d.reconcile(m, home) {
 		return
 	}
-	d.settleDoubts(m, home)
+	d.stopUncertain(m, home)
 	d.place(m, home)
 }
 
@@ -138,18 +138,18 @@
 	return id
 }
 
-// over makes a task's next attempt due.
-func (t *wanted) over() { t.attempt, t.state = t.attempt+1, idle }
+// nextAttempt makes a task's next attempt due.
+func (t *desiredTask) nextAttempt() { t.attempt, t.state = t.attempt+1, taskIdle }
 
-func (d *driver) take(_ context.Context, n taskmsg.News) (taskmsg.NewsReply, error) {
+func (d *driver) accept(_ context.Context, n taskmsg.News) (taskmsg.NewsReply, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var reply taskmsg.NewsReply
-	if d.deaf {
+	if d.unavailable {
 		return reply, result.New(result.NotReady, result.RanNo, "loading")
 	}
 	for _, r := range n.Runs {
-		d.note(r)
+		d.recordUpdate(r)
 		if r.State != taskmsg.RunRunning {
 			reply.Acked = append(reply.Acked, r.Run)
 		}
@@ -157,27 +157,27 @@
 	return reply, nil
 }
 
-func (d *driver) note(r taskmsg.RunNews) {
+func (d *driver) recordUpdate(r taskmsg.RunNews) {
 	if r.Run.Task.Job != driverJob {
 		return
 	}
 	t := &d.tasks[r.Run.Task.Index]
 	switch {
-	case r.Run.Attempt != t.attempt || t.state == idle:
+	case r.Run.Attempt != t.attempt || t.state == taskIdle:
 	case r.State == taskmsg.RunRunning:
-		t.state, t.epoch = runs, r.Epoch
+		t.state, t.epoch = taskRunning, r.Epoch
 	default:
-		t.over()
+		t.nextAttempt()
 	}
 }
 
-// reconcile asks a new holder what runs, until its inventory is complete.
+// reconcile requests the inventory of a new holder until it is complete.
 func (d *driver) reconcile(m *member, home taskmsg.Home) bool {
 	d.mu.Lock()
 	epoch := m.epoch
-	covered := d.covered >= epoch
+	reconciled := d.reconciled >= epoch
 	d.mu.Unlock()
-	if covered {
+	if reconciled {
 		return true
 	}
 	reply, err := m.inventory(context.Background(), taskmsg.InventoryRequest{Home: home})
@@ -189,28 +189,28 @@
 	seen := map[worker.Attempt]bool{}
 	for _, r := range reply.Runs {
 		seen[r.Run] = true
-		d.note(r)
+		d.recordUpdate(r)
 	}
 	for _, p := range reply.Partitions {
 		if p.ID != d.b.rackPartition() || p.Epoch != epoch || !p.Complete {
 			continue
 		}
 		for i := range d.tasks {
-			if t := &d.tasks[i]; t.state != idle && t.epoch < epoch && !seen[d.attemptID(i)] {
-				t.over()
+			if t := &d.tasks[i]; t.state != taskIdle && t.epoch < epoch && !seen[d.attemptID(i)] {
+				t.nextAttempt()
 			}
 		}
-		d.covered = epoch
+		d.reconciled = epoch
 	}
-	return d.covered >= epoch
+	return d.reconciled >= epoch
 }
 
-// settleDoubts has attempts of unknown outcome stopped.
-func (d *driver) settleDoubts(m *member, home taskmsg.Home) {
+// stopUncertain requests the stop of attempts with unknown outcome.
+func (d *driver) stopUncertain(m *member, home taskmsg.Home) {
 	req := taskmsg.StopRequest{Home: home, Mode: worker.Kill}
 	d.mu.Lock()
 	for i := range d.tasks {
-		if d.tasks[i].state == doubt {
+		if d.tasks[i].state == taskUncertain {
 			req.Runs = append(req.Runs, d.attemptID(i))
 		}
 	}
@@ -225,21 +225,21 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, id := range reply.Unknown {
-		if t := &d.tasks[id.Task.Index]; t.attempt == id.Attempt && t.state == doubt && t.epoch == m.epoch {
-			t.over()
+		if t := &d.tasks[id.Task.Index]; t.attempt == id.Attempt && t.state == taskUncertain && t.epoch == m.epoch {
+			t.nextAttempt()
 		}
 	}
 }
 
-// place asks for the idle tasks in the background.
+// place requests the idle tasks in the background.
 func (d *driver) place(m *member, home taskmsg.Home) {
 	req := taskmsg.PlaceRequest{Home: home, Shape: shapeOf(driverJob, 2000, 0)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range d.tasks {
-		if t := &d.tasks[i]; t.state == idle {
+		if t := &d.tasks[i]; t.state == taskIdle {
 			req.Slots = append(req.Slots, taskmsg.Slot{Index: i, Attempt: t.attempt})
-			t.state, t.epoch = asked, m.epoch
+			t.state, t.epoch = taskRequested, m.epoch
 		}
 	}
 	if len(req.Slots) == 0 {
@@ -249,11 +249,11 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		reply, err := m.place(ctx, req)
-		d.placed(req, reply, err)
+		d.applyReply(req, reply, err)
 	}()
 }
 
-func (d *driver) placed(req taskmsg.PlaceRequest, reply taskmsg.PlaceReply, err error) {
+func (d *driver) applyReply(req taskmsg.PlaceRequest, reply taskmsg.PlaceReply, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	outcomes := map[taskmsg.Slot]taskmsg.Outcome{}
@@ -264,16 +264,16 @@
 	certain := errors.As(err, &e) && e.Ran == result.RanNo
 	for _, s := range req.Slots {
 		t := &d.tasks[s.Index]
-		if t.attempt != s.Attempt || t.state != asked {
+		if t.attempt != s.Attempt || t.state != taskRequested {
 			continue
 		}
 		switch {
 		case certain || outcomes[s] == taskmsg.OutcomeRefused:
-			t.over()
+			t.nextAttempt()
 		case outcomes[s] == taskmsg.OutcomeStarted:
-			t.state = runs
+			t.state = taskRunning
 		default:
-			t.state = doubt
+			t.state = taskUncertain
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet is the holder's side of the workers: it claims the workers of
-// the partitions this process holds, places tasks on them, renews their leases
-// and tells the homes of the jobs what became of each run.
+// Package fleet manages the workers on behalf of a holder: it claims the workers
+// of the partitions this process holds, places tasks on them, renews their leases
+// and reports the outcome of each run to the job's home partition.
 //
-// All state is guarded by one mutex; the scheduler decides under it. Messages to
-// workers and homes are sent outside of it, at most one at a time to each, so
-// that whatever gathers meanwhile goes into the next message.
+// All state is guarded by one mutex, which is also held for scheduling decisions.
+// Messages to workers and homes are sent without holding it, at most one at a time
+// to each, so that what accumulates in the meantime is batched into the next message.
 package fleet
 
 import (
@@ -30,22 +30,22 @@
 // Bounds of a fleet.
 const (
 	defaultLease = 15 * time.Second
-	// tombstones is how many stopped but unknown attempts are remembered.
-	tombstones = 1 << 14
-	// claimsAtOnce bounds the claims in flight, so that a takeover of many
-	// workers does not open as many connections at one moment.
-	claimsAtOnce = 64
-	// scarceFor is how long after a refusal room counts as scarce.
-	scarceFor = 10 * time.Second
+	// maxTombstones bounds the tombstones for attempts that were stopped while unknown.
+	maxTombstones = 1 << 14
+	// maxConcurrentClaims bounds the claims in flight, so that a failover of many
+	// workers does not open that many connections at once.
+	maxConcurrentClaims = 64
+	// scarcityPeriod is how long capacity counts as scarce after a refusal.
+	scarcityPeriod = 10 * time.Second
 )
 
-// Config is what a Fleet needs. Registerer and Log may be nil.
+// Config contains the parameters and dependencies of a Fleet. Registerer and Log may be nil.
 type Config struct {
-	// Name is this member's name, told to the workers.
+	// Name is this member's name, which is sent to the workers with each claim.
 	Name string
 	// Partitions is the number of partitions of the cell.
 	Partitions int
-	// Lease is the term of the runs' leases. It must be the same in all
+	// Lease is the duration of the runs' leases. It must be the same in all
 	// placers of a cell; zero means 15 s.
 	Lease time.Duration
 	// Hosts returns the latest snapshot of the host list.
@@ -54,22 +54,22 @@
 	Client worker.Client
 	Peers  peer.Caller
 	View   view.Source
-	// Covers is the right to renew for dead holders; nil when this process is
-	// never a deputy.
+	// Covers is the authority to renew leases for dead holders; nil when this
+	// process is never a delegate.
 	Covers CoverRight
-	// StoreUp reports whether a majority of the members reaches the store, as
-	// far as this process has heard; nil when there are no deputies in the
-	// cell. While it does not, a deputy that does not hear this process may be
-	// renewing leases in its name.
+	// StoreUp reports whether a majority of the members reaches the store,
+	// according to the heartbeats that this process has received; nil when the cell
+	// has no delegates. While it returns false, a delegate that receives no heartbeats
+	// from this process may be renewing leases on its behalf.
 	StoreUp    func() bool
 	Registerer prometheus.Registerer
 	Log        *logrus.Entry
 }
 
-// Fleet is a hold.Resident for the workers of the held partitions.
+// Fleet is a hold.Resident that manages the workers of the held partitions.
 type Fleet struct {
 	cfg     Config
-	times   times
+	timings timings
 	log     *logrus.Entry
 	metrics *metrics
 	ctx     context.Context
@@ -77,40 +77,41 @@
 	wg      sync.WaitGroup
 	claims  chan struct{} // slots for claims in flight
 
-	mu      sync.Mutex
-	machine *fsm.FSM // shared by all agents; see claimstate.go
-	cell    *scheduler.Cell
-	parts   map[int]*part
-	agents  map[string]*agent
-	runs    map[worker.Attempt]*run
-	homes   map[int]*home
-	tombs   *lru.Cache[worker.Attempt, struct{}]
-	gangs   map[gangKey]*gang
-	wishes  []*wish
-	// lapsing are the runs missing at their workers, with the bound of their
-	// leases.
-	lapsing map[*run]time.Time
-	// left are partitions given up, until when orders of theirs may arrive.
-	left map[int]leftPart
-	// over are the workers above their size, looked at anew at overAt.
-	over   map[string]struct{}
-	overAt time.Time
-	// suspects are the workers that health does not think well of.
-	health   *health.Workers
-	suspects map[string]struct{}
-	// scarceUntil is until when room counts as scarce: requests were refused.
+	mu           sync.Mutex
+	claimMachine *fsm.FSM // shared by all workers; see claimstate.go
+	cell         *scheduler.Cell
+	partitions   map[int]*heldPartition
+	workers      map[string]*managedWorker
+	runs         map[worker.Attempt]*run
+	homes        map[int]*home
+	tombstones   *lru.Cache[worker.Attempt, struct{}]
+	gangs        map[gangKey]*gangHold
+	waitingSlots []*waitingSlot
+	// missingRuns are the runs that their workers no longer list, with the upper
+	// bound for the end of their leases.
+	missingRuns map[*run]time.Time
+	// droppedPartitions holds, for each dropped partition, the time until which its
+	// orders may still arrive.
+	droppedPartitions map[int]droppedPartition
+	// overCapacity is the set of workers over capacity, checked again at nextOverCheck.
+	overCapacity  map[string]struct{}
+	nextOverCheck time.Time
+	// excludedWorkers are the workers whose health state is not good.
+	health          *health.Workers
+	excludedWorkers map[string]struct{}
+	// scarceUntil is the time until which capacity counts as scarce, since requests were refused.
 	scarceUntil time.Time
-	covers      map[int]view.Partition
-	covered     map[string]*covered
-	// storeSince is when the last outage of at least outageMin ended, zero when
-	// there was none in this process's life; storeDown is since when the store
-	// has been out of reach, zero while it is not.
-	storeSince, storeDown time.Time
+	delegations map[int]view.Partition
+	delegated   map[string]*delegated
+	// lastOutageAt is when the last outage of at least minOutage was observed, zero
+	// if there was none since this process started; storeDownSince is when the store
+	// became unreachable, zero while it is reachable.
+	lastOutageAt, storeDownSince time.Time
 }
 
 var _ hold.Resident = (*Fleet)(nil)
 
-// New returns a Fleet that holds nothing. Run has to be running for it to work.
+// New returns a Fleet that holds no partition. It makes no progress unless Run is running.
 func New(cfg Config) *Fleet {
 	if cfg.Lease <= 0 {
 		cfg.Lease = defaultLease
@@ -119,32 +120,32 @@
 	if log == nil {
 		log = logrus.NewEntry(logrus.StandardLogger())
 	}
-	tombs, err := lru.New[worker.Attempt, struct{}](tombstones)
+	tombstones, err := lru.New[worker.Attempt, struct{}](maxTombstones)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Fleet{
-		cfg: cfg, times: timesOf(cfg.Lease), log: log.WithField("part", "fleet"),
+		cfg: cfg, timings: timingsFor(cfg.Lease), log: log.WithField("part", "fleet"),
 		metrics: newMetrics(cfg.Registerer), ctx: ctx, cancel: cancel,
-		claims: make(chan struct{}, claimsAtOnce), machine: newClaimMachine(),
-		cell: scheduler.NewCell(xxhash.Sum64String(cfg.Name)), parts: map[int]*part{}, agents: map[string]*agent{},
-		runs: map[worker.Attempt]*run{}, homes: map[int]*home{}, tombs: tombs,
-		gangs: map[gangKey]*gang{}, over: map[string]struct{}{}, health: health.NewWorkers(health.DefaultConfig()),
-		suspects: map[string]struct{}{}, covers: map[int]view.Partition{}, covered: map[string]*covered{},
-		lapsing: map[*run]time.Time{}, left: map[int]leftPart{},
+		claims: make(chan struct{}, maxConcurrentClaims), claimMachine: newClaimMachine(),
+		cell: scheduler.NewCell(xxhash.Sum64String(cfg.Name)), partitions: map[int]*heldPartition{}, workers: map[string]*managedWorker{},
+		runs: map[worker.Attempt]*run{}, homes: map[int]*home{}, tombstones: tombstones,
+		gangs: map[gangKey]*gangHold{}, overCapacity: map[string]struct{}{}, health: health.NewWorkers(health.DefaultConfig()),
+		excludedWorkers: map[string]struct{}{}, delegations: map[int]view.Partition{}, delegated: map[string]*delegated{},
+		missingRuns: map[*run]time.Time{}, droppedPartitions: map[int]droppedPartition{},
 	}
 }
 
-// Name is the resident's name.
+// Name returns the resident's name, under which its handover state is stored.
 func (f *Fleet) Name() string { return "workers" }
 
-// Run follows the host list, renews leases and repeats what failed until ctx
-// ends; then it ends every call in flight and returns.
+// Run synchronizes with the host list, renews leases and retries failed calls until
+// ctx ends; then it cancels the calls in flight, waits for them and returns.
 func (f *Fleet) Run(ctx context.Context) {
-	ticker := time.NewTicker(f.times.tick)
+	ticker := time.NewTicker(f.timings.tick)
 	defer ticker.Stop()
-	defer f.end()
+	defer f.shutdown()
 	for {
 		select {
 		case <-ctx.Done():
@@ -155,37 +156,38 @@
 	}
 }
 
-// end ends the calls in flight. The mutex keeps spawn from adding to the wait.
-func (f *Fleet) end() {
+// shutdown cancels the calls in flight and waits for them. The mutex prevents spawn
+// from adding to the wait group after the cancellation.
+func (f *Fleet) shutdown() {
 	f.mu.Lock()
 	f.cancel()
 	f.mu.Unlock()
 	f.wg.Wait()
 }
 
-// tick does what is due.
+// tick runs the periodic work.
 func (f *Fleet) tick(now time.Time) {
 	hosts := f.cfg.Hosts()
-	f.follow(hosts, now)
-	f.coverWorkers(hosts, now)
+	f.syncHosts(hosts, now)
+	f.renewDelegated(hosts, now)
 	f.declareLost(now)
 	table := f.cfg.View.Table()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dropMoved(table)
-	f.lapseGangs(now)
-	f.relieve(now)
-	f.grantWishes(now)
-	for _, a := range f.agents {
-		f.kick(a, now)
+	f.dropTransferred(table)
+	f.expireGangHolds(now)
+	f.relieveOverCapacity(now)
+	f.placeWaitingSlots(now)
+	for _, w := range f.workers {
+		f.startDriver(w, now)
 	}
 	for id, h := range f.homes {
-		f.kickNews(id, h, now)
+		f.startUpdateSender(id, h, now)
 	}
 }
 
-// spawn runs fn in a goroutine that Run waits for; not after the end of Run.
-// The caller holds the mutex.
+// spawn runs fn in a goroutine that Run waits for. It returns false once Run is
+// ending. The caller holds the mutex.
 func (f *Fleet) spawn(fn func()) bool {
 	if f.ctx.Err() != nil {
 		return false
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -10,82 +10,82 @@
 	"pulleyquay/internal/worker"
 )
 
-// maxGangHold bounds how long room stays reserved without a start.
+// maxGangHold bounds how long capacity stays reserved without a start.
 const maxGangHold = 30 * time.Second
 
-// gangKey names a gang: the home partition and the job.
+// gangKey identifies a gang by its home partition and job.
 type gangKey struct {
 	home int
 	job  string
 }
 
-// gang is the room held here for some tasks of a gang.
-type gang struct {
+// gangHold is the capacity reserved on this holder's workers for tasks of a gang.
+type gangHold struct {
 	req     taskmsg.GangHold
-	held    map[worker.Attempt]*heldSlot
+	slots   map[worker.Attempt]*heldSlot
 	expires time.Time
 }
 
-// heldSlot is the room for one task.
+// heldSlot is the capacity reserved for one task.
 type heldSlot struct {
-	slot  taskmsg.Slot
-	agent *agent
-	run   scheduler.Run
+	slot          taskmsg.Slot
+	managedWorker *managedWorker
+	run           scheduler.Run
 }
 
-// holdGang reserves room for as many of the slots as there is, without starting
-// anything. Asked again it extends the hold.
+// holdGang reserves capacity for as many of the slots as fit, without starting
+// anything. A repeated request extends the hold.
 func (f *Fleet) holdGang(_ context.Context, req taskmsg.GangHold) (taskmsg.GangHeld, error) {
 	var reply taskmsg.GangHeld
-	err := f.serve(req.Home, func(now time.Time) error {
-		reply = f.hold(req, now)
+	err := f.serveHome(req.Home, func(now time.Time) error {
+		reply = f.updateGangHold(req, now)
 		return nil
 	})
 	return reply, err
 }
 
-func (f *Fleet) hold(req taskmsg.GangHold, now time.Time) taskmsg.GangHeld {
-	f.lapseGangs(now)
+func (f *Fleet) updateGangHold(req taskmsg.GangHold, now time.Time) taskmsg.GangHeld {
+	f.expireGangHolds(now)
 	key := gangKey{req.Home.Partition, req.Shape.Job}
 	g := f.gangs[key]
 	if g != nil && req.Try < g.req.Try {
-		return taskmsg.GangHeld{} // came late
+		return taskmsg.GangHeld{} // message of an earlier try
 	}
 	if g != nil && req.Try > g.req.Try {
 		f.releaseGang(key)
 		g = nil
 	}
 	if g == nil {
-		g = &gang{held: map[worker.Attempt]*heldSlot{}}
+		g = &gangHold{slots: map[worker.Attempt]*heldSlot{}}
 		f.gangs[key] = g
 	}
 	g.req = req
 	g.expires = now.Add(min(time.Duration(req.HoldMS)*time.Millisecond, maxGangHold))
 	var refusal *taskmsg.Refusal
-	if req.Gather || !f.gathering(key) {
+	if req.Gather || !f.otherGangGathering(key) {
 		refusal = f.reserveGang(g, now)
 	} else {
-		refusal = f.refuseForGang()
+		refusal = f.gangRefusal()
 	}
 	reply := taskmsg.GangHeld{Refusal: refusal}
 	for _, s := range req.Slots {
-		if _, ok := g.held[attemptOf(&req.Shape, s)]; ok {
+		if _, ok := g.slots[attemptOf(&req.Shape, s)]; ok {
 			reply.Held = append(reply.Held, s)
 		}
 	}
-	if len(g.held) == 0 && !req.Gather {
+	if len(g.slots) == 0 && !req.Gather {
 		delete(f.gangs, key)
 	}
 	return reply
 }
 
-// reserveGang books the slots that are not held yet.
-func (f *Fleet) reserveGang(g *gang, now time.Time) *taskmsg.Refusal {
+// reserveGang reserves capacity for the slots that have none yet.
+func (f *Fleet) reserveGang(g *gangHold, now time.Time) *taskmsg.Refusal {
 	var runs []scheduler.Run
 	bySlot := map[worker.Attempt]taskmsg.Slot{}
 	for _, s := range g.req.Slots {
 		id := attemptOf(&g.req.Shape, s)
-		if g.held[id] != nil || f.runs[id] != nil || f.tombs.Contains(id) {
+		if g.slots[id] != nil || f.runs[id] != nil || f.tombstones.Contains(id) {
 			continue
 		}
 		r := scheduler.NewRun(&g.req.Shape, g.req.Home.Partition, s)
@@ -98,31 +98,31 @@
 	}
 	placed, refusal := f.cell.Place(scheduler.Ask{Shape: g.req.Shape}, runs, now)
 	for _, p := range placed {
-		g.held[p.Attempt] = &heldSlot{slot: bySlot[p.Attempt], agent: f.agents[p.Worker], run: p.Run}
+		g.slots[p.Attempt] = &heldSlot{slot: bySlot[p.Attempt], managedWorker: f.workers[p.Worker], run: p.Run}
 	}
 	return refusal
 }
 
-// endGang starts all held tasks or releases their room. A start is refused as a
-// whole when any part of the hold is gone; what was started cannot be refused
-// any more, so a repeated start gets the outcomes.
+// endGang starts all held tasks or releases their capacity. A start is refused as a
+// whole when any part of the hold is no longer usable. Started tasks can no longer
+// be refused, so a repeated start returns their outcomes.
 func (f *Fleet) endGang(ctx context.Context, req taskmsg.GangEnd) (taskmsg.PlaceReply, error) {
-	var b *batch
-	err := f.serve(req.Home, func(now time.Time) (err error) {
-		b, err = f.startGang(req, now)
+	var call *pendingCall
+	err := f.serveHome(req.Home, func(now time.Time) (err error) {
+		call, err = f.startGang(req, now)
 		return err
 	})
 	if err != nil {
 		return taskmsg.PlaceReply{}, err
 	}
-	if err := f.await(ctx, b); err != nil {
+	if err := f.await(ctx, call); err != nil {
 		return taskmsg.PlaceReply{}, err
 	}
-	return taskmsg.PlaceReply{Results: b.results}, nil
+	return taskmsg.PlaceReply{Results: call.results}, nil
 }
 
-func (f *Fleet) startGang(req taskmsg.GangEnd, now time.Time) (*batch, error) {
-	f.lapseGangs(now)
+func (f *Fleet) startGang(req taskmsg.GangEnd, now time.Time) (*pendingCall, error) {
+	f.expireGangHolds(now)
 	key := gangKey{req.Home.Partition, req.Job}
 	g := f.gangs[key]
 	if g != nil && g.req.Try != req.Try {
@@ -130,61 +130,62 @@
 	}
 	if !req.Start {
 		f.releaseGang(key)
-		return newBatch(0), nil
+		return newPendingCall(0), nil
 	}
 	if g == nil {
-		return f.startedGang(key)
+		return f.repeatGangStart(key)
 	}
 	delete(f.gangs, key)
 	if f.anyTombstone(g) {
 		f.unreserveGang(g)
 		return nil, result.New(result.GangUnknown, result.RanNo, "job %s: a task of it was stopped before its start", req.Job)
 	}
-	if name := g.broken(f); name != "" {
+	if name := g.firstUnavailable(f); name != "" {
 		f.unreserveGang(g)
 		return nil, result.New(result.GangUnknown, result.RanNo, "job %s: worker %s is not ready any more", req.Job, name)
 	}
-	b := newBatch(len(g.held))
-	for id, h := range g.held {
-		// The only error is a run that is not booked, which broken excludes.
+	call := newPendingCall(len(g.slots))
+	for id, h := range g.slots {
+		// The only error is a run without a reservation, which firstUnavailable excludes.
 		_ = f.cell.Commit(id, now)
-		p := scheduler.Placed{Run: h.run, Choice: scheduler.Choice{Worker: h.agent.name}}
-		b.expect(h.slot, f.queueStart(&g.req.Shape, &p, now))
+		p := scheduler.Placed{Run: h.run, Choice: scheduler.Choice{Worker: h.managedWorker.name}}
+		call.expect(h.slot, f.queueStart(&g.req.Shape, &p, now))
 	}
-	return b, nil
+	return call, nil
 }
 
-// startedGang answers the repeated start of a gang whose tasks run here.
-func (f *Fleet) startedGang(key gangKey) (*batch, error) {
-	b := newBatch(0)
+// repeatGangStart answers the repeated start of a gang whose tasks run here.
+func (f *Fleet) repeatGangStart(key gangKey) (*pendingCall, error) {
+	call := newPendingCall(0)
 	for id, r := range f.runs {
 		if r.home == key.home && id.Task.Job == key.job {
-			f.answerKnown(b, taskmsg.Slot{Index: id.Task.Index, Attempt: id.Attempt}, r)
+			f.addKnownOutcome(call, taskmsg.Slot{Index: id.Task.Index, Attempt: id.Attempt}, r)
 		}
 	}
-	if len(b.results) == 0 {
+	if len(call.results) == 0 {
 		return nil, result.New(result.GangUnknown, result.RanNo, "job %s: no room is held", key.job)
 	}
-	return b, nil
+	return call, nil
 }
 
-// broken names a worker of the hold that can not start its task now, or "".
-func (g *gang) broken(f *Fleet) string {
-	for id, h := range g.held {
-		_, on, booked := f.cell.Find(id)
-		if h.agent.gone || h.agent.part.paused || h.agent.claim != claimHeld || !booked || on != h.agent.name {
-			return h.agent.name
+// firstUnavailable returns the name of a worker that cannot start its task of the
+// hold now, or "".
+func (g *gangHold) firstUnavailable(f *Fleet) string {
+	for id, h := range g.slots {
+		_, on, reserved := f.cell.Find(id)
+		if h.managedWorker.removed || h.managedWorker.heldPartition.paused || h.managedWorker.claimState != claimHeld || !reserved || on != h.managedWorker.name {
+			return h.managedWorker.name
 		}
 	}
 	return ""
 }
 
-// lapseGangs releases the holds whose time has passed, and those of homes that
-// a higher epoch has fenced.
-func (f *Fleet) lapseGangs(now time.Time) {
+// expireGangHolds releases the holds that have expired, and those of homes that a
+// higher epoch has fenced.
+func (f *Fleet) expireGangHolds(now time.Time) {
 	for key, g := range f.gangs {
 		if now.After(g.expires) || g.req.Home.Epoch < f.home(key.home).epoch {
-			f.metrics.holdsLapsed.Inc()
+			f.metrics.holdsExpired.Inc()
 			f.releaseGang(key)
 		}
 	}
@@ -197,8 +198,8 @@
 	}
 }
 
-func (f *Fleet) unreserveGang(g *gang) {
-	for id := range g.held {
+func (f *Fleet) unreserveGang(g *gangHold) {
+	for id := range g.slots {
 		f.cell.Unreserve(id)
 	}
 }
--- a/internal/fleet/gang_test.go
+++ b/internal/fleet/gang_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-// holdFor asks for room for n tasks of a gang.
+// holdFor requests capacity for n tasks of a gang.
 func (m *member) holdFor(job string, n int, epoch uint64) taskmsg.GangHeld {
 	m.b.t.Helper()
 	req := taskmsg.GangHold{Home: taskmsg.Home{Partition: homePartition, Epoch: epoch}, Shape: gangShape(job), HoldMS: 5000}
@@ -37,39 +37,39 @@
 }
 
 func TestGangStartsAllThatIsHeld(t *testing.T) {
-	bubble(t, 2, func(b *bench) {
+	runTestbed(t, 2, func(b *testbed) {
 		m := b.member("a")
 		defer m.stop()
-		m.take(1, nil)
+		m.accept(1, nil)
 		synctest.Wait()
-		b.is.Equal(len(m.holdFor("gang", 20, 1).Held), 16) // two workers of eight
+		b.is.Equal(len(m.holdFor("gang", 20, 1).Held), 16) // eight on each of two workers
 		b.is.Equal(b.running(), 0)
-		b.is.Equal(len(m.holdFor("gang", 20, 1).Held), 16) // asked again: the same
-		b.is.Equal(count(m.put(shapeOf("other", 1000, 0), 1), taskmsg.OutcomeRefused), 1)
+		b.is.Equal(len(m.holdFor("gang", 20, 1).Held), 16) // a repeated request holds the same
+		b.is.Equal(count(m.placeTasks(shapeOf("other", 1000, 0), 1), taskmsg.OutcomeRefused), 1)
 		first, err := m.endOf("gang", true)
 		b.is.NoErr(err)
 		b.is.Equal(count(first.Results, taskmsg.OutcomeStarted), 16)
-		again, err := m.endOf("gang", true) // the answer was lost
+		again, err := m.endOf("gang", true) // as after a lost reply
 		b.is.NoErr(err)
 		b.is.Equal(count(again.Results, taskmsg.OutcomeStarted), 16)
 		b.is.Equal(b.running(), 16)
 	})
 }
 
-// TestGangHoldEnds: each way in which a hold ends without a start frees its
-// room, and a start afterwards starts nothing.
+// TestGangHoldEnds checks for each way in which a hold ends without a start that its
+// capacity is freed and that a later start is refused.
 func TestGangHoldEnds(t *testing.T) {
-	cases := map[string]func(b *bench, m *member){
-		"released": func(b *bench, m *member) {
+	cases := map[string]func(b *testbed, m *member){
+		"released": func(b *testbed, m *member) {
 			_, err := m.endOf("gang", false)
 			b.is.NoErr(err)
 		},
-		"lapsed": func(*bench, *member) { time.Sleep(6 * time.Second) },
-		"partition released": func(b *bench, m *member) {
+		"expired": func(*testbed, *member) { time.Sleep(6 * time.Second) },
+		"partition released": func(b *testbed, m *member) {
 			_, err := m.Release(context.Background(), b.rackPartition())
 			b.is.NoErr(err)
 		},
-		"worker restarted": func(b *bench, _ *member) {
+		"worker restarted": func(b *testbed, _ *member) {
 			b.sim.Worker("w0").Restart()
 			b.sim.Cut("a", "w0", workersim.CutBefore)
 			time.Sleep(4900 * time.Millisecond)
@@ -77,10 +77,10 @@
 	}
 	for name, end := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 2, func(b *bench) {
+			runTestbed(t, 2, func(b *testbed) {
 				m := b.member("a")
 				defer m.stop()
-				m.take(1, nil)
+				m.accept(1, nil)
 				synctest.Wait()
 				time.Sleep(200 * time.Millisecond)
 				b.is.Equal(len(m.holdFor("gang", 16, 1).Held), 16)
@@ -89,22 +89,22 @@
 				b.is.Equal(result.CodeOf(err), result.GangUnknown)
 				b.is.Equal(result.From(err).Ran, result.RanNo)
 				b.is.Equal(b.running(), 0)
-				if name == "partition released" { // and given back
+				if name == "partition released" { // and returned under the same epoch
 					b.is.NoErr(m.Acquire(context.Background(), hold.Takeover{Grant: hold.Grant{Partition: b.rackPartition(), Epoch: 1}}))
 				}
-				b.is.Equal(count(m.put(shapeOf("other", 1000, 0), 8), taskmsg.OutcomeStarted), 8)
+				b.is.Equal(count(m.placeTasks(shapeOf("other", 1000, 0), 8), taskmsg.OutcomeStarted), 8)
 			})
 		})
 	}
 }
 
-// TestGangHoldOfAFencedHome: the room held for a home is free once a higher
-// epoch of it asks.
+// TestGangHoldOfAFencedHome checks that the capacity held for a home is released once
+// a higher epoch of the home sends a request.
 func TestGangHoldOfAFencedHome(t *testing.T) {
-	bubble(t, 1, func(b *bench) {
+	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
 		defer m.stop()
-		m.take(1, nil)
+		m.accept(1, nil)
 		synctest.Wait()
 		b.is.Equal(len(m.holdFor("gang", 8, 1).Held), 8)
 		b.is.Equal(len(m.holdFor("other", 8, 2).Held), 8)
--- a/internal/fleet/gather.go
+++ b/internal/fleet/gather.go
@@ -2,31 +2,31 @@
 
 import "pulleyquay/internal/taskmsg"
 
-// ruleGathering is the rule by which starts are refused while a gang gathers.
+// ruleGathering is the rule named in refusals while capacity is kept for a gang.
 const ruleGathering = "gang-gathering"
 
-// gathering reports whether a gang other than the given one gathers room here
-// and lacks some. The caller has lapsed what is over.
-func (f *Fleet) gathering(but gangKey) bool {
+// otherGangGathering reports whether a gang other than the given one is gathering
+// capacity here and does not have all of it yet. The caller has released expired holds.
+func (f *Fleet) otherGangGathering(except gangKey) bool {
 	for key, g := range f.gangs {
-		if key != but && g.req.Gather && len(g.held) < len(g.req.Slots) {
+		if key != except && g.req.Gather && len(g.slots) < len(g.req.Slots) {
 			return true
 		}
 	}
 	return false
 }
 
-// refuseForGang says that every worker was kept for a gang.
-func (f *Fleet) refuseForGang() *taskmsg.Refusal {
-	n := len(f.agents)
+// gangRefusal returns a refusal stating that every worker is kept for a gang.
+func (f *Fleet) gangRefusal() *taskmsg.Refusal {
+	n := len(f.workers)
 	return &taskmsg.Refusal{Workers: n, ByRule: map[string]int{ruleGathering: n}}
 }
 
-// anyTombstone reports whether the home was told that a held task will not be
-// started here.
-func (f *Fleet) anyTombstone(g *gang) bool {
-	for id := range g.held {
-		if f.tombs.Contains(id) {
+// anyTombstone reports whether the home has been informed that one of the held tasks
+// will not be started here.
+func (f *Fleet) anyTombstone(g *gangHold) bool {
+	for id := range g.slots {
+		if f.tombstones.Contains(id) {
 			return true
 		}
 	}
--- a/internal/fleet/gather_test.go
+++ b/internal/fleet/gather_test.go
@@ -12,8 +12,8 @@
 	"pulleyquay/internal/worker"
 )
 
-// holdTry asks for room for tasks first to first+n-1 as a numbered try, whose
-// attempts carry the same number.
+// holdTry requests capacity for tasks first to first+n-1 as a numbered try, whose
+// attempts have the same number.
 func (m *member) holdTry(try, first, n int, gather bool) []taskmsg.Slot {
 	m.b.t.Helper()
 	req := taskmsg.GangHold{Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Shape: gangShape("gang"), HoldMS: 5000, Try: try, Gather: gather}
@@ -31,23 +31,23 @@
 	return err
 }
 
-// TestGangMessagesOfEarlierTries lets messages of a try come after the next try
-// has begun: they neither start nor release anything.
+// TestGangMessagesOfEarlierTries delivers messages of a try after the next try has
+// begun and checks that they neither start nor release anything.
 func TestGangMessagesOfEarlierTries(t *testing.T) {
-	cases := map[string]func(b *bench, m *member){
-		"start":   func(b *bench, m *member) { b.is.Equal(result.CodeOf(m.endTry(1, true)), result.GangUnknown) },
-		"release": func(b *bench, m *member) { b.is.Equal(result.CodeOf(m.endTry(1, false)), result.GangUnknown) },
-		"hold":    func(b *bench, m *member) { b.is.Equal(len(m.holdTry(1, 0, 8, false)), 0) },
+	cases := map[string]func(b *testbed, m *member){
+		"start":   func(b *testbed, m *member) { b.is.Equal(result.CodeOf(m.endTry(1, true)), result.GangUnknown) },
+		"release": func(b *testbed, m *member) { b.is.Equal(result.CodeOf(m.endTry(1, false)), result.GangUnknown) },
+		"hold":    func(b *testbed, m *member) { b.is.Equal(len(m.holdTry(1, 0, 8, false)), 0) },
 	}
 	for name, late := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 1, func(b *bench) {
+			runTestbed(t, 1, func(b *testbed) {
 				m := b.member("a")
 				defer m.stop()
-				m.take(1, nil)
+				m.accept(1, nil)
 				synctest.Wait()
 				b.is.Equal(len(m.holdTry(1, 0, 8, false)), 8)
-				b.is.Equal(len(m.holdTry(2, 4, 4, false)), 4) // the room of try 1 is free again
+				b.is.Equal(len(m.holdTry(2, 4, 4, false)), 4) // the capacity of try 1 was released
 				late(b, m)
 				b.is.Equal(b.running(), 0)
 				b.is.NoErr(m.endTry(2, true))
@@ -57,12 +57,13 @@
 	}
 }
 
-// TestGangStoppedBeforeItsStart: what the home was told will not start does not.
+// TestGangStoppedBeforeItsStart checks that a held task is not started after it has
+// been reported to the home as unknown.
 func TestGangStoppedBeforeItsStart(t *testing.T) {
-	bubble(t, 1, func(b *bench) {
+	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
 		defer m.stop()
-		m.take(1, func(t *hold.Takeover) { t.Fresh = true })
+		m.accept(1, func(t *hold.Takeover) { t.Fresh = true })
 		synctest.Wait()
 		b.is.Equal(len(m.holdTry(1, 0, 8, false)), 8)
 		id := worker.Attempt{Attempt: 1}
@@ -77,20 +78,21 @@
 	})
 }
 
-// TestGatheringKeepsRoom: while a gang gathers, only urgent work starts.
-func TestGatheringKeepsRoom(t *testing.T) {
-	bubble(t, 1, func(b *bench) {
+// TestGatheringReservesCapacity checks that a job that is not urgent is refused while a gang
+// is gathering capacity, and placed afterwards.
+func TestGatheringReservesCapacity(t *testing.T) {
+	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
 		defer m.stop()
-		m.take(1, nil)
+		m.accept(1, nil)
 		synctest.Wait()
-		b.is.Equal(len(m.holdTry(1, 0, 12, true)), 8) // four short
+		b.is.Equal(len(m.holdTry(1, 0, 12, true)), 8) // four slots missing
 		b.is.NoErr(m.endTry(1, false))
-		b.is.Equal(count(m.put(shapeOf("a", 1000, 0), 4), taskmsg.OutcomeStarted), 4)
+		b.is.Equal(count(m.placeTasks(shapeOf("a", 1000, 0), 4), taskmsg.OutcomeStarted), 4)
 		time.Sleep(10 * time.Second) // until the workers report usage again
 		b.is.Equal(len(m.holdTry(2, 0, 8, true)), 4)
-		b.is.Equal(count(m.put(shapeOf("b", 1000, 0), 1), taskmsg.OutcomeRefused), 1)
+		b.is.Equal(count(m.placeTasks(shapeOf("b", 1000, 0), 1), taskmsg.OutcomeRefused), 1)
 		b.is.NoErr(m.endTry(2, false))
-		b.is.Equal(count(m.put(shapeOf("b", 1000, 0), 1), taskmsg.OutcomeStarted), 1)
+		b.is.Equal(count(m.placeTasks(shapeOf("b", 1000, 0), 1), taskmsg.OutcomeStarted), 1)
 	})
 }
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -30,32 +30,32 @@
 	testLease      = 15 * time.Second
 	homeAddr       = "home:1"
 	homePartition  = 3
-	rightTerm      = 6 * time.Second
+	authorityTerm  = 6 * time.Second
 )
 
-// rights is a hold.Right that a test moves by hand.
-type rights struct {
+// fakeAuthority is a hold.Right controlled by the test.
+type fakeAuthority struct {
 	mu     sync.Mutex
 	epochs map[int]uint64
-	// revoked is set when no further right is granted; granted is the end of
-	// the last one.
-	revoked bool
-	granted time.Time
-	// onCheck is called before the next check, once.
+	// revoked is set when no further authority is granted; grantedUntil is when the
+	// last one granted expires.
+	revoked      bool
+	grantedUntil time.Time
+	// onCheck is called once, before the next check.
 	onCheck func()
-	// eternal grants whatever happens: a planted fault.
-	eternal bool
+	// neverExpires makes every check succeed: an injected fault.
+	neverExpires bool
 }
 
-// revoke ends the granting and returns the end of the last right granted.
-func (r *rights) revoke() time.Time {
+// revoke stops further grants and returns when the last one expires.
+func (r *fakeAuthority) revoke() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revoked = true
-	return r.granted
+	return r.grantedUntil
 }
 
-func (r *rights) Check(p int) (hold.Grant, error) {
+func (r *fakeAuthority) Check(p int) (hold.Grant, error) {
 	r.mu.Lock()
 	hook := r.onCheck
 	r.onCheck = nil
@@ -68,16 +68,16 @@
 	if r.epochs[p] == 0 {
 		return hold.Grant{}, result.New(result.NotHolder, result.RanNo, "partition %d", p)
 	}
-	if !r.revoked || r.eternal {
-		r.granted = time.Now().Add(rightTerm)
+	if !r.revoked || r.neverExpires {
+		r.grantedUntil = time.Now().Add(authorityTerm)
 	}
-	if !time.Now().Before(r.granted) {
+	if !time.Now().Before(r.grantedUntil) {
 		return hold.Grant{}, result.New(result.RightLapsed, result.RanNo, "partition %d", p)
 	}
-	return hold.Grant{Partition: p, Epoch: r.epochs[p], Until: r.granted}, nil
+	return hold.Grant{Partition: p, Epoch: r.epochs[p], Until: r.grantedUntil}, nil
 }
 
-func (r *rights) Held() []int {
+func (r *fakeAuthority) Held() []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []int
@@ -89,114 +89,116 @@
 	return out
 }
 
-func (r *rights) set(p int, epoch uint64) {
+func (r *fakeAuthority) setHeld(p int, epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.epochs[p] = epoch
 }
 
-// homeStub is the home of all jobs: it remembers the news and acknowledges ends.
-type homeStub struct {
-	mu      sync.Mutex
-	news    map[worker.Attempt]taskmsg.RunState
-	orphans map[string]bool // by job
-	deaf    bool
-	// sights are what the last news of lost runs told of them.
-	sights map[worker.Attempt]taskmsg.Sight
-	// slow is how long an answer takes.
-	slow time.Duration
+// fakeHome is the home of all jobs: it records updates and acknowledges ends.
+type fakeHome struct {
+	mu          sync.Mutex
+	states      map[worker.Attempt]taskmsg.RunState
+	orphans     map[string]bool // by job
+	unavailable bool
+	// evidence is what the last update of each run reported about its loss.
+	evidence map[worker.Attempt]taskmsg.Sight
+	// delay is the time before a reply.
+	delay time.Duration
 }
 
-func (h *homeStub) take(_ context.Context, n taskmsg.News) (taskmsg.NewsReply, error) {
-	reply, slow, err := h.answer(n)
-	time.Sleep(slow)
+func (h *fakeHome) accept(_ context.Context, n taskmsg.News) (taskmsg.NewsReply, error) {
+	reply, delay, err := h.answer(n)
+	time.Sleep(delay)
 	return reply, err
 }
 
-func (h *homeStub) setSlow(slow time.Duration) {
+func (h *fakeHome) setDelay(delay time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.slow = slow
+	h.delay = delay
 }
 
-func (h *homeStub) answer(n taskmsg.News) (taskmsg.NewsReply, time.Duration, error) {
+func (h *fakeHome) answer(n taskmsg.News) (taskmsg.NewsReply, time.Duration, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var reply taskmsg.NewsReply
-	if h.deaf {
+	if h.unavailable {
 		return reply, 0, result.New(result.NotReady, result.RanNo, "loading")
 	}
 	for _, r := range n.Runs {
-		h.news[r.Run] = r.State
-		h.note(r)
+		h.states[r.Run] = r.State
+		h.recordEvidence(r)
 		if h.orphans[r.Run.Task.Job] {
 			reply.Orphans = append(reply.Orphans, r.Run)
 		} else if r.State != taskmsg.RunRunning {
 			reply.Acked = append(reply.Acked, r.Run)
 		}
 	}
-	return reply, h.slow, nil
+	return reply, h.delay, nil
 }
 
-// note keeps what is told of how a run was lost.
-func (h *homeStub) note(r taskmsg.RunNews) {
-	if h.sights == nil {
-		h.sights = map[worker.Attempt]taskmsg.Sight{}
+// recordEvidence records the evidence in an update of a run.
+func (h *fakeHome) recordEvidence(r taskmsg.RunNews) {
+	if h.evidence == nil {
+		h.evidence = map[worker.Attempt]taskmsg.Sight{}
 	}
-	h.sights[r.Run] = taskmsg.SightNone
+	h.evidence[r.Run] = taskmsg.SightNone
 	if r.State == taskmsg.RunLost {
-		h.sights[r.Run] = r.Sight()
+		h.evidence[r.Run] = r.Sight()
 	}
 }
 
-// crashSeen reports whether the last news of a run was that a crash under it was seen.
-func (h *homeStub) crashSeen(id worker.Attempt) bool { return h.sight(id) == taskmsg.SightCrash }
+// crashReported reports whether the last update of a run reported its loss as a crash.
+func (h *fakeHome) crashReported(id worker.Attempt) bool {
+	return h.lossEvidence(id) == taskmsg.SightCrash
+}
 
-// sight is what the last news of a run told of its loss.
-func (h *homeStub) sight(id worker.Attempt) taskmsg.Sight {
+// lossEvidence returns what the last update of a run reported about its loss.
+func (h *fakeHome) lossEvidence(id worker.Attempt) taskmsg.Sight {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.sights[id]
+	return h.evidence[id]
 }
 
-func (h *homeStub) state(id worker.Attempt) taskmsg.RunState {
+func (h *fakeHome) state(id worker.Attempt) taskmsg.RunState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.news[id]
+	return h.states[id]
 }
 
-func (h *homeStub) setDeaf(deaf bool) {
+func (h *fakeHome) setUnavailable(unavailable bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.deaf = deaf
+	h.unavailable = unavailable
 }
 
-// bench is a cell of stand-in workers with one home, for tests in a bubble.
-type bench struct {
+// testbed is a cell of simulated workers with one home, for tests with fake time.
+type testbed struct {
 	t     *testing.T
 	is    *is.I
 	judge *judge.Judge
 	sim   *workersim.Fleet
-	home  *homeStub
+	home  *fakeHome
 	peers peer.Local
 
 	mu    sync.Mutex
 	hosts []platform.Host
-	all   map[string]platform.Host // also those not listed now
+	all   map[string]platform.Host // including those not listed now
 	table view.Table
 }
 
 var testSize = spec.Resources{MilliCPU: 8000, MemoryMiB: 8000}
 
-// newBench makes a cell of n workers, all in one rack.
-func newBench(t *testing.T, n int) *bench {
+// newTestbed returns a cell of n workers, all in one rack.
+func newTestbed(t *testing.T, n int) *testbed {
 	j := judge.New()
-	b := &bench{
+	b := &testbed{
 		t: t, is: is.New(t), judge: j, sim: workersim.NewFleet(j), peers: peer.Local{}, all: map[string]platform.Host{},
-		home: &homeStub{news: map[worker.Attempt]taskmsg.RunState{}, orphans: map[string]bool{}},
+		home: &fakeHome{states: map[worker.Attempt]taskmsg.RunState{}, orphans: map[string]bool{}},
 	}
 	mux := peer.NewMux()
-	peer.Handle(mux, peer.KindTaskNews, b.home.take)
+	peer.Handle(mux, peer.KindTaskNews, b.home.accept)
 	b.peers[homeAddr] = mux
 	b.table.Partitions = []view.Partition{{ID: homePartition, Holder: "home", Addr: homeAddr, Epoch: 1}}
 	for i := range n {
@@ -210,13 +212,13 @@
 	return b
 }
 
-func (b *bench) Hosts() []platform.Host {
+func (b *testbed) Hosts() []platform.Host {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]platform.Host(nil), b.hosts...)
 }
 
-func (b *bench) Table() *view.Table {
+func (b *testbed) Table() *view.Table {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	table := b.table
@@ -224,10 +226,10 @@
 	return &table
 }
 
-func (b *bench) Settings() *settings.Tree { return nil }
+func (b *testbed) Settings() *settings.Tree { return nil }
 
-// setEpoch writes a partition's epoch to the table.
-func (b *bench) setEpoch(id int, epoch uint64) {
+// setEpoch sets a partition's epoch in the table.
+func (b *testbed) setEpoch(id int, epoch uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range b.table.Partitions {
@@ -239,26 +241,26 @@
 	b.table.Partitions = append(b.table.Partitions, view.Partition{ID: id, Epoch: epoch})
 }
 
-func (b *bench) rackPartition() int { return partition.OfRack("r0", testPartitions) }
+func (b *testbed) rackPartition() int { return partition.OfRack("r0", testPartitions) }
 
-// member is one placer of the bench.
+// member is one placer of the testbed.
 type member struct {
 	*Fleet
-	b      *bench
-	right  *rights
-	gate   *gate  // in trials
-	epoch  uint64 // in trials
-	cancel context.CancelFunc
-	done   chan struct{}
+	b              *testbed
+	authority      *fakeAuthority
+	pausableClient *pausableClient // in simulations
+	epoch          uint64          // in simulations
+	cancel         context.CancelFunc
+	done           chan struct{}
 }
 
-// member starts a placer that holds nothing yet.
-func (b *bench) member(name string, edits ...func(*Config)) *member {
+// member starts a placer that holds no partition yet.
+func (b *testbed) member(name string, edits ...func(*Config)) *member {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	m := &member{b: b, right: &rights{epochs: map[int]uint64{}}, done: make(chan struct{})}
+	m := &member{b: b, authority: &fakeAuthority{epochs: map[int]uint64{}}, done: make(chan struct{})}
 	cfg := Config{
-		Name: name, Partitions: testPartitions, Lease: testLease, Hosts: b.Hosts, Right: m.right,
+		Name: name, Partitions: testPartitions, Lease: testLease, Hosts: b.Hosts, Right: m.authority,
 		Client: b.sim.Caller(name), Peers: b.peers, View: b, Log: logrus.NewEntry(log),
 	}
 	for _, edit := range edits {
@@ -271,16 +273,16 @@
 	return m
 }
 
-// stop ends the placer as a kill does: without a word to anyone.
+// stop ends the placer like a kill: without a handover.
 func (m *member) stop() {
 	m.cancel()
 	<-m.done
 }
 
-// take makes the member the holder of the workers' partition.
-func (m *member) take(epoch uint64, edit func(*hold.Takeover)) {
+// accept makes the member the holder of the workers' partition.
+func (m *member) accept(epoch uint64, edit func(*hold.Takeover)) {
 	p := m.b.rackPartition()
-	m.right.set(p, epoch)
+	m.authority.setHeld(p, epoch)
 	m.b.setEpoch(p, epoch)
 	t := hold.Takeover{Grant: hold.Grant{Partition: p, Epoch: epoch}}
 	if edit != nil {
@@ -296,8 +298,8 @@
 	}
 }
 
-// put asks for n tasks of a job and returns the outcomes.
-func (m *member) put(shape taskmsg.Shape, n int) []taskmsg.SlotResult {
+// placeTasks requests n tasks of a job and returns the outcomes.
+func (m *member) placeTasks(shape taskmsg.Shape, n int) []taskmsg.SlotResult {
 	req := taskmsg.PlaceRequest{Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Shape: shape}
 	for i := range n {
 		req.Slots = append(req.Slots, taskmsg.Slot{Index: i, Attempt: 1})
@@ -321,8 +323,8 @@
 	return n
 }
 
-// running counts the runs that the workers say are running.
-func (b *bench) running() int {
+// running counts the runs that the workers report as running.
+func (b *testbed) running() int {
 	n := 0
 	for _, h := range b.Hosts() {
 		for _, r := range b.sim.Worker(h.Addr).Runs() {
@@ -334,8 +336,8 @@
 	return n
 }
 
-// held fails the test when the judge saw a breach.
-func (b *bench) held() {
+// requireNoViolations fails the test for each violation found by the checker.
+func (b *testbed) requireNoViolations() {
 	b.t.Helper()
 	b.sim.Settle()
 	for _, v := range b.judge.Violations(time.Now()) {
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -7,65 +7,65 @@
 	"pulleyquay/internal/platform"
 )
 
-// follow brings the agents in line with the host list. The list is a hint: a
-// worker that is missing from it takes nothing new, but its runs are renewed as
-// long as it answers, and it is forgotten only when nothing can run on it.
-func (f *Fleet) follow(hosts []platform.Host, now time.Time) {
+// syncHosts updates the workers from the host list. The list is a hint: a worker
+// that is missing from it receives no new tasks, but its leases are renewed as long
+// as it answers, and it is removed only when nothing can be running on it.
+func (f *Fleet) syncHosts(hosts []platform.Host, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	listed := make(map[string]struct{}, len(f.agents))
+	listed := make(map[string]struct{}, len(f.workers))
 	for i := range hosts {
 		if hosts[i].Role == platform.RoleWorker {
-			f.followHost(&hosts[i], listed, now)
+			f.syncHost(&hosts[i], listed, now)
 		}
 	}
-	for name, a := range f.agents {
+	for name, w := range f.workers {
 		if _, ok := listed[name]; ok {
 			continue
 		}
-		if a.listed {
-			a.listed = false
-			f.setStatus(a)
+		if w.listed {
+			w.listed = false
+			f.setStatus(w)
 		}
-		if len(a.runs) == 0 && now.After(a.mayRunUntil) {
-			f.dropAgent(a)
+		if len(w.runs) == 0 && now.After(w.leasesEndBy) {
+			f.removeWorker(w)
 		}
 	}
 }
 
-// readdress sends further calls to a new address. Another machine may answer
-// there while the old one still runs tasks, so this waits until nothing can
-// run at the old address.
-func (f *Fleet) readdress(a *agent, addr string, now time.Time) {
-	if a.addr == addr || a.busy || f.liveRuns(a) > 0 && !now.After(a.mayRunUntil) {
+// changeAddress sends further calls to a new address. Another machine may answer
+// there while the old one still runs tasks, so the change is deferred until nothing
+// can be running at the old address.
+func (f *Fleet) changeAddress(w *managedWorker, addr string, now time.Time) {
+	if w.addr == addr || w.busy || f.countLiveRuns(w) > 0 && !now.After(w.leasesEndBy) {
 		return
 	}
-	a.addr, a.clock, a.retryAt = addr, anchor{}, time.Time{}
-	a.restarted = true
-	for _, r := range a.runs {
-		r.excused = true
+	w.addr, w.clock, w.retryAt = addr, clockAnchor{}, time.Time{}
+	w.restarted = true
+	for _, r := range w.runs {
+		r.crashExempt = true
 	}
-	f.moveClaim(a, eventRestarted)
+	f.applyClaimEvent(w, eventRestarted)
 }
 
-func (f *Fleet) followHost(h *platform.Host, listed map[string]struct{}, now time.Time) {
-	p := f.parts[partition.OfRack(h.Rack, f.cfg.Partitions)]
-	a := f.agents[h.Name]
+func (f *Fleet) syncHost(h *platform.Host, listed map[string]struct{}, now time.Time) {
+	p := f.partitions[partition.OfRack(h.Rack, f.cfg.Partitions)]
+	w := f.workers[h.Name]
 	if p == nil {
-		return // not ours, or no longer: the agent counts as not listed
+		return // the partition is not held: the worker counts as not listed
 	}
-	if a != nil && a.part != p {
-		return // moved to another rack: wait until its old agent is forgotten
+	if w != nil && w.heldPartition != p {
+		return // moved to another rack: wait until its old entry is removed
 	}
 	listed[h.Name] = struct{}{}
-	if a == nil {
-		f.kick(f.newAgent(*h, p, now), now)
+	if w == nil {
+		f.startDriver(f.addWorker(*h, p, now), now)
 		return
 	}
-	f.readdress(a, h.Addr, now)
-	if a.listed && a.leaving == h.Leaving {
+	f.changeAddress(w, h.Addr, now)
+	if w.listed && w.leaving == h.Leaving {
 		return
 	}
-	a.listed, a.leaving = true, h.Leaving
-	f.setStatus(a)
+	w.listed, w.leaving = true, h.Leaving
+	f.setStatus(w)
 }
--- a/internal/fleet/loss.go
+++ b/internal/fleet/loss.go
@@ -9,103 +9,103 @@
 )
 
 const (
-	// outageMin is how long the store is out of reach before it counts as an
-	// outage in which deputies act.
-	outageMin = 2 * time.Second
-	// coverTerm bounds how long a deputy's right outlives the store's return.
-	coverTerm = 10 * time.Second
+	// minOutage is how long the store must be unreachable to count as an outage
+	// in which delegates act.
+	minOutage = 2 * time.Second
+	// delegateTerm bounds how long a delegate's authority lasts after the store
+	// is reachable again.
+	delegateTerm = 10 * time.Second
 )
 
-// noteStore follows whether the store has been reached without a break.
-func (f *Fleet) noteStore(now time.Time) {
-	up := f.cfg.StoreUp == nil || f.cfg.StoreUp() // before the mutex: it may have its own
+// trackStore records since when the store has been continuously reachable or unreachable.
+func (f *Fleet) trackStore(now time.Time) {
+	up := f.cfg.StoreUp == nil || f.cfg.StoreUp() // called without the mutex, since it may lock one of its own
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case up:
-		f.storeDown = time.Time{}
-	case f.storeDown.IsZero():
-		f.storeDown = now
+		f.storeDownSince = time.Time{}
+	case f.storeDownSince.IsZero():
+		f.storeDownSince = now
 	}
-	if !up && now.Sub(f.storeDown) >= outageMin {
-		f.storeSince = now
+	if !up && now.Sub(f.storeDownSince) >= minOutage {
+		f.lastOutageAt = now
 	}
 }
 
-// mayDeclare reports whether no deputy can have renewed leases in this
-// process's name lately: the store has been there for as long as a deputy's
-// last renewal can be in force.
-func (f *Fleet) mayDeclare(now time.Time) bool {
-	return f.cfg.StoreUp == nil || now.Sub(f.storeSince) > f.times.leaseBound()+coverTerm
+// mayDeclareLoss reports whether no lease renewed by a delegate on behalf of this
+// process can still be valid: the store has been reachable for longer than a
+// delegate's last renewal can last.
+func (f *Fleet) mayDeclareLoss(now time.Time) bool {
+	return f.cfg.StoreUp == nil || now.Sub(f.lastOutageAt) > f.timings.leaseBound()+delegateTerm
 }
 
-// declareLost ends the runs whose leases are certainly over: all those of
-// workers that do not answer, and those missing at workers that do. The right
-// is asked for after the time has passed: while it is held no other holder can
-// have renewed them.
+// declareLost ends the runs whose leases have certainly expired: all runs of
+// unresponsive workers, and the missing runs of others. The authority is checked
+// after the expiry: while it is held, no other holder can have renewed the leases.
 func (f *Fleet) declareLost(now time.Time) {
-	f.noteStore(now)
-	for _, p := range f.lossDue(now) {
+	f.trackStore(now)
+	for _, p := range f.partitionsWithLosses(now) {
 		grant, err := f.cfg.Right.Check(p.id)
 		if err != nil || grant.Epoch != p.epoch {
 			continue
 		}
-		f.declareIn(p, now)
+		f.declareLostIn(p, now)
 	}
 }
 
-// lossDue lists the partitions with runs to be declared lost.
-func (f *Fleet) lossDue(now time.Time) []*part {
+// partitionsWithLosses lists the partitions with runs to be declared lost.
+func (f *Fleet) partitionsWithLosses(now time.Time) []*heldPartition {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.mayDeclare(now) {
+	if !f.mayDeclareLoss(now) {
 		return nil
 	}
-	due := map[*part]struct{}{}
-	for _, a := range f.agents {
-		if len(a.runs) > 0 && a.silent(now) {
-			due[a.part] = struct{}{}
+	due := map[*heldPartition]struct{}{}
+	for _, w := range f.workers {
+		if len(w.runs) > 0 && w.unresponsive(now) {
+			due[w.heldPartition] = struct{}{}
 		}
 	}
-	for r, until := range f.lapsing {
+	for r, until := range f.missingRuns {
 		if now.After(until) {
-			due[r.agent.part] = struct{}{}
+			due[r.managedWorker.heldPartition] = struct{}{}
 		}
 	}
 	return slices.Collect(maps.Keys(due))
 }
 
-// declareIn declares what is due in a partition whose right was just checked.
-func (f *Fleet) declareIn(p *part, now time.Time) {
+// declareLostIn declares the due losses of a partition whose authority was just checked.
+func (f *Fleet) declareLostIn(p *heldPartition, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, a := range f.agents {
-		if a.part == p && a.silent(now) {
-			f.loseAll(a, now)
+	for _, w := range f.workers {
+		if w.heldPartition == p && w.unresponsive(now) {
+			f.loseAllRuns(w, now)
 		}
 	}
-	for r, until := range f.lapsing {
-		if r.agent.part == p && !r.agent.gone && now.After(until) {
+	for r, until := range f.missingRuns {
+		if r.managedWorker.heldPartition == p && !r.managedWorker.removed && now.After(until) {
 			f.endRun(r, taskmsg.RunLost, 0, now)
 		}
 	}
 }
 
-// silent reports whether the worker does not answer and all leases on it are
-// over. A worker fenced by a higher epoch is not silent: its runs go on.
-func (a *agent) silent(now time.Time) bool {
-	return (a.claim == claimNone || a.claim == claimDoubt) && now.After(a.mayRunUntil)
+// unresponsive reports whether the worker does not answer and all leases on it have
+// expired. A worker claimed by a higher epoch does not count: its runs continue.
+func (w *managedWorker) unresponsive(now time.Time) bool {
+	return (w.claimState == claimUnclaimed || w.claimState == claimUncertain) && now.After(w.leasesEndBy)
 }
 
-func (f *Fleet) loseAll(a *agent, now time.Time) {
+func (f *Fleet) loseAllRuns(w *managedWorker, now time.Time) {
 	lost := 0
-	for _, r := range a.runs {
+	for _, r := range w.runs {
 		if r.state < runEnded {
-			f.loseSilent(r, now)
+			f.loseUnresponsive(r, now)
 			lost++
 		}
 	}
 	if lost > 0 {
-		f.log.WithFields(map[string]any{"worker": a.name, "runs": lost}).Warn("worker lost, leases over")
+		f.log.WithFields(map[string]any{"worker": w.name, "runs": lost}).Warn("worker lost, leases over")
 	}
 }
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -6,46 +6,46 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// metrics are the counters of a fleet.
+// metrics are the Prometheus counters of a Fleet.
 type metrics struct {
-	claims *prometheus.CounterVec
-	orders *prometheus.CounterVec
-	starts *prometheus.CounterVec
-	ends   *prometheus.CounterVec
-	stops  *prometheus.CounterVec
-	news   *prometheus.CounterVec
-	health *prometheus.CounterVec
-	covers *prometheus.CounterVec
-	denied prometheus.Counter
-	// holdsLapsed counts gang holds that were neither started nor released.
-	holdsLapsed prometheus.Counter
+	claims           *prometheus.CounterVec
+	orders           *prometheus.CounterVec
+	starts           *prometheus.CounterVec
+	ends             *prometheus.CounterVec
+	stops            *prometheus.CounterVec
+	updates          *prometheus.CounterVec
+	health           *prometheus.CounterVec
+	delegateRenewals *prometheus.CounterVec
+	denied           prometheus.Counter
+	// holdsExpired counts gang holds released without a request: expired, or of a fenced home.
+	holdsExpired prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
 	m := &metrics{
-		claims: counter("claims_total", "Claims of workers by outcome.", "outcome"),
-		orders: counter("orders_total", "Orders to workers by outcome.", "outcome"),
-		starts: counter("starts_total", "Task starts by outcome.", "outcome"),
-		ends:   counter("ends_total", "Ends of runs by state.", "state"),
-		stops:  counter("stops_total", "Stops asked for by mode.", "mode"),
-		news:   counter("news_total", "Messages to job homes by outcome.", "outcome"),
-		health: counter("worker_health_total", "Changes of workers' health by new state.", "state"),
-		covers: counter("cover_renewals_total", "Renewals for dead holders by outcome.", "outcome"),
-		denied: single("denied_total", "Calls to workers not made for want of the right to act."),
+		claims:           newCounterVec("claims_total", "Claims of workers by outcome.", "outcome"),
+		orders:           newCounterVec("orders_total", "Orders to workers by outcome.", "outcome"),
+		starts:           newCounterVec("starts_total", "Task starts by outcome.", "outcome"),
+		ends:             newCounterVec("ends_total", "Ends of runs by state.", "state"),
+		stops:            newCounterVec("stops_total", "Stops asked for by mode.", "mode"),
+		updates:          newCounterVec("news_total", "Messages to job homes by outcome.", "outcome"),
+		health:           newCounterVec("worker_health_total", "Changes of workers' health by new state.", "state"),
+		delegateRenewals: newCounterVec("cover_renewals_total", "Renewals for dead holders by outcome.", "outcome"),
+		denied:           newCounter("denied_total", "Calls to workers not made for want of the right to act."),
 
-		holdsLapsed: single("gang_holds_lapsed_total", "Gang holds that lapsed."),
+		holdsExpired: newCounter("gang_holds_lapsed_total", "Gang holds that lapsed."),
 	}
 	if reg != nil {
-		reg.MustRegister(m.claims, m.orders, m.starts, m.ends, m.stops, m.news, m.health, m.covers, m.denied, m.holdsLapsed)
+		reg.MustRegister(m.claims, m.orders, m.starts, m.ends, m.stops, m.updates, m.health, m.delegateRenewals, m.denied, m.holdsExpired)
 	}
 	return m
 }
 
-func counter(name, help, label string) *prometheus.CounterVec {
+func newCounterVec(name, help, label string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "pulley", Subsystem: "fleet", Name: name, Help: help}, []string{label})
 }
 
-func single(name, help string) prometheus.Counter {
+func newCounter(name, help string) prometheus.Counter {
 	return prometheus.NewCounter(prometheus.CounterOpts{Namespace: "pulley", Subsystem: "fleet", Name: name, Help: help})
 }
 
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -9,90 +9,90 @@
 	"pulleyquay/internal/worker"
 )
 
-// startsPerOrder bounds the starts in one order, so that one order stays short.
-const startsPerOrder = 256
+// maxStartsPerOrder bounds the starts in one order, and with it the order's size.
+const maxStartsPerOrder = 256
 
-// outgoing is an order together with the runs it starts.
-type outgoing struct {
+// outgoingOrder is an order together with the runs it starts.
+type outgoingOrder struct {
 	order  worker.Order
 	starts []*run
 	addr   string
-	// bound is when the last lease renewed by this order is certainly over,
-	// should no answer tell more; before is what held without this order.
-	bound, before time.Time
-	// broke is true when its connection broke on a worker that had just answered.
-	broke bool
+	// orderLeasesEndBy is when every lease renewed by this order has certainly expired
+	// if no reply arrives; previousBound is the worker's bound without this order.
+	orderLeasesEndBy, previousBound time.Time
+	// brokeInFlight is true when the connection broke shortly after a reply of the worker.
+	brokeInFlight bool
 }
 
-// order sends one order with everything that waits for the worker, and renews
-// all its leases with it.
-func (f *Fleet) order(a *agent) {
-	out := f.compose(a)
+// order sends one order with everything that is queued for the worker. The order
+// also renews all of the worker's leases.
+func (f *Fleet) order(w *managedWorker) {
+	out := f.composeOrder(w)
 	if out == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(f.ctx, f.times.call)
+	ctx, cancel := context.WithTimeout(f.ctx, f.timings.callTimeout)
 	defer cancel()
-	// The right is asked for after the order is complete, so that nothing but
-	// the call itself comes between the answer and the worker.
-	grant, err := f.cfg.Right.Check(a.part.id)
-	if err != nil || grant.Epoch != a.part.epoch {
-		f.withdraw(a, out)
+	// The authority is checked after the order is complete, so that the check
+	// is followed directly by the call.
+	grant, err := f.cfg.Right.Check(w.heldPartition.id)
+	if err != nil || grant.Epoch != w.heldPartition.epoch {
+		f.cancelOrder(w, out)
 		return
 	}
 	sent := time.Now()
-	until := sent.Add(f.times.call)
+	until := sent.Add(f.timings.callTimeout)
 	if grant.Until.Before(until) {
 		until = grant.Until
 	}
-	if !f.commit(a, out, until) {
+	if !f.finalizeOrder(w, out, until) {
 		return
 	}
 	reply, err := f.cfg.Client.Order(ctx, out.addr, out.order)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.gone {
+	if w.removed {
 		return
 	}
 	now := time.Now()
-	f.metrics.orders.WithLabelValues(outcomeLabel(err)).Inc()
-	out.broke = err != nil && ctx.Err() == nil && sent.Sub(a.clock.at) <= justAnswered
+	f.metrics.orders.WithLabelValues(callOutcomeLabel(err)).Inc()
+	out.brokeInFlight = err != nil && ctx.Err() == nil && sent.Sub(w.clock.at) <= recentReply
 	if err == nil && len(reply.Results) != len(out.starts) {
-		err = worker.ErrLost // not an answer to this order
+		err = worker.ErrLost // not a reply to this order
 	}
 	if err != nil {
-		f.applyFailure(a, out, err, now)
+		f.applyFailure(w, out, err, now)
 		return
 	}
-	a.restarted = a.restarted || a.clock.restarted(reply.Now, sent)
-	f.applyReply(a, out, reply, now)
-	if a.restarted || reply.Running != a.count(runRunning) {
-		// A worker that started anew and was claimed since by this holder's
-		// deputy, or lost runs otherwise: its inventory tells.
-		f.moveClaim(a, eventLost)
+	w.restarted = w.restarted || w.clock.restarted(reply.Now, sent)
+	f.applyReply(w, out, reply, now)
+	if w.restarted || reply.Running != w.countRuns(runRunning) {
+		// The worker has restarted and was claimed since by a delegate of this holder,
+		// or has lost runs in another way. Claim again to obtain its inventory.
+		f.applyClaimEvent(w, eventOrderLost)
 		return
 	}
-	a.heard = sent
+	w.confirmedAt = sent
 }
 
-// compose takes what waits into an order. It returns nil when the agent has
-// been dropped since it was found due: its queued starts were called refused.
-func (f *Fleet) compose(a *agent) *outgoing {
+// composeOrder builds an order from everything queued. It returns nil when the worker
+// has been removed since hasWork was checked: its queued starts were reported as refused.
+func (f *Fleet) composeOrder(w *managedWorker) *outgoingOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.gone {
+	if w.removed {
 		return nil
 	}
-	out := &outgoing{addr: a.addr, order: worker.Order{Partition: a.part.id, Epoch: a.part.epoch, Life: a.life, RenewMillis: f.times.lease.Milliseconds()}}
-	for id, mode := range a.stops {
+	out := &outgoingOrder{addr: w.addr, order: worker.Order{Partition: w.heldPartition.id, Epoch: w.heldPartition.epoch, Life: w.incarnation, RenewMillis: f.timings.lease.Milliseconds()}}
+	for id, mode := range w.stops {
 		out.order.Stops = append(out.order.Stops, worker.Stop{Attempt: id, Mode: mode})
 	}
-	for id := range a.acks {
+	for id := range w.acks {
 		out.order.Acks = append(out.order.Acks, id)
 	}
-	n := min(len(a.starts), startsPerOrder)
-	out.starts = append(out.starts, a.starts[:n]...)
-	a.starts = append(a.starts[:0:0], a.starts[n:]...)
+	n := min(len(w.starts), maxStartsPerOrder)
+	out.starts = append(out.starts, w.starts[:n]...)
+	w.starts = append(w.starts[:0:0], w.starts[n:]...)
 	for _, r := range out.starts {
 		r.state = runSent
 		out.order.Starts = append(out.order.Starts, *r.start)
@@ -100,136 +100,136 @@
 	return out
 }
 
-// commit fixes the order's expiry and notes, before it is sent, until when its
-// renewal may be in force if no answer comes. It reports false when the agent
-// has been dropped: who takes the partition up again under the same epoch waits
-// only for orders that were sent before.
-func (f *Fleet) commit(a *agent, out *outgoing, until time.Time) bool {
+// finalizeOrder sets the order's expiry and records, before it is sent, until when
+// its renewal may be valid if no reply arrives. It returns false when the worker has
+// been removed; the order must not be sent then, since acquiring the partition again
+// under the same epoch only waits for orders that were sent before.
+func (f *Fleet) finalizeOrder(w *managedWorker, out *outgoingOrder, until time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.gone {
+	if w.removed {
 		return false
 	}
-	out.order.Expires = a.clock.expiry(until)
-	out.bound, out.before = until.Add(f.times.leaseBound()), a.mayRunUntil
-	a.mayRunUntil = later(a.mayRunUntil, out.bound)
+	out.order.Expires = w.clock.expiry(until)
+	out.orderLeasesEndBy, out.previousBound = until.Add(f.timings.leaseBound()), w.leasesEndBy
+	w.leasesEndBy = later(w.leasesEndBy, out.orderLeasesEndBy)
 	return true
 }
 
-// withdraw undoes an order that was not sent for want of the right. Its starts
+// cancelOrder undoes an order that was not sent for lack of authority. Its starts
 // certainly did not happen.
-func (f *Fleet) withdraw(a *agent, out *outgoing) {
+func (f *Fleet) cancelOrder(w *managedWorker, out *outgoingOrder) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.gone {
+	if w.removed {
 		return
 	}
 	now := time.Now()
 	f.metrics.denied.Inc()
-	f.refuseStarts(out, "no right to act", now)
-	f.refuseQueued(a, "no right to act", now)
-	f.retryLater(a, now)
+	f.refuseOrderStarts(out, "no authority for the partition", now)
+	f.refuseQueuedStarts(w, "no authority for the partition", now)
+	f.scheduleRetry(w, now)
 }
 
-// refuseQueued refuses the starts that are not in any order yet.
-func (f *Fleet) refuseQueued(a *agent, reason string, now time.Time) {
-	queued := a.starts
-	a.starts = nil
+// refuseQueuedStarts refuses the starts that are not in any order yet.
+func (f *Fleet) refuseQueuedStarts(w *managedWorker, reason string, now time.Time) {
+	queued := w.starts
+	w.starts = nil
 	for _, r := range queued {
-		f.neverStarted(r, reason, now)
+		f.markNeverStarted(r, reason, now)
 	}
 }
 
-func (f *Fleet) refuseStarts(out *outgoing, reason string, now time.Time) {
+func (f *Fleet) refuseOrderStarts(out *outgoingOrder, reason string, now time.Time) {
 	for _, r := range out.starts {
-		f.neverStarted(r, reason, now)
+		f.markNeverStarted(r, reason, now)
 	}
 }
 
-// applyReply takes in a worker's answer.
-func (f *Fleet) applyReply(a *agent, out *outgoing, reply worker.OrderReply, now time.Time) {
-	a.clock = anchor{reading: reply.Now, at: now}
-	a.renewAt = f.nextRenewal(a, len(out.starts) > 0, now)
-	a.retryAt = time.Time{}
-	// The worker took this order before its answer came; only lost orders can
-	// still renew anything later.
-	a.mayRunUntil = later(a.lostUntil, now.Add(f.times.leaseBound()))
-	a.usage, a.running = reply.Usage, reply.Running
-	f.cell.Observe(a.name, a.usage, now)
+// applyReply processes a worker's reply to an order.
+func (f *Fleet) applyReply(w *managedWorker, out *outgoingOrder, reply worker.OrderReply, now time.Time) {
+	w.clock = clockAnchor{reading: reply.Now, at: now}
+	w.renewAt = f.nextRenewal(w, len(out.starts) > 0, now)
+	w.retryAt = time.Time{}
+	// The worker processed this order before it replied; only unanswered orders
+	// can still renew leases after now.
+	w.leasesEndBy = later(w.lostLeasesEndBy, now.Add(f.timings.leaseBound()))
+	w.usage, w.running = reply.Usage, reply.Running
+	f.cell.Observe(w.name, w.usage, now)
 	for i, r := range out.starts {
 		if reply.Results[i].Started {
-			f.started(r)
+			f.markStarted(r)
 		} else {
-			f.neverStarted(r, reply.Results[i].Reason, now)
+			f.markNeverStarted(r, reply.Results[i].Reason, now)
 		}
 	}
 	for _, s := range out.order.Stops {
-		if a.stops[s.Attempt] == s.Mode {
-			delete(a.stops, s.Attempt)
+		if w.stops[s.Attempt] == s.Mode {
+			delete(w.stops, s.Attempt)
 		}
 	}
 	for _, id := range out.order.Acks {
-		delete(a.acks, id)
-		if r := a.runs[id]; r != nil && r.state == runAcked {
-			f.forget(r)
+		delete(w.acks, id)
+		if r := w.runs[id]; r != nil && r.state == runAcked {
+			f.forgetRun(r)
 		}
 	}
 	for i := range reply.Ended {
-		f.observeRun(a, &reply.Ended[i], now)
+		f.observeRun(w, &reply.Ended[i], now)
 	}
-	f.grantWishes(now)
+	f.placeWaitingSlots(now)
 }
 
-// nextRenewal is when the worker is asked next if nothing else comes up. What
-// was just started counts on top of the observed usage until a report surely
-// contains it, and a run that ends by its declared time frees its room only
-// when it is reported: while room is scarce, both ask for a report sooner than
-// the leases do.
-func (f *Fleet) nextRenewal(a *agent, started bool, now time.Time) time.Time {
-	next := now.Add(f.times.renew)
+// nextRenewal returns the time of the next order if nothing else is queued before.
+// A new run counts in addition to the observed usage until a usage report certainly
+// contains it, and a run that ends at its declared time frees its capacity only when
+// the end is reported. While capacity is scarce, both cause an order before the
+// leases need one.
+func (f *Fleet) nextRenewal(w *managedWorker, started bool, now time.Time) time.Time {
+	next := now.Add(f.timings.renew)
 	if now.After(f.scarceUntil) {
 		return next
 	}
-	if fresh := now.Add(f.cell.UsageLag + f.times.tick); started && fresh.Before(next) {
+	if fresh := now.Add(f.cell.UsageLag + f.timings.tick); started && fresh.Before(next) {
 		next = fresh
 	}
-	for _, r := range a.runs {
+	for _, r := range w.runs {
 		if r.state == runRunning && r.endsAt.After(now) && r.endsAt.Before(next) {
 			next = r.endsAt
 		}
 	}
-	return later(next, now.Add(f.times.poll))
+	return later(next, now.Add(f.timings.poll))
 }
 
-// applyFailure sorts out what an order without a proper answer may have done.
-func (f *Fleet) applyFailure(a *agent, out *outgoing, err error, now time.Time) {
-	a.mayRunUntil = out.before
+// applyFailure handles an order that failed, according to what it may have done.
+func (f *Fleet) applyFailure(w *managedWorker, out *outgoingOrder, err error, now time.Time) {
+	w.leasesEndBy = out.previousBound
 	switch {
 	case errors.Is(err, worker.ErrFenced):
-		f.refuseStarts(out, "worker fenced", now)
-		f.moveClaim(a, eventFenced)
+		f.refuseOrderStarts(out, "worker fenced", now)
+		f.applyClaimEvent(w, eventFenced)
 	case errors.Is(err, worker.ErrNotClaimed):
-		f.refuseStarts(out, "worker restarted", now)
-		a.restarted = true
-		f.moveClaim(a, eventRestarted)
+		f.refuseOrderStarts(out, "worker restarted", now)
+		w.restarted = true
+		f.applyClaimEvent(w, eventRestarted)
 	case errors.Is(err, worker.ErrExpired), errors.Is(err, worker.ErrNotReached):
-		f.refuseStarts(out, "order not taken by the worker", now)
-		f.moveClaim(a, eventLost)
+		f.refuseOrderStarts(out, "order not received or expired", now)
+		f.applyClaimEvent(w, eventOrderLost)
 	default:
-		a.lostUntil = later(a.lostUntil, out.bound)
-		a.mayRunUntil = later(a.mayRunUntil, out.bound)
+		w.lostLeasesEndBy = later(w.lostLeasesEndBy, out.orderLeasesEndBy)
+		w.leasesEndBy = later(w.leasesEndBy, out.orderLeasesEndBy)
 		for _, r := range out.starts {
-			r.state, r.expires, r.begun = runUnknown, out.order.Expires, out.broke
-			f.answer(r, taskmsg.OutcomeUnknown)
+			r.state, r.startExpires, r.startConfirmed = runUnknown, out.order.Expires, out.brokeInFlight
+			f.resolveWaiters(r, taskmsg.OutcomeUnknown)
 		}
-		f.moveClaim(a, eventLost)
+		f.applyClaimEvent(w, eventOrderLost)
 	}
-	f.refuseQueued(a, "worker did not answer", now)
-	f.retryLater(a, now)
+	f.refuseQueuedStarts(w, "worker did not answer", now)
+	f.scheduleRetry(w, now)
 }
 
-// outcomeLabel is the metric label for the outcome of a call to a worker.
-func outcomeLabel(err error) string {
+// callOutcomeLabel returns the metric label for the outcome of a call to a worker.
+func callOutcomeLabel(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -10,125 +10,125 @@
 	"pulleyquay/internal/worker"
 )
 
-// place answers a home's request to start tasks. It waits until the workers
-// have answered; if the caller goes away meanwhile the outcomes become news.
+// place handles a home's request to start tasks. It waits until the workers have
+// answered; if the caller disconnects before, the outcomes are sent as updates.
 func (f *Fleet) place(ctx context.Context, req taskmsg.PlaceRequest) (taskmsg.PlaceReply, error) {
-	b := newBatch(len(req.Slots))
+	call := newPendingCall(len(req.Slots))
 	var refusal *taskmsg.Refusal
-	err := f.serve(req.Home, func(now time.Time) error {
-		refusal = f.book(&req, b, now)
+	err := f.serveHome(req.Home, func(now time.Time) error {
+		refusal = f.placeSlots(&req, call, now)
 		return nil
 	})
 	if err != nil {
 		return taskmsg.PlaceReply{}, err
 	}
-	if err := f.await(ctx, b); err != nil {
+	if err := f.await(ctx, call); err != nil {
 		return taskmsg.PlaceReply{}, err
 	}
-	return taskmsg.PlaceReply{Results: b.results, Refusal: refusal}, nil
+	return taskmsg.PlaceReply{Results: call.results, Refusal: refusal}, nil
 }
 
-// await waits for the outcomes of a batch.
-func (f *Fleet) await(ctx context.Context, b *batch) error {
+// await waits until a call has all its outcomes.
+func (f *Fleet) await(ctx context.Context, call *pendingCall) error {
 	f.mu.Lock()
-	open := b.open
+	outstanding := call.outstanding
 	f.mu.Unlock()
-	if open == 0 {
+	if outstanding == 0 {
 		return nil
 	}
 	select {
-	case <-b.done:
+	case <-call.done:
 		return nil
 	case <-ctx.Done():
 	case <-f.ctx.Done():
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b.abandoned = true
+	call.abandoned = true
 	return result.New(result.PeerLost, result.RanUnknown, "the call ended before the workers answered")
 }
 
-// book decides on a worker for each slot and queues the starts.
-func (f *Fleet) book(req *taskmsg.PlaceRequest, b *batch, now time.Time) *taskmsg.Refusal {
-	slots := f.newSlots(req, b)
-	if len(slots) == 0 {
+// placeSlots selects a worker for each slot and queues the starts.
+func (f *Fleet) placeSlots(req *taskmsg.PlaceRequest, call *pendingCall, now time.Time) *taskmsg.Refusal {
+	unknown := f.unknownSlots(req, call)
+	if len(unknown) == 0 {
 		return nil
 	}
-	if !req.Shape.Urgent && f.gathering(gangKey{req.Home.Partition, req.Shape.Job}) {
-		for _, s := range slots {
-			b.add(taskmsg.SlotResult{Slot: s, Outcome: taskmsg.OutcomeRefused})
+	if !req.Shape.Urgent && f.otherGangGathering(gangKey{req.Home.Partition, req.Shape.Job}) {
+		for _, s := range unknown {
+			call.addResult(taskmsg.SlotResult{Slot: s, Outcome: taskmsg.OutcomeRefused})
 		}
-		return f.refuseForGang()
+		return f.gangRefusal()
 	}
-	runs := make([]scheduler.Run, 0, len(slots))
-	bySlot := make(map[worker.Attempt]taskmsg.Slot, len(slots))
-	for _, s := range slots {
+	runs := make([]scheduler.Run, 0, len(unknown))
+	bySlot := make(map[worker.Attempt]taskmsg.Slot, len(unknown))
+	for _, s := range unknown {
 		r := scheduler.NewRun(&req.Shape, req.Home.Partition, s)
 		runs = append(runs, r)
 		bySlot[r.Attempt] = s
 	}
-	placed := f.probe(&req.Shape, runs[0], now)
+	placed := f.placeProbe(&req.Shape, runs[0], now)
 	more, refusal := f.cell.Place(scheduler.Ask{Shape: req.Shape}, runs[len(placed):], now)
 	if refusal != nil && !refusal.Never {
-		f.scarceUntil = now.Add(scarceFor)
+		f.scarceUntil = now.Add(scarcityPeriod)
 	}
 	for _, p := range append(placed, more...) {
-		b.expect(bySlot[p.Attempt], f.queueStart(&req.Shape, &p, now))
+		call.expect(bySlot[p.Attempt], f.queueStart(&req.Shape, &p, now))
 		delete(bySlot, p.Attempt)
 	}
-	left := slots[:0]
-	for _, s := range slots {
+	unplaced := unknown[:0]
+	for _, s := range unknown {
 		if _, ok := bySlot[attemptOf(&req.Shape, s)]; ok {
-			left = append(left, s)
+			unplaced = append(unplaced, s)
 		}
 	}
 	if req.Preempt {
-		left = f.preempt(req, left, b, now)
+		unplaced = f.preempt(req, unplaced, call, now)
 	}
-	for _, s := range left {
-		b.add(taskmsg.SlotResult{Slot: s, Outcome: taskmsg.OutcomeRefused})
+	for _, s := range unplaced {
+		call.addResult(taskmsg.SlotResult{Slot: s, Outcome: taskmsg.OutcomeRefused})
 	}
 	return refusal
 }
 
-// queueStart tracks a booked run and queues its start at the worker.
+// queueStart records a placed run and queues its start at the worker.
 func (f *Fleet) queueStart(shape *taskmsg.Shape, p *scheduler.Placed, now time.Time) *run {
-	a := f.agents[p.Worker]
-	r := f.track(a, p.Attempt, p.Home, runQueued)
-	r.start = startOf(shape, &p.Run)
-	a.starts = append(a.starts, r)
-	f.kick(a, now)
+	w := f.workers[p.Worker]
+	r := f.trackRun(w, p.Attempt, p.Home, runQueued)
+	r.start = newStart(shape, &p.Run)
+	w.starts = append(w.starts, r)
+	f.startDriver(w, now)
 	return r
 }
 
-// newSlots answers the slots that are known already, so that a repeated request
-// starts nothing twice, and returns the others.
-func (f *Fleet) newSlots(req *taskmsg.PlaceRequest, b *batch) []taskmsg.Slot {
-	fresh := make([]taskmsg.Slot, 0, len(req.Slots))
+// unknownSlots adds the outcomes of slots that are known already, so that a repeated
+// request starts nothing twice, and returns the others.
+func (f *Fleet) unknownSlots(req *taskmsg.PlaceRequest, call *pendingCall) []taskmsg.Slot {
+	unknown := make([]taskmsg.Slot, 0, len(req.Slots))
 	for _, s := range req.Slots {
 		id := attemptOf(&req.Shape, s)
 		r := f.runs[id]
 		switch {
 		case r != nil:
-			f.answerKnown(b, s, r)
-		case f.tombs.Contains(id):
-			b.add(taskmsg.SlotResult{Slot: s, Outcome: taskmsg.OutcomeRefused})
+			f.addKnownOutcome(call, s, r)
+		case f.tombstones.Contains(id):
+			call.addResult(taskmsg.SlotResult{Slot: s, Outcome: taskmsg.OutcomeRefused})
 		default:
-			fresh = append(fresh, s)
+			unknown = append(unknown, s)
 		}
 	}
-	return fresh
+	return unknown
 }
 
-// answerKnown adds what is known of a run that was asked for before.
-func (f *Fleet) answerKnown(b *batch, s taskmsg.Slot, r *run) {
+// addKnownOutcome adds what is known of a run that was requested before.
+func (f *Fleet) addKnownOutcome(call *pendingCall, s taskmsg.Slot, r *run) {
 	switch r.state {
 	case runQueued, runSent:
-		b.expect(s, r)
+		call.expect(s, r)
 	case runUnknown:
-		b.add(f.slotResult(s, r, taskmsg.OutcomeUnknown))
+		call.addResult(f.slotResult(s, r, taskmsg.OutcomeUnknown))
 	default:
-		b.add(f.slotResult(s, r, taskmsg.OutcomeStarted))
+		call.addResult(f.slotResult(s, r, taskmsg.OutcomeStarted))
 	}
 }
 
@@ -138,9 +138,10 @@
 	return a
 }
 
-// startOf makes the worker's start. Its size is the one in the books, so that
-// the next holder, which learns it from the worker, books the same.
-func startOf(shape *taskmsg.Shape, r *scheduler.Run) *worker.Start {
+// newStart returns the start to be sent to the worker. It contains the size that the
+// scheduler has recorded, so that the next holder, which obtains the size from the
+// worker, records the same.
+func newStart(shape *taskmsg.Shape, r *scheduler.Run) *worker.Start {
 	return &worker.Start{
 		Task: r.Attempt.Task, Attempt: r.Attempt.Attempt, Home: r.Home, Kind: shape.Kind,
 		Urgent: shape.Urgent, Priority: shape.Policy.Priority, Size: r.Size, RunMillis: shape.Task.RunMillis, Command: shape.Task.Command,
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -8,133 +8,136 @@
 	"pulleyquay/internal/worker"
 )
 
-// Times of a preemption. Together with one usage report they stay below the
-// 5.1 s within which urgent work has to start.
+// Time limits of a preemption. Together with one usage report they stay below the
+// 5.1 s within which urgent tasks have to start.
 const (
-	// checkpointTime is what a run gets to checkpoint before it is stopped.
-	checkpointTime = 1500 * time.Millisecond
-	// preemptPoll is the time between two orders to a worker that makes room.
+	// checkpointGrace is the time a run has for its checkpoint before it is stopped.
+	checkpointGrace = 1500 * time.Millisecond
+	// preemptPoll is the time between two orders to a worker during a preemption.
 	preemptPoll = 250 * time.Millisecond
-	// preemptWait is how long a slot waits for its room before it is refused.
-	preemptWait = 4500 * time.Millisecond
+	// preemptTimeout is how long a slot waits for capacity before it is refused.
+	preemptTimeout = 4500 * time.Millisecond
 )
 
-// wish is a slot that waits for room being made by preemption. It is not booked
-// and nothing was sent for it.
-type wish struct {
-	batch *batch
-	index int // in the batch's results
-	home  taskmsg.Home
-	shape *taskmsg.Shape
-	run   scheduler.Run
-	agent *agent // the worker that makes room
+// waitingSlot is a slot that waits for capacity to be freed by preemption. Nothing has
+// been reserved or sent for it yet.
+type waitingSlot struct {
+	pendingCall   *pendingCall
+	index         int // in the call's results
+	home          taskmsg.Home
+	shape         *taskmsg.Shape
+	run           scheduler.Run
+	managedWorker *managedWorker // the worker that runs the victims
 	// victims are stopped at killAt if the checkpoint has not ended them.
 	victims []worker.Attempt
 	killAt  time.Time
 	until   time.Time
 }
 
-// preempt asks less urgent runs to end for the slots that found no room, and
-// returns the slots for which there are none.
-func (f *Fleet) preempt(req *taskmsg.PlaceRequest, slots []taskmsg.Slot, b *batch, now time.Time) []taskmsg.Slot {
+// preempt stops less urgent runs for the slots that could not be placed, and returns
+// the slots for which there are no victims.
+func (f *Fleet) preempt(req *taskmsg.PlaceRequest, slots []taskmsg.Slot, call *pendingCall, now time.Time) []taskmsg.Slot {
 	ask := scheduler.Ask{Shape: req.Shape}
 	for i, s := range slots {
 		name, victims := f.cell.Victims(ask)
-		a := f.agents[name]
-		if a == nil {
+		w := f.workers[name]
+		if w == nil {
 			return slots[i:]
 		}
-		w := &wish{
-			batch: b, index: b.hope(s), home: req.Home, shape: &req.Shape, agent: a,
+		ws := &waitingSlot{
+			pendingCall: call, index: call.expectPreemption(s), home: req.Home, shape: &req.Shape, managedWorker: w,
 			run:    scheduler.NewRun(&req.Shape, req.Home.Partition, s),
-			killAt: now.Add(checkpointTime), until: now.Add(preemptWait),
+			killAt: now.Add(checkpointGrace), until: now.Add(preemptTimeout),
 		}
 		for _, v := range victims {
-			w.victims = append(w.victims, v.Attempt)
+			ws.victims = append(ws.victims, v.Attempt)
 		}
 		f.cell.Preempted(victims)
-		f.stopVictims(w, worker.Checkpoint)
-		f.wishes = append(f.wishes, w)
+		f.stopVictims(ws, worker.Checkpoint)
+		f.waitingSlots = append(f.waitingSlots, ws)
 	}
 	return nil
 }
 
-// stopVictims orders the end of the victims that still run.
-func (f *Fleet) stopVictims(w *wish, mode worker.StopMode) {
-	for _, id := range w.victims {
+// stopVictims requests the stop of the victims that have not ended yet.
+func (f *Fleet) stopVictims(ws *waitingSlot, mode worker.StopMode) {
+	for _, id := range ws.victims {
 		if r := f.runs[id]; r != nil && r.state < runEnded {
 			r.preempted = true
-			f.stopRun(r, mode, "preempted by "+w.run.Attempt.Task.String())
+			f.stopRun(r, mode, "preempted by "+ws.run.Attempt.Task.String())
 		}
 	}
 }
 
-// hope adds a slot that may be booked later and returns its index.
-func (b *batch) hope(slot taskmsg.Slot) int {
-	b.results = append(b.results, taskmsg.SlotResult{Slot: slot, Outcome: taskmsg.OutcomeRefused})
-	b.open++
-	return len(b.results) - 1
+// expectPreemption adds a slot that may be placed later and returns its index. It
+// counts as refused until then.
+func (call *pendingCall) expectPreemption(slot taskmsg.Slot) int {
+	call.results = append(call.results, taskmsg.SlotResult{Slot: slot, Outcome: taskmsg.OutcomeRefused})
+	call.outstanding++
+	return len(call.results) - 1
 }
 
-// giveUp leaves a hoped-for slot refused.
-func (b *batch) giveUp() {
-	b.open--
-	if b.open == 0 && !b.abandoned {
-		close(b.done)
+// refuseOne leaves one such slot refused.
+func (call *pendingCall) refuseOne() {
+	call.outstanding--
+	if call.outstanding == 0 && !call.abandoned {
+		close(call.done)
 	}
 }
 
-// grantWishes books what found room, before anyone else can, and gives up what
-// waited too long. It runs after every report of a worker and at every tick.
-func (f *Fleet) grantWishes(now time.Time) {
-	left := f.wishes[:0]
-	for _, w := range f.wishes {
-		if f.grantWish(w, now) {
+// placeWaitingSlots places the slots for which there is capacity now, before any other
+// request can use it, and refuses those that have timed out or are no longer requested.
+// It runs after every reply of a worker and at every tick.
+func (f *Fleet) placeWaitingSlots(now time.Time) {
+	remaining := f.waitingSlots[:0]
+	for _, ws := range f.waitingSlots {
+		if f.placeWaitingSlot(ws, now) {
 			continue
 		}
-		if now.After(w.until) || !f.stillWanted(w) {
-			w.batch.giveUp()
+		if now.After(ws.until) || !f.stillRequested(ws) {
+			ws.pendingCall.refuseOne()
 			continue
 		}
-		f.press(w, now)
-		left = append(left, w)
+		f.expediteWaitingSlot(ws, now)
+		remaining = append(remaining, ws)
 	}
-	clear(f.wishes[len(left):])
-	f.wishes = left
+	clear(f.waitingSlots[len(remaining):])
+	f.waitingSlots = remaining
 }
 
-// grantWish books the wish if there is room and reports whether it did.
-func (f *Fleet) grantWish(w *wish, now time.Time) bool {
-	if !f.stillWanted(w) {
+// placeWaitingSlot places the slot if there is capacity and reports whether it did.
+func (f *Fleet) placeWaitingSlot(ws *waitingSlot, now time.Time) bool {
+	if !f.stillRequested(ws) {
 		return false
 	}
-	placed, _ := f.cell.Place(scheduler.Ask{Shape: *w.shape}, []scheduler.Run{w.run}, now)
+	placed, _ := f.cell.Place(scheduler.Ask{Shape: *ws.shape}, []scheduler.Run{ws.run}, now)
 	if len(placed) == 0 {
 		return false
 	}
-	r := f.queueStart(w.shape, &placed[0], now)
-	w.batch.at[r.id] = w.index
-	r.waiters = append(r.waiters, w.batch)
+	r := f.queueStart(ws.shape, &placed[0], now)
+	ws.pendingCall.slotIndex[r.id] = ws.index
+	r.waiters = append(r.waiters, ws.pendingCall)
 	return true
 }
 
-// stillWanted reports whether the home still may and wants to start the wish.
-func (f *Fleet) stillWanted(w *wish) bool {
-	id := w.run.Attempt
-	return !w.batch.abandoned && w.home.Epoch >= f.home(w.home.Partition).epoch && f.runs[id] == nil && !f.tombs.Contains(id)
+// stillRequested reports whether the slot may still be started for its home: the caller
+// still waits, the home is not fenced, and the attempt is neither known nor stopped.
+func (f *Fleet) stillRequested(ws *waitingSlot) bool {
+	id := ws.run.Attempt
+	return !ws.pendingCall.abandoned && ws.home.Epoch >= f.home(ws.home.Partition).epoch && f.runs[id] == nil && !f.tombstones.Contains(id)
 }
 
-// press polls the worker that makes room, and stops victims that take too long
-// over their checkpoint.
-func (f *Fleet) press(w *wish, now time.Time) {
-	if w.agent.gone {
+// expediteWaitingSlot polls the worker that runs the victims, and kills victims whose
+// checkpoint takes too long.
+func (f *Fleet) expediteWaitingSlot(ws *waitingSlot, now time.Time) {
+	if ws.managedWorker.removed {
 		return
 	}
-	if !w.killAt.IsZero() && now.After(w.killAt) {
-		w.killAt = time.Time{}
-		f.stopVictims(w, worker.Kill)
+	if !ws.killAt.IsZero() && now.After(ws.killAt) {
+		ws.killAt = time.Time{}
+		f.stopVictims(ws, worker.Kill)
 	}
-	if next := now.Add(preemptPoll); w.agent.renewAt.After(next) {
-		w.agent.renewAt = next
+	if next := now.Add(preemptPoll); ws.managedWorker.renewAt.After(next) {
+		ws.managedWorker.renewAt = next
 	}
 }
--- a/internal/fleet/replaced_test.go
+++ b/internal/fleet/replaced_test.go
@@ -14,45 +14,45 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// switchable is a client whose calls go to another set of workers once switched:
-// a new machine answers at the address while the old one runs on, cut off.
-type switchable struct {
+// switchableClient sends calls to another set of workers once switched: a new machine
+// answers at the address while the old one keeps running, disconnected.
+type switchableClient struct {
 	worker.Client
 	to       worker.Client
 	switched func(addr string) bool
 }
 
-func (s *switchable) Claim(ctx context.Context, addr string, req worker.ClaimRequest) (worker.ClaimReply, error) {
+func (s *switchableClient) Claim(ctx context.Context, addr string, req worker.ClaimRequest) (worker.ClaimReply, error) {
 	if s.switched(addr) {
 		return s.to.Claim(ctx, addr, req)
 	}
 	return s.Client.Claim(ctx, addr, req)
 }
 
-func (s *switchable) Order(ctx context.Context, addr string, o worker.Order) (worker.OrderReply, error) {
+func (s *switchableClient) Order(ctx context.Context, addr string, o worker.Order) (worker.OrderReply, error) {
 	if s.switched(addr) {
 		return s.to.Order(ctx, addr, o)
 	}
 	return s.Client.Order(ctx, addr, o)
 }
 
-// TestReplacedMachine: a machine with the name of a worker comes up while the
-// old one still runs its tasks. No run is called over before it is, wherever
-// the new one answers.
+// TestReplacedMachine starts a machine with the name of a worker while the old one still
+// runs its tasks. No run may be declared lost before it has ended, whether the new
+// machine answers at the same address or at another one.
 func TestReplacedMachine(t *testing.T) {
 	cases := map[string]string{"at the same address": "w0", "at another address": "w0-new"}
 	for name, addr := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 1, func(b *bench) {
+			runTestbed(t, 1, func(b *testbed) {
 				var replaced atomic.Bool
 				fresh := workersim.NewFleet(judge.New())
 				m := b.member("a", func(c *Config) {
-					c.Client = &switchable{Client: c.Client, to: fresh, switched: func(to string) bool { return replaced.Load() && to == addr }}
+					c.Client = &switchableClient{Client: c.Client, to: fresh, switched: func(to string) bool { return replaced.Load() && to == addr }}
 				})
 				defer m.stop()
-				m.take(1, nil)
+				m.accept(1, nil)
 				synctest.Wait()
-				m.put(shapeOf("job", 1000, 0), 3)
+				m.placeTasks(shapeOf("job", 1000, 0), 3)
 				time.Sleep(time.Minute)
 				synctest.Wait()
 				fresh.Add(addr, worker.Info{Name: "w0", Rack: "r0", Zone: "z0", Size: testSize})
@@ -68,7 +68,7 @@
 					b.is.True(r.State != worker.StateRunning) // on the old machine
 				}
 				time.Sleep(5 * time.Second)
-				b.is.Equal(count(m.put(shapeOf("job2", 1000, 0), 8), taskmsg.OutcomeStarted), 8)
+				b.is.Equal(count(m.placeTasks(shapeOf("job2", 1000, 0), 8), taskmsg.OutcomeStarted), 8)
 				b.is.Equal(len(fresh.Worker(addr).Runs()), 8)
 			})
 		})
--- a/internal/fleet/resident.go
+++ b/internal/fleet/resident.go
@@ -11,162 +11,161 @@
 	"pulleyquay/internal/view"
 )
 
-// releasePoll is the time between two looks whether all calls have ended.
-const releasePoll = 10 * time.Millisecond
+// releasePollInterval is the time between two checks whether all calls have ended.
+const releasePollInterval = 10 * time.Millisecond
 
-// part is one held partition.
-type part struct {
+// heldPartition is the state of one held partition.
+type heldPartition struct {
 	id    int
 	epoch uint64
-	// mayRunUntil bounds every lease that the previous holders renewed.
-	mayRunUntil time.Time
-	// expected are the workers that the previous holder named when it signed
-	// off and that have not answered a claim yet.
-	expected map[string]struct{}
-	// listKnown is true when expected names every worker that can run anything
-	// of the previous holder: the partition is complete once it is empty.
-	listKnown bool
-	// complete is true once every run that may be on a worker of the partition
-	// is in the books. It stays true: what runs later was started from here.
+	// leasesEndBy bounds the end of every lease that previous holders have renewed.
+	leasesEndBy time.Time
+	// awaited are the workers that the previous holder listed at the handover and
+	// that have not answered a claim yet.
+	awaited map[string]struct{}
+	// awaitedAll is true when that list contained every worker that may run anything
+	// of the previous holder: the partition is complete once awaited is empty.
+	awaitedAll bool
+	// complete is true once every run that may be on a worker of the partition is
+	// recorded. It stays true, since later runs are started by this process.
 	complete bool
-	// paused is set from its release on: nothing is placed and no call begins.
-	// The books stay until the table shows another holder, since a hand-over
-	// that fails gives the partition back under the same epoch.
+	// paused is set by Release: nothing is placed and no call begins. The state is
+	// kept until the table shows another holder, since the partition returns under
+	// the same epoch if the handover fails.
 	paused bool
-	// claimAfter is when the claims may begin: orders that this process sent
-	// under the same epoch before have all expired then.
+	// claimAfter is the earliest time for claims: by then all orders have expired
+	// that this process sent before under the same epoch.
 	claimAfter time.Time
-	// inTable is true once the process's table shows the claim.
+	// inTable is true once this process's table contains the claim.
 	inTable bool
 }
 
-// leftPart is a partition given up by this process.
-type leftPart struct {
+// droppedPartition is a partition dropped by this process; its orders have expired by until.
+type droppedPartition struct {
 	epoch uint64
 	until time.Time
 }
 
-// noteComplete marks the partitions that have become complete: each worker named
-// at the sign-off has answered a claim, or every lease from before is over. The
-// latter can not be said while a deputy may be renewing in this holder's name.
-func (f *Fleet) noteComplete(now time.Time) {
-	for _, p := range f.parts {
-		named := p.listKnown && len(p.expected) == 0
-		p.complete = p.complete || named || now.After(p.mayRunUntil) && f.mayDeclare(now)
+// updateComplete marks the partitions that have become complete: each worker listed at
+// the handover has answered a claim, or every earlier lease has expired. The latter
+// is not certain while a delegate may be renewing leases on behalf of this holder.
+func (f *Fleet) updateComplete(now time.Time) {
+	for _, p := range f.partitions {
+		allReported := p.awaitedAll && len(p.awaited) == 0
+		p.complete = p.complete || allReported || now.After(p.leasesEndBy) && f.mayDeclareLoss(now)
 	}
 }
 
-// handOver is the state passed to the next holder in a planned hand-over.
-type handOver struct {
-	// Complete is true when Workers names every worker that may run something.
-	// A holder that was not complete itself can not say so.
+// handoverState is the state passed to the next holder in a planned handover.
+type handoverState struct {
+	// Complete is true when Workers contains every worker that may run something.
+	// It is false when the partition was not complete at this holder.
 	Complete bool     `json:"complete"`
 	Workers  []string `json:"workers"`
-	// Homes are the highest home epochs seen, by partition.
+	// Homes are the highest known home epochs, by partition.
 	Homes map[int]uint64 `json:"homes"`
 }
 
 // Acquire starts to claim the workers of a partition. It returns at once; the
-// claims go on by themselves until each worker has answered.
+// claims continue in the background until each worker has answered.
 //
-// Every order of a previous holder expired before t was granted, so what those
-// orders renewed is over one lease later, by any worker's clock.
+// Every order of a previous holder expired before t was granted, so the leases that
+// those orders renewed expire within one lease duration, by any worker's clock.
 //
-// A partition that comes back under the epoch it was released with goes on from
-// the books: its homes know of no change of holder and would never ask again.
+// A partition that returns under the epoch it was released with continues with the
+// existing state: its homes see no change of holder and would not reconcile again.
 func (f *Fleet) Acquire(_ context.Context, t hold.Takeover) error {
 	now := time.Now()
 	if f.resume(t.Partition, t.Epoch) {
-		f.follow(f.cfg.Hosts(), now)
+		f.syncHosts(f.cfg.Hosts(), now)
 		return nil
 	}
-	p := &part{id: t.Partition, epoch: t.Epoch, mayRunUntil: now.Add(f.times.leaseBound()), expected: map[string]struct{}{}}
-	var state handOver
+	p := &heldPartition{id: t.Partition, epoch: t.Epoch, leasesEndBy: now.Add(f.timings.leaseBound()), awaited: map[string]struct{}{}}
+	var state handoverState
 	if t.SignedOff && json.Unmarshal(t.State, &state) == nil {
-		p.listKnown = state.Complete
+		p.awaitedAll = state.Complete
 		for _, name := range state.Workers {
-			p.expected[name] = struct{}{}
+			p.awaited[name] = struct{}{}
 		}
 	}
 	if t.Fresh {
-		p.listKnown = true
+		p.awaitedAll = true
 	}
 	f.mu.Lock()
 	for id, epoch := range state.Homes {
 		h := f.home(id)
 		h.epoch = max(h.epoch, epoch)
 	}
-	f.drop(t.Partition)
-	if old := f.left[t.Partition]; old.epoch == t.Epoch {
+	f.dropPartition(t.Partition)
+	if old := f.droppedPartitions[t.Partition]; old.epoch == t.Epoch {
 		p.claimAfter = old.until
 	}
-	f.parts[t.Partition] = p
+	f.partitions[t.Partition] = p
 	f.mu.Unlock()
-	f.follow(f.cfg.Hosts(), now)
+	f.syncHosts(f.cfg.Hosts(), now)
 	return nil
 }
 
-// resume takes a released partition up again and reports whether it could.
+// resume continues with a released partition and reports whether that was possible.
 func (f *Fleet) resume(id int, epoch uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.parts[id]
+	p := f.partitions[id]
 	if p == nil || !p.paused || p.epoch != epoch {
 		return false
 	}
-	f.pause(p, false)
+	f.setPaused(p, false)
 	return true
 }
 
-// pause ends or begins the placing on a partition's workers and the calls to
-// them.
-func (f *Fleet) pause(p *part, paused bool) {
+// setPaused stops or resumes placement on a partition's workers and the calls to them.
+func (f *Fleet) setPaused(p *heldPartition, paused bool) {
 	p.paused = paused
-	for _, a := range f.agents {
-		if a.part == p {
-			f.setStatus(a)
+	for _, w := range f.workers {
+		if w.heldPartition == p {
+			f.setStatus(w)
 		}
 	}
 }
 
-// dropMoved forgets the released partitions that have another holder by now.
-func (f *Fleet) dropMoved(table *view.Table) {
-	for id, p := range f.parts {
+// dropTransferred drops the released partitions that have another holder by now.
+func (f *Fleet) dropTransferred(table *view.Table) {
+	for id, p := range f.partitions {
 		if p.paused && tableEpoch(table, id) > p.epoch {
-			f.drop(id)
+			f.dropPartition(id)
 		}
 	}
 }
 
-// Release ends the work for a partition in order: it waits for the calls in
-// flight and names the workers for the next holder. What runs goes on.
+// Release ends the work for a partition before a handover: it waits for the calls in
+// flight and lists the workers for the next holder. Running tasks continue.
 func (f *Fleet) Release(ctx context.Context, id int) ([]byte, error) {
 	f.mu.Lock()
-	p := f.parts[id]
+	p := f.partitions[id]
 	if p == nil {
 		f.mu.Unlock()
 		return nil, result.New(result.NotFound, result.RanNo, "partition %d is not held", id)
 	}
-	f.pause(p, true)
+	f.setPaused(p, true)
 	f.mu.Unlock()
-	if err := f.idle(ctx, p); err != nil {
+	if err := f.waitForCalls(ctx, p); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, a := range f.agents {
-		if a.part == p {
-			f.refuseQueued(a, "partition released", time.Now())
+	for _, w := range f.workers {
+		if w.heldPartition == p {
+			f.refuseQueuedStarts(w, "partition released", time.Now())
 		}
 	}
-	return json.Marshal(f.pack(p))
+	return json.Marshal(f.buildHandover(p))
 }
 
-// idle waits until no call to a worker of the partition is in flight.
-func (f *Fleet) idle(ctx context.Context, p *part) error {
-	ticker := time.NewTicker(releasePoll)
+// waitForCalls waits until no call to a worker of the partition is in flight.
+func (f *Fleet) waitForCalls(ctx context.Context, p *heldPartition) error {
+	ticker := time.NewTicker(releasePollInterval)
 	defer ticker.Stop()
-	for f.anyBusy(p) {
+	for f.hasCallsInFlight(p) {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -176,25 +175,25 @@
 	return nil
 }
 
-func (f *Fleet) anyBusy(p *part) bool {
+func (f *Fleet) hasCallsInFlight(p *heldPartition) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, a := range f.agents {
-		if a.part == p && a.busy {
+	for _, w := range f.workers {
+		if w.heldPartition == p && w.busy {
 			return true
 		}
 	}
 	return false
 }
 
-// pack names the workers that may run something. If the partition was not
-// complete, the next holder has to wait out the leases.
-func (f *Fleet) pack(p *part) handOver {
-	f.noteComplete(time.Now())
-	state := handOver{Complete: p.complete, Homes: map[int]uint64{}}
-	for _, a := range f.agents {
-		if a.part == p {
-			state.Workers = append(state.Workers, a.name)
+// buildHandover lists the workers that may run something. If the partition is not
+// complete, the next holder has to wait until all earlier leases have expired.
+func (f *Fleet) buildHandover(p *heldPartition) handoverState {
+	f.updateComplete(time.Now())
+	state := handoverState{Complete: p.complete, Homes: map[int]uint64{}}
+	for _, w := range f.workers {
+		if w.heldPartition == p {
+			state.Workers = append(state.Workers, w.name)
 		}
 	}
 	for id, h := range f.homes {
@@ -205,43 +204,43 @@
 	return state
 }
 
-// Drop forgets a partition whose right is lost.
+// Drop removes a partition for which this process has lost its authority.
 func (f *Fleet) Drop(id int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drop(id)
+	f.dropPartition(id)
 }
 
-// drop forgets a partition. Starts that were not sent certainly did not
-// happen; those sent have an unknown outcome, which the next holder learns.
-func (f *Fleet) drop(id int) {
-	p := f.parts[id]
+// dropPartition removes a partition. Starts that were not sent certainly did not
+// happen; those sent have an unknown outcome, which the next holder determines.
+func (f *Fleet) dropPartition(id int) {
+	p := f.partitions[id]
 	if p == nil {
 		return
 	}
-	delete(f.parts, id)
-	f.left[id] = leftPart{epoch: p.epoch, until: time.Now().Add(f.times.call + f.times.margin)}
-	for _, a := range f.agents {
-		if a.part == p {
-			f.dropAgent(a)
+	delete(f.partitions, id)
+	f.droppedPartitions[id] = droppedPartition{epoch: p.epoch, until: time.Now().Add(f.timings.callTimeout + f.timings.margin)}
+	for _, w := range f.workers {
+		if w.heldPartition == p {
+			f.removeWorker(w)
 		}
 	}
 }
 
-func (f *Fleet) dropAgent(a *agent) {
-	a.gone = true
-	for _, r := range a.runs {
+func (f *Fleet) removeWorker(w *managedWorker) {
+	w.removed = true
+	for _, r := range w.runs {
 		if r.state == runQueued {
-			f.answer(r, taskmsg.OutcomeRefused)
+			f.resolveWaiters(r, taskmsg.OutcomeRefused)
 		}
-		f.answer(r, taskmsg.OutcomeUnknown)
-		f.forget(r)
-	}
-	f.cell.Remove(a.name)
-	f.health.Forget(a.name)
-	delete(f.over, a.name)
-	delete(f.suspects, a.name)
-	if f.agents[a.name] == a {
-		delete(f.agents, a.name)
+		f.resolveWaiters(r, taskmsg.OutcomeUnknown)
+		f.forgetRun(r)
+	}
+	f.cell.Remove(w.name)
+	f.health.Forget(w.name)
+	delete(f.overCapacity, w.name)
+	delete(f.excludedWorkers, w.name)
+	if f.workers[w.name] == w {
+		delete(f.workers, w.name)
 	}
 }
--- a/internal/fleet/runs.go
+++ b/internal/fleet/runs.go
@@ -8,48 +8,48 @@
 	"pulleyquay/internal/worker"
 )
 
-// batch is one call that waits for the outcomes of its slots.
-type batch struct {
-	results []taskmsg.SlotResult
-	at      map[worker.Attempt]int // index in results
-	open    int
-	done    chan struct{}
-	// abandoned is set when the caller went away: outcomes become news.
+// pendingCall is a call of a home that waits for the outcomes of its slots.
+type pendingCall struct {
+	results     []taskmsg.SlotResult
+	slotIndex   map[worker.Attempt]int // index in results
+	outstanding int
+	done        chan struct{}
+	// abandoned is set when the caller no longer waits: outcomes are sent as updates.
 	abandoned bool
 }
 
-func newBatch(n int) *batch {
-	return &batch{
-		results: make([]taskmsg.SlotResult, 0, n), at: make(map[worker.Attempt]int, n), done: make(chan struct{}),
+func newPendingCall(n int) *pendingCall {
+	return &pendingCall{
+		results: make([]taskmsg.SlotResult, 0, n), slotIndex: make(map[worker.Attempt]int, n), done: make(chan struct{}),
 	}
 }
 
-// expect adds a slot whose outcome comes later.
-func (b *batch) expect(slot taskmsg.Slot, r *run) {
-	b.at[r.id] = len(b.results)
-	b.results = append(b.results, taskmsg.SlotResult{Slot: slot})
-	b.open++
-	r.waiters = append(r.waiters, b)
+// expect adds a slot whose outcome is not known yet.
+func (call *pendingCall) expect(slot taskmsg.Slot, r *run) {
+	call.slotIndex[r.id] = len(call.results)
+	call.results = append(call.results, taskmsg.SlotResult{Slot: slot})
+	call.outstanding++
+	r.waiters = append(r.waiters, call)
 }
 
-// add adds a slot whose outcome is known.
-func (b *batch) add(res taskmsg.SlotResult) { b.results = append(b.results, res) }
+// addResult adds a slot whose outcome is known.
+func (call *pendingCall) addResult(res taskmsg.SlotResult) { call.results = append(call.results, res) }
 
-// answer tells every call that waits for the run's start what became of it.
-func (f *Fleet) answer(r *run, outcome taskmsg.Outcome) {
-	for _, b := range r.waiters {
-		if b.abandoned {
+// resolveWaiters passes the outcome of the run's start to every call that waits for it.
+func (f *Fleet) resolveWaiters(r *run, outcome taskmsg.Outcome) {
+	for _, call := range r.waiters {
+		if call.abandoned {
 			r.reported = true
 			if outcome == taskmsg.OutcomeStarted {
-				f.tell(r, taskmsg.RunRunning)
+				f.queueUpdate(r, taskmsg.RunRunning)
 			}
 			continue
 		}
-		res := &b.results[b.at[r.id]]
+		res := &call.results[call.slotIndex[r.id]]
 		*res = f.slotResult(res.Slot, r, outcome)
-		b.open--
-		if b.open == 0 {
-			close(b.done)
+		call.outstanding--
+		if call.outstanding == 0 {
+			close(call.done)
 		}
 	}
 	if outcome == taskmsg.OutcomeUnknown {
@@ -61,149 +61,150 @@
 func (f *Fleet) slotResult(slot taskmsg.Slot, r *run, outcome taskmsg.Outcome) taskmsg.SlotResult {
 	res := taskmsg.SlotResult{Slot: slot, Outcome: outcome}
 	if outcome != taskmsg.OutcomeRefused {
-		res.Worker, res.Zone = r.agent.name, r.agent.info.Zone
-		res.Partition, res.Epoch = r.agent.part.id, r.agent.part.epoch
+		res.Worker, res.Zone = r.managedWorker.name, r.managedWorker.info.Zone
+		res.Partition, res.Epoch = r.managedWorker.heldPartition.id, r.managedWorker.heldPartition.epoch
 	}
 	return res
 }
 
-// track adds a run to the books of this package; the scheduler has it already.
-func (f *Fleet) track(a *agent, id worker.Attempt, home int, state runState) *run {
-	r := &run{id: id, agent: a, home: home, state: state, begun: state == runRunning}
+// trackRun records a run in this package; its capacity is recorded by the scheduler.
+func (f *Fleet) trackRun(w *managedWorker, id worker.Attempt, home int, state runState) *run {
+	r := &run{id: id, managedWorker: w, home: home, state: state, startConfirmed: state == runRunning}
 	f.runs[id] = r
-	a.runs[id] = r
+	w.runs[id] = r
 	return r
 }
 
-// forget removes a run altogether.
-func (f *Fleet) forget(r *run) {
+// forgetRun removes a run and everything queued for it.
+func (f *Fleet) forgetRun(r *run) {
 	f.cell.Unreserve(r.id)
-	f.untell(r)
-	delete(f.lapsing, r)
+	f.dropUpdate(r)
+	delete(f.missingRuns, r)
 	if f.runs[r.id] == r {
 		delete(f.runs, r.id)
 	}
-	delete(r.agent.runs, r.id)
-	delete(r.agent.stops, r.id)
-	delete(r.agent.acks, r.id)
+	delete(r.managedWorker.runs, r.id)
+	delete(r.managedWorker.stops, r.id)
+	delete(r.managedWorker.acks, r.id)
 }
 
-// started notes that the worker runs the run.
-func (f *Fleet) started(r *run) {
+// markStarted records that the worker has started the run.
+func (f *Fleet) markStarted(r *run) {
 	if r.start != nil && r.start.RunMillis > 0 {
 		r.endsAt = time.Now().Add(time.Duration(r.start.RunMillis) * time.Millisecond)
 	}
-	r.state, r.start, r.begun = runRunning, nil, true
+	r.state, r.start, r.startConfirmed = runRunning, nil, true
 	f.metrics.starts.WithLabelValues("started").Inc()
-	f.answer(r, taskmsg.OutcomeStarted)
+	f.resolveWaiters(r, taskmsg.OutcomeStarted)
 }
 
-// neverStarted notes that the run certainly did not start and will not.
-func (f *Fleet) neverStarted(r *run, reason string, now time.Time) {
+// markNeverStarted records that the run certainly did not start and will not.
+func (f *Fleet) markNeverStarted(r *run, reason string, now time.Time) {
 	f.metrics.starts.WithLabelValues("refused").Inc()
-	f.log.WithFields(map[string]any{"worker": r.agent.name, "task": r.id.Task.String(), "reason": reason}).Debug("start refused")
-	f.answer(r, taskmsg.OutcomeRefused)
+	f.log.WithFields(map[string]any{"worker": r.managedWorker.name, "task": r.id.Task.String(), "reason": reason}).Debug("start refused")
+	f.resolveWaiters(r, taskmsg.OutcomeRefused)
 	if r.reported {
 		f.endRun(r, taskmsg.RunNever, 0, now)
 		return
 	}
-	f.forget(r)
+	f.forgetRun(r)
 }
 
-// endRun notes that a run is over, frees its room and tells its home.
+// endRun records that a run has ended, frees its capacity and queues the update for its home.
 func (f *Fleet) endRun(r *run, state taskmsg.RunState, exitCode int, now time.Time) {
 	if r.state >= runEnded {
 		return
 	}
 	f.metrics.ends.WithLabelValues(runStateLabel(state)).Inc()
-	f.answer(r, taskmsg.OutcomeRefused) // only if it never started
+	f.resolveWaiters(r, taskmsg.OutcomeRefused) // there are waiters only if it never started
 	if state == taskmsg.RunFinished {
-		f.blame(r, exitCode, now)
+		f.recordOutcome(r, exitCode, now)
 	}
 	f.cell.Unreserve(r.id)
-	delete(r.agent.stops, r.id)
-	delete(f.lapsing, r)
+	delete(r.managedWorker.stops, r.id)
+	delete(f.missingRuns, r)
 	r.state, r.start, r.exitCode = runEnded, nil, exitCode
-	f.tell(r, state)
+	f.queueUpdate(r, state)
 }
 
-// observeRun takes in a run as the worker shows it.
-func (f *Fleet) observeRun(a *agent, w *worker.Run, now time.Time) {
-	id := worker.Attempt{Task: w.Task, Attempt: w.Attempt}
-	r := a.runs[id]
+// observeRun processes a run reported by the worker.
+func (f *Fleet) observeRun(w *managedWorker, report *worker.Run, now time.Time) {
+	id := worker.Attempt{Task: report.Task, Attempt: report.Attempt}
+	r := w.runs[id]
 	if r == nil {
-		r = f.adopt(a, id, w, now)
+		r = f.adopt(w, id, report, now)
 	}
-	r.excused = r.excused || r.state >= runEnded
+	r.crashExempt = r.crashExempt || r.state >= runEnded
 	switch {
-	case w.State == worker.StateRunning:
-		f.observeRunning(r, w, now)
+	case report.State == worker.StateRunning:
+		f.observeRunning(r, report, now)
 	case r.state == runAcked:
-		a.acks[id] = struct{}{} // the acknowledgement was lost
-	case w.State == worker.StateFinished:
-		f.observeStart(r)
-		f.endRun(r, taskmsg.RunFinished, w.ExitCode, now)
+		w.acks[id] = struct{}{} // the acknowledgement was lost
+	case report.State == worker.StateFinished:
+		f.confirmStart(r)
+		f.endRun(r, taskmsg.RunFinished, report.ExitCode, now)
 	case r.preempted:
-		f.observeStart(r)
+		f.confirmStart(r)
 		f.endRun(r, taskmsg.RunPreempted, 0, now)
 	default:
-		f.observeStart(r)
+		f.confirmStart(r)
 		f.endRun(r, taskmsg.RunStopped, 0, now)
 	}
 }
 
-// observeStart settles a start whose run shows up at the worker.
-func (f *Fleet) observeStart(r *run) {
+// confirmStart resolves a start whose run is reported by the worker.
+func (f *Fleet) confirmStart(r *run) {
 	if r.state == runSent || r.state == runUnknown {
-		f.started(r)
+		f.markStarted(r)
 	}
 }
 
-func (f *Fleet) observeRunning(r *run, w *worker.Run, now time.Time) {
+func (f *Fleet) observeRunning(r *run, report *worker.Run, now time.Time) {
 	unknown := r.state == runUnknown
-	f.observeStart(r)
+	f.confirmStart(r)
 	if unknown {
-		f.tell(r, taskmsg.RunRunning)
+		f.queueUpdate(r, taskmsg.RunRunning)
 	}
-	if r.state == runLapsing {
-		delete(f.lapsing, r)
-		r.state, r.begun, r.otherLife = runRunning, true, false
-		f.bookAdopted(r, w, now)
+	if r.state == runMissing {
+		delete(f.missingRuns, r)
+		r.state, r.startConfirmed, r.newIncarnationSeen = runRunning, true, false
+		f.recordAdopted(r, report, now)
 	}
 }
 
-// lapse notes that a run is not at its worker any more, whose present life has begun at a time.
-// Its room there is free; its home may have it started elsewhere only when its lease is over.
-func (f *Fleet) lapse(r *run, until, began time.Time) {
-	f.answer(r, taskmsg.OutcomeUnknown)
+// markMissing records that a run is no longer on its worker, whose present incarnation started at
+// startedAt. Its capacity there is free, but its home may start the task elsewhere only when its
+// lease has expired.
+func (f *Fleet) markMissing(r *run, leasesEndBy, startedAt time.Time) {
+	f.resolveWaiters(r, taskmsg.OutcomeUnknown)
 	f.cell.Unreserve(r.id)
-	delete(r.agent.stops, r.id)
-	r.meetOtherLife(began)
-	r.excused = r.excused || r.agent.leaving
-	r.state, r.start = runLapsing, nil
-	f.lapsing[r] = until
-}
-
-// adopt books a run that this holder did not start. Its home is told of it and
-// answers whether it knows the job; a run that was to be stopped is stopped.
-func (f *Fleet) adopt(a *agent, id worker.Attempt, w *worker.Run, now time.Time) *run {
-	r := f.track(a, id, w.Home, runRunning)
-	if w.State != worker.StateRunning {
+	delete(r.managedWorker.stops, r.id)
+	r.recordNewIncarnation(startedAt)
+	r.crashExempt = r.crashExempt || r.managedWorker.leaving
+	r.state, r.start = runMissing, nil
+	f.missingRuns[r] = leasesEndBy
+}
+
+// adopt records a run that this holder did not start. It is reported to its home,
+// which replies whether it knows the job. A run with a tombstone is killed.
+func (f *Fleet) adopt(w *managedWorker, id worker.Attempt, report *worker.Run, now time.Time) *run {
+	r := f.trackRun(w, id, report.Home, runRunning)
+	if report.State != worker.StateRunning {
 		return r
 	}
-	f.bookAdopted(r, w, now)
-	f.tell(r, taskmsg.RunRunning)
-	if f.tombs.Contains(id) {
-		a.stops[id] = worker.Kill
+	f.recordAdopted(r, report, now)
+	f.queueUpdate(r, taskmsg.RunRunning)
+	if f.tombstones.Contains(id) {
+		w.stops[id] = worker.Kill
 	}
 	return r
 }
 
-// bookAdopted books a run that is known only from its worker.
-func (f *Fleet) bookAdopted(r *run, w *worker.Run, now time.Time) {
-	started := now.Add(-time.Duration(r.agent.clock.reading-w.Started) * time.Millisecond)
-	booked := scheduler.Run{Attempt: r.id, Home: w.Home, Kind: w.Kind, Size: w.Size, Urgent: w.Urgent, Priority: w.Priority}
-	if err := f.cell.Adopt(r.agent.name, booked, started); err != nil {
-		f.log.WithError(err).Error("run not booked") // only for a worker that was never claimed
+// recordAdopted records in the scheduler a run that is known only from its worker.
+func (f *Fleet) recordAdopted(r *run, report *worker.Run, now time.Time) {
+	started := now.Add(-time.Duration(r.managedWorker.clock.reading-report.Started) * time.Millisecond)
+	adopted := scheduler.Run{Attempt: r.id, Home: report.Home, Kind: report.Kind, Size: report.Size, Urgent: report.Urgent, Priority: report.Priority}
+	if err := f.cell.Adopt(r.managedWorker.name, adopted, started); err != nil {
+		f.log.WithError(err).Error("adopted run not recorded in the scheduler") // only possible for a worker that was never claimed
 	}
 }
--- a/internal/fleet/stop.go
+++ b/internal/fleet/stop.go
@@ -8,25 +8,25 @@
 	"pulleyquay/internal/worker"
 )
 
-// stopTasks answers a home's request to end runs. A run that is not known gets
-// a tombstone, and is called unknown once all that runs here is known: should its request for a start still be under way, or should it
-// show up in the inventory of a worker claimed later, it is not started or
-// stopped there.
+// stopTasks handles a home's request to stop runs. A run that is not recorded gets a
+// tombstone: if a request to start it is still in transit it will not be started, and
+// if a worker that is claimed later lists it, it is killed. It is reported as unknown
+// only once all held partitions are complete.
 func (f *Fleet) stopTasks(_ context.Context, req taskmsg.StopRequest) (taskmsg.StopReply, error) {
 	var reply taskmsg.StopReply
-	err := f.serve(req.Home, func(now time.Time) error {
-		f.noteComplete(now)
-		sure := f.allComplete()
+	err := f.serveHome(req.Home, func(now time.Time) error {
+		f.updateComplete(now)
+		complete := f.allComplete()
 		for _, id := range req.Runs {
 			r := f.runs[id]
 			if r == nil {
-				f.tombs.Add(id, struct{}{})
-				if sure {
+				f.tombstones.Add(id, struct{}{})
+				if complete {
 					reply.Unknown = append(reply.Unknown, id)
 				}
 				continue
 			}
-			r.preempted = false // it ends because its home wants it to
+			r.preempted = false // it now ends at the request of its home
 			f.stopRun(r, req.Mode, req.Reason)
 		}
 		return nil
@@ -35,9 +35,9 @@
 }
 
 // allComplete reports whether everything that may run on the workers of the held
-// partitions is in the books.
+// partitions is recorded.
 func (f *Fleet) allComplete() bool {
-	for _, p := range f.parts {
+	for _, p := range f.partitions {
 		if !p.complete {
 			return false
 		}
@@ -45,29 +45,29 @@
 	return true
 }
 
-// stopRun ends or slows one run. One that was not sent yet is taken back.
+// stopRun stops or throttles one run. A stop cancels a start that has not been sent yet.
 func (f *Fleet) stopRun(r *run, mode worker.StopMode, reason string) {
 	if r.state >= runEnded {
 		return
 	}
-	a := r.agent
+	w := r.managedWorker
 	f.metrics.stops.WithLabelValues(string(mode)).Inc()
 	if r.state == runQueued && mode != worker.Throttle {
-		f.unqueue(r)
+		f.dequeueStart(r)
 		r.reported = true
-		f.neverStarted(r, reason, time.Now())
+		f.markNeverStarted(r, reason, time.Now())
 		return
 	}
-	a.stops[r.id] = mode
-	f.kick(a, time.Now())
+	w.stops[r.id] = mode
+	f.startDriver(w, time.Now())
 }
 
-// unqueue takes a run out of the starts that wait for the next order.
-func (f *Fleet) unqueue(r *run) {
-	a := r.agent
-	for i, s := range a.starts {
+// dequeueStart removes a run from the queued starts of its worker.
+func (f *Fleet) dequeueStart(r *run) {
+	w := r.managedWorker
+	for i, s := range w.starts {
 		if s == r {
-			a.starts = append(a.starts[:i], a.starts[i+1:]...)
+			w.starts = append(w.starts[:i], w.starts[i+1:]...)
 			return
 		}
 	}
--- /dev/null
+++ b/internal/fleet/updates.go
@@ -0,0 +1,260 @@
+package fleet
+
+import (
+	"context"
+	"time"
+
+	"github.com/cenkalti/backoff/v5"
+
+	"pulleyquay/internal/peer"
+	"pulleyquay/internal/result"
+	"pulleyquay/internal/taskmsg"
+	"pulleyquay/internal/view"
+	"pulleyquay/internal/worker"
+)
+
+// Limits for the status updates sent to homes.
+const (
+	maxRunsPerUpdate = 512
+	updateTimeout    = 2 * time.Second
+	updateRetry      = 100 * time.Millisecond
+	updateRetryMax   = 2 * time.Second
+)
+
+// home is the holder's state of one home partition.
+type home struct {
+	// epoch is the highest home epoch seen in a request, the table or a handover.
+	epoch uint64
+	// pending are the runs with an update for the home.
+	pending map[worker.Attempt]*run
+	busy    bool
+	retryAt time.Time
+	backoff backoff.ExponentialBackOff
+}
+
+func (f *Fleet) home(id int) *home {
+	h := f.homes[id]
+	if h == nil {
+		h = &home{pending: map[worker.Attempt]*run{}, backoff: backoff.ExponentialBackOff{
+			InitialInterval: updateRetry, Multiplier: backoff.DefaultMultiplier,
+			RandomizationFactor: backoff.DefaultRandomizationFactor, MaxInterval: updateRetryMax,
+		}}
+		h.backoff.Reset()
+		f.homes[id] = h
+	}
+	return h
+}
+
+// serveHome runs fn under the mutex unless the requesting home is fenced. The table
+// is read before locking, since its source may have a lock of its own.
+func (f *Fleet) serveHome(from taskmsg.Home, fn func(now time.Time) error) error {
+	table := f.cfg.View.Table()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if err := f.admitHome(from, table); err != nil {
+		return err
+	}
+	return fn(time.Now())
+}
+
+// admitHome admits a home's request, or refuses it when a higher epoch of the home
+// has sent a request before or holds the partition according to this process's
+// table. A new holder has not seen earlier requests, but its table contains every
+// home that acquired its partition before this process did (see requireOwnClaims).
+func (f *Fleet) admitHome(from taskmsg.Home, table *view.Table) error {
+	if err := f.requireOwnClaims(table); err != nil {
+		return err
+	}
+	h := f.home(from.Partition)
+	h.epoch = max(h.epoch, tableEpoch(table, from.Partition))
+	if from.Epoch < h.epoch {
+		return result.New(result.HomeFenced, result.RanNo, "home partition %d: epoch %d is below %d", from.Partition, from.Epoch, h.epoch)
+	}
+	h.epoch = from.Epoch
+	return nil
+}
+
+// requireOwnClaims refuses requests until the table contains this process's own
+// claims, and with them every earlier failover or handover of a home.
+func (f *Fleet) requireOwnClaims(table *view.Table) error {
+	for _, p := range f.partitions {
+		if p.inTable {
+			continue
+		}
+		if tableEpoch(table, p.id) < p.epoch {
+			return result.New(result.HolderBehind, result.RanNo, "partition %d: claim of epoch %d not yet in the table", p.id, p.epoch).Later(updateRetry)
+		}
+		p.inTable = true
+	}
+	return nil
+}
+
+// tableEpoch returns the epoch of a partition in a table, zero if absent.
+func tableEpoch(table *view.Table, id int) uint64 {
+	for _, p := range table.Partitions {
+		if p.ID == id {
+			return p.Epoch
+		}
+	}
+	return 0
+}
+
+// homeAddr returns the address of the holder of a partition, "" if it has none.
+func (f *Fleet) homeAddr(id int) string {
+	for _, p := range f.cfg.View.Table().Partitions {
+		if p.ID == id && p.Holder != "" {
+			return p.Addr
+		}
+	}
+	return ""
+}
+
+// queueUpdate queues a run's state for its home. A later state replaces an earlier one.
+func (f *Fleet) queueUpdate(r *run, state taskmsg.RunState) {
+	r.update = state
+	r.reported = true
+	h := f.home(r.home)
+	h.pending[r.id] = r
+	f.startUpdateSender(r.home, h, time.Now())
+}
+
+// dropUpdate discards a run's queued update.
+func (f *Fleet) dropUpdate(r *run) {
+	r.update = 0
+	if h := f.homes[r.home]; h != nil && h.pending[r.id] == r {
+		delete(h.pending, r.id)
+	}
+}
+
+// startUpdateSender starts a sender for the home if updates are pending and none runs.
+func (f *Fleet) startUpdateSender(id int, h *home, now time.Time) {
+	if h.busy || len(h.pending) == 0 || now.Before(h.retryAt) {
+		return
+	}
+	h.busy = f.spawn(func() { f.sendUpdates(id, h) })
+}
+
+// sendUpdates sends the pending updates of one home, one message at a time.
+func (f *Fleet) sendUpdates(id int, h *home) {
+	for {
+		f.mu.Lock()
+		if len(h.pending) == 0 || time.Now().Before(h.retryAt) || f.ctx.Err() != nil {
+			h.busy = false
+			f.mu.Unlock()
+			return
+		}
+		update, sent := f.composeUpdate(id, h)
+		f.mu.Unlock()
+		reply, err := f.callHome(id, update)
+		f.mu.Lock()
+		f.applyUpdateReply(h, sent, reply, err)
+		f.mu.Unlock()
+	}
+}
+
+// sentUpdate is what was sent about a run, to detect changes since then.
+type sentUpdate struct {
+	run          *run
+	state        taskmsg.RunState
+	lossEvidence taskmsg.Sight
+}
+
+// superseded reports whether the run's update has changed since it was sent.
+func (t sentUpdate) superseded() bool {
+	return t.run.update != t.state || t.run.lossEvidence() != t.lossEvidence
+}
+
+func (f *Fleet) composeUpdate(id int, h *home) (taskmsg.News, []sentUpdate) {
+	n := min(len(h.pending), maxRunsPerUpdate)
+	update := taskmsg.News{HomePartition: id, Runs: make([]taskmsg.RunNews, 0, n)}
+	sent := make([]sentUpdate, 0, n)
+	for _, r := range h.pending {
+		if len(sent) == n {
+			break
+		}
+		update.Runs = append(update.Runs, f.runUpdate(r, r.update))
+		sent = append(sent, sentUpdate{r, r.update, r.lossEvidence()})
+	}
+	return update, sent
+}
+
+func (f *Fleet) runUpdate(r *run, state taskmsg.RunState) taskmsg.RunNews {
+	update := taskmsg.RunNews{
+		Run: r.id, State: state, ExitCode: r.exitCode, Worker: r.managedWorker.name, Zone: r.managedWorker.info.Zone,
+		Partition: r.managedWorker.heldPartition.id, Epoch: r.managedWorker.heldPartition.epoch,
+	}
+	if state == taskmsg.RunLost {
+		update.Saw(r.lossEvidence())
+	}
+	return update
+}
+
+func (f *Fleet) callHome(id int, update taskmsg.News) (taskmsg.NewsReply, error) {
+	var reply taskmsg.NewsReply
+	addr := f.homeAddr(id)
+	if addr == "" {
+		return reply, result.New(result.PeerNotReached, result.RanNo, "nobody holds partition %d", id)
+	}
+	ctx, cancel := context.WithTimeout(f.ctx, updateTimeout)
+	defer cancel()
+	err := f.cfg.Peers.Call(ctx, addr, peer.KindTaskNews, update, &reply)
+	return reply, err
+}
+
+// applyUpdateReply processes a home's reply. An update that a run is running needs
+// no acknowledgement; one that it has ended stays pending until it is acknowledged.
+func (f *Fleet) applyUpdateReply(h *home, sent []sentUpdate, reply taskmsg.NewsReply, err error) {
+	now := time.Now()
+	if err != nil {
+		f.metrics.updates.WithLabelValues("failed").Inc()
+		h.retryAt = now.Add(h.backoff.NextBackOff())
+		return
+	}
+	f.metrics.updates.WithLabelValues("ok").Inc()
+	acked := attemptSet(reply.Acked)
+	orphans := attemptSet(reply.Orphans)
+	unacked := 0
+	for _, t := range sent {
+		if h.pending[t.run.id] != t.run || t.superseded() {
+			continue // removed, or another update is pending
+		}
+		_, isAcked := acked[t.run.id]
+		_, isOrphan := orphans[t.run.id]
+		switch {
+		case t.run.state >= runEnded && (isAcked || isOrphan):
+			f.acknowledgeEnd(t.run)
+		case t.run.state < runEnded:
+			f.dropUpdate(t.run)
+			if isOrphan {
+				f.stopRun(t.run, worker.Kill, "unknown job")
+			}
+		default:
+			unacked++
+		}
+	}
+	if unacked > 0 {
+		h.retryAt = now.Add(h.backoff.NextBackOff())
+		return
+	}
+	h.backoff.Reset()
+	h.retryAt = time.Time{}
+}
+
+// acknowledgeEnd lets the worker delete its record of an ended run with the next order.
+func (f *Fleet) acknowledgeEnd(r *run) {
+	f.dropUpdate(r)
+	if r.managedWorker.removed {
+		f.forgetRun(r)
+		return
+	}
+	r.state = runAcked
+	r.managedWorker.acks[r.id] = struct{}{}
+}
+
+func attemptSet(list []worker.Attempt) map[worker.Attempt]struct{} {
+	set := make(map[worker.Attempt]struct{}, len(list))
+	for _, a := range list {
+		set[a] = struct{}{}
+	}
+	return set
+}
