--- a/internal/job/apply_test.go
+++ b/internal/job/apply_test.go
@@ -10,25 +10,25 @@
 	"pulleyquay/internal/worker"
 )
 
-// still makes a home that does nothing by itself, with one job in it.
-func still(t testing.TB, phase phase, recoverable bool, kind spec.Kind, tasks int) (*home, *job) {
+// newStaticOwner makes a home that does nothing by itself, with one job in it.
+func newStaticOwner(t testing.TB, phase phase, inherited bool, kind spec.Kind, tasks int) (*jobOwner, *job) {
 	c := newCell(t, 1)
 	p := c.start("a")
-	h := newHome(p.jobs, c.claim(p, 0))
-	h.phase = phase
+	o := newJobOwner(p.jobs, c.claim(p, 0))
+	o.phase = phase
 	s := batch(0, tasks, time.Minute)
 	s.Kind = kind
 	j := newJob(&record{Job: s, State: jobmsg.StateWaiting, Generation: 1, TaskGeneration: 1})
-	j.certain, j.recoverable = true, recoverable
-	h.add(j)
-	if !h.recovering(j) {
-		h.enlist(j)
+	j.recordConfirmed, j.inherited = true, inherited
+	o.add(j)
+	if !o.recovering(j) {
+		o.enqueueAll(j)
 	}
-	return h, j
+	return o, j
 }
 
-// runOf is news of an attempt at task 0, on a worker of partition 1 at epoch 1.
-func runOf(j *job, attempt int, state taskmsg.RunState, exit int) taskmsg.RunNews {
+// reportOf is news of an attempt at task 0, on a worker of partition 1 at epoch 1.
+func reportOf(j *job, attempt int, state taskmsg.RunState, exit int) taskmsg.RunNews {
 	return taskmsg.RunNews{
 		Run:   worker.Attempt{Task: spec.TaskID{Job: j.id()}, Attempt: attempt},
 		State: state, ExitCode: exit, Worker: "w", Zone: "z", Partition: 1, Epoch: 1,
@@ -46,33 +46,33 @@
 	}
 	running := step{old, taskmsg.RunRunning, 0}
 	cases := []struct {
-		name        string
-		recovering  bool
-		order       bool // task 0 is ordered before the news
-		steps       []step
-		verdict     verdict
-		state       taskState
-		failures    int
-		active      int
-		wantPending bool // the task waits for a start, once
+		name          string
+		recovering    bool
+		order         bool // task 0 is ordered before the news
+		steps         []step
+		reportOutcome reportOutcome
+		state         taskState
+		failures      int
+		active        int
+		wantPending   bool // the task waits for a start, once
 	}{
-		{"adopted at a takeover", true, false, []step{running}, verdictNoted, taskRunning, 0, 1, false},
-		{"told twice", true, false, []step{running, running}, verdictNoted, taskRunning, 0, 1, false},
-		{"second run of an adopted task", true, false, []step{running, {old - 1, taskmsg.RunRunning, 0}}, verdictOrphan, taskRunning, 0, 1, false},
-		{"adopted, then ended", true, false, []step{running, {old, taskmsg.RunFinished, 0}}, verdictNoted, taskDone, 0, 0, false},
-		{"finished before the takeover", true, false, []step{{old, taskmsg.RunFinished, 0}}, verdictNoted, taskDone, 0, 0, false},
-		{"failed before the takeover, told twice", true, false, []step{{old, taskmsg.RunFinished, 1}, {old, taskmsg.RunFinished, 1}}, verdictNoted, taskPending, 1, 0, false},
-		{"stopped before the takeover", true, false, []step{{old, taskmsg.RunStopped, 0}}, verdictAcked, taskPending, 0, 0, false},
-		{"running after an end was told", true, false, []step{{old, taskmsg.RunLost, 0}, running}, verdictOrphan, taskPending, 0, 0, false},
-		{"unknown run after the takeover", false, false, []step{running}, verdictOrphan, taskPending, 0, 0, true},
-		{"ordered, runs", false, true, []step{{0, taskmsg.RunRunning, 0}}, verdictNoted, taskRunning, 0, 1, false},
-		{"ordered, never ran", false, true, []step{{0, taskmsg.RunNever, 0}}, verdictAcked, taskPending, 0, 0, true},
-		{"never ran, told twice", false, true, []step{{0, taskmsg.RunNever, 0}, {0, taskmsg.RunNever, 0}}, verdictAcked, taskPending, 0, 0, true},
-		{"another attempt than the ordered one", false, true, []step{running}, verdictOrphan, taskOrdered, 0, 1, false},
-		{"end of another attempt", false, true, []step{{old, taskmsg.RunLost, 0}}, verdictAcked, taskOrdered, 0, 1, false},
-		{"failed twice told", false, true, []step{{0, taskmsg.RunFinished, 3}, {0, taskmsg.RunFinished, 3}}, verdictNoted, taskPending, 1, 0, true},
-		{"preempted", false, true, []step{{0, taskmsg.RunPreempted, 0}}, verdictAcked, taskPending, 0, 0, true},
-		{"runs after its end", false, true, []step{{0, taskmsg.RunFinished, 0}, {0, taskmsg.RunRunning, 0}}, verdictOrphan, taskDone, 0, 0, false},
+		{"adopted at a takeover", true, false, []step{running}, reportApplied, taskRunning, 0, 1, false},
+		{"told twice", true, false, []step{running, running}, reportApplied, taskRunning, 0, 1, false},
+		{"second run of an adopted task", true, false, []step{running, {old - 1, taskmsg.RunRunning, 0}}, reportOrphan, taskRunning, 0, 1, false},
+		{"adopted, then ended", true, false, []step{running, {old, taskmsg.RunFinished, 0}}, reportApplied, taskDone, 0, 0, false},
+		{"finished before the takeover", true, false, []step{{old, taskmsg.RunFinished, 0}}, reportApplied, taskDone, 0, 0, false},
+		{"failed before the takeover, told twice", true, false, []step{{old, taskmsg.RunFinished, 1}, {old, taskmsg.RunFinished, 1}}, reportApplied, taskPending, 1, 0, false},
+		{"stopped before the takeover", true, false, []step{{old, taskmsg.RunStopped, 0}}, reportAcked, taskPending, 0, 0, false},
+		{"running after an end was told", true, false, []step{{old, taskmsg.RunLost, 0}, running}, reportOrphan, taskPending, 0, 0, false},
+		{"unknown run after the takeover", false, false, []step{running}, reportOrphan, taskPending, 0, 0, true},
+		{"ordered, runs", false, true, []step{{0, taskmsg.RunRunning, 0}}, reportApplied, taskRunning, 0, 1, false},
+		{"ordered, never ran", false, true, []step{{0, taskmsg.RunNever, 0}}, reportAcked, taskPending, 0, 0, true},
+		{"never ran, told twice", false, true, []step{{0, taskmsg.RunNever, 0}, {0, taskmsg.RunNever, 0}}, reportAcked, taskPending, 0, 0, true},
+		{"another attempt than the ordered one", false, true, []step{running}, reportOrphan, taskRequested, 0, 1, false},
+		{"end of another attempt", false, true, []step{{old, taskmsg.RunLost, 0}}, reportAcked, taskRequested, 0, 1, false},
+		{"failed twice told", false, true, []step{{0, taskmsg.RunFinished, 3}, {0, taskmsg.RunFinished, 3}}, reportApplied, taskPending, 1, 0, true},
+		{"preempted", false, true, []step{{0, taskmsg.RunPreempted, 0}}, reportAcked, taskPending, 0, 0, true},
+		{"runs after its end", false, true, []step{{0, taskmsg.RunFinished, 0}, {0, taskmsg.RunRunning, 0}}, reportOrphan, taskDone, 0, 0, false},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -80,34 +80,34 @@
 			if tt.recovering {
 				phase = phaseReconciling
 			}
-			h, j := still(t, phase, tt.recovering, spec.KindBatch, 2)
+			o, j := newStaticOwner(t, phase, tt.recovering, spec.KindBatch, 2)
 			now, present := time.Now(), 0
 			if tt.order {
 				j.ready = j.ready[1:]
-				present = h.reserve(j, 0).Attempt
-				h.ledger.Restore(j.rec.Job.Team, j.account(present), j.rec.Job.Task.Size, 1)
+				present = o.newAttempt(j, 0).Attempt
+				o.ledger.Restore(j.rec.Job.Team, j.ledgerAccount(present), j.rec.Job.Task.Size, 1)
 			}
-			var got verdict
+			var got reportOutcome
 			for _, s := range tt.steps {
 				attempt := s.attempt
 				if attempt == 0 {
 					attempt = present
 				}
-				got = h.apply(runOf(j, attempt, s.state, s.exit), now)
+				got = o.applyReport(reportOf(j, attempt, s.state, s.exit), now)
 			}
-			is := h.m.cfg.Source.(*cell).is
-			is.Equal(got, tt.verdict)
+			is := o.m.cfg.Source.(*cell).is
+			is.Equal(got, tt.reportOutcome)
 			is.Equal(j.tasks[0].state, tt.state)
 			is.Equal(j.rec.Failures[0], tt.failures)
 			is.Equal(j.active, tt.active)
-			is.Equal(h.ledger.Used(j.rec.Job.Team), j.rec.Job.Task.Size.Times(int64(tt.active)))
+			is.Equal(o.ledger.Used(j.rec.Job.Team), j.rec.Job.Task.Size.Times(int64(tt.active)))
 			waits := 0
 			for _, i := range j.ready {
 				if i == 0 {
 					waits++
 				}
 			}
-			for _, d := range j.later {
+			for _, d := range j.delayed {
 				if d.index == 0 {
 					waits++
 				}
@@ -120,17 +120,17 @@
 // TestAcknowledgedOnlyOnceRecorded follows a finished run until the store has
 // it, and the news of a job that nobody knows.
 func TestAcknowledgedOnlyOnceRecorded(t *testing.T) {
-	h, j := still(t, phaseReady, false, spec.KindBatch, 2)
-	is := h.m.cfg.Source.(*cell).is
+	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 2)
+	is := o.m.cfg.Source.(*cell).is
 	j.ready = j.ready[1:]
-	n := runOf(j, h.reserve(j, 0).Attempt, taskmsg.RunFinished, 0)
-	is.Equal(h.apply(n, time.Now()), verdictNoted)
-	is.Equal(h.apply(n, time.Now()), verdictNoted)
-	h.writing++
-	h.wrote(pendingWrite{job: j, version: j.version, done: append(bitmap(nil), j.rec.Done...)}, 7, nil, time.Now())
-	is.Equal(h.apply(n, time.Now()), verdictAcked)
+	n := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunFinished, 0)
+	is.Equal(o.applyReport(n, time.Now()), reportApplied)
+	is.Equal(o.applyReport(n, time.Now()), reportApplied)
+	o.writesInFlight++
+	o.applyWriteResult(pendingWrite{job: j, version: j.version, doneTasks: append(bitmap(nil), j.rec.Done...)}, 7, nil, time.Now())
+	is.Equal(o.applyReport(n, time.Now()), reportAcked)
 	n.Run.Task.Job = "nobody's"
-	is.Equal(h.apply(n, time.Now()), verdictAcked)
+	is.Equal(o.applyReport(n, time.Now()), reportAcked)
 	n.State = taskmsg.RunRunning
-	is.Equal(h.apply(n, time.Now()), verdictOrphan)
+	is.Equal(o.applyReport(n, time.Now()), reportOrphan)
 }
--- a/internal/job/bench_test.go
+++ b/internal/job/bench_test.go
@@ -19,12 +19,12 @@
 	"pulleyquay/internal/view"
 )
 
-// instant is a Caller whose holders start and stop everything at once.
-type instant struct {
+// instantPeers is a Caller whose holders start and stop everything at once.
+type instantPeers struct {
 	messages, bytes atomic.Int64
 }
 
-func (s *instant) Call(_ context.Context, addr string, _ peer.Kind, req, resp any) error {
+func (s *instantPeers) Call(_ context.Context, addr string, _ peer.Kind, req, resp any) error {
 	s.messages.Add(1)
 	s.count(req)
 	switch m := req.(type) {
@@ -42,16 +42,16 @@
 	return nil
 }
 
-func (s *instant) count(m any) {
+func (s *instantPeers) count(m any) {
 	b, _ := cbor.Marshal(m)
 	s.bytes.Add(int64(len(b)))
 }
 
-// busyHome makes a home with n holders of much room.
-func busyHome(b *testing.B, holders int) (*home, *instant) {
-	h, j := still(b, phaseReady, false, spec.KindBatch, 1)
-	h.remove(j)
-	c := h.m.cfg.Source.(*cell)
+// newBenchOwner makes a home with n holders of much room.
+func newBenchOwner(b *testing.B, holders int) (*jobOwner, *instantPeers) {
+	o, j := newStaticOwner(b, phaseReady, false, spec.KindBatch, 1)
+	o.remove(j)
+	c := o.m.cfg.Source.(*cell)
 	table := c.Table()
 	digests := map[string]taskmsg.Digest{}
 	size := spec.Resources{MilliCPU: 64000, MemoryMiB: 128000}
@@ -67,39 +67,39 @@
 			Sizes: []taskmsg.Size{{Size: size, Workers: 1000, Generation: 2}, {Size: size, Workers: 1000, Generation: 1, AcceleratorKind: "a"}},
 		}
 	}
-	s := &instant{}
-	h.m.cfg.Peers = s
-	h.m.cfg.Source = fixed{c, table}
-	h.m.cfg.Digests = func() map[string]taskmsg.Digest { return digests }
-	return h, s
+	s := &instantPeers{}
+	o.m.cfg.Peers = s
+	o.m.cfg.Source = fixedTable{c, table}
+	o.m.cfg.Digests = func() map[string]taskmsg.Digest { return digests }
+	return o, s
 }
 
-// fixed is a cell with a table that does not change.
-type fixed struct {
+// fixedTable is a cell with a table that does not change.
+type fixedTable struct {
 	*cell
 	table *view.Table
 }
 
-func (f fixed) Table() *view.Table { return f.table }
+func (f fixedTable) Table() *view.Table { return f.table }
 
-func (h *home) addJob(kind spec.Kind, tasks int) *job {
+func (o *jobOwner) addJob(kind spec.Kind, tasks int) *job {
 	s := batch(0, tasks, time.Minute)
 	s.Kind = kind
 	j := newJob(&record{Job: s, State: jobmsg.StateWaiting, Generation: 1, TaskGeneration: 1, Submitted: time.Now().UnixMilli()})
-	j.certain = true
-	h.add(j)
-	h.enlist(j)
+	j.recordConfirmed = true
+	o.add(j)
+	o.enqueueAll(j)
 	return j
 }
 
 // placeAll decides until nothing waits, as the loop does.
-func (h *home) placeAll(table *view.Table) {
+func (o *jobOwner) placeAll(table *view.Table) {
 	for {
-		h.mu.Lock()
-		h.planStarts(table, time.Now())
-		left := len(h.waiting)
-		h.mu.Unlock()
-		h.work.Wait()
+		o.mu.Lock()
+		o.planStarts(table, time.Now())
+		left := len(o.waiting)
+		o.mu.Unlock()
+		o.background.Wait()
 		if left == 0 {
 			return
 		}
@@ -111,20 +111,20 @@
 func BenchmarkStart(b *testing.B) {
 	for _, tasks := range []int{1, 10, 100, 10000} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
-			h, s := busyHome(b, 13)
-			table := h.m.cfg.Source.Table()
+			o, s := newBenchOwner(b, 13)
+			table := o.m.cfg.Source.Table()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for done := 0; done < b.N; {
 				var jobs []*job
 				for n := 0; n < 10000 && done < b.N; n += tasks {
-					jobs = append(jobs, h.addJob(spec.KindBatch, tasks))
+					jobs = append(jobs, o.addJob(spec.KindBatch, tasks))
 					done += tasks
 				}
-				h.placeAll(table)
+				o.placeAll(table)
 				b.StopTimer()
 				for _, j := range jobs {
-					h.drop(j)
+					o.discardJob(j)
 				}
 				b.StartTimer()
 			}
@@ -134,36 +134,36 @@
 	}
 }
 
-// drop forgets a job whatever it is doing.
-func (h *home) drop(j *job) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.ledger.Release(j.rec.Job.Team, j.accountOf(1), j.active)
-	h.remove(j)
+// discardJob forgets a job whatever it is doing.
+func (o *jobOwner) discardJob(j *job) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.ledger.Release(j.rec.Job.Team, j.ledgerAccountOf(1), j.active)
+	o.remove(j)
 }
 
 // BenchmarkNews measures the end of one run: the news, the table and the group
 // of finished tasks.
 func BenchmarkNews(b *testing.B) {
-	h, _ := busyHome(b, 13)
-	table := h.m.cfg.Source.Table()
+	o, _ := newBenchOwner(b, 13)
+	table := o.m.cfg.Source.Table()
 	const tasks = 10000
 	b.ReportAllocs()
 	for done := 0; done < b.N; done += tasks {
 		b.StopTimer()
-		j := h.addJob(spec.KindBatch, tasks)
-		h.placeAll(table)
+		j := o.addJob(spec.KindBatch, tasks)
+		o.placeAll(table)
 		b.StartTimer()
 		now := time.Now()
-		h.mu.Lock()
+		o.mu.Lock()
 		for i := range min(tasks, b.N-done) {
-			n := runOf(j, j.tasks[i].attempt, taskmsg.RunFinished, 0)
+			n := reportOf(j, j.tasks[i].attempt, taskmsg.RunFinished, 0)
 			n.Run.Task.Index = i
-			h.apply(n, now)
+			o.applyReport(n, now)
 		}
-		h.mu.Unlock()
+		o.mu.Unlock()
 		b.StopTimer()
-		h.drop(j)
+		o.discardJob(j)
 		b.StartTimer()
 	}
 }
@@ -173,30 +173,30 @@
 	const wave = 10000
 	for _, tasks := range []int{10, 1000} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
-			h, s := busyHome(b, 13)
-			table := h.m.cfg.Source.Table()
+			o, s := newBenchOwner(b, 13)
+			table := o.m.cfg.Source.Table()
 			b.ReportAllocs()
 			for range b.N {
 				b.StopTimer()
 				var jobs []*job
 				for n := 0; n < wave; n += tasks {
-					jobs = append(jobs, h.addJob(spec.KindBatch, tasks))
+					jobs = append(jobs, o.addJob(spec.KindBatch, tasks))
 				}
-				h.placeAll(table)
+				o.placeAll(table)
 				s.messages.Store(0)
 				b.StartTimer()
 				now := time.Now()
-				h.mu.Lock()
+				o.mu.Lock()
 				for _, j := range jobs {
-					h.endJob(j, result.New(result.JobCancelled, result.RanUnknown, "cancelled"), now)
+					o.endJob(j, result.New(result.JobCancelled, result.RanUnknown, "cancelled"), now)
 				}
-				h.planStops(table, now)
-				h.mu.Unlock()
-				h.work.Wait()
+				o.planStops(table, now)
+				o.mu.Unlock()
+				o.background.Wait()
 				b.StopTimer()
 				b.ReportMetric(float64(s.messages.Load()), "messages/wave")
 				for _, j := range jobs {
-					h.drop(j)
+					o.discardJob(j)
 				}
 				b.StartTimer()
 			}
@@ -209,22 +209,22 @@
 func BenchmarkRound(b *testing.B) {
 	for _, jobs := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
-			h, _ := busyHome(b, 13)
-			table := h.m.cfg.Source.Table()
-			full := h.m.cfg.Digests()
+			o, _ := newBenchOwner(b, 13)
+			table := o.m.cfg.Source.Table()
+			full := o.m.cfg.Digests()
 			for name, d := range full {
 				d.Free, d.Largest = spec.Resources{}, spec.Resources{}
 				full[name] = d
 			}
 			for range jobs {
-				h.addJob(spec.KindBatch, 4)
+				o.addJob(spec.KindBatch, 4)
 			}
-			h.probeAt = time.Now().Add(time.Hour)
+			o.nextProbe = time.Now().Add(time.Hour)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				h.plan.next = time.Time{}
-				h.planStarts(table, time.Now())
+				o.plan.next = time.Time{}
+				o.planStarts(table, time.Now())
 			}
 		})
 	}
@@ -233,15 +233,15 @@
 // BenchmarkMemory measures what a home keeps of a job and of a task.
 func BenchmarkMemory(b *testing.B) {
 	measure := func(jobs, tasks int) float64 {
-		h, _ := busyHome(b, 13)
-		table := h.m.cfg.Source.Table()
+		o, _ := newBenchOwner(b, 13)
+		table := o.m.cfg.Source.Table()
 		before := heap()
 		for range jobs {
-			h.addJob(spec.KindBatch, tasks)
+			o.addJob(spec.KindBatch, tasks)
 		}
-		h.placeAll(table)
+		o.placeAll(table)
 		after := heap()
-		runtime.KeepAlive(h)
+		runtime.KeepAlive(o)
 		return float64(after) - float64(before)
 	}
 	for range b.N {
@@ -264,7 +264,7 @@
 func BenchmarkSubmit(b *testing.B) {
 	c := newCell(b, 1)
 	p := c.start("a")
-	p.take(0, 1, 2, 3)
+	p.acquire(0, 1, 2, 3)
 	time.Sleep(500 * time.Millisecond)
 	p.store.SetFaults(storeTime(2))
 	b.SetParallelism(16)
--- a/internal/job/cell_test.go
+++ b/internal/job/cell_test.go
@@ -30,20 +30,20 @@
 	testBranch     = "lakeshore"
 )
 
-// takeoverTime is how long after a death a cell is whole again: every lease
+// failoverTime is how long after a death a cell is whole again: every lease
 // that a dead holder renewed is over, and every inventory is in.
-const takeoverTime = testLease + 20*time.Second
+const failoverTime = testLease + 20*time.Second
 
 var testSize = spec.Resources{MilliCPU: 8000, MemoryMiB: 8000}
 
-// rights is a hold.Right that a test moves by hand.
-type rights struct {
+// fakeAuthority is a hold.Right that a test moves by hand.
+type fakeAuthority struct {
 	mu     sync.Mutex
 	epochs map[int]uint64
 	until  time.Time // zero: always testRight ahead
 }
 
-func (r *rights) Check(p int) (hold.Grant, error) {
+func (r *fakeAuthority) Check(p int) (hold.Grant, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	until := r.until
@@ -59,7 +59,7 @@
 	return hold.Grant{Partition: p, Epoch: r.epochs[p], Until: until}, nil
 }
 
-func (r *rights) Held() []int {
+func (r *fakeAuthority) Held() []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []int
@@ -71,8 +71,8 @@
 	return out
 }
 
-// lapse ends all rights at once, without telling the residents.
-func (r *rights) lapse() {
+// expire ends all rights at once, without telling the residents.
+func (r *fakeAuthority) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.until = time.Now()
@@ -88,16 +88,16 @@
 	judge  *judge.Judge
 	sim    *workersim.Fleet
 
-	mu     sync.Mutex
-	hosts  []platform.Host
-	table  view.Table
-	values map[string]settings.Values
-	looked func() // called once, at the next look at a branch
-	muxes  peer.Local
-	placer map[string]*placer
-	faults []*peerFault
-	bubble bool
-	calls  map[peer.Kind]int
+	mu           sync.Mutex
+	hosts        []platform.Host
+	table        view.Table
+	values       map[string]settings.Values
+	onBranchRead func() // called once, at the next look at a branch
+	muxes        peer.Local
+	placer       map[string]*placer
+	faults       []*peerFault
+	bubble       bool
+	calls        map[peer.Kind]int
 }
 
 // newCell makes a cell with workers in as many racks as there are partitions.
@@ -125,18 +125,18 @@
 }
 
 // rackOf finds a rack that belongs to the partition.
-func rackOf(p int) string {
+func rackOf(partitionID int) string {
 	for i := 0; ; i++ {
-		if name := fmt.Sprintf("r%d", i); partition.OfRack(name, testPartitions) == p {
+		if name := fmt.Sprintf("r%d", i); partition.OfRack(name, testPartitions) == partitionID {
 			return name
 		}
 	}
 }
 
 // teamOf finds a team whose home is the partition.
-func teamOf(p int) string {
+func teamOf(partitionID int) string {
 	for i := 0; ; i++ {
-		if name := fmt.Sprintf("team%d", i); partition.OfTeam(name, testPartitions) == p {
+		if name := fmt.Sprintf("team%d", i); partition.OfTeam(name, testPartitions) == partitionID {
 			return name
 		}
 	}
@@ -162,20 +162,20 @@
 func (c *cell) branch(name string) (settings.Values, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.looked != nil {
-		c.looked()
-		c.looked = nil
+	if c.onBranchRead != nil {
+		c.onBranchRead()
+		c.onBranchRead = nil
 	}
 	v, ok := c.values[name]
 	return v, ok
 }
 
-// atLook calls f at the next look at a branch, which a home takes between its
+// onNextBranchRead calls f at the next look at a branch, which a home takes between its
 // check of the right and the orders that follow from it.
-func (c *cell) atLook(f func()) {
+func (c *cell) onNextBranchRead(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looked = f
+	c.onBranchRead = f
 }
 
 func (c *cell) setBranch(name string, edit func(*settings.Values)) {
@@ -202,7 +202,7 @@
 
 // close ends everything, so that the bubble can end.
 func (c *cell) close() {
-	c.heal()
+	c.clearFaults()
 	c.mu.Lock()
 	left := make([]*placer, 0, len(c.placer))
 	for _, p := range c.placer {
@@ -221,8 +221,8 @@
 // callsEnd is by when every call of the store has ended, answered or not.
 const callsEnd = 15 * time.Second
 
-// held fails the test when the judge saw a breach.
-func (c *cell) held() {
+// assertNoViolations fails the test when the judge saw a breach.
+func (c *cell) assertNoViolations() {
 	c.t.Helper()
 	c.sim.Settle()
 	for _, v := range c.judge.Violations(time.Now()) {
@@ -231,7 +231,7 @@
 }
 
 // restore gives lapsed rights back.
-func (r *rights) restore() {
+func (r *fakeAuthority) restore() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.until = time.Time{}
--- a/internal/job/collect.go
+++ b/internal/job/collect.go
@@ -8,48 +8,48 @@
 
 // Bounds of forgetting ended jobs.
 const (
-	collectInterval = 30 * time.Second
-	maxCollect      = 256 // records deleted in one pass
+	gcInterval  = 30 * time.Second
+	gcBatchSize = 256 // records deleted in one pass
 )
 
-// collect deletes the records of jobs that ended more than the retention ago. An
+// collectGarbage deletes the records of jobs that ended more than the retention ago. An
 // identifier that old is refused when it is submitted again, so forgetting a job
 // can not make it run twice.
-func (h *home) collect(now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if now.Before(h.collectAt) || h.phase < phaseReconciling || h.phase == phaseEnded {
+func (o *jobOwner) collectGarbage(now time.Time) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if now.Before(o.nextGC) || o.phase < phaseReconciling || o.phase == phaseEnded {
 		return
 	}
-	h.collectAt = now.Add(collectInterval)
-	left := maxCollect
-	for _, j := range h.jobs {
-		if left == 0 {
+	o.nextGC = now.Add(gcInterval)
+	budget := gcBatchSize
+	for _, j := range o.jobs {
+		if budget == 0 {
 			return
 		}
 		if !j.rec.State.Final() || j.dirty || j.flushing || now.Sub(time.UnixMilli(j.rec.Ended)) < retention {
 			continue
 		}
-		left--
+		budget--
 		j.flushing = true
-		h.writing++
-		h.work.Go(func() { h.erase(j) })
+		o.writesInFlight++
+		o.background.Go(func() { o.deleteRecord(j) })
 	}
 }
 
-// erase deletes one record and forgets the job.
-func (h *home) erase(j *job) {
-	ctx, cancel := context.WithTimeout(h.ctx, flushTimeout)
+// deleteRecord deletes one record and forgets the job.
+func (o *jobOwner) deleteRecord(j *job) {
+	ctx, cancel := context.WithTimeout(o.ctx, flushTimeout)
 	defer cancel()
-	_, err := h.put(ctx, j.id(), j.revision, nil)
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	_, err := o.putRecord(ctx, j.id(), j.revision, nil)
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	j.flushing = false
-	h.writing--
+	o.writesInFlight--
 	var earlier *conflict
 	switch {
 	case err == nil:
-		delete(h.jobs, j.id())
+		delete(o.jobs, j.id())
 	case errors.As(err, &earlier):
 		j.revision = earlier.found.ModRevision
 	}
--- a/internal/job/commit.go
+++ b/internal/job/commit.go
@@ -21,50 +21,50 @@
 
 func (c *conflict) Error() string { return "job: record " + c.found.Key + " was written before" }
 
-// put writes a job's record, provided that it is at revision base (zero: not
+// putRecord writes a job's record, provided that it is at revision base (zero: not
 // there) and that this home still owns its partition, and returns its new
 // revision. A nil value deletes the record. It returns errFenced, a *conflict,
 // platform.ErrUnavailable (certainly not written), or another error, after which
 // the outcome is unknown. The store settles lost answers as far as ctx allows
 // and puts the writes of a process into few calls.
-func (h *home) put(ctx context.Context, id string, base platform.Revision, value []byte) (platform.Revision, error) {
-	fence, err := h.fence()
+func (o *jobOwner) putRecord(ctx context.Context, id string, base platform.Revision, value []byte) (platform.Revision, error) {
+	fence, err := o.fence()
 	if err != nil {
 		return 0, err
 	}
-	k := key(h.partition, id)
+	k := recordKey(o.partition, id)
 	txn := platform.Txn{
 		If:   []platform.Condition{fence, {Key: k, ModRevision: base}},
 		Then: []platform.Write{{Key: k, Value: value, Delete: value == nil}},
 	}
-	reply, err := h.m.cfg.Store.Commit(ctx, txn)
+	reply, err := o.m.cfg.Store.Commit(ctx, txn)
 	if errors.Is(err, platform.ErrUnavailable) {
-		reply, err = h.m.cfg.Store.Commit(ctx, txn) // a single lost request is no outage
+		reply, err = o.m.cfg.Store.Commit(ctx, txn) // a single lost request is no outage
 	}
 	switch {
 	case err != nil:
 		return 0, err
 	case reply.Applied:
-		h.m.metrics.records.Inc()
+		o.m.metrics.records.Inc()
 		return reply.Revision, nil
 	}
-	return refusedPut(fence, k, value, reply.Found)
+	return resolveRejectedPut(fence, k, value, reply.Found)
 }
 
-// refusedPut tells why a write was not applied; a record that holds the very
+// resolveRejectedPut tells why a write was not applied; a record that holds the very
 // value, or is gone as wanted, was written by a call whose answer was lost.
-func refusedPut(fence platform.Condition, k string, value []byte, records []platform.Record) (platform.Revision, error) {
-	var owner, found platform.Record
+func resolveRejectedPut(fence platform.Condition, k string, value []byte, records []platform.Record) (platform.Revision, error) {
+	var partitionRecord, found platform.Record
 	for _, r := range records {
 		switch r.Key {
 		case fence.Key:
-			owner = r
+			partitionRecord = r
 		case k:
 			found = r
 		}
 	}
 	switch {
-	case owner.ModRevision != fence.ModRevision:
+	case partitionRecord.ModRevision != fence.ModRevision:
 		return 0, errFenced
 	case value == nil && found.Key == "":
 		return 0, nil
--- a/internal/job/commit_test.go
+++ b/internal/job/commit_test.go
@@ -21,16 +21,16 @@
 	is := func(target error) func(error) bool {
 		return func(err error) bool { return errors.Is(err, target) }
 	}
-	other := func(key, value string) func(*cell, *placer) {
+	other := func(recordKey, value string) func(*cell, *placer) {
 		return func(c *cell, _ *placer) {
-			_, err := c.store.Commit(context.Background(), platform.Txn{Then: []platform.Write{{Key: key, Value: []byte(value)}}})
+			_, err := c.store.Commit(context.Background(), platform.Txn{Then: []platform.Write{{Key: recordKey, Value: []byte(value)}}})
 			c.is.NoErr(err)
 		}
 	}
 	faults := func(f memstore.Faults) func(*cell, *placer) {
 		return func(_ *cell, p *placer) { p.store.SetFaults(f) }
 	}
-	k := key(0, "k")
+	k := recordKey(0, "k")
 	cases := []struct {
 		name   string
 		before func(*cell, *placer)
@@ -52,14 +52,14 @@
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h, _ := still(t, phaseReady, false, spec.KindBatch, 1)
-				c := h.m.cfg.Source.(*cell)
-				_, err := h.put(t.Context(), "first", 0, []byte("v"))
+				o, _ := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+				c := o.m.cfg.Source.(*cell)
+				_, err := o.putRecord(t.Context(), "first", 0, []byte("v"))
 				c.is.NoErr(err)
 				tt.before(c, c.placer["a"])
 				ctx, cancel := context.WithTimeout(t.Context(), submitTimeout)
 				defer cancel()
-				if _, err = h.put(ctx, "k", tt.base, []byte("v")); !tt.ok(err) {
+				if _, err = o.putRecord(ctx, "k", tt.base, []byte("v")); !tt.ok(err) {
 					t.Errorf("told %v", err)
 				}
 				records, _, err := c.store.List(t.Context(), k)
@@ -78,22 +78,22 @@
 // succeeded: it changes nothing.
 func TestLateWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, _ := still(t, phaseReady, false, spec.KindBatch, 1)
-		c := h.m.cfg.Source.(*cell)
-		_, err := h.put(t.Context(), "first", 0, []byte("v"))
+		o, _ := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+		c := o.m.cfg.Source.(*cell)
+		_, err := o.putRecord(t.Context(), "first", 0, []byte("v"))
 		c.is.NoErr(err)
 		c.placer["a"].store.SetFaults(memstore.Faults{RequestDelayMS: 20000})
 		ctx, cancel := context.WithTimeout(t.Context(), submitTimeout)
 		defer cancel()
-		_, err = h.put(ctx, "k", 0, []byte("v"))
+		_, err = o.putRecord(ctx, "k", 0, []byte("v"))
 		c.is.True(errors.Is(err, platform.ErrUnknownOutcome))
 		c.placer["a"].store.SetFaults(memstore.Faults{})
-		revision, err := h.put(t.Context(), "k", 0, []byte("v"))
+		revision, err := o.putRecord(t.Context(), "k", 0, []byte("v"))
 		c.is.NoErr(err)
-		_, err = h.put(t.Context(), "k", revision, []byte("w"))
+		_, err = o.putRecord(t.Context(), "k", revision, []byte("w"))
 		c.is.NoErr(err)
 		time.Sleep(time.Minute)
-		records, _, err := c.store.List(t.Context(), key(0, "k"))
+		records, _, err := c.store.List(t.Context(), recordKey(0, "k"))
 		c.is.NoErr(err)
 		c.is.Equal(string(records[0].Value), "w")
 	})
--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -15,28 +15,28 @@
 // that nobody saw (a worker that only fell silent, a start without an answer) make the next
 // start wait, ever longer; so does any loss of a service, which is tried for ever.
 
-// usualLossRate is how often a worker goes by itself, per second, on an ordinary day. A home
+// baselineLossRate is how often a worker goes by itself, per second, on an ordinary day. A home
 // knows only the workers that run something of its own, too few to learn it.
-const usualLossRate = 280.0 / 18000 / (24 * 60 * 60)
+const baselineLossRate = 280.0 / 18000 / (24 * 60 * 60)
 
-// mostCrashes bounds what is kept of one task's losses, so that a job's record does not
+// maxCrashes bounds what is kept of one task's losses, so that a job's record does not
 // grow for as long as the job lives. The wait before a start grows no more by then.
-const mostCrashes = 16
+const maxCrashes = 16
 
-// crashed holds a worker's loss against a task. It returns why the job ends by it, or nil.
-func (h *home) crashed(j *job, index int, n taskmsg.RunNews, now time.Time) *result.Error {
-	h.losses.Forget(now)
-	news := h.losses.Add(n.Worker, n.Zone, now)
-	together := h.losses.Together(n.Worker, n.Zone, now, 0, 0)
-	if together && news {
-		h.excuse(h.losses.With(n.Zone, now))
+// recordHostLoss holds a worker's loss against a task. It returns why the job ends by it, or nil.
+func (o *jobOwner) recordHostLoss(j *job, index int, n taskmsg.RunNews, now time.Time) *result.Error {
+	o.hostLosses.Forget(now)
+	isNew := o.hostLosses.Add(n.Worker, n.Zone, now)
+	together := o.hostLosses.Together(n.Worker, n.Zone, now, 0, 0)
+	if together && isNew {
+		o.retractAttributions(o.hostLosses.With(n.Zone, now))
 	}
 	t := &j.tasks[index]
-	e := crashloop.Evidence{Run: n.Run.Attempt, Host: n.Worker, Machine: n.Worker, Unknown: t.since.IsZero(), Unsure: n.Sight() == taskmsg.SightNone, Proven: n.Sight() == taskmsg.SightCrash}
+	e := crashloop.Evidence{Run: n.Run.Attempt, Host: n.Worker, Machine: n.Worker, Unknown: t.runningSince.IsZero(), Unsure: n.Sight() == taskmsg.SightNone, Proven: n.Sight() == taskmsg.SightCrash}
 	if !e.Unknown {
-		e.Ran = now.Sub(t.since)
+		e.Ran = now.Sub(t.runningSince)
 	}
-	c := crashloop.Judge(e, usualLossRate)
+	c := crashloop.Judge(e, baselineLossRate)
 	if together || c.Excused {
 		return nil
 	}
@@ -44,19 +44,19 @@
 		delete(j.rec.Crashes, index)
 	}
 	if j.rec.Crashes[index].Has(c.Run) {
-		return h.sawCrash(j, index, n) // told to an earlier home
+		return o.updateAttribution(j, index, n) // told to an earlier home
 	}
 	if j.rec.Crashes == nil {
 		j.rec.Crashes = map[int]crashloop.History{}
 	}
-	j.rec.Crashes[index] = append(shorten(j.rec.Crashes[index]), c)
-	h.touch(j)
-	return j.crashVerdict(index)
+	j.rec.Crashes[index] = append(trimHistory(j.rec.Crashes[index]), c)
+	o.markChanged(j)
+	return j.crashLoopError(index)
 }
 
-// sawCrash takes in what has turned out of a run whose loss was held against its task: that it
+// updateAttribution takes in what has turned out of a run whose loss was held against its task: that it
 // was there, or that its worker has crashed under it. It returns why the job ends by it, or nil.
-func (h *home) sawCrash(j *job, index int, n taskmsg.RunNews) *result.Error {
+func (o *jobOwner) updateAttribution(j *job, index int, n taskmsg.RunNews) *result.Error {
 	history := j.rec.Crashes[index]
 	at := slices.IndexFunc(history, func(c crashloop.Crash) bool { return c.Run == n.Run.Attempt && sightOf(c) < n.Sight() })
 	if at < 0 {
@@ -66,18 +66,18 @@
 	history = slices.Clone(history)
 	history[at].Unsure, history[at].Unheard, history[at].Proven = false, !proven, proven
 	j.rec.Crashes[index] = history
-	h.touch(j)
-	return j.crashVerdict(index)
+	o.markChanged(j)
+	return j.crashLoopError(index)
 }
 
-// crashVerdict returns why the job is given up for the crashes that were seen under a task,
+// crashLoopError returns why the job is given up for the crashes that were seen under a task,
 // or nil.
-func (j *job) crashVerdict(index int) *result.Error {
-	seen := slices.DeleteFunc(slices.Clone(j.rec.Crashes[index]), isUnseen)
-	if j.isService() || seen.Standing() < crashloop.GivenUp {
+func (j *job) crashLoopError(index int) *result.Error {
+	confirmed := slices.DeleteFunc(slices.Clone(j.rec.Crashes[index]), isUnconfirmed)
+	if j.isService() || confirmed.Standing() < crashloop.GivenUp {
 		return nil
 	}
-	return result.New(result.JobCrashesHosts, result.RanYes, "task %d: %s", index, seen)
+	return result.New(result.JobCrashesHosts, result.RanYes, "task %d: %s", index, confirmed)
 }
 
 // sightOf is what is known of the run of a crash.
@@ -91,56 +91,56 @@
 	return taskmsg.SightThere
 }
 
-func isUnseen(c crashloop.Crash) bool { return c.Unsure }
+func isUnconfirmed(c crashloop.Crash) bool { return c.Unsure }
 
-// shorten returns the history with room for one more crash: the oldest that nobody saw
+// trimHistory returns the history with room for one more crash: the oldest that nobody saw
 // goes, or the oldest of all.
-func shorten(h crashloop.History) crashloop.History {
-	if len(h) < mostCrashes {
+func trimHistory(h crashloop.History) crashloop.History {
+	if len(h) < maxCrashes {
 		return h
 	}
-	at := max(slices.IndexFunc(h, isUnseen), 0)
+	at := max(slices.IndexFunc(h, isUnconfirmed), 0)
 	return slices.Delete(slices.Clone(h), at, at+1)
 }
 
-// excuse drops what is held against tasks for the loss of workers that, as is known now,
+// retractAttributions drops what is held against tasks for the loss of workers that, as is known now,
 // went together.
-func (h *home) excuse(workers []string) {
-	for _, j := range h.live {
+func (o *jobOwner) retractAttributions(workers []string) {
+	for _, j := range o.live {
 		for index, history := range j.rec.Crashes {
-			less := history
+			kept := history
 			for _, name := range workers {
-				less = less.Without(name)
+				kept = kept.Without(name)
 			}
-			if len(less) < len(history) {
-				j.rec.Crashes[index] = less
-				h.touch(j)
+			if len(kept) < len(history) {
+				j.rec.Crashes[index] = kept
+				o.markChanged(j)
 			}
 		}
 	}
 }
 
-// crashPause is how long a lost task waits before its next start: what may crash its workers
+// crashBackoff is how long a lost task waits before its next start: what may crash its workers
 // is tried ever more slowly, a service like one that fails. Finite work waits for losses that
 // nobody saw, which end it never, but not for a single one.
-func (j *job) crashPause(index int) time.Duration {
+func (j *job) crashBackoff(index int) time.Duration {
 	history := j.rec.Crashes[index]
 	if j.isService() {
-		return pauseAfter(len(history))
+		return backoffAfter(len(history))
 	}
-	unseen := 0
+	unconfirmed := 0
 	for _, c := range history {
 		if c.Unsure {
-			unseen++
+			unconfirmed++
 		}
 	}
-	return pauseAfter(unseen - 1)
+	return backoffAfter(unconfirmed - 1)
 }
 
-// pauseAfter is the wait after so many losses.
-func pauseAfter(n int) time.Duration {
+// backoffAfter is the wait after so many losses.
+func backoffAfter(n int) time.Duration {
 	if n <= 0 {
 		return 0
 	}
-	return failurePause(n)
+	return failureBackoff(n)
 }
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -20,47 +20,47 @@
 // attempts. The home is told of each loss once, as "worker w0 is gone", and the task stood
 // among the ready ones again right after.
 
-// losses lets task 0 of a job start on one worker after the other, each of which is gone a
+// loseRepeatedly lets task 0 of a job start on one worker after the other, each of which is gone a
 // moment later, and returns how many were until the job ended, at most ten.
-func losses(h *home, j *job, now time.Time, each func(n int) (worker, zone string)) (int, time.Time) {
+func loseRepeatedly(o *jobOwner, j *job, now time.Time, each func(n int) (worker, zone string)) (int, time.Time) {
 	for n := range 10 {
 		if j.ending() {
 			return n, now
 		}
-		slot := h.reserve(j, 0)
+		slot := o.newAttempt(j, 0)
 		for _, state := range []taskmsg.RunState{taskmsg.RunRunning, taskmsg.RunLost} {
-			news := runOf(j, slot.Attempt, state, 0)
+			news := reportOf(j, slot.Attempt, state, 0)
 			news.Worker, news.Zone = each(n)
-			h.apply(news, now)
+			o.applyReport(news, now)
 			now = now.Add(20 * time.Millisecond)
 		}
 		now = now.Add(10 * time.Second)
-		h.replaceLost(now)
+		o.replaceLost(now)
 	}
 	return 10, now
 }
 
-func differing(n int) (worker, zone string) { return fmt.Sprint("w", n), fmt.Sprint("z", n%3) }
+func distinctWorkers(n int) (worker, zone string) { return fmt.Sprint("w", n), fmt.Sprint("z", n%3) }
 
 // TestTaskThatCrashesWorkers: a task under which three workers went is given up with its
 // job, and the record tells the next home of those before.
 func TestTaskThatCrashesWorkers(t *testing.T) {
 	t.Run("batch", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
-		n, _ := losses(h, j, time.Now(), differing)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+		n, _ := loseRepeatedly(o, j, time.Now(), distinctWorkers)
 		is.Equal(n, 3)
 		is.Equal(j.rec.Code, result.JobCrashesHosts)
 	})
 	t.Run("homes change", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
 		now, all := time.Now(), 0
 		for !j.ending() && all < 10 {
-			slot := h.reserve(j, 0)
-			news := runOf(j, slot.Attempt, taskmsg.RunLost, 0)
-			news.Worker, news.Zone = differing(all)
-			h.apply(news, now)
+			slot := o.newAttempt(j, 0)
+			news := reportOf(j, slot.Attempt, taskmsg.RunLost, 0)
+			news.Worker, news.Zone = distinctWorkers(all)
+			o.applyReport(news, now)
 			now, all = now.Add(10*time.Second), all+1
 			stored, err := encodeRecord(j.rec)
 			is.NoErr(err)
@@ -69,37 +69,37 @@
 			if j.ending() {
 				break
 			}
-			h, _ = still(t, phaseReady, false, spec.KindBatch, 1)
-			h.epoch = uint64(all + 1) // which numbers of attempts begin with
+			o, _ = newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+			o.epoch = uint64(all + 1) // which numbers of attempts begin with
 			j = newJob(rec)
-			j.certain = true
-			h.add(j)
-			h.enlist(j)
+			j.recordConfirmed = true
+			o.add(j)
+			o.enqueueAll(j)
 		}
 		is.Equal(j.rec.Code, result.JobCrashesHosts)
 		is.True(all <= 4)
 	})
 	t.Run("service", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindService, 1)
-		n, now := losses(h, j, time.Now(), differing)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindService, 1)
+		n, now := loseRepeatedly(o, j, time.Now(), distinctWorkers)
 		is.Equal(n, 10) // services are tried for ever, ever more slowly
-		is.True(len(j.later) > 0)
-		is.True(j.later[len(j.later)-1].due.Sub(now) >= 5*time.Second)
+		is.True(len(j.delayed) > 0)
+		is.True(j.delayed[len(j.delayed)-1].due.Sub(now) >= 5*time.Second)
 	})
 	t.Run("a zone is lost", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 20)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 20)
 		now := time.Now()
 		for range 3 {
 			for i := range j.tasks {
-				n := runOf(j, h.reserve(j, i).Attempt, taskmsg.RunLost, 0)
+				n := reportOf(j, o.newAttempt(j, i).Attempt, taskmsg.RunLost, 0)
 				n.Run.Task.Index = i
 				n.Worker = fmt.Sprint("w", i)
-				h.apply(n, now)
+				o.applyReport(n, now)
 			}
 			now = now.Add(time.Minute)
-			h.replaceLost(now)
+			o.replaceLost(now)
 		}
 		is.True(!j.ending())
 	})
@@ -110,21 +110,21 @@
 // run 1 (not seen there), w1 under run 2 (not seen there), w2 under run 3 (not seen there)".
 // Doubt was added up until it was enough. It now makes the next start wait, ever longer.
 
-// unseen lets task 0 be lost n times in a row without a crash that was seen, on one worker
+// loseUnconfirmed lets task 0 be lost n times in a row without a crash that was seen, on one worker
 // after the other, and returns the waits before its next starts.
-func unseen(t *testing.T, h *home, j *job, now time.Time, n int) ([]time.Duration, time.Time) {
+func loseUnconfirmed(t *testing.T, o *jobOwner, j *job, now time.Time, n int) ([]time.Duration, time.Time) {
 	var waits []time.Duration
 	for lost := range n {
-		news := runOf(j, h.reserve(j, 0).Attempt, taskmsg.RunLost, 0)
-		news.Worker, news.Zone = differing(lost)
+		news := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
+		news.Worker, news.Zone = distinctWorkers(lost)
 		news.Unseen = true
-		h.apply(news, now)
+		o.applyReport(news, now)
 		if j.ending() {
 			t.Fatalf("ended after %d losses: %s", lost+1, j.rec.Reason)
 		}
 		now = now.Add(time.Minute)
-		j.ready, j.later = nil, nil
-		h.replaceLost(now)
+		j.ready, j.delayed = nil, nil
+		o.replaceLost(now)
 		waits = append(waits, nextStart(j, now).Sub(now))
 	}
 	return waits, now
@@ -132,35 +132,35 @@
 
 // nextStart is when the only waiting task of a job may start.
 func nextStart(j *job, now time.Time) time.Time {
-	if len(j.later) > 0 {
-		return j.later[0].due
+	if len(j.delayed) > 0 {
+		return j.delayed[0].due
 	}
 	return now
 }
 
-func TestNothingIsGivenUpForLossesThatNobodySaw(t *testing.T) {
+func TestUnconfirmedLossesNeverFailJob(t *testing.T) {
 	t.Run("waits longer each time", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
-		waits, _ := unseen(t, h, j, time.Now(), 40)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+		waits, _ := loseUnconfirmed(t, o, j, time.Now(), 40)
 		is.Equal(waits[0], time.Duration(0)) // once may be chance
-		is.Equal(waits[1], failurePauseMin)
+		is.Equal(waits[1], failureBackoffMin)
 		for i := 2; i < len(waits); i++ {
-			is.Equal(waits[i], min(2*waits[i-1], failurePauseMax))
+			is.Equal(waits[i], min(2*waits[i-1], failureBackoffMax))
 		}
-		is.True(len(j.rec.Crashes[0]) <= mostCrashes) // the record does not grow for ever
+		is.True(len(j.rec.Crashes[0]) <= maxCrashes) // the record does not grow for ever
 	})
 	t.Run("beside crashes that were seen", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
-		_, now := unseen(t, h, j, time.Now(), mostCrashes)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+		_, now := loseUnconfirmed(t, o, j, time.Now(), maxCrashes)
 		seen := 0
 		for ; !j.ending() && seen < 10; seen++ {
-			news := runOf(j, h.reserve(j, 0).Attempt, taskmsg.RunLost, 0)
+			news := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
 			news.Worker = fmt.Sprint("v", seen)
-			h.apply(news, now)
+			o.applyReport(news, now)
 			now = now.Add(time.Minute)
-			h.replaceLost(now)
+			o.replaceLost(now)
 		}
 		is.Equal(seen, 3) // as many as without the others
 		is.True(!strings.Contains(j.rec.Reason, "not seen"))
@@ -168,14 +168,14 @@
 	})
 	t.Run("seen later on", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
-		_, now := unseen(t, h, j, time.Now(), 3)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+		_, now := loseUnconfirmed(t, o, j, time.Now(), 3)
 		for i, c := range slices.Clone(j.rec.Crashes[0]) {
 			is.True(!j.ending())
-			news := runOf(j, c.Run, taskmsg.RunLost, 0)
-			news.Worker, news.Zone = differing(i)
-			h.apply(news, now) // another life of the worker has answered
-			h.apply(news, now) // told again
+			news := reportOf(j, c.Run, taskmsg.RunLost, 0)
+			news.Worker, news.Zone = distinctWorkers(i)
+			o.applyReport(news, now) // another life of the worker has answered
+			o.applyReport(news, now) // told again
 		}
 		is.Equal(j.rec.Code, result.JobCrashesHosts)
 	})
@@ -185,7 +185,7 @@
 // only news told since when it ran, and there is none after an answer. So a crash after
 // hours was weighed as one after a second, and a service's old crashes were never forgotten,
 // however long it ran in between.
-func TestSinceWhenAnAnsweredStartRuns(t *testing.T) {
+func TestRunTimeCountsFromStartReply(t *testing.T) {
 	cases := map[string]struct {
 		ran  time.Duration
 		kept int // losses on record
@@ -196,13 +196,13 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h, j := still(t, phaseReady, false, spec.KindService, 1)
-			_, now := losses(h, j, time.Now(), differing)
+			o, j := newStaticOwner(t, phaseReady, false, spec.KindService, 1)
+			_, now := loseRepeatedly(o, j, time.Now(), distinctWorkers)
 			j.rec.Crashes[0] = j.rec.Crashes[0][:3]
-			slot := h.reserve(j, 0)
+			slot := o.newAttempt(j, 0)
 			result := taskmsg.SlotResult{Slot: slot, Outcome: taskmsg.OutcomeStarted, Worker: "w", Zone: "z", Partition: 1, Epoch: 1}
-			h.placed(j, holder{member: "m"}, []taskmsg.Slot{slot}, taskmsg.PlaceReply{Results: []taskmsg.SlotResult{result}}, nil, now)
-			h.apply(runOf(j, slot.Attempt, taskmsg.RunLost, 0), now.Add(tc.ran))
+			o.applyPlaceReply(j, holder{member: "m"}, []taskmsg.Slot{slot}, taskmsg.PlaceReply{Results: []taskmsg.SlotResult{result}}, nil, now)
+			o.applyReport(reportOf(j, slot.Attempt, taskmsg.RunLost, 0), now.Add(tc.ran))
 			is.Equal(len(j.rec.Crashes[0]), tc.kept)
 		})
 	}
@@ -213,37 +213,37 @@
 //
 // TestRunsThatWereThereOnce guards against verdicts on such news: less than five on workers of
 // their own give nothing up, nor any number on one worker, until they turn out to be more.
-func TestRunsThatWereThereOnce(t *testing.T) {
+func TestLossesWithoutCrashEvidence(t *testing.T) {
 	for name, tc := range map[string]struct {
 		workers func(n int) (worker, zone string)
 		first   taskmsg.Sight // what is told of each at first
-		later   taskmsg.Sight // what is told of each in the end
+		delayed taskmsg.Sight // what is told of each in the end
 		most    int           // losses until the job is given up; zero for never
 	}{
-		"told at once":                {workers: differing, first: taskmsg.SightThere, later: taskmsg.SightThere, most: 5},
-		"each on a worker of its own": {workers: differing, later: taskmsg.SightThere, most: 5},
-		"all on one worker":           {workers: func(int) (string, string) { return "w", "z" }, later: taskmsg.SightThere},
-		"proven later":                {workers: differing, later: taskmsg.SightCrash, most: 3},
+		"told at once":                {workers: distinctWorkers, first: taskmsg.SightThere, delayed: taskmsg.SightThere, most: 5},
+		"each on a worker of its own": {workers: distinctWorkers, delayed: taskmsg.SightThere, most: 5},
+		"all on one worker":           {workers: func(int) (string, string) { return "w", "z" }, delayed: taskmsg.SightThere},
+		"proven later":                {workers: distinctWorkers, delayed: taskmsg.SightCrash, most: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h, j := still(t, phaseReady, false, spec.KindBatch, 1)
+			o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
 			lost, now := 0, time.Now()
-			for ; !j.ending() && lost < 2*mostCrashes; lost++ {
-				news := runOf(j, h.reserve(j, 0).Attempt, taskmsg.RunLost, 0)
+			for ; !j.ending() && lost < 2*maxCrashes; lost++ {
+				news := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
 				news.Worker, news.Zone = tc.workers(lost)
-				for s := tc.first; s <= tc.later; s++ {
+				for s := tc.first; s <= tc.delayed; s++ {
 					news.Saw(s)
-					h.apply(news, now)
+					o.applyReport(news, now)
 				}
 				now = now.Add(time.Minute)
-				j.ready, j.later = nil, nil
-				h.replaceLost(now)
+				j.ready, j.delayed = nil, nil
+				o.replaceLost(now)
 			}
 			is.Equal(j.ending(), tc.most > 0)
 			if tc.most > 0 {
 				is.Equal(lost, tc.most)
-				is.Equal(strings.Contains(j.rec.Reason, crashloop.HowProven), tc.later == taskmsg.SightCrash)
+				is.Equal(strings.Contains(j.rec.Reason, crashloop.HowProven), tc.delayed == taskmsg.SightCrash)
 			}
 		})
 	}
--- a/internal/job/explain.go
+++ b/internal/job/explain.go
@@ -7,34 +7,34 @@
 )
 
 // explain tells where a job runs and what it waits for, from the home's record.
-func (h *home) explain(j *job) *jobmsg.Explanation {
+func (o *jobOwner) explain(j *job) *jobmsg.Explanation {
 	e := &jobmsg.Explanation{
-		Sites:     j.visibleSites(),
+		Sites:     j.visiblePlacements(),
 		Decisions: append([]jobmsg.Decision(nil), j.log.entries...),
 	}
-	waiting := j.waiting() + j.paced
+	waiting := j.waiting() + j.throttled
 	if waiting == 0 {
 		return e
 	}
-	values, _ := h.m.cfg.Values(j.rec.Job.Branch)
-	if h.ledger.Room(j.rec.Job.Team, values.Quota, j.rec.Job.Task.Size, 1) == 0 {
+	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
+	if o.ledger.Room(j.rec.Job.Team, values.Quota, j.rec.Job.Task.Size, 1) == 0 {
 		e.Waits = append(e.Waits, jobmsg.Wait{Tasks: waiting, For: "the quota of team " + j.rec.Job.Team, Freed: "the end of other work of the team, or a larger quota in branch " + j.rec.Job.Branch})
 	}
-	members := make([]string, 0, len(j.holders))
-	for name := range j.holders {
+	members := make([]string, 0, len(j.holderReplies))
+	for name := range j.holderReplies {
 		members = append(members, name)
 	}
 	sort.Strings(members)
 	for _, name := range members {
-		if w, ok := j.holders[name].wait(name, waiting); ok {
+		if w, ok := j.holderReplies[name].waitReason(name, waiting); ok {
 			e.Waits = append(e.Waits, w)
 		}
 	}
 	return e
 }
 
-// wait describes what a holder's last answer leaves the job waiting for.
-func (m *holderMemory) wait(name string, tasks int) (jobmsg.Wait, bool) {
+// waitReason describes what a holder's last answer leaves the job waiting for.
+func (m *holderReply) waitReason(name string, tasks int) (jobmsg.Wait, bool) {
 	switch {
 	case m.err != nil:
 		return jobmsg.Wait{Tasks: tasks, For: "an answer of holder " + name, Freed: m.err.Error(), Holder: name}, true
@@ -44,16 +44,16 @@
 	return jobmsg.Wait{}, false
 }
 
-// visibleSites lists the sites unless the job is a gang that does not run whole.
-func (j *job) visibleSites() []jobmsg.Site {
-	if j.isGang() && !j.gang.is(gangUp) {
+// visiblePlacements lists the sites unless the job is a gang that does not run whole.
+func (j *job) visiblePlacements() []jobmsg.Site {
+	if j.isGang() && !j.gang.is(gangRunning) {
 		return []jobmsg.Site{}
 	}
-	return j.sites()
+	return j.placements()
 }
 
-// sites lists the workers that run tasks of the job.
-func (j *job) sites() []jobmsg.Site {
+// placements lists the workers that run tasks of the job.
+func (j *job) placements() []jobmsg.Site {
 	byWorker := map[string]*jobmsg.Site{}
 	for i := range j.tasks {
 		t := &j.tasks[i]
--- a/internal/job/failures_test.go
+++ b/internal/job/failures_test.go
@@ -15,8 +15,8 @@
 // failed run and written it; the worker's holder had not heard so yet, and told the next
 // home of the same run: "a task ended with a failure on worker w", once at each home.
 
-// nextHome gives what the store has of a job to a home that takes over.
-func nextHome(t *testing.T, of *home, j *job) (*home, *job) {
+// nextOwner gives what the store has of a job to a home that takes over.
+func nextOwner(t *testing.T, of *jobOwner, j *job) (*jobOwner, *job) {
 	t.Helper()
 	stored, err := encodeRecord(j.rec)
 	if err != nil {
@@ -26,51 +26,51 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, _ := still(t, phaseReconciling, true, spec.KindBatch, 1)
-	h.epoch = of.epoch + 1 // which numbers of attempts begin with
+	o, _ := newStaticOwner(t, phaseReconciling, true, spec.KindBatch, 1)
+	o.epoch = of.epoch + 1 // which numbers of attempts begin with
 	next := newJob(rec)
-	next.certain, next.recoverable = true, true
-	h.add(next)
-	return h, next
+	next.recordConfirmed, next.inherited = true, true
+	o.add(next)
+	return o, next
 }
 
-func TestAFailureCountsOnceAcrossHomes(t *testing.T) {
+func TestFailureCountsOnceAcrossOwners(t *testing.T) {
 	is := is.New(t)
-	h, j := still(t, phaseReady, false, spec.KindBatch, 2)
+	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 2)
 	now := time.Now()
-	news := runOf(j, h.reserve(j, 0).Attempt, taskmsg.RunFinished, 1)
-	h.apply(news, now)
+	news := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunFinished, 1)
+	o.applyReport(news, now)
 	is.Equal(j.rec.Failures[0], 1)
 	for range 2 {
-		h, j = nextHome(t, h, j)
-		h.apply(news, now)
+		o, j = nextOwner(t, o, j)
+		o.applyReport(news, now)
 		is.Equal(j.rec.Failures[0], 1)
 		is.Equal(j.tasks[0].state, taskPending)
 	}
-	h.recovered(now)
-	again := runOf(j, h.reserve(j, 0).Attempt, taskmsg.RunFinished, 1)
-	h.apply(again, now)
+	o.finishRecovery(now)
+	again := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunFinished, 1)
+	o.applyReport(again, now)
 	is.Equal(j.rec.Failures[0], 2)
-	h, j = nextHome(t, h, j)
-	h.apply(again, now)
-	h.apply(news, now)
+	o, j = nextOwner(t, o, j)
+	o.applyReport(again, now)
+	o.applyReport(news, now)
 	is.Equal(j.rec.Failures[0], 2)
 }
 
 // A gang whose members broke off, as one of them had ended, was stopped as faulty after its
 // first run: each member's failure counted on a worker of its own, "failed on 3 different
 // workers within 10m0s". One run of a gang fails once.
-func TestAGangsRunFailsOnce(t *testing.T) {
+func TestGangRunFailsOnce(t *testing.T) {
 	const members = 5
-	start := func(h *home, j *job) []taskmsg.RunNews {
-		h.moveGang(j, gangEventHold)
-		h.moveGang(j, gangEventStart)
+	start := func(o *jobOwner, j *job) []taskmsg.RunNews {
+		o.fireGangEvent(j, gangEventHold)
+		o.fireGangEvent(j, gangEventStart)
 		var failed []taskmsg.RunNews
 		for i := range j.tasks {
-			slot := h.reserve(j, i)
-			n := runOf(j, slot.Attempt, taskmsg.RunRunning, 0)
+			slot := o.newAttempt(j, i)
+			n := reportOf(j, slot.Attempt, taskmsg.RunRunning, 0)
 			n.Run.Task.Index, n.Worker = i, fmt.Sprint("w", i)
-			h.apply(n, time.Now())
+			o.applyReport(n, time.Now())
 			n.State, n.ExitCode = taskmsg.RunFinished, 1
 			failed = append(failed, n)
 		}
@@ -85,10 +85,10 @@
 	}
 	t.Run("one home", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindGang, members)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindGang, members)
 		for run := 1; run <= 2; run++ {
-			for _, n := range start(h, j) {
-				h.apply(n, time.Now())
+			for _, n := range start(o, j) {
+				o.applyReport(n, time.Now())
 			}
 			is.Equal(failures(j), run)
 			is.True(!j.ending())
@@ -98,23 +98,23 @@
 	})
 	t.Run("homes change", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindGang, members)
-		failed := start(h, j)
-		h.apply(failed[3], time.Now())
-		h, j = nextHome(t, h, j)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindGang, members)
+		failed := start(o, j)
+		o.applyReport(failed[3], time.Now())
+		o, j = nextOwner(t, o, j)
 		for _, n := range failed {
-			h.apply(n, time.Now())
+			o.applyReport(n, time.Now())
 		}
 		is.Equal(failures(j), 1)
 		is.True(!j.ending())
 	})
 	t.Run("told to the next home first", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindGang, members)
-		failed := start(h, j)
-		h, j = nextHome(t, h, j)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindGang, members)
+		failed := start(o, j)
+		o, j = nextOwner(t, o, j)
 		for _, n := range failed {
-			h.apply(n, time.Now())
+			o.applyReport(n, time.Now())
 		}
 		is.Equal(failures(j), 1)
 		is.True(!j.ending())
--- a/internal/job/faults_test.go
+++ b/internal/job/faults_test.go
@@ -16,15 +16,15 @@
 func twoPlacers(t *testing.T, workers int) (c *cell, a, b *placer) {
 	c = newCell(t, workers)
 	a, b = c.start("a"), c.start("b")
-	a.take(0, 1)
-	b.take(2, 3)
+	a.acquire(0, 1)
+	b.acquire(2, 3)
 	time.Sleep(time.Second)
 	return c, a, b
 }
 
-// TestHomeLost kills the home of a job at each point of the job's life; the next
+// TestOwnerLost kills the home of a job at each point of the job's life; the next
 // home finishes it, nothing runs in two places and nothing accepted is lost.
-func TestHomeLost(t *testing.T) {
+func TestOwnerLost(t *testing.T) {
 	const tasks = 20
 	cases := []struct {
 		name string
@@ -35,7 +35,7 @@
 	}{
 		{"right after the answer to submit", func(*cell, *placer) {}, 2 * tasks},
 		{"while starts are under way", func(c *cell, _ *placer) {
-			c.fail(&peerFault{from: "a", kind: peer.KindPlace, times: -1, after: true})
+			c.addFault(&peerFault{from: "a", kind: peer.KindPlace, times: -1, after: true})
 			time.Sleep(10 * time.Millisecond)
 		}, 2 * tasks},
 		{"while tasks run", func(*cell, *placer) { time.Sleep(2 * time.Second) }, 2 * tasks},
@@ -54,12 +54,12 @@
 				c.is.NoErr(err)
 				tt.until(c, a)
 				a.kill()
-				c.heal()
+				c.clearFaults()
 				time.Sleep(3 * time.Second) // the store's lease of a's membership
-				b.take(0, 1)
-				s := b.await(job.ID, jobmsg.StateFinished, takeoverTime+30*time.Second)
+				b.acquire(0, 1)
+				s := b.await(job.ID, jobmsg.StateFinished, failoverTime+30*time.Second)
 				c.is.Equal(s.Counts.Finished, tasks)
-				c.held()
+				c.assertNoViolations()
 				c.is.True(c.judge.Starts() <= tt.most)
 			})
 		})
@@ -76,32 +76,32 @@
 		time.Sleep(2 * time.Second)
 		b.kill()
 		time.Sleep(3 * time.Second)
-		a.take(2, 3)
-		s := a.await(job.ID, jobmsg.StateFinished, takeoverTime+60*time.Second)
+		a.acquire(2, 3)
+		s := a.await(job.ID, jobmsg.StateFinished, failoverTime+60*time.Second)
 		c.is.Equal(s.Counts.Finished, 32)
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
-// TestPausedHome lets a home stand still in the middle of its orders, be
+// TestPausedOwner lets a home stand still in the middle of its orders, be
 // succeeded, and go on: what it still sends is refused by the holders, and the
 // job is run by the new home alone.
-func TestPausedHome(t *testing.T) {
+func TestPausedOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 4)
 		for _, kind := range []peer.Kind{peer.KindPlace, peer.KindStopTasks, peer.KindInventory} {
-			c.fail(&peerFault{from: "a", kind: kind, times: -1, hold: make(chan struct{})})
+			c.addFault(&peerFault{from: "a", kind: kind, times: -1, hold: make(chan struct{})})
 		}
 		job := batch(0, 20, 5*time.Second)
 		_, err := a.submit(job)
 		c.is.NoErr(err)
 		time.Sleep(2 * time.Second)
-		a.right.lapse()
-		b.take(0, 1)
-		b.await(job.ID, jobmsg.StateFinished, takeoverTime+30*time.Second)
-		c.heal() // a's held messages arrive now
+		a.authority.expire()
+		b.acquire(0, 1)
+		b.await(job.ID, jobmsg.StateFinished, failoverTime+30*time.Second)
+		c.clearFaults() // a's held messages arrive now
 		time.Sleep(30 * time.Second)
-		c.held()
+		c.assertNoViolations()
 		c.is.Equal(c.judge.Starts(), 20)
 	})
 }
@@ -125,12 +125,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				c, a, _ := twoPlacers(t, 2)
 				f := tt.f
-				c.fail(&f)
+				c.addFault(&f)
 				job := batch(0, 20, 2*time.Second)
 				_, err := a.submit(job)
 				c.is.NoErr(err)
 				a.await(job.ID, jobmsg.StateFinished, 2*time.Minute)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
@@ -179,7 +179,7 @@
 				c.is.NoErr(err) // again, with the same identifier
 				a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
 				c.is.Equal(c.judge.Starts(), 5)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
@@ -204,7 +204,7 @@
 		c.is.NoErr(err)
 		c.is.True(s.Recorded)
 		c.is.Equal(c.judge.Starts(), 40)
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
@@ -218,20 +218,20 @@
 		_, err := a.submit(job)
 		c.is.NoErr(err)
 		a.kill()
-		b.take(0, 1)
+		b.acquire(0, 1)
 		time.Sleep(20 * time.Second)
 		_, err = b.get(job.ID)
 		c.is.Equal(result.CodeOf(err), result.JobHomeRecovering)
 		b.store.SetFaults(memstore.Faults{})
-		b.await(job.ID, jobmsg.StateFinished, takeoverTime+30*time.Second)
-		c.held()
+		b.await(job.ID, jobmsg.StateFinished, failoverTime+30*time.Second)
+		c.assertNoViolations()
 	})
 }
 
-// TestOldHomeCanNotRecord lets a home accept a job with a write that arrives at
+// TestPreviousOwnerCannotRecord lets a home accept a job with a write that arrives at
 // the store after the home was succeeded: the submitter is not told that it was
 // accepted, and no home runs it.
-func TestOldHomeCanNotRecord(t *testing.T) {
+func TestPreviousOwnerCannotRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
 		a.store.SetFaults(memstore.Faults{RequestDelayMS: 1500})
@@ -242,19 +242,19 @@
 			done <- err
 		}()
 		time.Sleep(time.Second)
-		b.take(0, 1)
+		b.acquire(0, 1)
 		err := <-done
 		c.is.True(err != nil)
-		time.Sleep(takeoverTime)
+		time.Sleep(failoverTime)
 		_, err = b.get(job.ID)
 		c.is.Equal(result.CodeOf(err), result.JobNotFound)
 		c.is.Equal(c.judge.Starts(), 0)
 	})
 }
 
-// TestCancelSurvivesTakeover kills the home after a cancellation was recorded
+// TestCancelSurvivesFailover kills the home after a cancellation was recorded
 // and before any stop was sent.
-func TestCancelSurvivesTakeover(t *testing.T) {
+func TestCancelSurvivesFailover(t *testing.T) {
 	for _, make := range []func(int, int, time.Duration) spec.Job{
 		batch, func(home, tasks int, _ time.Duration) spec.Job { return service(home, tasks) },
 	} {
@@ -264,14 +264,14 @@
 			_, err := a.submit(job)
 			c.is.NoErr(err)
 			time.Sleep(3 * time.Second)
-			c.fail(&peerFault{kind: peer.KindStopTasks, times: -1})
+			c.addFault(&peerFault{kind: peer.KindStopTasks, times: -1})
 			s, err := a.cancelJob(job.ID)
 			c.is.NoErr(err)
 			c.is.True(s.Recorded)
 			a.kill()
-			c.heal()
-			b.take(0, 1)
-			b.await(job.ID, jobmsg.StateCancelled, takeoverTime+10*time.Second)
+			c.clearFaults()
+			b.acquire(0, 1)
+			b.await(job.ID, jobmsg.StateCancelled, failoverTime+10*time.Second)
 			c.is.Equal(c.judge.Record(time.Now(), false).Running, 0)
 		})
 	}
@@ -294,7 +294,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c, a, _ := twoPlacers(t, 2)
 				if tt.fault != nil {
-					c.fail(tt.fault)
+					c.addFault(tt.fault)
 				}
 				job := batch(0, 20, time.Hour)
 				_, err := a.submit(job)
@@ -308,7 +308,7 @@
 				time.Sleep(30 * time.Second)
 				c.is.Equal(c.judge.Starts(), starts)
 				c.is.Equal(c.judge.Record(time.Now(), false).Running, 0)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
--- a/internal/job/gang.go
+++ b/internal/job/gang.go
@@ -19,8 +19,8 @@
 	gangIdle     = "idle"     // nothing of it runs or is reserved
 	gangHolding  = "holding"  // holders reserve room, nothing is started
 	gangStarting = "starting" // every part is reserved and ordered to start
-	gangUp       = "up"       // every task left runs
-	gangBreaking = "breaking" // what runs is being stopped
+	gangRunning  = "up"       // every task left runs
+	gangStopping = "breaking" // what runs is being stopped
 )
 
 // The events of a gang.
@@ -29,34 +29,34 @@
 	gangEventRelease  = "release"
 	gangEventStart    = "start"
 	gangEventComplete = "complete"
-	gangEventBreak    = "break"
-	gangEventGone     = "gone"
+	gangEventStop     = "break"
+	gangEventStopped  = "gone"
 )
 
 // Times of holding room for a gang.
 const (
-	gangHoldTime = 10 * time.Second
+	gangReservationTTL = 10 * time.Second
 	// gangStartMargin is how much of the shortest hold must be left at the start.
 	gangStartMargin = 3 * time.Second
-	// gangAgeAfter is the wait after which a gang keeps the room that it got
+	// gangAgedAfter is the wait after which a gang keeps the room that it got
 	// while it waits for the rest, gangGatherTime at a time.
-	gangAgeAfter   = time.Minute
-	gangGatherTime = 20 * time.Second
+	gangAgedAfter     = time.Minute
+	gangGatherTimeout = 20 * time.Second
 	// A gang that gathered in vain does so again after a wait that doubles.
-	gangGatherEvery = time.Minute
-	gangGatherMost  = 16 * time.Minute
-	gangGatherPause = 100 * time.Millisecond
-	gangProbeEvery  = 5 * time.Second
-	gangCallTimeout = 5 * time.Second
+	gangGatherInterval    = time.Minute
+	gangGatherIntervalMax = 16 * time.Minute
+	gangGatherPoll        = 100 * time.Millisecond
+	gangProbeInterval     = 5 * time.Second
+	gangCallTimeout       = 5 * time.Second
 )
 
 // gang is the part of a job that only gangs have.
 type gang struct {
-	state     string // "" counts as idle
-	failures  int    // of tries in a row
-	notBefore time.Time
-	gathers   int       // tries that kept room while they waited for more
-	gatherAt  time.Time // earliest next one
+	state       string // "" counts as idle
+	failures    int    // of tries in a row
+	notBefore   time.Time
+	gatherCount int       // tries that kept room while they waited for more
+	nextGather  time.Time // earliest next one
 }
 
 func (g *gang) is(state string) bool { return g.state == state || (g.state == "" && state == gangIdle) }
@@ -67,92 +67,92 @@
 		{Name: gangEventHold, Src: []string{gangIdle}, Dst: gangHolding},
 		{Name: gangEventRelease, Src: []string{gangHolding}, Dst: gangIdle},
 		{Name: gangEventStart, Src: []string{gangHolding}, Dst: gangStarting},
-		{Name: gangEventComplete, Src: []string{gangStarting, gangIdle}, Dst: gangUp},
-		{Name: gangEventBreak, Src: []string{gangIdle, gangStarting, gangUp}, Dst: gangBreaking},
-		{Name: gangEventGone, Src: []string{gangBreaking}, Dst: gangIdle},
+		{Name: gangEventComplete, Src: []string{gangStarting, gangIdle}, Dst: gangRunning},
+		{Name: gangEventStop, Src: []string{gangIdle, gangStarting, gangRunning}, Dst: gangStopping},
+		{Name: gangEventStopped, Src: []string{gangStopping}, Dst: gangIdle},
 	}, nil)
 }
 
-// moveGang passes an event to the machine in the gang's state and reports
+// fireGangEvent passes an event to the machine in the gang's state and reports
 // whether the state changed.
-func (h *home) moveGang(j *job, event string) bool {
+func (o *jobOwner) fireGangEvent(j *job, event string) bool {
 	if j.gang.state == "" {
 		j.gang.state = gangIdle
 	}
-	h.gangs.SetState(j.gang.state)
-	if !h.gangs.Can(event) || h.gangs.Event(context.Background(), event) != nil {
+	o.gangMachine.SetState(j.gang.state)
+	if !o.gangMachine.Can(event) || o.gangMachine.Event(context.Background(), event) != nil {
 		return false
 	}
-	j.gang.state = h.gangs.Current()
+	j.gang.state = o.gangMachine.Current()
 	return true
 }
 
 // planGang reserves the quota of all tasks left and lets the gang try to hold
 // room for them.
-func (h *home) planGang(j *job, values settings.Values, m *moment) {
+func (o *jobOwner) planGang(j *job, values settings.Values, m *passState) {
 	now := m.now
 	if !j.gang.is(gangIdle) || j.active > 0 {
 		return
 	}
 	n := len(j.tasks) - j.done
-	if !h.gangMayFit(j, n, m.holders, now) {
+	if !o.gangLikelyFits(j, n, m.holders, now) {
 		return
 	}
-	if err := h.ledger.Reserve(j.rec.Job.Team, j.accountOf(j.rec.TaskGeneration), values.Quota, j.rec.Job.Task.Size, n); err != nil {
+	if err := o.ledger.Reserve(j.rec.Job.Team, j.ledgerAccountOf(j.rec.TaskGeneration), values.Quota, j.rec.Job.Task.Size, n); err != nil {
 		j.log.add(now, "waiting", err.Detail)
-		j.gang.notBefore = now.Add(restInterval)
+		j.gang.notBefore = now.Add(activeInterval)
 		return
 	}
-	h.moveGang(j, gangEventHold)
+	o.fireGangEvent(j, gangEventHold)
 	slots := make([]taskmsg.Slot, 0, n)
 	for i := range j.tasks {
 		if j.tasks[i].state == taskPending {
-			slots = append(slots, h.reserve(j, i))
+			slots = append(slots, o.newAttempt(j, i))
 		}
 	}
-	j.ready, j.later = nil, nil
-	h.enqueue(j)
-	try := newGangTry(h, j, h.shape(j, values), slots, gangHolders(m.holders), now)
-	h.work.Go(try.run)
+	j.ready, j.delayed = nil, nil
+	o.updateWaiting(j)
+	try := newGangTry(o, j, o.shape(j, values), slots, orderHolders(m.holders), now)
+	o.background.Go(try.run)
 }
 
-// gangMayFit reports whether the digests leave room for all tasks of a gang. As
+// gangLikelyFits reports whether the digests leave room for all tasks of a gang. As
 // they are hints, a try goes ahead now and then whatever they say, and always
 // once the gang has aged.
-func (h *home) gangMayFit(j *job, n int, holders []holder, now time.Time) bool {
-	room := 0
-	for _, at := range holders {
-		k, _ := h.room(j.rec.Job.Task, at, now)
-		room += k
+func (o *jobOwner) gangLikelyFits(j *job, n int, holders []holder, now time.Time) bool {
+	freeSlots := 0
+	for _, target := range holders {
+		k, _ := o.freeSlots(j.rec.Job.Task, target, now)
+		freeSlots += k
 	}
-	if room >= n || now.Sub(j.since) >= gangAgeAfter || now.Sub(j.since) >= gangProbeEvery*time.Duration(j.gang.failures+1) {
+	if freeSlots >= n || now.Sub(j.waitingSince) >= gangAgedAfter || now.Sub(j.waitingSince) >= gangProbeInterval*time.Duration(j.gang.failures+1) {
 		return true
 	}
-	j.log.add(now, "waiting", fmt.Sprintf("all %d tasks must start together, the holders seem to have room for %d", n, room))
-	j.gang.notBefore = now.Add(restInterval)
+	j.log.add(now, "waiting", fmt.Sprintf("all %d tasks must start together, the holders seem to have room for %d", n, freeSlots))
+	j.gang.notBefore = now.Add(activeInterval)
 	return false
 }
 
-// mayGather reports whether a gang has waited so long that holders are to keep
+// beginGather reports whether a gang has waited so long that holders are to keep
 // room for it. As this holds other work up, it is bounded to gangGatherTime, and
 // a gang that did so in vain waits longer each time.
-func (j *job) mayGather(now time.Time) bool {
+func (j *job) beginGather(now time.Time) bool {
 	g := &j.gang
-	if now.Sub(j.since) < gangAgeAfter || now.Before(g.gatherAt) {
+	if now.Sub(j.waitingSince) < gangAgedAfter || now.Before(g.nextGather) {
 		return false
 	}
-	g.gatherAt = now.Add(min(gangGatherEvery<<min(g.gathers, 8), gangGatherMost))
-	g.gathers++
+	g.nextGather = now.Add(min(gangGatherInterval<<min(g.gatherCount, 8), gangGatherIntervalMax))
+	g.gatherCount++
 	return true
 }
 
-// gangHolders returns the holders in the one order in which all gangs ask.
-func gangHolders(holders []holder) []holder {
+// orderHolders returns the holders in the one order in which all gangs ask.
+func orderHolders(holders []holder) []holder {
 	byName := map[string]holder{}
 	names := make([]string, 0, len(holders))
-	for _, at := range holders {
-		byName[at.member] = at
-		names = append(names, at.member)
+	for _, target := range holders {
+		byName[target.member] = target
+		names = append(names, target.member)
 	}
 	out := make([]holder, 0, len(names))
 	for _, name := range fairshare.HolderOrder(names) {
@@ -161,75 +161,75 @@
 	return out
 }
 
-// gangRuns notes that one more task of a gang runs; with the last one it is up.
-func (h *home) gangRuns(j *job) {
-	if j.gang.is(gangUp) || j.running+j.done < len(j.tasks) || h.recovering(j) {
+// updateGangRunning notes that one more task of a gang runs; with the last one it is up.
+func (o *jobOwner) updateGangRunning(j *job) {
+	if j.gang.is(gangRunning) || j.running+j.done < len(j.tasks) || o.recovering(j) {
 		return
 	}
-	if h.moveGang(j, gangEventComplete) {
-		j.gang.failures, j.gang.gathers = 0, 0
-		h.move(j, eventStarted)
+	if o.fireGangEvent(j, gangEventComplete) {
+		j.gang.failures, j.gang.gatherCount = 0, 0
+		o.fireEvent(j, eventStarted)
 		j.log.add(time.Now(), "started", "all "+strconv.Itoa(j.running)+" tasks run")
 	}
 }
 
-// breakGang stops what runs of a gang, so that it can be started as a whole.
-func (h *home) breakGang(j *job, why string, now time.Time) {
-	if j.gang.is(gangHolding) || j.ending() || !h.moveGang(j, gangEventBreak) {
+// stopGang stops what runs of a gang, so that it can be started as a whole.
+func (o *jobOwner) stopGang(j *job, why string, now time.Time) {
+	if j.gang.is(gangHolding) || j.ending() || !o.fireGangEvent(j, gangEventStop) {
 		return
 	}
 	j.log.add(now, "stopping all", why)
-	j.ready, j.later = nil, nil
-	j.stopAt = time.Time{}
-	h.halting[j.id()] = j
-	h.gangGone(j, now)
+	j.ready, j.delayed = nil, nil
+	j.nextStop = time.Time{}
+	o.stopping[j.id()] = j
+	o.finishGangStop(j, now)
 }
 
-// gangGone lets a broken gang try again once nothing of it runs.
-func (h *home) gangGone(j *job, now time.Time) {
-	if j.active > 0 || !h.moveGang(j, gangEventGone) {
+// finishGangStop lets a broken gang try again once nothing of it runs.
+func (o *jobOwner) finishGangStop(j *job, now time.Time) {
+	if j.active > 0 || !o.fireGangEvent(j, gangEventStopped) {
 		return
 	}
-	delete(h.halting, j.id())
-	j.since = now
-	h.backOffGang(j, now)
+	delete(o.stopping, j.id())
+	j.waitingSince = now
+	o.scheduleGangRetry(j, now)
 }
 
-// replacesInGang reports whether a task that a running gang lost is started
+// replacesGangTasks reports whether a task that a running gang lost is started
 // again by itself, as its branch may say.
-func (h *home) replacesInGang(j *job) bool {
-	values, _ := h.m.cfg.Values(j.rec.Job.Branch)
-	return j.gang.is(gangUp) && values.Task.GangLoss == settings.GangReplace
+func (o *jobOwner) replacesGangTasks(j *job) bool {
+	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
+	return j.gang.is(gangRunning) && values.Task.GangLoss == settings.GangReplace
 }
 
-// gangLost applies the branch's rule for a task that a running gang lost; it
+// failGangOnLoss applies the branch's rule for a task that a running gang lost; it
 // reports whether the job ends.
-func (h *home) gangLost(j *job, why string, now time.Time) bool {
-	values, _ := h.m.cfg.Values(j.rec.Job.Branch)
-	if !j.isGang() || !j.gang.is(gangUp) || values.Task.GangLoss != settings.GangFail {
+func (o *jobOwner) failGangOnLoss(j *job, why string, now time.Time) bool {
+	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
+	if !j.isGang() || !j.gang.is(gangRunning) || values.Task.GangLoss != settings.GangFail {
 		return false
 	}
-	h.endJob(j, result.New(result.JobTaskFailed, result.RanYes, "a task of the gang was lost and its branch ends the job then: %s", why), now)
+	o.endJob(j, result.New(result.JobTaskFailed, result.RanYes, "a task of the gang was lost and its branch ends the job then: %s", why), now)
 	return true
 }
 
 // recoverGang decides about a gang after a takeover: it is up when all tasks
 // left run, and broken up when only some do.
-func (h *home) recoverGang(j *job, now time.Time) {
-	j.ready, j.later = nil, nil
+func (o *jobOwner) recoverGang(j *job, now time.Time) {
+	j.ready, j.delayed = nil, nil
 	if j.active == 0 {
-		h.enqueue(j)
+		o.updateWaiting(j)
 		return
 	}
-	h.gangRuns(j)
-	if !j.gang.is(gangUp) {
-		h.breakGang(j, "the takeover found only some of its tasks", now)
+	o.updateGangRunning(j)
+	if !j.gang.is(gangRunning) {
+		o.stopGang(j, "the takeover found only some of its tasks", now)
 	}
 }
 
-// backOffGang makes a gang wait before its next try.
-func (h *home) backOffGang(j *job, now time.Time) {
+// scheduleGangRetry makes a gang wait before its next try.
+func (o *jobOwner) scheduleGangRetry(j *job, now time.Time) {
 	j.gang.failures++
-	j.gang.notBefore = now.Add(fairshare.GangBackoff(j.id(), j.gang.failures, now.Sub(j.since), gangAgeAfter))
-	h.enqueue(j)
+	j.gang.notBefore = now.Add(fairshare.GangBackoff(j.id(), j.gang.failures, now.Sub(j.waitingSince), gangAgedAfter))
+	o.updateWaiting(j)
 }
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -15,15 +15,15 @@
 )
 
 // gangJob makes a gang of tasks of 1000 mCPU for the team of a partition.
-func gangJob(c *cell, home, tasks int, run time.Duration) spec.Job {
-	j := batch(home, tasks, run)
+func gangJob(c *cell, partitionID, tasks int, run time.Duration) spec.Job {
+	j := batch(partitionID, tasks, run)
 	j.Kind = spec.KindGang
 	c.judge.Gang(j.ID, tasks)
 	return j
 }
 
-// neverPartly fails the test when a caller sees a gang run in part.
-func neverPartly(c *cell, p *placer, id string, tasks int, atMost time.Duration) {
+// assertNeverPartial fails the test when a caller sees a gang run in part.
+func assertNeverPartial(c *cell, p *placer, id string, tasks int, atMost time.Duration) {
 	c.t.Helper()
 	for deadline := time.Now().Add(atMost); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		s, err := p.get(id)
@@ -47,7 +47,7 @@
 		s := a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
 		c.is.Equal(s.Counts.Finished, 30)
 		c.is.Equal(c.judge.Starts(), 30)
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
@@ -63,13 +63,13 @@
 		job := gangJob(c, 0, 30, 5*time.Second)
 		_, err = a.submit(job)
 		c.is.NoErr(err)
-		neverPartly(c, a, job.ID, 30, 30*time.Second)
+		assertNeverPartial(c, a, job.ID, 30, 30*time.Second)
 		s, err := a.get(job.ID)
 		c.is.NoErr(err)
 		c.is.Equal(s.State, jobmsg.StateWaiting)
 		c.is.True(s.Reason != "")
 		a.await(job.ID, jobmsg.StateFinished, 60*time.Second)
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
@@ -80,16 +80,16 @@
 		c, a, b := twoPlacers(t, 1)
 		homes := []*placer{a, a, b, b}
 		var jobs []spec.Job
-		for home, p := range homes {
-			job := gangJob(c, home, 20+home, 3*time.Second)
+		for partitionID, p := range homes {
+			job := gangJob(c, partitionID, 20+partitionID, 3*time.Second)
 			jobs = append(jobs, job)
 			_, err := p.submit(job)
 			c.is.NoErr(err)
 		}
-		for home, p := range homes {
-			p.await(jobs[home].ID, jobmsg.StateFinished, 2*time.Minute)
+		for partitionID, p := range homes {
+			p.await(jobs[partitionID].ID, jobmsg.StateFinished, 2*time.Minute)
 		}
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
@@ -118,7 +118,7 @@
 		a.await(job.ID, jobmsg.StateFinished, 5*time.Minute)
 		close(stop)
 		<-done
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
@@ -145,16 +145,16 @@
 			time.Sleep(2 * time.Second)
 			b.kill()
 			time.Sleep(3 * time.Second)
-			a.take(2, 3)
+			a.acquire(2, 3)
 		}, 0},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, a, b := twoPlacers(t, 2)
-				c.judge.GangGrace = takeoverTime // a lost worker's part lasts until its leases end
+				c.judge.GangGrace = failoverTime // a lost worker's part lasts until its leases end
 				if tt.fault != nil {
-					c.fail(tt.fault)
+					c.addFault(tt.fault)
 				}
 				job := gangJob(c, 0, tasks, 20*time.Second)
 				_, err := a.submit(job)
@@ -162,18 +162,18 @@
 				if tt.disturb != nil {
 					tt.disturb(c, a, b)
 				}
-				neverPartly(c, a, job.ID, tasks, 2*time.Minute)
+				assertNeverPartial(c, a, job.ID, tasks, 2*time.Minute)
 				s := a.await(job.ID, jobmsg.StateFinished, 2*time.Minute)
 				c.is.Equal(s.Counts.Finished, tasks)
 				c.is.Equal(testutil.ToFloat64(a.jobs.metrics.gangs.WithLabelValues("broken")), tt.broken)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
 }
 
-// TestGangHomeLost kills the home of a gang at each step of its start.
-func TestGangHomeLost(t *testing.T) {
+// TestGangOwnerLost kills the home of a gang at each step of its start.
+func TestGangOwnerLost(t *testing.T) {
 	const tasks = 40 // more than one of the two holders has room for
 	cases := []struct {
 		name  string
@@ -188,22 +188,22 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, a, b := twoPlacers(t, 2)
-				c.judge.GangGrace = takeoverTime
+				c.judge.GangGrace = failoverTime
 				if tt.fault != nil {
-					c.fail(tt.fault)
+					c.addFault(tt.fault)
 				}
 				job := gangJob(c, 0, tasks, 20*time.Second)
 				_, err := a.submit(job)
 				c.is.NoErr(err)
 				time.Sleep(tt.after)
 				a.kill()
-				c.heal()
+				c.clearFaults()
 				time.Sleep(3 * time.Second)
-				b.take(0, 1)
-				neverPartly(c, b, job.ID, tasks, takeoverTime)
+				b.acquire(0, 1)
+				assertNeverPartial(c, b, job.ID, tasks, failoverTime)
 				s := b.await(job.ID, jobmsg.StateFinished, 3*time.Minute)
 				c.is.Equal(s.Counts.Finished, tasks)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
@@ -225,7 +225,7 @@
 		t.Run(tt.rule, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, a, _ := twoPlacers(t, 2)
-				c.judge.GangGrace = takeoverTime
+				c.judge.GangGrace = failoverTime
 				c.setBranch(testBranch, func(v *settings.Values) { v.Task.GangLoss = tt.rule })
 				job := gangJob(c, 0, 24, time.Minute)
 				_, err := a.submit(job)
@@ -235,7 +235,7 @@
 				a.await(job.ID, tt.state, 4*time.Minute)
 				c.is.True(c.judge.Starts() <= tt.most)
 				c.is.True(c.judge.Starts() >= tt.least)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
--- a/internal/job/gangtry.go
+++ b/internal/job/gangtry.go
@@ -15,200 +15,200 @@
 // and a holder that may hold more than it said takes no further part until it
 // has confirmed a release.
 type gangTry struct {
-	h      *home
-	j      *job
-	shape  taskmsg.Shape
-	slots  []taskmsg.Slot
-	began  time.Time
-	number int // ascending over all tries of all homes of the partition
+	o         *jobOwner
+	j         *job
+	shape     taskmsg.Shape
+	slots     []taskmsg.Slot
+	startedAt time.Time
+	number    int // ascending over all tries of all homes of the partition
 	// gather keeps what is held while more room is waited for.
 	gather bool
 	parts  []*gangPart
-	// free are the slots that no holder holds.
-	free []taskmsg.Slot
+	// unreserved are the slots that no holder holds.
+	unreserved []taskmsg.Slot
 }
 
 // gangPart is one holder's part in a try.
 type gangPart struct {
-	at    holder
-	slots []taskmsg.Slot // held there
-	// since is when the hold that still counts was asked for.
-	since time.Time
-	// unsure is true when an answer to a hold was lost.
-	unsure bool
+	target holder
+	slots  []taskmsg.Slot // held there
+	// reservedAt is when the hold that still counts was asked for.
+	reservedAt time.Time
+	// unconfirmed is true when an answer to a hold was lost.
+	unconfirmed bool
 }
 
-func newGangTry(h *home, j *job, shape taskmsg.Shape, slots []taskmsg.Slot, holders []holder, now time.Time) *gangTry {
-	t := &gangTry{h: h, j: j, shape: shape, slots: slots, free: slots, began: now, number: slots[0].Attempt, gather: j.mayGather(now)}
-	for _, at := range holders {
-		t.parts = append(t.parts, &gangPart{at: at})
+func newGangTry(o *jobOwner, j *job, shape taskmsg.Shape, slots []taskmsg.Slot, holders []holder, now time.Time) *gangTry {
+	t := &gangTry{o: o, j: j, shape: shape, slots: slots, unreserved: slots, startedAt: now, number: slots[0].Attempt, gather: j.beginGather(now)}
+	for _, target := range holders {
+		t.parts = append(t.parts, &gangPart{target: target})
 	}
 	return t
 }
 
 func (t *gangTry) run() {
-	for !t.holdAll() {
-		if !t.gather || time.Since(t.began) > gangGatherTime || t.given() {
+	for !t.reserveAll() {
+		if !t.gather || time.Since(t.startedAt) > gangGatherTimeout || t.abandoned() {
 			t.release()
 			return
 		}
-		time.Sleep(gangGatherPause)
+		time.Sleep(gangGatherPoll)
 	}
-	if !t.commit() {
+	if !t.beginStart() {
 		t.release()
 		return
 	}
 	t.start()
 }
 
-// given reports whether the try is to be given up: the job was ended or the
+// abandoned reports whether the try is to be given up: the job was ended or the
 // home is going.
-func (t *gangTry) given() bool {
-	t.h.mu.Lock()
-	defer t.h.mu.Unlock()
-	return t.j.ending() || t.h.phase == phaseEnded || t.h.quiet
+func (t *gangTry) abandoned() bool {
+	t.o.mu.Lock()
+	defer t.o.mu.Unlock()
+	return t.j.ending() || t.o.phase == phaseEnded || t.o.released
 }
 
-// holdAll asks one holder after the other to hold room for the free slots and to
+// reserveAll asks one holder after the other to hold room for the free slots and to
 // extend what it holds. It reports whether every slot is held.
-func (t *gangTry) holdAll() bool {
+func (t *gangTry) reserveAll() bool {
 	for _, p := range t.parts {
-		if len(p.slots)+len(t.free) == 0 || (p.unsure && !t.clear(p)) {
+		if len(p.slots)+len(t.unreserved) == 0 || (p.unconfirmed && !t.releaseUnconfirmed(p)) {
 			continue
 		}
-		t.hold(p)
+		t.reserveAt(p)
 	}
-	return len(t.free) == 0
+	return len(t.unreserved) == 0
 }
 
-// hold asks one holder for its own slots and the free ones.
-func (t *gangTry) hold(p *gangPart) {
-	want := append(append([]taskmsg.Slot(nil), p.slots...), t.free...)
-	asked := time.Now()
+// reserveAt asks one holder for its own slots and the free ones.
+func (t *gangTry) reserveAt(p *gangPart) {
+	want := append(append([]taskmsg.Slot(nil), p.slots...), t.unreserved...)
+	requestedAt := time.Now()
 	var reply taskmsg.GangHeld
-	req := taskmsg.GangHold{Home: t.h.self(), Shape: t.shape, Slots: want, HoldMS: gangHoldTime.Milliseconds(), Gather: t.gather, Try: t.number}
-	err := t.h.ask(p.at.addr, peer.KindGangHold, gangCallTimeout, req, &reply)
-	t.note(p.at, reply.Refusal, err)
+	req := taskmsg.GangHold{Home: t.o.identity(), Shape: t.shape, Slots: want, HoldMS: gangReservationTTL.Milliseconds(), Gather: t.gather, Try: t.number}
+	err := t.o.callHolder(p.target.addr, peer.KindGangHold, gangCallTimeout, req, &reply)
+	t.recordReply(p.target, reply.Refusal, err)
 	switch {
 	case err == nil:
-		p.slots, p.since = reply.Held, asked
-		t.free = minus(want, reply.Held)
-	case !certainlyNot(err):
-		p.slots, p.unsure = nil, true
-		t.free = want
+		p.slots, p.reservedAt = reply.Held, requestedAt
+		t.unreserved = subtractSlots(want, reply.Held)
+	case !certainlyNotStarted(err):
+		p.slots, p.unconfirmed = nil, true
+		t.unreserved = want
 	}
 }
 
-// clear makes a holder whose answer was lost release what it may hold.
-func (t *gangTry) clear(p *gangPart) bool {
+// releaseUnconfirmed makes a holder whose answer was lost release what it may hold.
+func (t *gangTry) releaseUnconfirmed(p *gangPart) bool {
 	var reply taskmsg.PlaceReply
-	req := taskmsg.GangEnd{Home: t.h.self(), Job: t.j.id(), Try: t.number}
-	p.unsure = t.h.ask(p.at.addr, peer.KindGangEnd, gangCallTimeout, req, &reply) != nil
-	return !p.unsure
+	req := taskmsg.GangEnd{Home: t.o.identity(), Job: t.j.id(), Try: t.number}
+	p.unconfirmed = t.o.callHolder(p.target.addr, peer.KindGangEnd, gangCallTimeout, req, &reply) != nil
+	return !p.unconfirmed
 }
 
-// note keeps what a holder said for the explanation.
-func (t *gangTry) note(at holder, refusal *taskmsg.Refusal, err error) {
-	t.h.mu.Lock()
-	defer t.h.mu.Unlock()
-	m := t.j.memory(at.member)
+// recordReply keeps what a holder said for the explanation.
+func (t *gangTry) recordReply(target holder, refusal *taskmsg.Refusal, err error) {
+	t.o.mu.Lock()
+	defer t.o.mu.Unlock()
+	m := t.j.lastReply(target.member)
 	m.refusal, m.err = refusal, err
 }
 
-// minus returns the slots of all that are not in some.
-func minus(all, some []taskmsg.Slot) []taskmsg.Slot {
-	drop := make(map[int]bool, len(some))
-	for _, s := range some {
+// subtractSlots returns the slots of all that are not in some.
+func subtractSlots(all, remove []taskmsg.Slot) []taskmsg.Slot {
+	drop := make(map[int]bool, len(remove))
+	for _, s := range remove {
 		drop[s.Index] = true
 	}
-	left := make([]taskmsg.Slot, 0, len(all)-len(some))
+	rest := make([]taskmsg.Slot, 0, len(all)-len(remove))
 	for _, s := range all {
 		if !drop[s.Index] {
-			left = append(left, s)
+			rest = append(rest, s)
 		}
 	}
-	return left
+	return rest
 }
 
 // release gives all held room back; nothing of the gang has started.
 func (t *gangTry) release() {
-	h, j := t.h, t.j
+	o, j := t.o, t.j
 	t.endAll(false)
-	h.m.metrics.gangs.WithLabelValues("released").Inc()
+	o.m.metrics.gangs.WithLabelValues("released").Inc()
 	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.moveGang(j, gangEventRelease)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.fireGangEvent(j, gangEventRelease)
 	for _, s := range t.slots {
-		if h.awaits(j, s) {
-			h.freed(j, s.Index)
+		if o.awaitsOutcome(j, s) {
+			o.releaseTask(j, s.Index)
 		}
 	}
-	h.backOffGang(j, now)
+	o.scheduleGangRetry(j, now)
 	j.log.add(now, "released", "not every part of the gang could be held at once")
-	h.settle(j, now)
-	h.rouse()
+	o.finalizeIfDone(j, now)
+	o.wakeLoop()
 }
 
-// commit moves the gang from holding to starting, unless a hold may lapse before
+// beginStart moves the gang from holding to starting, unless a hold may lapse before
 // the order to start arrives or the job was ended.
-func (t *gangTry) commit() bool {
-	h := t.h
-	if h.checkRight() != nil {
+func (t *gangTry) beginStart() bool {
+	o := t.o
+	if o.checkAuthority() != nil {
 		return false
 	}
 	for _, p := range t.parts {
-		if len(p.slots) > 0 && time.Since(p.since) > gangHoldTime-gangStartMargin {
+		if len(p.slots) > 0 && time.Since(p.reservedAt) > gangReservationTTL-gangStartMargin {
 			return false
 		}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if t.j.ending() || h.phase == phaseEnded || h.quiet {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if t.j.ending() || o.phase == phaseEnded || o.released {
 		return false
 	}
-	return h.moveGang(t.j, gangEventStart)
+	return o.fireGangEvent(t.j, gangEventStart)
 }
 
 // start orders every part to start, and breaks the gang up when any task of it
 // did not.
 func (t *gangTry) start() {
-	h, j := t.h, t.j
+	o, j := t.o, t.j
 	replies, errs := t.endAll(true)
 	for i, p := range t.parts {
-		if errs[i] != nil && certainlyNot(errs[i]) {
-			t.clear(p) // so that its room does not stay held for nothing
+		if errs[i] != nil && certainlyNotStarted(errs[i]) {
+			t.releaseUnconfirmed(p) // so that its room does not stay held for nothing
 		}
 	}
 	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	for i, p := range t.parts {
 		if len(p.slots) > 0 {
-			h.placed(j, p.at, p.slots, replies[i], errs[i], now)
+			o.applyPlaceReply(j, p.target, p.slots, replies[i], errs[i], now)
 		}
 	}
 	outcome := "started"
-	if !j.gang.is(gangUp) && !j.rec.State.Final() {
-		h.breakGang(j, "a part of it did not start", now)
+	if !j.gang.is(gangRunning) && !j.rec.State.Final() {
+		o.stopGang(j, "a part of it did not start", now)
 		outcome = "broken"
 	}
-	h.m.metrics.gangs.WithLabelValues(outcome).Inc()
-	h.rouse()
+	o.m.metrics.gangs.WithLabelValues(outcome).Inc()
+	o.wakeLoop()
 }
 
 // endAll tells every holder with a part to start or release it. Only those whose
 // part is certain are told to start.
 func (t *gangTry) endAll(start bool) ([]taskmsg.PlaceReply, []error) {
 	replies, errs := make([]taskmsg.PlaceReply, len(t.parts)), make([]error, len(t.parts))
-	req := taskmsg.GangEnd{Home: t.h.self(), Job: t.j.id(), Start: start, Try: t.number}
+	req := taskmsg.GangEnd{Home: t.o.identity(), Job: t.j.id(), Start: start, Try: t.number}
 	var wait sync.WaitGroup
 	for i, p := range t.parts {
-		if len(p.slots) == 0 && (start || !(p.unsure || t.gather)) {
+		if len(p.slots) == 0 && (start || !(p.unconfirmed || t.gather)) {
 			continue
 		}
 		wait.Go(func() {
-			errs[i] = t.h.ask(p.at.addr, peer.KindGangEnd, gangCallTimeout, req, &replies[i])
+			errs[i] = t.o.callHolder(p.target.addr, peer.KindGangEnd, gangCallTimeout, req, &replies[i])
 		})
 	}
 	wait.Wait()
--- a/internal/job/room.go
+++ b/internal/job/holders.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// leastShare is how many tasks are asked of one holder before the next is
+	// minShare is how many tasks are asked of one holder before the next is
 	// asked too, as a message costs more than a task in it.
-	leastShare = 16
-	// guessedRoom is how many slots a holder without a digest is asked for.
-	guessedRoom = 16
-	// askedLifetime is how long what was asked of a holder is taken off its
+	minShare = 16
+	// assumedSlots is how many slots a holder without a digest is asked for.
+	assumedSlots = 16
+	// requestedLifetime is how long what was asked of a holder is taken off its
 	// digest when no newer digest comes.
-	askedLifetime = 3 * time.Second
+	requestedLifetime = 3 * time.Second
 )
 
 // holder is a member that may be asked to start tasks.
@@ -27,12 +27,12 @@
 	incarnation string
 	addr        string
 	digest      taskmsg.Digest
-	known       bool // digest holds
+	hasDigest   bool // digest holds
 }
 
-// holderInterval is for how long the list of holders with their digests is used
+// holderListTTL is for how long the list of holders with their digests is used
 // before it is made anew. Digests come with heartbeats, several times as seldom.
-const holderInterval = 100 * time.Millisecond
+const holderListTTL = 100 * time.Millisecond
 
 // holderList is the latest list of holders; the homes of a process share it.
 type holderList struct {
@@ -48,23 +48,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t.Revision != l.table || !now.Before(l.until) {
-		l.list = holdersOf(t, m.cfg.Digests())
-		l.table, l.until = t.Revision, now.Add(holderInterval)
+		l.list = listHolders(t, m.cfg.Digests())
+		l.table, l.until = t.Revision, now.Add(holderListTTL)
 	}
 	return l.list
 }
 
-// holdersOf returns the members that hold partitions and take work, in a fixed
+// listHolders returns the members that hold partitions and take work, in a fixed
 // order.
-func holdersOf(t *view.Table, digests map[string]taskmsg.Digest) []holder {
-	holds := map[string]bool{}
+func listHolders(t *view.Table, digests map[string]taskmsg.Digest) []holder {
+	holding := map[string]bool{}
 	for _, p := range t.Partitions {
-		holds[p.Incarnation] = true
+		holding[p.Incarnation] = true
 	}
 	var out []holder
 	for _, m := range t.Members {
 		d, known := digests[m.Name]
-		if m.Leaving || !holds[m.Incarnation] || (known && d.Workers == 0) {
+		if m.Leaving || !holding[m.Incarnation] || (known && d.Workers == 0) {
 			continue
 		}
 		out = append(out, holder{m.Name, m.Incarnation, m.Addr, d, known})
@@ -76,31 +76,31 @@
 // share is how many tasks to ask of one holder.
 type share struct {
 	holder
-	room int
-	n    int
+	freeSlots int
+	n         int
 }
 
-// divide spreads n tasks over holders with room: by the packing policy the
+// distribute spreads n tasks over holders with room: by the packing policy the
 // fullest holder first, else in proportion to room so that all start at once.
-func divide(n int, shares []share, policy string) {
+func distribute(n int, shares []share, policy string) {
 	total := 0
 	for _, s := range shares {
-		total += s.room
+		total += s.freeSlots
 	}
 	n = min(n, total)
 	if policy == settings.PolicyPacking {
-		sort.SliceStable(shares, func(a, b int) bool { return shares[a].room < shares[b].room })
+		sort.SliceStable(shares, func(a, b int) bool { return shares[a].freeSlots < shares[b].freeSlots })
 		for i := range shares {
-			shares[i].n = min(n, shares[i].room)
+			shares[i].n = min(n, shares[i].freeSlots)
 			n -= shares[i].n
 		}
 		return
 	}
-	sort.SliceStable(shares, func(a, b int) bool { return shares[a].room > shares[b].room })
+	sort.SliceStable(shares, func(a, b int) bool { return shares[a].freeSlots > shares[b].freeSlots })
 	left := n
 	for i := range shares {
-		part := max((n*shares[i].room+total-1)/max(total, 1), leastShare)
-		shares[i].n = min(part, left, shares[i].room)
+		part := max((n*shares[i].freeSlots+total-1)/max(total, 1), minShare)
+		shares[i].n = min(part, left, shares[i].freeSlots)
 		left -= shares[i].n
 	}
 }
--- a/internal/job/promises_test.go
+++ b/internal/job/invariants_test.go
@@ -10,20 +10,20 @@
 	"pulleyquay/internal/worker"
 )
 
-// broken returns the first promise that does not hold now, or "".
-func (w *world) broken() string {
-	w.sim.Settle()
-	if v := w.judge.Violations(time.Now()); len(v) > 0 {
+// violation returns the first promise that does not hold now, or "".
+func (sn *simulation) violation() string {
+	sn.sim.Settle()
+	if v := sn.judge.Violations(time.Now()); len(v) > 0 {
 		return fmt.Sprintf("%s on %s: %s", v[0].Rule, v[0].On, v[0].Detail)
 	}
 	used := map[string]int64{}
 	teams := map[string]string{}
-	for _, set := range []map[string]spec.Job{w.accepted, w.maybe} {
+	for _, set := range []map[string]spec.Job{sn.accepted, sn.uncertain} {
 		for id, j := range set {
 			teams[id] = j.Team
 		}
 	}
-	for task, places := range w.judge.Record(time.Now(), true).Tasks {
+	for task, places := range sn.judge.Record(time.Now(), true).Tasks {
 		ends := 0
 		for _, p := range places {
 			if !p.Ended && p.Until.After(time.Now()) {
@@ -33,7 +33,7 @@
 				ends++
 			}
 		}
-		if ends > 1 && !w.lossy {
+		if ends > 1 && !sn.disturbed {
 			return "task " + task + " was finished and ran again"
 		}
 	}
@@ -45,38 +45,38 @@
 	return ""
 }
 
-// final waits until everything accepted is as it has to be, or returns what is
+// finalCheck waits until everything accepted is as it has to be, or returns what is
 // not: first the services at their replicas, then, with the services cancelled
 // so that they hold no quota, all finite work at its end.
-func (w *world) final() string {
-	w.healAll()
-	if wrong := w.settles(w.serviceWrong); wrong != "" {
+func (sn *simulation) finalCheck() string {
+	sn.clearAllFaults()
+	if wrong := sn.eventually(sn.checkService); wrong != "" {
 		return wrong
 	}
-	for _, id := range sortedKeys(w.accepted) {
-		if j := w.accepted[id]; j.Kind == spec.KindService && !w.ended[id] {
-			if _, err := w.holderOf(j).cancelJob(id); err != nil {
+	for _, id := range sortedKeys(sn.accepted) {
+		if j := sn.accepted[id]; j.Kind == spec.KindService && !sn.cancelled[id] {
+			if _, err := sn.holderOf(j).cancelJob(id); err != nil {
 				return "service " + id + ": " + err.Error()
 			}
-			w.ended[id] = true
+			sn.cancelled[id] = true
 		}
 	}
-	for _, id := range sortedKeys(w.maybe) {
-		if j := w.maybe[id]; j.Kind == spec.KindService {
-			_, _ = w.holderOf(j).cancelJob(id) // it may never have been accepted
+	for _, id := range sortedKeys(sn.uncertain) {
+		if j := sn.uncertain[id]; j.Kind == spec.KindService {
+			_, _ = sn.holderOf(j).cancelJob(id) // it may never have been accepted
 		}
 	}
-	return w.settles(w.finiteWrong)
+	return sn.eventually(sn.checkFinite)
 }
 
-// settles waits until a check finds nothing wrong with any accepted job.
-func (w *world) settles(check func(spec.Job, jobmsg.Status) string) string {
+// eventually waits until a check finds nothing wrong with any accepted job.
+func (sn *simulation) eventually(check func(spec.Job, jobmsg.Status) string) string {
 	deadline := time.Now().Add(15 * time.Minute)
 	for {
 		wrong := ""
-		for _, id := range sortedKeys(w.accepted) {
-			j := w.accepted[id]
-			st, err := w.holderOf(j).get(id)
+		for _, id := range sortedKeys(sn.accepted) {
+			j := sn.accepted[id]
+			st, err := sn.holderOf(j).get(id)
 			if err != nil {
 				wrong = "accepted job " + id + ": " + err.Error()
 			} else if bad := check(j, st); bad != "" {
@@ -90,21 +90,21 @@
 	}
 }
 
-// serviceWrong reports a service without its replicas, unless the services of
+// checkService reports a service without its replicas, unless the services of
 // its team want more than the quota.
-func (w *world) serviceWrong(j spec.Job, st jobmsg.Status) string {
+func (sn *simulation) checkService(j spec.Job, st jobmsg.Status) string {
 	want := int64(0)
-	for id, other := range w.accepted {
-		if other.Team == j.Team && other.Kind == spec.KindService && !w.ended[id] {
+	for id, other := range sn.accepted {
+		if other.Team == j.Team && other.Kind == spec.KindService && !sn.cancelled[id] {
 			want += int64(other.Tasks) * other.Task.Size.MilliCPU
 		}
 	}
-	for _, other := range w.maybe {
+	for _, other := range sn.uncertain {
 		if other.Team == j.Team && other.Kind == spec.KindService {
 			want += int64(other.Tasks+1) * other.Task.Size.MilliCPU
 		}
 	}
-	if j.Kind != spec.KindService || w.ended[j.ID] || st.State.Final() || want > randomQuota {
+	if j.Kind != spec.KindService || sn.cancelled[j.ID] || st.State.Final() || want > randomQuota {
 		return ""
 	}
 	if st.Counts.Running != j.Tasks {
@@ -113,7 +113,7 @@
 	return ""
 }
 
-func (w *world) finiteWrong(j spec.Job, st jobmsg.Status) string {
+func (sn *simulation) checkFinite(j spec.Job, st jobmsg.Status) string {
 	if st.State.Final() {
 		return ""
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -12,8 +12,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2)
 		a, b := c.start("a"), c.start("b")
-		a.take(0, 1)
-		b.take(2, 3)
+		a.acquire(0, 1)
+		b.acquire(2, 3)
 		time.Sleep(time.Second)
 		job := batch(0, 20, 3*time.Second)
 		s, err := a.submit(job)
@@ -24,7 +24,7 @@
 		c.is.Equal(again.Job, s.Job)
 		s = a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
 		c.is.Equal(s.Counts.Finished, 20)
-		c.held()
+		c.assertNoViolations()
 		c.is.Equal(c.judge.Starts(), 20)
 	})
 }
--- a/internal/job/jobstate.go
+++ b/internal/job/jobstate.go
@@ -19,9 +19,9 @@
 	eventCancel  = "cancel"
 )
 
-// newMachine returns the state machine of jobs. One machine serves all jobs of
+// newJobMachine returns the state machine of jobs. One machine serves all jobs of
 // a home: it is set to a job's state before each event, under the home's lock.
-func newMachine() *fsm.FSM {
+func newJobMachine() *fsm.FSM {
 	waiting, running := string(jobmsg.StateWaiting), string(jobmsg.StateRunning)
 	stopping := string(jobmsg.StateStopping)
 	live := []string{waiting, running}
@@ -36,22 +36,22 @@
 	}, nil)
 }
 
-// move passes an event to the machine in the job's state and reports whether
+// fireEvent passes an event to the machine in the job's state and reports whether
 // the state changed.
-func (h *home) move(j *job, event string) bool {
-	h.machine.SetState(string(j.rec.State))
-	if !h.machine.Can(event) {
+func (o *jobOwner) fireEvent(j *job, event string) bool {
+	o.jobMachine.SetState(string(j.rec.State))
+	if !o.jobMachine.Can(event) {
 		return false
 	}
-	if err := h.machine.Event(context.Background(), event); err != nil {
+	if err := o.jobMachine.Event(context.Background(), event); err != nil {
 		return false
 	}
-	j.rec.State = jobmsg.State(h.machine.Current())
+	j.rec.State = jobmsg.State(o.jobMachine.Current())
 	return true
 }
 
-// endEvent returns the event that makes a job final, by the code it ends with.
-func endEvent(code result.Code) string {
+// finalEvent returns the event that makes a job final, by the code it ends with.
+func finalEvent(code result.Code) string {
 	switch code {
 	case 0:
 		return eventFinish
@@ -62,9 +62,9 @@
 	}
 }
 
-// touch marks a job's record as newer than the store's.
-func (h *home) touch(j *job) {
+// markChanged marks a job's record as newer than the store's.
+func (o *jobOwner) markChanged(j *job) {
 	j.dirty = true
 	j.version++
-	h.changed[j.id()] = j
+	o.changed[j.id()] = j
 }
--- a/internal/job/link_test.go
+++ b/internal/job/link_test.go
@@ -16,15 +16,15 @@
 	hold     chan struct{}
 }
 
-// fail makes calls fail from now on.
-func (c *cell) fail(f *peerFault) {
+// addFault makes calls fail from now on.
+func (c *cell) addFault(f *peerFault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = append(c.faults, f)
 }
 
-// heal ends all faults of peer calls.
-func (c *cell) heal() {
+// clearFaults ends all faults of peer calls.
+func (c *cell) clearFaults() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, f := range c.faults {
@@ -35,8 +35,8 @@
 	c.faults = nil
 }
 
-// match returns the fault that a call meets, if any, and counts it.
-func (c *cell) match(from, to string, kind peer.Kind) *peerFault {
+// matchFault returns the fault that a call meets, if any, and counts it.
+func (c *cell) matchFault(from, to string, kind peer.Kind) *peerFault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls[kind]++
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// link is one process's way to the others.
-type link struct {
+// peerLink is one process's way to the others.
+type peerLink struct {
 	c    *cell
 	from string
 }
 
-func (l link) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
-	f := l.c.match(l.from, addr, kind)
+func (l peerLink) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
+	f := l.c.matchFault(l.from, addr, kind)
 	if f != nil && f.hold != nil {
 		<-f.hold
 		f = nil
--- a/internal/job/manager.go
+++ b/internal/job/manager.go
@@ -26,8 +26,8 @@
 	"pulleyquay/internal/view"
 )
 
-// residentName is the name of the jobs among the residents of a partition.
-const residentName = "jobs"
+// componentName is the name of the jobs among the residents of a partition.
+const componentName = "jobs"
 
 // tableInterval is how often the table is looked at for changes.
 const tableInterval = 250 * time.Millisecond
@@ -63,8 +63,8 @@
 
 	holderList holderList
 
-	mu    sync.Mutex
-	homes map[int]*home
+	mu     sync.Mutex
+	owners map[int]*jobOwner
 }
 
 var _ hold.Resident = (*Manager)(nil)
@@ -76,18 +76,18 @@
 		cfg:     cfg,
 		metrics: newMetrics(cfg.Registerer),
 		cancel:  cancel,
-		homes:   map[int]*home{},
+		owners:  map[int]*jobOwner{},
 	}
-	go m.watch(ctx)
+	go m.watchTable(ctx)
 	return m
 }
 
-// watch rouses all homes whenever the table has changed, so that a home with
+// watchTable rouses all homes whenever the table has changed, so that a home with
 // nothing to do need not look by itself.
-func (m *Manager) watch(ctx context.Context) {
+func (m *Manager) watchTable(ctx context.Context) {
 	ticker := time.NewTicker(tableInterval)
 	defer ticker.Stop()
-	seen := int64(-1)
+	lastRevision := int64(-1)
 	for {
 		select {
 		case <-ctx.Done():
@@ -95,33 +95,33 @@
 		case <-ticker.C:
 		}
 		table := m.cfg.Source.Table()
-		if table == nil || table.Revision == seen {
+		if table == nil || table.Revision == lastRevision {
 			continue
 		}
-		seen = table.Revision
-		for _, h := range m.all() {
-			h.rouse()
+		lastRevision = table.Revision
+		for _, o := range m.allOwners() {
+			o.wakeLoop()
 		}
 	}
 }
 
 // Name implements hold.Resident.
-func (m *Manager) Name() string { return residentName }
+func (m *Manager) Name() string { return componentName }
 
 // Acquire implements hold.Resident: it starts the home, which reads the records
 // of its jobs and asks every holder what runs of them before it starts any of
 // them again. It returns at once; until the records are read the home refuses
 // with JobHomeRecovering.
 func (m *Manager) Acquire(_ context.Context, t hold.Takeover) error {
-	h := newHome(m, t)
+	o := newJobOwner(m, t)
 	m.mu.Lock()
-	old := m.homes[t.Partition]
-	m.homes[t.Partition] = h
+	old := m.owners[t.Partition]
+	m.owners[t.Partition] = o
 	m.mu.Unlock()
 	if old != nil {
-		old.end()
+		old.stop()
 	}
-	h.start()
+	o.start()
 	return nil
 }
 
@@ -129,12 +129,12 @@
 // as ctx allows, and ends the home. The next one learns the rest from the
 // holders of workers.
 func (m *Manager) Release(ctx context.Context, partition int) ([]byte, error) {
-	h := m.home(partition)
-	if h == nil {
+	o := m.jobOwner(partition)
+	if o == nil {
 		return nil, nil
 	}
-	h.quiesce()
-	h.flushAll(ctx)
+	o.quiesce()
+	o.flushAll(ctx)
 	m.Drop(partition)
 	return nil, nil
 }
@@ -142,73 +142,73 @@
 // Drop implements hold.Resident.
 func (m *Manager) Drop(partition int) {
 	m.mu.Lock()
-	h := m.homes[partition]
-	delete(m.homes, partition)
+	o := m.owners[partition]
+	delete(m.owners, partition)
 	m.mu.Unlock()
-	if h != nil {
-		h.end()
+	if o != nil {
+		o.stop()
 	}
 }
 
 // Close ends all homes without writing anything.
 func (m *Manager) Close() {
 	m.cancel()
-	for _, h := range m.all() {
-		m.Drop(h.partition)
+	for _, o := range m.allOwners() {
+		m.Drop(o.partition)
 	}
 }
 
-// home returns the home of a partition, or nil.
-func (m *Manager) home(partition int) *home {
+// jobOwner returns the home of a partition, or nil.
+func (m *Manager) jobOwner(partition int) *jobOwner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.homes[partition]
+	return m.owners[partition]
 }
 
-// all returns the homes in ascending order of partitions.
-func (m *Manager) all() []*home {
+// allOwners returns the homes in ascending order of partitions.
+func (m *Manager) allOwners() []*jobOwner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make([]*home, 0, len(m.homes))
-	for _, h := range m.homes {
-		out = append(out, h)
+	out := make([]*jobOwner, 0, len(m.owners))
+	for _, o := range m.owners {
+		out = append(out, o)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].partition < out[b].partition })
 	return out
 }
 
-// rightful returns the home of a partition after checking that this process may
+// authorizedOwner returns the home of a partition after checking that this process may
 // act for it now.
-func (m *Manager) rightful(partition int) (*home, error) {
-	h := m.home(partition)
-	if h == nil {
+func (m *Manager) authorizedOwner(partition int) (*jobOwner, error) {
+	o := m.jobOwner(partition)
+	if o == nil {
 		return nil, result.New(result.JobHomeMoved, result.RanNo, "partition %d is not held here", partition).Later(time.Second)
 	}
-	if err := h.checkRight(); err != nil {
+	if err := o.checkAuthority(); err != nil {
 		return nil, err
 	}
-	return h, nil
+	return o, nil
 }
 
-// DumpHome is one home in the dump of the process.
-type DumpHome struct {
-	Partition int    `json:"partition"`
-	Epoch     uint64 `json:"epoch"`
-	Phase     string `json:"phase"`
-	Jobs      int    `json:"jobs"`
-	LiveJobs  int    `json:"live_jobs"`
-	Doubts    int    `json:"doubts"`
-	Unwritten int    `json:"unwritten"`
-	// Uncovered lists the worker partitions whose inventory is still missing.
-	Uncovered []int               `json:"uncovered"`
-	Teams     map[string]DumpTeam `json:"teams"`
+// DumpOwner is one home in the dump of the process.
+type DumpOwner struct {
+	Partition     int    `json:"partition"`
+	Epoch         uint64 `json:"epoch"`
+	Phase         string `json:"phase"`
+	Jobs          int    `json:"jobs"`
+	LiveJobs      int    `json:"live_jobs"`
+	UnackedStarts int    `json:"doubts"`
+	Unwritten     int    `json:"unwritten"`
+	// MissingInventories lists the worker partitions whose inventory is still missing.
+	MissingInventories []int               `json:"uncovered"`
+	Teams              map[string]DumpTeam `json:"teams"`
 }
 
 // Dump returns the state of all homes for /debug/state.
 func (m *Manager) Dump() any {
-	out := []DumpHome{}
-	for _, h := range m.all() {
-		out = append(out, h.dump())
+	out := []DumpOwner{}
+	for _, o := range m.allOwners() {
+		out = append(out, o.dump())
 	}
 	return out
 }
--- a/internal/job/metrics.go
+++ b/internal/job/metrics.go
@@ -4,21 +4,21 @@
 
 // metrics counts what the homes of a process did.
 type metrics struct {
-	accepted    prometheus.Counter
-	refused     *prometheus.CounterVec // by code
-	ended       *prometheus.CounterVec // by final state
-	ordered     prometheus.Counter     // slots asked of holders
-	started     prometheus.Counter
-	turnedDown  prometheus.Counter // slots refused by holders
-	doubts      prometheus.Counter // slots whose outcome was unknown at first
-	failures    prometheus.Counter // runs that ended with an exit code other than zero
-	lost        prometheus.Counter // runs gone with their worker
-	preempted   prometheus.Counter
-	orphans     prometheus.Counter
-	messages    *prometheus.CounterVec // to holders, by kind
-	gangs       *prometheus.CounterVec // by outcome of a try
-	inventories prometheus.Counter
-	records     prometheus.Counter
+	accepted      prometheus.Counter
+	refused       *prometheus.CounterVec // by code
+	ended         *prometheus.CounterVec // by final state
+	ordered       prometheus.Counter     // slots asked of holders
+	started       prometheus.Counter
+	rejected      prometheus.Counter // slots refused by holders
+	unackedStarts prometheus.Counter // slots whose outcome was unknown at first
+	failures      prometheus.Counter // runs that ended with an exit code other than zero
+	runLost       prometheus.Counter // runs gone with their worker
+	preempted     prometheus.Counter
+	orphans       prometheus.Counter
+	messages      *prometheus.CounterVec // to holders, by kind
+	gangs         *prometheus.CounterVec // by outcome of a try
+	inventories   prometheus.Counter
+	records       prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -33,20 +33,20 @@
 		return c
 	}
 	return &metrics{
-		accepted:    counter("accepted", "Jobs accepted."),
-		refused:     vector("refused", "code", "Jobs refused, by result code."),
-		ended:       vector("ended", "state", "Jobs ended, by final state."),
-		ordered:     counter("slots_ordered", "Task slots that holders were asked to start."),
-		started:     counter("slots_started", "Task slots that holders started."),
-		turnedDown:  counter("slots_refused", "Task slots that holders refused."),
-		doubts:      counter("slots_in_doubt", "Task slots whose outcome was unknown at first."),
-		failures:    counter("run_failures", "Runs that ended with an exit code other than zero."),
-		lost:        counter("runs_lost", "Runs that were gone with their worker."),
-		preempted:   counter("runs_preempted", "Runs stopped to make room for others."),
-		orphans:     counter("orphans", "Runs reported that belong to no task of a job here."),
-		messages:    vector("messages", "kind", "Messages sent to holders of workers, by kind."),
-		gangs:       vector("gang_tries", "outcome", "Tries to start a gang, by outcome."),
-		inventories: counter("inventories", "Inventories asked of holders."),
-		records:     counter("records_written", "Job records written to the store."),
+		accepted:      counter("accepted", "Jobs accepted."),
+		refused:       vector("refused", "code", "Jobs refused, by result code."),
+		ended:         vector("ended", "state", "Jobs ended, by final state."),
+		ordered:       counter("slots_ordered", "Task slots that holders were asked to start."),
+		started:       counter("slots_started", "Task slots that holders started."),
+		rejected:      counter("slots_refused", "Task slots that holders refused."),
+		unackedStarts: counter("slots_in_doubt", "Task slots whose outcome was unknown at first."),
+		failures:      counter("run_failures", "Runs that ended with an exit code other than zero."),
+		runLost:       counter("runs_lost", "Runs that were gone with their worker."),
+		preempted:     counter("runs_preempted", "Runs stopped to make room for others."),
+		orphans:       counter("orphans", "Runs reported that belong to no task of a job here."),
+		messages:      vector("messages", "kind", "Messages sent to holders of workers, by kind."),
+		gangs:         vector("gang_tries", "outcome", "Tries to start a gang, by outcome."),
+		inventories:   counter("inventories", "Inventories asked of holders."),
+		records:       counter("records_written", "Job records written to the store."),
 	}
 }
--- a/internal/job/outage_test.go
+++ b/internal/job/outage_test.go
@@ -22,7 +22,7 @@
 				c.engine.SetFaults(faults)
 				doubt := batch(0, 2, time.Second)
 				_, before := a.submit(doubt)
-				a.storeAge.Store(int64(storeAwayAfter + 1))
+				a.storeAge.Store(int64(storeUnavailableAfter + 1))
 				start := time.Now()
 				_, err := a.submit(batch(0, 2, time.Second))
 				c.is.Equal(time.Since(start), time.Duration(0)) // at once
--- a/internal/job/placer_test.go
+++ b/internal/job/placer_test.go
@@ -26,16 +26,16 @@
 
 // placer is one process of the cell.
 type placer struct {
-	reg    *prometheus.Registry
-	c      *cell
-	name   string
-	life   string
-	right  *rights
-	store  *memstore.Client
-	fleet  *fleet.Fleet
-	jobs   *Manager
-	cancel context.CancelFunc
-	done   chan struct{}
+	reg         *prometheus.Registry
+	c           *cell
+	name        string
+	incarnation string
+	authority   *fakeAuthority
+	store       *memstore.Client
+	fleet       *fleet.Fleet
+	jobs        *Manager
+	cancel      context.CancelFunc
+	done        chan struct{}
 	// storeAge is what the process believes of its last contact with the store.
 	storeAge atomic.Int64
 }
@@ -46,18 +46,18 @@
 	log.SetOutput(io.Discard)
 	entry := logrus.NewEntry(log)
 	p := &placer{
-		c: c, name: name, life: newID(), right: &rights{epochs: map[int]uint64{}},
+		c: c, name: name, incarnation: newID(), authority: &fakeAuthority{epochs: map[int]uint64{}},
 		store: c.engine.Client(name), done: make(chan struct{}),
 	}
-	peers := link{c, name}
+	peers := peerLink{c, name}
 	reg := prometheus.NewRegistry()
 	p.reg = reg
 	p.fleet = fleet.New(fleet.Config{
-		Name: name, Partitions: testPartitions, Lease: testLease, Hosts: c.Hosts, Right: p.right,
+		Name: name, Partitions: testPartitions, Lease: testLease, Hosts: c.Hosts, Right: p.authority,
 		Client: c.sim.Caller(name), Peers: peers, View: c, Registerer: reg, Log: entry,
 	})
 	p.jobs = New(Config{
-		Source: c, Right: p.right, Store: p.settling(reg), Peers: peers, Values: c.branch, Digests: c.digests,
+		Source: c, Right: p.authority, Store: p.newStore(reg), Peers: peers, Values: c.branch, Digests: c.digests,
 		PartitionKey: partitionKey, Registerer: reg, Log: entry,
 		StoreAge: func() time.Duration { return time.Duration(p.storeAge.Load()) },
 	})
@@ -69,13 +69,13 @@
 	go func() { p.fleet.Run(ctx); close(p.done) }()
 	c.mu.Lock()
 	c.muxes[name], c.placer[name] = mux, p
-	c.table.Members = append(c.table.Members, view.Member{Name: name, Incarnation: p.life, Addr: name})
+	c.table.Members = append(c.table.Members, view.Member{Name: name, Incarnation: p.incarnation, Addr: name})
 	c.mu.Unlock()
 	return p
 }
 
-// settling is the process's store as the placer makes it.
-func (p *placer) settling(reg prometheus.Registerer) platform.Store {
+// newStore is the process's store as the placer makes it.
+func (p *placer) newStore(reg prometheus.Registerer) platform.Store {
 	confirmed, err := confirm.New(p.store, confirm.Options{Registry: reg})
 	p.c.is.NoErr(err)
 	grouped, err := groupcommit.New(confirmed, groupcommit.Options{Registry: reg})
@@ -98,9 +98,9 @@
 
 func partitionKey(p int) string { return fmt.Sprintf("partitions/%05d", p) }
 
-// take makes a process the holder of partitions, as a claim of the partition's
+// acquire makes a process the holder of partitions, as a claim of the partition's
 // record does.
-func (p *placer) take(partitions ...int) {
+func (p *placer) acquire(partitions ...int) {
 	for _, id := range partitions {
 		t := p.c.claim(p, id)
 		p.c.is.NoErr(p.fleet.Acquire(context.Background(), t))
@@ -115,18 +115,18 @@
 	rec := &c.table.Partitions[id]
 	reply, err := c.store.Commit(context.Background(), platform.Txn{
 		If:   []platform.Condition{{Key: partitionKey(id), ModRevision: platform.Revision(rec.ModRevision)}},
-		Then: []platform.Write{{Key: partitionKey(id), Value: []byte(p.life)}},
+		Then: []platform.Write{{Key: partitionKey(id), Value: []byte(p.incarnation)}},
 	})
 	c.is.NoErr(err)
 	c.is.True(reply.Applied)
 	fresh := rec.Epoch == 0
-	rec.Holder, rec.Incarnation, rec.Addr = p.name, p.life, p.name
+	rec.Holder, rec.Incarnation, rec.Addr = p.name, p.incarnation, p.name
 	rec.Epoch++
 	rec.ModRevision = int64(reply.Revision)
 	c.table.Revision = int64(reply.Revision)
-	p.right.mu.Lock()
-	p.right.epochs[id] = rec.Epoch
-	p.right.mu.Unlock()
+	p.authority.mu.Lock()
+	p.authority.epochs[id] = rec.Epoch
+	p.authority.mu.Unlock()
 	return hold.Takeover{Grant: hold.Grant{Partition: id, Epoch: rec.Epoch}, Fresh: fresh, TakenAt: time.Now()}
 }
 
@@ -137,13 +137,13 @@
 	delete(p.c.placer, p.name)
 	members := p.c.table.Members[:0]
 	for _, m := range p.c.table.Members {
-		if m.Incarnation != p.life {
+		if m.Incarnation != p.incarnation {
 			members = append(members, m)
 		}
 	}
 	p.c.table.Members = members
 	p.c.mu.Unlock()
-	p.right.lapse()
+	p.authority.expire()
 	p.jobs.Close()
 	p.cancel()
 	<-p.done
@@ -154,7 +154,7 @@
 	var resp Resp
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	err := link{p.c, "entry"}.Call(ctx, p.name, kind, req, &resp)
+	err := peerLink{p.c, "entry"}.Call(ctx, p.name, kind, req, &resp)
 	return resp, err
 }
 
@@ -176,9 +176,9 @@
 }
 
 // batch makes a job of finite tasks of 1000 mCPU for the team of a partition.
-func batch(home, tasks int, run time.Duration) spec.Job {
+func batch(partitionID, tasks int, run time.Duration) spec.Job {
 	return spec.Job{
-		ID: newID(), Team: teamOf(home), Branch: testBranch, Kind: spec.KindBatch, Tasks: tasks,
+		ID: newID(), Team: teamOf(partitionID), Branch: testBranch, Kind: spec.KindBatch, Tasks: tasks,
 		Task: spec.Task{Size: spec.Resources{MilliCPU: 1000, MemoryMiB: 500}, RunMillis: run.Milliseconds()},
 	}
 }
--- a/internal/job/plan.go
+++ b/internal/job/plan.go
@@ -8,12 +8,12 @@
 	"pulleyquay/internal/view"
 )
 
-// roundShare bounds the part of the time that ordering the waiting jobs may
+// roundCostFactor bounds the part of the time that ordering the waiting jobs may
 // take: after a round, the next one waits so many times as long as it took.
-const roundShare = 50
+const roundCostFactor = 50
 
-// roundPauseMost bounds the wait between two rounds.
-const roundPauseMost = 2 * time.Second
+// roundIntervalMax bounds the wait between two rounds.
+const roundIntervalMax = 2 * time.Second
 
 // plan is the order in which waiting jobs are to start tasks, as far as it has
 // not been carried out, and what is known about the present moment.
@@ -30,55 +30,55 @@
 // planStarts decides what to start where and sends it off. The order is worked
 // out once for many starts, as it costs time for each waiting job; it is carried
 // out as holders answer.
-func (h *home) planStarts(table *view.Table, now time.Time) {
-	if len(h.waiting) == 0 || table == nil {
-		h.plan = plan{next: h.plan.next}
+func (o *jobOwner) planStarts(table *view.Table, now time.Time) {
+	if len(o.waiting) == 0 || table == nil {
+		o.plan = plan{next: o.plan.next}
 		return
 	}
-	m := h.moment(table, now)
-	for _, id := range h.plan.urgent {
-		if j := h.waiting[id]; j != nil && j.certain {
-			h.planPick(m, fairshare.Pick{Job: id, Tasks: len(j.ready)})
+	m := o.passState(table, now)
+	for _, id := range o.plan.urgent {
+		if j := o.waiting[id]; j != nil && j.recordConfirmed {
+			o.planPick(m, fairshare.Pick{Job: id, Tasks: len(j.ready)})
 		}
 	}
-	h.plan.urgent = h.plan.urgent[:0]
-	if len(h.plan.picks) == 0 && !now.Before(h.plan.next) {
-		h.newRound(m)
+	o.plan.urgent = o.plan.urgent[:0]
+	if len(o.plan.picks) == 0 && !now.Before(o.plan.next) {
+		o.startRound(m)
 	}
-	for len(h.plan.picks) > 0 && m.lanes() {
-		pick := h.plan.picks[0]
-		h.plan.picks = h.plan.picks[1:]
-		h.planPick(m, pick)
+	for len(o.plan.picks) > 0 && m.canCall() {
+		pick := o.plan.picks[0]
+		o.plan.picks = o.plan.picks[1:]
+		o.planPick(m, pick)
 	}
 }
 
-// newRound puts the waiting jobs in order.
-func (h *home) newRound(m *moment) {
+// startRound puts the waiting jobs in order.
+func (o *jobOwner) startRound(m *passState) {
 	began := time.Now()
-	h.plan.picks = merge(h.round(m.holders, m.now))
-	pause := min(roundShare*time.Since(began), roundPauseMost)
-	h.plan.next = m.now.Add(pause)
+	o.plan.picks = mergePicks(o.pickTasks(m.holders, m.now))
+	interval := min(roundCostFactor*time.Since(began), roundIntervalMax)
+	o.plan.next = m.now.Add(interval)
 }
 
 // planPick starts tasks of one job.
-func (h *home) planPick(m *moment, pick fairshare.Pick) {
-	j := h.waiting[pick.Job]
-	if j == nil || !j.certain {
+func (o *jobOwner) planPick(m *passState, pick fairshare.Pick) {
+	j := o.waiting[pick.Job]
+	if j == nil || !j.recordConfirmed {
 		return
 	}
-	values, ok := h.m.cfg.Values(j.rec.Job.Branch)
+	values, ok := o.m.cfg.Values(j.rec.Job.Branch)
 	switch {
 	case !ok:
 		j.log.add(m.now, "waiting", "the settings have no branch "+j.rec.Job.Branch+" any more")
 	case j.isGang() && j.gang.is(gangIdle):
-		h.planGang(j, values, m)
+		o.planGang(j, values, m)
 	default:
-		h.planJob(j, values, m, pick.Tasks)
+		o.planJob(j, values, m, pick.Tasks)
 	}
 }
 
-// merge joins picks of the same job that follow each other, for larger messages.
-func merge(picks []fairshare.Pick) []fairshare.Pick {
+// mergePicks joins picks of the same job that follow each other, for larger messages.
+func mergePicks(picks []fairshare.Pick) []fairshare.Pick {
 	out := picks[:0]
 	for _, p := range picks {
 		if n := len(out); n > 0 && out[n-1].Job == p.Job {
@@ -90,23 +90,23 @@
 	return out
 }
 
-// moment is what one pass of decisions knows: the holders, and which makes of
+// passState is what one pass of decisions knows: the holders, and which makes of
 // task have found no room at any of them.
-type moment struct {
-	h       *home
+type passState struct {
+	o       *jobOwner
 	now     time.Time
 	holders []holder
-	full    map[taskMake]bool
+	full    map[taskClass]bool
 }
 
-func (h *home) moment(table *view.Table, now time.Time) *moment {
-	return &moment{h: h, now: now, holders: h.m.holders(table, now), full: map[taskMake]bool{}}
+func (o *jobOwner) passState(table *view.Table, now time.Time) *passState {
+	return &passState{o: o, now: now, holders: o.m.holders(table, now), full: map[taskClass]bool{}}
 }
 
-// lanes reports whether any holder may be sent another call.
-func (m *moment) lanes() bool {
-	for _, at := range m.holders {
-		if m.h.busy[at.addr] < maxCalls {
+// canCall reports whether any holder may be sent another call.
+func (m *passState) canCall() bool {
+	for _, target := range m.holders {
+		if m.o.callsInFlight[target.addr] < maxCallsPerHolder {
 			return true
 		}
 	}
@@ -114,80 +114,80 @@
 }
 
 // planJob starts up to n tasks of a job, as quota and holders seem to allow.
-func (h *home) planJob(j *job, values settings.Values, m *moment, n int) {
-	kind := makeOf(j)
-	if m.full[kind] && !j.rec.Job.Urgent {
-		j.log.add(m.now, "waiting", whyNoRoom)
+func (o *jobOwner) planJob(j *job, values settings.Values, m *passState, n int) {
+	class := taskClassOf(j)
+	if m.full[class] && !j.rec.Job.Urgent {
+		j.log.add(m.now, "waiting", reasonNoCapacity)
 		return
 	}
-	n = h.ledger.Room(j.rec.Job.Team, values.Quota, j.rec.Job.Task.Size, min(n, len(j.ready)))
+	n = o.ledger.Room(j.rec.Job.Team, values.Quota, j.rec.Job.Task.Size, min(n, len(j.ready)))
 	if n == 0 {
 		if len(j.ready) > 0 {
-			j.log.add(m.now, "waiting", whyNoQuota)
+			j.log.add(m.now, "waiting", reasonNoQuota)
 		}
 		return
 	}
-	shares, preempt, full := h.shares(j, m, n)
+	candidates, preempt, full := o.candidates(j, m, n)
 	if full {
-		m.full[kind] = true
+		m.full[class] = true
 	}
-	if len(shares) == 0 {
-		j.log.add(m.now, "waiting", whyNoRoom)
+	if len(candidates) == 0 {
+		j.log.add(m.now, "waiting", reasonNoCapacity)
 		return
 	}
-	divide(n, shares, values.Placement.Policy)
-	for _, s := range shares {
+	distribute(n, candidates, values.Placement.Policy)
+	for _, s := range candidates {
 		if s.n > 0 {
-			h.order(j, values, s, preempt, m.now)
+			o.requestStarts(j, values, s, preempt, m.now)
 		}
 	}
-	h.enqueue(j)
+	o.updateWaiting(j)
 }
 
 // Reasons to wait, as the explanation gives them.
 const (
-	whyNoRoom  = "no holder has room"
-	whyNoQuota = "the team's quota is used up"
+	reasonNoCapacity = "no holder has room"
+	reasonNoQuota    = "the team's quota is used up"
 )
 
-// shares returns the holders that may be asked now for up to n tasks. When none
+// candidates returns the holders that may be asked now for up to n tasks. When none
 // seems to have room, urgent work makes the holders preempt; for other work one
 // holder is asked for one task now and then, as digests are only hints. Aged work
 // has such asks of its own, which make the holder keep a worker for it. full is
 // true when no holder's digest shows any room.
-func (h *home) shares(j *job, m *moment, n int) (out []share, preempt, full bool) {
-	var crowded []share
+func (o *jobOwner) candidates(j *job, m *passState, n int) (out []share, preempt, full bool) {
+	var fullHolders []share
 	full = true
-	for _, at := range m.holders {
-		room, ever := h.room(j.rec.Job.Task, at, m.now)
-		full = full && room == 0
-		asked := h.standing(j, at, m.now)
-		if h.busy[at.addr] >= maxCalls || asked == backingOff {
+	for _, target := range m.holders {
+		freeSlots, feasible := o.freeSlots(j.rec.Job.Task, target, m.now)
+		full = full && freeSlots == 0
+		status := o.refusalStatus(j, target, m.now)
+		if o.callsInFlight[target.addr] >= maxCallsPerHolder || status == backingOff {
 			continue
 		}
-		if room > 0 && !(j.rec.Job.Urgent && asked == refusedBefore) {
-			out = append(out, share{holder: at, room: min(room, maxBatch)})
-		} else if ever {
-			crowded = append(crowded, share{holder: at, room: 1})
+		if freeSlots > 0 && !(j.rec.Job.Urgent && status == previouslyRefused) {
+			out = append(out, share{holder: target, freeSlots: min(freeSlots, maxBatch)})
+		} else if feasible {
+			fullHolders = append(fullHolders, share{holder: target, freeSlots: 1})
 		}
 	}
 	switch {
-	case len(out) > 0 || len(crowded) == 0:
+	case len(out) > 0 || len(fullHolders) == 0:
 		return out, false, full
 	case j.rec.Job.Urgent:
-		for i := range crowded {
-			crowded[i].room = (n + len(crowded) - 1) / len(crowded)
+		for i := range fullHolders {
+			fullHolders[i].freeSlots = (n + len(fullHolders) - 1) / len(fullHolders)
 		}
-		return crowded, true, full
+		return fullHolders, true, full
 	case j.aged(m.now):
-		if m.now.Before(h.agedProbe) {
+		if m.now.Before(o.nextAgedProbe) {
 			return nil, false, full
 		}
-		h.agedProbe = m.now.Add(probeInterval)
-		return crowded[:1], false, full
-	case m.now.Before(h.probeAt):
+		o.nextAgedProbe = m.now.Add(probeInterval)
+		return fullHolders[:1], false, full
+	case m.now.Before(o.nextProbe):
 		return nil, false, full
 	}
-	h.probeAt = m.now.Add(probeInterval)
-	return crowded[:1], false, full
+	o.nextProbe = m.now.Add(probeInterval)
+	return fullHolders[:1], false, full
 }
--- a/internal/job/policy_test.go
+++ b/internal/job/policy_test.go
@@ -14,8 +14,8 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// urgentWithin is how soon urgent work has to start in a full cell.
-const urgentWithin = 5100 * time.Millisecond
+// urgentStartLimit is how soon urgent work has to start in a full cell.
+const urgentStartLimit = 5100 * time.Millisecond
 
 // TestUrgentWorkStartsInTime fills the cell with less urgent work and submits
 // urgent work.
@@ -40,7 +40,7 @@
 			if s.Counts.Running == 6 {
 				break
 			}
-			if time.Since(began) > urgentWithin {
+			if time.Since(began) > urgentStartLimit {
 				t.Fatalf("after %s: %+v", time.Since(began), s)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -49,16 +49,16 @@
 		s, err := b.get(filler.ID)
 		c.is.NoErr(err)
 		c.is.Equal(s.Counts.Failures, 0) // to be preempted is no failure
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
 // twoTeamsOf finds two teams with the same home.
-func twoTeamsOf(p int) (one, two string) {
+func twoTeamsOf(partitionID int) (one, two string) {
 	for i := 0; two == ""; i++ {
 		name := fmt.Sprintf("team%d", i)
 		switch {
-		case partition.OfTeam(name, testPartitions) != p:
+		case partition.OfTeam(name, testPartitions) != partitionID:
 		case one == "":
 			one = name
 		default:
@@ -104,52 +104,52 @@
 		if share < 0.4 || share > 0.6 {
 			t.Errorf("the late team had %.2f of the cell", share)
 		}
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
-// TestReplacementsArePaced loses more tasks at one moment than the burst.
-func TestReplacementsArePaced(t *testing.T) {
+// TestReplacementsAreThrottled loses more tasks at one moment than the burst.
+func TestReplacementsAreThrottled(t *testing.T) {
 	const tasks = replaceBurst + 3*replacePerSecond
-	h, j := still(t, phaseReady, false, spec.KindBatch, tasks)
-	is := h.m.cfg.Source.(*cell).is
+	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, tasks)
+	is := o.m.cfg.Source.(*cell).is
 	now := time.Now()
 	j.ready = nil
 	for i := range tasks {
-		n := runOf(j, h.reserve(j, i).Attempt, taskmsg.RunLost, 0)
+		n := reportOf(j, o.newAttempt(j, i).Attempt, taskmsg.RunLost, 0)
 		n.Run.Task.Index = i
-		is.Equal(h.apply(n, now), verdictAcked)
+		is.Equal(o.applyReport(n, now), reportAcked)
 	}
 	is.Equal(len(j.ready), 0)
 	for second, want := range []int{replaceBurst, replaceBurst + replacePerSecond, replaceBurst + 2*replacePerSecond, tasks} {
-		h.replaceLost(now.Add(time.Duration(second) * time.Second))
+		o.replaceLost(now.Add(time.Duration(second) * time.Second))
 		is.Equal(len(j.ready), want)
 	}
 }
 
 // TestUrgentReplacementsGoFirst loses urgent and other tasks at one moment.
 func TestUrgentReplacementsGoFirst(t *testing.T) {
-	h, j := still(t, phaseReady, false, spec.KindBatch, 2*replaceBurst)
-	is := h.m.cfg.Source.(*cell).is
-	urgent := h.addJob(spec.KindBatch, 2*replaceBurst)
+	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 2*replaceBurst)
+	is := o.m.cfg.Source.(*cell).is
+	urgent := o.addJob(spec.KindBatch, 2*replaceBurst)
 	urgent.rec.Job.Urgent = true
 	now := time.Now()
 	for _, each := range []*job{j, urgent} {
 		each.ready = nil
 		for i := range each.tasks {
-			n := runOf(each, h.reserve(each, i).Attempt, taskmsg.RunLost, 0)
+			n := reportOf(each, o.newAttempt(each, i).Attempt, taskmsg.RunLost, 0)
 			n.Run.Task.Index = i
-			h.apply(n, now)
+			o.applyReport(n, now)
 		}
 	}
-	h.replaceLost(now)
+	o.replaceLost(now)
 	is.Equal(len(urgent.ready), 2*replaceBurst) // all at once
 	is.Equal(len(j.ready), 0)
 }
 
-// TestRestCostsNothing counts messages and writes of homes whose jobs run
+// TestIdleJobsCauseNoCalls counts messages and writes of homes whose jobs run
 // without a change.
-func TestRestCostsNothing(t *testing.T) {
+func TestIdleJobsCauseNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 4)
 		for range 5 {
@@ -207,9 +207,9 @@
 	}
 }
 
-// TestAgedWorkFindsRoom submits a task that needs a whole worker to a cell that
+// TestAgedTaskGetsCapacity submits a task that needs a whole worker to a cell that
 // smaller work keeps full: each piece of room is taken as it comes free.
-func TestAgedWorkFindsRoom(t *testing.T) {
+func TestAgedTaskGetsCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
 		var fillers []spec.Job
@@ -232,6 +232,6 @@
 			waiting += s.Counts.Waiting
 		}
 		c.is.True(waiting > 0) // else the room came by itself
-		c.held()
+		c.assertNoViolations()
 	})
 }
--- a/internal/job/query.go
+++ b/internal/job/query.go
@@ -13,54 +13,54 @@
 // effect whether or not the store answers.
 const cancelWait = time.Second
 
-// find returns the job and its home, which this process must have the right to
+// findJob returns the job and its home, which this process must have the right to
 // speak for.
-func (m *Manager) find(id string) (*home, *job, error) {
-	for _, h := range m.all() {
-		h.mu.Lock()
-		j, phase := h.jobs[id], h.phase
-		h.mu.Unlock()
+func (m *Manager) findJob(id string) (*jobOwner, *job, error) {
+	for _, o := range m.allOwners() {
+		o.mu.Lock()
+		j, phase := o.jobs[id], o.phase
+		o.mu.Unlock()
 		if j != nil && phase != phaseEnded {
-			return h, j, h.checkRight()
+			return o, j, o.checkAuthority()
 		}
 	}
-	if h := m.loading(); h != nil {
-		return nil, nil, h.errLoading()
+	if o := m.loadingOwner(); o != nil {
+		return nil, nil, o.loadingError()
 	}
 	return nil, nil, result.New(result.JobNotFound, result.RanUnknown, "no home of this process knows job %q", id)
 }
 
-// loading returns a home that does not know all its jobs yet, or nil.
-func (m *Manager) loading() *home {
-	for _, h := range m.all() {
-		h.mu.Lock()
-		phase := h.phase
-		h.mu.Unlock()
+// loadingOwner returns a home that does not know all its jobs yet, or nil.
+func (m *Manager) loadingOwner() *jobOwner {
+	for _, o := range m.allOwners() {
+		o.mu.Lock()
+		phase := o.phase
+		o.mu.Unlock()
 		if phase == phaseLoading {
-			return h
+			return o
 		}
 	}
 	return nil
 }
 
-func (h *home) errLoading() *result.Error {
-	return result.New(result.JobHomeRecovering, result.RanNo, "the home in partition %d does not know all its jobs yet", h.partition).Later(retryLoading)
+func (o *jobOwner) loadingError() *result.Error {
+	return result.New(result.JobHomeRecovering, result.RanNo, "the home in partition %d does not know all its jobs yet", o.partition).Later(retryLoading)
 }
 
 // Get returns one job of any home of this process.
 func (m *Manager) Get(_ context.Context, req jobmsg.GetRequest) (jobmsg.GetReply, error) {
-	h, j, err := m.find(req.ID)
+	o, j, err := m.findJob(req.ID)
 	if err != nil {
 		return jobmsg.GetReply{}, err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !j.certain {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if !j.recordConfirmed {
 		return jobmsg.GetReply{}, result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took job %s", req.ID).Later(retryStore)
 	}
-	reply := jobmsg.GetReply{Status: h.status(j)}
+	reply := jobmsg.GetReply{Status: o.status(j)}
 	if req.Explain {
-		reply.Explain = h.explain(j)
+		reply.Explain = o.explain(j)
 	}
 	return reply, nil
 }
@@ -72,15 +72,15 @@
 		limit = jobmsg.DefaultListLimit
 	}
 	limit = min(limit, jobmsg.MaxListLimit)
-	if h := m.loading(); h != nil {
-		return jobmsg.ListReply{}, h.errLoading()
+	if o := m.loadingOwner(); o != nil {
+		return jobmsg.ListReply{}, o.loadingError()
 	}
 	var jobs []jobmsg.Status
-	for _, h := range m.all() {
-		if err := h.checkRight(); err != nil {
+	for _, o := range m.allOwners() {
+		if err := o.checkAuthority(); err != nil {
 			return jobmsg.ListReply{}, err
 		}
-		jobs = append(jobs, h.listAfter(req.Team, req.After, limit+1)...)
+		jobs = append(jobs, o.listAfter(req.Team, req.After, limit+1)...)
 	}
 	sort.Slice(jobs, func(a, b int) bool { return jobs[a].Job.ID < jobs[b].Job.ID })
 	if len(jobs) > limit {
@@ -90,19 +90,19 @@
 }
 
 // listAfter returns at most n jobs of the home after an identifier, in order.
-func (h *home) listAfter(team, after string, n int) []jobmsg.Status {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (o *jobOwner) listAfter(team, after string, n int) []jobmsg.Status {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	var ids []string
-	for id, j := range h.jobs {
-		if id > after && j.certain && (team == "" || j.rec.Job.Team == team) {
+	for id, j := range o.jobs {
+		if id > after && j.recordConfirmed && (team == "" || j.rec.Job.Team == team) {
 			ids = append(ids, id)
 		}
 	}
 	sort.Strings(ids)
 	out := make([]jobmsg.Status, 0, min(n, len(ids)))
 	for _, id := range ids[:min(n, len(ids))] {
-		out = append(out, h.status(h.jobs[id]))
+		out = append(out, o.status(o.jobs[id]))
 	}
 	return out
 }
@@ -110,53 +110,53 @@
 // Cancel ends a job. Nothing of it starts once Cancel has answered; what runs
 // is stopped. Status.Recorded tells whether the store knows of it yet.
 func (m *Manager) Cancel(ctx context.Context, req jobmsg.CancelRequest) (jobmsg.Status, error) {
-	h, j, err := m.find(req.ID)
+	o, j, err := m.findJob(req.ID)
 	if err != nil {
 		return jobmsg.Status{}, err
 	}
-	h.mu.Lock()
+	o.mu.Lock()
 	switch {
 	case j.rec.Code == result.JobCancelled:
 		// Asked again: the same answer.
 	case j.rec.State.Final():
-		h.mu.Unlock()
+		o.mu.Unlock()
 		return jobmsg.Status{}, result.New(result.JobAlreadyEnded, result.RanYes, "job %s is %s", req.ID, j.rec.State)
 	default:
-		h.endJob(j, result.New(result.JobCancelled, result.RanUnknown, "cancelled by its submitter"), time.Now())
+		o.endJob(j, result.New(result.JobCancelled, result.RanUnknown, "cancelled by its submitter"), time.Now())
 	}
-	h.mu.Unlock()
-	h.rouse()
-	return h.awaitRecord(ctx, j), nil
+	o.mu.Unlock()
+	o.wakeLoop()
+	return o.awaitRecord(ctx, j), nil
 }
 
 // awaitRecord waits a while for a job's record to be written.
-func (h *home) awaitRecord(ctx context.Context, j *job) jobmsg.Status {
+func (o *jobOwner) awaitRecord(ctx context.Context, j *job) jobmsg.Status {
 	ctx, cancel := context.WithTimeout(ctx, cancelWait)
 	defer cancel()
 	for {
-		h.mu.Lock()
-		s := h.status(j)
-		written := h.written
-		h.mu.Unlock()
+		o.mu.Lock()
+		s := o.status(j)
+		writeDone := o.writeDone
+		o.mu.Unlock()
 		if s.Recorded {
 			return s
 		}
 		select {
-		case <-written:
+		case <-writeDone:
 		case <-ctx.Done():
 			return s
-		case <-h.ctx.Done():
+		case <-o.ctx.Done():
 			return s
 		}
 	}
 }
 
 // status describes a job to callers.
-func (h *home) status(j *job) jobmsg.Status {
+func (o *jobOwner) status(j *job) jobmsg.Status {
 	s := jobmsg.Status{
 		Job: j.rec.Job, State: j.rec.State, Reason: j.rec.Reason, Code: int(j.rec.Code),
-		SubmittedUnixMilli: j.rec.Submitted, Recorded: !j.dirty && j.certain,
-		Partition: h.partition, Epoch: h.epoch, Generation: j.rec.Generation,
+		SubmittedUnixMilli: j.rec.Submitted, Recorded: !j.dirty && j.recordConfirmed,
+		Partition: o.partition, Epoch: o.epoch, Generation: j.rec.Generation,
 	}
 	for _, n := range j.rec.Failures {
 		s.Counts.Failures += n
@@ -175,16 +175,16 @@
 func (j *job) count(c *jobmsg.Counts) {
 	running := &c.Running
 	switch {
-	case j.isGang() && j.gang.is(gangBreaking):
+	case j.isGang() && j.gang.is(gangStopping):
 		running = &c.Stopping
-	case j.isGang() && !j.gang.is(gangUp):
+	case j.isGang() && !j.gang.is(gangRunning):
 		running = &c.Starting
 	}
 	for i := range j.tasks {
 		switch j.tasks[i].state {
 		case taskPending:
 			c.Waiting++
-		case taskOrdered, taskDoubt:
+		case taskRequested, taskUnacked:
 			c.Starting++
 		case taskRunning:
 			*running++
@@ -193,6 +193,6 @@
 		}
 	}
 	if j.isService() {
-		c.Waiting = len(j.ready) + len(j.later) + j.paced
+		c.Waiting = len(j.ready) + len(j.delayed) + j.throttled
 	}
 }
--- a/internal/job/queue.go
+++ b/internal/job/queue.go
@@ -19,23 +19,23 @@
 }
 
 // add puts a live job into the table.
-func (h *home) add(j *job) {
-	h.jobs[j.id()] = j
-	h.live[j.id()] = j
+func (o *jobOwner) add(j *job) {
+	o.jobs[j.id()] = j
+	o.live[j.id()] = j
 	if ms := j.rec.Job.DeadlineUnixMilli; ms != 0 {
 		d := deadline{time.UnixMilli(ms), j.id()}
-		at, _ := slices.BinarySearchFunc(h.deadlines, d, func(a, b deadline) int { return a.due.Compare(b.due) })
-		h.deadlines = slices.Insert(h.deadlines, at, d)
+		at, _ := slices.BinarySearchFunc(o.deadlines, d, func(a, b deadline) int { return a.due.Compare(b.due) })
+		o.deadlines = slices.Insert(o.deadlines, at, d)
 	}
 	if j.ending() {
-		h.halting[j.id()] = j
+		o.stopping[j.id()] = j
 	}
-	h.attend(j)
+	o.markUnplanned(j)
 }
 
-// enlist makes all pending tasks of a job ready to start.
-func (h *home) enlist(j *job) {
-	j.ready, j.later = nil, nil
+// enqueueAll makes all pending tasks of a job ready to start.
+func (o *jobOwner) enqueueAll(j *job) {
+	j.ready, j.delayed = nil, nil
 	if !j.ending() && !j.isGang() && !j.isService() {
 		for i := range j.tasks {
 			if j.tasks[i].state == taskPending {
@@ -43,21 +43,21 @@
 			}
 		}
 	}
-	h.attend(j)
-	h.enqueue(j)
+	o.markUnplanned(j)
+	o.updateWaiting(j)
 }
 
-// enqueue notes whether a job has tasks that wait for a start.
-func (h *home) enqueue(j *job) {
-	if !j.ending() && !h.recovering(j) && j.waiting() > 0 {
-		if j.rec.Job.Urgent && h.waiting[j.id()] == nil {
-			h.plan.urgent = append(h.plan.urgent, j.id())
+// updateWaiting notes whether a job has tasks that wait for a start.
+func (o *jobOwner) updateWaiting(j *job) {
+	if !j.ending() && !o.recovering(j) && j.waiting() > 0 {
+		if j.rec.Job.Urgent && o.waiting[j.id()] == nil {
+			o.plan.urgent = append(o.plan.urgent, j.id())
 		}
-		h.waiting[j.id()] = j
+		o.waiting[j.id()] = j
 		return
 	}
-	delete(h.waiting, j.id())
-	h.queue.Remove(j.id())
+	delete(o.waiting, j.id())
+	o.queue.Remove(j.id())
 }
 
 // waiting returns how many tasks of a job wait for a start.
@@ -65,46 +65,46 @@
 	if j.isGang() && j.gang.is(gangIdle) {
 		return len(j.tasks) - j.done
 	}
-	return len(j.ready) + len(j.later)
+	return len(j.ready) + len(j.delayed)
 }
 
-// round returns the jobs to start tasks of, and how many, in the order of
+// pickTasks returns the jobs to start tasks of, and how many, in the order of
 // urgency, age and fair shares.
-func (h *home) round(holders []holder, now time.Time) []fairshare.Pick {
-	h.plan.due = h.forgetRefusals(now)
-	for _, j := range h.waiting {
-		j.promote(now)
-		if due := j.nextDue(now); due.Before(h.plan.due) {
-			h.plan.due = due
+func (o *jobOwner) pickTasks(holders []holder, now time.Time) []fairshare.Pick {
+	o.plan.due = o.expireRefusals(now)
+	for _, j := range o.waiting {
+		j.promoteDelayed(now)
+		if due := j.nextRetry(now); due.Before(o.plan.due) {
+			o.plan.due = due
 		}
-		if j.certain {
-			h.queue.Put(h.entry(j))
+		if j.recordConfirmed {
+			o.queue.Put(o.queueEntry(j))
 		}
 	}
-	return h.queue.Round(now, roundBudget, total(holders), h.ledger.Used)
+	return o.queue.Round(now, roundBudget, totalCapacity(holders), o.ledger.Used)
 }
 
-// nextDue returns when the first thing that the job backs off from is over.
-func (j *job) nextDue(now time.Time) time.Time {
-	next := now.Add(restInterval)
-	sooner := func(t time.Time) {
+// nextRetry returns when the first thing that the job backs off from is over.
+func (j *job) nextRetry(now time.Time) time.Time {
+	next := now.Add(activeInterval)
+	consider := func(t time.Time) {
 		if t.After(now) && t.Before(next) {
 			next = t
 		}
 	}
-	for _, d := range j.later {
-		sooner(d.due)
+	for _, d := range j.delayed {
+		consider(d.due)
 	}
-	sooner(j.gang.notBefore)
+	consider(j.gang.notBefore)
 	return next
 }
 
-// entry describes a waiting job to the queue.
-func (h *home) entry(j *job) fairshare.Entry {
-	values, _ := h.m.cfg.Values(j.rec.Job.Branch)
+// queueEntry describes a waiting job to the queue.
+func (o *jobOwner) queueEntry(j *job) fairshare.Entry {
+	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
 	e := fairshare.Entry{
 		Job: j.id(), Team: j.rec.Job.Team, Urgent: j.rec.Job.Urgent, Priority: values.Task.Priority,
-		Since: j.since, Size: j.rec.Job.Task.Size, Pending: len(j.ready),
+		Since: j.waitingSince, Size: j.rec.Job.Task.Size, Pending: len(j.ready),
 	}
 	if j.isGang() && j.gang.is(gangIdle) {
 		e.Whole, e.Pending, e.NotBefore = true, len(j.tasks)-j.done, j.gang.notBefore
@@ -115,45 +115,45 @@
 	return e
 }
 
-// total sums up the whole sizes of all workers.
-func total(holders []holder) spec.Resources {
+// totalCapacity sums up the whole sizes of all workers.
+func totalCapacity(holders []holder) spec.Resources {
 	var sum spec.Resources
-	for _, at := range holders {
-		for _, s := range at.digest.Sizes {
+	for _, target := range holders {
+		for _, s := range target.digest.Sizes {
 			sum = sum.Add(s.Size.Times(int64(s.Workers)))
 		}
 	}
 	return sum
 }
 
-// askedRoom is what was asked of a holder since its digest last changed.
-type askedRoom struct {
-	free    spec.Resources // of the digest
-	largest spec.Resources
-	asked   spec.Resources
-	since   time.Time
+// requestedCapacity is what was asked of a holder since its digest last changed.
+type requestedCapacity struct {
+	free      spec.Resources // of the digest
+	largest   spec.Resources
+	requested spec.Resources
+	since     time.Time
 }
 
-// askedOf returns what was asked of a holder since its digest last changed.
-func (h *home) askedOf(at holder, now time.Time) *askedRoom {
-	a := h.asked[at.member]
-	if a == nil || a.free != at.digest.Free || a.largest != at.digest.Largest || now.Sub(a.since) > askedLifetime {
-		a = &askedRoom{free: at.digest.Free, largest: at.digest.Largest, since: now}
-		h.asked[at.member] = a
+// requestedFrom returns what was asked of a holder since its digest last changed.
+func (o *jobOwner) requestedFrom(target holder, now time.Time) *requestedCapacity {
+	a := o.requested[target.member]
+	if a == nil || a.free != target.digest.Free || a.largest != target.digest.Largest || now.Sub(a.since) > requestedLifetime {
+		a = &requestedCapacity{free: target.digest.Free, largest: target.digest.Largest, since: now}
+		o.requested[target.member] = a
 	}
 	return a
 }
 
-// room returns how many tasks of a shape a holder seems able to start, by its
+// freeSlots returns how many tasks of a shape a holder seems able to start, by its
 // digest less what was asked of it since; ever is false when none of its
 // workers could, even empty.
-func (h *home) room(t spec.Task, at holder, now time.Time) (n int, ever bool) {
-	if !at.known {
-		return guessedRoom, true
+func (o *jobOwner) freeSlots(t spec.Task, target holder, now time.Time) (n int, feasible bool) {
+	if !target.hasDigest {
+		return assumedSlots, true
 	}
-	ever = slices.ContainsFunc(at.digest.Sizes, func(s taskmsg.Size) bool { return couldHold(t, s) })
-	if !ever || !t.Size.Fits(at.digest.Largest) {
-		return 0, ever
+	feasible = slices.ContainsFunc(target.digest.Sizes, func(s taskmsg.Size) bool { return fitsMachine(t, s) })
+	if !feasible || !t.Size.Fits(target.digest.Largest) {
+		return 0, feasible
 	}
-	return int(times(t.Size, at.digest.Free.Sub(h.askedOf(at, now).asked))), ever
+	return int(maxFits(t.Size, target.digest.Free.Sub(o.requestedFrom(target, now).requested))), feasible
 }
--- a/internal/job/quota_test.go
+++ b/internal/job/quota_test.go
@@ -35,12 +35,12 @@
 		}
 		check(5 * time.Second)
 		a.kill()
-		b.take(0, 1)
-		check(takeoverTime)
+		b.acquire(0, 1)
+		check(failoverTime)
 		for _, job := range jobs {
 			b.await(job.ID, jobmsg.StateFinished, time.Minute)
 		}
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
@@ -112,21 +112,21 @@
 	})
 }
 
-// TestRightLapsed lets a home lose its right while nobody takes over: it decides
+// TestAuthorityExpired lets a home lose its right while nobody takes over: it decides
 // nothing and accepts nothing until it has the right again. The link is healed
 // when no call is under way, as a call that passed its check may still go out.
-func TestRightLapsed(t *testing.T) {
+func TestAuthorityExpired(t *testing.T) {
 	cases := []struct {
-		name  string
-		lapse func(*cell, *placer)
+		name   string
+		expire func(*cell, *placer)
 	}{
-		{"between two decisions", func(_ *cell, a *placer) { a.right.lapse() }},
+		{"between two decisions", func(_ *cell, a *placer) { a.authority.expire() }},
 		{"between a decision and its order", func(c *cell, a *placer) {
 			c.setBranch(testBranch, func(v *settings.Values) { v.Quota.MilliCPU = 0 })
-			time.Sleep(2 * refusedLongest) // no holder is backed off from any more
+			time.Sleep(2 * refusalBackoffMax) // no holder is backed off from any more
 			synctest.Wait()
-			c.heal()
-			c.atLook(a.right.lapse)
+			c.clearFaults()
+			c.onNextBranchRead(a.authority.expire)
 			c.setBranch(testBranch, func(*settings.Values) {})
 		}},
 	}
@@ -134,19 +134,19 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, a, _ := twoPlacers(t, 2)
-				c.fail(&peerFault{kind: peer.KindPlace, times: -1})
+				c.addFault(&peerFault{kind: peer.KindPlace, times: -1})
 				job := batch(0, 40, time.Second) // too many for the workers of one holder
 				_, err := a.submit(job)
 				c.is.NoErr(err)
-				tt.lapse(c, a)
+				tt.expire(c, a)
 				synctest.Wait()
-				c.heal()
+				c.clearFaults()
 				time.Sleep(time.Minute)
 				c.is.Equal(c.judge.Starts(), 0)
 				_, err = a.submit(batch(0, 4, time.Second))
 				c.is.Equal(result.CodeOf(err), result.RightLapsed)
 				c.is.Equal(result.From(err).Ran, result.RanNo)
-				a.right.restore()
+				a.authority.restore()
 				a.await(job.ID, jobmsg.StateFinished, 20*time.Second)
 			})
 		})
@@ -189,15 +189,15 @@
 				starts := c.judge.Starts()
 				time.Sleep(time.Minute)
 				c.is.Equal(c.judge.Starts(), starts)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
 }
 
-// TestQuotaInTakeover submits a job to a home that does not know yet what runs
+// TestQuotaDuringFailover submits a job to a home that does not know yet what runs
 // of the team's earlier jobs.
-func TestQuotaInTakeover(t *testing.T) {
+func TestQuotaDuringFailover(t *testing.T) {
 	cases := []struct {
 		name  string
 		first spec.Job
@@ -217,7 +217,7 @@
 				_, err := a.submit(first)
 				c.is.NoErr(err)
 				time.Sleep(3 * time.Second)
-				c.fail(&peerFault{kind: peer.KindStopTasks, times: -1})
+				c.addFault(&peerFault{kind: peer.KindStopTasks, times: -1})
 				if tt.edit != nil {
 					tt.edit(&first)
 					_, err = a.update(first, 0)
@@ -226,10 +226,10 @@
 				}
 				a.kill()
 				for _, kind := range []peer.Kind{peer.KindInventory, peer.KindTaskNews} {
-					c.fail(&peerFault{kind: kind, times: -1})
+					c.addFault(&peerFault{kind: kind, times: -1})
 				}
-				time.AfterFunc(5*time.Second, c.heal)
-				b.take(0, 1)
+				time.AfterFunc(5*time.Second, c.clearFaults)
+				b.acquire(0, 1)
 				time.Sleep(time.Second)
 				_, err = b.submit(batch(0, 10, time.Hour))
 				c.is.NoErr(err)
--- a/internal/job/random_test.go
+++ b/internal/job/random_test.go
@@ -10,21 +10,21 @@
 )
 
 // run makes the steps in a bubble of their own and returns what broke, or "".
-func run(t *testing.T, steps []step) (broken string) {
+func run(t *testing.T, steps []step) (violation string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		sn := newSimulation(t)
 		for i, s := range steps {
-			w.do(s)
-			if b := w.broken(); b != "" {
-				broken = fmt.Sprintf("after step %d, %v: %s", i, s, b)
+			sn.do(s)
+			if b := sn.violation(); b != "" {
+				violation = fmt.Sprintf("after step %d, %v: %s", i, s, b)
 				return
 			}
 		}
-		if broken = w.final(); broken == "" {
-			broken = w.broken()
+		if violation = sn.finalCheck(); violation == "" {
+			violation = sn.violation()
 		}
 	})
-	return broken
+	return violation
 }
 
 // TestRandomRuns drives jobs, homes, holders, store and workers through random
@@ -37,7 +37,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(oneStep, 3, 25).Draw(rt, "steps")
 		if rapid.IntRange(0, 3).Draw(rt, "calm") == 0 {
-			steps = slices.DeleteFunc(steps, func(s step) bool { return !s.calm() })
+			steps = slices.DeleteFunc(steps, func(s step) bool { return !s.harmless() })
 		}
 		if b := run(t, steps); b != "" {
 			rt.Fatalf("%s\nsteps: %v", b, steps)
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -25,31 +25,31 @@
 	Ended     int64        `cbor:"6,keyasint,omitempty"` // wall clock, Unix milliseconds
 	Done      bitmap       `cbor:"7,keyasint,omitempty"`
 	Failures  map[int]int  `cbor:"8,keyasint,omitempty"` // by task index
-	// Origin is the epoch of the home that accepted the job.
-	Origin uint64 `cbor:"9,keyasint"`
+	// OriginEpoch is the epoch of the home that accepted the job.
+	OriginEpoch uint64 `cbor:"9,keyasint"`
 	// Generation counts the changes of a service's specification; TaskGeneration
 	// is the one that its present tasks came with.
 	Generation     int `cbor:"10,keyasint,omitempty"`
 	TaskGeneration int `cbor:"13,keyasint,omitempty"`
-	// Past holds earlier tasks that may still run, Peak the largest number of
+	// PastSpecs holds earlier tasks that may still run, Peak the largest number of
 	// replicas that may.
-	Past []pastSpec `cbor:"11,keyasint,omitempty"`
-	Peak int        `cbor:"14,keyasint,omitempty"`
+	PastSpecs    []pastSpec `cbor:"11,keyasint,omitempty"`
+	PeakReplicas int        `cbor:"14,keyasint,omitempty"`
 	// Submission identifies the specification as first submitted.
 	Submission uint64 `cbor:"12,keyasint"`
 	// Crashes lists the workers that were lost under a task, by task index.
 	Crashes map[int]crashloop.History `cbor:"15,keyasint,omitempty"`
-	// LastFailed is the latest attempt that Failures counts, by task index, and GangFailed
+	// LastFailedAttempt is the latest attempt that Failures counts, by task index, and GangFailed
 	// the latest of a gang's run that it counts: news of a failure comes to the next home too.
-	LastFailed map[int]int `cbor:"16,keyasint,omitempty"`
-	GangFailed int         `cbor:"17,keyasint,omitempty"`
+	LastFailedAttempt     map[int]int `cbor:"16,keyasint,omitempty"`
+	LastFailedGangAttempt int         `cbor:"17,keyasint,omitempty"`
 }
 
-// keyPrefix returns the prefix of the records of a partition's jobs.
-func keyPrefix(partition int) string { return fmt.Sprintf("jobs/%d/", partition) }
+// recordKeyPrefix returns the prefix of the records of a partition's jobs.
+func recordKeyPrefix(partition int) string { return fmt.Sprintf("jobs/%d/", partition) }
 
-// key returns the key of a job's record.
-func key(partition int, id string) string { return keyPrefix(partition) + id }
+// recordKey returns the key of a job's record.
+func recordKey(partition int, id string) string { return recordKeyPrefix(partition) + id }
 
 func encodeRecord(r *record) ([]byte, error) { return cbor.Marshal(r) }
 
@@ -63,17 +63,17 @@
 
 // fingerprint identifies a specification with all its fields.
 func fingerprint(j spec.Job) uint64 {
-	b, err := sorted.Marshal(j)
+	b, err := canonicalMode.Marshal(j)
 	if err != nil {
 		return 0 // plain data always encodes
 	}
 	return xxhash.Sum64(b)
 }
 
-// sorted encodes maps in one order, so that equal values give equal bytes.
-var sorted = newSortedMode()
+// canonicalMode encodes maps in one order, so that equal values give equal bytes.
+var canonicalMode = newCanonicalMode()
 
-func newSortedMode() cbor.EncMode {
+func newCanonicalMode() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err) // only for contradictory options
--- a/internal/job/refusal.go
+++ b/internal/job/refusal.go
@@ -6,8 +6,8 @@
 	"pulleyquay/internal/spec"
 )
 
-// taskMake is what the room for a task depends on.
-type taskMake struct {
+// taskClass is what the room for a task depends on.
+type taskClass struct {
 	size       spec.Resources
 	kind       string
 	generation int
@@ -15,9 +15,9 @@
 	job string
 }
 
-func makeOf(j *job) taskMake {
+func taskClassOf(j *job) taskClass {
 	t := &j.rec.Job.Task
-	m := taskMake{size: t.Size, kind: t.AcceleratorKind, generation: t.MinGeneration}
+	m := taskClass{size: t.Size, kind: t.AcceleratorKind, generation: t.MinGeneration}
 	if len(t.Labels) > 0 {
 		m.job = j.id()
 	}
@@ -28,69 +28,69 @@
 // off from a holder together; if each did so by itself, a team with many jobs
 // would always have one that asks first.
 type refusalKey struct {
-	make   taskMake
+	class  taskClass
 	member string
 }
 
 // refusal is how long a make of task is not asked of a holder again.
 type refusal struct {
-	until time.Time
-	pause time.Duration
+	until   time.Time
+	backoff time.Duration
 	// free and largest are the holder's room at the refusal, if it was known:
 	// once they change the refusal does not count any more.
 	free, largest spec.Resources
 }
 
-// refusalMemory is how long an old refusal still doubles the next pause.
-const refusalMemory = 10 * time.Second
+// refusalRetention is how long an old refusal still doubles the next pause.
+const refusalRetention = 10 * time.Second
 
-// standing is what a holder's last answer means for asking it again.
-type standing int
+// refusalStatus is what a holder's last answer means for asking it again.
+type refusalStatus int
 
 const (
-	notRefused standing = iota
-	refusedBefore
+	notRefused refusalStatus = iota
+	previouslyRefused
 	backingOff
 )
 
-func (h *home) standing(j *job, at holder, now time.Time) standing {
-	r := h.refusals[refusalKey{makeOf(j), at.member}]
+func (o *jobOwner) refusalStatus(j *job, target holder, now time.Time) refusalStatus {
+	r := o.refusals[refusalKey{taskClassOf(j), target.member}]
 	switch {
 	case r == nil:
 		return notRefused
-	case r.until.After(now) && r.free == at.digest.Free && r.largest == at.digest.Largest:
+	case r.until.After(now) && r.free == target.digest.Free && r.largest == target.digest.Largest:
 		return backingOff
 	}
-	return refusedBefore
+	return previouslyRefused
 }
 
-// refuse notes that a holder turned tasks of a make down.
-func (h *home) refuse(j *job, at holder, now time.Time) {
-	k := refusalKey{makeOf(j), at.member}
-	r := h.refusals[k]
+// recordRefusal notes that a holder turned tasks of a make down.
+func (o *jobOwner) recordRefusal(j *job, target holder, now time.Time) {
+	k := refusalKey{taskClassOf(j), target.member}
+	r := o.refusals[k]
 	if r == nil {
 		r = &refusal{}
-		h.refusals[k] = r
+		o.refusals[k] = r
 	}
-	r.pause = min(max(2*r.pause, refusedPause), refusedLongest)
-	r.until = now.Add(r.pause)
-	r.free, r.largest = at.digest.Free, at.digest.Largest
+	r.backoff = min(max(2*r.backoff, refusalBackoffMin), refusalBackoffMax)
+	r.until = now.Add(r.backoff)
+	r.free, r.largest = target.digest.Free, target.digest.Largest
 }
 
-// admits notes that a holder started all that it was asked.
-func (h *home) admits(j *job, at holder) {
-	delete(h.refusals, refusalKey{makeOf(j), at.member})
+// clearRefusal notes that a holder started all that it was asked.
+func (o *jobOwner) clearRefusal(j *job, target holder) {
+	delete(o.refusals, refusalKey{taskClassOf(j), target.member})
 }
 
-// forgetRefusals drops what is long over and returns when the next pause ends.
-func (h *home) forgetRefusals(now time.Time) time.Time {
-	next := now.Add(restInterval)
-	for k, r := range h.refusals {
-		if now.Sub(r.until) > refusalMemory {
-			delete(h.refusals, k)
+// expireRefusals drops what is long over and returns when the next pause ends.
+func (o *jobOwner) expireRefusals(now time.Time) time.Time {
+	next := now.Add(activeInterval)
+	for k, r := range o.refusals {
+		if now.Sub(r.until) > refusalRetention {
+			delete(o.refusals, k)
 			continue
 		}
-		next = earliest(next, r.until, now)
+		next = earlierDue(next, r.until, now)
 	}
 	return next
 }
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -11,69 +11,69 @@
 // of it may still run.
 type pastSpec struct {
 	Generation int `cbor:"1,keyasint"`
-	// Until is the last attempt that may have been started by it.
-	Until int            `cbor:"2,keyasint"`
-	Size  spec.Resources `cbor:"3,keyasint"`
+	// LastAttempt is the last attempt that may have been started by it.
+	LastAttempt int            `cbor:"2,keyasint"`
+	Size        spec.Resources `cbor:"3,keyasint"`
 }
 
-// mostActive returns how many tasks of a job may run that an earlier home
+// maxActive returns how many tasks of a job may run that an earlier home
 // started, and the largest size of any.
-func (r *record) mostActive(surge int) (int, spec.Resources) {
-	n, size := max(r.Job.Tasks, r.Peak)-r.Done.count(), r.Job.Task.Size
+func (r *record) maxActive(surge int) (int, spec.Resources) {
+	n, size := max(r.Job.Tasks, r.PeakReplicas)-r.Done.count(), r.Job.Task.Size
 	if r.Job.Kind == spec.KindService {
 		n += surge
 	}
-	for _, p := range r.Past {
+	for _, p := range r.PastSpecs {
 		size = size.Max(p.Size)
 	}
 	return n, size
 }
 
-// specOf returns the generation of the specification that an attempt was
+// specOfAttempt returns the generation of the specification that an attempt was
 // started by, and the size of its tasks.
-func (r *record) specOf(attempt int) (generation int, size spec.Resources) {
-	for _, p := range r.Past {
-		if attempt <= p.Until {
+func (r *record) specOfAttempt(attempt int) (generation int, size spec.Resources) {
+	for _, p := range r.PastSpecs {
+		if attempt <= p.LastAttempt {
 			return p.Generation, p.Size
 		}
 	}
 	return r.TaskGeneration, r.Job.Task.Size
 }
 
-// attend notes that a service has to be looked at again.
-func (h *home) attend(j *job) {
+// markUnplanned notes that a service has to be looked at again.
+func (o *jobOwner) markUnplanned(j *job) {
 	if j.isService() && !j.ending() {
-		h.attention[j.id()] = j
+		o.unplannedServices[j.id()] = j
 	}
 }
 
 // planServices brings every service that changed to its replicas.
-func (h *home) planServices(now time.Time) {
-	for id, j := range h.attention {
-		delete(h.attention, id)
-		if j.ending() || h.recovering(j) {
+func (o *jobOwner) planServices(now time.Time) {
+	for id, j := range o.unplannedServices {
+		delete(o.unplannedServices, id)
+		if j.ending() || o.recovering(j) {
 			continue
 		}
-		values, _ := h.m.cfg.Values(j.rec.Job.Branch)
-		h.planService(j, values, now)
+		values, _ := o.m.cfg.Values(j.rec.Job.Branch)
+		o.planService(j, values, now)
 	}
 }
 
-// replicas is what a service has of each kind.
-type replicas struct {
+// replicaCounts is what a service has of each kind.
+type replicaCounts struct {
 	old        int   // active, started by an earlier specification, not being stopped
 	oldRunning []int // indexes
 	running    int
 }
 
-func (j *job) replicas() replicas {
-	var r replicas
+func (j *job) replicaCounts() replicaCounts {
+	var r replicaCounts
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if !t.active() || t.state == taskStopping {
 			continue
 		}
-		generation, _ := j.rec.specOf(t.attempt)
+		generation, _ := j.rec.specOfAttempt(t.attempt)
 		isOld := generation != j.rec.TaskGeneration
 		if isOld {
 			r.old++
@@ -91,30 +91,30 @@
 // planService decides which replicas to start and to stop. A change of the
 // specification is rolled out by starting up to the branch's surge of new
 // replicas above the set number and stopping old ones as new ones run.
-func (h *home) planService(j *job, values settings.Values, now time.Time) {
+func (o *jobOwner) planService(j *job, values settings.Values, now time.Time) {
 	want, surge := j.rec.Job.Tasks, int(values.Task.Surge)
-	r := j.replicas()
+	r := j.replicaCounts()
 	target := want
 	if r.old > 0 {
 		target += min(surge, r.old)
 	}
-	for _, i := range j.surplus(r, want, surge) {
+	for _, i := range j.surplusReplicas(r, want, surge) {
 		j.running--
 		j.tasks[i].state = taskStopping
-		j.stopAt = time.Time{}
-		h.halting[j.id()] = j
+		j.nextStop = time.Time{}
+		o.stopping[j.id()] = j
 	}
 	if r.old == 0 && j.active <= want {
-		j.rec.Past, j.rec.Peak = nil, 0
-		j.trim(want)
+		j.rec.PastSpecs, j.rec.PeakReplicas = nil, 0
+		j.trimTasks(want)
 	}
-	j.fill(target, now)
-	h.enqueue(j)
+	j.fillReplicas(target, now)
+	o.updateWaiting(j)
 }
 
-// surplus returns the replicas to stop: old ones as far as enough others run,
+// surplusReplicas returns the replicas to stop: old ones as far as enough others run,
 // then those above the set number.
-func (j *job) surplus(r replicas, want, surge int) []int {
+func (j *job) surplusReplicas(r replicaCounts, want, surge int) []int {
 	if r.old > 0 {
 		least := want
 		if surge == 0 {
@@ -132,12 +132,12 @@
 	return out
 }
 
-// fill makes as many free tasks ready as the service lacks of its target.
-func (j *job) fill(target int, now time.Time) {
+// fillReplicas makes as many free tasks ready as the service lacks of its target.
+func (j *job) fillReplicas(target int, now time.Time) {
 	j.ready = j.ready[:0]
-	need := target - j.active - j.paced - len(j.later)
-	backingOff := make(map[int]bool, len(j.later))
-	for _, d := range j.later {
+	need := target - j.active - j.throttled - len(j.delayed)
+	backingOff := make(map[int]bool, len(j.delayed))
+	for _, d := range j.delayed {
 		backingOff[d.index] = true
 	}
 	for i := 0; len(j.ready) < need; i++ {
@@ -148,23 +148,23 @@
 			j.ready = append(j.ready, i)
 		}
 	}
-	if len(j.ready) > 0 && j.since.IsZero() {
-		j.since = now
+	if len(j.ready) > 0 && j.waitingSince.IsZero() {
+		j.waitingSince = now
 	}
-	if len(j.ready)+len(j.later) == 0 {
-		j.since = time.Time{}
+	if len(j.ready)+len(j.delayed) == 0 {
+		j.waitingSince = time.Time{}
 	}
 }
 
-// trim drops the free tasks above the set number.
-func (j *job) trim(want int) {
-	later := j.later[:0]
-	for _, d := range j.later {
+// trimTasks drops the free tasks above the set number.
+func (j *job) trimTasks(want int) {
+	delayed := j.delayed[:0]
+	for _, d := range j.delayed {
 		if d.index < want {
-			later = append(later, d)
+			delayed = append(delayed, d)
 		}
 	}
-	j.later = later
+	j.delayed = delayed
 	for len(j.tasks) > want && j.tasks[len(j.tasks)-1].state == taskPending {
 		j.tasks = j.tasks[:len(j.tasks)-1]
 	}
--- a/internal/job/service_test.go
+++ b/internal/job/service_test.go
@@ -15,8 +15,8 @@
 )
 
 // service makes an always-on job of 1000 mCPU a replica.
-func service(home, replicas int) spec.Job {
-	j := batch(home, replicas, 0)
+func service(partitionID, replicas int) spec.Job {
+	j := batch(partitionID, replicas, 0)
 	j.Kind = spec.KindService
 	return j
 }
@@ -52,14 +52,14 @@
 		{"the home is lost", func(_ *cell, a, b *placer, _ string) {
 			a.kill()
 			time.Sleep(3 * time.Second)
-			b.take(0, 1)
+			b.acquire(0, 1)
 		}},
 		{"the home is lost and the store is down for long", func(c *cell, a, b *placer, _ string) {
 			c.engine.SetFaults(memstore.Faults{Refuse: true})
 			time.Sleep(10 * testLease)
 			c.engine.SetFaults(memstore.Faults{})
 			a.kill()
-			b.take(0, 1)
+			b.acquire(0, 1)
 		}},
 	}
 	for _, tt := range cases {
@@ -71,16 +71,16 @@
 				c.is.NoErr(err)
 				a.awaitReplicas(job.ID, 9, 5*time.Second)
 				tt.disturb(c, a, b, a.worker(job.ID))
-				time.Sleep(2*takeoverTime + time.Second)
-				b.anyOf(a).awaitReplicas(job.ID, 9, 10*time.Second)
-				c.held()
+				time.Sleep(2*failoverTime + time.Second)
+				b.livingOf(a).awaitReplicas(job.ID, 9, 10*time.Second)
+				c.assertNoViolations()
 			})
 		})
 	}
 }
 
-// anyOf returns the first of two processes that still lives.
-func (p *placer) anyOf(q *placer) *placer {
+// livingOf returns the first of two processes that still lives.
+func (p *placer) livingOf(q *placer) *placer {
 	p.c.mu.Lock()
 	defer p.c.mu.Unlock()
 	if p.c.placer[q.name] == q {
@@ -139,36 +139,36 @@
 				if tt.replaced {
 					c.is.Equal(c.judge.Starts()-starts, tt.replicas)
 				}
-				c.is.Equal(a.jobs.home(0).ledger.Used(job.Team), next.Task.Size.Times(int64(tt.replicas)))
+				c.is.Equal(a.jobs.jobOwner(0).ledger.Used(job.Team), next.Task.Size.Times(int64(tt.replicas)))
 				again, err := a.submit(job) // the first submission, repeated
 				c.is.NoErr(err)
 				c.is.Equal(again.Generation, 2)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
 }
 
-// TestChangeSurvivesTakeover kills the home in the middle of a rollout.
-func TestChangeSurvivesTakeover(t *testing.T) {
+// TestChangeSurvivesFailover kills the home in the middle of a rollout.
+func TestChangeSurvivesFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
 		job := service(0, 6)
 		_, err := a.submit(job)
 		c.is.NoErr(err)
 		a.awaitReplicas(job.ID, 6, 5*time.Second)
-		c.fail(&peerFault{kind: peer.KindStopTasks, times: -1}) // the rollout stalls after its surge
+		c.addFault(&peerFault{kind: peer.KindStopTasks, times: -1}) // the rollout stalls after its surge
 		job.Task.Size.MilliCPU = 2000
 		_, err = a.update(job, 0)
 		c.is.NoErr(err)
 		time.Sleep(time.Second)
 		a.kill()
-		c.heal()
-		b.take(0, 1)
-		time.Sleep(takeoverTime + 10*time.Second)
+		c.clearFaults()
+		b.acquire(0, 1)
+		time.Sleep(failoverTime + 10*time.Second)
 		b.awaitReplicas(job.ID, 6, time.Second)
-		c.is.Equal(b.jobs.home(0).ledger.Used(job.Team).MilliCPU, int64(12000))
-		c.held()
+		c.is.Equal(b.jobs.jobOwner(0).ledger.Used(job.Team).MilliCPU, int64(12000))
+		c.assertNoViolations()
 	})
 }
 
@@ -205,7 +205,7 @@
 				time.Sleep(30 * time.Second)
 				s := a.awaitReplicas(job.ID, 4, 30*time.Second)
 				c.is.Equal(s.Generation, tt.generation)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
--- a/internal/job/stop.go
+++ b/internal/job/stop.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// stopRepeat is how long a stop may stay unconfirmed before it is repeated.
-	stopRepeat = 2 * time.Second
+	// stopRetryInterval is how long a stop may stay unconfirmed before it is repeated.
+	stopRetryInterval = 2 * time.Second
 	// maxStops bounds the runs in one message.
 	maxStops = 1024
 )
 
 // planStops sends stops for what runs of ending jobs, grouped by holder. A stop
 // is repeated until news tells that the run has ended.
-func (h *home) planStops(table *view.Table, now time.Time) {
+func (o *jobOwner) planStops(table *view.Table, now time.Time) {
 	if table == nil {
 		return
 	}
@@ -27,13 +27,13 @@
 		}
 	}
 	byAddr := map[string][]worker.Attempt{}
-	for id, j := range h.halting {
-		if now.Before(j.stopAt) {
+	for id, j := range o.stopping {
+		if now.Before(j.nextStop) {
 			continue
 		}
-		j.stopAt = now.Add(stopRepeat)
-		if !h.collectStops(j, addrs, byAddr) && !j.ending() && !j.gang.is(gangBreaking) {
-			delete(h.halting, id)
+		j.nextStop = now.Add(stopRetryInterval)
+		if !o.collectStops(j, addrs, byAddr) && !j.ending() && !j.gang.is(gangStopping) {
+			delete(o.stopping, id)
 		}
 	}
 	for addr, runs := range byAddr {
@@ -41,15 +41,15 @@
 			n := min(len(runs), maxStops)
 			batch := runs[:n]
 			runs = runs[n:]
-			h.work.Go(func() { h.sendStops(addr, batch) })
+			o.background.Go(func() { o.sendStops(addr, batch) })
 		}
 	}
 }
 
 // collectStops adds the runs of a job that have to end to what each holder is to
 // stop, and reports whether there are any.
-func (h *home) collectStops(j *job, addrs map[int]string, byAddr map[string][]worker.Attempt) bool {
-	whole := j.ending() || j.gang.is(gangBreaking)
+func (o *jobOwner) collectStops(j *job, addrs map[int]string, byAddr map[string][]worker.Attempt) bool {
+	whole := j.ending() || j.gang.is(gangStopping)
 	found := false
 	for i := range j.tasks {
 		t := &j.tasks[i]
@@ -62,7 +62,7 @@
 		}
 		found = true
 		if addr := addrs[t.at.partition]; addr != "" {
-			byAddr[addr] = append(byAddr[addr], j.run(i))
+			byAddr[addr] = append(byAddr[addr], j.currentAttempt(i))
 		}
 	}
 	return found
@@ -70,17 +70,17 @@
 
 // sendStops sends one batch. A run that its present holder does not know, in a
 // partition whose inventory is complete, does not run any more.
-func (h *home) sendStops(addr string, runs []worker.Attempt) {
-	reply, err := h.stopRuns(addr, runs, "the home of the job ends it")
+func (o *jobOwner) sendStops(addr string, runs []worker.Attempt) {
+	reply, err := o.stopRuns(addr, runs, "the home of the job ends it")
 	if err != nil || len(reply.Unknown) == 0 {
 		return
 	}
-	table := h.m.cfg.Source.Table()
+	table := o.m.cfg.Source.Table()
 	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	for _, run := range reply.Unknown {
-		j := h.jobs[run.Task.Job]
+		j := o.jobs[run.Task.Job]
 		if j == nil || j.rec.State.Final() || run.Task.Index >= len(j.tasks) {
 			continue
 		}
@@ -88,13 +88,13 @@
 		if t.attempt != run.Attempt || !t.active() || t.at == nil {
 			continue
 		}
-		p, ok := partitionOf(table, t.at.partition)
-		if !ok || p.Addr != addr || h.covered[p.ID] < p.Epoch {
+		p, ok := findPartition(table, t.at.partition)
+		if !ok || p.Addr != addr || o.inventoryEpochs[p.ID] < p.Epoch {
 			continue
 		}
-		h.freed(j, run.Task.Index)
-		h.again(j, run.Task.Index, 0, now)
-		h.settle(j, now)
+		o.releaseTask(j, run.Task.Index)
+		o.requeue(j, run.Task.Index, 0, now)
+		o.finalizeIfDone(j, now)
 	}
-	h.rouse()
+	o.wakeLoop()
 }
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -20,9 +20,9 @@
 	submitTimeout = 5 * time.Second
 )
 
-// storeAwayAfter is the age of the last contact with the store from which a new
+// storeUnavailableAfter is the age of the last contact with the store from which a new
 // job is refused unwritten: renewals come several times as often.
-const storeAwayAfter = 2 * time.Second
+const storeUnavailableAfter = 2 * time.Second
 
 // maxLiveJobs bounds the live jobs of one home.
 const maxLiveJobs = 20000
@@ -39,24 +39,24 @@
 }
 
 func (m *Manager) submit(ctx context.Context, job spec.Job) (jobmsg.Status, error) {
-	home := partition.OfTeam(job.Team, m.partitions())
-	h, err := m.rightful(home)
+	ownerPartition := partition.OfTeam(job.Team, m.partitions())
+	o, err := m.authorizedOwner(ownerPartition)
 	if err != nil {
 		return jobmsg.Status{}, err
 	}
-	j, fresh, err := h.admit(job, time.Now())
+	j, created, err := o.admit(job, time.Now())
 	if err != nil {
 		return jobmsg.Status{}, err
 	}
-	if fresh {
-		h.work.Go(func() { h.firstWrite(j) })
+	if created {
+		o.background.Go(func() { o.writeNewJob(j) })
 	}
 	select {
-	case <-j.answered:
+	case <-j.firstWriteDone:
 	case <-ctx.Done():
 		return jobmsg.Status{}, result.New(result.JobRecordUnknown, result.RanUnknown, "the caller's time ran out before the store answered").Later(retryLoading)
 	}
-	return h.answer(j)
+	return o.submitReply(j)
 }
 
 // partitions returns the number of partitions of the cell.
@@ -69,21 +69,21 @@
 
 // admit finds the job, or checks it and adds it to the table; fresh is true when
 // the caller has to write its record.
-func (h *home) admit(s spec.Job, now time.Time) (j *job, fresh bool, err error) {
-	values, known := h.m.cfg.Values(s.Branch)
-	sizes, complete := h.m.sizes()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if err := h.open(); err != nil {
+func (o *jobOwner) admit(s spec.Job, now time.Time) (j *job, created bool, err error) {
+	values, known := o.m.cfg.Values(s.Branch)
+	machineTypes, complete := o.m.machineTypes()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if err := o.checkAccepting(); err != nil {
 		return nil, false, err
 	}
-	if j := h.jobs[s.ID]; j != nil {
+	if j := o.jobs[s.ID]; j != nil {
 		if j.rec.Submission != fingerprint(s) {
 			return nil, false, result.New(result.JobIDReused, result.RanNo, "job %s was submitted before with another specification", s.ID).At("id")
 		}
 		return j, false, nil
 	}
-	if err := h.m.storeAway(); err != nil {
+	if err := o.m.checkStore(); err != nil {
 		return nil, false, err
 	}
 	if err := validate(s, now); err != nil {
@@ -95,77 +95,77 @@
 	if err := checkQuota(s, values.Quota); err != nil {
 		return nil, false, err
 	}
-	if err := checkFits(s, sizes, complete); err != nil {
+	if err := checkFits(s, machineTypes, complete); err != nil {
 		return nil, false, err
 	}
-	if len(h.live) >= maxLiveJobs {
-		return nil, false, result.New(result.JobTooMany, result.RanNo, "the home of team %s holds %d jobs", s.Team, len(h.live)).Later(retryTooMany)
+	if len(o.live) >= maxLiveJobs {
+		return nil, false, result.New(result.JobTooMany, result.RanNo, "the home of team %s holds %d jobs", s.Team, len(o.live)).Later(retryTooMany)
 	}
-	j = newJob(&record{Job: s, Submitted: now.UnixMilli(), State: jobmsg.StateWaiting, Origin: h.epoch, Generation: 1, TaskGeneration: 1, Submission: fingerprint(s)})
-	j.answered = make(chan struct{})
-	h.add(j)
-	h.enlist(j)
+	j = newJob(&record{Job: s, Submitted: now.UnixMilli(), State: jobmsg.StateWaiting, OriginEpoch: o.epoch, Generation: 1, TaskGeneration: 1, Submission: fingerprint(s)})
+	j.firstWriteDone = make(chan struct{})
+	o.add(j)
+	o.enqueueAll(j)
 	j.version++
 	return j, true, nil
 }
 
-// storeAway refuses what needs the store while it is known to be away. A write
+// checkStore refuses what needs the store while it is known to be away. A write
 // sent all the same would leave its outcome open.
-func (m *Manager) storeAway() error {
-	if m.cfg.StoreAge == nil || m.cfg.StoreAge() <= storeAwayAfter {
+func (m *Manager) checkStore() error {
+	if m.cfg.StoreAge == nil || m.cfg.StoreAge() <= storeUnavailableAfter {
 		return nil
 	}
 	return result.New(result.JobNotRecorded, result.RanNo, "the platform's store has not answered for %s", m.cfg.StoreAge().Round(time.Second)).Later(retryStore)
 }
 
-// open returns nil when the home takes jobs.
-func (h *home) open() error {
+// checkAccepting returns nil when the home takes jobs.
+func (o *jobOwner) checkAccepting() error {
 	switch {
-	case h.quiet:
+	case o.released:
 		return result.New(result.JobHomeMoved, result.RanNo, "the home is being handed over").Later(retryLoading)
-	case h.phase == phaseLoading || h.phase == phaseEnded:
-		return result.New(result.JobHomeRecovering, result.RanNo, "the home is %s", phaseNames[h.phase]).Later(retryLoading)
+	case o.phase == phaseLoading || o.phase == phaseEnded:
+		return result.New(result.JobHomeRecovering, result.RanNo, "the home is %s", phaseNames[o.phase]).Later(retryLoading)
 	}
 	return nil
 }
 
-// firstWrite records a new job and lets its submitters know.
-func (h *home) firstWrite(j *job) {
-	h.mu.Lock()
+// writeNewJob records a new job and lets its submitters know.
+func (o *jobOwner) writeNewJob(j *job) {
+	o.mu.Lock()
 	value, err := encodeRecord(j.rec)
-	w := pendingWrite{job: j, version: j.version, value: value, done: append(bitmap(nil), j.rec.Done...)}
+	w := pendingWrite{job: j, version: j.version, value: value, doneTasks: append(bitmap(nil), j.rec.Done...)}
 	j.dirty, j.flushing = true, true
-	h.writing++
-	h.mu.Unlock()
+	o.writesInFlight++
+	o.mu.Unlock()
 	var revision platform.Revision
 	if err == nil {
-		ctx, cancel := context.WithTimeout(h.ctx, submitTimeout)
+		ctx, cancel := context.WithTimeout(o.ctx, submitTimeout)
 		defer cancel()
-		revision, err = h.put(ctx, j.id(), 0, value)
+		revision, err = o.putRecord(ctx, j.id(), 0, value)
 	}
-	h.mu.Lock()
-	h.settleSubmit(w, revision, err)
-	h.mu.Unlock()
-	close(j.answered)
-	h.rouse()
+	o.mu.Lock()
+	o.applyFirstWriteResult(w, revision, err)
+	o.mu.Unlock()
+	close(j.firstWriteDone)
+	o.wakeLoop()
 }
 
-// settleSubmit applies the outcome of a job's first write. A job whose record
+// applyFirstWriteResult applies the outcome of a job's first write. A job whose record
 // was certainly not written is forgotten; one in doubt is kept, written again
 // by the flush, and starts nothing until the store has it.
-func (h *home) settleSubmit(w pendingWrite, revision platform.Revision, err error) {
+func (o *jobOwner) applyFirstWriteResult(w pendingWrite, revision platform.Revision, err error) {
 	j := w.job
 	if refusal := submitRefusal(err); refusal != nil {
 		j.refusal = refusal
 		j.flushing = false
-		h.writing--
-		h.remove(j)
+		o.writesInFlight--
+		o.remove(j)
 		return
 	}
-	h.changed[j.id()] = j
-	h.wrote(w, revision, err, time.Now())
-	if j.certain {
-		h.m.metrics.accepted.Inc()
+	o.changed[j.id()] = j
+	o.applyWriteResult(w, revision, err, time.Now())
+	if j.recordConfirmed {
+		o.m.metrics.accepted.Inc()
 		j.log.add(time.Now(), "accepted", "recorded in the store")
 	}
 }
@@ -183,24 +183,24 @@
 }
 
 // remove forgets a job that was never recorded.
-func (h *home) remove(j *job) {
-	delete(h.jobs, j.id())
-	delete(h.live, j.id())
-	delete(h.changed, j.id())
-	delete(h.waiting, j.id())
-	delete(h.attention, j.id())
-	h.queue.Remove(j.id())
+func (o *jobOwner) remove(j *job) {
+	delete(o.jobs, j.id())
+	delete(o.live, j.id())
+	delete(o.changed, j.id())
+	delete(o.waiting, j.id())
+	delete(o.unplannedServices, j.id())
+	o.queue.Remove(j.id())
 }
 
-// answer tells a submitter what became of the job.
-func (h *home) answer(j *job) (jobmsg.Status, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// submitReply tells a submitter what became of the job.
+func (o *jobOwner) submitReply(j *job) (jobmsg.Status, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if j.refusal != nil {
 		return jobmsg.Status{}, j.refusal
 	}
-	if !j.certain {
+	if !j.recordConfirmed {
 		return jobmsg.Status{}, result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took job %s; submit it again with this identifier", j.id()).Later(retryStore)
 	}
-	return h.status(j), nil
+	return o.status(j), nil
 }
--- a/internal/job/task.go
+++ b/internal/job/task.go
@@ -14,16 +14,16 @@
 type taskState uint8
 
 const (
-	taskPending  taskState = iota // nothing of it runs
-	taskOrdered                   // a holder was asked, no answer yet
-	taskDoubt                     // it may run; nobody has said yet
-	taskRunning                   // a holder said that it runs
-	taskStopping                  // told to stop, the end is not confirmed
-	taskDone                      // finished with exit code zero
+	taskPending   taskState = iota // nothing of it runs
+	taskRequested                  // a holder was asked, no answer yet
+	taskUnacked                    // it may run; nobody has said yet
+	taskRunning                    // a holder said that it runs
+	taskStopping                   // told to stop, the end is not confirmed
+	taskDone                       // finished with exit code zero
 )
 
-// site is a worker that runs tasks of the home's jobs. Tasks share it.
-type site struct {
+// location is a worker that runs tasks of the home's jobs. Tasks share it.
+type location struct {
 	worker    string
 	zone      string
 	partition int
@@ -31,21 +31,21 @@
 
 // task is the home's row for one task of one job.
 type task struct {
-	attempt int // of the present run, or of the latest while pending
-	epoch   uint64
-	at      *site // nil while it is not known
-	state   taskState
-	spared  bool // the latest attempt was preempted
-	// since is when this home learned that the present attempt runs; zero for one that
+	attempt      int // of the present run, or of the latest while pending
+	epoch        uint64
+	at           *location // nil while it is not known
+	state        taskState
+	wasPreempted bool // the latest attempt was preempted
+	// runningSince is when this home learned that the present attempt runs; zero for one that
 	// an earlier home started.
-	since time.Time
+	runningSince time.Time
 }
 
 // active reports whether the task may run, so that it holds quota.
 func (t *task) active() bool { return t.state != taskPending && t.state != taskDone }
 
-// delayed is a pending task that must not start before a moment.
-type delayed struct {
+// delayedTask is a pending task that must not start before a moment.
+type delayedTask struct {
 	index int
 	due   time.Time
 }
@@ -60,53 +60,53 @@
 	dirty    bool
 	version  uint64
 	flushing bool
-	// answered is closed once the first write's outcome was told; refusal is
+	// firstWriteDone is closed once the first write's outcome was told; refusal is
 	// then set when the job was not accepted. For jobs read from the store it is
 	// closed from the start.
-	answered chan struct{}
-	refusal  *result.Error
-	// certain is false while nobody knows whether the store took the record.
-	certain bool
+	firstWriteDone chan struct{}
+	refusal        *result.Error
+	// recordConfirmed is false while nobody knows whether the store took the record.
+	recordConfirmed bool
 
 	tasks []task
 	// lastStart is when a holder last said that a task started.
 	lastStart time.Time
 	ready     []int // pending tasks that may start, in the order to try
-	later     []delayed
+	delayed   []delayedTask
 	running   int // tasks in taskRunning
 	active    int // tasks that hold quota: all but pending and done
 	done      int // tasks in taskDone
-	// since is when the job began to wait for its present tasks.
-	since time.Time
+	// waitingSince is when the job began to wait for its present tasks.
+	waitingSince time.Time
 	// recorded holds the finished tasks that the store knows of.
 	recorded bitmap
 	zones    map[string]int
-	// recoverable jobs may have runs started by an earlier home, so nothing of
+	// inherited jobs may have runs started by an earlier home, so nothing of
 	// them starts before every holder has told what runs.
-	recoverable bool
-	// unseen counts tasks that may run and that no holder has told of yet since
+	inherited bool
+	// unreported counts tasks that may run and that no holder has told of yet since
 	// the takeover. The quota counts them all the same.
-	unseen int
-	// paced counts a service's tasks whose replacement is held back for a while.
-	paced   int
-	holders map[string]*holderMemory
-	gang    gang
-	stopAt  time.Time // when stops are sent again
-	log     decisionLog
+	unreported int
+	// throttled counts a service's tasks whose replacement is held back for a while.
+	throttled     int
+	holderReplies map[string]*holderReply
+	gang          gang
+	nextStop      time.Time // when stops are sent again
+	log           decisionLog
 }
 
-// holderMemory is a holder's last answer about a job, for the explanation.
-type holderMemory struct {
+// holderReply is a holder's last answer about a job, for the explanation.
+type holderReply struct {
 	refusal *taskmsg.Refusal
 	err     error
 }
 
 func newJob(rec *record) *job {
 	j := &job{
-		rec:     rec,
-		since:   time.UnixMilli(rec.Submitted),
-		zones:   map[string]int{},
-		holders: map[string]*holderMemory{},
+		rec:           rec,
+		waitingSince:  time.UnixMilli(rec.Submitted),
+		zones:         map[string]int{},
+		holderReplies: map[string]*holderReply{},
 	}
 	if rec.Job.Kind != spec.KindService {
 		if rec.Done == nil {
@@ -137,42 +137,42 @@
 // ending reports whether no further task of the job may start.
 func (j *job) ending() bool { return j.rec.Code != 0 || j.rec.State.Final() }
 
-// run names the present attempt of a task.
-func (j *job) run(index int) worker.Attempt {
+// currentAttempt names the present attempt of a task.
+func (j *job) currentAttempt(index int) worker.Attempt {
 	return worker.Attempt{Task: spec.TaskID{Job: j.id(), Index: index}, Attempt: j.tasks[index].attempt}
 }
 
-// pending makes a task wait for its next start, no earlier than due.
-func (j *job) pending(index int, due, now time.Time) {
-	if len(j.ready)+len(j.later) == 0 {
-		j.since = now
+// addPending makes a task wait for its next start, no earlier than due.
+func (j *job) addPending(index int, due, now time.Time) {
+	if len(j.ready)+len(j.delayed) == 0 {
+		j.waitingSince = now
 	}
 	if due.After(now) {
-		j.later = append(j.later, delayed{index, due})
+		j.delayed = append(j.delayed, delayedTask{index, due})
 		return
 	}
 	j.ready = append(j.ready, index)
 }
 
-// memory returns what the job remembers of a holder.
-func (j *job) memory(member string) *holderMemory {
-	m := j.holders[member]
+// lastReply returns what the job remembers of a holder.
+func (j *job) lastReply(member string) *holderReply {
+	m := j.holderReplies[member]
 	if m == nil {
-		m = &holderMemory{}
-		j.holders[member] = m
+		m = &holderReply{}
+		j.holderReplies[member] = m
 	}
 	return m
 }
 
-// promote moves delayed tasks that are due to the ready ones.
-func (j *job) promote(now time.Time) {
-	rest := j.later[:0]
-	for _, d := range j.later {
+// promoteDelayed moves delayed tasks that are due to the ready ones.
+func (j *job) promoteDelayed(now time.Time) {
+	rest := j.delayed[:0]
+	for _, d := range j.delayed {
 		if d.due.After(now) {
 			rest = append(rest, d)
 			continue
 		}
 		j.ready = append(j.ready, d.index)
 	}
-	j.later = rest
+	j.delayed = rest
 }
--- a/internal/job/update.go
+++ b/internal/job/update.go
@@ -17,21 +17,21 @@
 // Update changes the replicas or the tasks of a service. It answers once the
 // change is in the store; then replicas are replaced one by one.
 func (m *Manager) Update(ctx context.Context, req jobmsg.UpdateRequest) (jobmsg.Status, error) {
-	h, j, err := m.find(req.Job.ID)
+	o, j, err := m.findJob(req.Job.ID)
 	if err != nil {
 		return jobmsg.Status{}, err
 	}
-	next, value, err := h.beginUpdate(j, req, time.Now())
+	next, value, err := o.beginUpdate(j, req, time.Now())
 	if err != nil {
 		return jobmsg.Status{}, err
 	}
 	if next == nil { // the very specification in force
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return h.status(j), nil
+		o.mu.Lock()
+		defer o.mu.Unlock()
+		return o.status(j), nil
 	}
 	done := make(chan error, 1)
-	h.work.Go(func() { done <- h.writeUpdate(j, next, value) })
+	o.background.Go(func() { done <- o.writeUpdate(j, next, value) })
 	select {
 	case err = <-done:
 	case <-ctx.Done():
@@ -40,19 +40,19 @@
 	if err != nil {
 		return jobmsg.Status{}, err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.status(j), nil
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.status(j), nil
 }
 
 // beginUpdate checks a change and returns the record to write, nil when there
 // is nothing to change. No other write of the job goes on meanwhile.
-func (h *home) beginUpdate(j *job, req jobmsg.UpdateRequest, now time.Time) (*record, []byte, error) {
-	values, known := h.m.cfg.Values(req.Job.Branch)
-	sizes, complete := h.m.sizes()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if err := j.mayUpdate(req, now); err != nil {
+func (o *jobOwner) beginUpdate(j *job, req jobmsg.UpdateRequest, now time.Time) (*record, []byte, error) {
+	values, known := o.m.cfg.Values(req.Job.Branch)
+	machineTypes, complete := o.m.machineTypes()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if err := j.checkUpdate(req, now); err != nil {
 		return nil, nil, err
 	}
 	if sameSpec(j.rec.Job, req.Job) {
@@ -67,27 +67,27 @@
 	if err := checkQuota(req.Job, values.Quota); err != nil {
 		return nil, nil, err
 	}
-	if err := checkFits(req.Job, sizes, complete); err != nil {
+	if err := checkFits(req.Job, machineTypes, complete); err != nil {
 		return nil, nil, err
 	}
-	if err := h.m.storeAway(); err != nil {
+	if err := o.m.checkStore(); err != nil {
 		return nil, nil, err
 	}
-	if j.flushing || j.dirty || !j.certain || h.flushGap > 0 {
+	if j.flushing || j.dirty || !j.recordConfirmed || o.flushBackoff > 0 {
 		return nil, nil, result.New(result.JobNotRecorded, result.RanNo, "an earlier change of the job is not in the store yet").Later(updateRetry)
 	}
-	next := h.nextSpec(j, req.Job)
+	next := o.recordWithSpec(j, req.Job)
 	value, err := encodeRecord(next)
 	if err != nil {
 		return nil, nil, result.New(result.Internal, result.RanNo, "%v", err)
 	}
 	j.flushing = true
-	h.writing++
+	o.writesInFlight++
 	return next, value, nil
 }
 
-// mayUpdate refuses what can not be changed.
-func (j *job) mayUpdate(req jobmsg.UpdateRequest, now time.Time) error {
+// checkUpdate refuses what can not be changed.
+func (j *job) checkUpdate(req jobmsg.UpdateRequest, now time.Time) error {
 	old, s := j.rec.Job, req.Job
 	switch {
 	case j.ending():
@@ -100,23 +100,23 @@
 	return validateSpec(s, now)
 }
 
-// nextSpec returns the record with a changed specification. Attempts started so
+// recordWithSpec returns the record with a changed specification. Attempts started so
 // far belong to the earlier one.
-func (h *home) nextSpec(j *job, s spec.Job) *record {
+func (o *jobOwner) recordWithSpec(j *job, s spec.Job) *record {
 	next := *j.rec
 	next.Job = s
 	if !sameTask(j.rec.Job, s) {
-		past := pastSpec{Generation: j.rec.TaskGeneration, Until: h.latestAttempt(), Size: j.rec.Job.Task.Size}
-		next.Past = append(append([]pastSpec(nil), j.rec.Past...), past)
+		past := pastSpec{Generation: j.rec.TaskGeneration, LastAttempt: o.latestAttempt(), Size: j.rec.Job.Task.Size}
+		next.PastSpecs = append(append([]pastSpec(nil), j.rec.PastSpecs...), past)
 		next.TaskGeneration++
 	}
 	next.Generation++
-	next.Peak = max(j.rec.Peak, j.rec.Job.Tasks)
+	next.PeakReplicas = max(j.rec.PeakReplicas, j.rec.Job.Tasks)
 	return &next
 }
 
 // latestAttempt is the highest attempt number given so far.
-func (h *home) latestAttempt() int { return int(h.epoch)<<attemptShift | h.starts }
+func (o *jobOwner) latestAttempt() int { return int(o.epoch)<<attemptShift | o.startCounter }
 
 // sameTask reports whether running tasks of one specification also do for
 // another.
@@ -126,36 +126,36 @@
 }
 
 // writeUpdate records a change and puts it in force.
-func (h *home) writeUpdate(j *job, next *record, value []byte) error {
-	ctx, cancel := context.WithTimeout(h.ctx, submitTimeout)
+func (o *jobOwner) writeUpdate(j *job, next *record, value []byte) error {
+	ctx, cancel := context.WithTimeout(o.ctx, submitTimeout)
 	defer cancel()
-	revision, err := h.put(ctx, j.id(), j.revision, value)
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	revision, err := o.putRecord(ctx, j.id(), j.revision, value)
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	j.flushing = false
-	h.writing--
-	defer h.rouse()
+	o.writesInFlight--
+	defer o.wakeLoop()
 	switch {
 	case err == nil:
 		j.revision = revision
-		h.putInForce(j, next)
+		o.applySpec(j, next)
 		return nil
 	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, errFenced):
 		return result.New(result.JobNotRecorded, result.RanNo, "the store did not take the change of job %s", j.id()).Later(retryStore)
 	}
 	// The flush writes the job again; if the change is in the store it finds a
 	// conflict and puts the change in force.
-	h.touch(j)
+	o.markChanged(j)
 	return errUpdateUnknown(j.id())
 }
 
-// findUpdate puts a change in force whose write turns out to have succeeded.
-func (h *home) findUpdate(j *job, found platform.Record) {
+// recoverUpdate puts a change in force whose write turns out to have succeeded.
+func (o *jobOwner) recoverUpdate(j *job, found platform.Record) {
 	if found.Key == "" {
 		return
 	}
 	if rec, err := decodeRecord(found.Value); err == nil && rec.Generation > j.rec.Generation {
-		h.putInForce(j, rec)
+		o.applySpec(j, rec)
 	}
 }
 
@@ -163,14 +163,14 @@
 	return result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took the change of job %s; ask again", id).Later(retryStore)
 }
 
-// putInForce makes a recorded specification the one to run by. What the rest of
+// applySpec makes a recorded specification the one to run by. What the rest of
 // the record became meanwhile stays.
-func (h *home) putInForce(j *job, next *record) {
+func (o *jobOwner) applySpec(j *job, next *record) {
 	generation := j.rec.Generation
 	j.rec.Job, j.rec.Generation, j.rec.TaskGeneration = next.Job, next.Generation, next.TaskGeneration
-	j.rec.Past, j.rec.Peak = next.Past, next.Peak
-	j.holders = map[string]*holderMemory{}
-	h.attend(j)
+	j.rec.PastSpecs, j.rec.PeakReplicas = next.PastSpecs, next.PeakReplicas
+	j.holderReplies = map[string]*holderReply{}
+	o.markUnplanned(j)
 	j.log.add(time.Now(), "changed", "a new specification is in force")
-	h.log.WithField("job", j.id()).WithField("generation", generation+1).Info("service changed")
+	o.log.WithField("job", j.id()).WithField("generation", generation+1).Info("service changed")
 }
