--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -26,10 +26,10 @@
 	clockSkew = time.Minute
 )
 
-var checker = newChecker()
+var specValidator = newSpecValidator()
 
-// newChecker returns a validator that names fields as JSON does.
-func newChecker() *validator.Validate {
+// newSpecValidator returns a validator that names fields as JSON does.
+func newSpecValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
@@ -48,7 +48,7 @@
 
 // validateSpec checks everything but the identifier.
 func validateSpec(j spec.Job, now time.Time) error {
-	if err := checker.Struct(j); err != nil {
+	if err := specValidator.Struct(j); err != nil {
 		return fieldError(err)
 	}
 	switch {
@@ -74,12 +74,12 @@
 		return invalid("id", "must be a UUIDv7 in lower case")
 	}
 	sec, nsec := u.Time().UnixTime()
-	minted := time.Unix(sec, nsec)
-	if minted.Before(now.Add(-retention / 2)) {
-		return result.New(result.JobIDTooOld, result.RanNo, "minted %s ago; a new job needs a new identifier", now.Sub(minted).Round(time.Second)).At("id")
+	createdAt := time.Unix(sec, nsec)
+	if createdAt.Before(now.Add(-retention / 2)) {
+		return result.New(result.JobIDTooOld, result.RanNo, "minted %s ago; a new job needs a new identifier", now.Sub(createdAt).Round(time.Second)).At("id")
 	}
-	if minted.After(now.Add(clockSkew)) {
-		return invalid("id", "minted %s in the future", minted.Sub(now).Round(time.Second))
+	if createdAt.After(now.Add(clockSkew)) {
+		return invalid("id", "minted %s in the future", createdAt.Sub(now).Round(time.Second))
 	}
 	return nil
 }
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -34,13 +34,13 @@
 
 // API answers /v1/jobs.
 type API struct {
-	homes homes
-	log   *logrus.Entry
+	ownerClient ownerClient
+	log         *logrus.Entry
 }
 
 // New returns the API of an entry that reaches the homes through peers.
 func New(source view.Source, peers peer.Caller, log *logrus.Entry) *API {
-	return &API{homes: homes{source: source, peers: peers}, log: log}
+	return &API{ownerClient: ownerClient{source: source, peers: peers}, log: log}
 }
 
 // Register adds the routes to a mux.
@@ -53,14 +53,14 @@
 	mux.Handle("DELETE /v1/jobs/{id}", a.route(a.cancel))
 }
 
-// answer is a successful answer.
-type answer struct {
+// response is a successful answer.
+type response struct {
 	status   int
 	location string
 	body     any
 }
 
-type handler func(ctx context.Context, r *http.Request) (answer, error)
+type handler func(ctx context.Context, r *http.Request) (response, error)
 
 // route bounds the time of a call and writes its answer or problem.
 func (a *API) route(fn handler) http.Handler {
@@ -76,7 +76,7 @@
 	})
 }
 
-func (a *API) write(w http.ResponseWriter, ans answer) {
+func (a *API) write(w http.ResponseWriter, ans response) {
 	body, err := json.Marshal(ans.body)
 	if err != nil {
 		problem.Write(w, result.New(result.Internal, result.RanUnknown, "encode: %v", err))
@@ -93,21 +93,21 @@
 	}
 }
 
-func (a *API) submit(ctx context.Context, r *http.Request) (answer, error) {
+func (a *API) submit(ctx context.Context, r *http.Request) (response, error) {
 	job, err := readJob(r, r.Header.Get(IdempotencyHeader))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	if job.ID == "" {
 		if job.ID, err = newID(); err != nil {
-			return answer{}, err
+			return response{}, err
 		}
 	}
-	status, err := a.homes.submit(ctx, job)
+	status, err := a.ownerClient.submit(ctx, job)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return answer{status: http.StatusCreated, location: "/v1/jobs/" + job.ID, body: status}, nil
+	return response{status: http.StatusCreated, location: "/v1/jobs/" + job.ID, body: status}, nil
 }
 
 // newID mints an identifier for a submitter who gave none, and who therefore can
@@ -166,40 +166,40 @@
 
 // update changes a service. The generation parameter, when given, is the one
 // that the job must be at.
-func (a *API) update(ctx context.Context, r *http.Request) (answer, error) {
+func (a *API) update(ctx context.Context, r *http.Request) (response, error) {
 	job, err := readJob(r, r.PathValue("id"))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	req := jobmsg.UpdateRequest{Job: job}
 	if s := r.URL.Query().Get("generation"); s != "" {
 		if req.Generation, err = strconv.Atoi(s); err != nil || req.Generation < 1 {
-			return answer{}, result.New(result.BadInput, result.RanNo, "generation is a number from 1").At("generation")
+			return response{}, result.New(result.BadInput, result.RanNo, "generation is a number from 1").At("generation")
 		}
 	}
-	status, err := askHome[jobmsg.Status](ctx, a.homes, job.Team, peer.KindJobUpdate, req, job.ID)
-	return answer{status: http.StatusOK, body: status}, err
+	status, err := callOwner[jobmsg.Status](ctx, a.ownerClient, job.Team, peer.KindJobUpdate, req, job.ID)
+	return response{status: http.StatusOK, body: status}, err
 }
 
-func (a *API) get(ctx context.Context, r *http.Request) (answer, error) {
-	reply, err := a.homes.get(ctx, r.URL.Query().Get("team"), jobmsg.GetRequest{ID: r.PathValue("id")})
-	return answer{status: http.StatusOK, body: reply.Status}, err
+func (a *API) get(ctx context.Context, r *http.Request) (response, error) {
+	reply, err := a.ownerClient.get(ctx, r.URL.Query().Get("team"), jobmsg.GetRequest{ID: r.PathValue("id")})
+	return response{status: http.StatusOK, body: reply.Status}, err
 }
 
-// explained is a job with the reasons for where it runs or what it waits for.
-type explained struct {
+// explainedJob is a job with the reasons for where it runs or what it waits for.
+type explainedJob struct {
 	jobmsg.Status
 	Explanation *jobmsg.Explanation `json:"explanation"`
 }
 
-func (a *API) explain(ctx context.Context, r *http.Request) (answer, error) {
-	reply, err := a.homes.get(ctx, r.URL.Query().Get("team"), jobmsg.GetRequest{ID: r.PathValue("id"), Explain: true})
-	return answer{status: http.StatusOK, body: explained{reply.Status, reply.Explain}}, err
+func (a *API) explain(ctx context.Context, r *http.Request) (response, error) {
+	reply, err := a.ownerClient.get(ctx, r.URL.Query().Get("team"), jobmsg.GetRequest{ID: r.PathValue("id"), Explain: true})
+	return response{status: http.StatusOK, body: explainedJob{reply.Status, reply.Explain}}, err
 }
 
-func (a *API) cancel(ctx context.Context, r *http.Request) (answer, error) {
-	status, err := a.homes.cancel(ctx, r.URL.Query().Get("team"), r.PathValue("id"))
-	return answer{status: http.StatusAccepted, body: status}, err
+func (a *API) cancel(ctx context.Context, r *http.Request) (response, error) {
+	status, err := a.ownerClient.cancel(ctx, r.URL.Query().Get("team"), r.PathValue("id"))
+	return response{status: http.StatusAccepted, body: status}, err
 }
 
 // page is one page of a list; Next is the value of the after parameter for the
@@ -209,19 +209,19 @@
 	Next string          `json:"next,omitempty"`
 }
 
-func (a *API) list(ctx context.Context, r *http.Request) (answer, error) {
+func (a *API) list(ctx context.Context, r *http.Request) (response, error) {
 	q := r.URL.Query()
 	req := jobmsg.ListRequest{Team: q.Get("team"), After: q.Get("after")}
 	if s := q.Get("limit"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 1 || n > jobmsg.MaxListLimit {
-			return answer{}, result.New(result.BadInput, result.RanNo, "limit is a number from 1 to %d", jobmsg.MaxListLimit).At("limit")
+			return response{}, result.New(result.BadInput, result.RanNo, "limit is a number from 1 to %d", jobmsg.MaxListLimit).At("limit")
 		}
 		req.Limit = n
 	}
-	reply, err := a.homes.list(ctx, req)
+	reply, err := a.ownerClient.list(ctx, req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	p := page{Jobs: reply.Jobs}
 	if p.Jobs == nil {
@@ -230,5 +230,5 @@
 	if reply.More && len(p.Jobs) > 0 {
 		p.Next = p.Jobs[len(p.Jobs)-1].Job.ID
 	}
-	return answer{status: http.StatusOK, body: p}, nil
+	return response{status: http.StatusOK, body: p}, nil
 }
--- a/internal/jobapi/jobapi_test.go
+++ b/internal/jobapi/jobapi_test.go
@@ -43,14 +43,14 @@
 	return err
 }
 
-// bench is an API in front of two holders of two partitions each.
-type bench struct {
+// testAPI is an API in front of two holders of two partitions each.
+type testAPI struct {
 	*http.ServeMux
 	a, b *holder
 }
 
-func newBench(errsA, errsB []error) *bench {
-	b := &bench{ServeMux: http.NewServeMux(), a: &holder{addr: "a", errs: errsA}, b: &holder{addr: "b", errs: errsB}}
+func newTestAPI(errsA, errsB []error) *testAPI {
+	b := &testAPI{ServeMux: http.NewServeMux(), a: &holder{addr: "a", errs: errsA}, b: &holder{addr: "b", errs: errsB}}
 	table := &view.Table{Partitions: []view.Partition{
 		{ID: 0, Holder: "a", Addr: "a"}, {ID: 1, Holder: "a", Addr: "a"},
 		{ID: 2, Holder: "b", Addr: "b"}, {ID: 3, Holder: "b", Addr: "b"},
@@ -93,7 +93,7 @@
 	return b
 }
 
-func (b *bench) do(method, path, body string, header ...string) *httptest.ResponseRecorder {
+func (b *testAPI) do(method, path, body string, header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	for i := 0; i+1 < len(header); i += 2 {
 		r.Header.Set(header[i], header[i+1])
@@ -113,7 +113,7 @@
 	return ""
 }
 
-func e(code result.Code, ran result.Ran) error { return result.New(code, ran, "because") }
+func newError(code result.Code, ran result.Ran) error { return result.New(code, ran, "because") }
 
 // TestSubmit lists bodies and homes' answers, and what the caller gets.
 func TestSubmit(t *testing.T) {
@@ -137,16 +137,16 @@
 		{"two objects", good + good, "", []error{nil}, 400, result.BadInput, result.RanNo, 0},
 		{"half an object", good[:20], "", []error{nil}, 400, result.BadInput, result.RanNo, 0},
 		{"too large", `{"id":"` + strings.Repeat("x", maxBodyBytes) + `"}`, "", []error{nil}, 413, result.TooLarge, result.RanNo, 0},
-		{"refused", good, "", []error{e(result.JobNeverFits, result.RanNo)}, 422, result.JobNeverFits, result.RanNo, 1},
-		{"home moves once", good, "", []error{e(result.NotHolder, result.RanNo), nil}, 201, 0, "", 2},
-		{"answer lost once", good, "", []error{e(result.PeerLost, result.RanUnknown), nil}, 201, 0, "", 2},
-		{"store down", good, "", []error{e(result.JobNotRecorded, result.RanNo)}, 503, result.JobNotRecorded, result.RanNo, 1},
-		{"lost, then refused", good, "", []error{e(result.PeerLost, result.RanUnknown), e(result.JobNotRecorded, result.RanNo)}, 503, result.JobRecordUnknown, result.RanUnknown, 2},
+		{"refused", good, "", []error{newError(result.JobNeverFits, result.RanNo)}, 422, result.JobNeverFits, result.RanNo, 1},
+		{"home moves once", good, "", []error{newError(result.NotHolder, result.RanNo), nil}, 201, 0, "", 2},
+		{"answer lost once", good, "", []error{newError(result.PeerLost, result.RanUnknown), nil}, 201, 0, "", 2},
+		{"store down", good, "", []error{newError(result.JobNotRecorded, result.RanNo)}, 503, result.JobNotRecorded, result.RanNo, 1},
+		{"lost, then refused", good, "", []error{newError(result.PeerLost, result.RanUnknown), newError(result.JobNotRecorded, result.RanNo)}, 503, result.JobRecordUnknown, result.RanUnknown, 2},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(tt.errs, []error{nil})
+			b := newTestAPI(tt.errs, []error{nil})
 			w := b.do("POST", "/v1/jobs", tt.body, IdempotencyHeader, tt.header)
 			is.Equal(w.Code, tt.status)
 			is.Equal(b.a.calls, tt.calls)
@@ -162,19 +162,19 @@
 	}
 }
 
-// TestIdentifierIsMinted submits without any identifier.
-func TestIdentifierIsMinted(t *testing.T) {
+// TestIdentifierIsGenerated submits without any identifier.
+func TestIdentifierIsGenerated(t *testing.T) {
 	is := is.New(t)
-	b := newBench([]error{nil}, []error{nil})
+	b := newTestAPI([]error{nil}, []error{nil})
 	w := b.do("POST", "/v1/jobs", `{"team":"`+teamAt(0)+`"}`)
 	is.Equal(w.Code, 201)
 	is.True(b.a.lastJob.ID != "")
 	is.Equal(w.Header().Get("Location"), "/v1/jobs/"+b.a.lastJob.ID)
 }
 
-// TestFindsTheHome asks for a job with and without its team.
-func TestFindsTheHome(t *testing.T) {
-	no, loading := e(result.JobNotFound, result.RanUnknown), e(result.JobHomeRecovering, result.RanNo)
+// TestFindsJobOwner asks for a job with and without its team.
+func TestFindsJobOwner(t *testing.T) {
+	no, loading := newError(result.JobNotFound, result.RanUnknown), newError(result.JobHomeRecovering, result.RanNo)
 	cases := []struct {
 		name   string
 		path   string
@@ -192,7 +192,7 @@
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench([]error{tt.a}, []error{tt.b})
+			b := newTestAPI([]error{tt.a}, []error{tt.b})
 			w := b.do("GET", tt.path, "")
 			is.Equal(w.Code, tt.status)
 			if tt.code != 0 {
@@ -205,18 +205,18 @@
 // TestCancelAndUpdate go to the home that knows the job.
 func TestCancelAndUpdate(t *testing.T) {
 	is := is.New(t)
-	no := e(result.JobNotFound, result.RanUnknown)
-	is.Equal(newBench([]error{no}, []error{nil}).do("DELETE", "/v1/jobs/"+testID, "").Code, 202)
+	no := newError(result.JobNotFound, result.RanUnknown)
+	is.Equal(newTestAPI([]error{no}, []error{nil}).do("DELETE", "/v1/jobs/"+testID, "").Code, 202)
 	body := `{"team":"` + teamAt(0) + `","kind":"service"}`
-	is.Equal(newBench([]error{nil}, []error{nil}).do("PUT", "/v1/jobs/"+testID+"?generation=3", body).Code, 200)
-	is.Equal(newBench([]error{nil}, []error{nil}).do("PUT", "/v1/jobs/"+testID+"?generation=x", body).Code, 400)
-	is.Equal(newBench([]error{nil}, []error{nil}).do("PUT", "/v1/jobs/other", `{"id":"`+testID+`"}`).Code, 400)
+	is.Equal(newTestAPI([]error{nil}, []error{nil}).do("PUT", "/v1/jobs/"+testID+"?generation=3", body).Code, 200)
+	is.Equal(newTestAPI([]error{nil}, []error{nil}).do("PUT", "/v1/jobs/"+testID+"?generation=x", body).Code, 400)
+	is.Equal(newTestAPI([]error{nil}, []error{nil}).do("PUT", "/v1/jobs/other", `{"id":"`+testID+`"}`).Code, 400)
 }
 
 // TestListPages merges the pages of all homes in order.
 func TestListPages(t *testing.T) {
 	is := is.New(t)
-	b := newBench([]error{nil}, []error{nil})
+	b := newTestAPI([]error{nil}, []error{nil})
 	var ids []string
 	for path := "/v1/jobs?limit=2"; path != ""; {
 		var p page
@@ -233,5 +233,5 @@
 	}
 	is.Equal(ids, []string{"1", "2", "3", "4", "5", "6"})
 	is.Equal(b.do("GET", "/v1/jobs?limit=0", "").Code, 400)
-	is.Equal(newBench([]error{nil}, []error{e(result.PeerLost, result.RanUnknown)}).do("GET", "/v1/jobs", "").Code, 502)
+	is.Equal(newTestAPI([]error{nil}, []error{newError(result.PeerLost, result.RanUnknown)}).do("GET", "/v1/jobs", "").Code, 502)
 }
--- a/internal/jobapi/homes.go
+++ b/internal/jobapi/owners.go
@@ -19,14 +19,14 @@
 const (
 	// retryPause is the wait before a home is looked up and asked again.
 	retryPause = 200 * time.Millisecond
-	// maxAsked bounds the processes asked at a time when the home is not known.
-	maxAsked = 16
-	// retryUnheld is when to come back while nobody holds a home.
-	retryUnheld = 2 * time.Second
+	// maxParallelCalls bounds the processes asked at a time when the home is not known.
+	maxParallelCalls = 16
+	// retryNoHolder is when to come back while nobody holds a home.
+	retryNoHolder = 2 * time.Second
 )
 
-// homes finds the homes of jobs and asks them.
-type homes struct {
+// ownerClient finds the homes of jobs and asks them.
+type ownerClient struct {
 	source view.Source
 	peers  peer.Caller
 }
@@ -34,28 +34,28 @@
 // submit sends a job to its home until it has answered or ctx ends. A repeated
 // submit is harmless, but once one try may have been taken, no later refusal
 // proves that the job was not accepted.
-func (h homes) submit(ctx context.Context, job spec.Job) (jobmsg.Status, error) {
-	maybe := false
+func (c ownerClient) submit(ctx context.Context, job spec.Job) (jobmsg.Status, error) {
+	uncertain := false
 	for {
 		var status jobmsg.Status
-		addr, err := h.homeOf(job.Team)
+		addr, err := c.ownerAddr(job.Team)
 		if err == nil {
-			err = h.peers.Call(ctx, addr, peer.KindJobSubmit, jobmsg.SubmitRequest{Job: job}, &status)
+			err = c.peers.Call(ctx, addr, peer.KindJobSubmit, jobmsg.SubmitRequest{Job: job}, &status)
 		}
 		if err == nil {
 			return status, nil
 		}
 		e := result.From(err)
-		maybe = maybe || e.Ran != result.RanNo
-		if !again(e) || !pause(ctx) {
-			return status, submitError(e, maybe, job.ID)
+		uncertain = uncertain || e.Ran != result.RanNo
+		if !retryable(e) || !waitForRetry(ctx) {
+			return status, submitError(e, uncertain, job.ID)
 		}
 	}
 }
 
-// again reports whether a failure may pass once the table or the link has moved
+// retryable reports whether a failure may pass once the table or the link has moved
 // on.
-func again(e *result.Error) bool {
+func retryable(e *result.Error) bool {
 	switch e.Code {
 	case result.NotHolder, result.RightLapsed, result.JobHomeMoved, result.JobHomeRecovering,
 		result.PeerNotReached, result.PeerLost, result.Stopping:
@@ -64,27 +64,27 @@
 	return false
 }
 
-// pause waits before the next try and reports whether there is time for one.
-func pause(ctx context.Context) bool {
+// waitForRetry waits before the next try and reports whether there is time for one.
+func waitForRetry(ctx context.Context) bool {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < 2*retryPause {
 		return false
 	}
 	return wait.For(ctx, retryPause)
 }
 
-func submitError(e *result.Error, maybe bool, id string) *result.Error {
-	if !maybe || e.Ran != result.RanNo {
+func submitError(e *result.Error, uncertain bool, id string) *result.Error {
+	if !uncertain || e.Ran != result.RanNo {
 		return e
 	}
 	return result.New(result.JobRecordUnknown, result.RanUnknown,
-		"an earlier try for job %s may have been accepted; now: %s", id, e.Error()).Later(retryUnheld)
+		"an earlier try for job %s may have been accepted; now: %s", id, e.Error()).Later(retryNoHolder)
 }
 
-// homeOf returns the address of a team's home.
-func (h homes) homeOf(team string) (string, error) {
-	table := h.source.Table()
+// ownerAddr returns the address of a team's home.
+func (c ownerClient) ownerAddr(team string) (string, error) {
+	table := c.source.Table()
 	if table == nil || len(table.Partitions) == 0 {
-		return "", result.New(result.NotReady, result.RanNo, "the partitions are not known yet").Later(retryUnheld)
+		return "", result.New(result.NotReady, result.RanNo, "the partitions are not known yet").Later(retryNoHolder)
 	}
 	id := partition.OfTeam(team, len(table.Partitions))
 	for _, p := range table.Partitions {
@@ -92,13 +92,13 @@
 			return p.Addr, nil
 		}
 	}
-	return "", result.New(result.JobHomeMoved, result.RanNo, "nobody holds partition %d, the home of team %s", id, team).Later(retryUnheld)
+	return "", result.New(result.JobHomeMoved, result.RanNo, "nobody holds partition %d, the home of team %s", id, team).Later(retryNoHolder)
 }
 
 // holders returns the addresses of all processes that hold partitions, in a
 // fixed order, and whether every partition has a holder.
-func (h homes) holders() (addrs []string, all bool) {
-	table := h.source.Table()
+func (c ownerClient) holders() (addrs []string, all bool) {
+	table := c.source.Table()
 	if table == nil {
 		return nil, false
 	}
@@ -118,27 +118,27 @@
 	return addrs, all
 }
 
-func (h homes) get(ctx context.Context, team string, req jobmsg.GetRequest) (jobmsg.GetReply, error) {
-	return askHome[jobmsg.GetReply](ctx, h, team, peer.KindJobGet, req, req.ID)
+func (c ownerClient) get(ctx context.Context, team string, req jobmsg.GetRequest) (jobmsg.GetReply, error) {
+	return callOwner[jobmsg.GetReply](ctx, c, team, peer.KindJobGet, req, req.ID)
 }
 
-func (h homes) cancel(ctx context.Context, team, id string) (jobmsg.Status, error) {
-	return askHome[jobmsg.Status](ctx, h, team, peer.KindJobCancel, jobmsg.CancelRequest{ID: id}, id)
+func (c ownerClient) cancel(ctx context.Context, team, id string) (jobmsg.Status, error) {
+	return callOwner[jobmsg.Status](ctx, c, team, peer.KindJobCancel, jobmsg.CancelRequest{ID: id}, id)
 }
 
-// askHome asks the home of the team, or every holder when the team is not given.
+// callOwner asks the home of the team, or every holder when the team is not given.
 // Only the home that knows the job answers.
-func askHome[Resp any](ctx context.Context, h homes, team string, kind peer.Kind, req any, id string) (Resp, error) {
+func callOwner[Resp any](ctx context.Context, c ownerClient, team string, kind peer.Kind, req any, id string) (Resp, error) {
 	var none Resp
-	addrs, all := h.holders()
+	addrs, all := c.holders()
 	if team != "" {
-		addr, err := h.homeOf(team)
+		addr, err := c.ownerAddr(team)
 		if err != nil {
 			return none, err
 		}
 		addrs, all = []string{addr}, true
 	}
-	replies, errs := askAll[Resp](ctx, h.peers, addrs, kind, req)
+	replies, errs := callAll[Resp](ctx, c.peers, addrs, kind, req)
 	var failure error
 	for i, err := range errs {
 		switch {
@@ -152,17 +152,17 @@
 		return none, failure
 	}
 	if !all {
-		return none, result.New(result.JobHomeMoved, result.RanUnknown, "not every home is held at the moment, and those that are do not know job %q", id).Later(retryUnheld)
+		return none, result.New(result.JobHomeMoved, result.RanUnknown, "not every home is held at the moment, and those that are do not know job %q", id).Later(retryNoHolder)
 	}
 	return none, result.New(result.JobNotFound, result.RanUnknown, "no home knows job %q", id)
 }
 
-// askAll asks several processes at once and returns their answers in order.
-func askAll[Resp any](ctx context.Context, peers peer.Caller, addrs []string, kind peer.Kind, req any) ([]Resp, []error) {
+// callAll asks several processes at once and returns their answers in order.
+func callAll[Resp any](ctx context.Context, peers peer.Caller, addrs []string, kind peer.Kind, req any) ([]Resp, []error) {
 	replies := make([]Resp, len(addrs))
 	errs := make([]error, len(addrs))
 	var g errgroup.Group
-	g.SetLimit(maxAsked)
+	g.SetLimit(maxParallelCalls)
 	for i, addr := range addrs {
 		g.Go(func() error {
 			errs[i] = peers.Call(ctx, addr, kind, req, &replies[i])
@@ -175,19 +175,19 @@
 
 // list merges the pages of all homes. A home that does not answer fails the
 // whole list, as a list with a gap would look complete.
-func (h homes) list(ctx context.Context, req jobmsg.ListRequest) (jobmsg.ListReply, error) {
-	addrs, all := h.holders()
+func (c ownerClient) list(ctx context.Context, req jobmsg.ListRequest) (jobmsg.ListReply, error) {
+	addrs, all := c.holders()
 	if req.Team != "" {
-		addr, err := h.homeOf(req.Team)
+		addr, err := c.ownerAddr(req.Team)
 		if err != nil {
 			return jobmsg.ListReply{}, err
 		}
 		addrs, all = []string{addr}, true
 	}
 	if !all {
-		return jobmsg.ListReply{}, result.New(result.JobHomeMoved, result.RanNo, "not every home is held at the moment").Later(retryUnheld)
+		return jobmsg.ListReply{}, result.New(result.JobHomeMoved, result.RanNo, "not every home is held at the moment").Later(retryNoHolder)
 	}
-	replies, errs := askAll[jobmsg.ListReply](ctx, h.peers, addrs, peer.KindJobList, req)
+	replies, errs := callAll[jobmsg.ListReply](ctx, c.peers, addrs, peer.KindJobList, req)
 	var merged jobmsg.ListReply
 	for i, err := range errs {
 		if err != nil {
