--- a/internal/job/apply_test.go
+++ b/internal/job/apply_test.go
@@ -10,7 +10,7 @@
 	"pulleyquay/internal/worker"
 )
 
-// newStaticOwner makes a home that does nothing by itself, with one job in it.
+// newStaticOwner returns a job owner whose loop does not run, with one job.
 func newStaticOwner(t testing.TB, phase phase, inherited bool, kind spec.Kind, tasks int) (*jobOwner, *job) {
 	c := newCell(t, 1)
 	p := c.start("a")
@@ -27,7 +27,7 @@
 	return o, j
 }
 
-// reportOf is news of an attempt at task 0, on a worker of partition 1 at epoch 1.
+// reportOf returns a report of an attempt at task 0, on a host of partition 1 at epoch 1.
 func reportOf(j *job, attempt int, state taskmsg.RunState, exit int) taskmsg.RunNews {
 	return taskmsg.RunNews{
 		Run:   worker.Attempt{Task: spec.TaskID{Job: j.id()}, Attempt: attempt},
@@ -35,12 +35,12 @@
 	}
 }
 
-// TestApply lists sequences of news about one task and what the home makes of
-// the last piece.
+// TestApply applies sequences of reports about one task and checks the outcome of the last one and
+// the state of the task.
 func TestApply(t *testing.T) {
-	const old = 5 // an attempt of an earlier home
+	const old = 5 // an attempt of a previous job owner
 	type step struct {
-		attempt int // 0: the present attempt
+		attempt int // 0: the current attempt
 		state   taskmsg.RunState
 		exit    int
 	}
@@ -48,7 +48,7 @@
 	cases := []struct {
 		name          string
 		recovering    bool
-		order         bool // task 0 is ordered before the news
+		order         bool // task 0 is requested before the reports
 		steps         []step
 		reportOutcome reportOutcome
 		state         taskState
@@ -56,23 +56,23 @@
 		active        int
 		wantPending   bool // the task waits for a start, once
 	}{
-		{"adopted at a takeover", true, false, []step{running}, reportApplied, taskRunning, 0, 1, false},
-		{"told twice", true, false, []step{running, running}, reportApplied, taskRunning, 0, 1, false},
+		{"adopted during recovery", true, false, []step{running}, reportApplied, taskRunning, 0, 1, false},
+		{"reported twice", true, false, []step{running, running}, reportApplied, taskRunning, 0, 1, false},
 		{"second run of an adopted task", true, false, []step{running, {old - 1, taskmsg.RunRunning, 0}}, reportOrphan, taskRunning, 0, 1, false},
 		{"adopted, then ended", true, false, []step{running, {old, taskmsg.RunFinished, 0}}, reportApplied, taskDone, 0, 0, false},
-		{"finished before the takeover", true, false, []step{{old, taskmsg.RunFinished, 0}}, reportApplied, taskDone, 0, 0, false},
-		{"failed before the takeover, told twice", true, false, []step{{old, taskmsg.RunFinished, 1}, {old, taskmsg.RunFinished, 1}}, reportApplied, taskPending, 1, 0, false},
-		{"stopped before the takeover", true, false, []step{{old, taskmsg.RunStopped, 0}}, reportAcked, taskPending, 0, 0, false},
-		{"running after an end was told", true, false, []step{{old, taskmsg.RunLost, 0}, running}, reportOrphan, taskPending, 0, 0, false},
-		{"unknown run after the takeover", false, false, []step{running}, reportOrphan, taskPending, 0, 0, true},
-		{"ordered, runs", false, true, []step{{0, taskmsg.RunRunning, 0}}, reportApplied, taskRunning, 0, 1, false},
-		{"ordered, never ran", false, true, []step{{0, taskmsg.RunNever, 0}}, reportAcked, taskPending, 0, 0, true},
-		{"never ran, told twice", false, true, []step{{0, taskmsg.RunNever, 0}, {0, taskmsg.RunNever, 0}}, reportAcked, taskPending, 0, 0, true},
-		{"another attempt than the ordered one", false, true, []step{running}, reportOrphan, taskRequested, 0, 1, false},
+		{"finished before the failover", true, false, []step{{old, taskmsg.RunFinished, 0}}, reportApplied, taskDone, 0, 0, false},
+		{"failed before the failover, reported twice", true, false, []step{{old, taskmsg.RunFinished, 1}, {old, taskmsg.RunFinished, 1}}, reportApplied, taskPending, 1, 0, false},
+		{"stopped before the failover", true, false, []step{{old, taskmsg.RunStopped, 0}}, reportAcked, taskPending, 0, 0, false},
+		{"running after its end was reported", true, false, []step{{old, taskmsg.RunLost, 0}, running}, reportOrphan, taskPending, 0, 0, false},
+		{"unknown run after recovery", false, false, []step{running}, reportOrphan, taskPending, 0, 0, true},
+		{"requested, runs", false, true, []step{{0, taskmsg.RunRunning, 0}}, reportApplied, taskRunning, 0, 1, false},
+		{"requested, never ran", false, true, []step{{0, taskmsg.RunNever, 0}}, reportAcked, taskPending, 0, 0, true},
+		{"never ran, reported twice", false, true, []step{{0, taskmsg.RunNever, 0}, {0, taskmsg.RunNever, 0}}, reportAcked, taskPending, 0, 0, true},
+		{"another attempt than the requested one", false, true, []step{running}, reportOrphan, taskRequested, 0, 1, false},
 		{"end of another attempt", false, true, []step{{old, taskmsg.RunLost, 0}}, reportAcked, taskRequested, 0, 1, false},
-		{"failed twice told", false, true, []step{{0, taskmsg.RunFinished, 3}, {0, taskmsg.RunFinished, 3}}, reportApplied, taskPending, 1, 0, true},
+		{"failed, reported twice", false, true, []step{{0, taskmsg.RunFinished, 3}, {0, taskmsg.RunFinished, 3}}, reportApplied, taskPending, 1, 0, true},
 		{"preempted", false, true, []step{{0, taskmsg.RunPreempted, 0}}, reportAcked, taskPending, 0, 0, true},
-		{"runs after its end", false, true, []step{{0, taskmsg.RunFinished, 0}, {0, taskmsg.RunRunning, 0}}, reportOrphan, taskDone, 0, 0, false},
+		{"reported running after its end", false, true, []step{{0, taskmsg.RunFinished, 0}, {0, taskmsg.RunRunning, 0}}, reportOrphan, taskDone, 0, 0, false},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestAcknowledgedOnlyOnceRecorded follows a finished run until the store has
-// it, and the news of a job that nobody knows.
+// TestAcknowledgedOnlyOnceRecorded checks that the end of a run is acknowledged only once it is in
+// the store, and how reports about an unknown job are handled.
 func TestAcknowledgedOnlyOnceRecorded(t *testing.T) {
 	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 2)
 	is := o.m.cfg.Source.(*cell).is
--- a/internal/job/bench_test.go
+++ b/internal/job/bench_test.go
@@ -19,7 +19,7 @@
 	"pulleyquay/internal/view"
 )
 
-// instantPeers is a Caller whose holders start and stop everything at once.
+// instantPeers is a Caller whose holders start and stop all tasks without delay.
 type instantPeers struct {
 	messages, bytes atomic.Int64
 }
@@ -47,7 +47,7 @@
 	s.bytes.Add(int64(len(b)))
 }
 
-// newBenchOwner makes a home with n holders of much room.
+// newBenchOwner returns a job owner with n holders of large capacity.
 func newBenchOwner(b *testing.B, holders int) (*jobOwner, *instantPeers) {
 	o, j := newStaticOwner(b, phaseReady, false, spec.KindBatch, 1)
 	o.remove(j)
@@ -74,7 +74,7 @@
 	return o, s
 }
 
-// fixedTable is a cell with a table that does not change.
+// fixedTable is a cell whose partition table does not change.
 type fixedTable struct {
 	*cell
 	table *view.Table
@@ -92,7 +92,7 @@
 	return j
 }
 
-// placeAll decides until nothing waits, as the loop does.
+// placeAll runs the planning of starts, as the loop does, until no job waits.
 func (o *jobOwner) placeAll(table *view.Table) {
 	for {
 		o.mu.Lock()
@@ -106,8 +106,8 @@
 	}
 }
 
-// BenchmarkStart measures the home's part in one start: decision, message and
-// the answer, for one large job and for many small ones.
+// BenchmarkStart measures the job owner's cost of one start: decision, request and reply, for one
+// large job and for many small ones.
 func BenchmarkStart(b *testing.B) {
 	for _, tasks := range []int{1, 10, 100, 10000} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// discardJob forgets a job whatever it is doing.
+// discardJob removes a job in any state.
 func (o *jobOwner) discardJob(j *job) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -142,8 +142,8 @@
 	o.remove(j)
 }
 
-// BenchmarkNews measures the end of one run: the news, the table and the group
-// of finished tasks.
+// BenchmarkNews measures the job owner's cost of the end of one run: the report, the task table and
+// the group of finished tasks.
 func BenchmarkNews(b *testing.B) {
 	o, _ := newBenchOwner(b, 13)
 	table := o.m.cfg.Source.Table()
@@ -204,8 +204,8 @@
 	}
 }
 
-// BenchmarkRound measures a decision that can start nothing, with many jobs
-// waiting: what a full cell costs.
+// BenchmarkRound measures a scheduling pass that can start nothing while many jobs wait: the cost
+// of a full cell.
 func BenchmarkRound(b *testing.B) {
 	for _, jobs := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
@@ -230,7 +230,7 @@
 	}
 }
 
-// BenchmarkMemory measures what a home keeps of a job and of a task.
+// BenchmarkMemory measures the memory that a job owner uses per job and per task.
 func BenchmarkMemory(b *testing.B) {
 	measure := func(jobs, tasks int) float64 {
 		o, _ := newBenchOwner(b, 13)
@@ -260,7 +260,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkSubmit submits jobs side by side to a store that answers in 2 ms.
+// BenchmarkSubmit submits jobs concurrently to a store that replies after 2 ms.
 func BenchmarkSubmit(b *testing.B) {
 	c := newCell(b, 1)
 	p := c.start("a")
--- a/internal/job/cell_test.go
+++ b/internal/job/cell_test.go
@@ -24,23 +24,23 @@
 )
 
 const (
-	testPartitions = 4
-	testLease      = 15 * time.Second
-	testRight      = 6 * time.Second
-	testBranch     = "lakeshore"
+	testPartitions   = 4
+	testLease        = 15 * time.Second
+	testAuthorityTTL = 6 * time.Second
+	testBranch       = "lakeshore"
 )
 
-// failoverTime is how long after a death a cell is whole again: every lease
-// that a dead holder renewed is over, and every inventory is in.
+// failoverTime is the time from the death of a process until the cell has recovered: every lease
+// that the dead holder renewed has expired, and every inventory has arrived.
 const failoverTime = testLease + 20*time.Second
 
 var testSize = spec.Resources{MilliCPU: 8000, MemoryMiB: 8000}
 
-// fakeAuthority is a hold.Right that a test moves by hand.
+// fakeAuthority is a hold.Right controlled by a test.
 type fakeAuthority struct {
 	mu     sync.Mutex
 	epochs map[int]uint64
-	until  time.Time // zero: always testRight ahead
+	until  time.Time // zero: always testAuthorityTTL from now
 }
 
 func (r *fakeAuthority) Check(p int) (hold.Grant, error) {
@@ -48,7 +48,7 @@
 	defer r.mu.Unlock()
 	until := r.until
 	if until.IsZero() {
-		until = time.Now().Add(testRight)
+		until = time.Now().Add(testAuthorityTTL)
 	}
 	switch {
 	case r.epochs[p] == 0:
@@ -71,15 +71,15 @@
 	return out
 }
 
-// expire ends all rights at once, without telling the residents.
+// expire ends the authority for all partitions at once, without notifying the residents.
 func (r *fakeAuthority) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.until = time.Now()
 }
 
-// cell is a whole cell inside a synctest bubble: a store, stand-in workers and
-// placers whose partitions a test moves by hand.
+// cell is a complete cell inside a synctest bubble: a store, simulated hosts, and placers whose
+// partitions a test assigns.
 type cell struct {
 	t      testing.TB
 	is     *is.I
@@ -92,7 +92,7 @@
 	hosts        []platform.Host
 	table        view.Table
 	values       map[string]settings.Values
-	onBranchRead func() // called once, at the next look at a branch
+	onBranchRead func() // called once, at the next read of a branch
 	muxes        peer.Local
 	placer       map[string]*placer
 	faults       []*peerFault
@@ -100,7 +100,7 @@
 	calls        map[peer.Kind]int
 }
 
-// newCell makes a cell with workers in as many racks as there are partitions.
+// newCell returns a cell with hosts in as many racks as there are partitions.
 func newCell(t testing.TB, workersPerPartition int) *cell {
 	j := judge.New()
 	c := &cell{
@@ -119,12 +119,12 @@
 			c.hosts = append(c.hosts, platform.Host{Name: name, Role: platform.RoleWorker, Addr: name, Rack: rack, Zone: zone})
 		}
 	}
-	c.bubble = time.Now().Year() == 2000 // the clock of a bubble starts there
+	c.bubble = time.Now().Year() == 2000 // the clock of a bubble starts in that year
 	t.Cleanup(c.close)
 	return c
 }
 
-// rackOf finds a rack that belongs to the partition.
+// rackOf returns a rack that belongs to the partition.
 func rackOf(partitionID int) string {
 	for i := 0; ; i++ {
 		if name := fmt.Sprintf("r%d", i); partition.OfRack(name, testPartitions) == partitionID {
@@ -133,7 +133,7 @@
 	}
 }
 
-// teamOf finds a team whose home is the partition.
+// teamOf returns a team whose home partition is the given one.
 func teamOf(partitionID int) string {
 	for i := 0; ; i++ {
 		if name := fmt.Sprintf("team%d", i); partition.OfTeam(name, testPartitions) == partitionID {
@@ -170,8 +170,8 @@
 	return v, ok
 }
 
-// onNextBranchRead calls f at the next look at a branch, which a home takes between its
-// check of the right and the orders that follow from it.
+// onNextBranchRead calls f at the next read of a branch, which a job owner does after it has
+// checked its authority and before it sends the resulting requests.
 func (c *cell) onNextBranchRead(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,7 +200,7 @@
 	return out
 }
 
-// close ends everything, so that the bubble can end.
+// close ends all processes, so that the bubble can end.
 func (c *cell) close() {
 	c.clearFaults()
 	c.mu.Lock()
@@ -213,15 +213,15 @@
 		p.kill()
 	}
 	if c.bubble {
-		time.Sleep(callsEnd) // time stands still once the test has returned
+		time.Sleep(callsEnd) // the clock stops once the test has returned
 	}
 	c.engine.Close()
 }
 
-// callsEnd is by when every call of the store has ended, answered or not.
+// callsEnd is the time after which every call to the store has ended, with or without a reply.
 const callsEnd = 15 * time.Second
 
-// assertNoViolations fails the test when the judge saw a breach.
+// assertNoViolations fails the test if the judge found a violated invariant.
 func (c *cell) assertNoViolations() {
 	c.t.Helper()
 	c.sim.Settle()
@@ -230,12 +230,12 @@
 	}
 }
 
-// restore gives lapsed rights back.
+// restore grants the expired authority again.
 func (r *fakeAuthority) restore() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.until = time.Time{}
 }
 
-// storeTime is a healthy store that takes so many milliseconds.
+// storeTime returns the faults of a working store that takes ms milliseconds per call.
 func storeTime(ms int64) memstore.Faults { return memstore.Faults{AnswerDelayMS: ms} }
--- a/internal/job/collect.go
+++ b/internal/job/collect.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Bounds of forgetting ended jobs.
+// Limits of the garbage collection of ended jobs.
 const (
 	gcInterval  = 30 * time.Second
-	gcBatchSize = 256 // records deleted in one pass
+	gcBatchSize = 256 // records deleted per pass
 )
 
-// collectGarbage deletes the records of jobs that ended more than the retention ago. An
-// identifier that old is refused when it is submitted again, so forgetting a job
-// can not make it run twice.
+// collectGarbage deletes the records of jobs that ended longer ago than the retention period.
+// Because Submit refuses identifiers of that age, a deleted job can not be submitted and run a
+// second time.
 func (o *jobOwner) collectGarbage(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// deleteRecord deletes one record and forgets the job.
+// deleteRecord deletes a job's record from the store and then removes the job from memory.
 func (o *jobOwner) deleteRecord(j *job) {
 	ctx, cancel := context.WithTimeout(o.ctx, flushTimeout)
 	defer cancel()
--- a/internal/job/commit.go
+++ b/internal/job/commit.go
@@ -8,25 +8,26 @@
 	"pulleyquay/internal/platform"
 )
 
-// errFenced means that the partition's record has changed: another holder.
-var errFenced = errors.New("job: the partition has another holder")
+// errFenced means that the partition's record has changed, so another process is the holder.
+var errFenced = errors.New("job: partition is held by another process")
 
-// conflict is returned when a record was not at the expected revision. As only
-// this home writes the records of its partition, what is found is an earlier
-// write of its own whose answer was lost.
+// conflict is returned when a record was not at the expected revision. Only this job owner writes
+// the records of its partition, so the record found is an earlier write of its own whose reply was
+// lost.
 type conflict struct {
-	// found is the present record; its Key is empty when there is none.
+	// found is the current record; its Key is empty when there is none.
 	found platform.Record
 }
 
-func (c *conflict) Error() string { return "job: record " + c.found.Key + " was written before" }
+func (c *conflict) Error() string {
+	return "job: record " + c.found.Key + " is not at the expected revision"
+}
 
-// putRecord writes a job's record, provided that it is at revision base (zero: not
-// there) and that this home still owns its partition, and returns its new
-// revision. A nil value deletes the record. It returns errFenced, a *conflict,
-// platform.ErrUnavailable (certainly not written), or another error, after which
-// the outcome is unknown. The store settles lost answers as far as ctx allows
-// and puts the writes of a process into few calls.
+// putRecord writes a job's record, provided that the record is at revision base (zero: does not
+// exist) and that this job owner still holds its partition, and returns the new revision. A nil
+// value deletes the record. It returns errFenced, a *conflict, platform.ErrUnavailable (certainly
+// not written), or another error, after which the outcome is unknown. The store resolves lost
+// replies within the time limit of ctx and groups concurrent writes of the process into few calls.
 func (o *jobOwner) putRecord(ctx context.Context, id string, base platform.Revision, value []byte) (platform.Revision, error) {
 	fence, err := o.fence()
 	if err != nil {
@@ -39,7 +40,7 @@
 	}
 	reply, err := o.m.cfg.Store.Commit(ctx, txn)
 	if errors.Is(err, platform.ErrUnavailable) {
-		reply, err = o.m.cfg.Store.Commit(ctx, txn) // a single lost request is no outage
+		reply, err = o.m.cfg.Store.Commit(ctx, txn) // retry once: a single lost request does not mean an outage
 	}
 	switch {
 	case err != nil:
@@ -51,8 +52,8 @@
 	return resolveRejectedPut(fence, k, value, reply.Found)
 }
 
-// resolveRejectedPut tells why a write was not applied; a record that holds the very
-// value, or is gone as wanted, was written by a call whose answer was lost.
+// resolveRejectedPut determines why a write was not applied. If the record already holds the value,
+// or was to be deleted and does not exist, an earlier call whose reply was lost has written it.
 func resolveRejectedPut(fence platform.Condition, k string, value []byte, records []platform.Record) (platform.Revision, error) {
 	var partitionRecord, found platform.Record
 	for _, r := range records {
--- a/internal/job/commit_test.go
+++ b/internal/job/commit_test.go
@@ -12,7 +12,8 @@
 	"pulleyquay/internal/spec"
 )
 
-// TestPut lists what a home is told of a write, and what the store holds then.
+// TestPut checks the result of a write under store faults and conflicts, and the record in the
+// store afterwards.
 func TestPut(t *testing.T) {
 	isConflict := func(err error) bool {
 		var c *conflict
@@ -39,15 +40,15 @@
 		stored string
 	}{
 		{"new", func(*cell, *placer) {}, 0, is(nil), "v"},
-		{"there already", other(k, "x"), 0, isConflict, "x"},
-		{"there already with the same value", other(k, "v"), 0, is(nil), "v"},
+		{"exists already", other(k, "x"), 0, isConflict, "x"},
+		{"exists already with the same value", other(k, "v"), 0, is(nil), "v"},
 		{"another holder", other(partitionKey(0), "b"), 0, is(errFenced), ""},
 		{"gone", func(*cell, *placer) {}, 99, isConflict, ""},
 		{"store down", faults(memstore.Faults{Refuse: true}), 0, is(platform.ErrUnavailable), ""},
-		{"answer lost", faults(memstore.Faults{LoseAnswers: 1}), 0, is(nil), "v"},
+		{"reply lost", faults(memstore.Faults{LoseAnswers: 1}), 0, is(nil), "v"},
 		{"request lost", faults(memstore.Faults{LoseRequests: 1}), 0, is(nil), "v"},
-		{"all answers lost", faults(memstore.Faults{LoseAnswers: memstore.All}), 0, is(platform.ErrUnknownOutcome), "v"},
-		{"no answer at all", faults(memstore.Faults{Hang: true}), 0, is(platform.ErrUnknownOutcome), ""},
+		{"all replies lost", faults(memstore.Faults{LoseAnswers: memstore.All}), 0, is(platform.ErrUnknownOutcome), "v"},
+		{"no reply", faults(memstore.Faults{Hang: true}), 0, is(platform.ErrUnknownOutcome), ""},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -60,7 +61,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), submitTimeout)
 				defer cancel()
 				if _, err = o.putRecord(ctx, "k", tt.base, []byte("v")); !tt.ok(err) {
-					t.Errorf("told %v", err)
+					t.Errorf("unexpected error: %v", err)
 				}
 				records, _, err := c.store.List(t.Context(), k)
 				c.is.NoErr(err)
@@ -74,8 +75,8 @@
 	}
 }
 
-// TestLateWrite lets the first try of a write arrive after a later write has
-// succeeded: it changes nothing.
+// TestLateWrite checks that a delayed first try of a write changes nothing when it arrives after a
+// later write has succeeded.
 func TestLateWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o, _ := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -9,21 +9,23 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// A worker that is lost with its runs may have been crashed by one of them. Losses are held
-// against the tasks that were there as package crashloop judges them, and are part of the
-// job's record. Those that were seen as crashes end finite work when they are enough. Those
-// that nobody saw (a worker that only fell silent, a start without an answer) make the next
-// start wait, ever longer; so does any loss of a service, which is tried for ever.
+// A host that fails with its runs may have been crashed by one of them. Package crashloop
+// attributes each host failure to the tasks that were present, and the attributions are part of the
+// job's record. Confirmed crashes fail finite work once there are enough of them. Unconfirmed ones
+// (a host that only became unresponsive, an unacknowledged start) delay the next start, longer each
+// time; so does every host failure under a service, which is restarted without limit.
 
-// baselineLossRate is how often a worker goes by itself, per second, on an ordinary day. A home
-// knows only the workers that run something of its own, too few to learn it.
+// baselineLossRate is how often a host fails spontaneously, per second, under normal conditions. A
+// job owner can not measure the rate, as it sees only the hosts that run its own tasks, which are
+// too few.
 const baselineLossRate = 280.0 / 18000 / (24 * 60 * 60)
 
-// maxCrashes bounds what is kept of one task's losses, so that a job's record does not
-// grow for as long as the job lives. The wait before a start grows no more by then.
+// maxCrashes bounds the number of crashes recorded for one task, so that the record of a long-lived
+// job does not grow without limit. The start delay has reached its maximum by then.
 const maxCrashes = 16
 
-// recordHostLoss holds a worker's loss against a task. It returns why the job ends by it, or nil.
+// recordHostLoss attributes the loss of a host to a task. It returns the error that the job fails
+// with, or nil.
 func (o *jobOwner) recordHostLoss(j *job, index int, n taskmsg.RunNews, now time.Time) *result.Error {
 	o.hostLosses.Forget(now)
 	isNew := o.hostLosses.Add(n.Worker, n.Zone, now)
@@ -44,7 +46,7 @@
 		delete(j.rec.Crashes, index)
 	}
 	if j.rec.Crashes[index].Has(c.Run) {
-		return o.updateAttribution(j, index, n) // told to an earlier home
+		return o.updateAttribution(j, index, n) // already reported to a previous job owner
 	}
 	if j.rec.Crashes == nil {
 		j.rec.Crashes = map[int]crashloop.History{}
@@ -54,8 +56,9 @@
 	return j.crashLoopError(index)
 }
 
-// updateAttribution takes in what has turned out of a run whose loss was held against its task: that it
-// was there, or that its worker has crashed under it. It returns why the job ends by it, or nil.
+// updateAttribution applies later evidence about a run whose host loss was attributed to its task:
+// that the run was present, or that it was present when the host crashed. It returns the error that
+// the job fails with, or nil.
 func (o *jobOwner) updateAttribution(j *job, index int, n taskmsg.RunNews) *result.Error {
 	history := j.rec.Crashes[index]
 	at := slices.IndexFunc(history, func(c crashloop.Crash) bool { return c.Run == n.Run.Attempt && sightOf(c) < n.Sight() })
@@ -70,8 +73,8 @@
 	return j.crashLoopError(index)
 }
 
-// crashLoopError returns why the job is given up for the crashes that were seen under a task,
-// or nil.
+// crashLoopError returns the error that the job fails with because of the confirmed crashes under a
+// task, or nil.
 func (j *job) crashLoopError(index int) *result.Error {
 	confirmed := slices.DeleteFunc(slices.Clone(j.rec.Crashes[index]), isUnconfirmed)
 	if j.isService() || confirmed.Standing() < crashloop.GivenUp {
@@ -80,7 +83,7 @@
 	return result.New(result.JobCrashesHosts, result.RanYes, "task %d: %s", index, confirmed)
 }
 
-// sightOf is what is known of the run of a crash.
+// sightOf returns the evidence recorded for a crash.
 func sightOf(c crashloop.Crash) taskmsg.Sight {
 	switch {
 	case c.Proven:
@@ -93,8 +96,8 @@
 
 func isUnconfirmed(c crashloop.Crash) bool { return c.Unsure }
 
-// trimHistory returns the history with room for one more crash: the oldest that nobody saw
-// goes, or the oldest of all.
+// trimHistory returns the history with space for one more crash. It drops the oldest unconfirmed
+// crash, or the oldest one if all are confirmed.
 func trimHistory(h crashloop.History) crashloop.History {
 	if len(h) < maxCrashes {
 		return h
@@ -103,8 +106,8 @@
 	return slices.Delete(slices.Clone(h), at, at+1)
 }
 
-// retractAttributions drops what is held against tasks for the loss of workers that, as is known now,
-// went together.
+// retractAttributions removes the crashes attributed to tasks for hosts that turn out to have
+// failed together.
 func (o *jobOwner) retractAttributions(workers []string) {
 	for _, j := range o.live {
 		for index, history := range j.rec.Crashes {
@@ -120,9 +123,9 @@
 	}
 }
 
-// crashBackoff is how long a lost task waits before its next start: what may crash its workers
-// is tried ever more slowly, a service like one that fails. Finite work waits for losses that
-// nobody saw, which end it never, but not for a single one.
+// crashBackoff is the delay before a lost task starts again. Tasks that may crash their hosts are
+// started at growing intervals; a service as after a failure. Finite work is delayed only by
+// unconfirmed losses, which never fail it, and not by a single one.
 func (j *job) crashBackoff(index int) time.Duration {
 	history := j.rec.Crashes[index]
 	if j.isService() {
@@ -137,7 +140,7 @@
 	return backoffAfter(unconfirmed - 1)
 }
 
-// backoffAfter is the wait after so many losses.
+// backoffAfter returns the delay after n losses.
 func backoffAfter(n int) time.Duration {
 	if n <= 0 {
 		return 0
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -15,13 +15,12 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// A run that is gone with its worker was replaced without an end, however many workers a
-// task took with it: only failures that a worker reports counted against the branch's
-// attempts. The home is told of each loss once, as "worker w0 is gone", and the task stood
-// among the ready ones again right after.
+// Runs lost with their host were replaced without limit, however many hosts a task crashed: only
+// failures reported by a host counted towards the branch's attempts. The job owner gets one report
+// per loss and requeues the task.
 
-// loseRepeatedly lets task 0 of a job start on one worker after the other, each of which is gone a
-// moment later, and returns how many were until the job ended, at most ten.
+// loseRepeatedly starts task 0 of a job on one host after the other, each of which fails shortly
+// after, and returns the number of losses until the job ended, at most ten.
 func loseRepeatedly(o *jobOwner, j *job, now time.Time, each func(n int) (worker, zone string)) (int, time.Time) {
 	for n := range 10 {
 		if j.ending() {
@@ -42,8 +41,8 @@
 
 func distinctWorkers(n int) (worker, zone string) { return fmt.Sprint("w", n), fmt.Sprint("z", n%3) }
 
-// TestTaskThatCrashesWorkers: a task under which three workers went is given up with its
-// job, and the record tells the next home of those before.
+// TestTaskThatCrashesWorkers checks that a job fails once three hosts failed under one of its
+// tasks, and that the record passes the earlier failures on to the next job owner.
 func TestTaskThatCrashesWorkers(t *testing.T) {
 	t.Run("batch", func(t *testing.T) {
 		is := is.New(t)
@@ -52,7 +51,7 @@
 		is.Equal(n, 3)
 		is.Equal(j.rec.Code, result.JobCrashesHosts)
 	})
-	t.Run("homes change", func(t *testing.T) {
+	t.Run("job owner changes", func(t *testing.T) {
 		is := is.New(t)
 		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
 		now, all := time.Now(), 0
@@ -70,7 +69,7 @@
 				break
 			}
 			o, _ = newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
-			o.epoch = uint64(all + 1) // which numbers of attempts begin with
+			o.epoch = uint64(all + 1) // the prefix of attempt numbers
 			j = newJob(rec)
 			j.recordConfirmed = true
 			o.add(j)
@@ -83,7 +82,7 @@
 		is := is.New(t)
 		o, j := newStaticOwner(t, phaseReady, false, spec.KindService, 1)
 		n, now := loseRepeatedly(o, j, time.Now(), distinctWorkers)
-		is.Equal(n, 10) // services are tried for ever, ever more slowly
+		is.Equal(n, 10) // services are restarted without limit, at growing intervals
 		is.True(len(j.delayed) > 0)
 		is.True(j.delayed[len(j.delayed)-1].due.Sub(now) >= 5*time.Second)
 	})
@@ -105,13 +104,12 @@
 	})
 }
 
-// A job was given up (5212) though no worker had been seen to crash under its task: three
-// starts had gone to workers that were silent already. "3 hosts crashed under it: w0 under
-// run 1 (not seen there), w1 under run 2 (not seen there), w2 under run 3 (not seen there)".
-// Doubt was added up until it was enough. It now makes the next start wait, ever longer.
+// A job was failed (5212) although no host had been observed to crash under its task: three starts
+// had gone to hosts that were already unresponsive, and the suspicion of unconfirmed losses added
+// up. Unconfirmed losses must delay the next start, longer each time, and never fail the job.
 
-// loseUnconfirmed lets task 0 be lost n times in a row without a crash that was seen, on one worker
-// after the other, and returns the waits before its next starts.
+// loseUnconfirmed loses task 0 n times in a row without a confirmed crash, on one host after the
+// other, and returns the delays of its next starts.
 func loseUnconfirmed(t *testing.T, o *jobOwner, j *job, now time.Time, n int) ([]time.Duration, time.Time) {
 	var waits []time.Duration
 	for lost := range n {
@@ -130,7 +128,7 @@
 	return waits, now
 }
 
-// nextStart is when the only waiting task of a job may start.
+// nextStart returns when the only waiting task of a job may start.
 func nextStart(j *job, now time.Time) time.Time {
 	if len(j.delayed) > 0 {
 		return j.delayed[0].due
@@ -139,18 +137,18 @@
 }
 
 func TestUnconfirmedLossesNeverFailJob(t *testing.T) {
-	t.Run("waits longer each time", func(t *testing.T) {
+	t.Run("delay grows with each loss", func(t *testing.T) {
 		is := is.New(t)
 		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
 		waits, _ := loseUnconfirmed(t, o, j, time.Now(), 40)
-		is.Equal(waits[0], time.Duration(0)) // once may be chance
+		is.Equal(waits[0], time.Duration(0)) // a single loss may be coincidence
 		is.Equal(waits[1], failureBackoffMin)
 		for i := 2; i < len(waits); i++ {
 			is.Equal(waits[i], min(2*waits[i-1], failureBackoffMax))
 		}
-		is.True(len(j.rec.Crashes[0]) <= maxCrashes) // the record does not grow for ever
+		is.True(len(j.rec.Crashes[0]) <= maxCrashes) // the record does not grow without limit
 	})
-	t.Run("beside crashes that were seen", func(t *testing.T) {
+	t.Run("mixed with confirmed crashes", func(t *testing.T) {
 		is := is.New(t)
 		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
 		_, now := loseUnconfirmed(t, o, j, time.Now(), maxCrashes)
@@ -162,11 +160,11 @@
 			now = now.Add(time.Minute)
 			o.replaceLost(now)
 		}
-		is.Equal(seen, 3) // as many as without the others
+		is.Equal(seen, 3) // as many as without the unconfirmed ones
 		is.True(!strings.Contains(j.rec.Reason, "not seen"))
 		is.True(strings.Contains(j.rec.Reason, "3 hosts"))
 	})
-	t.Run("seen later on", func(t *testing.T) {
+	t.Run("confirmed later", func(t *testing.T) {
 		is := is.New(t)
 		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
 		_, now := loseUnconfirmed(t, o, j, time.Now(), 3)
@@ -174,24 +172,24 @@
 			is.True(!j.ending())
 			news := reportOf(j, c.Run, taskmsg.RunLost, 0)
 			news.Worker, news.Zone = distinctWorkers(i)
-			o.applyReport(news, now) // another life of the worker has answered
-			o.applyReport(news, now) // told again
+			o.applyReport(news, now) // another incarnation of the host has replied
+			o.applyReport(news, now) // repeated report
 		}
 		is.Equal(j.rec.Code, result.JobCrashesHosts)
 	})
 }
 
-// A run whose start the holder had answered counted as one that an earlier home had begun:
-// only news told since when it ran, and there is none after an answer. So a crash after
-// hours was weighed as one after a second, and a service's old crashes were never forgotten,
+// A run whose start the holder had acknowledged was treated as inherited from a previous job owner,
+// because runningSince was set only by a run report and none follows an acknowledgement. So a crash
+// after hours was assessed as one after a second, and a service's old crashes were never dropped,
 // however long it ran in between.
 func TestRunTimeCountsFromStartReply(t *testing.T) {
 	cases := map[string]struct {
 		ran  time.Duration
 		kept int // losses on record
 	}{
-		"lost soon":       {crashloop.ProvenAfter - time.Second, 4},
-		"proven, as lost": {crashloop.ProvenAfter, 1},
+		"within the history reset": {crashloop.ProvenAfter - time.Second, 4},
+		"past the history reset":   {crashloop.ProvenAfter, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -208,22 +206,23 @@
 	}
 }
 
-// A run that was there once, and may have ended unheard before its worker started again, was told
-// as a crash: three of them gave a job up, whose reason said of each "there at its end".
+// A run that was present once, and may have ended unreported before its host restarted, was
+// reported as a crash: three such reports failed a job, with the reason "there at its end" for
+// each.
 //
-// TestRunsThatWereThereOnce guards against verdicts on such news: less than five on workers of
-// their own give nothing up, nor any number on one worker, until they turn out to be more.
+// TestLossesWithoutCrashEvidence checks that fewer than five such reports for different hosts do
+// not fail a job, nor any number for a single host, unless later evidence confirms the crashes.
 func TestLossesWithoutCrashEvidence(t *testing.T) {
 	for name, tc := range map[string]struct {
-		workers func(n int) (worker, zone string)
-		first   taskmsg.Sight // what is told of each at first
-		delayed taskmsg.Sight // what is told of each in the end
-		most    int           // losses until the job is given up; zero for never
+		workers   func(n int) (worker, zone string)
+		first     taskmsg.Sight // evidence reported first
+		delayed   taskmsg.Sight // evidence reported last
+		maxLosses int           // losses until the job fails; zero for never
 	}{
-		"told at once":                {workers: distinctWorkers, first: taskmsg.SightThere, delayed: taskmsg.SightThere, most: 5},
-		"each on a worker of its own": {workers: distinctWorkers, delayed: taskmsg.SightThere, most: 5},
-		"all on one worker":           {workers: func(int) (string, string) { return "w", "z" }, delayed: taskmsg.SightThere},
-		"proven later":                {workers: distinctWorkers, delayed: taskmsg.SightCrash, most: 3},
+		"reported at once":         {workers: distinctWorkers, first: taskmsg.SightThere, delayed: taskmsg.SightThere, maxLosses: 5},
+		"each on a different host": {workers: distinctWorkers, delayed: taskmsg.SightThere, maxLosses: 5},
+		"all on one host":          {workers: func(int) (string, string) { return "w", "z" }, delayed: taskmsg.SightThere},
+		"crash confirmed later":    {workers: distinctWorkers, delayed: taskmsg.SightCrash, maxLosses: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -240,9 +239,9 @@
 				j.ready, j.delayed = nil, nil
 				o.replaceLost(now)
 			}
-			is.Equal(j.ending(), tc.most > 0)
-			if tc.most > 0 {
-				is.Equal(lost, tc.most)
+			is.Equal(j.ending(), tc.maxLosses > 0)
+			if tc.maxLosses > 0 {
+				is.Equal(lost, tc.maxLosses)
 				is.Equal(strings.Contains(j.rec.Reason, crashloop.HowProven), tc.delayed == taskmsg.SightCrash)
 			}
 		})
--- a/internal/job/decision.go
+++ b/internal/job/decision.go
@@ -6,11 +6,11 @@
 	"pulleyquay/internal/jobmsg"
 )
 
-// maxDecisions bounds what a job remembers of the decisions about it.
+// maxDecisions bounds the decisions kept per job.
 const maxDecisions = 32
 
-// decisionLog holds the latest decisions about a job; the same one in a row is
-// only counted.
+// decisionLog holds the latest decisions about a job. Consecutive equal decisions are one entry
+// with a count.
 type decisionLog struct {
 	entries []jobmsg.Decision
 }
--- a/internal/job/explain.go
+++ b/internal/job/explain.go
@@ -6,7 +6,7 @@
 	"pulleyquay/internal/jobmsg"
 )
 
-// explain tells where a job runs and what it waits for, from the home's record.
+// explain reports where a job runs and what it waits for, as recorded by the job owner.
 func (o *jobOwner) explain(j *job) *jobmsg.Explanation {
 	e := &jobmsg.Explanation{
 		Sites:     j.visiblePlacements(),
@@ -33,7 +33,7 @@
 	return e
 }
 
-// waitReason describes what a holder's last answer leaves the job waiting for.
+// waitReason describes what the job waits for according to a holder's last reply.
 func (m *holderReply) waitReason(name string, tasks int) (jobmsg.Wait, bool) {
 	switch {
 	case m.err != nil:
@@ -44,7 +44,7 @@
 	return jobmsg.Wait{}, false
 }
 
-// visiblePlacements lists the sites unless the job is a gang that does not run whole.
+// visiblePlacements lists the placements; for a gang that does not run completely it lists none.
 func (j *job) visiblePlacements() []jobmsg.Site {
 	if j.isGang() && !j.gang.is(gangRunning) {
 		return []jobmsg.Site{}
@@ -52,7 +52,7 @@
 	return j.placements()
 }
 
-// placements lists the workers that run tasks of the job.
+// placements lists the hosts that run tasks of the job.
 func (j *job) placements() []jobmsg.Site {
 	byWorker := map[string]*jobmsg.Site{}
 	for i := range j.tasks {
--- a/internal/job/failures_test.go
+++ b/internal/job/failures_test.go
@@ -11,11 +11,11 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// A job was given up one failure early after its home had moved. The home had counted a
-// failed run and written it; the worker's holder had not heard so yet, and told the next
-// home of the same run: "a task ended with a failure on worker w", once at each home.
+// A job was failed one failure early after a failover. The previous job owner had counted and
+// recorded a failed run but had not yet acknowledged it to the host's holder, which reported it
+// again to the next job owner, so it was counted twice.
 
-// nextOwner gives what the store has of a job to a home that takes over.
+// nextOwner passes a job's record on to a job owner that acquires the partition.
 func nextOwner(t *testing.T, of *jobOwner, j *job) (*jobOwner, *job) {
 	t.Helper()
 	stored, err := encodeRecord(j.rec)
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	o, _ := newStaticOwner(t, phaseReconciling, true, spec.KindBatch, 1)
-	o.epoch = of.epoch + 1 // which numbers of attempts begin with
+	o.epoch = of.epoch + 1 // the prefix of attempt numbers
 	next := newJob(rec)
 	next.recordConfirmed, next.inherited = true, true
 	o.add(next)
@@ -57,9 +57,9 @@
 	is.Equal(j.rec.Failures[0], 2)
 }
 
-// A gang whose members broke off, as one of them had ended, was stopped as faulty after its
-// first run: each member's failure counted on a worker of its own, "failed on 3 different
-// workers within 10m0s". One run of a gang fails once.
+// A gang whose members exited because one of them had ended was failed after its first run: each
+// member's failure was counted for a different host ("failed on 3 different workers within 10m0s").
+// A run of a gang must count as one failure.
 func TestGangRunFailsOnce(t *testing.T) {
 	const members = 5
 	start := func(o *jobOwner, j *job) []taskmsg.RunNews {
@@ -83,7 +83,7 @@
 		}
 		return n
 	}
-	t.Run("one home", func(t *testing.T) {
+	t.Run("one job owner", func(t *testing.T) {
 		is := is.New(t)
 		o, j := newStaticOwner(t, phaseReady, false, spec.KindGang, members)
 		for run := 1; run <= 2; run++ {
@@ -96,7 +96,7 @@
 			is.True(j.gang.is(gangIdle))
 		}
 	})
-	t.Run("homes change", func(t *testing.T) {
+	t.Run("job owner changes", func(t *testing.T) {
 		is := is.New(t)
 		o, j := newStaticOwner(t, phaseReady, false, spec.KindGang, members)
 		failed := start(o, j)
@@ -108,7 +108,7 @@
 		is.Equal(failures(j), 1)
 		is.True(!j.ending())
 	})
-	t.Run("told to the next home first", func(t *testing.T) {
+	t.Run("reported to the next job owner first", func(t *testing.T) {
 		is := is.New(t)
 		o, j := newStaticOwner(t, phaseReady, false, spec.KindGang, members)
 		failed := start(o, j)
--- a/internal/job/faults_test.go
+++ b/internal/job/faults_test.go
@@ -12,7 +12,8 @@
 	"pulleyquay/internal/spec"
 )
 
-// twoPlacers starts a cell whose homes 0 and 1 are at a, 2 and 3 at b.
+// twoPlacers starts a cell with placers a, which holds partitions 0 and 1, and b, which holds 2 and
+// 3.
 func twoPlacers(t *testing.T, workers int) (c *cell, a, b *placer) {
 	c = newCell(t, workers)
 	a, b = c.start("a"), c.start("b")
@@ -22,19 +23,19 @@
 	return c, a, b
 }
 
-// TestOwnerLost kills the home of a job at each point of the job's life; the next
-// home finishes it, nothing runs in two places and nothing accepted is lost.
+// TestOwnerLost kills the owner of a job at each stage of the job. The next job owner must finish
+// the job, no task may run twice at a time and no accepted job may be lost.
 func TestOwnerLost(t *testing.T) {
 	const tasks = 20
 	cases := []struct {
 		name string
-		// until brings the job to the point of the death.
-		until func(c *cell, a *placer)
-		// most is how many starts there may be at most.
-		most int
+		// prepare brings the job to the stage at which its owner is killed.
+		prepare func(c *cell, a *placer)
+		// maxStarts bounds the number of starts.
+		maxStarts int
 	}{
-		{"right after the answer to submit", func(*cell, *placer) {}, 2 * tasks},
-		{"while starts are under way", func(c *cell, _ *placer) {
+		{"right after the reply to submit", func(*cell, *placer) {}, 2 * tasks},
+		{"while starts are in flight", func(c *cell, _ *placer) {
 			c.addFault(&peerFault{from: "a", kind: peer.KindPlace, times: -1, after: true})
 			time.Sleep(10 * time.Millisecond)
 		}, 2 * tasks},
@@ -52,21 +53,21 @@
 				job := batch(0, tasks, 5*time.Second)
 				_, err := a.submit(job)
 				c.is.NoErr(err)
-				tt.until(c, a)
+				tt.prepare(c, a)
 				a.kill()
 				c.clearFaults()
-				time.Sleep(3 * time.Second) // the store's lease of a's membership
+				time.Sleep(3 * time.Second) // the store's lease on a's membership
 				b.acquire(0, 1)
 				s := b.await(job.ID, jobmsg.StateFinished, failoverTime+30*time.Second)
 				c.is.Equal(s.Counts.Finished, tasks)
 				c.assertNoViolations()
-				c.is.True(c.judge.Starts() <= tt.most)
+				c.is.True(c.judge.Starts() <= tt.maxStarts)
 			})
 		})
 	}
 }
 
-// TestWorkersHolderLost kills the holder of most workers; the home lives.
+// TestWorkersHolderLost kills the holder of most hosts while the job owner survives.
 func TestWorkersHolderLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
@@ -83,14 +84,14 @@
 	})
 }
 
-// TestPausedOwner lets a home stand still in the middle of its orders, be
-// succeeded, and go on: what it still sends is refused by the holders, and the
-// job is run by the new home alone.
+// TestPausedOwner pauses a job owner while its requests are in flight, until another one has
+// acquired the partition, and resumes it. The holders must refuse its late requests, and only the
+// new job owner runs the job.
 func TestPausedOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 4)
 		for _, kind := range []peer.Kind{peer.KindPlace, peer.KindStopTasks, peer.KindInventory} {
-			c.addFault(&peerFault{from: "a", kind: kind, times: -1, hold: make(chan struct{})})
+			c.addFault(&peerFault{from: "a", kind: kind, times: -1, blockUntil: make(chan struct{})})
 		}
 		job := batch(0, 20, 5*time.Second)
 		_, err := a.submit(job)
@@ -99,26 +100,26 @@
 		a.authority.expire()
 		b.acquire(0, 1)
 		b.await(job.ID, jobmsg.StateFinished, failoverTime+30*time.Second)
-		c.clearFaults() // a's held messages arrive now
+		c.clearFaults() // a's blocked messages arrive now
 		time.Sleep(30 * time.Second)
 		c.assertNoViolations()
 		c.is.Equal(c.judge.Starts(), 20)
 	})
 }
 
-// TestLostMessages loses messages between home and holders.
+// TestLostMessages loses messages between the job owner and the holders.
 func TestLostMessages(t *testing.T) {
 	cases := []struct {
 		name string
 		f    peerFault
 	}{
 		{"starts not sent", peerFault{kind: peer.KindPlace, times: 5}},
-		{"answers to starts", peerFault{kind: peer.KindPlace, times: 5, after: true}},
-		{"all answers to starts for a while", peerFault{kind: peer.KindPlace, times: 50, after: true}},
-		{"news not sent", peerFault{kind: peer.KindTaskNews, times: 10}},
-		{"answers to news", peerFault{kind: peer.KindTaskNews, times: 10, after: true}},
+		{"replies to starts", peerFault{kind: peer.KindPlace, times: 5, after: true}},
+		{"all replies to starts for a while", peerFault{kind: peer.KindPlace, times: 50, after: true}},
+		{"run reports not sent", peerFault{kind: peer.KindTaskNews, times: 10}},
+		{"replies to run reports", peerFault{kind: peer.KindTaskNews, times: 10, after: true}},
 		{"inventories", peerFault{kind: peer.KindInventory, times: 10}},
-		{"answers to stops", peerFault{kind: peer.KindStopTasks, times: 5, after: true}},
+		{"replies to stops", peerFault{kind: peer.KindStopTasks, times: 5, after: true}},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -136,22 +137,22 @@
 	}
 }
 
-// TestSubmitUnderStoreFaults checks what a submitter is told, and that a job
-// told as accepted, or as unknown, runs exactly once.
+// TestSubmitUnderStoreFaults checks the reply to a submitter, and that a job whose reply was
+// "accepted" or "unknown" runs exactly once.
 func TestSubmitUnderStoreFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults memstore.Faults
 		code   result.Code // zero: accepted
 		ran    result.Ran
-		kept   bool // the job runs although the submitter was told otherwise
+		kept   bool // the job runs although the submitter got an error
 	}{
-		{"answer lost", memstore.Faults{LoseAnswers: 1}, 0, "", true},
+		{"reply lost", memstore.Faults{LoseAnswers: 1}, 0, "", true},
 		{"request lost", memstore.Faults{LoseRequests: 1}, 0, "", true},
-		{"three answers lost", memstore.Faults{LoseAnswers: 3}, 0, "", true},
+		{"three replies lost", memstore.Faults{LoseAnswers: 3}, 0, "", true},
 		{"slow", memstore.Faults{RequestDelayMS: 500, AnswerDelayMS: 500}, 0, "", true},
 		{"down", memstore.Faults{Refuse: true}, result.JobNotRecorded, result.RanNo, false},
-		{"all answers lost", memstore.Faults{LoseAnswers: memstore.All}, result.JobRecordUnknown, result.RanUnknown, true},
+		{"all replies lost", memstore.Faults{LoseAnswers: memstore.All}, result.JobRecordUnknown, result.RanUnknown, true},
 		{"silent", memstore.Faults{Hang: true}, result.JobRecordUnknown, result.RanUnknown, true},
 		{"arrives after the caller gave up", memstore.Faults{RequestDelayMS: 9000}, result.JobRecordUnknown, result.RanUnknown, true},
 	}
@@ -159,7 +160,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, a, _ := twoPlacers(t, 2)
-				_, err := a.submit(batch(0, 1, time.Second)) // the store's client has its marker then
+				_, err := a.submit(batch(0, 1, time.Second)) // after this write the store's client has its marker
 				c.is.NoErr(err)
 				a.store.SetFaults(tt.faults)
 				job := batch(0, 4, time.Second)
@@ -176,7 +177,7 @@
 				_, err = a.get(job.ID)
 				c.is.Equal(err == nil, tt.kept)
 				_, err = a.submit(job)
-				c.is.NoErr(err) // again, with the same identifier
+				c.is.NoErr(err) // retry with the same identifier
 				a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
 				c.is.Equal(c.judge.Starts(), 5)
 				c.assertNoViolations()
@@ -185,7 +186,7 @@
 	}
 }
 
-// TestStoreOutage lets the store fail for long while accepted jobs go on.
+// TestStoreOutage checks that accepted jobs continue during a long outage of the store.
 func TestStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
@@ -208,8 +209,8 @@
 	})
 }
 
-// TestStaleListing shows that a takeover does not trust a store that answers
-// from before its claim.
+// TestStaleListing checks that a failover does not use a list from the store that is older than its
+// claim.
 func TestStaleListing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
@@ -228,9 +229,8 @@
 	})
 }
 
-// TestPreviousOwnerCannotRecord lets a home accept a job with a write that arrives at
-// the store after the home was succeeded: the submitter is not told that it was
-// accepted, and no home runs it.
+// TestPreviousOwnerCannotRecord delays the first write of a job until another process has acquired
+// the partition. The submitter must not get a success, and no job owner may run the job.
 func TestPreviousOwnerCannotRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
@@ -252,8 +252,8 @@
 	})
 }
 
-// TestCancelSurvivesFailover kills the home after a cancellation was recorded
-// and before any stop was sent.
+// TestCancelSurvivesFailover kills the job owner after a cancellation was recorded and before any
+// stop was sent.
 func TestCancelSurvivesFailover(t *testing.T) {
 	for _, make := range []func(int, int, time.Duration) spec.Job{
 		batch, func(home, tasks int, _ time.Duration) spec.Job { return service(home, tasks) },
@@ -277,7 +277,7 @@
 	}
 }
 
-// TestCancel ends a job in each state.
+// TestCancel cancels a job in each of its states.
 func TestCancel(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -285,7 +285,7 @@
 		fault *peerFault
 	}{
 		{"before its tasks start", 0, &peerFault{kind: peer.KindPlace, times: -1}},
-		{"while starts are in doubt", 500 * time.Millisecond, &peerFault{kind: peer.KindPlace, times: -1, after: true}},
+		{"while starts are unacknowledged", 500 * time.Millisecond, &peerFault{kind: peer.KindPlace, times: -1, after: true}},
 		{"while it runs", 3 * time.Second, nil},
 		{"while stops are lost", 3 * time.Second, &peerFault{kind: peer.KindStopTasks, times: 4}},
 	}
--- a/internal/job/fits.go
+++ b/internal/job/fits.go
@@ -10,9 +10,8 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// machineTypes returns the distinct makes of workers that the live members report;
-// complete is false when a member has not reported, so that nothing can be said
-// to be impossible.
+// machineTypes returns the distinct machine types of the hosts that the live members report. If a
+// member has not reported, complete is false and no job can be called infeasible.
 func (m *Manager) machineTypes() (machineTypes []taskmsg.Size, complete bool) {
 	table := m.cfg.Source.Table()
 	if table == nil || len(table.Members) == 0 {
@@ -31,8 +30,8 @@
 	return machineTypes, complete
 }
 
-// checkFits refuses a job whose task no worker could hold even if it were empty,
-// or a gang that all workers together could not.
+// checkFits refuses a job whose task fits no host even if that is empty, or a gang that exceeds the
+// capacity of all empty hosts together.
 func checkFits(j spec.Job, sizes []taskmsg.Size, complete bool) error {
 	if !complete || len(sizes) == 0 {
 		return nil
@@ -54,7 +53,7 @@
 	return nil
 }
 
-// unmetRequirements names what a make of worker lacks for a task.
+// unmetRequirements lists the requirements of a task that a machine type does not meet.
 func unmetRequirements(t spec.Task, s taskmsg.Size) []string {
 	var out []string
 	check := func(rule string, lacks bool) {
@@ -71,7 +70,7 @@
 	return out
 }
 
-// fitsMachine reports whether a make of worker could hold a task, if empty.
+// fitsMachine reports whether a task fits an empty host of a machine type.
 func fitsMachine(t spec.Task, s taskmsg.Size) bool {
 	return t.Size.Fits(s.Size) && t.MinGeneration <= s.Generation && hasLabels(t.Labels, s.Labels) &&
 		(t.Size.Accelerators == 0 || t.AcceleratorKind == "" || t.AcceleratorKind == s.AcceleratorKind)
@@ -86,8 +85,8 @@
 	return true
 }
 
-// explainInfeasible gives, for each resource or rule that turns down some worker, the
-// need against the best there is.
+// explainInfeasible states, for each resource or rule that excludes hosts, what the task needs and
+// the maximum available.
 func explainInfeasible(t spec.Task, sizes []taskmsg.Size) string {
 	largest := spec.Resources{}
 	generation, workers := 0, 0
@@ -120,7 +119,7 @@
 	return fmt.Sprintf("none of %d workers could hold a task even empty: %s", workers, strings.Join(parts, "; "))
 }
 
-// maxFits returns how often need fits into room.
+// maxFits returns how many times need fits into capacity.
 func maxFits(need, capacity spec.Resources) int64 {
 	n := int64(maxTasks)
 	for _, c := range [][2]int64{{need.MilliCPU, capacity.MilliCPU}, {need.MemoryMiB, capacity.MemoryMiB}, {need.Accelerators, capacity.Accelerators}} {
--- a/internal/job/flush.go
+++ b/internal/job/flush.go
@@ -9,18 +9,19 @@
 	"pulleyquay/internal/platform"
 )
 
-// Times of writing progress. Ends and cancellations are written at once.
+// Timing of writes of progress. Ends and cancellations are written at once.
 const (
 	progressInterval  = time.Second
 	flushBackoffMax   = 10 * time.Second
 	flushTimeout      = 5 * time.Second
-	maxWritesInFlight = 256 // records under way to the store at a time
+	maxWritesInFlight = 256 // concurrent record writes to the store
 )
 
-// errStaleList means that the store answered from before the home's claim.
-var errStaleList = errors.New("job: the store's answer is older than the claim")
+// errStaleList means that the store replied with data older than this job owner's claim of the
+// partition.
+var errStaleList = errors.New("job: store reply is older than the claim of the partition")
 
-// flushChanged sends the records of changed jobs to the store when it is time.
+// flushChanged starts the due writes of changed job records.
 func (o *jobOwner) flushChanged(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -47,14 +48,14 @@
 	}
 }
 
-// startWrite sends one record to the store in the background.
+// startWrite writes one record to the store in the background.
 func (o *jobOwner) startWrite(j *job) bool {
 	if !j.dirty || j.flushing {
 		return false
 	}
 	value, err := encodeRecord(j.rec)
 	if err != nil {
-		o.log.WithError(err).WithField("job", j.id()).Error("job record can not be encoded")
+		o.log.WithError(err).WithField("job", j.id()).Error("failed to encode job record")
 		return false
 	}
 	j.flushing = true
@@ -64,13 +65,13 @@
 	return true
 }
 
-// pendingWrite is one record on its way to the store.
+// pendingWrite is one write of a record in progress.
 type pendingWrite struct {
 	job       *job
 	version   uint64
 	base      platform.Revision
 	value     []byte
-	doneTasks bitmap // the finished tasks that value says
+	doneTasks bitmap // the finished tasks as encoded in value
 }
 
 func (o *jobOwner) flushRecord(w pendingWrite) {
@@ -102,8 +103,8 @@
 		}
 		o.freeTaskTable(j)
 	case errors.As(err, &earlier):
-		// Only this home writes the partition's records, so what is there is an
-		// earlier write of its own whose answer was lost: write on top of it.
+		// Only this job owner writes the partition's records, so the record found is an earlier
+		// write of its own whose reply was lost. The next write is based on its revision.
 		j.revision, j.recordConfirmed = earlier.found.ModRevision, true
 		o.recoverUpdate(j, earlier.found)
 	default:
@@ -111,21 +112,21 @@
 	}
 }
 
-// delayWrites makes the next writes wait, longer after each failure.
+// delayWrites delays the next writes, longer after each failure.
 func (o *jobOwner) delayWrites(now time.Time) {
 	backoff := min(max(2*o.flushBackoff, progressInterval), flushBackoffMax)
 	o.flushBackoff = backoff
 	o.nextFlush = now.Add(backoff/2 + rand.N(backoff/2+1))
 }
 
-// freeTaskTable frees the task table of a job whose end is recorded.
+// freeTaskTable frees the task table of a job whose end is recorded in the store.
 func (o *jobOwner) freeTaskTable(j *job) {
 	if j.rec.State.Final() && !j.dirty {
 		j.tasks, j.ready, j.delayed = nil, nil, nil
 	}
 }
 
-// flushAll writes every changed record and waits for it, until ctx ends.
+// flushAll writes every changed record and waits for the writes, until ctx ends.
 func (o *jobOwner) flushAll(ctx context.Context) {
 	for ctx.Err() == nil && o.ctx.Err() == nil {
 		o.mu.Lock()
--- a/internal/job/gang.go
+++ b/internal/job/gang.go
@@ -14,13 +14,13 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// The states of a gang. Only in gangUp do callers see it run.
+// The states of a gang. Callers see it as running only in gangRunning.
 const (
-	gangIdle     = "idle"     // nothing of it runs or is reserved
-	gangHolding  = "holding"  // holders reserve room, nothing is started
-	gangStarting = "starting" // every part is reserved and ordered to start
-	gangRunning  = "up"       // every task left runs
-	gangStopping = "breaking" // what runs is being stopped
+	gangIdle     = "idle"     // no task runs and nothing is reserved
+	gangHolding  = "holding"  // holders reserve capacity, nothing is started
+	gangStarting = "starting" // all tasks are reserved and ordered to start
+	gangRunning  = "up"       // all unfinished tasks run
+	gangStopping = "breaking" // the running tasks are being stopped
 )
 
 // The events of a gang.
@@ -33,16 +33,17 @@
 	gangEventStopped  = "gone"
 )
 
-// Times of holding room for a gang.
+// Timing of gang reservations.
 const (
 	gangReservationTTL = 10 * time.Second
-	// gangStartMargin is how much of the shortest hold must be left at the start.
+	// gangStartMargin is how much of the shortest reservation must remain at the start.
 	gangStartMargin = 3 * time.Second
-	// gangAgedAfter is the wait after which a gang keeps the room that it got
-	// while it waits for the rest, gangGatherTime at a time.
+	// gangAgedAfter is the waiting time after which a gang keeps partial reservations while it
+	// waits for the rest, for up to gangGatherTimeout at a time.
 	gangAgedAfter     = time.Minute
 	gangGatherTimeout = 20 * time.Second
-	// A gang that gathered in vain does so again after a wait that doubles.
+	// A gang that did not gather all reservations in time does so again after an interval that
+	// doubles.
 	gangGatherInterval    = time.Minute
 	gangGatherIntervalMax = 16 * time.Minute
 	gangGatherPoll        = 100 * time.Millisecond
@@ -50,18 +51,18 @@
 	gangCallTimeout       = 5 * time.Second
 )
 
-// gang is the part of a job that only gangs have.
+// gang is the state that only gang jobs have.
 type gang struct {
-	state       string // "" counts as idle
-	failures    int    // of tries in a row
+	state       string // "" counts as gangIdle
+	failures    int    // consecutive failed tries
 	notBefore   time.Time
-	gatherCount int       // tries that kept room while they waited for more
-	nextGather  time.Time // earliest next one
+	gatherCount int       // tries that kept partial reservations while waiting for more
+	nextGather  time.Time // earliest next such try
 }
 
 func (g *gang) is(state string) bool { return g.state == state || (g.state == "" && state == gangIdle) }
 
-// newGangMachine returns the state machine that all gangs of a home share.
+// newGangMachine returns the state machine shared by all gangs of a job owner.
 func newGangMachine() *fsm.FSM {
 	return fsm.NewFSM(gangIdle, fsm.Events{
 		{Name: gangEventHold, Src: []string{gangIdle}, Dst: gangHolding},
@@ -73,8 +74,8 @@
 	}, nil)
 }
 
-// fireGangEvent passes an event to the machine in the gang's state and reports
-// whether the state changed.
+// fireGangEvent sends an event to the state machine in the gang's state and reports whether the
+// state changed.
 func (o *jobOwner) fireGangEvent(j *job, event string) bool {
 	if j.gang.state == "" {
 		j.gang.state = gangIdle
@@ -87,8 +88,8 @@
 	return true
 }
 
-// planGang reserves the quota of all tasks left and lets the gang try to hold
-// room for them.
+// planGang reserves the quota of all unfinished tasks and starts a try to reserve capacity for
+// them.
 func (o *jobOwner) planGang(j *job, values settings.Values, m *passState) {
 	now := m.now
 	if !j.gang.is(gangIdle) || j.active > 0 {
@@ -116,9 +117,9 @@
 	o.background.Go(try.run)
 }
 
-// gangLikelyFits reports whether the digests leave room for all tasks of a gang. As
-// they are hints, a try goes ahead now and then whatever they say, and always
-// once the gang has aged.
+// gangLikelyFits reports whether the digests show enough free capacity for all tasks of a gang. As
+// digests are only hints, a try is made at intervals whatever they show, and always once the gang
+// has aged.
 func (o *jobOwner) gangLikelyFits(j *job, n int, holders []holder, now time.Time) bool {
 	freeSlots := 0
 	for _, target := range holders {
@@ -133,9 +134,9 @@
 	return false
 }
 
-// beginGather reports whether a gang has waited so long that holders are to keep
-// room for it. As this holds other work up, it is bounded to gangGatherTime, and
-// a gang that did so in vain waits longer each time.
+// beginGather reports whether a gang has waited so long that holders may keep capacity reserved for
+// it. As that delays other work, it is limited to gangGatherTimeout, and the interval until the
+// next such try grows each time.
 func (j *job) beginGather(now time.Time) bool {
 	g := &j.gang
 	if now.Sub(j.waitingSince) < gangAgedAfter || now.Before(g.nextGather) {
@@ -146,7 +147,7 @@
 	return true
 }
 
-// orderHolders returns the holders in the one order in which all gangs ask.
+// orderHolders returns the holders in the fixed order in which all gangs send their requests.
 func orderHolders(holders []holder) []holder {
 	byName := map[string]holder{}
 	names := make([]string, 0, len(holders))
@@ -161,7 +162,8 @@
 	return out
 }
 
-// updateGangRunning notes that one more task of a gang runs; with the last one it is up.
+// updateGangRunning is called when one more task of a gang runs. With the last one the gang is
+// running.
 func (o *jobOwner) updateGangRunning(j *job) {
 	if j.gang.is(gangRunning) || j.running+j.done < len(j.tasks) || o.recovering(j) {
 		return
@@ -173,7 +175,7 @@
 	}
 }
 
-// stopGang stops what runs of a gang, so that it can be started as a whole.
+// stopGang stops the running tasks of a gang, so that it can be started as a whole.
 func (o *jobOwner) stopGang(j *job, why string, now time.Time) {
 	if j.gang.is(gangHolding) || j.ending() || !o.fireGangEvent(j, gangEventStop) {
 		return
@@ -185,7 +187,7 @@
 	o.finishGangStop(j, now)
 }
 
-// finishGangStop lets a broken gang try again once nothing of it runs.
+// finishGangStop lets a stopped gang be started again once none of its tasks runs.
 func (o *jobOwner) finishGangStop(j *job, now time.Time) {
 	if j.active > 0 || !o.fireGangEvent(j, gangEventStopped) {
 		return
@@ -195,15 +197,15 @@
 	o.scheduleGangRetry(j, now)
 }
 
-// replacesGangTasks reports whether a task that a running gang lost is started
-// again by itself, as its branch may say.
+// replacesGangTasks reports whether a lost task of a running gang is restarted individually, a
+// setting of the branch.
 func (o *jobOwner) replacesGangTasks(j *job) bool {
 	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
 	return j.gang.is(gangRunning) && values.Task.GangLoss == settings.GangReplace
 }
 
-// failGangOnLoss applies the branch's rule for a task that a running gang lost; it
-// reports whether the job ends.
+// failGangOnLoss applies the branch's rule for a lost task of a running gang; it reports whether
+// the job ends.
 func (o *jobOwner) failGangOnLoss(j *job, why string, now time.Time) bool {
 	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
 	if !j.isGang() || !j.gang.is(gangRunning) || values.Task.GangLoss != settings.GangFail {
@@ -213,8 +215,8 @@
 	return true
 }
 
-// recoverGang decides about a gang after a takeover: it is up when all tasks
-// left run, and broken up when only some do.
+// recoverGang decides about a gang after a failover: the gang is running if all unfinished tasks
+// run, and is stopped if only some do.
 func (o *jobOwner) recoverGang(j *job, now time.Time) {
 	j.ready, j.delayed = nil, nil
 	if j.active == 0 {
@@ -227,7 +229,7 @@
 	}
 }
 
-// scheduleGangRetry makes a gang wait before its next try.
+// scheduleGangRetry delays a gang's next try.
 func (o *jobOwner) scheduleGangRetry(j *job, now time.Time) {
 	j.gang.failures++
 	j.gang.notBefore = now.Add(fairshare.GangBackoff(j.id(), j.gang.failures, now.Sub(j.waitingSince), gangAgedAfter))
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -14,7 +14,7 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// gangJob makes a gang of tasks of 1000 mCPU for the team of a partition.
+// gangJob returns a gang of tasks of 1000 mCPU for the team of a partition.
 func gangJob(c *cell, partitionID, tasks int, run time.Duration) spec.Job {
 	j := batch(partitionID, tasks, run)
 	j.Kind = spec.KindGang
@@ -22,21 +22,21 @@
 	return j
 }
 
-// assertNeverPartial fails the test when a caller sees a gang run in part.
-func assertNeverPartial(c *cell, p *placer, id string, tasks int, atMost time.Duration) {
+// assertNeverPartial fails the test if a caller sees a gang run partially.
+func assertNeverPartial(c *cell, p *placer, id string, tasks int, duration time.Duration) {
 	c.t.Helper()
-	for deadline := time.Now().Add(atMost); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		s, err := p.get(id)
 		if err != nil || s.State.Final() {
 			continue
 		}
 		if n := s.Counts.Running; n > 0 && n+s.Counts.Finished < tasks && s.Counts.Waiting > 0 {
-			c.t.Fatalf("%d of %d tasks seen running: %+v", n, tasks, s)
+			c.t.Fatalf("gang runs partially, %d of %d tasks: %+v", n, tasks, s)
 		}
 	}
 }
 
-// TestGangAcrossHolders starts a gang larger than any one holder's workers.
+// TestGangAcrossHolders starts a gang that exceeds the capacity of a single holder's hosts.
 func TestGangAcrossHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 1) // 32 slots in all, 16 at each holder
@@ -51,8 +51,8 @@
 	})
 }
 
-// TestGangWaitsWhole lets a gang wait for room that other work takes, while
-// nothing of it starts.
+// TestGangWaitsWhole checks that no task of a gang starts while other work uses the capacity that
+// the gang needs.
 func TestGangWaitsWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 1)
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestGangsSideBySide submits gangs of different homes that each need more than
-// half of the cell at the same moment: all of them end.
+// TestGangsSideBySide submits gangs of different job owners at the same time, each of which needs
+// more than half of the cell. All of them must finish.
 func TestGangsSideBySide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 1)
@@ -93,14 +93,14 @@
 	})
 }
 
-// TestAgedGangGathers shows that a gang which has waited long gets its room
-// although smaller work keeps coming.
+// TestAgedGangGathers checks that a gang that has waited long gets its capacity although smaller
+// jobs keep arriving.
 func TestAgedGangGathers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 1)
 		stop := make(chan struct{})
 		done := make(chan struct{})
-		go func() { // a stream of small jobs that would fill the cell for ever
+		go func() { // a stream of small jobs that would always fill the cell
 			defer close(done)
 			for {
 				_, _ = b.submit(batch(2, 8, 4*time.Second))
@@ -122,22 +122,22 @@
 	})
 }
 
-// TestGangFaults breaks each step of a gang's start and of its life; the gang
-// ends whole in the end, and is never seen in part.
+// TestGangFaults injects a fault into each step of a gang's start and run. The gang must finish,
+// and callers must never see it run partially.
 func TestGangFaults(t *testing.T) {
-	const tasks = 40 // more than one of the two holders has room for
+	const tasks = 40 // more than the capacity of one of the two holders
 	cases := []struct {
 		name    string
 		fault   *peerFault
 		disturb func(c *cell, a, b *placer)
-		broken  float64 // tries that were broken up after a start
+		broken  float64 // tries stopped after a start
 	}{
-		{"a hold is not sent", &peerFault{to: "b", kind: peer.KindGangHold, times: 1}, nil, 0},
-		{"the answer to a hold is lost", &peerFault{to: "b", kind: peer.KindGangHold, times: 2, after: true}, nil, 0},
+		{"a reservation request is not sent", &peerFault{to: "b", kind: peer.KindGangHold, times: 1}, nil, 0},
+		{"the reply to a reservation request is lost", &peerFault{to: "b", kind: peer.KindGangHold, times: 2, after: true}, nil, 0},
 		{"a start is not sent", &peerFault{to: "b", kind: peer.KindGangEnd, times: 1}, nil, 1},
-		{"the answer to a start is lost", &peerFault{to: "b", kind: peer.KindGangEnd, times: 1, after: true}, nil, 1},
-		{"both answers to starts are lost", &peerFault{kind: peer.KindGangEnd, times: 2, after: true}, nil, 1},
-		{"a worker is lost while it runs", nil, func(c *cell, _, _ *placer) {
+		{"the reply to a start is lost", &peerFault{to: "b", kind: peer.KindGangEnd, times: 1, after: true}, nil, 1},
+		{"both replies to starts are lost", &peerFault{kind: peer.KindGangEnd, times: 2, after: true}, nil, 1},
+		{"a host is lost while the gang runs", nil, func(c *cell, _, _ *placer) {
 			time.Sleep(2 * time.Second)
 			c.sim.Worker("w2-0").SetFaults(workersim.Faults{Unreachable: true})
 		}, 0},
@@ -152,7 +152,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, a, b := twoPlacers(t, 2)
-				c.judge.GangGrace = failoverTime // a lost worker's part lasts until its leases end
+				c.judge.GangGrace = failoverTime // a lost host's part remains until its leases expire
 				if tt.fault != nil {
 					c.addFault(tt.fault)
 				}
@@ -172,15 +172,15 @@
 	}
 }
 
-// TestGangOwnerLost kills the home of a gang at each step of its start.
+// TestGangOwnerLost kills the owner of a gang at each step of its start.
 func TestGangOwnerLost(t *testing.T) {
-	const tasks = 40 // more than one of the two holders has room for
+	const tasks = 40 // more than the capacity of one of the two holders
 	cases := []struct {
 		name  string
 		fault *peerFault
 		after time.Duration
 	}{
-		{"between hold and start", &peerFault{from: "a", kind: peer.KindGangEnd, times: -1}, 200 * time.Millisecond},
+		{"between reservation and start", &peerFault{from: "a", kind: peer.KindGangEnd, times: -1}, 200 * time.Millisecond},
 		{"when one of two parts has started", &peerFault{from: "a", to: "b", kind: peer.KindGangEnd, times: -1}, 20 * time.Millisecond},
 		{"when all run", nil, 3 * time.Second},
 	}
@@ -209,13 +209,13 @@
 	}
 }
 
-// TestGangLossRules loses a worker under a running gang, once for each rule.
+// TestGangLossRules loses a host under a running gang, once for each setting.
 func TestGangLossRules(t *testing.T) {
 	cases := []struct {
-		rule  string
-		state jobmsg.State
-		most  int // starts
-		least int
+		rule      string
+		state     jobmsg.State
+		maxStarts int // bounds on the number of starts
+		minStarts int
 	}{
 		{settings.GangRestart, jobmsg.StateFinished, 48, 48},
 		{settings.GangReplace, jobmsg.StateFinished, 32, 25},
@@ -233,15 +233,15 @@
 				a.await(job.ID, jobmsg.StateRunning, 5*time.Second)
 				c.sim.Worker(a.worker(job.ID)).SetFaults(workersim.Faults{Unreachable: true})
 				a.await(job.ID, tt.state, 4*time.Minute)
-				c.is.True(c.judge.Starts() <= tt.most)
-				c.is.True(c.judge.Starts() >= tt.least)
+				c.is.True(c.judge.Starts() <= tt.maxStarts)
+				c.is.True(c.judge.Starts() >= tt.minStarts)
 				c.assertNoViolations()
 			})
 		})
 	}
 }
 
-// worker names a worker that runs tasks of a job.
+// worker returns a host that runs tasks of a job.
 func (p *placer) worker(id string) string {
 	r, err := p.explain(id)
 	p.c.is.NoErr(err)
--- a/internal/job/gangtry.go
+++ b/internal/job/gangtry.go
@@ -8,11 +8,11 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// gangTry is one try to start a gang: hold room everywhere, then start all or
-// release all.
+// gangTry is one try to start a gang: it reserves capacity for all tasks at the holders, then
+// starts all of them or releases all reservations.
 //
-// A holder starts whatever it holds. So a slot is asked of one holder at a time,
-// and a holder that may hold more than it said takes no further part until it
+// A holder starts everything that it has reserved. So each slot is requested from one holder at a
+// time, and a holder that may have reserved more than it confirmed takes no further part until it
 // has confirmed a release.
 type gangTry struct {
 	o         *jobOwner
@@ -20,21 +20,21 @@
 	shape     taskmsg.Shape
 	slots     []taskmsg.Slot
 	startedAt time.Time
-	number    int // ascending over all tries of all homes of the partition
-	// gather keeps what is held while more room is waited for.
+	number    int // ascending over all tries of all owners of the partition
+	// gather keeps reservations while waiting for more capacity.
 	gather bool
 	parts  []*gangPart
-	// unreserved are the slots that no holder holds.
+	// unreserved are the slots that no holder has reserved.
 	unreserved []taskmsg.Slot
 }
 
 // gangPart is one holder's part in a try.
 type gangPart struct {
 	target holder
-	slots  []taskmsg.Slot // held there
-	// reservedAt is when the hold that still counts was asked for.
+	slots  []taskmsg.Slot // reserved there
+	// reservedAt is when the reservation in force was requested.
 	reservedAt time.Time
-	// unconfirmed is true when an answer to a hold was lost.
+	// unconfirmed is true after the reply to a reservation request was lost.
 	unconfirmed bool
 }
 
@@ -61,16 +61,16 @@
 	t.start()
 }
 
-// abandoned reports whether the try is to be given up: the job was ended or the
-// home is going.
+// abandoned reports whether the try must be abandoned because the job was ended or the job owner is
+// stopping.
 func (t *gangTry) abandoned() bool {
 	t.o.mu.Lock()
 	defer t.o.mu.Unlock()
 	return t.j.ending() || t.o.phase == phaseEnded || t.o.released
 }
 
-// reserveAll asks one holder after the other to hold room for the free slots and to
-// extend what it holds. It reports whether every slot is held.
+// reserveAll asks one holder after the other to reserve capacity for the unreserved slots and to
+// extend its reservations. It reports whether every slot is reserved.
 func (t *gangTry) reserveAll() bool {
 	for _, p := range t.parts {
 		if len(p.slots)+len(t.unreserved) == 0 || (p.unconfirmed && !t.releaseUnconfirmed(p)) {
@@ -81,7 +81,7 @@
 	return len(t.unreserved) == 0
 }
 
-// reserveAt asks one holder for its own slots and the free ones.
+// reserveAt asks one holder for the slots reserved there and the unreserved ones.
 func (t *gangTry) reserveAt(p *gangPart) {
 	want := append(append([]taskmsg.Slot(nil), p.slots...), t.unreserved...)
 	requestedAt := time.Now()
@@ -99,7 +99,7 @@
 	}
 }
 
-// releaseUnconfirmed makes a holder whose answer was lost release what it may hold.
+// releaseUnconfirmed makes a holder whose reply was lost release what it may have reserved.
 func (t *gangTry) releaseUnconfirmed(p *gangPart) bool {
 	var reply taskmsg.PlaceReply
 	req := taskmsg.GangEnd{Home: t.o.identity(), Job: t.j.id(), Try: t.number}
@@ -107,7 +107,7 @@
 	return !p.unconfirmed
 }
 
-// recordReply keeps what a holder said for the explanation.
+// recordReply records a holder's reply for the explanation.
 func (t *gangTry) recordReply(target holder, refusal *taskmsg.Refusal, err error) {
 	t.o.mu.Lock()
 	defer t.o.mu.Unlock()
@@ -115,7 +115,7 @@
 	m.refusal, m.err = refusal, err
 }
 
-// subtractSlots returns the slots of all that are not in some.
+// subtractSlots returns the slots of all without those in remove.
 func subtractSlots(all, remove []taskmsg.Slot) []taskmsg.Slot {
 	drop := make(map[int]bool, len(remove))
 	for _, s := range remove {
@@ -130,7 +130,7 @@
 	return rest
 }
 
-// release gives all held room back; nothing of the gang has started.
+// release releases all reservations; no task of the gang has started.
 func (t *gangTry) release() {
 	o, j := t.o, t.j
 	t.endAll(false)
@@ -150,8 +150,8 @@
 	o.wakeLoop()
 }
 
-// beginStart moves the gang from holding to starting, unless a hold may lapse before
-// the order to start arrives or the job was ended.
+// beginStart changes the gang's state to starting, unless a reservation may expire before the start
+// order arrives or the job was ended.
 func (t *gangTry) beginStart() bool {
 	o := t.o
 	if o.checkAuthority() != nil {
@@ -170,14 +170,13 @@
 	return o.fireGangEvent(t.j, gangEventStart)
 }
 
-// start orders every part to start, and breaks the gang up when any task of it
-// did not.
+// start orders every part to start, and stops the gang if any of its tasks did not start.
 func (t *gangTry) start() {
 	o, j := t.o, t.j
 	replies, errs := t.endAll(true)
 	for i, p := range t.parts {
 		if errs[i] != nil && certainlyNotStarted(errs[i]) {
-			t.releaseUnconfirmed(p) // so that its room does not stay held for nothing
+			t.releaseUnconfirmed(p) // do not leave unused capacity reserved
 		}
 	}
 	now := time.Now()
@@ -197,8 +196,8 @@
 	o.wakeLoop()
 }
 
-// endAll tells every holder with a part to start or release it. Only those whose
-// part is certain are told to start.
+// endAll orders every holder with a part to start or to release it. Only holders with a confirmed
+// part are ordered to start.
 func (t *gangTry) endAll(start bool) ([]taskmsg.PlaceReply, []error) {
 	replies, errs := make([]taskmsg.PlaceReply, len(t.parts)), make([]error, len(t.parts))
 	req := taskmsg.GangEnd{Home: t.o.identity(), Job: t.j.id(), Start: start, Try: t.number}
--- a/internal/job/gangtry_test.go
+++ b/internal/job/gangtry_test.go
@@ -11,13 +11,13 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// scriptedPeers is a Caller that keeps, for each holder, what it holds; a holder
-// starts whatever it holds, as a real one does.
+// scriptedPeers is a Caller that keeps the reservations of each holder. Like a real holder it
+// starts everything that it has reserved.
 type scriptedPeers struct {
 	room  map[string]int
 	held  map[string]map[int]bool
-	lose  map[string]int // answers to holds still to be lost
-	order []string       // what was sent, in order
+	lose  map[string]int // replies to reservation requests still to be lost
+	order []string       // requests in order of arrival
 }
 
 func (s *scriptedPeers) Call(_ context.Context, addr string, kind peer.Kind, req, resp any) error {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// newScriptedTry makes a try of a gang of n tasks with scripted holders a and b.
+// newScriptedTry returns a try of a gang of n tasks with scripted holders a and b.
 func newScriptedTry(t *testing.T, n int) (*gangTry, *scriptedPeers) {
 	o, j := newStaticOwner(t, phaseReady, false, spec.KindGang, n)
 	s := &scriptedPeers{room: map[string]int{}, held: map[string]map[int]bool{"a": {}, "b": {}}, lose: map[string]int{}}
@@ -60,8 +60,8 @@
 	return newGangTry(o, j, taskmsg.Shape{Job: j.id()}, slots, []holder{{addr: "a", member: "a"}, {addr: "b", member: "b"}}, time.Now()), s
 }
 
-// TestSlotsAreReservedOnce lets room come free while a gang gathers, after an answer
-// was lost: no two holders hold the same slot at the end.
+// TestSlotsAreReservedOnce frees capacity while a gang gathers reservations, after a reply was
+// lost. No two holders may have reserved the same slot in the end.
 func TestSlotsAreReservedOnce(t *testing.T) {
 	try, s := newScriptedTry(t, 6)
 	is := try.o.m.cfg.Source.(*cell).is
@@ -75,8 +75,8 @@
 	is.Equal(s.order, []string{"a hold", "b hold", "a hold", "b release", "b hold"})
 }
 
-// TestExpiringReservationIsNotStarted lets the first hold grow old while others are
-// asked for.
+// TestExpiringReservationIsNotStarted lets the first reservation get too old before the gang is
+// started.
 func TestExpiringReservationIsNotStarted(t *testing.T) {
 	try, s := newScriptedTry(t, 4)
 	is := try.o.m.cfg.Source.(*cell).is
--- a/internal/job/holders.go
+++ b/internal/job/holders.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// minShare is how many tasks are asked of one holder before the next is
+	// minShare is the smallest number of tasks requested from one holder before the next one is
 	// asked too, as a message costs more than a task in it.
 	minShare = 16
-	// assumedSlots is how many slots a holder without a digest is asked for.
+	// assumedSlots is the number of slots requested from a holder without a digest.
 	assumedSlots = 16
-	// requestedLifetime is how long what was asked of a holder is taken off its
-	// digest when no newer digest comes.
+	// requestedLifetime is how long requested capacity is subtracted from a holder's digest if no
+	// newer digest arrives.
 	requestedLifetime = 3 * time.Second
 )
 
-// holder is a member that may be asked to start tasks.
+// holder is a member that can be asked to start tasks.
 type holder struct {
 	member      string
 	incarnation string
 	addr        string
 	digest      taskmsg.Digest
-	hasDigest   bool // digest holds
+	hasDigest   bool // digest is set
 }
 
-// holderListTTL is for how long the list of holders with their digests is used
-// before it is made anew. Digests come with heartbeats, several times as seldom.
+// holderListTTL is how long the list of holders with their digests is reused. Digests arrive with
+// heartbeats, at an interval several times as long.
 const holderListTTL = 100 * time.Millisecond
 
-// holderList is the latest list of holders; the homes of a process share it.
+// holderList is the latest list of holders, shared by the job owners of a process.
 type holderList struct {
 	mu    sync.Mutex
-	table int64 // revision
+	table int64 // table revision
 	until time.Time
 	list  []holder
 }
 
-// holders returns the holders with their digests as of a moment ago.
+// holders returns the holders with their digests, at most holderListTTL old.
 func (m *Manager) holders(t *view.Table, now time.Time) []holder {
 	l := &m.holderList
 	l.mu.Lock()
@@ -54,8 +54,7 @@
 	return l.list
 }
 
-// listHolders returns the members that hold partitions and take work, in a fixed
-// order.
+// listHolders returns the members that hold partitions and accept tasks, sorted by name.
 func listHolders(t *view.Table, digests map[string]taskmsg.Digest) []holder {
 	holding := map[string]bool{}
 	for _, p := range t.Partitions {
@@ -73,15 +72,16 @@
 	return out
 }
 
-// share is how many tasks to ask of one holder.
+// share is a holder with the number n of tasks to request from it.
 type share struct {
 	holder
 	freeSlots int
 	n         int
 }
 
-// distribute spreads n tasks over holders with room: by the packing policy the
-// fullest holder first, else in proportion to room so that all start at once.
+// distribute divides n tasks among holders with free slots: with the packing policy the fullest
+// holder first, otherwise in proportion to the free slots, so that all holders start tasks in
+// parallel.
 func distribute(n int, shares []share, policy string) {
 	total := 0
 	for _, s := range shares {
--- a/internal/job/invariants_test.go
+++ b/internal/job/invariants_test.go
@@ -10,7 +10,7 @@
 	"pulleyquay/internal/worker"
 )
 
-// violation returns the first promise that does not hold now, or "".
+// violation returns the first invariant that is violated now, or "".
 func (sn *simulation) violation() string {
 	sn.sim.Settle()
 	if v := sn.judge.Violations(time.Now()); len(v) > 0 {
@@ -24,17 +24,17 @@
 		}
 	}
 	for task, places := range sn.judge.Record(time.Now(), true).Tasks {
-		ends := 0
+		finished := 0
 		for _, p := range places {
 			if !p.Ended && p.Until.After(time.Now()) {
 				used[teams[p.Task.Job]] += p.Size.MilliCPU
 			}
 			if p.State == worker.StateFinished {
-				ends++
+				finished++
 			}
 		}
-		if ends > 1 && !sn.disturbed {
-			return "task " + task + " was finished and ran again"
+		if finished > 1 && !sn.disturbed {
+			return "task " + task + " ran again after it had finished"
 		}
 	}
 	for team, n := range used {
@@ -45,13 +45,13 @@
 	return ""
 }
 
-// finalCheck waits until everything accepted is as it has to be, or returns what is
-// not: first the services at their replicas, then, with the services cancelled
-// so that they hold no quota, all finite work at its end.
+// finalCheck waits until all accepted jobs are in their expected state, or returns the first that
+// is not: first the services with all their replicas, then, with the services cancelled so that
+// they use no quota, all finite work at its end.
 func (sn *simulation) finalCheck() string {
 	sn.clearAllFaults()
-	if wrong := sn.eventually(sn.checkService); wrong != "" {
-		return wrong
+	if problem := sn.eventually(sn.checkService); problem != "" {
+		return problem
 	}
 	for _, id := range sortedKeys(sn.accepted) {
 		if j := sn.accepted[id]; j.Kind == spec.KindService && !sn.cancelled[id] {
@@ -63,35 +63,35 @@
 	}
 	for _, id := range sortedKeys(sn.uncertain) {
 		if j := sn.uncertain[id]; j.Kind == spec.KindService {
-			_, _ = sn.holderOf(j).cancelJob(id) // it may never have been accepted
+			_, _ = sn.holderOf(j).cancelJob(id) // the service may not have been accepted
 		}
 	}
 	return sn.eventually(sn.checkFinite)
 }
 
-// eventually waits until a check finds nothing wrong with any accepted job.
+// eventually waits until a check reports no problem with any accepted job.
 func (sn *simulation) eventually(check func(spec.Job, jobmsg.Status) string) string {
 	deadline := time.Now().Add(15 * time.Minute)
 	for {
-		wrong := ""
+		problem := ""
 		for _, id := range sortedKeys(sn.accepted) {
 			j := sn.accepted[id]
 			st, err := sn.holderOf(j).get(id)
 			if err != nil {
-				wrong = "accepted job " + id + ": " + err.Error()
-			} else if bad := check(j, st); bad != "" {
-				wrong = bad
+				problem = "accepted job " + id + ": " + err.Error()
+			} else if message := check(j, st); message != "" {
+				problem = message
 			}
 		}
-		if wrong == "" || time.Now().After(deadline) {
-			return wrong
+		if problem == "" || time.Now().After(deadline) {
+			return problem
 		}
 		time.Sleep(5 * time.Second)
 	}
 }
 
-// checkService reports a service without its replicas, unless the services of
-// its team want more than the quota.
+// checkService reports a service without all its replicas, unless the services of its team need
+// more than the quota.
 func (sn *simulation) checkService(j spec.Job, st jobmsg.Status) string {
 	want := int64(0)
 	for id, other := range sn.accepted {
--- a/internal/job/jobstate.go
+++ b/internal/job/jobstate.go
@@ -9,18 +9,18 @@
 	"pulleyquay/internal/result"
 )
 
-// The events in the life of a job.
+// The events of a job's state machine.
 const (
-	eventStarted = "started" // a task of it runs
-	eventIdle    = "idle"    // nothing of it runs any more, but it is not done
-	eventEnd     = "end"     // no further task may start; what runs is stopped
+	eventStarted = "started" // a task runs
+	eventIdle    = "idle"    // no task runs any more, but the job is not done
+	eventEnd     = "end"     // no further task may start; running ones are stopped
 	eventFinish  = "finish"
 	eventFail    = "fail"
 	eventCancel  = "cancel"
 )
 
-// newJobMachine returns the state machine of jobs. One machine serves all jobs of
-// a home: it is set to a job's state before each event, under the home's lock.
+// newJobMachine returns the state machine of jobs. All jobs of a job owner share it: it is set to a
+// job's state before each event, under the owner's lock.
 func newJobMachine() *fsm.FSM {
 	waiting, running := string(jobmsg.StateWaiting), string(jobmsg.StateRunning)
 	stopping := string(jobmsg.StateStopping)
@@ -36,8 +36,8 @@
 	}, nil)
 }
 
-// fireEvent passes an event to the machine in the job's state and reports whether
-// the state changed.
+// fireEvent sends an event to the state machine in the job's state and reports whether the state
+// changed.
 func (o *jobOwner) fireEvent(j *job, event string) bool {
 	o.jobMachine.SetState(string(j.rec.State))
 	if !o.jobMachine.Can(event) {
@@ -50,7 +50,7 @@
 	return true
 }
 
-// finalEvent returns the event that makes a job final, by the code it ends with.
+// finalEvent returns the event that makes a job final, according to its result code.
 func finalEvent(code result.Code) string {
 	switch code {
 	case 0:
--- a/internal/job/link_test.go
+++ b/internal/job/link_test.go
@@ -7,35 +7,35 @@
 	"pulleyquay/internal/result"
 )
 
-// peerFault makes matching calls fail.
+// peerFault makes matching peer calls fail.
 type peerFault struct {
-	from, to string // empty matches any
-	kind     peer.Kind
-	times    int  // how many calls still fail; negative: all
-	after    bool // the call is made and its answer lost
-	hold     chan struct{}
+	from, to   string // empty matches any
+	kind       peer.Kind
+	times      int  // remaining calls that fail; negative: all
+	after      bool // the call is made and its reply lost
+	blockUntil chan struct{}
 }
 
-// addFault makes calls fail from now on.
+// addFault makes matching calls fail from now on.
 func (c *cell) addFault(f *peerFault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = append(c.faults, f)
 }
 
-// clearFaults ends all faults of peer calls.
+// clearFaults removes all faults of peer calls.
 func (c *cell) clearFaults() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, f := range c.faults {
-		if f.hold != nil {
-			close(f.hold)
+		if f.blockUntil != nil {
+			close(f.blockUntil)
 		}
 	}
 	c.faults = nil
 }
 
-// matchFault returns the fault that a call meets, if any, and counts it.
+// matchFault returns the fault that applies to a call, or nil, and counts the call.
 func (c *cell) matchFault(from, to string, kind peer.Kind) *peerFault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// peerLink is one process's way to the others.
+// peerLink makes the calls of one process to the others.
 type peerLink struct {
 	c    *cell
 	from string
@@ -59,8 +59,8 @@
 
 func (l peerLink) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
 	f := l.c.matchFault(l.from, addr, kind)
-	if f != nil && f.hold != nil {
-		<-f.hold
+	if f != nil && f.blockUntil != nil {
+		<-f.blockUntil
 		f = nil
 	}
 	if f != nil && !f.after {
--- a/internal/job/load.go
+++ b/internal/job/load.go
@@ -9,15 +9,15 @@
 	"pulleyquay/internal/platform"
 )
 
-// Times of reading the records at a takeover.
+// Timing of reading the records after an acquisition of the partition.
 const (
 	loadTimeout    = 5 * time.Second
 	loadBackoffMin = 100 * time.Millisecond
 	loadBackoffMax = 2 * time.Second
 )
 
-// loadRecords reads the records of the partition's jobs until it has them all, and
-// reports whether the home still lives.
+// loadRecords reads the records of the partition's jobs, retrying until it has them all. It reports
+// false if the job owner was stopped.
 func (o *jobOwner) loadRecords() bool {
 	delay := backoff.NewExponentialBackOff()
 	delay.InitialInterval, delay.MaxInterval = loadBackoffMin, loadBackoffMax
@@ -26,7 +26,7 @@
 		if err == nil {
 			return o.installRecords(records)
 		}
-		o.log.WithError(err).Debug("job records not read yet")
+		o.log.WithError(err).Debug("failed to read job records, retrying")
 		select {
 		case <-o.ctx.Done():
 			return false
@@ -35,8 +35,8 @@
 	}
 }
 
-// listRecords returns the records as they were at or after this home's claim. An older
-// reading could lack a job that the previous home has accepted since.
+// listRecords returns the records as of this job owner's claim or later. An older state could lack
+// a job that the previous job owner accepted afterwards.
 func (o *jobOwner) listRecords() ([]platform.Record, error) {
 	fence, err := o.fence()
 	if err != nil {
@@ -54,8 +54,8 @@
 	return records, nil
 }
 
-// installRecords makes the table from the records. Nobody else can write them any
-// more, because every write demands that the partition's record is unchanged.
+// installRecords builds the job table from the records. No other process can write them any more,
+// because every write requires that the partition's record is unchanged.
 func (o *jobOwner) installRecords(records []platform.Record) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -65,7 +65,7 @@
 	for _, r := range records {
 		rec, err := decodeRecord(r.Value)
 		if err != nil {
-			o.log.WithError(err).WithField("key", r.Key).Error("job record can not be read and is left alone")
+			o.log.WithError(err).WithField("key", r.Key).Error("failed to decode job record, skipping it")
 			continue
 		}
 		j := newJob(rec)
@@ -85,16 +85,16 @@
 	return true
 }
 
-// alreadyAnswered is the outcome of a first write that an earlier home made: a caller who sends the job
-// again is answered at once, where it would else wait until its deadline each time.
+// alreadyAnswered is firstWriteDone of a job whose first write a previous job owner made. A caller
+// who submits the job again gets a reply at once instead of waiting until its deadline.
 var alreadyAnswered = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }()
 
-// reserveUnreported counts against the team's quota every task that an earlier home may
-// have started, so that new work can not use what turns out to be taken.
+// reserveUnreported charges the team's quota for every task that a previous job owner may have
+// started, so that new work can not use quota that is already in use.
 func (o *jobOwner) reserveUnreported(j *job) {
 	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
 	n, size := j.rec.maxActive(int(values.Task.Surge))
@@ -102,7 +102,7 @@
 	o.ledger.Restore(j.rec.Job.Team, j.unreportedAccount(), size, n)
 }
 
-// releaseUnreported gives back what was counted for tasks that are told of now.
+// releaseUnreported releases the quota charged for n tasks that have been reported by now.
 func (o *jobOwner) releaseUnreported(j *job, n int) {
 	n = min(n, j.unreported)
 	j.unreported -= n
--- a/internal/job/manager.go
+++ b/internal/job/manager.go
@@ -1,11 +1,11 @@
-// Package job is the jobs' home: it accepts jobs, keeps their records in the
-// store, decides what has to run and asks the holders of workers to run it.
+// Package job implements the owner of jobs: it accepts jobs, keeps their records in the store,
+// decides which tasks have to run and asks the holders of hosts to run them.
 //
-// There is one home for each partition of teams that this process holds. A home
-// keeps the state of every task of its jobs in one table under one lock; the
-// store sees a write per job and per group of finished tasks, never per start.
-// Calls to holders and to the store are made outside the lock, and what they
-// answer is applied only to the very attempt that they were about.
+// This process runs one job owner (the "home" in messages and texts) for each partition of teams
+// that it holds. A job owner keeps the state of every task of its jobs in one table under one lock.
+// The store gets a write per job and per group of finished tasks, never per start. Calls to holders
+// and to the store are made outside the lock, and a reply is applied only to the attempts that the
+// request was about.
 package job
 
 import (
@@ -26,18 +26,17 @@
 	"pulleyquay/internal/view"
 )
 
-// componentName is the name of the jobs among the residents of a partition.
+// componentName is the name of this package among the components of a partition.
 const componentName = "jobs"
 
-// tableInterval is how often the table is looked at for changes.
+// tableInterval is the polling interval for changes of the partition table.
 const tableInterval = 250 * time.Millisecond
 
-// Config is what a Manager works with. All fields are required.
+// Config holds the dependencies of a Manager. All fields are required.
 type Config struct {
 	Source view.Source
 	Right  hold.Right
-	// Store must settle lost answers and group commits: package confirm below
-	// groupcommit.
+	// Store must resolve lost replies and group commits: package confirm below groupcommit.
 	Store platform.Store
 	Peers peer.Caller
 	// PartitionKey returns the key of a partition's record in the store.
@@ -47,19 +46,18 @@
 	Values func(branch string) (v settings.Values, ok bool)
 	// Digests returns the latest digest of each live member, by member name.
 	Digests func() map[string]taskmsg.Digest
-	// StoreAge returns how long ago this process last reached the store; nil
-	// counts as just now.
+	// StoreAge returns the time since this process last reached the store; nil counts as zero.
 	StoreAge   func() time.Duration
 	Registerer prometheus.Registerer
 	Log        *logrus.Entry
 }
 
-// Manager holds the homes of this process. It is a hold.Resident.
+// Manager manages the job owners of this process. It implements hold.Resident.
 type Manager struct {
 	cfg     Config
 	metrics *metrics
 
-	cancel context.CancelFunc // ends watch
+	cancel context.CancelFunc // stops watchTable
 
 	holderList holderList
 
@@ -69,7 +67,7 @@
 
 var _ hold.Resident = (*Manager)(nil)
 
-// New returns a Manager without homes. Close ends it.
+// New returns a Manager without job owners and starts watching the partition table. Close stops it.
 func New(cfg Config) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Manager{
@@ -82,8 +80,8 @@
 	return m
 }
 
-// watchTable rouses all homes whenever the table has changed, so that a home with
-// nothing to do need not look by itself.
+// watchTable wakes all job owners whenever the partition table has changed, so that an idle job
+// owner need not poll it.
 func (m *Manager) watchTable(ctx context.Context) {
 	ticker := time.NewTicker(tableInterval)
 	defer ticker.Stop()
@@ -108,10 +106,9 @@
 // Name implements hold.Resident.
 func (m *Manager) Name() string { return componentName }
 
-// Acquire implements hold.Resident: it starts the home, which reads the records
-// of its jobs and asks every holder what runs of them before it starts any of
-// them again. It returns at once; until the records are read the home refuses
-// with JobHomeRecovering.
+// Acquire implements hold.Resident. It starts the job owner, which reads the job records and asks
+// every holder for an inventory of their runs before it restarts any of them. It returns at once;
+// until the records are read, requests are refused with JobHomeRecovering.
 func (m *Manager) Acquire(_ context.Context, t hold.Takeover) error {
 	o := newJobOwner(m, t)
 	m.mu.Lock()
@@ -125,9 +122,8 @@
 	return nil
 }
 
-// Release implements hold.Resident: it writes what is not yet recorded, as far
-// as ctx allows, and ends the home. The next one learns the rest from the
-// holders of workers.
+// Release implements hold.Resident. It writes the changed records within the time limit of ctx and
+// stops the job owner. The next one gets the remaining state from the holders of hosts.
 func (m *Manager) Release(ctx context.Context, partition int) ([]byte, error) {
 	o := m.jobOwner(partition)
 	if o == nil {
@@ -150,7 +146,7 @@
 	}
 }
 
-// Close ends all homes without writing anything.
+// Close stops all job owners without writing records.
 func (m *Manager) Close() {
 	m.cancel()
 	for _, o := range m.allOwners() {
@@ -158,14 +154,14 @@
 	}
 }
 
-// jobOwner returns the home of a partition, or nil.
+// jobOwner returns the job owner of a partition, or nil.
 func (m *Manager) jobOwner(partition int) *jobOwner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owners[partition]
 }
 
-// allOwners returns the homes in ascending order of partitions.
+// allOwners returns the job owners in ascending order of partitions.
 func (m *Manager) allOwners() []*jobOwner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -177,8 +173,8 @@
 	return out
 }
 
-// authorizedOwner returns the home of a partition after checking that this process may
-// act for it now.
+// authorizedOwner returns the job owner of a partition after checking that this process has the
+// authority to act for it.
 func (m *Manager) authorizedOwner(partition int) (*jobOwner, error) {
 	o := m.jobOwner(partition)
 	if o == nil {
@@ -190,7 +186,7 @@
 	return o, nil
 }
 
-// DumpOwner is one home in the dump of the process.
+// DumpOwner is one job owner in the dump of the process.
 type DumpOwner struct {
 	Partition     int    `json:"partition"`
 	Epoch         uint64 `json:"epoch"`
@@ -199,12 +195,12 @@
 	LiveJobs      int    `json:"live_jobs"`
 	UnackedStarts int    `json:"doubts"`
 	Unwritten     int    `json:"unwritten"`
-	// MissingInventories lists the worker partitions whose inventory is still missing.
+	// MissingInventories lists the host partitions without a complete inventory.
 	MissingInventories []int               `json:"uncovered"`
 	Teams              map[string]DumpTeam `json:"teams"`
 }
 
-// Dump returns the state of all homes for /debug/state.
+// Dump returns the state of all job owners for /debug/state.
 func (m *Manager) Dump() any {
 	out := []DumpOwner{}
 	for _, o := range m.allOwners() {
--- a/internal/job/metrics.go
+++ b/internal/job/metrics.go
@@ -2,17 +2,17 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics counts what the homes of a process did.
+// metrics counts events of the job owners of a process.
 type metrics struct {
 	accepted      prometheus.Counter
 	refused       *prometheus.CounterVec // by code
 	ended         *prometheus.CounterVec // by final state
-	ordered       prometheus.Counter     // slots asked of holders
+	ordered       prometheus.Counter     // slots requested from holders
 	started       prometheus.Counter
 	rejected      prometheus.Counter // slots refused by holders
 	unackedStarts prometheus.Counter // slots whose outcome was unknown at first
 	failures      prometheus.Counter // runs that ended with an exit code other than zero
-	runLost       prometheus.Counter // runs gone with their worker
+	runLost       prometheus.Counter // runs lost with their host
 	preempted     prometheus.Counter
 	orphans       prometheus.Counter
 	messages      *prometheus.CounterVec // to holders, by kind
--- a/internal/job/news.go
+++ b/internal/job/news.go
@@ -9,17 +9,17 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// reportOutcome is what a home makes of one piece of news.
+// reportOutcome is the result of applying one run report.
 type reportOutcome int
 
 const (
-	reportApplied reportOutcome = iota // applied; an end is not in the store yet
-	reportAcked                        // the end is recorded, the worker may forget it
-	reportOrphan                       // belongs to no task of a job here; to be stopped
+	reportApplied reportOutcome = iota // applied; the end of the run is not in the store yet
+	reportAcked                        // the end is recorded; the host may delete its end record
+	reportOrphan                       // belongs to no task of a job here; must be stopped
 )
 
-// TaskNews applies what a holder tells of runs. An end is acknowledged only once
-// the store has it, so the holder repeats its news until then.
+// TaskNews applies run reports of a holder. The end of a run is acknowledged only once it is in the
+// store; until then the holder repeats its report.
 func (m *Manager) TaskNews(_ context.Context, news taskmsg.News) (taskmsg.NewsReply, error) {
 	o, err := m.authorizedOwner(news.HomePartition)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return reply, nil
 }
 
-// applyReport notes the state of one run.
+// applyReport applies the reported state of one run.
 func (o *jobOwner) applyReport(n taskmsg.RunNews, now time.Time) reportOutcome {
 	j := o.jobs[n.Run.Task.Job]
 	index := n.Run.Task.Index
@@ -60,7 +60,7 @@
 		if !j.isService() || !o.recovering(j) {
 			return unknownRunOutcome(n)
 		}
-		// A replica above the set number, from a change that is under way.
+		// A replica above the configured number, from an update in progress.
 		j.tasks = append(j.tasks, make([]task, index+1-len(j.tasks))...)
 		return o.applyReport(n, now)
 	case n.State == taskmsg.RunRunning:
@@ -70,8 +70,8 @@
 	}
 }
 
-// unknownRunOutcome is the verdict on a run of which the home knows nothing: it is
-// stopped, and its end needs no record.
+// unknownRunOutcome is the outcome for a run that the job owner does not know: a running one is
+// stopped, and an end needs no record.
 func unknownRunOutcome(n taskmsg.RunNews) reportOutcome {
 	if n.State == taskmsg.RunRunning {
 		return reportOrphan
@@ -79,8 +79,8 @@
 	return reportAcked
 }
 
-// applyToFinalJob is the verdict on a run of a job that has ended. Its end may be
-// forgotten by the worker once the job's end is recorded.
+// applyToFinalJob is the outcome for a run of a job that has ended. The host may delete the end
+// record once the job's end is recorded.
 func (o *jobOwner) applyToFinalJob(j *job, n taskmsg.RunNews) reportOutcome {
 	if n.State != taskmsg.RunRunning && j.dirty {
 		return reportApplied
@@ -88,8 +88,8 @@
 	return unknownRunOutcome(n)
 }
 
-// applyRunning notes that a run is running. A run that the home did not order,
-// or has been told is gone, must not be taken for the task's present one.
+// applyRunning applies a report that a run is running. A run that this job owner did not order, or
+// that was reported as ended, must not be taken for the task's current one.
 func (o *jobOwner) applyRunning(j *job, index int, n taskmsg.RunNews) reportOutcome {
 	t := &j.tasks[index]
 	if t.active() && n.Run.Attempt == t.attempt {
@@ -106,12 +106,12 @@
 	return reportApplied
 }
 
-// recovering reports whether runs of the job that an earlier home started may
-// still be unknown. Until then no task of it starts and the list of tasks that
-// may start is empty.
+// recovering reports whether runs of the job that a previous job owner started may still be
+// unreported. Until all are reported no task of the job starts and its list of ready tasks is
+// empty.
 func (o *jobOwner) recovering(j *job) bool { return j.inherited && o.phase != phaseReady }
 
-// adopt takes a run over that an earlier home started.
+// adopt records a run that a previous job owner started as the task's current one.
 func (o *jobOwner) adopt(j *job, index int, n taskmsg.RunNews) {
 	j.tasks[index] = task{attempt: n.Run.Attempt, state: taskRequested}
 	j.active++
@@ -121,7 +121,7 @@
 	o.markRunning(j, index, o.location(n.Worker, n.Zone, n.Partition), n.Epoch)
 }
 
-// applyEnd notes that a run has ended, once for each attempt.
+// applyEnd applies a report that a run has ended, once per attempt.
 func (o *jobOwner) applyEnd(j *job, index int, n taskmsg.RunNews, now time.Time) reportOutcome {
 	t := &j.tasks[index]
 	switch {
@@ -129,7 +129,7 @@
 		o.releaseTask(j, index)
 		o.handleEnd(j, index, n, now)
 	case o.recovering(j) && t.state == taskPending && n.Run.Attempt > t.attempt:
-		// An earlier home's run, told at the takeover.
+		// A run of a previous job owner, reported during recovery.
 		t.attempt = n.Run.Attempt
 		o.handleEnd(j, index, n, now)
 	case n.State == taskmsg.RunLost:
@@ -141,7 +141,7 @@
 	return o.endOutcome(j, index, n)
 }
 
-// handleEnd decides what follows from the end of a task's present attempt.
+// handleEnd decides what follows from the end of a task's current attempt.
 func (o *jobOwner) handleEnd(j *job, index int, n taskmsg.RunNews, now time.Time) {
 	j.tasks[index].wasPreempted = n.State == taskmsg.RunPreempted
 	switch {
@@ -163,7 +163,7 @@
 	}
 }
 
-// lossReason tells people what is known of how a run was lost.
+// lossReason describes the evidence of a lost run, for the decision log.
 func lossReason(n taskmsg.RunNews) string {
 	switch n.Sight() {
 	case taskmsg.SightCrash:
@@ -174,8 +174,8 @@
 	return "worker " + n.Worker + " is gone, or was cut off until the lease was over"
 }
 
-// endOutcome tells whether the worker may forget an ended run: whatever it
-// meant for the job's record must be in the store.
+// endOutcome decides whether the host may delete the end record: every change of the job's record
+// that followed from the end must be in the store.
 func (o *jobOwner) endOutcome(j *job, index int, n taskmsg.RunNews) reportOutcome {
 	if n.State != taskmsg.RunFinished || !j.dirty {
 		return reportAcked
@@ -186,7 +186,7 @@
 	return reportApplied
 }
 
-// location returns the shared description of a worker.
+// location returns the shared description of a host.
 func (o *jobOwner) location(name, zone string, partition int) *location {
 	s := o.locations[name]
 	if s == nil || s.zone != zone || s.partition != partition {
--- a/internal/job/outage_test.go
+++ b/internal/job/outage_test.go
@@ -9,12 +9,12 @@
 	"pulleyquay/internal/result"
 )
 
-// TestSubmitWhileStoreIsAway: once the store is known to be away a new job is
-// refused at once and never recorded, whatever way the store fails; a job that
-// was in doubt before stays in doubt.
+// TestSubmitWhileStoreIsAway checks that a new job is refused at once and never recorded while the
+// store is known to be unavailable, for each kind of store failure, and that a job whose record was
+// unknown before stays so.
 func TestSubmitWhileStoreIsAway(t *testing.T) {
 	for name, faults := range map[string]memstore.Faults{
-		"refuses": {Refuse: true}, "hangs": {Hang: true}, "loses answers": {LoseAnswers: memstore.All},
+		"refuses": {Refuse: true}, "hangs": {Hang: true}, "loses replies": {LoseAnswers: memstore.All},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -25,7 +25,7 @@
 				a.storeAge.Store(int64(storeUnavailableAfter + 1))
 				start := time.Now()
 				_, err := a.submit(batch(0, 2, time.Second))
-				c.is.Equal(time.Since(start), time.Duration(0)) // at once
+				c.is.Equal(time.Since(start), time.Duration(0)) // without delay
 				e := result.From(err)
 				c.is.Equal(e.Code, result.JobNotRecorded)
 				c.is.Equal(e.Ran, result.RanNo)
--- a/internal/job/owner.go
+++ b/internal/job/owner.go
@@ -20,41 +20,41 @@
 	"pulleyquay/internal/worker"
 )
 
-// phase tells how far a home has come in its takeover.
+// phase is the progress of a job owner's recovery after it acquired the partition.
 type phase int
 
 const (
-	phaseLoading     phase = iota // records are not read; everything is refused
-	phaseReconciling              // new jobs start, older ones wait for all inventories
+	phaseLoading     phase = iota // records are not read yet; every request is refused
+	phaseReconciling              // new jobs start, inherited ones wait for all inventories
 	phaseReady
 	phaseEnded
 )
 
 var phaseNames = [...]string{"loading", "reconciling", "ready", "ended"}
 
-// activeInterval is the longest that a home with something to do sleeps,
-// idleInterval that of one without; changes of the table rouse it. With jobs
-// waiting it looks for room every roomInterval, as digests come unannounced.
+// activeInterval is the longest sleep of a job owner with pending work, idleInterval that of one
+// without; changes of the partition table wake it. With jobs waiting it checks for free capacity
+// every capacityPollInterval, as new digests are not announced.
 const (
 	activeInterval       = 500 * time.Millisecond
 	idleInterval         = 5 * time.Second
 	capacityPollInterval = 100 * time.Millisecond
 )
 
-// Lost tasks are replaced at this pace in each home; what an ordinary worker
-// runs for one home fits the burst.
+// Rate limit of the replacement of lost tasks per job owner. The burst covers the tasks that an
+// ordinary host runs for one job owner.
 const (
 	replacePerSecond     = 50
 	replaceBurst         = 128
 	throttlePollInterval = 100 * time.Millisecond
 )
 
-// attemptShift leaves room for 2^32 starts within an epoch: an attempt's number
-// is the home's epoch and a counter, so that no number is ever used twice,
-// whoever holds the partition, without a write for each start.
+// attemptShift leaves 2^32 starts per epoch. An attempt number consists of the job owner's epoch
+// and a counter, so that no number is used twice whichever process holds the partition, without a
+// store write per start.
 const attemptShift = 32
 
-// jobOwner is the home of one partition's teams.
+// jobOwner manages the jobs of one partition's teams.
 type jobOwner struct {
 	m         *Manager
 	partition int
@@ -64,42 +64,42 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 	wake       chan struct{}
-	background sync.WaitGroup // the loop and calls under way
+	background sync.WaitGroup // the loop and calls in progress
 
 	mu                sync.Mutex
 	phase             phase
-	released          bool // true once released: nothing new is decided
+	released          bool // true once the partition is released: no new decisions
 	jobMachine        *fsm.FSM
 	jobs              map[string]*job
-	live              map[string]*job // those that are not final
-	waiting           map[string]*job // those with tasks that wait for a start
-	stopping          map[string]*job // those with tasks to stop
-	unplannedServices map[string]*job // services to look at
+	live              map[string]*job // not final
+	waiting           map[string]*job // with tasks waiting to start
+	stopping          map[string]*job // with tasks to stop
+	unplannedServices map[string]*job // services that must be planned again
 	deadlines         []deadline      // in order of time
-	changed           map[string]*job // those whose record is newer than the store's
+	changed           map[string]*job // record newer than the store's
 	startCounter      int             // counter in attempt numbers
 	plan              plan
 	ledger            *fairshare.Ledger
 	queue             *fairshare.Queue
 	health            *health.Jobs
-	hostLosses        crashloop.Losses // workers that went lately
+	hostLosses        crashloop.Losses // recent host failures
 	replaceThrottle   *health.Pacer
 	gangMachine       *fsm.FSM // shared by all gangs
 	locations         map[string]*location
 	unackedStarts     map[worker.Attempt]*unackedStart
 	refusals          map[refusalKey]*refusal
 	requested         map[string]*requestedCapacity
-	callsInFlight     map[string]int // calls under way by address of the holder
+	callsInFlight     map[string]int // calls in progress by address of the holder
 	nextProbe         time.Time
-	nextAgedProbe     time.Time      // when aged work may ask a holder without room
-	inventoryEpochs   map[int]uint64 // epoch of each worker partition's complete inventory
-	inventoryInFlight bool           // an inventory round is under way
-	nextInventory     time.Time      // earliest next inventory round
+	nextAgedProbe     time.Time      // when aged work may next be sent to a holder without free capacity
+	inventoryEpochs   map[int]uint64 // epoch of each host partition's complete inventory
+	inventoryInFlight bool           // a round of inventory requests is in progress
+	nextInventory     time.Time      // earliest next round of inventory requests
 	nextFlush         time.Time      // earliest next write of progress
 	flushBackoff      time.Duration
-	nextGC            time.Time     // earliest next pass over ended jobs
-	writesInFlight    int           // records under way to the store
-	writeDone         chan struct{} // closed and made anew after each write
+	nextGC            time.Time     // earliest next garbage collection
+	writesInFlight    int           // record writes in progress
+	writeDone         chan struct{} // closed and replaced after each write
 }
 
 // DumpTeam is one team in the dump.
@@ -126,7 +126,7 @@
 	return o
 }
 
-// start reads the records and runs the loop.
+// start reads the records and then runs the loop, in the background.
 func (o *jobOwner) start() {
 	o.background.Go(func() {
 		if o.loadRecords() {
@@ -135,7 +135,7 @@
 	})
 }
 
-// stop stops the home without waiting; what is under way finds it ended.
+// stop stops the job owner without waiting; work in progress sees phaseEnded.
 func (o *jobOwner) stop() {
 	o.mu.Lock()
 	o.phase = phaseEnded
@@ -143,14 +143,14 @@
 	o.cancel()
 }
 
-// quiesce makes the home decide nothing new.
+// quiesce stops all new decisions.
 func (o *jobOwner) quiesce() {
 	o.mu.Lock()
 	o.released = true
 	o.mu.Unlock()
 }
 
-// wakeLoop makes the loop look again soon.
+// wakeLoop makes the loop run another pass soon.
 func (o *jobOwner) wakeLoop() {
 	select {
 	case o.wake <- struct{}{}:
@@ -158,7 +158,7 @@
 	}
 }
 
-// loop decides again whenever something happened or became due.
+// loop runs a pass whenever it is woken or something is due.
 func (o *jobOwner) loop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -173,7 +173,7 @@
 	}
 }
 
-// runPass makes all decisions that are due at now and returns when to look again.
+// runPass makes all decisions due at now and returns the time until the next pass.
 func (o *jobOwner) runPass(now time.Time) time.Duration {
 	table := o.m.cfg.Source.Table()
 	if o.checkAuthority() != nil {
@@ -195,7 +195,7 @@
 	return o.idleTime(now)
 }
 
-// idleTime returns how long nothing becomes due.
+// idleTime returns the time until something is due.
 func (o *jobOwner) idleTime(now time.Time) time.Duration {
 	next := now.Add(idleInterval)
 	if o.needsPolling() {
@@ -215,12 +215,12 @@
 	return max(next.Sub(now), time.Millisecond)
 }
 
-// needsPolling reports whether the home waits for anything that nobody will tell it.
+// needsPolling reports whether the job owner waits for something that does not wake it.
 func (o *jobOwner) needsPolling() bool {
 	return o.phase != phaseReady || len(o.waiting)+len(o.stopping)+len(o.changed)+len(o.unackedStarts) > 0
 }
 
-// earlierDue returns t if it comes after now and before next, else next.
+// earlierDue returns t if it is after now and before next, else next.
 func earlierDue(next, t, now time.Time) time.Time {
 	if t.After(now) && t.Before(next) {
 		return t
@@ -228,7 +228,8 @@
 	return next
 }
 
-// checkAuthority returns nil when this process may act for the home's epoch now.
+// checkAuthority returns nil if this process currently has the authority to act for the job owner's
+// epoch.
 func (o *jobOwner) checkAuthority() error {
 	grant, err := o.m.cfg.Right.Check(o.partition)
 	if err != nil {
@@ -240,13 +241,13 @@
 	return nil
 }
 
-// fence is the condition of every write: the partition's record is still the
-// one that this home's epoch made.
+// fence returns the condition of every write: the partition's record is unchanged since this job
+// owner's epoch was claimed.
 func (o *jobOwner) fence() (platform.Condition, error) {
 	p, ok := findPartition(o.m.cfg.Source.Table(), o.partition)
 	switch {
 	case !ok || p.Epoch < o.epoch:
-		return platform.Condition{}, platform.ErrUnavailable // our own claim is not in view yet
+		return platform.Condition{}, platform.ErrUnavailable // the table does not show our own claim yet
 	case p.Epoch > o.epoch:
 		return platform.Condition{}, errFenced
 	}
@@ -265,7 +266,7 @@
 	return view.Partition{}, false
 }
 
-// identity is how the home names itself to holders.
+// identity returns how the job owner identifies itself to holders.
 func (o *jobOwner) identity() taskmsg.Home {
 	return taskmsg.Home{Partition: o.partition, Epoch: o.epoch}
 }
--- a/internal/job/place.go
+++ b/internal/job/place.go
@@ -12,17 +12,17 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// Limits of asking holders to start tasks.
+// Limits of start requests to holders.
 const (
-	maxBatch          = 256             // slots in one message
-	maxCallsPerHolder = 4               // calls under way to one holder
-	placeTimeout      = 8 * time.Second // longer than a holder's preemption takes
+	maxBatch          = 256             // slots per message
+	maxCallsPerHolder = 4               // concurrent calls to one holder
+	placeTimeout      = 8 * time.Second // longer than a preemption by the holder takes
 	refusalBackoffMin = 200 * time.Millisecond
 	refusalBackoffMax = 3 * time.Second
 	probeInterval     = time.Second
 )
 
-// requestStarts takes tasks from the ready ones and asks a holder to start them.
+// requestStarts takes ready tasks of a job and asks a holder to start them.
 func (o *jobOwner) requestStarts(j *job, values settings.Values, s share, preempt bool, now time.Time) {
 	n := min(s.n, len(j.ready))
 	size := j.rec.Job.Task.Size
@@ -44,8 +44,8 @@
 	o.background.Go(func() { o.sendPlaceRequest(j, s.holder, req) })
 }
 
-// aged reports whether the job has waited so long without a start that a holder
-// without room is to keep a worker for it.
+// aged reports whether the job has waited so long without a start that a holder without free
+// capacity should reserve a host for it.
 func (j *job) aged(now time.Time) bool {
 	from := j.waitingSince
 	if j.lastStart.After(from) {
@@ -54,7 +54,7 @@
 	return !j.waitingSince.IsZero() && now.Sub(from) >= fairshare.DefaultConfig().AgeAfter
 }
 
-// preemptNote adds to the record that an order may stop less urgent work.
+// preemptNote is the addition to the decision log for a request that may preempt less urgent work.
 func preemptNote(preempt bool) string {
 	if preempt {
 		return ", to make room by preemption as no holder has any"
@@ -75,7 +75,7 @@
 	}
 }
 
-// sendPlaceRequest asks a holder to start tasks and applies its answer.
+// sendPlaceRequest asks a holder to start tasks and applies its reply.
 func (o *jobOwner) sendPlaceRequest(j *job, target holder, req taskmsg.PlaceRequest) {
 	var reply taskmsg.PlaceReply
 	err := o.callHolder(target.addr, peer.KindPlace, placeTimeout, req, &reply)
@@ -87,7 +87,7 @@
 	o.wakeLoop()
 }
 
-// callHolder sends one message to a holder, provided that this process may still act.
+// callHolder sends one request to a holder, provided that this process has the authority to act.
 func (o *jobOwner) callHolder(addr string, kind peer.Kind, timeout time.Duration, req, reply any) error {
 	if err := o.checkAuthority(); err != nil {
 		return err
@@ -114,7 +114,7 @@
 	return "other"
 }
 
-// applyPlaceReply applies a holder's answer to the very attempts that it is about.
+// applyPlaceReply applies a holder's reply to the attempts that were requested.
 func (o *jobOwner) applyPlaceReply(j *job, target holder, slots []taskmsg.Slot, reply taskmsg.PlaceReply, err error, now time.Time) {
 	if err != nil {
 		reply = taskmsg.PlaceReply{}
@@ -128,7 +128,7 @@
 	for _, slot := range slots {
 		r, ok := results[slot]
 		if !o.awaitsOutcome(j, slot) {
-			continue // news of it came first
+			continue // a run report arrived first
 		}
 		switch {
 		case ok && r.Outcome == taskmsg.OutcomeStarted:
@@ -149,8 +149,7 @@
 	o.finalizeIfDone(j, now)
 }
 
-// awaitsOutcome reports whether the slot is its task's present attempt and still
-// without an outcome.
+// awaitsOutcome reports whether the slot is its task's current attempt and has no outcome yet.
 func (o *jobOwner) awaitsOutcome(j *job, slot taskmsg.Slot) bool {
 	if j.rec.State.Final() || slot.Index >= len(j.tasks) {
 		return false
@@ -159,10 +158,11 @@
 	return t.attempt == slot.Attempt && t.state == taskRequested
 }
 
-// certainlyNotStarted reports whether a failed call promises that nothing was started.
+// certainlyNotStarted reports whether the error of a call guarantees that nothing was started.
 func certainlyNotStarted(err error) bool { return result.From(err).Ran == result.RanNo }
 
-// recordHolderReply makes the job wait before it asks a holder again that refused.
+// recordHolderReply records a holder's reply; after a refusal or an error the next request of the
+// job to that holder is delayed.
 func (o *jobOwner) recordHolderReply(j *job, target holder, refused int, why *taskmsg.Refusal, err error, now time.Time) {
 	m := j.lastReply(target.member)
 	m.refusal, m.err = why, err
--- a/internal/job/placer_test.go
+++ b/internal/job/placer_test.go
@@ -36,11 +36,11 @@
 	jobs        *Manager
 	cancel      context.CancelFunc
 	done        chan struct{}
-	// storeAge is what the process believes of its last contact with the store.
+	// storeAge is the time since the last contact with the store that the process assumes.
 	storeAge atomic.Int64
 }
 
-// start starts a process that holds nothing yet.
+// start starts a process that holds no partition yet.
 func (c *cell) start(name string) *placer {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -74,7 +74,7 @@
 	return p
 }
 
-// newStore is the process's store as the placer makes it.
+// newStore returns the process's store, built as in the placer command.
 func (p *placer) newStore(reg prometheus.Registerer) platform.Store {
 	confirmed, err := confirm.New(p.store, confirm.Options{Registry: reg})
 	p.c.is.NoErr(err)
@@ -98,8 +98,7 @@
 
 func partitionKey(p int) string { return fmt.Sprintf("partitions/%05d", p) }
 
-// acquire makes a process the holder of partitions, as a claim of the partition's
-// record does.
+// acquire makes a process the holder of partitions by claiming their records.
 func (p *placer) acquire(partitions ...int) {
 	for _, id := range partitions {
 		t := p.c.claim(p, id)
@@ -108,7 +107,7 @@
 	}
 }
 
-// claim moves a partition's record in the store and in the table.
+// claim updates a partition's record in the store and in the table.
 func (c *cell) claim(p *placer, id int) hold.Takeover {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +129,7 @@
 	return hold.Takeover{Grant: hold.Grant{Partition: id, Epoch: rec.Epoch}, Fresh: fresh, TakenAt: time.Now()}
 }
 
-// kill ends a process without a word to anyone; its member record goes.
+// kill ends a process without notifying any other; its member record is removed.
 func (p *placer) kill() {
 	p.c.mu.Lock()
 	delete(p.c.muxes, p.name)
@@ -149,7 +148,7 @@
 	<-p.done
 }
 
-// call asks a process as an entry does.
+// call sends a request to a process as an entry does.
 func call[Resp any](p *placer, kind peer.Kind, req any) (Resp, error) {
 	var resp Resp
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -175,7 +174,7 @@
 	return call[jobmsg.Status](p, peer.KindJobCancel, jobmsg.CancelRequest{ID: id})
 }
 
-// batch makes a job of finite tasks of 1000 mCPU for the team of a partition.
+// batch returns a job of finite tasks of 1000 mCPU for the team of a partition.
 func batch(partitionID, tasks int, run time.Duration) spec.Job {
 	return spec.Job{
 		ID: newID(), Team: teamOf(partitionID), Branch: testBranch, Kind: spec.KindBatch, Tasks: tasks,
@@ -183,25 +182,25 @@
 	}
 }
 
-// await waits until the job is in a state, for at most a time.
-func (p *placer) await(id string, want jobmsg.State, atMost time.Duration) jobmsg.Status {
+// await waits until the job is in a state and fails the test after a timeout.
+func (p *placer) await(id string, want jobmsg.State, timeout time.Duration) jobmsg.Status {
 	p.c.t.Helper()
-	deadline := time.Now().Add(atMost)
+	deadline := time.Now().Add(timeout)
 	for {
 		s, err := p.get(id)
 		if err == nil && s.State == want {
 			return s
 		}
 		if time.Now().After(deadline) {
-			p.c.t.Fatalf("job %s not %s after %s: %+v, %v", id, want, atMost, s, err)
+			p.c.t.Fatalf("job %s not %s after %s: %+v, %v", id, want, timeout, s, err)
 		}
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
 	}
 }
 
-// newID makes a UUIDv7 of the bubble's time. uuid.NewV7 never goes back in time,
-// as each bubble does.
+// newID returns a UUIDv7 with the time of the bubble. uuid.NewV7 can not be used, as its time never
+// goes back, which happens at the start of each bubble.
 func newID() string {
 	id := uuid.New()
 	ms := time.Now().UnixMilli()
--- a/internal/job/plan.go
+++ b/internal/job/plan.go
@@ -8,28 +8,28 @@
 	"pulleyquay/internal/view"
 )
 
-// roundCostFactor bounds the part of the time that ordering the waiting jobs may
-// take: after a round, the next one waits so many times as long as it took.
+// roundCostFactor limits the share of time spent on ordering the waiting jobs: the interval after a
+// round is this many times the duration of the round.
 const roundCostFactor = 50
 
-// roundIntervalMax bounds the wait between two rounds.
+// roundIntervalMax bounds the interval between two rounds.
 const roundIntervalMax = 2 * time.Second
 
-// plan is the order in which waiting jobs are to start tasks, as far as it has
-// not been carried out, and what is known about the present moment.
+// plan is the part of the latest order of starts that has not been carried out, with the times of
+// the next decisions.
 type plan struct {
 	picks []fairshare.Pick
-	// next is when the jobs may be put in order again.
+	// next is the earliest time of the next round.
 	next time.Time
-	// due is when the first waiting job that backs off may go on.
+	// due is when the first backoff of a waiting job ends.
 	due time.Time
 	// urgent jobs were submitted since the last round and go first.
 	urgent []string
 }
 
-// planStarts decides what to start where and sends it off. The order is worked
-// out once for many starts, as it costs time for each waiting job; it is carried
-// out as holders answer.
+// planStarts decides which tasks to start at which holders and sends the requests. The order of
+// starts is computed once for many starts, as its cost grows with the number of waiting jobs; it is
+// carried out as holders reply.
 func (o *jobOwner) planStarts(table *view.Table, now time.Time) {
 	if len(o.waiting) == 0 || table == nil {
 		o.plan = plan{next: o.plan.next}
@@ -52,7 +52,7 @@
 	}
 }
 
-// startRound puts the waiting jobs in order.
+// startRound computes a new order of the waiting jobs.
 func (o *jobOwner) startRound(m *passState) {
 	began := time.Now()
 	o.plan.picks = mergePicks(o.pickTasks(m.holders, m.now))
@@ -60,7 +60,7 @@
 	o.plan.next = m.now.Add(interval)
 }
 
-// planPick starts tasks of one job.
+// planPick starts tasks of one picked job.
 func (o *jobOwner) planPick(m *passState, pick fairshare.Pick) {
 	j := o.waiting[pick.Job]
 	if j == nil || !j.recordConfirmed {
@@ -77,7 +77,7 @@
 	}
 }
 
-// mergePicks joins picks of the same job that follow each other, for larger messages.
+// mergePicks joins consecutive picks of the same job, so that messages carry more tasks.
 func mergePicks(picks []fairshare.Pick) []fairshare.Pick {
 	out := picks[:0]
 	for _, p := range picks {
@@ -90,8 +90,8 @@
 	return out
 }
 
-// passState is what one pass of decisions knows: the holders, and which makes of
-// task have found no room at any of them.
+// passState is the state of one scheduling pass: the holders, and the task classes for which no
+// holder has free capacity.
 type passState struct {
 	o       *jobOwner
 	now     time.Time
@@ -103,7 +103,7 @@
 	return &passState{o: o, now: now, holders: o.m.holders(table, now), full: map[taskClass]bool{}}
 }
 
-// canCall reports whether any holder may be sent another call.
+// canCall reports whether any holder is below the limit of concurrent calls.
 func (m *passState) canCall() bool {
 	for _, target := range m.holders {
 		if m.o.callsInFlight[target.addr] < maxCallsPerHolder {
@@ -113,7 +113,8 @@
 	return false
 }
 
-// planJob starts up to n tasks of a job, as quota and holders seem to allow.
+// planJob starts up to n tasks of a job, within the quota and the free capacity that holders
+// report.
 func (o *jobOwner) planJob(j *job, values settings.Values, m *passState, n int) {
 	class := taskClassOf(j)
 	if m.full[class] && !j.rec.Job.Urgent {
@@ -144,17 +145,17 @@
 	o.updateWaiting(j)
 }
 
-// Reasons to wait, as the explanation gives them.
+// Reasons to wait, as shown in the explanation.
 const (
 	reasonNoCapacity = "no holder has room"
 	reasonNoQuota    = "the team's quota is used up"
 )
 
-// candidates returns the holders that may be asked now for up to n tasks. When none
-// seems to have room, urgent work makes the holders preempt; for other work one
-// holder is asked for one task now and then, as digests are only hints. Aged work
-// has such asks of its own, which make the holder keep a worker for it. full is
-// true when no holder's digest shows any room.
+// candidates returns the holders to ask now for up to n tasks. If none reports free capacity,
+// urgent work makes the holders preempt; for other work one holder is asked for one task at
+// intervals, as digests are only hints. Aged work has an interval of its own for such requests,
+// which make the holder reserve a host for it. full is true if no holder's digest shows free
+// capacity.
 func (o *jobOwner) candidates(j *job, m *passState, n int) (out []share, preempt, full bool) {
 	var fullHolders []share
 	full = true
--- a/internal/job/policy_test.go
+++ b/internal/job/policy_test.go
@@ -14,11 +14,10 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// urgentStartLimit is how soon urgent work has to start in a full cell.
+// urgentStartLimit is the time within which urgent work must start in a full cell.
 const urgentStartLimit = 5100 * time.Millisecond
 
-// TestUrgentWorkStartsInTime fills the cell with less urgent work and submits
-// urgent work.
+// TestUrgentWorkStartsInTime submits urgent work to a cell filled with less urgent work.
 func TestUrgentWorkStartsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
@@ -41,19 +40,19 @@
 				break
 			}
 			if time.Since(began) > urgentStartLimit {
-				t.Fatalf("after %s: %+v", time.Since(began), s)
+				t.Fatalf("urgent job does not run completely after %s: %+v", time.Since(began), s)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
 		s, err := b.get(filler.ID)
 		c.is.NoErr(err)
-		c.is.Equal(s.Counts.Failures, 0) // to be preempted is no failure
+		c.is.Equal(s.Counts.Failures, 0) // a preemption does not count as a failure
 		c.assertNoViolations()
 	})
 }
 
-// twoTeamsOf finds two teams with the same home.
+// twoTeamsOf returns two teams with the same home partition.
 func twoTeamsOf(partitionID int) (one, two string) {
 	for i := 0; two == ""; i++ {
 		name := fmt.Sprintf("team%d", i)
@@ -68,8 +67,8 @@
 	return one, two
 }
 
-// TestTeamsShare lets two teams with backlog, one of which came first with far
-// more work, compete for a cell.
+// TestTeamsShare lets two teams with a backlog compete for a cell; one of them submitted far more
+// work, and earlier.
 func TestTeamsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
@@ -85,14 +84,14 @@
 		late.Team = two
 		_, err := a.submit(late)
 		c.is.NoErr(err)
-		time.Sleep(6 * time.Second) // until what came first has ended
-		var lateTime, earlyTime time.Duration
+		time.Sleep(6 * time.Second) // until the tasks of the first team that started before have ended
+		var lateUsage, earlyUsage time.Duration
 		from := time.Now()
 		time.Sleep(96 * time.Second)
 		for task, places := range c.judge.Record(time.Now(), true).Tasks {
-			of := &earlyTime
+			of := &earlyUsage
 			if strings.HasPrefix(task, late.ID) {
-				of = &lateTime
+				of = &lateUsage
 			}
 			for _, p := range places {
 				if p.Until.After(from) {
@@ -100,15 +99,15 @@
 				}
 			}
 		}
-		share := float64(lateTime) / float64(lateTime+earlyTime)
+		share := float64(lateUsage) / float64(lateUsage+earlyUsage)
 		if share < 0.4 || share > 0.6 {
-			t.Errorf("the late team had %.2f of the cell", share)
+			t.Errorf("the later team used %.2f of the cell, want 0.4 to 0.6", share)
 		}
 		c.assertNoViolations()
 	})
 }
 
-// TestReplacementsAreThrottled loses more tasks at one moment than the burst.
+// TestReplacementsAreThrottled loses more tasks at one time than the burst of the rate limit.
 func TestReplacementsAreThrottled(t *testing.T) {
 	const tasks = replaceBurst + 3*replacePerSecond
 	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, tasks)
@@ -127,7 +126,7 @@
 	}
 }
 
-// TestUrgentReplacementsGoFirst loses urgent and other tasks at one moment.
+// TestUrgentReplacementsGoFirst loses urgent and other tasks at the same time.
 func TestUrgentReplacementsGoFirst(t *testing.T) {
 	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 2*replaceBurst)
 	is := o.m.cfg.Source.(*cell).is
@@ -143,12 +142,11 @@
 		}
 	}
 	o.replaceLost(now)
-	is.Equal(len(urgent.ready), 2*replaceBurst) // all at once
+	is.Equal(len(urgent.ready), 2*replaceBurst) // not throttled
 	is.Equal(len(j.ready), 0)
 }
 
-// TestIdleJobsCauseNoCalls counts messages and writes of homes whose jobs run
-// without a change.
+// TestIdleJobsCauseNoCalls counts the peer calls of job owners whose jobs run without a change.
 func TestIdleJobsCauseNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 4)
@@ -171,7 +169,7 @@
 	})
 }
 
-// TestExplain checks that an explanation names what a job waits for.
+// TestExplain checks that an explanation states what a job waits for.
 func TestExplain(t *testing.T) {
 	cases := []struct {
 		name string
@@ -207,8 +205,8 @@
 	}
 }
 
-// TestAgedTaskGetsCapacity submits a task that needs a whole worker to a cell that
-// smaller work keeps full: each piece of room is taken as it comes free.
+// TestAgedTaskGetsCapacity submits a task that needs a whole host to a cell that smaller tasks keep
+// full, where any capacity that becomes free is used at once.
 func TestAgedTaskGetsCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
@@ -231,7 +229,7 @@
 			c.is.NoErr(err)
 			waiting += s.Counts.Waiting
 		}
-		c.is.True(waiting > 0) // else the room came by itself
+		c.is.True(waiting > 0) // otherwise the capacity became free by itself
 		c.assertNoViolations()
 	})
 }
--- a/internal/job/query.go
+++ b/internal/job/query.go
@@ -9,12 +9,12 @@
 	"pulleyquay/internal/result"
 )
 
-// cancelWait bounds how long a cancellation waits for its record. It takes
-// effect whether or not the store answers.
+// cancelWait bounds how long a cancellation waits for its record to be written. It takes effect
+// even if the store does not reply.
 const cancelWait = time.Second
 
-// findJob returns the job and its home, which this process must have the right to
-// speak for.
+// findJob returns the job and its owner, provided that this process has the authority to act for
+// it.
 func (m *Manager) findJob(id string) (*jobOwner, *job, error) {
 	for _, o := range m.allOwners() {
 		o.mu.Lock()
@@ -30,7 +30,7 @@
 	return nil, nil, result.New(result.JobNotFound, result.RanUnknown, "no home of this process knows job %q", id)
 }
 
-// loadingOwner returns a home that does not know all its jobs yet, or nil.
+// loadingOwner returns a job owner that has not read all its records yet, or nil.
 func (m *Manager) loadingOwner() *jobOwner {
 	for _, o := range m.allOwners() {
 		o.mu.Lock()
@@ -47,7 +47,7 @@
 	return result.New(result.JobHomeRecovering, result.RanNo, "the home in partition %d does not know all its jobs yet", o.partition).Later(retryLoading)
 }
 
-// Get returns one job of any home of this process.
+// Get returns one job of any job owner of this process.
 func (m *Manager) Get(_ context.Context, req jobmsg.GetRequest) (jobmsg.GetReply, error) {
 	o, j, err := m.findJob(req.ID)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return reply, nil
 }
 
-// List returns a page of the jobs of this process's homes.
+// List returns a page of the jobs of this process's job owners.
 func (m *Manager) List(_ context.Context, req jobmsg.ListRequest) (jobmsg.ListReply, error) {
 	limit := req.Limit
 	if limit <= 0 {
@@ -89,7 +89,7 @@
 	return jobmsg.ListReply{Jobs: jobs}, nil
 }
 
-// listAfter returns at most n jobs of the home after an identifier, in order.
+// listAfter returns at most n jobs with identifiers above after, in order.
 func (o *jobOwner) listAfter(team, after string, n int) []jobmsg.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,8 +107,8 @@
 	return out
 }
 
-// Cancel ends a job. Nothing of it starts once Cancel has answered; what runs
-// is stopped. Status.Recorded tells whether the store knows of it yet.
+// Cancel ends a job. None of its tasks starts once Cancel has returned; running ones are stopped.
+// Status.Recorded reports whether the cancellation is in the store yet.
 func (m *Manager) Cancel(ctx context.Context, req jobmsg.CancelRequest) (jobmsg.Status, error) {
 	o, j, err := m.findJob(req.ID)
 	if err != nil {
@@ -117,7 +117,7 @@
 	o.mu.Lock()
 	switch {
 	case j.rec.Code == result.JobCancelled:
-		// Asked again: the same answer.
+		// A repeated request gets the same reply.
 	case j.rec.State.Final():
 		o.mu.Unlock()
 		return jobmsg.Status{}, result.New(result.JobAlreadyEnded, result.RanYes, "job %s is %s", req.ID, j.rec.State)
@@ -129,7 +129,7 @@
 	return o.awaitRecord(ctx, j), nil
 }
 
-// awaitRecord waits a while for a job's record to be written.
+// awaitRecord waits up to cancelWait for a job's record to be written.
 func (o *jobOwner) awaitRecord(ctx context.Context, j *job) jobmsg.Status {
 	ctx, cancel := context.WithTimeout(ctx, cancelWait)
 	defer cancel()
@@ -169,9 +169,8 @@
 	return s
 }
 
-// count counts the tasks by state. A gang shows as running only once all of it
-// runs; until then its tasks count as starting, or as stopping when it is being
-// broken up.
+// count counts the tasks by state. The tasks of a gang count as running only once all of them run;
+// until then they count as starting, or as stopping while the gang is being stopped.
 func (j *job) count(c *jobmsg.Counts) {
 	running := &c.Running
 	switch {
--- a/internal/job/queue.go
+++ b/internal/job/queue.go
@@ -9,16 +9,16 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// roundBudget is how many tasks one round of decisions asks for at most.
+// roundBudget bounds the tasks picked in one round.
 const roundBudget = 8192
 
-// deadline is when a job's results stop being useful.
+// deadline is the time after which a job's results are no longer needed.
 type deadline struct {
 	due time.Time
 	job string
 }
 
-// add puts a live job into the table.
+// add adds a live job to the table.
 func (o *jobOwner) add(j *job) {
 	o.jobs[j.id()] = j
 	o.live[j.id()] = j
@@ -47,7 +47,7 @@
 	o.updateWaiting(j)
 }
 
-// updateWaiting notes whether a job has tasks that wait for a start.
+// updateWaiting adds a job to the waiting jobs if it has tasks to start, and removes it otherwise.
 func (o *jobOwner) updateWaiting(j *job) {
 	if !j.ending() && !o.recovering(j) && j.waiting() > 0 {
 		if j.rec.Job.Urgent && o.waiting[j.id()] == nil {
@@ -60,7 +60,7 @@
 	o.queue.Remove(j.id())
 }
 
-// waiting returns how many tasks of a job wait for a start.
+// waiting returns the number of tasks of a job that wait to start.
 func (j *job) waiting() int {
 	if j.isGang() && j.gang.is(gangIdle) {
 		return len(j.tasks) - j.done
@@ -68,8 +68,8 @@
 	return len(j.ready) + len(j.delayed)
 }
 
-// pickTasks returns the jobs to start tasks of, and how many, in the order of
-// urgency, age and fair shares.
+// pickTasks returns the jobs to start tasks of, with the number of tasks, in the order of urgency,
+// age and fair share.
 func (o *jobOwner) pickTasks(holders []holder, now time.Time) []fairshare.Pick {
 	o.plan.due = o.expireRefusals(now)
 	for _, j := range o.waiting {
@@ -84,7 +84,7 @@
 	return o.queue.Round(now, roundBudget, totalCapacity(holders), o.ledger.Used)
 }
 
-// nextRetry returns when the first thing that the job backs off from is over.
+// nextRetry returns when the first backoff of the job ends, at most activeInterval from now.
 func (j *job) nextRetry(now time.Time) time.Time {
 	next := now.Add(activeInterval)
 	consider := func(t time.Time) {
@@ -109,13 +109,13 @@
 	if j.isGang() && j.gang.is(gangIdle) {
 		e.Whole, e.Pending, e.NotBefore = true, len(j.tasks)-j.done, j.gang.notBefore
 		if j.active > 0 {
-			e.Pending = 0 // what is left of the last try is still being stopped
+			e.Pending = 0 // the previous try is still being stopped
 		}
 	}
 	return e
 }
 
-// totalCapacity sums up the whole sizes of all workers.
+// totalCapacity sums up the sizes of all hosts.
 func totalCapacity(holders []holder) spec.Resources {
 	var sum spec.Resources
 	for _, target := range holders {
@@ -126,15 +126,15 @@
 	return sum
 }
 
-// requestedCapacity is what was asked of a holder since its digest last changed.
+// requestedCapacity is the capacity requested from a holder since its digest last changed.
 type requestedCapacity struct {
-	free      spec.Resources // of the digest
+	free      spec.Resources // as in the digest
 	largest   spec.Resources
 	requested spec.Resources
 	since     time.Time
 }
 
-// requestedFrom returns what was asked of a holder since its digest last changed.
+// requestedFrom returns the capacity requested from a holder since its digest last changed.
 func (o *jobOwner) requestedFrom(target holder, now time.Time) *requestedCapacity {
 	a := o.requested[target.member]
 	if a == nil || a.free != target.digest.Free || a.largest != target.digest.Largest || now.Sub(a.since) > requestedLifetime {
@@ -144,9 +144,8 @@
 	return a
 }
 
-// freeSlots returns how many tasks of a shape a holder seems able to start, by its
-// digest less what was asked of it since; ever is false when none of its
-// workers could, even empty.
+// freeSlots estimates how many tasks of a shape a holder can start, from its digest less the
+// capacity requested since; feasible is false if the task fits none of its hosts even when empty.
 func (o *jobOwner) freeSlots(t spec.Task, target holder, now time.Time) (n int, feasible bool) {
 	if !target.hasDigest {
 		return assumedSlots, true
--- a/internal/job/quota_test.go
+++ b/internal/job/quota_test.go
@@ -13,8 +13,8 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// TestQuota submits more than a team may hold, in several jobs and through a
-// takeover, and checks at every moment what its tasks hold at the workers.
+// TestQuota submits more than a team's quota in several jobs, also through a failover, and checks
+// all the time how many of its tasks run.
 func TestQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 4)
@@ -44,7 +44,7 @@
 	})
 }
 
-// TestRefusedAtOnce lists submissions that can never be met.
+// TestRefusedAtOnce lists submissions that can never be satisfied.
 func TestRefusedAtOnce(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -57,7 +57,7 @@
 		{"newer processors", func(j *spec.Job) { j.Task.MinGeneration = 2 }, result.JobNeverFits, "task"},
 		{"a label", func(j *spec.Job) { j.Task.Labels = map[string]string{"disk": "ssd"} }, result.JobNeverFits, "task"},
 		{"a gang larger than the cell", func(j *spec.Job) { j.Kind, j.Tasks = spec.KindGang, 65 }, result.JobNeverFits, "tasks"},
-		{"no branch", func(j *spec.Job) { j.Branch = "nowhere" }, result.JobBranchUnknown, "branch"},
+		{"unknown branch", func(j *spec.Job) { j.Branch = "nowhere" }, result.JobBranchUnknown, "branch"},
 		{"above the quota", func(j *spec.Job) { j.Branch, j.Task.Size.MilliCPU = "small", 3000 }, result.JobOverQuota, ""},
 		{"a gang above the quota", func(j *spec.Job) { j.Branch, j.Kind, j.Tasks = "small", spec.KindGang, 3 }, result.JobOverQuota, ""},
 		{"deadline passed", func(j *spec.Job) { j.DeadlineUnixMilli = time.Now().UnixMilli() + 500 }, result.JobDeadlinePassed, "deadline_unix_ms"},
@@ -86,7 +86,7 @@
 	})
 }
 
-// TestIdentifiers checks what a second submission with the same identifier gets.
+// TestIdentifiers checks the reply to a second submission with the same identifier.
 func TestIdentifiers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
@@ -103,7 +103,7 @@
 		c.is.NoErr(err)
 		c.is.Equal(s.State, jobmsg.StateFinished)
 		time.Sleep(5 * time.Minute)
-		_, err = a.submit(job) // forgotten by now, and too old to be new
+		_, err = a.submit(job) // deleted by now, and too old to count as new
 		c.is.Equal(result.CodeOf(err), result.JobIDTooOld)
 		c.is.Equal(c.judge.Starts(), 4)
 		records, _, err := c.store.List(t.Context(), "jobs/")
@@ -112,18 +112,19 @@
 	})
 }
 
-// TestAuthorityExpired lets a home lose its right while nobody takes over: it decides
-// nothing and accepts nothing until it has the right again. The link is healed
-// when no call is under way, as a call that passed its check may still go out.
+// TestAuthorityExpired lets a job owner's authority expire while no other process acquires the
+// partition. It must decide nothing and accept nothing until its authority is restored. The faults
+// of the link are cleared when no call is in flight, as a call that has passed its check may still
+// be sent.
 func TestAuthorityExpired(t *testing.T) {
 	cases := []struct {
 		name   string
 		expire func(*cell, *placer)
 	}{
-		{"between two decisions", func(_ *cell, a *placer) { a.authority.expire() }},
-		{"between a decision and its order", func(c *cell, a *placer) {
+		{"between two passes", func(_ *cell, a *placer) { a.authority.expire() }},
+		{"between a decision and its request", func(c *cell, a *placer) {
 			c.setBranch(testBranch, func(v *settings.Values) { v.Quota.MilliCPU = 0 })
-			time.Sleep(2 * refusalBackoffMax) // no holder is backed off from any more
+			time.Sleep(2 * refusalBackoffMax) // the backoff from every holder has ended
 			synctest.Wait()
 			c.clearFaults()
 			c.onNextBranchRead(a.authority.expire)
@@ -135,7 +136,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c, a, _ := twoPlacers(t, 2)
 				c.addFault(&peerFault{kind: peer.KindPlace, times: -1})
-				job := batch(0, 40, time.Second) // too many for the workers of one holder
+				job := batch(0, 40, time.Second) // more than the capacity of one holder
 				_, err := a.submit(job)
 				c.is.NoErr(err)
 				tt.expire(c, a)
@@ -153,7 +154,7 @@
 	}
 }
 
-// TestFailingWork checks attempts, blame and deadlines.
+// TestFailingWork checks the limits on failures and the deadline.
 func TestFailingWork(t *testing.T) {
 	fails := func(c *cell) {
 		for _, h := range c.Hosts() {
@@ -195,13 +196,13 @@
 	}
 }
 
-// TestQuotaDuringFailover submits a job to a home that does not know yet what runs
-// of the team's earlier jobs.
+// TestQuotaDuringFailover submits a job to a job owner that does not have the inventories of the
+// team's earlier jobs yet.
 func TestQuotaDuringFailover(t *testing.T) {
 	cases := []struct {
 		name  string
 		first spec.Job
-		edit  func(*spec.Job) // a change just before the takeover
+		edit  func(*spec.Job) // a change just before the failover
 	}{
 		{"batch", batch(0, 10, time.Hour), nil},
 		{"service that shrinks", service(0, 10), func(j *spec.Job) { j.Tasks = 2 }},
--- a/internal/job/random_test.go
+++ b/internal/job/random_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// run makes the steps in a bubble of their own and returns what broke, or "".
+// run carries out the steps in a bubble of their own and returns the violation, or "".
 func run(t *testing.T, steps []step) (violation string) {
 	synctest.Test(t, func(t *testing.T) {
 		sn := newSimulation(t)
@@ -27,8 +27,8 @@
 	return violation
 }
 
-// TestRandomRuns drives jobs, homes, holders, store and workers through random
-// steps. What fails once becomes a case of TestKnownRuns.
+// TestRandomRuns applies random steps to jobs, job owners, holders, store and hosts and checks the
+// invariants after each step. Steps that fail are to be added as a test case of their own.
 func TestRandomRuns(t *testing.T) {
 	number := rapid.IntRange(0, 59)
 	oneStep := rapid.Custom(func(t *rapid.T) step {
--- a/internal/job/reconcile.go
+++ b/internal/job/reconcile.go
@@ -11,22 +11,21 @@
 	"pulleyquay/internal/worker"
 )
 
-// Times of asking for inventories.
+// Timing of inventory requests.
 const (
 	inventoryTimeout  = 5 * time.Second
 	inventoryInterval = 500 * time.Millisecond
 )
 
-// unackedStart is an attempt whose order was not answered: it may have reached the
-// member that was asked, and it runs nowhere but on a worker that this member
-// held at the time.
+// unackedStart is an attempt whose start request was not acknowledged. The request may have reached
+// the member; if so, the attempt can run only on a host that this member held at the time.
 type unackedStart struct {
 	job    string
 	index  int
 	target holder
 }
 
-// markUnacked notes that the outcome of an order is unknown.
+// markUnacked records that the outcome of a start request is unknown.
 func (o *jobOwner) markUnacked(j *job, slot taskmsg.Slot, target holder, now time.Time) {
 	o.m.metrics.unackedStarts.Inc()
 	j.tasks[slot.Index].state = taskUnacked
@@ -34,8 +33,8 @@
 	j.log.add(now, "in doubt", "holder "+target.member+" did not say whether it started a task")
 }
 
-// missingInventories lists the worker partitions whose present holder has not yet given
-// a complete inventory. A partition that nobody ever held has no workers in use.
+// missingInventories lists the host partitions whose current holder has not yet sent a complete
+// inventory. A partition that was never held has no hosts in use.
 func (o *jobOwner) missingInventories(t *view.Table) []int {
 	missing := []int{}
 	if t == nil {
@@ -49,8 +48,8 @@
 	return missing
 }
 
-// startInventories asks the holders of uncovered partitions, and those that
-// doubts are about, in the background.
+// startInventories requests inventories in the background from the holders of partitions without
+// one and from members with unacknowledged starts.
 func (o *jobOwner) startInventories(t *view.Table, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,13 +80,14 @@
 	o.background.Go(func() { o.fetchInventories(addrs) })
 }
 
-// finishRecovery lets the tasks start that no holder reported: all have answered.
+// finishRecovery is called once every holder has sent its inventory. Tasks that no holder reported
+// may start.
 func (o *jobOwner) finishRecovery(now time.Time) {
 	if o.phase != phaseReconciling {
 		return
 	}
 	o.phase = phaseReady
-	o.log.Info("all inventories are in, jobs resume")
+	o.log.Info("received all inventories, resuming inherited jobs")
 	for _, j := range o.live {
 		if j.inherited {
 			o.resumeJob(j, now)
@@ -96,7 +96,7 @@
 	}
 }
 
-// resumeJob lets a job that an earlier home ran go on.
+// resumeJob continues a job inherited from a previous job owner.
 func (o *jobOwner) resumeJob(j *job, now time.Time) {
 	o.releaseUnreported(j, j.unreported)
 	j.log.add(now, "resumed", "every holder has told what runs")
@@ -107,7 +107,7 @@
 	o.enqueueAll(j)
 }
 
-// fetchInventories asks all addresses at once and waits for them.
+// fetchInventories requests inventories from all addresses in parallel and waits for the replies.
 func (o *jobOwner) fetchInventories(addrs map[string]bool) {
 	var wait sync.WaitGroup
 	for addr := range addrs {
@@ -121,26 +121,26 @@
 	o.wakeLoop()
 }
 
-// fetchInventory asks one holder what runs of this home and applies the answer.
+// fetchInventory requests a holder's inventory of this job owner's runs and applies the reply.
 func (o *jobOwner) fetchInventory(addr string) {
 	var reply taskmsg.InventoryReply
 	o.m.metrics.inventories.Inc()
 	err := o.callHolder(addr, peer.KindInventory, inventoryTimeout, taskmsg.InventoryRequest{Home: o.identity()}, &reply)
 	if err != nil {
-		o.log.WithError(err).WithField("addr", addr).Debug("no inventory")
+		o.log.WithError(err).WithField("addr", addr).Debug("inventory request failed")
 		return
 	}
 	now := time.Now()
 	o.mu.Lock()
 	acked, orphans := o.applyInventory(reply, now)
 	o.mu.Unlock()
-	_ = acked // the holder repeats ends as news, which acknowledges them
+	_ = acked // the holder repeats ends as run reports, whose replies acknowledge them
 	o.stopRuns(addr, orphans, "belongs to no task of a job")
 }
 
-// applyInventory applies a holder's whole knowledge of this home's runs: what
-// ran in a partition under an older epoch and is not in a complete inventory of
-// a newer one is gone.
+// applyInventory applies a holder's complete list of this job owner's runs. A run recorded in a
+// partition under an older epoch and missing from a complete inventory of a newer epoch no longer
+// runs.
 func (o *jobOwner) applyInventory(reply taskmsg.InventoryReply, now time.Time) (acked, orphans []worker.Attempt) {
 	if o.phase < phaseReconciling || o.phase == phaseEnded {
 		return nil, nil
@@ -168,8 +168,8 @@
 	return acked, orphans
 }
 
-// releaseMissingRuns frees the tasks whose worker's partition has been claimed anew and
-// whose run the claim did not find.
+// releaseMissingRuns releases the tasks whose host partition has been claimed under a newer epoch
+// and whose run is not in the new holder's inventory.
 func (o *jobOwner) releaseMissingRuns(newer map[int]uint64, reported map[worker.Attempt]bool, now time.Time) {
 	for _, j := range o.live {
 		for i := range j.tasks {
@@ -185,10 +185,9 @@
 	}
 }
 
-// resolveUnacked asks the members that doubts are about to stop those attempts.
-// An attempt that the member does not know will not be started by it; when
-// besides every partition's present holder has given a complete inventory
-// without it, it runs nowhere.
+// resolveUnacked asks the members with unacknowledged starts to stop those attempts. A member does
+// not start an attempt that it reports as unknown. If in addition the current holder of every
+// partition has sent a complete inventory without the attempt, it does not run anywhere.
 func (o *jobOwner) resolveUnacked() {
 	table := o.m.cfg.Source.Table()
 	byAddr := o.unackedByAddr(table)
@@ -204,14 +203,14 @@
 	}
 }
 
-// memberUnacked are the doubts about one member.
+// memberUnacked are the unacknowledged starts of one member.
 type memberUnacked struct {
 	runs     []worker.Attempt
 	departed bool // the process is no longer a member and holds nothing
 }
 
-// unackedByAddr returns the doubts that may be settled now: none while a
-// partition is uncovered, as the run may have moved there.
+// unackedByAddr returns the unacknowledged starts that can be resolved now. While an inventory is
+// missing there are none, as the run may be on a host of that partition.
 func (o *jobOwner) unackedByAddr(t *view.Table) map[string]*memberUnacked {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -237,7 +236,7 @@
 	return out
 }
 
-// releaseUnacked frees the tasks of attempts that certainly do not run.
+// releaseUnacked releases the tasks of attempts that certainly do not run.
 func (o *jobOwner) releaseUnacked(runs []worker.Attempt) {
 	now := time.Now()
 	o.mu.Lock()
@@ -254,7 +253,7 @@
 	}
 }
 
-// stopRuns asks a holder to end runs.
+// stopRuns asks a holder to stop runs.
 func (o *jobOwner) stopRuns(addr string, runs []worker.Attempt, reason string) (taskmsg.StopReply, error) {
 	var reply taskmsg.StopReply
 	if len(runs) == 0 {
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -13,9 +13,9 @@
 	"pulleyquay/internal/spec"
 )
 
-// record is what the store keeps of one job under jobs/<partition>/<id>. It
-// holds what can not be learned again from the workers: the specification,
-// which tasks are finished, how often tasks failed, and how the job ended.
+// record is what the store keeps of one job under jobs/<partition>/<id>. It holds what the hosts
+// can not report again: the specification, which tasks are finished, how often tasks failed, and
+// how the job ended.
 type record struct {
 	Job       spec.Job     `cbor:"1,keyasint"`
 	Submitted int64        `cbor:"2,keyasint"` // wall clock, Unix milliseconds
@@ -25,22 +25,23 @@
 	Ended     int64        `cbor:"6,keyasint,omitempty"` // wall clock, Unix milliseconds
 	Done      bitmap       `cbor:"7,keyasint,omitempty"`
 	Failures  map[int]int  `cbor:"8,keyasint,omitempty"` // by task index
-	// OriginEpoch is the epoch of the home that accepted the job.
+	// OriginEpoch is the epoch of the job owner that accepted the job.
 	OriginEpoch uint64 `cbor:"9,keyasint"`
-	// Generation counts the changes of a service's specification; TaskGeneration
-	// is the one that its present tasks came with.
+	// Generation counts the changes of a service's specification; TaskGeneration is the generation
+	// that its current tasks were started with.
 	Generation     int `cbor:"10,keyasint,omitempty"`
 	TaskGeneration int `cbor:"13,keyasint,omitempty"`
-	// PastSpecs holds earlier tasks that may still run, Peak the largest number of
-	// replicas that may.
+	// PastSpecs holds earlier specifications whose tasks may still run, PeakReplicas the largest
+	// number of replicas that may run.
 	PastSpecs    []pastSpec `cbor:"11,keyasint,omitempty"`
 	PeakReplicas int        `cbor:"14,keyasint,omitempty"`
-	// Submission identifies the specification as first submitted.
+	// Submission is the fingerprint of the specification as first submitted.
 	Submission uint64 `cbor:"12,keyasint"`
-	// Crashes lists the workers that were lost under a task, by task index.
+	// Crashes lists the host failures attributed to each task, by task index.
 	Crashes map[int]crashloop.History `cbor:"15,keyasint,omitempty"`
-	// LastFailedAttempt is the latest attempt that Failures counts, by task index, and GangFailed
-	// the latest of a gang's run that it counts: news of a failure comes to the next home too.
+	// LastFailedAttempt is the latest attempt counted in Failures, by task index, and
+	// LastFailedGangAttempt the latest attempt of the gang run that was counted last. The report of
+	// a failure is repeated to the next job owner, which must not count it again.
 	LastFailedAttempt     map[int]int `cbor:"16,keyasint,omitempty"`
 	LastFailedGangAttempt int         `cbor:"17,keyasint,omitempty"`
 }
@@ -56,35 +57,35 @@
 func decodeRecord(b []byte) (*record, error) {
 	r := &record{}
 	if err := cbor.Unmarshal(b, r); err != nil {
-		return nil, fmt.Errorf("job record: %w", err)
+		return nil, fmt.Errorf("decode job record: %w", err)
 	}
 	return r, nil
 }
 
-// fingerprint identifies a specification with all its fields.
+// fingerprint is a hash over all fields of a specification.
 func fingerprint(j spec.Job) uint64 {
 	b, err := canonicalMode.Marshal(j)
 	if err != nil {
-		return 0 // plain data always encodes
+		return 0 // a struct of plain values always encodes
 	}
 	return xxhash.Sum64(b)
 }
 
-// canonicalMode encodes maps in one order, so that equal values give equal bytes.
+// canonicalMode encodes maps in a fixed order, so that equal values give equal bytes.
 var canonicalMode = newCanonicalMode()
 
 func newCanonicalMode() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
-		panic(err) // only for contradictory options
+		panic(err) // only on contradictory options
 	}
 	return mode
 }
 
-// sameSpec reports whether two specifications agree in every field.
+// sameSpec reports whether two specifications are equal in every field.
 func sameSpec(a, b spec.Job) bool { return fingerprint(a) == fingerprint(b) }
 
-// bitmap is a set of small numbers.
+// bitmap is a set of small integers.
 type bitmap []byte
 
 func newBitmap(n int) bitmap { return make(bitmap, (n+7)/8) }
--- a/internal/job/refusal.go
+++ b/internal/job/refusal.go
@@ -6,12 +6,12 @@
 	"pulleyquay/internal/spec"
 )
 
-// taskClass is what the room for a task depends on.
+// taskClass is what the free capacity for a task depends on.
 type taskClass struct {
 	size       spec.Resources
 	kind       string
 	generation int
-	// job is set for tasks with labels only, which are a make of their own.
+	// job is set only for tasks with labels; each such job is a class of its own.
 	job string
 }
 
@@ -24,27 +24,26 @@
 	return m
 }
 
-// refusalKey is a make of task at a holder. All jobs with tasks of a make back
-// off from a holder together; if each did so by itself, a team with many jobs
-// would always have one that asks first.
+// refusalKey is a task class at a holder. All jobs with tasks of a class back off from a holder
+// together; if each did so by itself, a team with many jobs would always have one that asks first.
 type refusalKey struct {
 	class  taskClass
 	member string
 }
 
-// refusal is how long a make of task is not asked of a holder again.
+// refusal is the backoff of a task class from a holder.
 type refusal struct {
 	until   time.Time
 	backoff time.Duration
-	// free and largest are the holder's room at the refusal, if it was known:
-	// once they change the refusal does not count any more.
+	// free and largest are the holder's capacity at the time of the refusal, if known. The refusal
+	// no longer applies once they change.
 	free, largest spec.Resources
 }
 
-// refusalRetention is how long an old refusal still doubles the next pause.
+// refusalRetention is how long an expired refusal still doubles the next backoff.
 const refusalRetention = 10 * time.Second
 
-// refusalStatus is what a holder's last answer means for asking it again.
+// refusalStatus states whether a holder may be asked again.
 type refusalStatus int
 
 const (
@@ -64,7 +63,7 @@
 	return previouslyRefused
 }
 
-// recordRefusal notes that a holder turned tasks of a make down.
+// recordRefusal records that a holder refused tasks of a class.
 func (o *jobOwner) recordRefusal(j *job, target holder, now time.Time) {
 	k := refusalKey{taskClassOf(j), target.member}
 	r := o.refusals[k]
@@ -77,12 +76,12 @@
 	r.free, r.largest = target.digest.Free, target.digest.Largest
 }
 
-// clearRefusal notes that a holder started all that it was asked.
+// clearRefusal is called when a holder has started all requested tasks.
 func (o *jobOwner) clearRefusal(j *job, target holder) {
 	delete(o.refusals, refusalKey{taskClassOf(j), target.member})
 }
 
-// expireRefusals drops what is long over and returns when the next pause ends.
+// expireRefusals drops refusals past their retention and returns when the next backoff ends.
 func (o *jobOwner) expireRefusals(now time.Time) time.Time {
 	next := now.Add(activeInterval)
 	for k, r := range o.refusals {
--- a/internal/job/register.go
+++ b/internal/job/register.go
@@ -2,7 +2,7 @@
 
 import "pulleyquay/internal/peer"
 
-// Register adds the handlers of the homes to the peer link.
+// Register registers the request handlers of the job owners with the peer link.
 func (m *Manager) Register(mux *peer.Mux) {
 	peer.Handle(mux, peer.KindJobSubmit, m.Submit)
 	peer.Handle(mux, peer.KindJobGet, m.Get)
--- a/internal/job/resubmit_test.go
+++ b/internal/job/resubmit_test.go
@@ -8,15 +8,10 @@
 	"pulleyquay/internal/jobmsg"
 )
 
-// TestResubmitAfterFailover: a job was handed in while its home was lost; the store had
-// its record, and the answer said that this was not known. The caller sent it again, as told,
-// to the next home, which had read the record and waited for the outcome of a first write
-// that only the former home makes: each try ran into the caller's deadline, for as long as
-// the job lived:
-//
-//	after 0s, in 81ms: 503 job-record-unknown
-//	after 164ms, in 8.001s: 502 peer-lost "gave up waiting for the peer: context deadline exceeded"
-//	after 8.185s, in 8.003s: 502 peer-lost
+// TestResubmitAfterFailover submits a job again after the job owner was lost between the first
+// write and the reply. The next job owner has the record, but waited for the outcome of a first
+// write that only the previous one makes, so each retry ran into the caller's deadline (8 s) for as
+// long as the job lived.
 func TestResubmitAfterFailover(t *testing.T) {
 	for _, d := range []time.Duration{0, 200 * time.Millisecond, 30 * time.Second} {
 		t.Run(d.String(), func(t *testing.T) {
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -7,17 +7,16 @@
 	"pulleyquay/internal/spec"
 )
 
-// pastSpec is what an earlier specification of a service asked for, while tasks
-// of it may still run.
+// pastSpec is an earlier specification of a service some of whose tasks may still run.
 type pastSpec struct {
 	Generation int `cbor:"1,keyasint"`
-	// LastAttempt is the last attempt that may have been started by it.
+	// LastAttempt is the last attempt that may have been started with it.
 	LastAttempt int            `cbor:"2,keyasint"`
 	Size        spec.Resources `cbor:"3,keyasint"`
 }
 
-// maxActive returns how many tasks of a job may run that an earlier home
-// started, and the largest size of any.
+// maxActive returns how many tasks of a job that a previous job owner started may run, and the
+// largest size of any.
 func (r *record) maxActive(surge int) (int, spec.Resources) {
 	n, size := max(r.Job.Tasks, r.PeakReplicas)-r.Done.count(), r.Job.Task.Size
 	if r.Job.Kind == spec.KindService {
@@ -29,8 +28,8 @@
 	return n, size
 }
 
-// specOfAttempt returns the generation of the specification that an attempt was
-// started by, and the size of its tasks.
+// specOfAttempt returns the generation of the specification that an attempt was started with, and
+// the size of its tasks.
 func (r *record) specOfAttempt(attempt int) (generation int, size spec.Resources) {
 	for _, p := range r.PastSpecs {
 		if attempt <= p.LastAttempt {
@@ -40,14 +39,14 @@
 	return r.TaskGeneration, r.Job.Task.Size
 }
 
-// markUnplanned notes that a service has to be looked at again.
+// markUnplanned adds a service to those that must be planned again.
 func (o *jobOwner) markUnplanned(j *job) {
 	if j.isService() && !j.ending() {
 		o.unplannedServices[j.id()] = j
 	}
 }
 
-// planServices brings every service that changed to its replicas.
+// planServices plans the replicas of every service that changed.
 func (o *jobOwner) planServices(now time.Time) {
 	for id, j := range o.unplannedServices {
 		delete(o.unplannedServices, id)
@@ -59,10 +58,10 @@
 	}
 }
 
-// replicaCounts is what a service has of each kind.
+// replicaCounts counts the replicas of a service by kind.
 type replicaCounts struct {
-	old        int   // active, started by an earlier specification, not being stopped
-	oldRunning []int // indexes
+	old        int   // active, started with an earlier specification, not being stopped
+	oldRunning []int // task indexes
 	running    int
 }
 
@@ -88,9 +87,9 @@
 	return r
 }
 
-// planService decides which replicas to start and to stop. A change of the
-// specification is rolled out by starting up to the branch's surge of new
-// replicas above the set number and stopping old ones as new ones run.
+// planService decides which replicas to start and to stop. A change of the specification is rolled
+// out by starting new replicas above the configured number, up to the branch's surge, and stopping
+// old ones as new ones run.
 func (o *jobOwner) planService(j *job, values settings.Values, now time.Time) {
 	want, surge := j.rec.Job.Tasks, int(values.Task.Surge)
 	r := j.replicaCounts()
@@ -112,13 +111,13 @@
 	o.updateWaiting(j)
 }
 
-// surplusReplicas returns the replicas to stop: old ones as far as enough others run,
-// then those above the set number.
+// surplusReplicas returns the replicas to stop: old ones as far as enough others run, then those
+// above the configured number.
 func (j *job) surplusReplicas(r replicaCounts, want, surge int) []int {
 	if r.old > 0 {
 		least := want
 		if surge == 0 {
-			least = want - 1 // there is no room to start the new one first
+			least = want - 1 // without surge, an old replica stops before a new one starts
 		}
 		n := min(max(r.running-least, 0), len(r.oldRunning))
 		return r.oldRunning[:n]
@@ -132,7 +131,7 @@
 	return out
 }
 
-// fillReplicas makes as many free tasks ready as the service lacks of its target.
+// fillReplicas makes as many free tasks ready as the service is short of its target.
 func (j *job) fillReplicas(target int, now time.Time) {
 	j.ready = j.ready[:0]
 	need := target - j.active - j.throttled - len(j.delayed)
@@ -156,7 +155,7 @@
 	}
 }
 
-// trimTasks drops the free tasks above the set number.
+// trimTasks removes the free tasks above the configured number.
 func (j *job) trimTasks(want int) {
 	delayed := j.delayed[:0]
 	for _, d := range j.delayed {
--- a/internal/job/service_test.go
+++ b/internal/job/service_test.go
@@ -14,7 +14,7 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// service makes an always-on job of 1000 mCPU a replica.
+// service returns a service with replicas of 1000 mCPU.
 func service(partitionID, replicas int) spec.Job {
 	j := batch(partitionID, replicas, 0)
 	j.Kind = spec.KindService
@@ -25,16 +25,16 @@
 	return call[jobmsg.Status](p, peer.KindJobUpdate, jobmsg.UpdateRequest{Job: j, Generation: generation})
 }
 
-// awaitReplicas waits until exactly so many replicas run and none comes or goes.
-func (p *placer) awaitReplicas(id string, n int, atMost time.Duration) jobmsg.Status {
+// awaitReplicas waits until exactly n replicas run and none is starting or stopping.
+func (p *placer) awaitReplicas(id string, n int, timeout time.Duration) jobmsg.Status {
 	p.c.t.Helper()
-	for deadline := time.Now().Add(atMost); ; time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
 		s, err := p.get(id)
 		if err == nil && s.Counts == (jobmsg.Counts{Running: n, Failures: s.Counts.Failures}) {
 			return s
 		}
 		if time.Now().After(deadline) {
-			p.c.t.Fatalf("not %d replicas after %s: %+v, %v", n, atMost, s, err)
+			p.c.t.Fatalf("not %d replicas after %s: %+v, %v", n, timeout, s, err)
 		}
 	}
 }
@@ -45,16 +45,16 @@
 		name    string
 		disturb func(c *cell, a, b *placer, worker string)
 	}{
-		{"a worker is lost", func(c *cell, _, _ *placer, worker string) {
+		{"a host is lost", func(c *cell, _, _ *placer, worker string) {
 			c.sim.Worker(worker).SetFaults(workersim.Faults{Unreachable: true})
 		}},
-		{"a worker restarts", func(c *cell, _, _ *placer, worker string) { c.sim.Worker(worker).Restart() }},
-		{"the home is lost", func(_ *cell, a, b *placer, _ string) {
+		{"a host restarts", func(c *cell, _, _ *placer, worker string) { c.sim.Worker(worker).Restart() }},
+		{"the job owner is lost", func(_ *cell, a, b *placer, _ string) {
 			a.kill()
 			time.Sleep(3 * time.Second)
 			b.acquire(0, 1)
 		}},
-		{"the home is lost and the store is down for long", func(c *cell, a, b *placer, _ string) {
+		{"the job owner is lost after a long store outage", func(c *cell, a, b *placer, _ string) {
 			c.engine.SetFaults(memstore.Faults{Refuse: true})
 			time.Sleep(10 * testLease)
 			c.engine.SetFaults(memstore.Faults{})
@@ -79,7 +79,7 @@
 	}
 }
 
-// livingOf returns the first of two processes that still lives.
+// livingOf returns q if it is alive, else p.
 func (p *placer) livingOf(q *placer) *placer {
 	p.c.mu.Lock()
 	defer p.c.mu.Unlock()
@@ -89,16 +89,16 @@
 	return p
 }
 
-// TestServiceChanges rolls changes out and checks, at every moment, that no more
-// replicas run than the surge allows and no fewer than it promises.
+// TestServiceChanges rolls changes out and checks all the time that no more replicas run than the
+// surge allows, and no fewer than the update must keep.
 func TestServiceChanges(t *testing.T) {
 	cases := []struct {
-		name        string
-		surge       int64
-		edit        func(*spec.Job)
-		replicas    int
-		most, least int
-		replaced    bool
+		name                   string
+		surge                  int64
+		edit                   func(*spec.Job)
+		replicas               int
+		maxRunning, minRunning int
+		replaced               bool
 	}{
 		{"surge one", 1, func(j *spec.Job) { j.Task.Command = "v2" }, 6, 7, 6, true},
 		{"surge three", 3, func(j *spec.Job) { j.Task.Size.MilliCPU = 1500 }, 6, 9, 6, true},
@@ -116,7 +116,7 @@
 				_, err := a.submit(job)
 				c.is.NoErr(err)
 				a.awaitReplicas(job.ID, 6, 5*time.Second)
-				for _, h := range c.Hosts() { // so that the steps of the rollout can be told apart
+				for _, h := range c.Hosts() { // slow hosts, so that the steps of the rollout can be told apart
 					c.sim.Worker(h.Addr).SetFaults(workersim.Faults{Slow: 150 * time.Millisecond})
 				}
 				starts := c.judge.Starts()
@@ -125,13 +125,13 @@
 				s, err := a.update(next, 1)
 				c.is.NoErr(err)
 				c.is.Equal(s.Generation, 2)
-				s, err = a.update(next, 1) // repeated
+				s, err = a.update(next, 1) // repeated request
 				c.is.NoErr(err)
 				c.is.Equal(s.Generation, 2)
 				for range 400 {
 					n := c.judge.Record(time.Now(), false).Running
-					if n > tt.most || n < tt.least {
-						t.Fatalf("%d replicas run", n)
+					if n > tt.maxRunning || n < tt.minRunning {
+						t.Fatalf("%d replicas run, want %d to %d", n, tt.minRunning, tt.maxRunning)
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
@@ -149,7 +149,7 @@
 	}
 }
 
-// TestChangeSurvivesFailover kills the home in the middle of a rollout.
+// TestChangeSurvivesFailover kills the job owner during a rollout.
 func TestChangeSurvivesFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
@@ -157,7 +157,7 @@
 		_, err := a.submit(job)
 		c.is.NoErr(err)
 		a.awaitReplicas(job.ID, 6, 5*time.Second)
-		c.addFault(&peerFault{kind: peer.KindStopTasks, times: -1}) // the rollout stalls after its surge
+		c.addFault(&peerFault{kind: peer.KindStopTasks, times: -1}) // the rollout stops after its surge
 		job.Task.Size.MilliCPU = 2000
 		_, err = a.update(job, 0)
 		c.is.NoErr(err)
@@ -172,17 +172,17 @@
 	})
 }
 
-// TestChangeUnderStoreFaults checks what the author of a change is told.
+// TestChangeUnderStoreFaults checks the reply to a change under store faults.
 func TestChangeUnderStoreFaults(t *testing.T) {
 	cases := []struct {
 		name       string
 		faults     memstore.Faults
 		code       result.Code
-		generation int // in the end
+		generation int // after the fault
 	}{
-		{"answer lost", memstore.Faults{LoseAnswers: 1}, 0, 2},
+		{"reply lost", memstore.Faults{LoseAnswers: 1}, 0, 2},
 		{"down", memstore.Faults{Refuse: true}, result.JobNotRecorded, 1},
-		{"all answers lost", memstore.Faults{LoseAnswers: memstore.All}, result.JobRecordUnknown, 2},
+		{"all replies lost", memstore.Faults{LoseAnswers: memstore.All}, result.JobRecordUnknown, 2},
 		{"silent", memstore.Faults{Hang: true}, result.JobRecordUnknown, 1},
 	}
 	for _, tt := range cases {
@@ -211,7 +211,7 @@
 	}
 }
 
-// TestChangeRefused lists changes that are not made.
+// TestChangeRefused lists changes that are refused.
 func TestChangeRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
--- a/internal/job/simulation_test.go
+++ b/internal/job/simulation_test.go
@@ -14,7 +14,7 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// action is one kind of step of a random run.
+// action is a kind of step of a random run.
 type action int
 
 const (
@@ -34,7 +34,7 @@
 
 var actionNames = [...]string{"submit", "cancel", "change", "kill", "pause", "hand-over", "store-fault", "peer-fault", "worker-fault", "heal", "sleep"}
 
-// step is one step with the numbers that decide its details.
+// step is one step with the numbers that determine its details.
 type step struct {
 	do      action
 	a, b, c int
@@ -42,19 +42,19 @@
 
 func (s step) String() string { return fmt.Sprintf("%s(%d,%d,%d)", actionNames[s.do], s.a, s.b, s.c) }
 
-// simulation drives a cell through steps and knows what was promised.
+// simulation applies steps to a cell and records the replies to submitters.
 type simulation struct {
 	*cell
 	names     []string
-	accepted  map[string]spec.Job // told as accepted
-	uncertain map[string]spec.Job // told as unknown
-	cancelled map[string]bool     // told as cancelled
-	// disturbed is true once a worker or the way to it was disturbed: then a run's
-	// end may be lost with it, and the task runs again.
+	accepted  map[string]spec.Job // reply: accepted
+	uncertain map[string]spec.Job // reply: outcome unknown
+	cancelled map[string]bool     // reply: cancelled
+	// disturbed is true once a host or the link to it had a fault. The end of a run may then be
+	// lost, and the task runs again.
 	disturbed bool
 }
 
-// randomQuota bounds each team of a random run.
+// randomQuota bounds the CPU of each team in a random run, in mCPU.
 const randomQuota = 16000
 
 func newSimulation(t *testing.T) *simulation {
@@ -71,7 +71,7 @@
 	return sn
 }
 
-// holder returns the live process that holds a partition, or nil.
+// holder returns the living process that holds a partition, or nil.
 func (sn *simulation) holder(id int) *placer {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
@@ -89,15 +89,15 @@
 	return sn.placer[sn.names[n%len(sn.names)]]
 }
 
-// harmless steps disturb nothing.
+// harmless reports whether the step injects no fault and moves no partition.
 func (s step) harmless() bool {
 	return s.do == actSubmit || s.do == actCancel || s.do == actChange || s.do == actSleep
 }
 
-// do makes one step.
+// do carries out one step.
 func (sn *simulation) do(s step) {
 	if !s.harmless() {
-		sn.judge.GangGrace = 5 * time.Minute // a broken gang lasts as long as takeovers do
+		sn.judge.GangGrace = 5 * time.Minute // a partial gang can last as long as failovers do
 	}
 	sn.disturbed = sn.disturbed || s.do == actWorkerFault
 	switch s.do {
@@ -153,7 +153,7 @@
 	sn.recordSubmit(j, err)
 }
 
-// recordSubmit notes what a submitter was told.
+// recordSubmit records the reply to a submission.
 func (sn *simulation) recordSubmit(j spec.Job, err error) {
 	if err == nil {
 		sn.accepted[j.ID] = j
@@ -194,13 +194,13 @@
 		if _, err := p.update(j, 0); err == nil {
 			sn.accepted[j.ID] = j
 		} else {
-			delete(sn.accepted, j.ID) // which of the two is in force is not known
+			delete(sn.accepted, j.ID) // it is not known which of the two specifications is in force
 			sn.uncertain[j.ID] = j
 		}
 	}
 }
 
-// holderOf returns the process that is the job's home.
+// holderOf returns the process that owns the job.
 func (sn *simulation) holderOf(j spec.Job) *placer {
 	for id := range testPartitions {
 		if teamOf(id) == j.Team {
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// replaceProcess ends a process in some way; the others take its partitions over, and
-// a new process of its name starts.
+// replaceProcess ends a process in the given way. Other processes acquire its partitions, and a new
+// process of the same name starts.
 func (sn *simulation) replaceProcess(s step, end func(*placer)) {
 	p := sn.live(s.a)
 	held := sn.heldBy(p)
@@ -233,18 +233,17 @@
 	return held
 }
 
-// pause lets a process stand still: its right lapses, its messages are held
-// back, others take its partitions, and then it goes on for a while before it
-// is replaced.
+// pause suspends a process: its authority expires, its messages are blocked and other processes
+// acquire its partitions. Then it resumes for a while before it is replaced.
 func (sn *simulation) pause(s step) {
 	sn.replaceProcess(s, func(p *placer) {
 		gate := make(chan struct{})
-		f := &peerFault{from: p.name, times: -1, hold: gate}
+		f := &peerFault{from: p.name, times: -1, blockUntil: gate}
 		sn.addFault(f)
 		p.store.SetFaults(memstore.Faults{RequestDelayMS: 1500})
 		late := make(chan error, 1)
 		j := batch(s.a%testPartitions, s.b%20+1, time.Second)
-		go func() { // a submission that meets the pause
+		go func() { // a submission in flight during the pause
 			_, err := p.submit(j)
 			late <- err
 		}()
@@ -257,7 +256,7 @@
 		}
 		time.Sleep(time.Duration(s.b%20) * time.Second)
 		sn.mu.Lock()
-		f.times, f.hold = 0, nil
+		f.times, f.blockUntil = 0, nil
 		sn.mu.Unlock()
 		close(gate)
 		sn.recordSubmit(j, <-late)
@@ -267,7 +266,7 @@
 	})
 }
 
-// handover moves one partition in order.
+// handover moves one partition in a planned handover.
 func (sn *simulation) handover(s step) {
 	id := s.a % testPartitions
 	from, to := sn.holder(id), sn.live(s.b)
@@ -287,7 +286,7 @@
 	sn.is.NoErr(to.jobs.Acquire(context.Background(), t))
 }
 
-// revoke ends the right to one partition.
+// revoke ends the authority for one partition.
 func (r *fakeAuthority) revoke(id int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/job/stop.go
+++ b/internal/job/stop.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// stopRetryInterval is how long a stop may stay unconfirmed before it is repeated.
+	// stopRetryInterval is the time after which an unconfirmed stop is repeated.
 	stopRetryInterval = 2 * time.Second
-	// maxStops bounds the runs in one message.
+	// maxStops bounds the runs per message.
 	maxStops = 1024
 )
 
-// planStops sends stops for what runs of ending jobs, grouped by holder. A stop
-// is repeated until news tells that the run has ended.
+// planStops sends stop requests for the running tasks of ending jobs, grouped by holder. A stop is
+// repeated until a report confirms that the run has ended.
 func (o *jobOwner) planStops(table *view.Table, now time.Time) {
 	if table == nil {
 		return
@@ -46,8 +46,8 @@
 	}
 }
 
-// collectStops adds the runs of a job that have to end to what each holder is to
-// stop, and reports whether there are any.
+// collectStops adds the runs of a job that have to stop to byAddr, the runs to stop by holder
+// address, and reports whether there are any.
 func (o *jobOwner) collectStops(j *job, addrs map[int]string, byAddr map[string][]worker.Attempt) bool {
 	whole := j.ending() || j.gang.is(gangStopping)
 	found := false
@@ -68,8 +68,8 @@
 	return found
 }
 
-// sendStops sends one batch. A run that its present holder does not know, in a
-// partition whose inventory is complete, does not run any more.
+// sendStops sends one batch. A run that the current holder of its partition does not know no longer
+// runs, if the inventory of that partition is complete.
 func (o *jobOwner) sendStops(addr string, runs []worker.Attempt) {
 	reply, err := o.stopRuns(addr, runs, "the home of the job ends it")
 	if err != nil || len(reply.Unknown) == 0 {
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -12,7 +12,7 @@
 	"pulleyquay/internal/spec"
 )
 
-// Waits told to callers.
+// Retry delays returned to callers, and the time limit of a first write.
 const (
 	retryLoading  = time.Second
 	retryStore    = 5 * time.Second
@@ -20,15 +20,15 @@
 	submitTimeout = 5 * time.Second
 )
 
-// storeUnavailableAfter is the age of the last contact with the store from which a new
-// job is refused unwritten: renewals come several times as often.
+// storeUnavailableAfter is the time since the last contact with the store after which new jobs are
+// refused without a write. Lease renewals contact the store several times as often.
 const storeUnavailableAfter = 2 * time.Second
 
-// maxLiveJobs bounds the live jobs of one home.
+// maxLiveJobs bounds the live jobs of one job owner.
 const maxLiveJobs = 20000
 
-// Submit accepts a job for the home of its team. It answers only once the job's
-// record is in the store. Submitting the same job again gives the same answer.
+// Submit accepts a job at the owner of its team's partition. It returns success only once the job's
+// record is in the store. Submitting the same job again gives the same reply.
 func (m *Manager) Submit(ctx context.Context, req jobmsg.SubmitRequest) (jobmsg.Status, error) {
 	status, err := m.submit(ctx, req.Job)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return partition.DefaultCount
 }
 
-// admit finds the job, or checks it and adds it to the table; fresh is true when
-// the caller has to write its record.
+// admit finds the job, or validates it and adds it to the table. If created is true, the caller has
+// to write its record.
 func (o *jobOwner) admit(s spec.Job, now time.Time) (j *job, created bool, err error) {
 	values, known := o.m.cfg.Values(s.Branch)
 	machineTypes, complete := o.m.machineTypes()
@@ -109,8 +109,8 @@
 	return j, true, nil
 }
 
-// checkStore refuses what needs the store while it is known to be away. A write
-// sent all the same would leave its outcome open.
+// checkStore refuses requests that need the store while it is known to be unavailable. A write sent
+// at such a time would have an unknown outcome.
 func (m *Manager) checkStore() error {
 	if m.cfg.StoreAge == nil || m.cfg.StoreAge() <= storeUnavailableAfter {
 		return nil
@@ -118,7 +118,7 @@
 	return result.New(result.JobNotRecorded, result.RanNo, "the platform's store has not answered for %s", m.cfg.StoreAge().Round(time.Second)).Later(retryStore)
 }
 
-// checkAccepting returns nil when the home takes jobs.
+// checkAccepting returns nil if the job owner accepts jobs.
 func (o *jobOwner) checkAccepting() error {
 	switch {
 	case o.released:
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// writeNewJob records a new job and lets its submitters know.
+// writeNewJob writes the record of a new job and then wakes its submitters.
 func (o *jobOwner) writeNewJob(j *job) {
 	o.mu.Lock()
 	value, err := encodeRecord(j.rec)
@@ -150,9 +150,9 @@
 	o.wakeLoop()
 }
 
-// applyFirstWriteResult applies the outcome of a job's first write. A job whose record
-// was certainly not written is forgotten; one in doubt is kept, written again
-// by the flush, and starts nothing until the store has it.
+// applyFirstWriteResult applies the outcome of a job's first write. A job whose record was
+// certainly not written is removed. If the outcome is unknown, the job is kept, the next flush
+// writes it again, and none of its tasks starts until the store has the record.
 func (o *jobOwner) applyFirstWriteResult(w pendingWrite, revision platform.Revision, err error) {
 	j := w.job
 	if refusal := submitRefusal(err); refusal != nil {
@@ -170,8 +170,7 @@
 	}
 }
 
-// submitRefusal returns the refusal for a first write that certainly did not
-// happen, or nil.
+// submitRefusal returns the refusal for a first write that certainly was not applied, or nil.
 func submitRefusal(err error) *result.Error {
 	switch {
 	case errors.Is(err, errFenced):
@@ -182,7 +181,7 @@
 	return nil
 }
 
-// remove forgets a job that was never recorded.
+// remove removes a job that was never recorded.
 func (o *jobOwner) remove(j *job) {
 	delete(o.jobs, j.id())
 	delete(o.live, j.id())
@@ -192,7 +191,7 @@
 	o.queue.Remove(j.id())
 }
 
-// submitReply tells a submitter what became of the job.
+// submitReply returns the outcome of a job's submission.
 func (o *jobOwner) submitReply(j *job) (jobmsg.Status, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/job/task.go
+++ b/internal/job/task.go
@@ -10,92 +10,91 @@
 	"pulleyquay/internal/worker"
 )
 
-// taskState is the state of one task in the home's table.
+// taskState is the state of one task in the job owner's table.
 type taskState uint8
 
 const (
-	taskPending   taskState = iota // nothing of it runs
-	taskRequested                  // a holder was asked, no answer yet
-	taskUnacked                    // it may run; nobody has said yet
-	taskRunning                    // a holder said that it runs
-	taskStopping                   // told to stop, the end is not confirmed
+	taskPending   taskState = iota // no run
+	taskRequested                  // start requested, no reply yet
+	taskUnacked                    // start unacknowledged: it may run
+	taskRunning                    // a holder reported that it runs
+	taskStopping                   // stop requested, end not confirmed
 	taskDone                       // finished with exit code zero
 )
 
-// location is a worker that runs tasks of the home's jobs. Tasks share it.
+// location is a host that runs tasks of the job owner's jobs, shared by these tasks.
 type location struct {
 	worker    string
 	zone      string
 	partition int
 }
 
-// task is the home's row for one task of one job.
+// task is the job owner's state of one task of one job.
 type task struct {
-	attempt      int // of the present run, or of the latest while pending
+	attempt      int // of the current run, or of the latest one while pending
 	epoch        uint64
-	at           *location // nil while it is not known
+	at           *location // nil while unknown
 	state        taskState
 	wasPreempted bool // the latest attempt was preempted
-	// runningSince is when this home learned that the present attempt runs; zero for one that
-	// an earlier home started.
+	// runningSince is when this job owner was informed that the current attempt runs; zero for an
+	// attempt that a previous job owner started.
 	runningSince time.Time
 }
 
-// active reports whether the task may run, so that it holds quota.
+// active reports whether the task may run and therefore uses quota.
 func (t *task) active() bool { return t.state != taskPending && t.state != taskDone }
 
-// delayedTask is a pending task that must not start before a moment.
+// delayedTask is a pending task that must not start before due.
 type delayedTask struct {
 	index int
 	due   time.Time
 }
 
-// job is one job in its home's memory. The home's lock guards it.
+// job is one job in its owner's memory, guarded by the owner's lock.
 type job struct {
 	rec *record
-	// revision is that of the job's record in the store; zero before the first.
+	// revision is the revision of the job's record in the store; zero before the first write.
 	revision platform.Revision
-	// dirty says that rec is newer than the store's record; version counts
-	// changes so that a flush can tell whether one came in the meantime.
+	// dirty is true if rec is newer than the store's record. version counts changes, so that a
+	// flush can detect those made during its write.
 	dirty    bool
 	version  uint64
 	flushing bool
-	// firstWriteDone is closed once the first write's outcome was told; refusal is
-	// then set when the job was not accepted. For jobs read from the store it is
-	// closed from the start.
+	// firstWriteDone is closed once the outcome of the first write is known; refusal is then set if
+	// the job was not accepted. For jobs read from the store it is closed from the start.
 	firstWriteDone chan struct{}
 	refusal        *result.Error
-	// recordConfirmed is false while nobody knows whether the store took the record.
+	// recordConfirmed is false while it is unknown whether the store has the record.
 	recordConfirmed bool
 
 	tasks []task
-	// lastStart is when a holder last said that a task started.
+	// lastStart is when a holder last reported a started task.
 	lastStart time.Time
-	ready     []int // pending tasks that may start, in the order to try
+	ready     []int // pending tasks that may start, in order
 	delayed   []delayedTask
 	running   int // tasks in taskRunning
-	active    int // tasks that hold quota: all but pending and done
+	active    int // tasks that use quota: all but pending and done
 	done      int // tasks in taskDone
-	// waitingSince is when the job began to wait for its present tasks.
+	// waitingSince is when the job began to wait for its pending tasks to start.
 	waitingSince time.Time
-	// recorded holds the finished tasks that the store knows of.
+	// recorded holds the finished tasks that are recorded in the store.
 	recorded bitmap
 	zones    map[string]int
-	// inherited jobs may have runs started by an earlier home, so nothing of
-	// them starts before every holder has told what runs.
+	// inherited is true for jobs that may have runs started by a previous job owner. None of their
+	// tasks starts before every holder has sent its inventory.
 	inherited bool
-	// unreported counts tasks that may run and that no holder has told of yet since
-	// the takeover. The quota counts them all the same.
+	// unreported counts tasks that may run and that no holder has reported since the failover. They
+	// are charged to the quota.
 	unreported int
-	// throttled counts a service's tasks whose replacement is held back for a while.
+	// throttled counts a service's tasks whose replacement is delayed by the rate limit.
 	throttled     int
 	holderReplies map[string]*holderReply
 	gang          gang
-	nextStop      time.Time // when stops are sent again
+	nextStop      time.Time // when stops are sent next
 	log           decisionLog
 }
 
-// holderReply is a holder's last answer about a job, for the explanation.
+// holderReply is a holder's last reply about a job, for the explanation.
 type holderReply struct {
 	refusal *taskmsg.Refusal
 	err     error
@@ -137,7 +136,7 @@
 // ending reports whether no further task of the job may start.
 func (j *job) ending() bool { return j.rec.Code != 0 || j.rec.State.Final() }
 
-// currentAttempt names the present attempt of a task.
+// currentAttempt returns the identifier of the current attempt of a task.
 func (j *job) currentAttempt(index int) worker.Attempt {
 	return worker.Attempt{Task: spec.TaskID{Job: j.id(), Index: index}, Attempt: j.tasks[index].attempt}
 }
@@ -154,7 +153,7 @@
 	j.ready = append(j.ready, index)
 }
 
-// lastReply returns what the job remembers of a holder.
+// lastReply returns the last reply of a holder about the job.
 func (j *job) lastReply(member string) *holderReply {
 	m := j.holderReplies[member]
 	if m == nil {
