--- a/internal/job/transition.go
+++ b/internal/job/transition.go
@@ -10,14 +10,14 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// Delays before a failed task is tried again.
+// Delays before a failed task is started again.
 const (
 	failureBackoffMin = 500 * time.Millisecond
 	failureBackoffMax = 30 * time.Second
 )
 
-// newAttempt gives a pending task its next attempt. The caller has taken the task
-// from the ready ones and its size out of the quota.
+// newAttempt gives a pending task its next attempt. The caller has removed the task from the ready
+// ones and reserved quota for its size.
 func (o *jobOwner) newAttempt(j *job, index int) taskmsg.Slot {
 	o.startCounter++
 	t := &j.tasks[index]
@@ -27,7 +27,7 @@
 	return taskmsg.Slot{Index: index, Attempt: t.attempt, Spared: wasPreempted}
 }
 
-// markRunning notes that the present attempt of a task runs on a worker.
+// markRunning records that the current attempt of a task runs on a host.
 func (o *jobOwner) markRunning(j *job, index int, at *location, epoch uint64) {
 	t := &j.tasks[index]
 	o.clearLocation(j, t)
@@ -46,7 +46,7 @@
 	o.markUnplanned(j)
 }
 
-// clearLocation takes a task out of the counts of running ones.
+// clearLocation removes a task from the counts of running tasks.
 func (o *jobOwner) clearLocation(j *job, t *task) {
 	if t.state == taskRunning {
 		j.running--
@@ -60,8 +60,8 @@
 	t.at = nil
 }
 
-// releaseTask notes that the present attempt of an active task certainly does not run
-// any more and gives its size back to the team's quota.
+// releaseTask is called when the current attempt of an active task certainly no longer runs. It
+// releases the task's share of the team's quota.
 func (o *jobOwner) releaseTask(j *job, index int) {
 	t := &j.tasks[index]
 	delete(o.unackedStarts, j.currentAttempt(index))
@@ -78,8 +78,8 @@
 	o.markUnplanned(j)
 }
 
-// ledgerAccount names what the ledger counts an attempt under: its job and the
-// generation of the specification, whose tasks are of one size.
+// ledgerAccount returns the ledger account of an attempt: its job and the generation of the
+// specification, whose tasks all have the same size.
 func (j *job) ledgerAccount(attempt int) string {
 	generation, _ := j.rec.specOfAttempt(attempt)
 	return j.ledgerAccountOf(generation)
@@ -87,7 +87,7 @@
 
 func (j *job) ledgerAccountOf(generation int) string { return j.id() + "/" + strconv.Itoa(generation) }
 
-// requeue makes a freed task wait for its next start.
+// requeue makes a released task wait for its next start.
 func (o *jobOwner) requeue(j *job, index int, after time.Duration, now time.Time) {
 	switch {
 	case j.ending() || o.recovering(j):
@@ -104,8 +104,8 @@
 	o.updateWaiting(j)
 }
 
-// runLost makes a task whose worker is gone wait for its replacement, which is
-// paced so that the loss of a rack or zone does not push all else aside.
+// runLost schedules the replacement of a task whose host is lost. Replacements are throttled so
+// that the loss of a rack or zone does not delay all other work.
 func (o *jobOwner) runLost(j *job, index int, why string, now time.Time) {
 	o.m.metrics.runLost.Inc()
 	j.log.add(now, "lost", why)
@@ -126,7 +126,7 @@
 	})
 }
 
-// replaceLost lets the lost tasks wait for a start whose turn has come.
+// replaceLost requeues the lost tasks that the rate limit admits now.
 func (o *jobOwner) replaceLost(now time.Time) {
 	for _, l := range o.replaceThrottle.Take(now) {
 		j := o.live[l.Task.Job]
@@ -140,7 +140,7 @@
 	}
 }
 
-// markDone notes that a task of finite work is done.
+// markDone marks a task of finite work as done.
 func (o *jobOwner) markDone(j *job, index int) {
 	j.tasks[index].state = taskDone
 	j.done++
@@ -149,9 +149,9 @@
 	o.markChanged(j)
 }
 
-// handleFailure counts a run that ended by itself with a failure. Finite work ends when
-// a task failed as often as the branch allows, or when the job failed on
-// different workers; a service is tried for ever, ever more slowly.
+// handleFailure counts a run that ended with an exit code other than zero. Finite work ends when a
+// task has failed as often as the branch allows, or when the job has failed on different hosts; a
+// service is restarted without limit, at growing intervals.
 func (o *jobOwner) handleFailure(j *job, index int, n taskmsg.RunNews, now time.Time) {
 	if !o.countFailure(j, index, n.Run.Attempt) {
 		o.requeue(j, index, failureBackoff(j.rec.Failures[index]), now)
@@ -168,8 +168,8 @@
 	o.requeue(j, index, failureBackoff(failureCount), now)
 }
 
-// countFailure counts a run that failed, unless it was counted before: by an earlier home, or
-// as the run of a gang of which other members failed with it.
+// countFailure counts a failed run. It reports false if the run was counted before, by a previous
+// job owner or as part of a gang run in which other tasks failed too.
 func (o *jobOwner) countFailure(j *job, index, attempt int) bool {
 	whole := j.isGang() && !o.replacesGangTasks(j)
 	if attempt <= j.rec.LastFailedAttempt[index] || whole && attempt <= j.rec.LastFailedGangAttempt {
@@ -190,8 +190,8 @@
 	return true
 }
 
-// lastGangAttempt returns the latest attempt of a gang's present run. Until all holders have told
-// what runs, that is any attempt of an earlier home.
+// lastGangAttempt returns the latest attempt of a gang's current run. Before every holder has sent
+// its inventory, this includes all attempts of previous job owners.
 func (o *jobOwner) lastGangAttempt(j *job) int {
 	if o.recovering(j) {
 		return int(o.epoch) << attemptShift
@@ -203,7 +203,7 @@
 	return last
 }
 
-// failureError returns why a failure ends the job, or nil.
+// failureError returns the error that a failure ends the job with, or nil.
 func (o *jobOwner) failureError(j *job, index int, n taskmsg.RunNews, healthErr *result.Error) *result.Error {
 	if j.isService() {
 		return nil
@@ -224,8 +224,8 @@
 	return min(d, failureBackoffMax)
 }
 
-// endJob lets nothing of the job start any more; what runs is stopped and the
-// job becomes final once nothing runs.
+// endJob prevents all further starts of the job and stops its running tasks. The job becomes final
+// once no task runs.
 func (o *jobOwner) endJob(j *job, why *result.Error, now time.Time) {
 	if j.ending() {
 		return
@@ -241,7 +241,8 @@
 	o.finalizeIfDone(j, now)
 }
 
-// finalizeIfDone makes a job final when nothing is left of it.
+// finalizeIfDone makes a job final once all its tasks are done, or once it is ending and no task
+// runs.
 func (o *jobOwner) finalizeIfDone(j *job, now time.Time) {
 	if j.rec.State.Final() || j.active > 0 {
 		return
--- a/internal/job/update.go
+++ b/internal/job/update.go
@@ -11,11 +11,11 @@
 	"pulleyquay/internal/spec"
 )
 
-// updateRetry is when to come back while another write of the job is under way.
+// updateRetry is the retry delay returned while another write of the job is in progress.
 const updateRetry = time.Second
 
-// Update changes the replicas or the tasks of a service. It answers once the
-// change is in the store; then replicas are replaced one by one.
+// Update changes the number of replicas or the tasks of a service. It returns once the change is in
+// the store; the replicas are then replaced one by one.
 func (m *Manager) Update(ctx context.Context, req jobmsg.UpdateRequest) (jobmsg.Status, error) {
 	o, j, err := m.findJob(req.Job.ID)
 	if err != nil {
@@ -25,7 +25,7 @@
 	if err != nil {
 		return jobmsg.Status{}, err
 	}
-	if next == nil { // the very specification in force
+	if next == nil { // the specification is already in force
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		return o.status(j), nil
@@ -45,8 +45,8 @@
 	return o.status(j), nil
 }
 
-// beginUpdate checks a change and returns the record to write, nil when there
-// is nothing to change. No other write of the job goes on meanwhile.
+// beginUpdate validates a change and returns the record to write, nil if the specification is
+// already in force. Until the write is complete no other write of the job starts.
 func (o *jobOwner) beginUpdate(j *job, req jobmsg.UpdateRequest, now time.Time) (*record, []byte, error) {
 	values, known := o.m.cfg.Values(req.Job.Branch)
 	machineTypes, complete := o.m.machineTypes()
@@ -56,7 +56,7 @@
 		return nil, nil, err
 	}
 	if sameSpec(j.rec.Job, req.Job) {
-		return nil, nil, nil // also the answer to a repeated change
+		return nil, nil, nil // also the reply to a repeated update
 	}
 	if req.Generation != 0 && req.Generation != j.rec.Generation {
 		return nil, nil, result.New(result.JobChanged, result.RanNo, "the job is at generation %d, not %d", j.rec.Generation, req.Generation).At("generation")
@@ -86,7 +86,7 @@
 	return next, value, nil
 }
 
-// checkUpdate refuses what can not be changed.
+// checkUpdate refuses changes that are not allowed.
 func (j *job) checkUpdate(req jobmsg.UpdateRequest, now time.Time) error {
 	old, s := j.rec.Job, req.Job
 	switch {
@@ -100,8 +100,8 @@
 	return validateSpec(s, now)
 }
 
-// recordWithSpec returns the record with a changed specification. Attempts started so
-// far belong to the earlier one.
+// recordWithSpec returns the record with a changed specification. All attempts started so far
+// belong to the earlier one.
 func (o *jobOwner) recordWithSpec(j *job, s spec.Job) *record {
 	next := *j.rec
 	next.Job = s
@@ -115,17 +115,16 @@
 	return &next
 }
 
-// latestAttempt is the highest attempt number given so far.
+// latestAttempt returns the highest attempt number assigned so far.
 func (o *jobOwner) latestAttempt() int { return int(o.epoch)<<attemptShift | o.startCounter }
 
-// sameTask reports whether running tasks of one specification also do for
-// another.
+// sameTask reports whether running tasks of one specification also satisfy the other.
 func sameTask(a, b spec.Job) bool {
 	a.Tasks, b.Tasks = 0, 0
 	return sameSpec(a, b)
 }
 
-// writeUpdate records a change and puts it in force.
+// writeUpdate writes a change to the store and then applies it.
 func (o *jobOwner) writeUpdate(j *job, next *record, value []byte) error {
 	ctx, cancel := context.WithTimeout(o.ctx, submitTimeout)
 	defer cancel()
@@ -143,13 +142,13 @@
 	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, errFenced):
 		return result.New(result.JobNotRecorded, result.RanNo, "the store did not take the change of job %s", j.id()).Later(retryStore)
 	}
-	// The flush writes the job again; if the change is in the store it finds a
-	// conflict and puts the change in force.
+	// The flush writes the job again. If the change is in the store, the flush gets a conflict and
+	// applies the change.
 	o.markChanged(j)
 	return errUpdateUnknown(j.id())
 }
 
-// recoverUpdate puts a change in force whose write turns out to have succeeded.
+// recoverUpdate applies a change whose write turns out to have succeeded.
 func (o *jobOwner) recoverUpdate(j *job, found platform.Record) {
 	if found.Key == "" {
 		return
@@ -163,8 +162,8 @@
 	return result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took the change of job %s; ask again", id).Later(retryStore)
 }
 
-// applySpec makes a recorded specification the one to run by. What the rest of
-// the record became meanwhile stays.
+// applySpec puts the recorded specification in force. Other parts of the record, which may have
+// changed since, stay.
 func (o *jobOwner) applySpec(j *job, next *record) {
 	generation := j.rec.Generation
 	j.rec.Job, j.rec.Generation, j.rec.TaskGeneration = next.Job, next.Generation, next.TaskGeneration
@@ -172,5 +171,5 @@
 	j.holderReplies = map[string]*holderReply{}
 	o.markUnplanned(j)
 	j.log.add(time.Now(), "changed", "a new specification is in force")
-	o.log.WithField("job", j.id()).WithField("generation", generation+1).Info("service changed")
+	o.log.WithField("job", j.id()).WithField("generation", generation+1).Info("service specification changed")
 }
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -19,16 +19,16 @@
 const (
 	maxTasks        = 100000
 	maxCommandBytes = 64 << 10
-	// retention is how long a home remembers an ended job. An unknown identifier
-	// older than half of it is refused, so that none can be used twice.
+	// retention is how long a job owner keeps an ended job. An unknown identifier older than half
+	// of it is refused, so that no identifier can be used twice.
 	retention = time.Hour
-	// clockSkew is how far ahead a submitter's clock may be.
+	// clockSkew is how far a submitter's clock may be ahead.
 	clockSkew = time.Minute
 )
 
 var specValidator = newSpecValidator()
 
-// newSpecValidator returns a validator that names fields as JSON does.
+// newSpecValidator returns a validator that reports fields by their JSON names.
 func newSpecValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -38,7 +38,7 @@
 	return v
 }
 
-// validate checks what can be told from the job alone.
+// validate performs the checks that need only the job.
 func validate(j spec.Job, now time.Time) error {
 	if err := checkID(j.ID, now); err != nil {
 		return err
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// fieldError names the first field that the validator refused.
+// fieldError returns the error for the first field that failed validation.
 func fieldError(err error) error {
 	var failed validator.ValidationErrors
 	if !errors.As(err, &failed) || len(failed) == 0 {
@@ -99,8 +99,8 @@
 	return result.New(result.JobInvalid, result.RanNo, format, args...).At(field)
 }
 
-// checkQuota refuses a job that its quota could never let run: one task, or for
-// a gang all of them.
+// checkQuota refuses a job that the quota can never admit: one task, or for a gang all tasks, must
+// fit.
 func checkQuota(j spec.Job, q settings.Quota) error {
 	need := j.Task.Size
 	if j.Kind == spec.KindGang {
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -1,6 +1,6 @@
-// Package jobapi is the entry's HTTP interface for jobs. It keeps nothing: each
-// call goes over the peer link to the home of the job's team, or to all homes
-// when the team is not known.
+// Package jobapi is the entry's HTTP interface for jobs. It is stateless: each call is forwarded
+// over the peer link to the owner of the team's jobs, or to all job owners if the team is not
+// known.
 package jobapi
 
 import (
@@ -28,17 +28,17 @@
 const (
 	maxBodyBytes = 256 << 10
 	callTimeout  = 8 * time.Second
-	// IdempotencyHeader may carry the job's identifier in place of the body.
+	// IdempotencyHeader may carry the job's identifier instead of the body.
 	IdempotencyHeader = "Idempotency-Key"
 )
 
-// API answers /v1/jobs.
+// API serves /v1/jobs.
 type API struct {
 	ownerClient ownerClient
 	log         *logrus.Entry
 }
 
-// New returns the API of an entry that reaches the homes through peers.
+// New returns the API of an entry that calls the job owners through peers.
 func New(source view.Source, peers peer.Caller, log *logrus.Entry) *API {
 	return &API{ownerClient: ownerClient{source: source, peers: peers}, log: log}
 }
@@ -53,7 +53,7 @@
 	mux.Handle("DELETE /v1/jobs/{id}", a.route(a.cancel))
 }
 
-// response is a successful answer.
+// response is the response to a successful request.
 type response struct {
 	status   int
 	location string
@@ -62,7 +62,7 @@
 
 type handler func(ctx context.Context, r *http.Request) (response, error)
 
-// route bounds the time of a call and writes its answer or problem.
+// route limits the time of a request and writes its response or problem.
 func (a *API) route(fn handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
@@ -89,7 +89,7 @@
 	}
 	w.WriteHeader(ans.status)
 	if _, err := w.Write(append(body, '\n')); err != nil {
-		a.log.WithError(err).Debug("caller went away")
+		a.log.WithError(err).Debug("failed to write response to caller")
 	}
 }
 
@@ -110,8 +110,8 @@
 	return response{status: http.StatusCreated, location: "/v1/jobs/" + job.ID, body: status}, nil
 }
 
-// newID mints an identifier for a submitter who gave none, and who therefore can
-// not repeat the call safely.
+// newID generates an identifier for a submitter who gave none, and who therefore can not retry the
+// call safely.
 func newID() (string, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
@@ -120,8 +120,8 @@
 	return id.String(), nil
 }
 
-// readJob reads a specification strictly. Its identifier is given in the body,
-// outside of it, or in both if they agree.
+// readJob decodes a specification and refuses unknown fields. The identifier is given in the body,
+// by the caller of readJob, or by both if they agree.
 func readJob(r *http.Request, id string) (spec.Job, error) {
 	var job spec.Job
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
@@ -164,8 +164,8 @@
 	return e
 }
 
-// update changes a service. The generation parameter, when given, is the one
-// that the job must be at.
+// update changes a service. The generation parameter, if given, is the generation that the job must
+// have.
 func (a *API) update(ctx context.Context, r *http.Request) (response, error) {
 	job, err := readJob(r, r.PathValue("id"))
 	if err != nil {
@@ -186,7 +186,7 @@
 	return response{status: http.StatusOK, body: reply.Status}, err
 }
 
-// explainedJob is a job with the reasons for where it runs or what it waits for.
+// explainedJob is a job with an explanation of its placements and of what it waits for.
 type explainedJob struct {
 	jobmsg.Status
 	Explanation *jobmsg.Explanation `json:"explanation"`
@@ -202,8 +202,7 @@
 	return response{status: http.StatusAccepted, body: status}, err
 }
 
-// page is one page of a list; Next is the value of the after parameter for the
-// next one.
+// page is one page of a list; Next is the value of the after parameter for the next page.
 type page struct {
 	Jobs []jobmsg.Status `json:"jobs"`
 	Next string          `json:"next,omitempty"`
--- a/internal/jobapi/jobapi_test.go
+++ b/internal/jobapi/jobapi_test.go
@@ -29,10 +29,10 @@
 func (s source) Table() *view.Table       { return s.table }
 func (s source) Settings() *settings.Tree { return nil }
 
-// holder is a fake process that answers for jobs by a list of outcomes.
+// holder is a fake process that replies with a list of results.
 type holder struct {
 	addr    string
-	errs    []error // answers to calls, in order; the last one is repeated
+	errs    []error // results of the calls in order; the last one is repeated
 	calls   int
 	lastJob spec.Job
 }
@@ -43,7 +43,7 @@
 	return err
 }
 
-// testAPI is an API in front of two holders of two partitions each.
+// testAPI is an API with two holders of two partitions each.
 type testAPI struct {
 	*http.ServeMux
 	a, b *holder
@@ -103,7 +103,7 @@
 	return w
 }
 
-// teamAt returns a team whose home is at the first holder.
+// teamAt returns a team whose home partition is the given one.
 func teamAt(want int) string {
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k"} {
 		if partition.OfTeam(name, 4) == want {
@@ -115,7 +115,7 @@
 
 func newError(code result.Code, ran result.Ran) error { return result.New(code, ran, "because") }
 
-// TestSubmit lists bodies and homes' answers, and what the caller gets.
+// TestSubmit lists request bodies and replies of job owners with the expected response.
 func TestSubmit(t *testing.T) {
 	team := teamAt(0)
 	good := `{"id":"` + testID + `","team":"` + team + `","branch":"b","kind":"batch","tasks":1,"task":{"size":{"milli_cpu":1}}}`
@@ -138,8 +138,8 @@
 		{"half an object", good[:20], "", []error{nil}, 400, result.BadInput, result.RanNo, 0},
 		{"too large", `{"id":"` + strings.Repeat("x", maxBodyBytes) + `"}`, "", []error{nil}, 413, result.TooLarge, result.RanNo, 0},
 		{"refused", good, "", []error{newError(result.JobNeverFits, result.RanNo)}, 422, result.JobNeverFits, result.RanNo, 1},
-		{"home moves once", good, "", []error{newError(result.NotHolder, result.RanNo), nil}, 201, 0, "", 2},
-		{"answer lost once", good, "", []error{newError(result.PeerLost, result.RanUnknown), nil}, 201, 0, "", 2},
+		{"job owner changes once", good, "", []error{newError(result.NotHolder, result.RanNo), nil}, 201, 0, "", 2},
+		{"reply lost once", good, "", []error{newError(result.PeerLost, result.RanUnknown), nil}, 201, 0, "", 2},
 		{"store down", good, "", []error{newError(result.JobNotRecorded, result.RanNo)}, 503, result.JobNotRecorded, result.RanNo, 1},
 		{"lost, then refused", good, "", []error{newError(result.PeerLost, result.RanUnknown), newError(result.JobNotRecorded, result.RanNo)}, 503, result.JobRecordUnknown, result.RanUnknown, 2},
 	}
@@ -162,7 +162,7 @@
 	}
 }
 
-// TestIdentifierIsGenerated submits without any identifier.
+// TestIdentifierIsGenerated submits a job without an identifier.
 func TestIdentifierIsGenerated(t *testing.T) {
 	is := is.New(t)
 	b := newTestAPI([]error{nil}, []error{nil})
@@ -172,7 +172,7 @@
 	is.Equal(w.Header().Get("Location"), "/v1/jobs/"+b.a.lastJob.ID)
 }
 
-// TestFindsJobOwner asks for a job with and without its team.
+// TestFindsJobOwner requests a job with and without its team.
 func TestFindsJobOwner(t *testing.T) {
 	no, loading := newError(result.JobNotFound, result.RanUnknown), newError(result.JobHomeRecovering, result.RanNo)
 	cases := []struct {
@@ -185,7 +185,7 @@
 		{"at the first", "/v1/jobs/" + testID, nil, no, 200, 0},
 		{"at the second", "/v1/jobs/" + testID, no, nil, 200, 0},
 		{"nowhere", "/v1/jobs/" + testID, no, no, 404, result.JobNotFound},
-		{"a home does not know yet", "/v1/jobs/" + testID, no, loading, 503, result.JobHomeRecovering},
+		{"one job owner still reads its records", "/v1/jobs/" + testID, no, loading, 503, result.JobHomeRecovering},
 		{"by team", "/v1/jobs/" + testID + "?team=" + teamAt(2), loading, nil, 200, 0},
 		{"explained", "/v1/jobs/" + testID + "/explain", no, nil, 200, 0},
 	}
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestCancelAndUpdate go to the home that knows the job.
+// TestCancelAndUpdate checks that requests reach the owner of the job.
 func TestCancelAndUpdate(t *testing.T) {
 	is := is.New(t)
 	no := newError(result.JobNotFound, result.RanUnknown)
@@ -213,7 +213,7 @@
 	is.Equal(newTestAPI([]error{nil}, []error{nil}).do("PUT", "/v1/jobs/other", `{"id":"`+testID+`"}`).Code, 400)
 }
 
-// TestListPages merges the pages of all homes in order.
+// TestListPages checks that the pages of all job owners are merged in order.
 func TestListPages(t *testing.T) {
 	is := is.New(t)
 	b := newTestAPI([]error{nil}, []error{nil})
--- a/internal/jobapi/owners.go
+++ b/internal/jobapi/owners.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// retryPause is the wait before a home is looked up and asked again.
+	// retryPause is the delay before a job owner is looked up and called again.
 	retryPause = 200 * time.Millisecond
-	// maxParallelCalls bounds the processes asked at a time when the home is not known.
+	// maxParallelCalls bounds the concurrent calls to processes when the job owner is not known.
 	maxParallelCalls = 16
-	// retryNoHolder is when to come back while nobody holds a home.
+	// retryNoHolder is the retry delay returned while a partition has no holder.
 	retryNoHolder = 2 * time.Second
 )
 
-// ownerClient finds the homes of jobs and asks them.
+// ownerClient finds the job owners and calls them.
 type ownerClient struct {
 	source view.Source
 	peers  peer.Caller
 }
 
-// submit sends a job to its home until it has answered or ctx ends. A repeated
-// submit is harmless, but once one try may have been taken, no later refusal
-// proves that the job was not accepted.
+// submit sends a job to its owner, retrying until it replies or ctx ends. A repeated submit is
+// harmless, but once a try may have been accepted, no later refusal proves that the job was not
+// accepted.
 func (c ownerClient) submit(ctx context.Context, job spec.Job) (jobmsg.Status, error) {
 	uncertain := false
 	for {
@@ -53,8 +53,8 @@
 	}
 }
 
-// retryable reports whether a failure may pass once the table or the link has moved
-// on.
+// retryable reports whether an error may disappear once the partition table or the link has
+// changed.
 func retryable(e *result.Error) bool {
 	switch e.Code {
 	case result.NotHolder, result.RightLapsed, result.JobHomeMoved, result.JobHomeRecovering,
@@ -80,7 +80,7 @@
 		"an earlier try for job %s may have been accepted; now: %s", id, e.Error()).Later(retryNoHolder)
 }
 
-// ownerAddr returns the address of a team's home.
+// ownerAddr returns the address of the process that owns a team's jobs.
 func (c ownerClient) ownerAddr(team string) (string, error) {
 	table := c.source.Table()
 	if table == nil || len(table.Partitions) == 0 {
@@ -95,8 +95,8 @@
 	return "", result.New(result.JobHomeMoved, result.RanNo, "nobody holds partition %d, the home of team %s", id, team).Later(retryNoHolder)
 }
 
-// holders returns the addresses of all processes that hold partitions, in a
-// fixed order, and whether every partition has a holder.
+// holders returns the addresses of all processes that hold partitions, in a fixed order, and
+// whether every partition has a holder.
 func (c ownerClient) holders() (addrs []string, all bool) {
 	table := c.source.Table()
 	if table == nil {
@@ -126,8 +126,8 @@
 	return callOwner[jobmsg.Status](ctx, c, team, peer.KindJobCancel, jobmsg.CancelRequest{ID: id}, id)
 }
 
-// callOwner asks the home of the team, or every holder when the team is not given.
-// Only the home that knows the job answers.
+// callOwner calls the job owner of the team, or every holder if the team is not given. Only the
+// owner of the job replies with success.
 func callOwner[Resp any](ctx context.Context, c ownerClient, team string, kind peer.Kind, req any, id string) (Resp, error) {
 	var none Resp
 	addrs, all := c.holders()
@@ -157,7 +157,7 @@
 	return none, result.New(result.JobNotFound, result.RanUnknown, "no home knows job %q", id)
 }
 
-// callAll asks several processes at once and returns their answers in order.
+// callAll calls several processes in parallel and returns their replies in order.
 func callAll[Resp any](ctx context.Context, peers peer.Caller, addrs []string, kind peer.Kind, req any) ([]Resp, []error) {
 	replies := make([]Resp, len(addrs))
 	errs := make([]error, len(addrs))
@@ -169,12 +169,12 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // the calls keep their own errors
+	_ = g.Wait() // each call has its own error
 	return replies, errs
 }
 
-// list merges the pages of all homes. A home that does not answer fails the
-// whole list, as a list with a gap would look complete.
+// list merges the pages of all job owners. If one of them does not reply the whole list fails, as a
+// list with a gap would look complete.
 func (c ownerClient) list(ctx context.Context, req jobmsg.ListRequest) (jobmsg.ListReply, error) {
 	addrs, all := c.holders()
 	if req.Team != "" {
--- a/internal/jobmsg/jobmsg.go
+++ b/internal/jobmsg/jobmsg.go
@@ -1,4 +1,4 @@
-// Package jobmsg holds the messages between the entries and the homes of jobs.
+// Package jobmsg defines the messages between the entries and the owners of jobs.
 package jobmsg
 
 import "pulleyquay/internal/spec"
@@ -8,7 +8,7 @@
 
 // The states of a job. Finished, Failed and Cancelled are final.
 const (
-	StateWaiting   State = "waiting" // accepted, nothing of it runs
+	StateWaiting   State = "waiting" // accepted, no task runs
 	StateRunning   State = "running" // at least one task runs
 	StateStopping  State = "stopping"
 	StateFinished  State = "finished"
@@ -16,20 +16,20 @@
 	StateCancelled State = "cancelled"
 )
 
-// Final reports whether nothing of the job will run any more.
+// Final reports whether the state is final: no task of the job will run any more.
 func (s State) Final() bool {
 	return s == StateFinished || s == StateFailed || s == StateCancelled
 }
 
-// SubmitRequest asks the home of the job's team to accept it.
+// SubmitRequest asks the owner of the team's jobs to accept a job.
 type SubmitRequest struct {
 	Job spec.Job `cbor:"1,keyasint"`
 }
 
-// Counts tells how many tasks of a job are in which state.
+// Counts holds the number of tasks of a job by state.
 type Counts struct {
 	Waiting  int `cbor:"1,keyasint,omitempty" json:"waiting"`
-	Starting int `cbor:"2,keyasint,omitempty" json:"starting"` // ordered, outcome not yet known
+	Starting int `cbor:"2,keyasint,omitempty" json:"starting"` // start requested, outcome not known yet
 	Running  int `cbor:"3,keyasint,omitempty" json:"running"`
 	Stopping int `cbor:"4,keyasint,omitempty" json:"stopping"`
 	Finished int `cbor:"5,keyasint,omitempty" json:"finished"`
@@ -42,35 +42,35 @@
 	Job    spec.Job `cbor:"1,keyasint" json:"job"`
 	State  State    `cbor:"2,keyasint" json:"state"`
 	Counts Counts   `cbor:"3,keyasint" json:"tasks"`
-	// Reason tells why the job ended as it did, or what it waits for.
+	// Reason states why the job ended, or what it waits for.
 	Reason string `cbor:"4,keyasint,omitempty" json:"reason,omitempty"`
-	// Code is the result code that goes with Reason; zero when there is none.
+	// Code is the result code that belongs to Reason; zero if there is none.
 	Code int `cbor:"5,keyasint,omitempty" json:"code,omitempty"`
-	// SubmittedUnixMilli is when the home accepted the job.
+	// SubmittedUnixMilli is when the job was accepted.
 	SubmittedUnixMilli int64 `cbor:"6,keyasint" json:"submitted_unix_ms"`
-	// Recorded is true once the state shown is in the platform's store.
+	// Recorded is true once the state returned is in the platform's store.
 	Recorded bool `cbor:"7,keyasint" json:"recorded"`
-	// Partition and Epoch name the home that answered.
+	// Partition and Epoch identify the job owner that replied.
 	Partition int    `cbor:"8,keyasint" json:"partition"`
 	Epoch     uint64 `cbor:"9,keyasint" json:"epoch"`
 	// Generation counts the specifications of a service, from 1.
 	Generation int `cbor:"10,keyasint,omitempty" json:"generation"`
 }
 
-// GetRequest asks for one job. A process answers for all homes it holds, so the
-// team may be left out by asking every holder.
+// GetRequest asks for one job. A process replies for all job owners it runs, so without a team the
+// request is sent to every holder.
 type GetRequest struct {
 	ID      string `cbor:"1,keyasint"`
 	Explain bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// GetReply is the job, with its explanation when asked for.
+// GetReply is the job, with its explanation if requested.
 type GetReply struct {
 	Status  Status       `cbor:"1,keyasint"`
 	Explain *Explanation `cbor:"2,keyasint,omitempty"`
 }
 
-// ListRequest asks a process for the jobs of its homes.
+// ListRequest asks a process for the jobs of its job owners.
 type ListRequest struct {
 	// Team restricts the list; empty lists all teams.
 	Team string `cbor:"1,keyasint,omitempty"`
@@ -80,7 +80,7 @@
 	Limit int `cbor:"3,keyasint,omitempty"`
 }
 
-// The limits of a list's page.
+// Limits of the page size of a list.
 const (
 	DefaultListLimit = 100
 	MaxListLimit     = 1000
@@ -97,14 +97,14 @@
 	ID string `cbor:"1,keyasint"`
 }
 
-// UpdateRequest changes the replicas or the tasks of a service.
+// UpdateRequest changes the number of replicas or the tasks of a service.
 type UpdateRequest struct {
 	Job spec.Job `cbor:"1,keyasint"`
-	// Generation, when not zero, is the one that the job must be at.
+	// Generation, if not zero, is the generation that the job must have.
 	Generation int `cbor:"2,keyasint,omitempty"`
 }
 
-// Site is where tasks of a job run.
+// Placement is a host that runs tasks of a job.
 type Site struct {
 	Worker    string `cbor:"1,keyasint" json:"worker"`
 	Zone      string `cbor:"2,keyasint" json:"zone"`
@@ -112,27 +112,27 @@
 	Tasks     []int  `cbor:"4,keyasint" json:"tasks"`
 }
 
-// Decision is one entry of the home's record of what it decided about a job.
+// Decision is an entry of the job owner's log of decisions about a job.
 type Decision struct {
 	UnixMilli int64  `cbor:"1,keyasint" json:"unix_ms"`
 	What      string `cbor:"2,keyasint" json:"what"`
 	Why       string `cbor:"3,keyasint" json:"why"`
-	// Times counts how often the same decision came in a row.
+	// Times counts consecutive equal decisions.
 	Times int `cbor:"4,keyasint" json:"times"`
 }
 
-// Wait is one thing that a job waits for.
+// Wait is a resource or event that a job waits for.
 type Wait struct {
 	Tasks  int    `cbor:"1,keyasint" json:"tasks"`
 	For    string `cbor:"2,keyasint" json:"for"`
 	Freed  string `cbor:"3,keyasint,omitempty" json:"freed_by,omitempty"`
 	Holder string `cbor:"4,keyasint,omitempty" json:"holder,omitempty"`
-	// ByRule counts the workers that each rule of the holder's decision refused.
+	// ByRule counts the hosts that each rule of the holder's placement decision excluded.
 	ByRule map[string]int `cbor:"5,keyasint,omitempty" json:"refused_by_rule,omitempty"`
 }
 
-// Explanation tells why a job runs where it does, or what it waits for and what
-// would free it, from the home's own record.
+// Explanation states why a job runs where it does, or what it waits for and what would free that,
+// as recorded by the job owner.
 type Explanation struct {
 	Sites     []Site     `cbor:"1,keyasint" json:"sites"`
 	Waits     []Wait     `cbor:"2,keyasint" json:"waits"`
