--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -28,9 +28,9 @@
 		}
 		slot := o.newAttempt(j, 0)
 		for _, state := range []taskmsg.RunState{taskmsg.RunRunning, taskmsg.RunLost} {
-			news := reportOf(j, slot.Attempt, state, 0)
-			news.Worker, news.Zone = each(n)
-			o.applyReport(news, now)
+			report := reportOf(j, slot.Attempt, state, 0)
+			report.Worker, report.Zone = each(n)
+			o.applyReport(report, now)
 			now = now.Add(20 * time.Millisecond)
 		}
 		now = now.Add(10 * time.Second)
@@ -57,9 +57,9 @@
 		now, all := time.Now(), 0
 		for !j.ending() && all < 10 {
 			slot := o.newAttempt(j, 0)
-			news := reportOf(j, slot.Attempt, taskmsg.RunLost, 0)
-			news.Worker, news.Zone = distinctWorkers(all)
-			o.applyReport(news, now)
+			report := reportOf(j, slot.Attempt, taskmsg.RunLost, 0)
+			report.Worker, report.Zone = distinctWorkers(all)
+			o.applyReport(report, now)
 			now, all = now.Add(10*time.Second), all+1
 			stored, err := encodeRecord(j.rec)
 			is.NoErr(err)
@@ -113,10 +113,10 @@
 func loseUnconfirmed(t *testing.T, o *jobOwner, j *job, now time.Time, n int) ([]time.Duration, time.Time) {
 	var waits []time.Duration
 	for lost := range n {
-		news := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
-		news.Worker, news.Zone = distinctWorkers(lost)
-		news.Unseen = true
-		o.applyReport(news, now)
+		report := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
+		report.Worker, report.Zone = distinctWorkers(lost)
+		report.Unseen = true
+		o.applyReport(report, now)
 		if j.ending() {
 			t.Fatalf("ended after %d losses: %s", lost+1, j.rec.Reason)
 		}
@@ -154,9 +154,9 @@
 		_, now := loseUnconfirmed(t, o, j, time.Now(), maxCrashes)
 		seen := 0
 		for ; !j.ending() && seen < 10; seen++ {
-			news := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
-			news.Worker = fmt.Sprint("v", seen)
-			o.applyReport(news, now)
+			report := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
+			report.Worker = fmt.Sprint("v", seen)
+			o.applyReport(report, now)
 			now = now.Add(time.Minute)
 			o.replaceLost(now)
 		}
@@ -170,10 +170,10 @@
 		_, now := loseUnconfirmed(t, o, j, time.Now(), 3)
 		for i, c := range slices.Clone(j.rec.Crashes[0]) {
 			is.True(!j.ending())
-			news := reportOf(j, c.Run, taskmsg.RunLost, 0)
-			news.Worker, news.Zone = distinctWorkers(i)
-			o.applyReport(news, now) // another incarnation of the host has replied
-			o.applyReport(news, now) // repeated report
+			report := reportOf(j, c.Run, taskmsg.RunLost, 0)
+			report.Worker, report.Zone = distinctWorkers(i)
+			o.applyReport(report, now) // another incarnation of the host has replied
+			o.applyReport(report, now) // repeated report
 		}
 		is.Equal(j.rec.Code, result.JobCrashesHosts)
 	})
@@ -229,11 +229,11 @@
 			o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
 			lost, now := 0, time.Now()
 			for ; !j.ending() && lost < 2*maxCrashes; lost++ {
-				news := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
-				news.Worker, news.Zone = tc.workers(lost)
+				report := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
+				report.Worker, report.Zone = tc.workers(lost)
 				for s := tc.first; s <= tc.delayed; s++ {
-					news.Saw(s)
-					o.applyReport(news, now)
+					report.Saw(s)
+					o.applyReport(report, now)
 				}
 				now = now.Add(time.Minute)
 				j.ready, j.delayed = nil, nil
--- a/internal/job/failures_test.go
+++ b/internal/job/failures_test.go
@@ -38,12 +38,12 @@
 	is := is.New(t)
 	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 2)
 	now := time.Now()
-	news := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunFinished, 1)
-	o.applyReport(news, now)
+	report := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunFinished, 1)
+	o.applyReport(report, now)
 	is.Equal(j.rec.Failures[0], 1)
 	for range 2 {
 		o, j = nextOwner(t, o, j)
-		o.applyReport(news, now)
+		o.applyReport(report, now)
 		is.Equal(j.rec.Failures[0], 1)
 		is.Equal(j.tasks[0].state, taskPending)
 	}
@@ -53,7 +53,7 @@
 	is.Equal(j.rec.Failures[0], 2)
 	o, j = nextOwner(t, o, j)
 	o.applyReport(again, now)
-	o.applyReport(news, now)
+	o.applyReport(report, now)
 	is.Equal(j.rec.Failures[0], 2)
 }
 
--- a/internal/job/news.go
+++ b/internal/job/news.go
@@ -18,10 +18,10 @@
 	reportOrphan                       // belongs to no task of a job here; must be stopped
 )
 
-// TaskNews applies run reports of a holder. The end of a run is acknowledged only once it is in the
+// ReportRuns applies run reports of a holder. The end of a run is acknowledged only once it is in the
 // store; until then the holder repeats its report.
-func (m *Manager) TaskNews(_ context.Context, news taskmsg.News) (taskmsg.NewsReply, error) {
-	o, err := m.authorizedOwner(news.HomePartition)
+func (m *Manager) ReportRuns(_ context.Context, reports taskmsg.News) (taskmsg.NewsReply, error) {
+	o, err := m.authorizedOwner(reports.HomePartition)
 	if err != nil {
 		return taskmsg.NewsReply{}, err
 	}
@@ -32,7 +32,7 @@
 	}
 	var reply taskmsg.NewsReply
 	now := time.Now()
-	for _, n := range news.Runs {
+	for _, n := range reports.Runs {
 		switch o.applyReport(n, now) {
 		case reportAcked:
 			reply.Acked = append(reply.Acked, n.Run)
--- a/internal/job/simulation_test.go
+++ b/internal/job/simulation_test.go
@@ -23,11 +23,11 @@
 	actChange
 	actKill
 	actPause
-	actHandOver
+	actHandover
 	actStoreFault
 	actPeerFault
 	actWorkerFault
-	actHeal
+	actClearFaults
 	actSleep
 	actions
 )
@@ -111,7 +111,7 @@
 		sn.replaceProcess(s, func(p *placer) { p.kill() })
 	case actPause:
 		sn.pause(s)
-	case actHandOver:
+	case actHandover:
 		sn.handover(s)
 	case actStoreFault:
 		faults := []memstore.Faults{{Refuse: true}, {Hang: true}, {LoseAnswers: s.b%4 + 1}, {LoseRequests: s.b%4 + 1}, {RequestDelayMS: int64(s.b%6) * 700}}
@@ -128,7 +128,7 @@
 			return
 		}
 		sim.SetFaults(faults[s.a%4])
-	case actHeal:
+	case actClearFaults:
 		sn.clearAllFaults()
 	case actSleep:
 		time.Sleep(time.Duration(s.a%40+1) * time.Duration(s.b%10+1) * 50 * time.Millisecond)
