--- a/internal/job/cell_test.go
+++ b/internal/job/cell_test.go
@@ -24,31 +24,31 @@
 )
 
 const (
-	testPartitions = 4
-	testLease      = 15 * time.Second
-	testRight      = 6 * time.Second
-	testBranch     = "lakeshore"
+	testPartitions   = 4
+	testLease        = 15 * time.Second
+	testAuthorityTTL = 6 * time.Second
+	testBranch       = "lakeshore"
 )
 
-// takeoverTime is how long after a death a cell is whole again: every lease
-// that a dead holder renewed is over, and every inventory is in.
-const takeoverTime = testLease + 20*time.Second
+// failoverTime is the time from the death of a process until the cell has recovered: every lease
+// that the dead holder renewed has expired, and every inventory has arrived.
+const failoverTime = testLease + 20*time.Second
 
 var testSize = spec.Resources{MilliCPU: 8000, MemoryMiB: 8000}
 
-// rights is a hold.Right that a test moves by hand.
-type rights struct {
+// fakeAuthority is a hold.Right controlled by a test.
+type fakeAuthority struct {
 	mu     sync.Mutex
 	epochs map[int]uint64
-	until  time.Time // zero: always testRight ahead
+	until  time.Time // zero: always testAuthorityTTL from now
 }
 
-func (r *rights) Check(p int) (hold.Grant, error) {
+func (r *fakeAuthority) Check(p int) (hold.Grant, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	until := r.until
 	if until.IsZero() {
-		until = time.Now().Add(testRight)
+		until = time.Now().Add(testAuthorityTTL)
 	}
 	switch {
 	case r.epochs[p] == 0:
@@ -59,7 +59,7 @@
 	return hold.Grant{Partition: p, Epoch: r.epochs[p], Until: until}, nil
 }
 
-func (r *rights) Held() []int {
+func (r *fakeAuthority) Held() []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []int
@@ -71,15 +71,15 @@
 	return out
 }
 
-// lapse ends all rights at once, without telling the residents.
-func (r *rights) lapse() {
+// expire ends the authority for all partitions at once, without notifying the residents.
+func (r *fakeAuthority) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.until = time.Now()
 }
 
-// cell is a whole cell inside a synctest bubble: a store, stand-in workers and
-// placers whose partitions a test moves by hand.
+// cell is a complete cell inside a synctest bubble: a store, simulated hosts, and placers whose
+// partitions a test assigns.
 type cell struct {
 	t      testing.TB
 	is     *is.I
@@ -88,19 +88,19 @@
 	judge  *judge.Judge
 	sim    *workersim.Fleet
 
-	mu     sync.Mutex
-	hosts  []platform.Host
-	table  view.Table
-	values map[string]settings.Values
-	looked func() // called once, at the next look at a branch
-	muxes  peer.Local
-	placer map[string]*placer
-	faults []*peerFault
-	bubble bool
-	calls  map[peer.Kind]int
-}
-
-// newCell makes a cell with workers in as many racks as there are partitions.
+	mu           sync.Mutex
+	hosts        []platform.Host
+	table        view.Table
+	values       map[string]settings.Values
+	onBranchRead func() // called once, at the next read of a branch
+	muxes        peer.Local
+	placer       map[string]*placer
+	faults       []*peerFault
+	bubble       bool
+	calls        map[peer.Kind]int
+}
+
+// newCell returns a cell with hosts in as many racks as there are partitions.
 func newCell(t testing.TB, workersPerPartition int) *cell {
 	j := judge.New()
 	c := &cell{
@@ -119,24 +119,24 @@
 			c.hosts = append(c.hosts, platform.Host{Name: name, Role: platform.RoleWorker, Addr: name, Rack: rack, Zone: zone})
 		}
 	}
-	c.bubble = time.Now().Year() == 2000 // the clock of a bubble starts there
+	c.bubble = time.Now().Year() == 2000 // the clock of a bubble starts in that year
 	t.Cleanup(c.close)
 	return c
 }
 
-// rackOf finds a rack that belongs to the partition.
-func rackOf(p int) string {
+// rackOf returns a rack that belongs to the partition.
+func rackOf(partitionID int) string {
 	for i := 0; ; i++ {
-		if name := fmt.Sprintf("r%d", i); partition.OfRack(name, testPartitions) == p {
+		if name := fmt.Sprintf("r%d", i); partition.OfRack(name, testPartitions) == partitionID {
 			return name
 		}
 	}
 }
 
-// teamOf finds a team whose home is the partition.
-func teamOf(p int) string {
+// teamOf returns a team whose home partition is the given one.
+func teamOf(partitionID int) string {
 	for i := 0; ; i++ {
-		if name := fmt.Sprintf("team%d", i); partition.OfTeam(name, testPartitions) == p {
+		if name := fmt.Sprintf("team%d", i); partition.OfTeam(name, testPartitions) == partitionID {
 			return name
 		}
 	}
@@ -162,20 +162,20 @@
 func (c *cell) branch(name string) (settings.Values, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.looked != nil {
-		c.looked()
-		c.looked = nil
+	if c.onBranchRead != nil {
+		c.onBranchRead()
+		c.onBranchRead = nil
 	}
 	v, ok := c.values[name]
 	return v, ok
 }
 
-// atLook calls f at the next look at a branch, which a home takes between its
-// check of the right and the orders that follow from it.
-func (c *cell) atLook(f func()) {
+// onNextBranchRead calls f at the next read of a branch, which a job owner does after it has
+// checked its authority and before it sends the resulting requests.
+func (c *cell) onNextBranchRead(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looked = f
+	c.onBranchRead = f
 }
 
 func (c *cell) setBranch(name string, edit func(*settings.Values)) {
@@ -200,9 +200,9 @@
 	return out
 }
 
-// close ends everything, so that the bubble can end.
+// close ends all processes, so that the bubble can end.
 func (c *cell) close() {
-	c.heal()
+	c.clearFaults()
 	c.mu.Lock()
 	left := make([]*placer, 0, len(c.placer))
 	for _, p := range c.placer {
@@ -213,16 +213,16 @@
 		p.kill()
 	}
 	if c.bubble {
-		time.Sleep(callsEnd) // time stands still once the test has returned
+		time.Sleep(callsEnd) // the clock stops once the test has returned
 	}
 	c.engine.Close()
 }
 
-// callsEnd is by when every call of the store has ended, answered or not.
+// callsEnd is the time after which every call to the store has ended, with or without a reply.
 const callsEnd = 15 * time.Second
 
-// held fails the test when the judge saw a breach.
-func (c *cell) held() {
+// assertNoViolations fails the test if the judge found a violated invariant.
+func (c *cell) assertNoViolations() {
 	c.t.Helper()
 	c.sim.Settle()
 	for _, v := range c.judge.Violations(time.Now()) {
@@ -230,12 +230,12 @@
 	}
 }
 
-// restore gives lapsed rights back.
-func (r *rights) restore() {
+// restore grants the expired authority again.
+func (r *fakeAuthority) restore() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.until = time.Time{}
 }
 
-// storeTime is a healthy store that takes so many milliseconds.
+// storeTime returns the faults of a working store that takes ms milliseconds per call.
 func storeTime(ms int64) memstore.Faults { return memstore.Faults{AnswerDelayMS: ms} }
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -15,52 +15,51 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// A run that is gone with its worker was replaced without an end, however many workers a
-// task took with it: only failures that a worker reports counted against the branch's
-// attempts. The home is told of each loss once, as "worker w0 is gone", and the task stood
-// among the ready ones again right after.
+// Runs lost with their host were replaced without limit, however many hosts a task crashed: only
+// failures reported by a host counted towards the branch's attempts. The job owner gets one report
+// per loss and requeues the task.
 
-// losses lets task 0 of a job start on one worker after the other, each of which is gone a
-// moment later, and returns how many were until the job ended, at most ten.
-func losses(h *home, j *job, now time.Time, each func(n int) (worker, zone string)) (int, time.Time) {
+// loseRepeatedly starts task 0 of a job on one host after the other, each of which fails shortly
+// after, and returns the number of losses until the job ended, at most ten.
+func loseRepeatedly(o *jobOwner, j *job, now time.Time, each func(n int) (worker, zone string)) (int, time.Time) {
 	for n := range 10 {
 		if j.ending() {
 			return n, now
 		}
-		slot := h.reserve(j, 0)
+		slot := o.newAttempt(j, 0)
 		for _, state := range []taskmsg.RunState{taskmsg.RunRunning, taskmsg.RunLost} {
-			news := runOf(j, slot.Attempt, state, 0)
-			news.Worker, news.Zone = each(n)
-			h.apply(news, now)
+			report := reportOf(j, slot.Attempt, state, 0)
+			report.Worker, report.Zone = each(n)
+			o.applyReport(report, now)
 			now = now.Add(20 * time.Millisecond)
 		}
 		now = now.Add(10 * time.Second)
-		h.replaceLost(now)
+		o.replaceLost(now)
 	}
 	return 10, now
 }
 
-func differing(n int) (worker, zone string) { return fmt.Sprint("w", n), fmt.Sprint("z", n%3) }
+func distinctWorkers(n int) (worker, zone string) { return fmt.Sprint("w", n), fmt.Sprint("z", n%3) }
 
-// TestTaskThatCrashesWorkers: a task under which three workers went is given up with its
-// job, and the record tells the next home of those before.
+// TestTaskThatCrashesWorkers checks that a job fails once three hosts failed under one of its
+// tasks, and that the record passes the earlier failures on to the next job owner.
 func TestTaskThatCrashesWorkers(t *testing.T) {
 	t.Run("batch", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
-		n, _ := losses(h, j, time.Now(), differing)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+		n, _ := loseRepeatedly(o, j, time.Now(), distinctWorkers)
 		is.Equal(n, 3)
 		is.Equal(j.rec.Code, result.JobCrashesHosts)
 	})
-	t.Run("homes change", func(t *testing.T) {
+	t.Run("job owner changes", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
 		now, all := time.Now(), 0
 		for !j.ending() && all < 10 {
-			slot := h.reserve(j, 0)
-			news := runOf(j, slot.Attempt, taskmsg.RunLost, 0)
-			news.Worker, news.Zone = differing(all)
-			h.apply(news, now)
+			slot := o.newAttempt(j, 0)
+			report := reportOf(j, slot.Attempt, taskmsg.RunLost, 0)
+			report.Worker, report.Zone = distinctWorkers(all)
+			o.applyReport(report, now)
 			now, all = now.Add(10*time.Second), all+1
 			stored, err := encodeRecord(j.rec)
 			is.NoErr(err)
@@ -69,181 +68,181 @@
 			if j.ending() {
 				break
 			}
-			h, _ = still(t, phaseReady, false, spec.KindBatch, 1)
-			h.epoch = uint64(all + 1) // which numbers of attempts begin with
+			o, _ = newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+			o.epoch = uint64(all + 1) // the prefix of attempt numbers
 			j = newJob(rec)
-			j.certain = true
-			h.add(j)
-			h.enlist(j)
+			j.recordConfirmed = true
+			o.add(j)
+			o.enqueueAll(j)
 		}
 		is.Equal(j.rec.Code, result.JobCrashesHosts)
 		is.True(all <= 4)
 	})
 	t.Run("service", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindService, 1)
-		n, now := losses(h, j, time.Now(), differing)
-		is.Equal(n, 10) // services are tried for ever, ever more slowly
-		is.True(len(j.later) > 0)
-		is.True(j.later[len(j.later)-1].due.Sub(now) >= 5*time.Second)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindService, 1)
+		n, now := loseRepeatedly(o, j, time.Now(), distinctWorkers)
+		is.Equal(n, 10) // services are restarted without limit, at growing intervals
+		is.True(len(j.delayed) > 0)
+		is.True(j.delayed[len(j.delayed)-1].due.Sub(now) >= 5*time.Second)
 	})
 	t.Run("a zone is lost", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 20)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 20)
 		now := time.Now()
 		for range 3 {
 			for i := range j.tasks {
-				n := runOf(j, h.reserve(j, i).Attempt, taskmsg.RunLost, 0)
+				n := reportOf(j, o.newAttempt(j, i).Attempt, taskmsg.RunLost, 0)
 				n.Run.Task.Index = i
 				n.Worker = fmt.Sprint("w", i)
-				h.apply(n, now)
+				o.applyReport(n, now)
 			}
 			now = now.Add(time.Minute)
-			h.replaceLost(now)
+			o.replaceLost(now)
 		}
 		is.True(!j.ending())
 	})
 }
 
-// A job was given up (5212) though no worker had been seen to crash under its task: three
-// starts had gone to workers that were silent already. "3 hosts crashed under it: w0 under
-// run 1 (not seen there), w1 under run 2 (not seen there), w2 under run 3 (not seen there)".
-// Doubt was added up until it was enough. It now makes the next start wait, ever longer.
+// A job was failed (5212) although no host had been observed to crash under its task: three starts
+// had gone to hosts that were already unresponsive, and the suspicion of unconfirmed losses added
+// up. Unconfirmed losses must delay the next start, longer each time, and never fail the job.
 
-// unseen lets task 0 be lost n times in a row without a crash that was seen, on one worker
-// after the other, and returns the waits before its next starts.
-func unseen(t *testing.T, h *home, j *job, now time.Time, n int) ([]time.Duration, time.Time) {
+// loseUnconfirmed loses task 0 n times in a row without a confirmed crash, on one host after the
+// other, and returns the delays of its next starts.
+func loseUnconfirmed(t *testing.T, o *jobOwner, j *job, now time.Time, n int) ([]time.Duration, time.Time) {
 	var waits []time.Duration
 	for lost := range n {
-		news := runOf(j, h.reserve(j, 0).Attempt, taskmsg.RunLost, 0)
-		news.Worker, news.Zone = differing(lost)
-		news.Unseen = true
-		h.apply(news, now)
+		report := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
+		report.Worker, report.Zone = distinctWorkers(lost)
+		report.Unseen = true
+		o.applyReport(report, now)
 		if j.ending() {
 			t.Fatalf("ended after %d losses: %s", lost+1, j.rec.Reason)
 		}
 		now = now.Add(time.Minute)
-		j.ready, j.later = nil, nil
-		h.replaceLost(now)
+		j.ready, j.delayed = nil, nil
+		o.replaceLost(now)
 		waits = append(waits, nextStart(j, now).Sub(now))
 	}
 	return waits, now
 }
 
-// nextStart is when the only waiting task of a job may start.
+// nextStart returns when the only waiting task of a job may start.
 func nextStart(j *job, now time.Time) time.Time {
-	if len(j.later) > 0 {
-		return j.later[0].due
+	if len(j.delayed) > 0 {
+		return j.delayed[0].due
 	}
 	return now
 }
 
-func TestNothingIsGivenUpForLossesThatNobodySaw(t *testing.T) {
-	t.Run("waits longer each time", func(t *testing.T) {
+func TestUnconfirmedLossesNeverFailJob(t *testing.T) {
+	t.Run("delay grows with each loss", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
-		waits, _ := unseen(t, h, j, time.Now(), 40)
-		is.Equal(waits[0], time.Duration(0)) // once may be chance
-		is.Equal(waits[1], failurePauseMin)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+		waits, _ := loseUnconfirmed(t, o, j, time.Now(), 40)
+		is.Equal(waits[0], time.Duration(0)) // a single loss may be coincidence
+		is.Equal(waits[1], failureBackoffMin)
 		for i := 2; i < len(waits); i++ {
-			is.Equal(waits[i], min(2*waits[i-1], failurePauseMax))
+			is.Equal(waits[i], min(2*waits[i-1], failureBackoffMax))
 		}
-		is.True(len(j.rec.Crashes[0]) <= mostCrashes) // the record does not grow for ever
+		is.True(len(j.rec.Crashes[0]) <= maxCrashes) // the record does not grow without limit
 	})
-	t.Run("beside crashes that were seen", func(t *testing.T) {
+	t.Run("mixed with confirmed crashes", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
-		_, now := unseen(t, h, j, time.Now(), mostCrashes)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+		_, now := loseUnconfirmed(t, o, j, time.Now(), maxCrashes)
 		seen := 0
 		for ; !j.ending() && seen < 10; seen++ {
-			news := runOf(j, h.reserve(j, 0).Attempt, taskmsg.RunLost, 0)
-			news.Worker = fmt.Sprint("v", seen)
-			h.apply(news, now)
+			report := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
+			report.Worker = fmt.Sprint("v", seen)
+			o.applyReport(report, now)
 			now = now.Add(time.Minute)
-			h.replaceLost(now)
+			o.replaceLost(now)
 		}
-		is.Equal(seen, 3) // as many as without the others
+		is.Equal(seen, 3) // as many as without the unconfirmed ones
 		is.True(!strings.Contains(j.rec.Reason, "not seen"))
 		is.True(strings.Contains(j.rec.Reason, "3 hosts"))
 	})
-	t.Run("seen later on", func(t *testing.T) {
+	t.Run("confirmed later", func(t *testing.T) {
 		is := is.New(t)
-		h, j := still(t, phaseReady, false, spec.KindBatch, 1)
-		_, now := unseen(t, h, j, time.Now(), 3)
+		o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
+		_, now := loseUnconfirmed(t, o, j, time.Now(), 3)
 		for i, c := range slices.Clone(j.rec.Crashes[0]) {
 			is.True(!j.ending())
-			news := runOf(j, c.Run, taskmsg.RunLost, 0)
-			news.Worker, news.Zone = differing(i)
-			h.apply(news, now) // another life of the worker has answered
-			h.apply(news, now) // told again
+			report := reportOf(j, c.Run, taskmsg.RunLost, 0)
+			report.Worker, report.Zone = distinctWorkers(i)
+			o.applyReport(report, now) // another incarnation of the host has replied
+			o.applyReport(report, now) // repeated report
 		}
 		is.Equal(j.rec.Code, result.JobCrashesHosts)
 	})
 }
 
-// A run whose start the holder had answered counted as one that an earlier home had begun:
-// only news told since when it ran, and there is none after an answer. So a crash after
-// hours was weighed as one after a second, and a service's old crashes were never forgotten,
+// A run whose start the holder had acknowledged was treated as inherited from a previous job owner,
+// because runningSince was set only by a run report and none follows an acknowledgement. So a crash
+// after hours was assessed as one after a second, and a service's old crashes were never dropped,
 // however long it ran in between.
-func TestSinceWhenAnAnsweredStartRuns(t *testing.T) {
+func TestRunTimeCountsFromStartReply(t *testing.T) {
 	cases := map[string]struct {
 		ran  time.Duration
 		kept int // losses on record
 	}{
-		"lost soon":       {crashloop.ProvenAfter - time.Second, 4},
-		"proven, as lost": {crashloop.ProvenAfter, 1},
+		"within the history reset": {crashloop.ProvenAfter - time.Second, 4},
+		"past the history reset":   {crashloop.ProvenAfter, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h, j := still(t, phaseReady, false, spec.KindService, 1)
-			_, now := losses(h, j, time.Now(), differing)
+			o, j := newStaticOwner(t, phaseReady, false, spec.KindService, 1)
+			_, now := loseRepeatedly(o, j, time.Now(), distinctWorkers)
 			j.rec.Crashes[0] = j.rec.Crashes[0][:3]
-			slot := h.reserve(j, 0)
+			slot := o.newAttempt(j, 0)
 			result := taskmsg.SlotResult{Slot: slot, Outcome: taskmsg.OutcomeStarted, Worker: "w", Zone: "z", Partition: 1, Epoch: 1}
-			h.placed(j, holder{member: "m"}, []taskmsg.Slot{slot}, taskmsg.PlaceReply{Results: []taskmsg.SlotResult{result}}, nil, now)
-			h.apply(runOf(j, slot.Attempt, taskmsg.RunLost, 0), now.Add(tc.ran))
+			o.applyPlaceReply(j, holder{member: "m"}, []taskmsg.Slot{slot}, taskmsg.PlaceReply{Results: []taskmsg.SlotResult{result}}, nil, now)
+			o.applyReport(reportOf(j, slot.Attempt, taskmsg.RunLost, 0), now.Add(tc.ran))
 			is.Equal(len(j.rec.Crashes[0]), tc.kept)
 		})
 	}
 }
 
-// A run that was there once, and may have ended unheard before its worker started again, was told
-// as a crash: three of them gave a job up, whose reason said of each "there at its end".
+// A run that was present once, and may have ended unreported before its host restarted, was
+// reported as a crash: three such reports failed a job, with the reason "there at its end" for
+// each.
 //
-// TestRunsThatWereThereOnce guards against verdicts on such news: less than five on workers of
-// their own give nothing up, nor any number on one worker, until they turn out to be more.
-func TestRunsThatWereThereOnce(t *testing.T) {
+// TestLossesWithoutCrashEvidence checks that fewer than five such reports for different hosts do
+// not fail a job, nor any number for a single host, unless later evidence confirms the crashes.
+func TestLossesWithoutCrashEvidence(t *testing.T) {
 	for name, tc := range map[string]struct {
-		workers func(n int) (worker, zone string)
-		first   taskmsg.Sight // what is told of each at first
-		later   taskmsg.Sight // what is told of each in the end
-		most    int           // losses until the job is given up; zero for never
+		workers   func(n int) (worker, zone string)
+		first     taskmsg.Sight // evidence reported first
+		delayed   taskmsg.Sight // evidence reported last
+		maxLosses int           // losses until the job fails; zero for never
 	}{
-		"told at once":                {workers: differing, first: taskmsg.SightThere, later: taskmsg.SightThere, most: 5},
-		"each on a worker of its own": {workers: differing, later: taskmsg.SightThere, most: 5},
-		"all on one worker":           {workers: func(int) (string, string) { return "w", "z" }, later: taskmsg.SightThere},
-		"proven later":                {workers: differing, later: taskmsg.SightCrash, most: 3},
+		"reported at once":         {workers: distinctWorkers, first: taskmsg.SightThere, delayed: taskmsg.SightThere, maxLosses: 5},
+		"each on a different host": {workers: distinctWorkers, delayed: taskmsg.SightThere, maxLosses: 5},
+		"all on one host":          {workers: func(int) (string, string) { return "w", "z" }, delayed: taskmsg.SightThere},
+		"crash confirmed later":    {workers: distinctWorkers, delayed: taskmsg.SightCrash, maxLosses: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h, j := still(t, phaseReady, false, spec.KindBatch, 1)
+			o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 1)
 			lost, now := 0, time.Now()
-			for ; !j.ending() && lost < 2*mostCrashes; lost++ {
-				news := runOf(j, h.reserve(j, 0).Attempt, taskmsg.RunLost, 0)
-				news.Worker, news.Zone = tc.workers(lost)
-				for s := tc.first; s <= tc.later; s++ {
-					news.Saw(s)
-					h.apply(news, now)
+			for ; !j.ending() && lost < 2*maxCrashes; lost++ {
+				report := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
+				report.Worker, report.Zone = tc.workers(lost)
+				for s := tc.first; s <= tc.delayed; s++ {
+					report.Saw(s)
+					o.applyReport(report, now)
 				}
 				now = now.Add(time.Minute)
-				j.ready, j.later = nil, nil
-				h.replaceLost(now)
+				j.ready, j.delayed = nil, nil
+				o.replaceLost(now)
 			}
-			is.Equal(j.ending(), tc.most > 0)
-			if tc.most > 0 {
-				is.Equal(lost, tc.most)
-				is.Equal(strings.Contains(j.rec.Reason, crashloop.HowProven), tc.later == taskmsg.SightCrash)
+			is.Equal(j.ending(), tc.maxLosses > 0)
+			if tc.maxLosses > 0 {
+				is.Equal(lost, tc.maxLosses)
+				is.Equal(strings.Contains(j.rec.Reason, crashloop.HowProven), tc.delayed == taskmsg.SightCrash)
 			}
 		})
 	}
--- a/internal/job/jobstate.go
+++ b/internal/job/jobstate.go
@@ -9,19 +9,19 @@
 	"pulleyquay/internal/result"
 )
 
-// The events in the life of a job.
+// The events of a job's state machine.
 const (
-	eventStarted = "started" // a task of it runs
-	eventIdle    = "idle"    // nothing of it runs any more, but it is not done
-	eventEnd     = "end"     // no further task may start; what runs is stopped
+	eventStarted = "started" // a task runs
+	eventIdle    = "idle"    // no task runs any more, but the job is not done
+	eventEnd     = "end"     // no further task may start; running ones are stopped
 	eventFinish  = "finish"
 	eventFail    = "fail"
 	eventCancel  = "cancel"
 )
 
-// newMachine returns the state machine of jobs. One machine serves all jobs of
-// a home: it is set to a job's state before each event, under the home's lock.
-func newMachine() *fsm.FSM {
+// newJobMachine returns the state machine of jobs. All jobs of a job owner share it: it is set to a
+// job's state before each event, under the owner's lock.
+func newJobMachine() *fsm.FSM {
 	waiting, running := string(jobmsg.StateWaiting), string(jobmsg.StateRunning)
 	stopping := string(jobmsg.StateStopping)
 	live := []string{waiting, running}
@@ -36,22 +36,22 @@
 	}, nil)
 }
 
-// move passes an event to the machine in the job's state and reports whether
-// the state changed.
-func (h *home) move(j *job, event string) bool {
-	h.machine.SetState(string(j.rec.State))
-	if !h.machine.Can(event) {
+// fireEvent sends an event to the state machine in the job's state and reports whether the state
+// changed.
+func (o *jobOwner) fireEvent(j *job, event string) bool {
+	o.jobMachine.SetState(string(j.rec.State))
+	if !o.jobMachine.Can(event) {
 		return false
 	}
-	if err := h.machine.Event(context.Background(), event); err != nil {
+	if err := o.jobMachine.Event(context.Background(), event); err != nil {
 		return false
 	}
-	j.rec.State = jobmsg.State(h.machine.Current())
+	j.rec.State = jobmsg.State(o.jobMachine.Current())
 	return true
 }
 
-// endEvent returns the event that makes a job final, by the code it ends with.
-func endEvent(code result.Code) string {
+// finalEvent returns the event that makes a job final, according to its result code.
+func finalEvent(code result.Code) string {
 	switch code {
 	case 0:
 		return eventFinish
@@ -62,9 +62,9 @@
 	}
 }
 
-// touch marks a job's record as newer than the store's.
-func (h *home) touch(j *job) {
+// markChanged marks a job's record as newer than the store's.
+func (o *jobOwner) markChanged(j *job) {
 	j.dirty = true
 	j.version++
-	h.changed[j.id()] = j
+	o.changed[j.id()] = j
 }
--- a/internal/job/policy_test.go
+++ b/internal/job/policy_test.go
@@ -14,11 +14,10 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// urgentWithin is how soon urgent work has to start in a full cell.
-const urgentWithin = 5100 * time.Millisecond
+// urgentStartLimit is the time within which urgent work must start in a full cell.
+const urgentStartLimit = 5100 * time.Millisecond
 
-// TestUrgentWorkStartsInTime fills the cell with less urgent work and submits
-// urgent work.
+// TestUrgentWorkStartsInTime submits urgent work to a cell filled with less urgent work.
 func TestUrgentWorkStartsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
@@ -40,25 +39,25 @@
 			if s.Counts.Running == 6 {
 				break
 			}
-			if time.Since(began) > urgentWithin {
-				t.Fatalf("after %s: %+v", time.Since(began), s)
+			if time.Since(began) > urgentStartLimit {
+				t.Fatalf("urgent job does not run completely after %s: %+v", time.Since(began), s)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
 		s, err := b.get(filler.ID)
 		c.is.NoErr(err)
-		c.is.Equal(s.Counts.Failures, 0) // to be preempted is no failure
-		c.held()
+		c.is.Equal(s.Counts.Failures, 0) // a preemption does not count as a failure
+		c.assertNoViolations()
 	})
 }
 
-// twoTeamsOf finds two teams with the same home.
-func twoTeamsOf(p int) (one, two string) {
+// twoTeamsOf returns two teams with the same home partition.
+func twoTeamsOf(partitionID int) (one, two string) {
 	for i := 0; two == ""; i++ {
 		name := fmt.Sprintf("team%d", i)
 		switch {
-		case partition.OfTeam(name, testPartitions) != p:
+		case partition.OfTeam(name, testPartitions) != partitionID:
 		case one == "":
 			one = name
 		default:
@@ -68,8 +67,8 @@
 	return one, two
 }
 
-// TestTeamsShare lets two teams with backlog, one of which came first with far
-// more work, compete for a cell.
+// TestTeamsShare lets two teams with a backlog compete for a cell; one of them submitted far more
+// work, and earlier.
 func TestTeamsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
@@ -85,14 +84,14 @@
 		late.Team = two
 		_, err := a.submit(late)
 		c.is.NoErr(err)
-		time.Sleep(6 * time.Second) // until what came first has ended
-		var lateTime, earlyTime time.Duration
+		time.Sleep(6 * time.Second) // until the tasks of the first team that started before have ended
+		var lateUsage, earlyUsage time.Duration
 		from := time.Now()
 		time.Sleep(96 * time.Second)
 		for task, places := range c.judge.Record(time.Now(), true).Tasks {
-			of := &earlyTime
+			of := &earlyUsage
 			if strings.HasPrefix(task, late.ID) {
-				of = &lateTime
+				of = &lateUsage
 			}
 			for _, p := range places {
 				if p.Until.After(from) {
@@ -100,56 +99,55 @@
 				}
 			}
 		}
-		share := float64(lateTime) / float64(lateTime+earlyTime)
+		share := float64(lateUsage) / float64(lateUsage+earlyUsage)
 		if share < 0.4 || share > 0.6 {
-			t.Errorf("the late team had %.2f of the cell", share)
+			t.Errorf("the later team used %.2f of the cell, want 0.4 to 0.6", share)
 		}
-		c.held()
+		c.assertNoViolations()
 	})
 }
 
-// TestReplacementsArePaced loses more tasks at one moment than the burst.
-func TestReplacementsArePaced(t *testing.T) {
+// TestReplacementsAreThrottled loses more tasks at one time than the burst of the rate limit.
+func TestReplacementsAreThrottled(t *testing.T) {
 	const tasks = replaceBurst + 3*replacePerSecond
-	h, j := still(t, phaseReady, false, spec.KindBatch, tasks)
-	is := h.m.cfg.Source.(*cell).is
+	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, tasks)
+	is := o.m.cfg.Source.(*cell).is
 	now := time.Now()
 	j.ready = nil
 	for i := range tasks {
-		n := runOf(j, h.reserve(j, i).Attempt, taskmsg.RunLost, 0)
+		n := reportOf(j, o.newAttempt(j, i).Attempt, taskmsg.RunLost, 0)
 		n.Run.Task.Index = i
-		is.Equal(h.apply(n, now), verdictAcked)
+		is.Equal(o.applyReport(n, now), reportAcked)
 	}
 	is.Equal(len(j.ready), 0)
 	for second, want := range []int{replaceBurst, replaceBurst + replacePerSecond, replaceBurst + 2*replacePerSecond, tasks} {
-		h.replaceLost(now.Add(time.Duration(second) * time.Second))
+		o.replaceLost(now.Add(time.Duration(second) * time.Second))
 		is.Equal(len(j.ready), want)
 	}
 }
 
-// TestUrgentReplacementsGoFirst loses urgent and other tasks at one moment.
+// TestUrgentReplacementsGoFirst loses urgent and other tasks at the same time.
 func TestUrgentReplacementsGoFirst(t *testing.T) {
-	h, j := still(t, phaseReady, false, spec.KindBatch, 2*replaceBurst)
-	is := h.m.cfg.Source.(*cell).is
-	urgent := h.addJob(spec.KindBatch, 2*replaceBurst)
+	o, j := newStaticOwner(t, phaseReady, false, spec.KindBatch, 2*replaceBurst)
+	is := o.m.cfg.Source.(*cell).is
+	urgent := o.addJob(spec.KindBatch, 2*replaceBurst)
 	urgent.rec.Job.Urgent = true
 	now := time.Now()
 	for _, each := range []*job{j, urgent} {
 		each.ready = nil
 		for i := range each.tasks {
-			n := runOf(each, h.reserve(each, i).Attempt, taskmsg.RunLost, 0)
+			n := reportOf(each, o.newAttempt(each, i).Attempt, taskmsg.RunLost, 0)
 			n.Run.Task.Index = i
-			h.apply(n, now)
+			o.applyReport(n, now)
 		}
 	}
-	h.replaceLost(now)
-	is.Equal(len(urgent.ready), 2*replaceBurst) // all at once
+	o.replaceLost(now)
+	is.Equal(len(urgent.ready), 2*replaceBurst) // not throttled
 	is.Equal(len(j.ready), 0)
 }
 
-// TestRestCostsNothing counts messages and writes of homes whose jobs run
-// without a change.
-func TestRestCostsNothing(t *testing.T) {
+// TestIdleJobsCauseNoCalls counts the peer calls of job owners whose jobs run without a change.
+func TestIdleJobsCauseNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 4)
 		for range 5 {
@@ -171,7 +169,7 @@
 	})
 }
 
-// TestExplain checks that an explanation names what a job waits for.
+// TestExplain checks that an explanation states what a job waits for.
 func TestExplain(t *testing.T) {
 	cases := []struct {
 		name string
@@ -207,9 +205,9 @@
 	}
 }
 
-// TestAgedWorkFindsRoom submits a task that needs a whole worker to a cell that
-// smaller work keeps full: each piece of room is taken as it comes free.
-func TestAgedWorkFindsRoom(t *testing.T) {
+// TestAgedTaskGetsCapacity submits a task that needs a whole host to a cell that smaller tasks keep
+// full, where any capacity that becomes free is used at once.
+func TestAgedTaskGetsCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
 		var fillers []spec.Job
@@ -231,7 +229,7 @@
 			c.is.NoErr(err)
 			waiting += s.Counts.Waiting
 		}
-		c.is.True(waiting > 0) // else the room came by itself
-		c.held()
+		c.is.True(waiting > 0) // otherwise the capacity became free by itself
+		c.assertNoViolations()
 	})
 }
--- a/internal/job/service_test.go
+++ b/internal/job/service_test.go
@@ -14,9 +14,9 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// service makes an always-on job of 1000 mCPU a replica.
-func service(home, replicas int) spec.Job {
-	j := batch(home, replicas, 0)
+// service returns a service with replicas of 1000 mCPU.
+func service(partitionID, replicas int) spec.Job {
+	j := batch(partitionID, replicas, 0)
 	j.Kind = spec.KindService
 	return j
 }
@@ -25,16 +25,16 @@
 	return call[jobmsg.Status](p, peer.KindJobUpdate, jobmsg.UpdateRequest{Job: j, Generation: generation})
 }
 
-// awaitReplicas waits until exactly so many replicas run and none comes or goes.
-func (p *placer) awaitReplicas(id string, n int, atMost time.Duration) jobmsg.Status {
+// awaitReplicas waits until exactly n replicas run and none is starting or stopping.
+func (p *placer) awaitReplicas(id string, n int, timeout time.Duration) jobmsg.Status {
 	p.c.t.Helper()
-	for deadline := time.Now().Add(atMost); ; time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
 		s, err := p.get(id)
 		if err == nil && s.Counts == (jobmsg.Counts{Running: n, Failures: s.Counts.Failures}) {
 			return s
 		}
 		if time.Now().After(deadline) {
-			p.c.t.Fatalf("not %d replicas after %s: %+v, %v", n, atMost, s, err)
+			p.c.t.Fatalf("not %d replicas after %s: %+v, %v", n, timeout, s, err)
 		}
 	}
 }
@@ -45,21 +45,21 @@
 		name    string
 		disturb func(c *cell, a, b *placer, worker string)
 	}{
-		{"a worker is lost", func(c *cell, _, _ *placer, worker string) {
+		{"a host is lost", func(c *cell, _, _ *placer, worker string) {
 			c.sim.Worker(worker).SetFaults(workersim.Faults{Unreachable: true})
 		}},
-		{"a worker restarts", func(c *cell, _, _ *placer, worker string) { c.sim.Worker(worker).Restart() }},
-		{"the home is lost", func(_ *cell, a, b *placer, _ string) {
+		{"a host restarts", func(c *cell, _, _ *placer, worker string) { c.sim.Worker(worker).Restart() }},
+		{"the job owner is lost", func(_ *cell, a, b *placer, _ string) {
 			a.kill()
 			time.Sleep(3 * time.Second)
-			b.take(0, 1)
+			b.acquire(0, 1)
 		}},
-		{"the home is lost and the store is down for long", func(c *cell, a, b *placer, _ string) {
+		{"the job owner is lost after a long store outage", func(c *cell, a, b *placer, _ string) {
 			c.engine.SetFaults(memstore.Faults{Refuse: true})
 			time.Sleep(10 * testLease)
 			c.engine.SetFaults(memstore.Faults{})
 			a.kill()
-			b.take(0, 1)
+			b.acquire(0, 1)
 		}},
 	}
 	for _, tt := range cases {
@@ -71,16 +71,16 @@
 				c.is.NoErr(err)
 				a.awaitReplicas(job.ID, 9, 5*time.Second)
 				tt.disturb(c, a, b, a.worker(job.ID))
-				time.Sleep(2*takeoverTime + time.Second)
-				b.anyOf(a).awaitReplicas(job.ID, 9, 10*time.Second)
-				c.held()
+				time.Sleep(2*failoverTime + time.Second)
+				b.livingOf(a).awaitReplicas(job.ID, 9, 10*time.Second)
+				c.assertNoViolations()
 			})
 		})
 	}
 }
 
-// anyOf returns the first of two processes that still lives.
-func (p *placer) anyOf(q *placer) *placer {
+// livingOf returns q if it is alive, else p.
+func (p *placer) livingOf(q *placer) *placer {
 	p.c.mu.Lock()
 	defer p.c.mu.Unlock()
 	if p.c.placer[q.name] == q {
@@ -89,16 +89,16 @@
 	return p
 }
 
-// TestServiceChanges rolls changes out and checks, at every moment, that no more
-// replicas run than the surge allows and no fewer than it promises.
+// TestServiceChanges rolls changes out and checks all the time that no more replicas run than the
+// surge allows, and no fewer than the update must keep.
 func TestServiceChanges(t *testing.T) {
 	cases := []struct {
-		name        string
-		surge       int64
-		edit        func(*spec.Job)
-		replicas    int
-		most, least int
-		replaced    bool
+		name                   string
+		surge                  int64
+		edit                   func(*spec.Job)
+		replicas               int
+		maxRunning, minRunning int
+		replaced               bool
 	}{
 		{"surge one", 1, func(j *spec.Job) { j.Task.Command = "v2" }, 6, 7, 6, true},
 		{"surge three", 3, func(j *spec.Job) { j.Task.Size.MilliCPU = 1500 }, 6, 9, 6, true},
@@ -116,7 +116,7 @@
 				_, err := a.submit(job)
 				c.is.NoErr(err)
 				a.awaitReplicas(job.ID, 6, 5*time.Second)
-				for _, h := range c.Hosts() { // so that the steps of the rollout can be told apart
+				for _, h := range c.Hosts() { // slow hosts, so that the steps of the rollout can be told apart
 					c.sim.Worker(h.Addr).SetFaults(workersim.Faults{Slow: 150 * time.Millisecond})
 				}
 				starts := c.judge.Starts()
@@ -125,13 +125,13 @@
 				s, err := a.update(next, 1)
 				c.is.NoErr(err)
 				c.is.Equal(s.Generation, 2)
-				s, err = a.update(next, 1) // repeated
+				s, err = a.update(next, 1) // repeated request
 				c.is.NoErr(err)
 				c.is.Equal(s.Generation, 2)
 				for range 400 {
 					n := c.judge.Record(time.Now(), false).Running
-					if n > tt.most || n < tt.least {
-						t.Fatalf("%d replicas run", n)
+					if n > tt.maxRunning || n < tt.minRunning {
+						t.Fatalf("%d replicas run, want %d to %d", n, tt.minRunning, tt.maxRunning)
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
@@ -139,50 +139,50 @@
 				if tt.replaced {
 					c.is.Equal(c.judge.Starts()-starts, tt.replicas)
 				}
-				c.is.Equal(a.jobs.home(0).ledger.Used(job.Team), next.Task.Size.Times(int64(tt.replicas)))
+				c.is.Equal(a.jobs.jobOwner(0).ledger.Used(job.Team), next.Task.Size.Times(int64(tt.replicas)))
 				again, err := a.submit(job) // the first submission, repeated
 				c.is.NoErr(err)
 				c.is.Equal(again.Generation, 2)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
 }
 
-// TestChangeSurvivesTakeover kills the home in the middle of a rollout.
-func TestChangeSurvivesTakeover(t *testing.T) {
+// TestChangeSurvivesFailover kills the job owner during a rollout.
+func TestChangeSurvivesFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
 		job := service(0, 6)
 		_, err := a.submit(job)
 		c.is.NoErr(err)
 		a.awaitReplicas(job.ID, 6, 5*time.Second)
-		c.fail(&peerFault{kind: peer.KindStopTasks, times: -1}) // the rollout stalls after its surge
+		c.addFault(&peerFault{kind: peer.KindStopTasks, times: -1}) // the rollout stops after its surge
 		job.Task.Size.MilliCPU = 2000
 		_, err = a.update(job, 0)
 		c.is.NoErr(err)
 		time.Sleep(time.Second)
 		a.kill()
-		c.heal()
-		b.take(0, 1)
-		time.Sleep(takeoverTime + 10*time.Second)
+		c.clearFaults()
+		b.acquire(0, 1)
+		time.Sleep(failoverTime + 10*time.Second)
 		b.awaitReplicas(job.ID, 6, time.Second)
-		c.is.Equal(b.jobs.home(0).ledger.Used(job.Team).MilliCPU, int64(12000))
-		c.held()
+		c.is.Equal(b.jobs.jobOwner(0).ledger.Used(job.Team).MilliCPU, int64(12000))
+		c.assertNoViolations()
 	})
 }
 
-// TestChangeUnderStoreFaults checks what the author of a change is told.
+// TestChangeUnderStoreFaults checks the reply to a change under store faults.
 func TestChangeUnderStoreFaults(t *testing.T) {
 	cases := []struct {
 		name       string
 		faults     memstore.Faults
 		code       result.Code
-		generation int // in the end
+		generation int // after the fault
 	}{
-		{"answer lost", memstore.Faults{LoseAnswers: 1}, 0, 2},
+		{"reply lost", memstore.Faults{LoseAnswers: 1}, 0, 2},
 		{"down", memstore.Faults{Refuse: true}, result.JobNotRecorded, 1},
-		{"all answers lost", memstore.Faults{LoseAnswers: memstore.All}, result.JobRecordUnknown, 2},
+		{"all replies lost", memstore.Faults{LoseAnswers: memstore.All}, result.JobRecordUnknown, 2},
 		{"silent", memstore.Faults{Hang: true}, result.JobRecordUnknown, 1},
 	}
 	for _, tt := range cases {
@@ -205,13 +205,13 @@
 				time.Sleep(30 * time.Second)
 				s := a.awaitReplicas(job.ID, 4, 30*time.Second)
 				c.is.Equal(s.Generation, tt.generation)
-				c.held()
+				c.assertNoViolations()
 			})
 		})
 	}
 }
 
-// TestChangeRefused lists changes that are not made.
+// TestChangeRefused lists changes that are refused.
 func TestChangeRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
