--- a/internal/cell/beat.go
+++ b/internal/cell/beat.go
@@ -9,8 +9,8 @@
 	"pulleyquay/internal/result"
 )
 
-// Beat is a member's question to the holder of a partition.
-type Beat struct {
+// Heartbeat is a member's question to the holder of a partition.
+type Heartbeat struct {
 	Partition int    `cbor:"1,keyasint"`
 	From      string `cbor:"2,keyasint"`
 	// Catalog is the version of the configuration that the sender has in force.
@@ -22,13 +22,13 @@
 	Members bool `cbor:"5,keyasint,omitempty"`
 }
 
-// BeatReply is the answer of whoever is asked.
-type BeatReply struct {
+// HeartbeatReply is the answer of whoever is asked.
+type HeartbeatReply struct {
 	Incarnation string `cbor:"1,keyasint"`
 	// Holds is true when the answering process is the holder.
 	Holds bool `cbor:"2,keyasint"`
-	// Cut is for how long it has been without the store.
-	Cut time.Duration `cbor:"3,keyasint"`
+	// StoreOutage is for how long it has been without the store.
+	StoreOutage time.Duration `cbor:"3,keyasint"`
 	// Holder is the holder that it knows of, with its record's revision.
 	Holder   ledger.Holder     `cbor:"4,keyasint"`
 	Revision platform.Revision `cbor:"5,keyasint"`
@@ -37,23 +37,23 @@
 	Members []Member `cbor:"7,keyasint,omitempty"`
 }
 
-// OpinionRequest asks whether a member has heard a holder.
-type OpinionRequest struct {
+// HolderStatusRequest asks whether a member has heard a holder.
+type HolderStatusRequest struct {
 	Partition int    `cbor:"1,keyasint"`
 	Epoch     uint64 `cbor:"2,keyasint"`
 }
 
-// Opinion is what a member says of a holder.
-type Opinion struct {
-	// Hears is true when it has heard the holder lately.
-	Hears bool `cbor:"1,keyasint"`
+// HolderStatus is what a member says of a holder.
+type HolderStatus struct {
+	// Reachable is true when it has heard the holder lately.
+	Reachable bool `cbor:"1,keyasint"`
 	// Holder is the holder that it knows of, with its record's revision.
 	Holder   ledger.Holder     `cbor:"2,keyasint"`
 	Revision platform.Revision `cbor:"3,keyasint"`
 }
 
-// SucceedRequest asks a member to claim a partition from a holder that leaves.
-type SucceedRequest struct {
+// HandoverRequest asks a member to claim a partition from a holder that leaves.
+type HandoverRequest struct {
 	Holder   ledger.Holder     `cbor:"1,keyasint"`
 	Revision platform.Revision `cbor:"2,keyasint"`
 }
@@ -61,65 +61,65 @@
 // Empty is an answer that says nothing but that it came.
 type Empty struct{}
 
-// known puts a holder and its record's revision together again.
-func known(h ledger.Holder, at platform.Revision) ledger.Holder {
+// withRevision puts a holder and its record's revision together again.
+func withRevision(h ledger.Holder, at platform.Revision) ledger.Holder {
 	h.Revision = at
 	return h
 }
 
-// onBeat answers a member's heartbeat.
-func (c *Claimer) onBeat(_ context.Context, b Beat) (BeatReply, error) {
-	if b.Partition < 0 || b.Partition >= len(c.watches) {
-		return BeatReply{}, result.New(result.BadInput, result.RanNo, "partition %d", b.Partition)
+// onHeartbeat answers a member's heartbeat.
+func (c *Claimer) onHeartbeat(_ context.Context, req Heartbeat) (HeartbeatReply, error) {
+	if req.Partition < 0 || req.Partition >= len(c.monitors) {
+		return HeartbeatReply{}, result.New(result.BadInput, result.RanNo, "partition %d", req.Partition)
 	}
-	if b.Catalog > c.CatalogVersion() {
-		c.Behind(b.FromAddr)
+	if req.Catalog > c.CatalogVersion() {
+		c.Behind(req.FromAddr)
 	}
-	h, _ := c.View.Holder(b.Partition)
-	reply := BeatReply{
-		Incarnation: c.Self.Incarnation, Holds: c.watches[b.Partition].holding(),
-		Cut: c.cutFor(time.Now()), Holder: h, Revision: h.Revision, Catalog: c.CatalogVersion(),
+	h, _ := c.View.Holder(req.Partition)
+	reply := HeartbeatReply{
+		Incarnation: c.Self.Incarnation, Holds: c.monitors[req.Partition].isHeld(),
+		StoreOutage: c.storeOutage(time.Now()), Holder: h, Revision: h.Revision, Catalog: c.CatalogVersion(),
 	}
-	if b.Members {
-		reply.Members = c.View.Entered()
+	if req.Members {
+		reply.Members = c.View.Registered()
 	}
 	return reply, nil
 }
 
-// noticedAfter is for how long no call may have been answered before a process counts
+// storeSilenceThreshold is for how long no call may have been answered before a process counts
 // itself as cut from the store: longer than a store that is only slow takes.
-const noticedAfter = 500 * time.Millisecond
+const storeSilenceThreshold = 500 * time.Millisecond
 
-// cutFor is for how long this process has been without the store: since the first call
+// storeOutage is for how long this process has been without the store: since the first call
 // that nothing was answered after.
-func (c *Claimer) cutFor(now time.Time) time.Duration {
-	cut := c.Health.Failing(now)
-	if silent := c.Health.Silent(now); silent >= noticedAfter {
-		cut = max(cut, silent)
+func (c *Claimer) storeOutage(now time.Time) time.Duration {
+	outage := c.Health.Failing(now)
+	if silent := c.Health.Silent(now); silent >= storeSilenceThreshold {
+		outage = max(outage, silent)
 	}
-	return cut
+	return outage
 }
 
-// onOpinion tells another member whether this one hears the holder.
-func (c *Claimer) onOpinion(_ context.Context, q OpinionRequest) (Opinion, error) {
-	if q.Partition < 0 || q.Partition >= len(c.watches) {
-		return Opinion{}, result.New(result.BadInput, result.RanNo, "partition %d", q.Partition)
+// onHolderStatus tells another member whether this one hears the holder.
+func (c *Claimer) onHolderStatus(_ context.Context, req HolderStatusRequest) (HolderStatus, error) {
+	if req.Partition < 0 || req.Partition >= len(c.monitors) {
+		return HolderStatus{}, result.New(result.BadInput, result.RanNo, "partition %d", req.Partition)
 	}
-	w := c.watches[q.Partition]
-	h, _ := c.View.Holder(q.Partition)
-	return Opinion{Hears: w.hears(q.Epoch, doubtAfter(c.View.Size()), time.Now()), Holder: h, Revision: h.Revision}, nil
+	m := c.monitors[req.Partition]
+	h, _ := c.View.Holder(req.Partition)
+	return HolderStatus{Reachable: m.isInContact(req.Epoch, silenceLimit(c.View.Size()), time.Now()), Holder: h, Revision: h.Revision}, nil
 }
 
-// onSucceed claims a partition at its holder's wish.
-func (c *Claimer) onSucceed(_ context.Context, q SucceedRequest) (Empty, error) {
-	h := known(q.Holder, q.Revision)
-	if h.Partition < 0 || h.Partition >= len(c.watches) {
+// onHandover claims a partition at its holder's wish.
+func (c *Claimer) onHandover(_ context.Context, req HandoverRequest) (Empty, error) {
+	h := withRevision(req.Holder, req.Revision)
+	if h.Partition < 0 || h.Partition >= len(c.monitors) {
 		return Empty{}, result.New(result.BadInput, result.RanNo, "partition %d", h.Partition)
 	}
 	c.View.Learn(h)
 	if c.Late.Slow() {
-		return Empty{}, errSlow()
+		return Empty{}, errProcessSlow()
 	}
-	c.watches[h.Partition].invite(h.Epoch)
+	c.monitors[h.Partition].invite(h.Epoch)
 	return Empty{}, nil
 }
--- a/internal/cell/beat_test.go
+++ b/internal/cell/beat_test.go
@@ -23,20 +23,20 @@
 	for i := range 300 {
 		records = append(records, entry(is, fmt.Sprint("edge-", i)))
 	}
-	is.NoErr(view.list(records))
+	is.NoErr(view.applyList(records))
 	c := &Claimer{
 		View: view, Health: follow.NewHealth(nil), CatalogVersion: func() int64 { return 3 },
-		watches: []*holderWatch{{}},
+		monitors: []*holderMonitor{{}},
 	}
-	size := func(b Beat) int {
-		reply, err := c.onBeat(t.Context(), b)
+	size := func(b Heartbeat) int {
+		reply, err := c.onHeartbeat(t.Context(), b)
 		is.NoErr(err)
 		data, err := cbor.Marshal(reply)
 		is.NoErr(err)
 		return len(data)
 	}
-	is.True(size(Beat{Catalog: 3}) < 200)
-	is.True(size(Beat{Catalog: 3, Members: true}) > 300*10) // a member without the store still learns them
+	is.True(size(Heartbeat{Catalog: 3}) < 200)
+	is.True(size(Heartbeat{Catalog: 3, Members: true}) > 300*10) // a member without the store still learns them
 }
 
 // TestHolderCutFromTheStore: a holder tells for how long it has been without the store
@@ -45,9 +45,9 @@
 func TestHolderCutFromTheStore(t *testing.T) {
 	const ms = time.Millisecond
 	tests := map[string]struct {
-		asked    time.Duration // ago, by the holder; zero for answered
-		answered time.Duration // ago, to the member
-		cut      bool
+		unansweredFor     time.Duration // ago, by the holder; zero for answered
+		memberAnsweredAgo time.Duration // ago, to the member
+		storeOutage       bool
 	}{
 		"the store answers the holder":           {0, 100 * ms, false},
 		"an answer to the holder is due":         {400 * ms, 100 * ms, false},
@@ -62,15 +62,15 @@
 				now := time.Now()
 				holder, member := follow.NewHealth(nil), follow.NewHealth(nil)
 				holder.Note(true, now.Add(-time.Second))
-				if tc.asked > 0 {
-					holder.Asked(now.Add(-tc.asked))
+				if tc.unansweredFor > 0 {
+					holder.Asked(now.Add(-tc.unansweredFor))
 				}
-				member.Note(true, now.Add(-tc.answered))
-				reply, err := (&Claimer{View: NewView(), Health: holder, CatalogVersion: func() int64 { return 0 }, watches: []*holderWatch{{}}}).onBeat(t.Context(), Beat{})
+				member.Note(true, now.Add(-tc.memberAnsweredAgo))
+				reply, err := (&Claimer{View: NewView(), Health: holder, CatalogVersion: func() int64 { return 0 }, monitors: []*holderMonitor{{}}}).onHeartbeat(t.Context(), Heartbeat{})
 				is.NoErr(err)
-				w := &holderWatch{cut: reply.Cut, heard: now}
+				w := &holderMonitor{storeOutage: reply.StoreOutage, lastContact: now}
 				e := (&Claimer{View: NewView(), Health: member}).evidence(w, ledger.Holder{Epoch: 3, Incarnation: "a-1"})
-				is.Equal(e.Dead(), tc.cut)
+				is.Equal(e.Dead(), tc.storeOutage)
 			})
 		})
 	}
--- a/internal/cell/claimer.go
+++ b/internal/cell/claimer.go
@@ -19,22 +19,22 @@
 
 // Times of the heartbeats.
 const (
-	// BeatEvery is how often a member asks the holder of a partition.
-	BeatEvery = 200 * time.Millisecond
-	// beatPatience bounds the wait for the answer to one.
-	beatPatience = 500 * time.Millisecond
-	// opinionPatience bounds the wait for other members' opinions.
-	opinionPatience = 150 * time.Millisecond
-	// claimPatience bounds a claim.
-	claimPatience = 3 * time.Second
-	// firstClaimAfter is how long after its start a member claims a partition that
+	// MinHeartbeatInterval is how often a member asks the holder of a partition.
+	MinHeartbeatInterval = 200 * time.Millisecond
+	// heartbeatTimeout bounds the wait for the answer to one.
+	heartbeatTimeout = 500 * time.Millisecond
+	// statusTimeout bounds the wait for other members' opinions.
+	statusTimeout = 150 * time.Millisecond
+	// claimTimeout bounds a claim.
+	claimTimeout = 3 * time.Second
+	// firstClaimDelay is how long after its start a member claims a partition that
 	// nobody has ever held: until then the others have entered themselves.
-	firstClaimAfter = 600 * time.Millisecond
-	// yieldEvery is how often a holder looks for a member with much more processor
+	firstClaimDelay = 600 * time.Millisecond
+	// strongerCheckInterval is how often a holder looks for a member with much more processor
 	// time to hand the partition to.
-	yieldEvery = time.Second
-	// succeedPatience bounds the wait for a successor's claim in a planned stop.
-	succeedPatience = 1500 * time.Millisecond
+	strongerCheckInterval = time.Second
+	// handoverTimeout bounds the wait for a successor's claim in a planned stop.
+	handoverTimeout = 1500 * time.Millisecond
 )
 
 // Hold runs a partition that this process has claimed from the former holder,
@@ -59,99 +59,99 @@
 	// Late knows the timers of this process; Run measures them.
 	Late *lateness.Timers
 
-	started time.Time
-	watches []*holderWatch
-	leaving chan struct{}
-	once    sync.Once
-	running sync.WaitGroup
+	started   time.Time
+	monitors  []*holderMonitor
+	leaving   chan struct{}
+	leaveOnce sync.Once
+	running   sync.WaitGroup
 }
 
-// holderWatch is what this process knows of one partition's holder.
-type holderWatch struct {
+// holderMonitor is what this process knows of one partition's holder.
+type holderMonitor struct {
 	partition int
 
-	mu    sync.Mutex
-	epoch uint64    // of the holder that the rest is about
-	heard time.Time // when it last answered as the holder
+	mu          sync.Mutex
+	epoch       uint64    // of the holder that the rest is about
+	lastContact time.Time // when it last answered as the holder
 	// refused is true while nothing listens at its address, replaced once another
 	// incarnation has answered there; cut is for how long it lacked the store when
 	// it last answered.
 	refused, replaced bool
-	cut               time.Duration
-	invited           uint64 // epoch of a holder that asked this process to succeed
+	storeOutage       time.Duration
+	invitedEpoch      uint64 // epoch of a holder that asked this process to succeed
 	held              bool
 	stop              context.CancelFunc // ends holding
-	chain             platform.Revision  // of the holder's last write as last read
-	moved             time.Time          // since when that has stood still
-	asked             time.Time          // when it was read
+	chainRevision     platform.Revision  // of the holder's last write as last read
+	chainChangedAt    time.Time          // since when that has stood still
+	chainReadAt       time.Time          // when it was read
 }
 
 // Start registers the message kinds and watches the partitions.
 func (c *Claimer) Start(ctx context.Context, mux *peer.Mux, partitions int) {
 	c.started, c.leaving = time.Now(), make(chan struct{})
 	for p := range partitions {
-		c.watches = append(c.watches, &holderWatch{partition: p})
+		c.monitors = append(c.monitors, &holderMonitor{partition: p})
 	}
-	peer.Handle(mux, peer.KindBeat, c.onBeat)
-	peer.Handle(mux, peer.KindOpinion, c.onOpinion)
-	peer.Handle(mux, peer.KindSucceed, c.onSucceed)
+	peer.Handle(mux, peer.KindBeat, c.onHeartbeat)
+	peer.Handle(mux, peer.KindOpinion, c.onHolderStatus)
+	peer.Handle(mux, peer.KindSucceed, c.onHandover)
 	go c.Late.Run(ctx)
-	for _, w := range c.watches {
-		c.running.Go(func() { c.watch(ctx, w) })
+	for _, w := range c.monitors {
+		c.running.Go(func() { c.monitor(ctx, w) })
 	}
 }
 
-func (w *holderWatch) holding() bool {
+func (w *holderMonitor) isHeld() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.held
 }
 
-func (w *holderWatch) hears(epoch uint64, limit time.Duration, now time.Time) bool {
+func (w *holderMonitor) isInContact(epoch uint64, limit time.Duration, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.held || w.epoch == epoch && now.Sub(w.heard) < limit
+	return w.held || w.epoch == epoch && now.Sub(w.lastContact) < limit
 }
 
-func (w *holderWatch) invite(epoch uint64) {
+func (w *holderMonitor) invite(epoch uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.invited = epoch
+	w.invitedEpoch = epoch
 }
 
-// about starts the watch anew for another holder, who is given time to speak.
-func (w *holderWatch) about(epoch uint64, now time.Time) {
+// trackEpoch starts the watch anew for another holder, who is given time to speak.
+func (w *holderMonitor) trackEpoch(epoch uint64, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.epoch != epoch {
-		w.epoch, w.heard, w.moved, w.chain = epoch, now, time.Time{}, 0
-		w.refused, w.replaced, w.cut = false, false, 0
+		w.epoch, w.lastContact, w.chainChangedAt, w.chainRevision = epoch, now, time.Time{}, 0
+		w.refused, w.replaced, w.storeOutage = false, false, 0
 	}
 }
 
-// watch beats one partition's holder and claims the partition when it is dead.
-func (c *Claimer) watch(ctx context.Context, w *holderWatch) {
+// monitor beats one partition's holder and claims the partition when it is dead.
+func (c *Claimer) monitor(ctx context.Context, w *holderMonitor) {
 	for ctx.Err() == nil {
 		h, _ := c.View.Holder(w.partition)
-		w.about(h.Epoch, time.Now())
+		w.trackEpoch(h.Epoch, time.Now())
 		if c.Health.Age(time.Now()) > time.Hour {
-			wait.For(ctx, BeatEvery/4) // nothing is known before the store has answered once
+			wait.For(ctx, MinHeartbeatInterval/4) // nothing is known before the store has answered once
 			continue
 		}
 		if h.Epoch > 0 && h.Incarnation != c.Self.Incarnation {
-			go c.beat(ctx, w, h)
+			go c.sendHeartbeat(ctx, w, h)
 		}
-		if c.isLeaving() || !c.dead(ctx, w, c.evidence(w, h)) {
-			c.rest(ctx, w, h.Epoch)
+		if c.isLeaving() || !c.isHolderDead(ctx, w, c.evidence(w, h)) {
+			c.waitForChange(ctx, w, h.Epoch)
 			continue
 		}
-		c.takeOver(ctx, w, h)
+		c.claim(ctx, w, h)
 	}
 }
 
-// rest waits for the next beat, or until something has changed.
-func (c *Claimer) rest(ctx context.Context, w *holderWatch, epoch uint64) {
-	timer := time.NewTimer(beatEvery(c.View.Size()))
+// waitForChange waits for the next beat, or until something has changed.
+func (c *Claimer) waitForChange(ctx context.Context, w *holderMonitor, epoch uint64) {
+	timer := time.NewTimer(heartbeatInterval(c.View.Size()))
 	defer timer.Stop()
 	for {
 		changed := c.View.Changed()
@@ -168,24 +168,24 @@
 	}
 }
 
-func (w *holderWatch) isInvited(epoch uint64) bool {
+func (w *holderMonitor) isInvited(epoch uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.invited == epoch && epoch != 0
+	return w.invitedEpoch == epoch && epoch != 0
 }
 
-// beat asks the holder whether it is there. Beats do not wait for each other: each
+// sendHeartbeat asks the holder whether it is there. Beats do not wait for each other: each
 // answer counts when it comes.
-func (c *Claimer) beat(ctx context.Context, w *holderWatch, h ledger.Holder) {
-	ctx, cancel := context.WithTimeout(ctx, beatPatience)
+func (c *Claimer) sendHeartbeat(ctx context.Context, w *holderMonitor, h ledger.Holder) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	var reply BeatReply
-	err := c.Peers.Call(ctx, h.Addr, peer.KindBeat, Beat{
+	var reply HeartbeatReply
+	err := c.Peers.Call(ctx, h.Addr, peer.KindBeat, Heartbeat{
 		Partition: w.partition, From: c.Self.Name, FromAddr: c.Self.Addr, Catalog: c.CatalogVersion(),
 		Members: c.Health.Failing(time.Now()) > 0,
 	}, &reply)
 	if err == nil && reply.Incarnation == h.Incarnation {
-		c.learn(reply)
+		c.applyReply(reply)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -198,17 +198,17 @@
 	case reply.Incarnation != h.Incarnation:
 		w.replaced = true
 	default:
-		w.refused, w.cut = false, reply.Cut
+		w.refused, w.storeOutage = false, reply.StoreOutage
 		if reply.Holds {
-			w.heard = time.Now()
+			w.lastContact = time.Now()
 		}
 	}
 }
 
-func (c *Claimer) learn(reply BeatReply) {
-	c.View.Learn(known(reply.Holder, reply.Revision))
+func (c *Claimer) applyReply(reply HeartbeatReply) {
+	c.View.Learn(withRevision(reply.Holder, reply.Revision))
 	if c.Health.Failing(time.Now()) > 0 {
-		c.View.learnMembers(reply.Members, time.Now())
+		c.View.addReported(reply.Members, time.Now())
 	}
 	if reply.Catalog > c.CatalogVersion() {
 		c.Behind(reply.Holder.Addr)
--- a/internal/cell/service.go
+++ b/internal/cell/service.go
@@ -15,15 +15,15 @@
 
 // Times of a member's own entry.
 const (
-	// entryTerm is after how long the entry of a member that died goes.
-	entryTerm = 5 * time.Second
-	// entryRenewal is how often the entry is renewed; it is also how soon the
+	// entryTTL is after how long the entry of a member that died goes.
+	entryTTL = 5 * time.Second
+	// entryRenewInterval is how often the entry is renewed; it is also how soon the
 	// process notices that the store does not answer.
-	entryRenewal = 900 * time.Millisecond
-	// entryPatience bounds the wait for the answer to a renewal.
-	entryPatience = 700 * time.Millisecond
-	// watchWait is how long the store holds a question for changes.
-	watchWait = 20 * time.Second
+	entryRenewInterval = 900 * time.Millisecond
+	// entryTimeout bounds the wait for the answer to a renewal.
+	entryTimeout = 700 * time.Millisecond
+	// watchTimeout is how long the store holds a question for changes.
+	watchTimeout = 20 * time.Second
 )
 
 // Service keeps this process's entry among the members and the View.
@@ -40,17 +40,17 @@
 // Run follows the cell until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	f := follow.Follower{
-		Store: s.Store, Health: s.Health, Prefix: Prefix, Wait: watchWait,
+		Store: s.Store, Health: s.Health, Prefix: Prefix, Wait: watchTimeout,
 		List: func(records []platform.Record) {
-			s.note(s.View.list(records))
+			s.logError(s.View.applyList(records))
 		},
-		Change: func(c platform.Change) { s.note(s.View.apply(c)) },
+		Change: func(c platform.Change) { s.logError(s.View.applyChange(c)) },
 	}
 	go f.Run(ctx)
 	s.renewLoop(ctx)
 }
 
-func (s *Service) note(err error) {
+func (s *Service) logError(err error) {
 	if err != nil {
 		s.Log.WithError(err).Error("the store holds a record that can not be read")
 	}
@@ -59,9 +59,9 @@
 // renewLoop enters this process among the members and keeps the entry.
 func (s *Service) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := entryRenewal
+		pause := entryRenewInterval
 		if err := s.renew(ctx); err != nil {
-			pause = entryRenewal / 3
+			pause = entryRenewInterval / 3
 		}
 		if !wait.For(ctx, pause) {
 			return
@@ -72,15 +72,15 @@
 // renew renews the lease, or writes the entry anew where the lease or the entry
 // is gone.
 func (s *Service) renew(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, entryPatience)
+	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
-	err := s.enter(ctx)
+	err := s.register(ctx)
 	answered := err == nil || errors.Is(err, platform.ErrLeaseGone)
 	s.Health.Note(answered, time.Now())
 	return err
 }
 
-func (s *Service) enter(ctx context.Context) error {
+func (s *Service) register(ctx context.Context) error {
 	if s.lease != 0 {
 		if err := s.Store.KeepAlive(ctx, s.lease); err != nil {
 			if errors.Is(err, platform.ErrLeaseGone) {
@@ -88,11 +88,11 @@
 			}
 			return err
 		}
-		if s.entered() {
+		if s.isRegistered() {
 			return nil
 		}
 	}
-	lease, err := s.Store.Grant(ctx, int64(entryTerm/time.Second))
+	lease, err := s.Store.Grant(ctx, int64(entryTTL/time.Second))
 	if err != nil {
 		return err
 	}
@@ -109,10 +109,10 @@
 	return err
 }
 
-// entered reports whether the entry stands as far as this process has seen. A
+// isRegistered reports whether the entry stands as far as this process has seen. A
 // lease may go on although its keys were taken away.
-func (s *Service) entered() bool {
-	for _, m := range s.View.Entered() {
+func (s *Service) isRegistered() bool {
+	for _, m := range s.View.Registered() {
 		if m.Name == s.Self.Name {
 			return m.Incarnation == s.Self.Incarnation
 		}
--- a/internal/cell/slow_test.go
+++ b/internal/cell/slow_test.go
@@ -19,11 +19,11 @@
 	"pulleyquay/internal/result"
 )
 
-// slowDown lets a process look as slow as one on a host that has turned slow.
-func slowDown(l *lateness.Timers) {
-	l.Observe(lateness.Timing{Work: time.Microsecond})
-	for range lateness.Kept {
-		l.Observe(lateness.Timing{Late: 50 * time.Millisecond, Work: 10 * time.Microsecond})
+// simulateSlowHost lets a process look as slow as one on a host that has turned slow.
+func simulateSlowHost(l *lateness.Timers) {
+	l.Observe(lateness.Sample{Work: time.Microsecond})
+	for range lateness.SampleCount {
+		l.Observe(lateness.Sample{Late: 50 * time.Millisecond, Work: 10 * time.Microsecond})
 	}
 }
 
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func slowClaimer(others *otherMembers) (*Claimer, *holderWatch) {
+func slowClaimer(others *otherMembers) (*Claimer, *holderMonitor) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	view := NewView()
@@ -63,8 +63,8 @@
 		view.members[name] = Member{Name: name, Incarnation: name + "-1", Addr: name}
 	}
 	view.Learn(ledger.Holder{Epoch: 3, Name: "a", Incarnation: "a-1", Addr: "a"})
-	w := &holderWatch{}
-	c := &Claimer{Late: &lateness.Timers{}, Self: view.members["a"], View: view, Peers: others, Log: logrus.NewEntry(log), watches: []*holderWatch{w}}
+	w := &holderMonitor{}
+	c := &Claimer{Late: &lateness.Timers{}, Self: view.members["a"], View: view, Peers: others, Log: logrus.NewEntry(log), monitors: []*holderMonitor{w}}
 	return c, w
 }
 
@@ -100,12 +100,12 @@
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				begun := time.Now()
-				go c.giveAway(ctx, w)
+				start := time.Now()
+				go c.handOverWhenSlow(ctx, w)
 				if tc.slow {
-					slowDown(c.Late)
+					simulateSlowHost(c.Late)
 				}
-				time.Sleep(leastTenure + time.Second)
+				time.Sleep(minTenure + time.Second)
 				cancel()
 				synctest.Wait()
 				if tc.want == "" {
@@ -113,7 +113,7 @@
 					return
 				}
 				is.Equal(others.invited[0], tc.want)
-				is.True(others.at.Sub(begun) >= leastTenure) // no passing round
+				is.True(others.at.Sub(start) >= minTenure) // no passing round
 			})
 		})
 	}
@@ -124,13 +124,13 @@
 func TestSlowProcessTakesNoPartition(t *testing.T) {
 	is := is.New(t)
 	c, w := slowClaimer(&otherMembers{})
-	ask := SucceedRequest{Holder: ledger.Holder{Epoch: 3, Name: "b", Incarnation: "b-1"}}
-	_, err := c.onSucceed(t.Context(), ask)
+	req := HandoverRequest{Holder: ledger.Holder{Epoch: 3, Name: "b", Incarnation: "b-1"}}
+	_, err := c.onHandover(t.Context(), req)
 	is.NoErr(err)
 	is.True(w.isInvited(3))
-	slowDown(c.Late)
+	simulateSlowHost(c.Late)
 	w.invite(0)
-	_, err = c.onSucceed(t.Context(), ask)
+	_, err = c.onHandover(t.Context(), req)
 	is.True(errors.Is(err, &result.Error{Code: result.NotReady}))
 	is.True(!w.isInvited(3))
 }
--- a/internal/cell/takeover.go
+++ b/internal/cell/takeover.go
@@ -12,42 +12,42 @@
 	"pulleyquay/internal/wait"
 )
 
-// takeOver claims a partition, after those who go before this member, and holds
+// claim claims a partition, after those who go before this member, and holds
 // it.
-func (c *Claimer) takeOver(ctx context.Context, w *holderWatch, former ledger.Holder) {
-	if former.Epoch == 0 {
-		wait.For(ctx, firstClaimAfter-time.Since(c.started))
+func (c *Claimer) claim(ctx context.Context, w *holderMonitor, previous ledger.Holder) {
+	if previous.Epoch == 0 {
+		wait.For(ctx, firstClaimDelay-time.Since(c.started))
 	}
-	if !w.isInvited(former.Epoch) && !c.waitTurn(ctx, w, former) {
+	if !w.isInvited(previous.Epoch) && !c.waitClaimDelay(ctx, w, previous) {
 		return
 	}
-	claimCtx, cancel := context.WithTimeout(ctx, claimPatience)
-	l, present, err := ledger.Claim(claimCtx, c.Writes, former, ledger.Holder{
+	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
+	l, current, err := ledger.Claim(claimCtx, c.Writes, previous, ledger.Holder{
 		Partition: w.partition, Name: c.Self.Name, Incarnation: c.Self.Incarnation, Addr: c.Self.Addr,
 	})
 	cancel()
 	switch {
-	case errors.Is(err, ledger.ErrRaced):
-		c.View.Learn(present)
+	case errors.Is(err, ledger.ErrClaimConflict):
+		c.View.Learn(current)
 		return
 	case err != nil:
 		c.Health.Note(false, time.Now())
-		wait.For(ctx, BeatEvery)
+		wait.For(ctx, MinHeartbeatInterval)
 		return
 	}
-	c.View.Learn(present)
-	c.Log.WithFields(logrus.Fields{"partition": w.partition, "epoch": present.Epoch, "from": former.Name}).Info("partition claimed")
-	c.hold(ctx, w, l, former)
+	c.View.Learn(current)
+	c.Log.WithFields(logrus.Fields{"partition": w.partition, "epoch": current.Epoch, "from": previous.Name}).Info("partition claimed")
+	c.runPartition(ctx, w, l, previous)
 }
 
-// waitTurn waits for the members that should claim first. It reports false when
+// waitClaimDelay waits for the members that should claim first. It reports false when
 // one of them has.
-func (c *Claimer) waitTurn(ctx context.Context, w *holderWatch, former ledger.Holder) bool {
-	ctx, cancel := context.WithTimeout(ctx, Patience(c.View.Members(time.Now()), former.Name, c.Self))
+func (c *Claimer) waitClaimDelay(ctx context.Context, w *holderMonitor, previous ledger.Holder) bool {
+	ctx, cancel := context.WithTimeout(ctx, ClaimDelay(c.View.Members(time.Now()), previous.Name, c.Self))
 	defer cancel()
 	for {
 		changed := c.View.Changed()
-		if h, _ := c.View.Holder(w.partition); h.Epoch != former.Epoch {
+		if h, _ := c.View.Holder(w.partition); h.Epoch != previous.Epoch {
 			return false
 		}
 		select {
@@ -58,29 +58,29 @@
 	}
 }
 
-// hold runs the partition until it is lost or given up.
-func (c *Claimer) hold(ctx context.Context, w *holderWatch, l *ledger.Ledger, former ledger.Holder) {
+// runPartition runs the partition until it is lost or given up.
+func (c *Claimer) runPartition(ctx context.Context, w *holderMonitor, l *ledger.Ledger, previous ledger.Holder) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w.mu.Lock()
 	w.held, w.stop = true, cancel
 	w.mu.Unlock()
-	go c.yieldLoop(ctx, cancel)
-	go c.giveAway(ctx, w)
-	err := c.Hold(ctx, l, former)
+	go c.yieldToStronger(ctx, cancel)
+	go c.handOverWhenSlow(ctx, w)
+	err := c.Hold(ctx, l, previous)
 	w.mu.Lock()
 	w.held, w.stop = false, nil
 	w.mu.Unlock()
 	if ctx.Err() != nil {
-		c.handOver(context.WithoutCancel(ctx), w)
+		c.handOverPartition(context.WithoutCancel(ctx), w)
 	}
 	c.Log.WithError(err).WithFields(logrus.Fields{"partition": w.partition, "epoch": l.Holder().Epoch}).Warn("partition not held any more")
 }
 
 // Leave claims nothing any more and hands every held partition to a successor.
 func (c *Claimer) Leave(ctx context.Context) {
-	c.once.Do(func() { close(c.leaving) })
-	for _, w := range c.watches {
+	c.leaveOnce.Do(func() { close(c.leaving) })
+	for _, w := range c.monitors {
 		w.mu.Lock()
 		stop := w.stop
 		w.mu.Unlock()
@@ -91,9 +91,9 @@
 	}
 	released := make(chan struct{})
 	go func() {
-		for _, w := range c.watches {
-			for w.holding() {
-				wait.For(ctx, BeatEvery/20)
+		for _, w := range c.monitors {
+			for w.isHeld() {
+				wait.For(ctx, MinHeartbeatInterval/20)
 			}
 			c.awaitSuccessor(ctx, w)
 		}
@@ -107,7 +107,7 @@
 
 // awaitSuccessor waits until a partition that this process held has another
 // holder.
-func (c *Claimer) awaitSuccessor(ctx context.Context, w *holderWatch) {
+func (c *Claimer) awaitSuccessor(ctx context.Context, w *holderMonitor) {
 	for ctx.Err() == nil {
 		changed := c.View.Changed()
 		if h, ok := c.View.Holder(w.partition); !ok || h.Incarnation != c.Self.Incarnation {
@@ -120,10 +120,10 @@
 	}
 }
 
-// yieldLoop ends the holding of a partition when a much stronger member is there.
-func (c *Claimer) yieldLoop(ctx context.Context, stop context.CancelFunc) {
+// yieldToStronger ends the holding of a partition when a much stronger member is there.
+func (c *Claimer) yieldToStronger(ctx context.Context, stop context.CancelFunc) {
 	seen := map[string]bool{}
-	for wait.For(ctx, yieldEvery) {
+	for wait.For(ctx, strongerCheckInterval) {
 		stronger := Stronger(c.View.Members(time.Now()), c.Self)
 		if stronger == "" {
 			continue
@@ -137,15 +137,15 @@
 	}
 }
 
-// handOver asks the best candidate to claim a partition that is no longer worked
+// handOverPartition asks the best candidate to claim a partition that is no longer worked
 // on here, and the next one if it does not.
-func (c *Claimer) handOver(ctx context.Context, w *holderWatch) {
+func (c *Claimer) handOverPartition(ctx context.Context, w *holderMonitor) {
 	h, ok := c.View.Holder(w.partition)
 	if !ok || h.Incarnation != c.Self.Incarnation {
 		return
 	}
 	for _, m := range Candidates(c.View.Members(time.Now()), c.Self.Name) {
-		if c.ask(ctx, m, h) {
+		if c.requestClaim(ctx, m, h) {
 			return
 		}
 		if ctx.Err() != nil {
@@ -154,16 +154,16 @@
 	}
 }
 
-// ask asks one candidate and waits until the partition has another holder.
-func (c *Claimer) ask(ctx context.Context, m Member, h ledger.Holder) bool {
-	ctx, cancel := context.WithTimeout(ctx, succeedPatience)
+// requestClaim asks one candidate and waits until the partition has another holder.
+func (c *Claimer) requestClaim(ctx context.Context, m Member, h ledger.Holder) bool {
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	if c.Peers.Call(ctx, m.Addr, peer.KindSucceed, SucceedRequest{h, h.Revision}, &Empty{}) != nil {
+	if c.Peers.Call(ctx, m.Addr, peer.KindSucceed, HandoverRequest{h, h.Revision}, &Empty{}) != nil {
 		return false
 	}
 	for {
 		changed := c.View.Changed()
-		if now, _ := c.View.Holder(h.Partition); now.Epoch > h.Epoch {
+		if current, _ := c.View.Holder(h.Partition); current.Epoch > h.Epoch {
 			return true
 		}
 		select {
--- a/internal/cell/view.go
+++ b/internal/cell/view.go
@@ -48,26 +48,26 @@
 type View struct {
 	mu      sync.Mutex
 	members map[string]Member
-	// hearsay are members that peers have told of while the store did not answer,
+	// reported are members that peers have told of while the store did not answer,
 	// with the time until which that counts.
-	hearsay map[string]hearsay
-	holders map[int]ledger.Holder
-	changed chan struct{}
+	reported map[string]reported
+	holders  map[int]ledger.Holder
+	changed  chan struct{}
 }
 
-type hearsay struct {
+type reported struct {
 	member Member
 	until  time.Time
 }
 
-// hearsayFor is how long a member counts that only a peer has told of. Heartbeats
+// reportedMemberTTL is how long a member counts that only a peer has told of. Heartbeats
 // tell again several times a second, but a peer's own list may be as old.
-const hearsayFor = 2 * time.Second
+const reportedMemberTTL = 2 * time.Second
 
 // NewView returns a view of nothing.
 func NewView() *View {
 	return &View{
-		members: map[string]Member{}, hearsay: map[string]hearsay{}, holders: map[int]ledger.Holder{},
+		members: map[string]Member{}, reported: map[string]reported{}, holders: map[int]ledger.Holder{},
 		changed: make(chan struct{}),
 	}
 }
@@ -79,8 +79,8 @@
 	return v.changed
 }
 
-// tell wakes those who wait for a change. The lock is held.
-func (v *View) tell() {
+// notify wakes those who wait for a change. The lock is held.
+func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
@@ -94,7 +94,7 @@
 	for _, m := range v.members {
 		out = append(out, m)
 	}
-	for name, h := range v.hearsay {
+	for name, h := range v.reported {
 		if _, known := v.members[name]; !known && now.Before(h.until) {
 			out = append(out, h.member)
 		}
@@ -103,8 +103,8 @@
 	return out
 }
 
-// Entered returns the members that stand in the store, as last seen.
-func (v *View) Entered() []Member {
+// Registered returns the members that stand in the store, as last seen.
+func (v *View) Registered() []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	out := make([]Member, 0, len(v.members))
@@ -135,18 +135,18 @@
 func (v *View) Learn(h ledger.Holder) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	known := v.holders[h.Partition]
-	if h.Epoch < known.Epoch || h.Epoch == known.Epoch && known.Revision != 0 {
+	current := v.holders[h.Partition]
+	if h.Epoch < current.Epoch || h.Epoch == current.Epoch && current.Revision != 0 {
 		return
 	}
 	v.holders[h.Partition] = h
-	if h.Epoch > known.Epoch {
-		v.tell()
+	if h.Epoch > current.Epoch {
+		v.notify()
 	}
 }
 
-// list takes in everything under Prefix.
-func (v *View) list(records []platform.Record) error {
+// applyList takes in everything under Prefix.
+func (v *View) applyList(records []platform.Record) error {
 	members := map[string]Member{}
 	var failed error
 	v.mu.Lock()
@@ -161,11 +161,11 @@
 		}
 	}
 	v.members = members
-	v.tell()
+	v.notify()
 	v.mu.Unlock()
 	for _, rec := range records {
 		if strings.HasPrefix(rec.Key, ledger.HolderPrefix) {
-			if err := v.learnRecord(rec); err != nil {
+			if err := v.applyHolderRecord(rec); err != nil {
 				failed = err
 			}
 		}
@@ -173,13 +173,13 @@
 	return failed
 }
 
-// apply takes in one change under Prefix. A holder's record is never deleted.
-func (v *View) apply(c platform.Change) error {
+// applyChange takes in one change under Prefix. A holder's record is never deleted.
+func (v *View) applyChange(c platform.Change) error {
 	if strings.HasPrefix(c.Key, ledger.HolderPrefix) {
 		if c.Deleted {
 			return nil
 		}
-		return v.learnRecord(c.Record)
+		return v.applyHolderRecord(c.Record)
 	}
 	name, ok := strings.CutPrefix(c.Key, memberPrefix)
 	if !ok {
@@ -197,7 +197,7 @@
 	} else {
 		v.members[name] = m
 	}
-	v.tell()
+	v.notify()
 	return err
 }
 
@@ -214,7 +214,7 @@
 	return m, nil
 }
 
-func (v *View) learnRecord(rec platform.Record) error {
+func (v *View) applyHolderRecord(rec platform.Record) error {
 	h, err := ledger.DecodeHolder(rec)
 	if err != nil {
 		return err
@@ -223,16 +223,16 @@
 	return nil
 }
 
-// learnMembers takes in the members that a peer has entered in its view.
-func (v *View) learnMembers(members []Member, now time.Time) {
+// addReported takes in the members that a peer has entered in its view.
+func (v *View) addReported(members []Member, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, m := range members {
-		v.hearsay[m.Name] = hearsay{m, now.Add(hearsayFor)}
+		v.reported[m.Name] = reported{m, now.Add(reportedMemberTTL)}
 	}
-	for name, h := range v.hearsay {
+	for name, h := range v.reported {
 		if now.After(h.until) {
-			delete(v.hearsay, name)
+			delete(v.reported, name)
 		}
 	}
 }
--- a/internal/cell/view_test.go
+++ b/internal/cell/view_test.go
@@ -30,13 +30,13 @@
 func TestHearsayEnds(t *testing.T) {
 	is := is.New(t)
 	v := NewView()
-	is.NoErr(v.list([]platform.Record{entry(is, "a"), entry(is, "b")}))
-	is.NoErr(v.apply(platform.Change{Record: platform.Record{Key: memberKey("b")}, Deleted: true}))
+	is.NoErr(v.applyList([]platform.Record{entry(is, "a"), entry(is, "b")}))
+	is.NoErr(v.applyChange(platform.Change{Record: platform.Record{Key: memberKey("b")}, Deleted: true}))
 	now := time.Unix(1_800_000_000, 0)
-	v.learnMembers([]Member{{Name: "b"}, {Name: "c"}}, now)
+	v.addReported([]Member{{Name: "b"}, {Name: "c"}}, now)
 	is.Equal(names(v.Members(now)), []string{"a", "b", "c"})
-	is.Equal(names(v.Members(now.Add(hearsayFor))), []string{"a"})
-	is.Equal(names(v.Entered()), []string{"a"})
+	is.Equal(names(v.Members(now.Add(reportedMemberTTL))), []string{"a"})
+	is.Equal(names(v.Registered()), []string{"a"})
 }
 
 func TestLaterHolderStays(t *testing.T) {
@@ -52,7 +52,7 @@
 	v.Learn(ledger.Holder{Epoch: 4, Name: "c", Revision: 40})
 	h, _ = v.Holder(0)
 	is.Equal(h.Name, "c")
-	is.NoErr(v.apply(platform.Change{Record: platform.Record{Key: ledger.HolderKey(0)}, Deleted: true}))
+	is.NoErr(v.applyChange(platform.Change{Record: platform.Record{Key: ledger.HolderKey(0)}, Deleted: true}))
 	h, _ = v.Holder(0)
 	is.Equal(h.Name, "c") // the record of a holder is never taken away
 }
@@ -69,19 +69,19 @@
 		"refused, another agrees":             {Evidence{Holder: held, Refused: true, Others: 5, Agreeing: 1}, true},
 		"refused, nobody can be asked":        {Evidence{Holder: held, Refused: true, Others: 5, Silence: time.Second}, false},
 		"refused, alone":                      {Evidence{Holder: held, Refused: true}, true},
-		"refused here, heard elsewhere":       {Evidence{Holder: held, Refused: true, Others: 5, Agreeing: 4, Hearing: 1}, false},
+		"refused here, heard elsewhere":       {Evidence{Holder: held, Refused: true, Others: 5, Agreeing: 4, InContact: 1}, false},
 		"silent to all":                       {Evidence{Holder: held, Silence: time.Second, Others: 5, Agreeing: 5}, true},
 		"silent to half":                      {Evidence{Holder: held, Silence: time.Second, Others: 4, Agreeing: 2}, true},
 		"silent to few, the others not asked": {Evidence{Holder: held, Silence: time.Second, Others: 5, Agreeing: 2}, false},
-		"silent here, heard elsewhere":        {Evidence{Holder: held, Silence: 9 * time.Second, Others: 5, Agreeing: 4, Hearing: 1, StoodStill: 9 * time.Second}, false},
+		"silent here, heard elsewhere":        {Evidence{Holder: held, Silence: 9 * time.Second, Others: 5, Agreeing: 4, InContact: 1, WritesStalled: 9 * time.Second}, false},
 		"silent, alone, still writing":        {Evidence{Holder: held, Silence: time.Second, Others: 5}, false},
-		"silent, alone, writes no more":       {Evidence{Holder: held, Silence: 3 * time.Second, Others: 5, StoodStill: aloneAfter}, true},
-		"cut from the store":                  {Evidence{Holder: held, HolderCut: cutAfter}, true},
-		"cut from the store for a moment":     {Evidence{Holder: held, HolderCut: cutAfter / 2}, false},
+		"silent, alone, writes no more":       {Evidence{Holder: held, Silence: 3 * time.Second, Others: 5, WritesStalled: stalledWritesThreshold}, true},
+		"cut from the store":                  {Evidence{Holder: held, HolderStoreOutage: storeOutageThreshold}, true},
+		"cut from the store for a moment":     {Evidence{Holder: held, HolderStoreOutage: storeOutageThreshold / 2}, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			tc.evidence.Limit = silentAfter
+			tc.evidence.Limit = silenceThreshold
 			is.New(t).Equal(tc.evidence.Dead(), tc.dead)
 		})
 	}
@@ -94,9 +94,9 @@
 		{Name: "c", Cores: 0.8, StartedUnixMilli: 7}, {Name: "d", Cores: 0.8, Leaving: true}, {Name: "e", Cores: 0.8},
 	}
 	is.Equal(names(Candidates(members, "e")), []string{"c", "b", "a"})
-	is.Equal(Patience(members, "e", members[2]), time.Duration(0))
-	is.Equal(Patience(members, "e", members[1]), rankPause)
-	is.Equal(Patience(members, "e", members[0]), 2*rankPause+weakPause) // the strong may be back soon
+	is.Equal(ClaimDelay(members, "e", members[2]), time.Duration(0))
+	is.Equal(ClaimDelay(members, "e", members[1]), rankDelay)
+	is.Equal(ClaimDelay(members, "e", members[0]), 2*rankDelay+weakDelay) // the strong may be back soon
 }
 
 func TestStronger(t *testing.T) {
@@ -111,10 +111,10 @@
 // and is given as much more time as they are apart.
 func TestLargeCellsBeatLess(t *testing.T) {
 	is := is.New(t)
-	for members, want := range map[int]time.Duration{1: BeatEvery, 7: BeatEvery, 43: BeatEvery, 100: 400 * time.Millisecond, 300: 1200 * time.Millisecond} {
-		is.Equal(beatEvery(members), want)
-		is.Equal(doubtAfter(members)-silentAfter, want-BeatEvery)
-		is.True(float64(members)/beatEvery(members).Seconds() <= 251)
+	for members, want := range map[int]time.Duration{1: MinHeartbeatInterval, 7: MinHeartbeatInterval, 43: MinHeartbeatInterval, 100: 400 * time.Millisecond, 300: 1200 * time.Millisecond} {
+		is.Equal(heartbeatInterval(members), want)
+		is.Equal(silenceLimit(members)-silenceThreshold, want-MinHeartbeatInterval)
+		is.True(float64(members)/heartbeatInterval(members).Seconds() <= 251)
 	}
 }
 
@@ -133,13 +133,13 @@
 	}
 	for name, rec := range bad {
 		v := NewView()
-		is.True(v.list([]platform.Record{rec, entry(is, "a")}) != nil)
-		is.Equal(names(v.Entered()), []string{"a"})
-		is.NoErr(v.apply(platform.Change{Record: entry(is, "b")}))
-		if v.apply(platform.Change{Record: rec}) == nil {
+		is.True(v.applyList([]platform.Record{rec, entry(is, "a")}) != nil)
+		is.Equal(names(v.Registered()), []string{"a"})
+		is.NoErr(v.applyChange(platform.Change{Record: entry(is, "b")}))
+		if v.applyChange(platform.Change{Record: rec}) == nil {
 			t.Error(name, "taken")
 		}
-		is.Equal(names(v.Entered()), []string{"a"})
+		is.Equal(names(v.Registered()), []string{"a"})
 	}
 }
 
@@ -149,8 +149,8 @@
 	f.Add("b", []byte{0xa1, 1, 0x61, 'b'})
 	f.Fuzz(func(t *testing.T, name string, value []byte) {
 		v := NewView()
-		err := v.apply(platform.Change{Record: platform.Record{Key: memberKey(name), Value: value}})
-		for _, m := range v.Entered() {
+		err := v.applyChange(platform.Change{Record: platform.Record{Key: memberKey(name), Value: value}})
+		for _, m := range v.Registered() {
 			if err != nil || m.Addr == "" || m.Name != name {
 				t.Errorf("%+v, %v", m, err)
 			}
--- a/internal/holder/burst_test.go
+++ b/internal/holder/burst_test.go
@@ -31,76 +31,76 @@
 	"pulleyquay/internal/spec"
 )
 
-// The burst: a cell of 120 hosts whose holder has a link of 2 Mbit/s and 0.12 cores gets
-// 40 short jobs a second, and for four seconds 2.3 times as many. The hosts have room for
-// three times that. It is the small likeness of the users' large fleet.
+// A scaled-down model of a large fleet: a cell of 120 hosts whose holder has a link of
+// 2 Mbit/s and 0.12 cores receives 40 short jobs a second, and 2.3 times as many in a burst
+// of four seconds. The hosts have capacity for three times the burst.
 const (
-	burstHosts  = 120
-	burstShards = 16
-	calmJobs    = 40 // a second
-	burstTimes  = 2.3
-	tasksOfJob  = 4
-	workOfTask  = 640 * time.Millisecond
-	inTimeFor   = workOfTask*3/2 + 250*time.Millisecond
-	linkBytes   = 2e6 / 8 // a second, each way
-	// A request over HTTP and its answer are some 1,400 bytes and take the caller
-	// 0.15 ms of a core; a message between members has 60 bytes around it and takes
-	// each side 0.05 ms. The holder's core runs at 0.12 of its speed.
-	requestBytes = 700
-	frameBytes   = 60
-	requestTime  = 150 * time.Microsecond * 100 / 12
-	messageTime  = 50 * time.Microsecond * 100 / 12
+	burstHosts         = 120
+	burstShards        = 16
+	baseJobsPerSecond  = 40 // a second
+	burstFactor        = 2.3
+	tasksPerJob        = 4
+	taskRunTime        = 640 * time.Millisecond
+	latencyLimit       = taskRunTime*3/2 + 250*time.Millisecond
+	linkBytesPerSecond = 2e6 / 8 // a second, each way
+	// An HTTP request and its response together have about 1,400 bytes and cost the caller
+	// 0.15 ms of a core. A message between members has 60 bytes of framing and costs each
+	// side 0.05 ms. The holder has 0.12 of a core.
+	requestBytes   = 700
+	frameBytes     = 60
+	requestCPUTime = 150 * time.Microsecond * 100 / 12
+	messageCPUTime = 50 * time.Microsecond * 100 / 12
 )
 
-// resource serves one thing after the other, each for a time.
+// resource models a link or a core that serves requests one after the other.
 type resource struct {
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-// use waits until the resource has served for d.
-func (r *resource) use(d time.Duration) {
+// occupy queues a request that occupies the resource for d and waits until it is served.
+func (r *resource) occupy(d time.Duration) {
 	r.mu.Lock()
 	now := time.Now()
-	if r.free.Before(now) {
-		r.free = now
+	if r.freeAt.Before(now) {
+		r.freeAt = now
 	}
-	r.free = r.free.Add(d)
-	wait := r.free.Sub(now)
+	r.freeAt = r.freeAt.Add(d)
+	wait := r.freeAt.Sub(now)
 	r.mu.Unlock()
 	time.Sleep(wait)
 }
 
-// machine is what the holder's process has.
-type machine struct{ in, out, core resource }
+// processResources are the link and the core of the holder's process.
+type processResources struct{ in, out, core resource }
 
-func carrying(bytes int) time.Duration {
-	return time.Duration(float64(bytes) / linkBytes * float64(time.Second))
+func transferTime(bytes int) time.Duration {
+	return time.Duration(float64(bytes) / linkBytesPerSecond * float64(time.Second))
 }
 
-// ownHosts are the hosts as the holder's own process calls them: over its link, with its
-// processor. Shards have a machine each with time to spare, so theirs is nil.
-type ownHosts struct {
-	fleet *hostsim.Fleet
-	from  *machine
+// directHosts is a host client that uses the link and the core of caller. Caller is nil for
+// link shards, which have spare capacity.
+type directHosts struct {
+	fleet  *hostsim.Fleet
+	caller *processResources
 }
 
-const oneWay = time.Millisecond
+const oneWayLatency = time.Millisecond
 
-func (o ownHosts) call(ctx context.Context, to host.Info, arrive func(*hostsim.Host)) error {
-	if o.from != nil {
-		o.from.core.use(requestTime)
-		o.from.out.use(carrying(requestBytes))
+func (o directHosts) call(ctx context.Context, to host.Info, deliver func(*hostsim.Host)) error {
+	if o.caller != nil {
+		o.caller.core.occupy(requestCPUTime)
+		o.caller.out.occupy(transferTime(requestBytes))
 	}
-	time.Sleep(oneWay)
+	time.Sleep(oneWayLatency)
 	if ctx.Err() != nil {
 		return host.ErrLost
 	}
-	arrive(o.fleet.Host(to.ID))
-	time.Sleep(oneWay)
-	if o.from != nil {
-		o.from.in.use(carrying(requestBytes))
-		o.from.core.use(requestTime)
+	deliver(o.fleet.Host(to.ID))
+	time.Sleep(oneWayLatency)
+	if o.caller != nil {
+		o.caller.in.occupy(transferTime(requestBytes))
+		o.caller.core.occupy(requestCPUTime)
 	}
 	if ctx.Err() != nil {
 		return host.ErrLost
@@ -108,22 +108,22 @@
 	return nil
 }
 
-func (o ownHosts) Start(ctx context.Context, to host.Info, epoch uint64, s host.Start) (r host.Reply, err error) {
+func (o directHosts) Start(ctx context.Context, to host.Info, epoch uint64, s host.Start) (r host.Reply, err error) {
 	err = o.call(ctx, to, func(h *hostsim.Host) { r = h.Start(epoch, s) })
 	return r, err
 }
 
-func (o ownHosts) Stop(ctx context.Context, to host.Info, epoch uint64, run host.Run) (r host.Reply, err error) {
+func (o directHosts) Stop(ctx context.Context, to host.Info, epoch uint64, run host.Run) (r host.Reply, err error) {
 	err = o.call(ctx, to, func(h *hostsim.Host) { r = h.Stop(epoch, run) })
 	return r, err
 }
 
-func (o ownHosts) Pace(ctx context.Context, to host.Info, epoch uint64, run host.Run, percent int) (r host.Reply, err error) {
+func (o directHosts) Pace(ctx context.Context, to host.Info, epoch uint64, run host.Run, percent int) (r host.Reply, err error) {
 	err = o.call(ctx, to, func(h *hostsim.Host) { r = h.Pace(epoch, run, percent) })
 	return r, err
 }
 
-func (o ownHosts) Look(ctx context.Context, to host.Info, epoch uint64, l host.Look) (v host.View, err error) {
+func (o directHosts) Look(ctx context.Context, to host.Info, epoch uint64, l host.Look) (v host.View, err error) {
 	err = o.call(ctx, to, func(h *hostsim.Host) {
 		answer := make(chan host.View, 1)
 		h.Look(epoch, l, func(v host.View) { answer <- v })
@@ -135,37 +135,38 @@
 	return v, err
 }
 
-// wires carry messages between members; those of the holder go over its link.
-type wires struct {
-	mu     sync.Mutex
-	ends   peer.Local
-	holder *machine
-	cut    map[string]bool // members that nothing comes through to or from
+// network carries messages between members; those of the holder use its link and core.
+type network struct {
+	mu              sync.Mutex
+	muxes           peer.Local
+	holderResources *processResources
+	disconnect      map[string]bool // members without connection to the others
 }
 
-// set has a member's calls come to a mux.
-func (w *wires) set(addr string, mux *peer.Mux) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ends[addr] = mux
+// register sets the mux that receives the calls to a member.
+func (n *network) register(addr string, mux *peer.Mux) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.muxes[addr] = mux
 }
 
-// way is what lies between two members now.
-func (w *wires) way(from, to string) (there peer.Local, holder *machine, cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return peer.Local{to: w.ends[to]}, w.holder, w.cut[from] || w.cut[to]
+// route returns the destination of calls between two members, the resources of the present
+// holder, and whether either member is disconnected.
+func (n *network) route(from, to string) (dest peer.Local, holderResources *processResources, disconnect bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return peer.Local{to: n.muxes[to]}, n.holderResources, n.disconnect[from] || n.disconnect[to]
 }
 
-// end is one member's end of the wires.
-type end struct {
-	*wires
+// networkPort is one member's connection to the network.
+type networkPort struct {
+	*network
 	addr string
 }
 
-func (e end) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
-	there, holder, cut := e.way(e.addr, addr)
-	if cut {
+func (e networkPort) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
+	dest, holderResources, disconnect := e.route(e.addr, addr)
+	if disconnect {
 		<-ctx.Done()
 		return result.New(result.PeerLost, result.RanUnknown, "cut")
 	}
@@ -173,65 +174,65 @@
 	if err != nil {
 		return err
 	}
-	link := &holder.out
+	link := &holderResources.out
 	if e.addr != "holder" {
-		link = &holder.in
+		link = &holderResources.in
 	}
-	holder.core.use(messageTime)
-	link.use(carrying(len(body) + frameBytes))
-	time.Sleep(oneWay)
-	err = there.Call(ctx, addr, kind, req, resp)
-	time.Sleep(oneWay)
-	holder.core.use(messageTime / 2) // the receipt
+	holderResources.core.occupy(messageCPUTime)
+	link.occupy(transferTime(len(body) + frameBytes))
+	time.Sleep(oneWayLatency)
+	err = dest.Call(ctx, addr, kind, req, resp)
+	time.Sleep(oneWayLatency)
+	holderResources.core.occupy(messageCPUTime / 2) // acknowledgement
 	return err
 }
 
-// burstCell is the cell with what its callers see.
+// burstCell is the simulated cell, with the times at which jobs were submitted and completed.
 type burstCell struct {
-	t      *testing.T
-	store  *memstore.Engine
-	fleet  *hostsim.Fleet
-	wires  *wires
-	shards []linkshard.Member
-	table  *Table
-	stop   func()
+	t       *testing.T
+	store   *memstore.Engine
+	fleet   *hostsim.Fleet
+	network *network
+	shards  []linkshard.Member
+	table   *Table
+	stop    func()
 
-	mu       sync.Mutex
-	begun    time.Time
-	arrived  map[string]time.Time
-	finished map[string]time.Time
+	mu        sync.Mutex
+	startedAt time.Time
+	arrived   map[string]time.Time
+	finished  map[string]time.Time
 }
 
 func newBurstCell(t *testing.T, shards int) *burstCell {
 	c := &burstCell{
 		t: t, store: memstore.New(), fleet: hostsim.NewFleet(hostsim.RealClock{}), arrived: map[string]time.Time{}, finished: map[string]time.Time{},
-		wires: &wires{ends: peer.Local{}, cut: map[string]bool{}},
+		network: &network{muxes: peer.Local{}, disconnect: map[string]bool{}},
 	}
 	c.fleet.Add(burstHosts, "s", spec.Resources{MilliCPU: 64000, MemoryMiB: 262144})
 	c.shards = []linkshard.Member{{Name: "holder", Addr: "holder", Cores: 0.12, LinkMbps: 2}}
 	for i := range shards {
 		addr := fmt.Sprint("m", i)
 		mux := peer.NewMux()
-		linkshard.NewServer(mux, ownHosts{fleet: c.fleet}, end{c.wires, addr}, quiet())
-		c.wires.set(addr, mux)
+		linkshard.NewServer(mux, directHosts{fleet: c.fleet}, networkPort{c.network, addr}, discardLogger())
+		c.network.register(addr, mux)
 		c.shards = append(c.shards, linkshard.Member{Name: addr, Addr: addr, Zone: fmt.Sprint("z", i%3), Cores: 0.12, LinkMbps: 2})
 	}
 	for _, h := range c.fleet.Listed() {
 		c.store.Put(platform.Write{Key: prefix + string(h.ID), Value: []byte(h.Addr)})
 	}
-	c.hold(ledger.Holder{})
+	c.startHolder(ledger.Holder{})
 	return c
 }
 
-func quiet() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
 }
 
-// hold has a new process claim the partition after a former one.
-func (c *burstCell) hold(former ledger.Holder) {
-	m := &machine{}
+// startHolder starts a new process that claims the partition after the previous holder.
+func (c *burstCell) startHolder(previous ledger.Holder) {
+	resources := &processResources{}
 	mux := peer.NewMux()
 	health := follow.NewHealth(nil)
 	writes := resend.New(c.store.Client("a"), health)
@@ -240,7 +241,7 @@
 		listed[info.ID] = info
 	}
 	c.table = NewTable(Config{
-		Store: c.store.Client("a"), Health: health, Hosts: ownHosts{c.fleet, m}, Peers: end{c.wires, "holder"}, Log: quiet(),
+		Store: c.store.Client("a"), Health: health, Hosts: directHosts{c.fleet, resources}, Peers: networkPort{c.network, "holder"}, Log: discardLogger(),
 		Self: "holder", Addr: "holder", Shards: func() []linkshard.Member { return c.shards }, Tuning: engine.DefaultTuning(),
 		Bounds: engine.Bounds{
 			LeaseLimit: hostsim.DefaultBounds.LeaseLimit, StopTakes: hostsim.DefaultBounds.StopTakes, GangWait: hostsim.DefaultBounds.GangWait, RememberEnded: time.Hour,
@@ -257,52 +258,53 @@
 			}
 		},
 	}, mux)
-	c.wires.mu.Lock()
-	c.wires.holder = m
-	c.wires.mu.Unlock()
-	c.wires.set("holder", mux)
-	l, _, err := ledger.Claim(c.t.Context(), writes, former, ledger.Holder{Name: "holder", Incarnation: fmt.Sprint("after-", former.Epoch), Addr: "holder"})
+	c.network.mu.Lock()
+	c.network.holderResources = resources
+	c.network.mu.Unlock()
+	c.network.register("holder", mux)
+	l, _, err := ledger.Claim(c.t.Context(), writes, previous, ledger.Holder{Name: "holder", Incarnation: fmt.Sprint("after-", previous.Epoch), Addr: "holder"})
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(c.t.Context())
 	ended := make(chan struct{})
 	go func() {
-		_ = c.table.Hold(ctx, l, former) // it ends as it is told to
+		_ = c.table.Hold(ctx, l, previous) // returns the error of the cancelled ctx
 		close(ended)
 	}()
 	c.stop = func() { cancel(); <-ended }
 }
 
-// arrive hands jobs in for a while, each stored and told to the holder.
-func (c *burstCell) arrive(d time.Duration, perSecond func(at time.Duration) float64) {
-	c.begun = time.Now()
-	rnd := rand.New(rand.NewPCG(1, 2))
-	for n := 0; time.Since(c.begun) < d; n++ {
+// submitJobs submits jobs for d: it stores each job and notifies the holder.
+func (c *burstCell) submitJobs(d time.Duration, rate func(at time.Duration) float64) {
+	c.startedAt = time.Now()
+	rng := rand.New(rand.NewPCG(1, 2))
+	for n := 0; time.Since(c.startedAt) < d; n++ {
 		id := fmt.Sprint("job-", n)
-		rec := &record.Job{ID: id, Queue: "ticket", Service: "s", Rules: catalog.Rules{Attempts: 3, Stretch: 1.5, TargetMillis: 250}, Graph: spec.Graph{
+		job := &record.Job{ID: id, Queue: "ticket", Service: "s", Rules: catalog.Rules{Attempts: 3, Stretch: 1.5, TargetMillis: 250}, Graph: spec.Graph{
 			Command: string(make([]byte, 150)),
-			Steps:   []spec.Step{{Count: tasksOfJob, Size: spec.Resources{MilliCPU: 8000, MemoryMiB: 8192}, EstimateMillis: workOfTask.Milliseconds()}},
+			Steps:   []spec.Step{{Count: tasksPerJob, Size: spec.Resources{MilliCPU: 8000, MemoryMiB: 8192}, EstimateMillis: taskRunTime.Milliseconds()}},
 		}}
-		c.fleet.Know(rec)
+		c.fleet.Know(job)
 		c.mu.Lock()
 		c.arrived[id] = time.Now()
 		c.mu.Unlock()
-		value, err := record.Encode(*rec)
+		value, err := record.Encode(*job)
 		if err != nil {
 			c.t.Fatal(err)
 		}
 		c.store.Put(platform.Write{Key: record.JobKey(0, id), Value: value})
-		go c.tell(rec)
-		time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond(time.Since(c.begun)) * float64(time.Second)))
+		go c.notifyHolder(job)
+		time.Sleep(time.Duration(rng.ExpFloat64() / rate(time.Since(c.startedAt)) * float64(time.Second)))
 	}
 }
 
-// tell tells the holder of a job as an accepting member does.
-func (c *burstCell) tell(rec *record.Job) {
+// notifyHolder sends the notification of an accepted job, with retries, as an accepting
+// member does.
+func (c *burstCell) notifyHolder(job *record.Job) {
 	for range 20 {
 		ctx, cancel := context.WithTimeout(c.t.Context(), 2500*time.Millisecond)
-		err := end{c.wires, "front"}.Call(ctx, "holder", peer.KindAccepted, Accepted{Job: *rec, Fresh: false}, &Empty{})
+		err := networkPort{c.network, "front"}.Call(ctx, "holder", peer.KindAccepted, Accepted{Job: *job, Fresh: false}, &Empty{})
 		cancel()
 		if err == nil {
 			return
@@ -311,70 +313,71 @@
 	}
 }
 
-// served is which share of the jobs that came in a span completed in time.
-func (c *burstCell) served(from, until time.Duration) float64 {
+// servedShare returns the fraction of the jobs submitted in a time span that completed
+// within latencyLimit.
+func (c *burstCell) servedShare(from, until time.Duration) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	good, all := 0, 0
+	inTime, submitted := 0, 0
 	for id, at := range c.arrived {
-		if since := at.Sub(c.begun); since < from || since >= until {
+		if since := at.Sub(c.startedAt); since < from || since >= until {
 			continue
 		}
-		all++
-		if end, ok := c.finished[id]; ok && end.Sub(at) <= inTimeFor {
-			good++
+		submitted++
+		if end, ok := c.finished[id]; ok && end.Sub(at) <= latencyLimit {
+			inTime++
 		}
 	}
-	return float64(good) / float64(all)
+	return float64(inTime) / float64(submitted)
 }
 
-// TestBurstOnABoundedHolder: within five seconds after a burst, an outage of the store, the
-// loss of a third of the shards or of the holder itself, the cell serves as it did before.
-// Alone, with all calls over its own link, the holder served 0 of the jobs that came from
-// 5 s after the burst on.
+// TestBurstOnABoundedHolder checks that the cell completes as many jobs in time as before
+// from five seconds after a burst, a store outage, the loss of a third of the link shards or
+// of the holder on. A holder without link shards, which makes all calls over its own link,
+// completed none of the jobs submitted later than 5 s after the burst.
 func TestBurstOnABoundedHolder(t *testing.T) {
 	const (
-		strikes = 6 * time.Second
-		lasts   = 4 * time.Second
-		back    = 5 * time.Second
-		ends    = 22 * time.Second
+		faultAt       = 6 * time.Second
+		faultDuration = 4 * time.Second
+		recoveryTime  = 5 * time.Second
+		submitFor     = 22 * time.Second
 	)
-	calm := func(time.Duration) float64 { return calmJobs }
-	burst := func(at time.Duration) float64 {
-		if at >= strikes && at < strikes+lasts {
-			return burstTimes * calmJobs
+	baseRate := func(time.Duration) float64 { return baseJobsPerSecond }
+	burstRate := func(at time.Duration) float64 {
+		if at >= faultAt && at < faultAt+faultDuration {
+			return burstFactor * baseJobsPerSecond
 		}
-		return calmJobs
+		return baseJobsPerSecond
 	}
-	cut := func(c *burstCell, cut bool) {
-		c.wires.mu.Lock()
-		defer c.wires.mu.Unlock()
+	disconnect := func(c *burstCell, disconnect bool) {
+		c.network.mu.Lock()
+		defer c.network.mu.Unlock()
 		for i := 0; i < burstShards; i += 3 {
-			c.wires.cut[fmt.Sprint("m", i)] = cut
+			c.network.disconnect[fmt.Sprint("m", i)] = disconnect
 		}
 	}
 	tests := map[string]struct {
 		rate  func(time.Duration) float64
 		begin func(c *burstCell)
 		end   func(c *burstCell)
-		// least is which share is served while the fault lasts.
-		least float64
+		// minServed is the minimum of servedShare during the fault.
+		minServed float64
 	}{
-		"burst":                     {burst, func(*burstCell) {}, func(*burstCell) {}, 0.9},
-		"a third of the shards cut": {calm, func(c *burstCell) { cut(c, true) }, func(c *burstCell) { cut(c, false) }, 0.7},
-		"burst on fewer shards":     {burst, func(c *burstCell) { cut(c, true) }, func(c *burstCell) { cut(c, false) }, 0.6},
-		"store away":                {calm, func(c *burstCell) { c.store.SetFaults(memstore.Faults{Hang: true}) }, func(c *burstCell) { c.store.SetFaults(memstore.Faults{}) }, 0},
-		"holder gone in a burst": {burst, func(c *burstCell) {
+		"burst":                              {burstRate, func(*burstCell) {}, func(*burstCell) {}, 0.9},
+		"a third of the shards disconnected": {baseRate, func(c *burstCell) { disconnect(c, true) }, func(c *burstCell) { disconnect(c, false) }, 0.7},
+		"burst on fewer shards":              {burstRate, func(c *burstCell) { disconnect(c, true) }, func(c *burstCell) { disconnect(c, false) }, 0.6},
+		"store unavailable":                  {baseRate, func(c *burstCell) { c.store.SetFaults(memstore.Faults{Hang: true}) }, func(c *burstCell) { c.store.SetFaults(memstore.Faults{}) }, 0},
+		"holder replaced in a burst": {burstRate, func(c *burstCell) {
 			c.stop()
 			rec, _, err := c.store.Client("judge").Get(c.t.Context(), ledger.HolderKey(0))
 			if err != nil {
 				c.t.Error(err)
 			}
-			former, err := ledger.DecodeHolder(rec)
+			previous, err := ledger.DecodeHolder(rec)
 			if err != nil {
 				c.t.Error(err)
 			}
-			c.hold(former)
+			c.startHolder(previous)
 		}, func(*burstCell) {}, 0.5},
 	}
 	for name, tc := range tests {
@@ -383,20 +386,20 @@
 				is := is.New(t)
 				c := newBurstCell(t, burstShards)
 				time.Sleep(3 * time.Second)
-				time.AfterFunc(strikes, func() { tc.begin(c) })
-				time.AfterFunc(strikes+lasts, func() { tc.end(c) })
-				c.arrive(ends, tc.rate)
+				time.AfterFunc(faultAt, func() { tc.begin(c) })
+				time.AfterFunc(faultAt+faultDuration, func() { tc.end(c) })
+				c.submitJobs(submitFor, tc.rate)
 				time.Sleep(4 * time.Second)
-				before, during, after := c.served(time.Second, strikes-time.Second), c.served(strikes, strikes+lasts), c.served(strikes+lasts+back, ends)
-				t.Logf("in time: %.3f before, %.3f during, %.3f from %v after on", before, during, after, back)
+				before, during, after := c.servedShare(time.Second, faultAt-time.Second), c.servedShare(faultAt, faultAt+faultDuration), c.servedShare(faultAt+faultDuration+recoveryTime, submitFor)
+				t.Logf("completed in time: %.3f before the fault, %.3f during it, %.3f from %v after it", before, during, after, recoveryTime)
 				c.stop()
 				c.store.Close()
-				time.Sleep(10 * time.Second) // what is under way ends
+				time.Sleep(10 * time.Second) // open calls and runs end
 				for _, wrong := range c.fleet.Judge().Wrong() {
 					t.Error(wrong)
 				}
 				is.True(before >= 0.95)
-				is.True(during >= tc.least)
+				is.True(during >= tc.minServed)
 				is.True(after >= before-0.03)
 			})
 		})
--- a/internal/holder/commit.go
+++ b/internal/holder/commit.go
@@ -9,32 +9,32 @@
 	"pulleyquay/internal/platform"
 )
 
-// commitLoop stores what the engine wants stored, one transaction after the
-// other, and renews the right to give orders.
+// commitLoop stores the engine's batches one after the other. Each commit, also an empty
+// one, renews the authority to give orders.
 func (h *Holder) commitLoop() {
-	idle := time.NewTimer(commitIdle)
+	idle := time.NewTimer(idleCommitInterval)
 	defer idle.Stop()
 	for {
 		select {
 		case <-h.ctx.Done():
-			return // what is not stored yet the next holder learns from the hosts
-		case <-h.commit:
+			return // the next holder obtains unstored results from the hosts
+		case <-h.commitRequested:
 		case <-idle.C:
 		}
-		begun := time.Now()
-		if !h.storeNext() {
+		start := time.Now()
+		if !h.commitNextBatch() {
 			return
 		}
-		idle.Reset(commitIdle)
-		if rest := commitEvery - time.Since(begun); rest > 0 {
-			time.Sleep(rest)
+		idle.Reset(idleCommitInterval)
+		if pause := minCommitInterval - time.Since(start); pause > 0 {
+			time.Sleep(pause)
 		}
 	}
 }
 
-// storeNext stores one batch, which may be empty. It reports false when the
-// partition is lost.
-func (h *Holder) storeNext() bool {
+// commitNextBatch stores one batch, which may be empty. It returns false if the partition is
+// lost.
+func (h *Holder) commitNextBatch() bool {
 	h.mu.Lock()
 	b := h.engine.TakeBatch(time.Now())
 	h.mu.Unlock()
@@ -42,37 +42,37 @@
 	if b != nil {
 		groups = b.Groups
 	}
-	if !h.write(groups) {
+	if !h.commitWrites(groups) {
 		return false
 	}
 	if b != nil {
-		h.confirmed(b)
+		h.confirmBatch(b)
 	}
 	return true
 }
 
-// write stores groups of writes. It reports false when the partition is lost.
-func (h *Holder) write(groups [][]platform.Write) bool {
-	begun := time.Now()
+// commitWrites stores groups of writes. It returns false if the partition is lost.
+func (h *Holder) commitWrites(groups [][]platform.Write) bool {
+	start := time.Now()
 	err := h.ledger.Commit(h.ctx, groups)
-	h.cfg.Metrics.commit(begun, len(groups), err)
+	h.cfg.Metrics.observeCommit(start, len(groups), err)
 	switch {
 	case err == nil:
 		h.cfg.Health.Note(true, time.Now())
 	case errors.Is(err, ledger.ErrDeposed):
 		h.cancel(err)
 	case h.ctx.Err() == nil:
-		h.log.WithError(err).Error("the store refuses a transaction; giving the partition up")
+		h.log.WithError(err).Error("store refused a transaction; releasing the partition")
 		h.cancel(err)
 	}
 	return err == nil
 }
 
-// confirmed tells the engine, and those who wait, that a batch is stored.
-func (h *Holder) confirmed(b *engine.Batch) {
-	h.do(func(e *engine.Engine, now time.Time) { e.Stored(b, now) })
+// confirmBatch informs the engine and waiting requests that a batch is stored.
+func (h *Holder) confirmBatch(b *engine.Batch) {
+	h.updateEngine(func(e *engine.Engine, now time.Time) { e.Stored(b, now) })
 	h.mu.Lock()
-	close(h.stored)
-	h.stored = make(chan struct{})
+	close(h.batchStored)
+	h.batchStored = make(chan struct{})
 	h.mu.Unlock()
 }
--- a/internal/holder/dump.go
+++ b/internal/holder/dump.go
@@ -10,18 +10,18 @@
 	"pulleyquay/internal/result"
 )
 
-// Dump is what the holder of a partition knows, for people.
+// Dump is the state of a partition's holder in the state dump for operators.
 type Dump struct {
 	Partition int    `json:"partition"`
 	Epoch     uint64 `json:"epoch"`
-	// MayOrderMillis is for how long it may give orders unless the store answers again;
-	// below zero when it may not.
-	MayOrderMillis int64       `json:"may_order_ms"`
-	Hosts          int64       `json:"hosts"`
-	Engine         engine.Dump `json:"engine"`
+	// AuthorityMillis is the remaining time for which the holder may give orders if no
+	// further transaction is confirmed; negative once its authority has expired.
+	AuthorityMillis int64       `json:"may_order_ms"`
+	Hosts           int64       `json:"hosts"`
+	Engine          engine.Dump `json:"engine"`
 }
 
-// Dump tells of the partitions that this process holds, by their numbers.
+// Dump returns the state of the partitions that this process holds, ordered by number.
 func (t *Table) Dump() []Dump {
 	t.mu.Lock()
 	held := slices.Collect(maps.Values(t.holders))
@@ -34,8 +34,8 @@
 	return out
 }
 
-// Explain tells why a job waits, for people; the partition that it belongs to has to be held
-// here.
+// Explain returns an explanation, for operators, of why a job waits. This process has to hold
+// the job's partition.
 func (t *Table) Explain(id string) (any, error) {
 	t.mu.Lock()
 	held := slices.Collect(maps.Values(t.holders))
@@ -58,12 +58,12 @@
 }
 
 func (h *Holder) dump() Dump {
-	self, until := h.ledger.Holder(), h.ledger.Proved().Add(rightTerm)
+	self, until := h.ledger.Holder(), h.ledger.LastConfirmed().Add(authorityDuration)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	return Dump{
-		Partition: self.Partition, Epoch: self.Epoch, MayOrderMillis: until.Sub(now).Milliseconds(), Hosts: h.hosts.Load(),
+		Partition: self.Partition, Epoch: self.Epoch, AuthorityMillis: until.Sub(now).Milliseconds(), Hosts: h.hostCount.Load(),
 		Engine: h.engine.Dump(now),
 	}
 }
--- a/internal/holder/dump_test.go
+++ b/internal/holder/dump_test.go
@@ -14,7 +14,7 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// TestDump: a process tells of the partitions that it holds, and only of those.
+// TestDump checks that a state dump contains exactly the partitions that the process holds.
 func TestDump(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -26,7 +26,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
-			_ = table.Hold(ctx, h.ledger, ledger.Holder{}) // it ends as it is told to
+			_ = table.Hold(ctx, h.ledger, ledger.Holder{}) // returns the error of the cancelled ctx
 			close(ended)
 		}()
 		time.Sleep(2 * time.Second)
@@ -34,7 +34,7 @@
 		is.Equal(len(d), 1)
 		is.Equal(d[0].Epoch, uint64(1))
 		is.Equal(d[0].Hosts, int64(1))
-		is.True(d[0].MayOrderMillis > 0 && d[0].MayOrderMillis <= rightTerm.Milliseconds())
+		is.True(d[0].AuthorityMillis > 0 && d[0].AuthorityMillis <= authorityDuration.Milliseconds())
 		is.Equal(len(d[0].Engine.Silent), 0)
 		cancel()
 		<-ended
--- a/internal/holder/follow.go
+++ b/internal/holder/follow.go
@@ -17,72 +17,71 @@
 	"pulleyquay/internal/wait"
 )
 
-// Times of what the holder follows in the store.
 const (
-	// hostsRest is the pause between questions for changes of hosts' entries:
-	// entries change at each heartbeat, and what gathers comes together.
-	hostsRest = 400 * time.Millisecond
-	// jobsRest is the pause between questions for new jobs, of which the accepting
-	// members mostly have told before.
-	jobsRest = 900 * time.Millisecond
-	// readPause is the pause after a reading of the takeover that failed.
-	readPause = 60 * time.Millisecond
-	// readPatience bounds each reading of the takeover.
-	readPatience = 1500 * time.Millisecond
-	// settleSlack is added to the time after which nothing that the former holder
-	// has ordered can run any more.
-	settleSlack = 200 * time.Millisecond
+	// hostsPollPause is the pause between polls for changes of host entries. Entries change
+	// at each heartbeat; the pause batches the changes.
+	hostsPollPause = 400 * time.Millisecond
+	// jobsPollPause is the pause between polls for new jobs. Accepting members usually
+	// notify the holder of a job before a poll finds it.
+	jobsPollPause = 900 * time.Millisecond
+	// readRetryDelay is the pause after a failed read of stored state in Run.
+	readRetryDelay = 60 * time.Millisecond
+	// readTimeout bounds each of these reads.
+	readTimeout = 1500 * time.Millisecond
+	// reconcileMargin is added to the time after which no run that the previous holder
+	// ordered can still exist on an unreported host.
+	reconcileMargin = 200 * time.Millisecond
 )
 
-// taken is what the store keeps for the next holder of a partition.
-type taken struct {
+// storedState is the state of a partition that the store keeps for the next holder.
+type storedState struct {
 	jobs     []*record.Job
 	progress map[string]*record.Progress
 	roster   record.Roster
 	hosts    []host.Info
 	waves    []upkeep.Progress
-	// jobsAt and hostsAt are the revisions from which on to follow.
-	jobsAt, hostsAt platform.Revision
+	// jobsRevision and hostsRevision are the revisions at which jobs and hosts were read.
+	jobsRevision, hostsRevision platform.Revision
 }
 
-// takeOver reads what the store keeps of the partition and hands it to the
-// engine.
-func (h *Holder) takeOver(former ledger.Holder) error {
-	begun := time.Now()
-	var t taken
+// loadFromStore reads the stored state of the partition and loads it into the engine. It
+// retries failed reads until they succeed and returns an error only if the holder is stopped.
+func (h *Holder) loadFromStore(previous ledger.Holder) error {
+	start := time.Now()
+	var state storedState
 	var reads sync.WaitGroup
 	p := h.ledger.Holder().Partition
 	reads.Go(func() {
-		t.jobsAt = h.list(record.JobPrefix(p), func(rec platform.Record) error {
+		state.jobsRevision = h.listAll(record.JobPrefix(p), func(rec platform.Record) error {
 			j, err := record.DecodeJob(rec.Value)
 			if err == nil {
 				j.ID = record.IDOf(rec.Key)
-				t.jobs = append(t.jobs, j)
+				state.jobs = append(state.jobs, j)
 			}
 			return err
 		})
 	})
 	reads.Go(func() {
-		t.progress = map[string]*record.Progress{}
-		h.list(record.ProgressPrefix(p), func(rec platform.Record) error {
+		state.progress = map[string]*record.Progress{}
+		h.listAll(record.ProgressPrefix(p), func(rec platform.Record) error {
 			done, err := record.DecodeProgress(rec.Value)
 			if err == nil {
-				t.progress[record.IDOf(rec.Key)] = done
+				state.progress[record.IDOf(rec.Key)] = done
 			}
 			return err
 		})
 	})
 	reads.Go(func() {
-		h.list(record.RosterKey(p), func(rec platform.Record) error {
+		h.listAll(record.RosterKey(p), func(rec platform.Record) error {
 			var err error
-			t.roster, err = record.DecodeRoster(rec.Value)
+			state.roster, err = record.DecodeRoster(rec.Value)
 			return err
 		})
 	})
 	reads.Go(func() {
-		t.hostsAt = h.list(h.cfg.HostPrefix, func(rec platform.Record) error {
-			if info, ok := h.readHost(rec); ok {
-				t.hosts = append(t.hosts, info)
+		state.hostsRevision = h.listAll(h.cfg.HostPrefix, func(rec platform.Record) error {
+			if info, ok := h.parseHost(rec); ok {
+				state.hosts = append(state.hosts, info)
 			}
 			return nil
 		})
@@ -91,12 +90,12 @@
 		if h.cfg.Machines == nil {
 			return
 		}
-		h.list(record.WavePrefix(p), func(rec platform.Record) error {
+		h.listAll(record.WavePrefix(p), func(rec platform.Record) error {
 			var w upkeep.Progress
 			if err := cbor.Unmarshal(rec.Value, &w); err != nil {
 				return err
 			}
-			t.waves = append(t.waves, w)
+			state.waves = append(state.waves, w)
 			return nil
 		})
 	})
@@ -104,129 +103,131 @@
 	if h.ctx.Err() != nil {
 		return context.Cause(h.ctx)
 	}
-	h.load(t, former, begun)
+	h.load(state, previous, start)
 	return nil
 }
 
-// load hands what was read to the engine.
-func (h *Holder) load(t taken, former ledger.Holder, begun time.Time) {
+// load passes the stored state to the engine; start is when reading began.
+func (h *Holder) load(state storedState, previous ledger.Holder, start time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	var settleBy time.Time
-	if former.Epoch > 0 {
+	var reconcileDeadline time.Time
+	if previous.Epoch > 0 {
 		lease := float64(h.cfg.Bounds.LeaseLimit) * (1 + h.cfg.Tuning.ClockDrift)
-		settleBy = begun.Add(rightTerm + time.Duration(lease) + settleSlack)
+		reconcileDeadline = start.Add(authorityDuration + time.Duration(lease) + reconcileMargin)
 	}
 	wall := now.UnixMilli()
-	h.engine.Load(t.jobs, t.progress, t.roster, settleBy, now, func(j *record.Job) time.Duration {
+	h.engine.Load(state.jobs, state.progress, state.roster, reconcileDeadline, now, func(j *record.Job) time.Duration {
 		at := j.AcceptedUnixMilli
 		if j.Ended != "" {
 			at = j.EndedUnixMilli
 		}
 		return time.Duration(max(wall-at, 0)) * time.Millisecond
 	})
-	h.engine.SetHosts(t.hosts, now)
+	h.engine.SetHosts(state.hosts, now)
 	if h.cfg.Machines != nil {
-		from := now
-		if former.Epoch > 0 {
-			from = now.Add(rightTerm + h.cfg.DutyLease)
+		firstOrderAt := now
+		if previous.Epoch > 0 {
+			firstOrderAt = now.Add(authorityDuration + h.cfg.DutyLease)
 		}
-		h.engine.SetUpkeep(from, t.waves)
+		h.engine.SetUpkeep(firstOrderAt, state.waves)
 	}
-	h.jobsAt, h.hostsAt = t.jobsAt, t.hostsAt
-	h.log.WithField("jobs", len(t.jobs)).WithField("hosts", len(t.hosts)).WithField("took_ms", now.Sub(begun).Milliseconds()).Info("records read")
+	h.jobsRevision, h.hostsRevision = state.jobsRevision, state.hostsRevision
+	h.log.WithField("jobs", len(state.jobs)).WithField("hosts", len(state.hosts)).WithField("took_ms", now.Sub(start).Milliseconds()).Info("records read")
 }
 
-// list reads all records under a prefix, again and again until it is answered.
-// A record that can not be read is logged and passed over.
-func (h *Holder) list(prefix string, take func(platform.Record) error) platform.Revision {
+// listAll reads all records under a prefix and retries until the store answers or the holder
+// is stopped. It returns the revision of the list. Records for which handle returns an error
+// are logged and skipped.
+func (h *Holder) listAll(prefix string, handle func(platform.Record) error) platform.Revision {
 	for h.ctx.Err() == nil {
-		ctx, cancel := context.WithTimeout(h.ctx, readPatience)
-		records, at, err := h.cfg.Store.List(ctx, prefix)
+		ctx, cancel := context.WithTimeout(h.ctx, readTimeout)
+		records, revision, err := h.cfg.Store.List(ctx, prefix)
 		cancel()
 		h.cfg.Health.Note(err == nil, time.Now())
 		if err != nil {
-			wait.For(h.ctx, readPause)
+			wait.For(h.ctx, readRetryDelay)
 			continue
 		}
 		for _, rec := range records {
-			if err := take(rec); err != nil {
-				h.log.WithError(err).WithField("key", rec.Key).Error("record can not be read")
+			if err := handle(rec); err != nil {
+				h.log.WithError(err).WithField("key", rec.Key).Error("cannot decode a record")
 			}
 		}
-		return at
+		return revision
 	}
 	return 0
 }
 
-// followHosts keeps the engine's hosts up to date.
+// followHosts passes changes of host entries to the engine.
 func (h *Holder) followHosts() {
 	f := follow.Follower{
-		Store: h.cfg.Store, Health: h.cfg.Health, Prefix: h.cfg.HostPrefix, After: h.hostsAt,
-		Wait: time.Second, Rest: hostsRest,
-		List:   h.takeHosts,
-		Change: h.takeHost,
+		Store: h.cfg.Store, Health: h.cfg.Health, Prefix: h.cfg.HostPrefix, After: h.hostsRevision,
+		Wait: time.Second, Rest: hostsPollPause,
+		List:   h.applyHostList,
+		Change: h.applyHostChange,
 	}
 	f.Run(h.ctx)
 }
 
-func (h *Holder) takeHosts(records []platform.Record) {
+func (h *Holder) applyHostList(records []platform.Record) {
 	var list []host.Info
 	for _, rec := range records {
-		if info, ok := h.readHost(rec); ok {
+		if info, ok := h.parseHost(rec); ok {
 			list = append(list, info)
 		}
 	}
-	h.do(func(e *engine.Engine, now time.Time) { e.SetHosts(list, now) })
+	h.updateEngine(func(e *engine.Engine, now time.Time) { e.SetHosts(list, now) })
 }
 
-func (h *Holder) takeHost(c platform.Change) {
+func (h *Holder) applyHostChange(c platform.Change) {
 	info, ok := host.Info{}, false
 	if !c.Deleted {
-		info, ok = h.readHost(c.Record)
+		info, ok = h.parseHost(c.Record)
 	}
 	if !ok {
-		h.do(func(e *engine.Engine, now time.Time) { e.DropHost(h.cfg.HostOf(c.Key), now) })
+		h.updateEngine(func(e *engine.Engine, now time.Time) { e.DropHost(h.cfg.HostOf(c.Key), now) })
 		return
 	}
-	h.do(func(e *engine.Engine, now time.Time) { e.SetHost(info, now) })
+	h.updateEngine(func(e *engine.Engine, now time.Time) { e.SetHost(info, now) })
 }
 
-// readHost reads a host's entry. One that another writer has made names no host: it is as
-// if it were not there, and the host that it may have stood for gets nothing new.
-func (h *Holder) readHost(rec platform.Record) (host.Info, bool) {
+// parseHost decodes a host's entry. An entry that cannot be decoded, as another writer may
+// have made it, is handled like a missing entry: its host is given no new work.
+func (h *Holder) parseHost(rec platform.Record) (host.Info, bool) {
 	info, err := h.cfg.DecodeHost(rec)
 	if err == nil {
 		h.unreadable.Remove(rec.Key)
 		return info, true
 	}
-	if told, _ := h.unreadable.ContainsOrAdd(rec.Key, struct{}{}); !told {
+	if logged, _ := h.unreadable.ContainsOrAdd(rec.Key, struct{}{}); !logged {
 		h.log.WithError(err).Warn("an entry names no host")
 	}
 	return host.Info{}, false
 }
 
-// followJobs finds jobs that were stored by a member that died before it told.
+// followJobs finds stored jobs of which the holder was not notified, because the accepting
+// member failed after it had stored them.
 func (h *Holder) followJobs() {
 	p := h.ledger.Holder().Partition
 	f := follow.Follower{
-		Store: h.cfg.Store, Health: h.cfg.Health, Prefix: record.JobPrefix(p), After: h.jobsAt, Rest: jobsRest,
+		Store: h.cfg.Store, Health: h.cfg.Health, Prefix: record.JobPrefix(p), After: h.jobsRevision, Rest: jobsPollPause,
 		List: func(records []platform.Record) {
 			for _, rec := range records {
-				h.takeJob(rec)
+				h.applyJob(rec)
 			}
 		},
 		Change: func(c platform.Change) {
 			if !c.Deleted {
-				h.takeJob(c.Record)
+				h.applyJob(c.Record)
 			}
 		},
 	}
 	f.Run(h.ctx)
 }
 
-func (h *Holder) takeJob(rec platform.Record) {
+func (h *Holder) applyJob(rec platform.Record) {
 	id := record.IDOf(rec.Key)
 	h.mu.Lock()
 	known := h.engine.Knows(id)
@@ -236,9 +237,9 @@
 	}
 	j, err := record.DecodeJob(rec.Value)
 	if err != nil {
-		h.log.WithError(err).WithField("key", rec.Key).Error("record can not be read")
+		h.log.WithError(err).WithField("key", rec.Key).Error("cannot decode a record")
 		return
 	}
 	j.ID = id
-	h.do(func(e *engine.Engine, now time.Time) { e.Accept(j, false, now, now) })
+	h.updateEngine(func(e *engine.Engine, now time.Time) { e.Accept(j, false, now, now) })
 }
--- a/internal/holder/follow_test.go
+++ b/internal/holder/follow_test.go
@@ -24,7 +24,7 @@
 	"pulleyquay/internal/platform/resend"
 )
 
-// idleHosts answer every look and run nothing.
+// idleHosts are hosts without runs that answer every poll.
 type idleHosts struct{ host.Client }
 
 func (idleHosts) Look(_ context.Context, _ host.Info, _ uint64, l host.Look) (host.View, error) {
@@ -34,7 +34,7 @@
 
 const prefix = "hosts/"
 
-// decodeHost reads entries that hold an address, and none that hold "garbage".
+// decodeHost decodes entries that hold an address; it returns an error for "garbage".
 func decodeHost(rec platform.Record) (host.Info, error) {
 	if string(rec.Value) == "garbage" {
 		return host.Info{}, errors.New("garbage")
@@ -42,7 +42,7 @@
 	return host.Info{ID: host.ID(strings.TrimPrefix(rec.Key, prefix)), Addr: string(rec.Value)}, nil
 }
 
-// newHolder returns a holder of a partition in a store, its log, and a way to run it.
+// newHolder returns a holder that has claimed a partition in store, and its log output.
 func newHolder(t *testing.T, store *memstore.Engine, hosts host.Client) (*Holder, *bytes.Buffer) {
 	t.Helper()
 	health := follow.NewHealth(nil)
@@ -62,9 +62,8 @@
 	return h, &out
 }
 
-// TestEntriesThatNameNoHost: an entry that can not be read takes its host out of use and
-// no other; the host is back with its next own entry. The log has one line on it, though
-// it is written again and again.
+// TestEntriesThatNameNoHost checks that an entry that cannot be decoded removes only its own
+// host, until the next valid entry, and is logged once although it is rewritten repeatedly.
 func TestEntriesThatNameNoHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -80,7 +79,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
-			_ = h.Run(ctx, ledger.Holder{}, func() {}, func() {}) // it ends as it is told to
+			_ = h.Run(ctx, ledger.Holder{}, func() {}, func() {}) // returns the error of the cancelled ctx
 			close(ended)
 		}()
 		time.Sleep(2 * time.Second)
@@ -99,6 +98,6 @@
 		cancel()
 		<-ended
 		store.Close()
-		is.Equal(strings.Count(out.String(), "an entry names no host"), 2) // bad, and turns once
+		is.Equal(strings.Count(out.String(), "an entry names no host"), 2) // one for bad, one for turns
 	})
 }
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -1,5 +1,6 @@
-// Package holder runs one partition that this process holds: it feeds an engine
-// with what hosts, members and the store say, and carries out its orders.
+// Package holder runs the partitions that this process holds. For each of them it passes
+// input from hosts, members and the store to a scheduling engine and executes the engine's
+// orders.
 package holder
 
 import (
@@ -24,141 +25,143 @@
 	"pulleyquay/internal/upkeep"
 )
 
-// Times of the holder.
 const (
-	// rightTerm is for how long a holder may give orders after it was surely the
-	// holder. Its successor waits that long, and a lease on top, before it starts
-	// what may run on hosts that it can not reach.
-	rightTerm = 3 * time.Second
-	// commitEvery is the least time between two transactions; what gathers
-	// meanwhile goes together.
-	commitEvery = 40 * time.Millisecond
-	// commitIdle is how soon a transaction follows the last when there is nothing
-	// to write: it renews the right to give orders.
-	commitIdle = 600 * time.Millisecond
-	// machinePatience bounds a call to the service for machines.
-	machinePatience = 1500 * time.Millisecond
-	// busySlack is how much longer a busy process waits for the policy service's answer:
-	// one that is given up as it is taken in late has to be asked for again.
-	busySlack = time.Second
-	// mostUnreadable is how many entries that name no host are remembered, so that the
-	// log has one line on each and not one a heartbeat.
-	mostUnreadable = 1024
-	// accountsEvery is how often the metrics of client accounts are renewed.
-	accountsEvery = 5 * time.Second
-	// gatherFor is how long events are gathered before decisions are made.
-	gatherFor = time.Millisecond
+	// authorityDuration is how long a holder may give orders after its claim was last
+	// confirmed. The next holder waits for this duration plus a lease before it restarts
+	// tasks that may still run on hosts that it cannot reach.
+	authorityDuration = 3 * time.Second
+	// minCommitInterval is the minimum time between two rounds of transactions. Writes that
+	// accumulate in between are committed together.
+	minCommitInterval = 40 * time.Millisecond
+	// idleCommitInterval is the time until the next transaction when there is nothing to
+	// write. An empty transaction renews the authority to give orders.
+	idleCommitInterval = 600 * time.Millisecond
+	// machineCallTimeout bounds a call to the machine service.
+	machineCallTimeout = 1500 * time.Millisecond
+	// busyTimeoutExtension is added to the time-out of policy queries while this process is
+	// short of processor time. Without it, queries time out only because their replies are
+	// processed late, and have to be sent again.
+	busyTimeoutExtension = time.Second
+	// maxUnreadableKeys bounds the number of remembered host entries that cannot be decoded.
+	// They are remembered to log each of them once and not at every heartbeat.
+	maxUnreadableKeys = 1024
+	// accountMetricsInterval is the update interval of the metrics of client accounts.
+	accountMetricsInterval = 5 * time.Second
+	// eventBatchDelay is how long events are batched before the engine decides.
+	eventBatchDelay = time.Millisecond
 )
 
-// Config is what holders of all partitions share.
+// Config is shared by the holders of all partitions.
 type Config struct {
 	Store  platform.Poller
 	Health *follow.Health
 	Hosts  host.Client
 	Peers  peer.Caller
-	// Self and Addr are this process's name and address among its peers.
+	// Self and Addr are the member name and the peer address of this process.
 	Self, Addr string
-	// Shards lists the members that can make calls to hosts for a holder.
+	// Shards lists the members that can call hosts on behalf of a holder.
 	Shards func() []linkshard.Member
 	Log    *logrus.Entry
 	Bounds engine.Bounds
 	Tuning engine.Tuning
-	// HostPrefix is where hosts enter themselves in the store.
+	// HostPrefix is the store prefix under which hosts register.
 	HostPrefix string
 	DecodeHost func(platform.Record) (host.Info, error)
 	HostOf     func(key string) host.ID
-	// Machines takes machines down for their upkeep; nil where none can be ordered.
-	// WavePrefix is where operators ask for it, WaveState the write that tells them.
+	// Machines takes machines down for maintenance; nil where no machine service is
+	// configured. WavePrefix is the store prefix of the rollouts that operators request,
+	// WaveState returns the write that reports the progress of one.
 	Machines   upkeep.Service
 	WavePrefix string
 	DecodeWave func(platform.Record) (upkeep.Wave, error)
 	WaveState  func(upkeep.Progress) platform.Write
-	// DutyLease is how long after a former holder's last order to a machine the next
-	// holder may give one.
+	// DutyLease is the minimum time between the previous holder's last order to a machine
+	// and the next holder's first one.
 	DutyLease time.Duration
 	Catalog   func() *catalog.Catalog
-	// Lanes maps the members that can ask the policy service to their addresses.
+	// Lanes returns the members that can query the policy service, with their addresses.
 	Lanes   func() map[string]string
 	Metrics *Metrics
 	Event   func(engine.Event)
-	// Busy reports whether this process lacks processor time.
+	// Busy reports whether this process is short of processor time.
 	Busy func() bool
 }
 
-// event counts a decision and tells it to the log.
-func (c *Config) event(e engine.Event) {
-	c.Metrics.count(e)
+// recordEvent counts an event in the metrics and passes it on to Event.
+func (c *Config) recordEvent(e engine.Event) {
+	c.Metrics.countEvent(e)
 	if c.Event != nil {
 		c.Event(e)
 	}
 }
 
-// Holder is one held partition.
+// Holder runs one partition that this process holds.
 type Holder struct {
 	cfg    Config
 	ledger *ledger.Ledger
 	log    *logrus.Entry
 
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	wake   chan struct{}
-	commit chan struct{}
-	calls  sync.WaitGroup
-	router *linkshard.Router
-	hosts  atomic.Int64 // of the partition
-	// unreadable are the keys of entries that name no host, so that each is told once.
+	ctx             context.Context
+	cancel          context.CancelCauseFunc
+	wake            chan struct{}
+	commitRequested chan struct{}
+	calls           sync.WaitGroup
+	router          *linkshard.Router
+	hostCount       atomic.Int64 // hosts of the partition
+	// unreadable are the keys of host entries whose decoding error has been logged.
 	unreadable *lru.Cache[string, struct{}]
 
 	mu     sync.Mutex
 	engine *engine.Engine
-	// stored is closed, and made anew, after each batch.
-	stored chan struct{}
-	// jobsAt and hostsAt are the revisions from which on the store is followed.
-	jobsAt, hostsAt platform.Revision
+	// batchStored is closed and replaced after each stored batch.
+	batchStored chan struct{}
+	// jobsRevision and hostsRevision are the store revisions after which changes of jobs and
+	// hosts are followed.
+	jobsRevision, hostsRevision platform.Revision
 }
 
-// errStopping ends a holder at this process's own wish.
+// errStopping is the cause of a stop that this process initiated.
 var errStopping = errors.New("planned stop")
 
-// New returns the holder of a partition that was claimed with l. It does nothing
-// before Run.
+// New returns the holder of a partition that was claimed with l. It is idle until Run is
+// called.
 func New(cfg Config, l *ledger.Ledger) *Holder {
 	self := l.Holder()
-	unreadable, err := lru.New[string, struct{}](mostUnreadable)
+	unreadable, err := lru.New[string, struct{}](maxUnreadableKeys)
 	if err != nil {
-		panic("holder: " + err.Error()) // its size is a constant above zero
+		panic("holder: " + err.Error()) // unreachable: the size is a positive constant
 	}
 	h := &Holder{
 		cfg: cfg, ledger: l, unreadable: unreadable,
 		log:  cfg.Log.WithFields(logrus.Fields{"partition": self.Partition, "epoch": self.Epoch}),
-		wake: make(chan struct{}, 1), commit: make(chan struct{}, 1), stored: make(chan struct{}),
+		wake: make(chan struct{}, 1), commitRequested: make(chan struct{}, 1), batchStored: make(chan struct{}),
 		engine: engine.New(engine.Config{
 			Partition: self.Partition, Epoch: self.Epoch, Bounds: cfg.Bounds, Tuning: cfg.Tuning,
-			Seed: self.Epoch, Log: cfg.event, WaveState: cfg.WaveState,
+			Seed: self.Epoch, Log: cfg.recordEvent, WaveState: cfg.WaveState,
 		}),
 	}
 	h.router = linkshard.New(linkshard.Config{
 		Partition: self.Partition, Epoch: self.Epoch, Self: cfg.Self, Addr: cfg.Addr, Peers: cfg.Peers, Local: cfg.Hosts,
-		Members: cfg.Shards, Hosts: func() int { return int(h.hosts.Load()) }, Apply: h.together, Busy: cfg.Busy, Log: h.log,
+		Members: cfg.Shards, Hosts: func() int { return int(h.hostCount.Load()) }, Apply: h.applyOutcomes, Busy: cfg.Busy, Log: h.log,
 	})
 	return h
 }
 
-// Run takes the partition over from the former holder and works on it until ctx
-// ends or another process has claimed it. It returns why. Between taken and lost
-// the holder answers messages.
-func (h *Holder) Run(ctx context.Context, former ledger.Holder, taken, lost func()) error {
+// Run loads the state that the previous holder stored and runs the partition until ctx ends
+// or another process claims it. It returns the cause. Run calls onAcquired once the holder
+// can answer messages and onLost when it no longer can.
+func (h *Holder) Run(ctx context.Context, previous ledger.Holder, onAcquired, onLost func()) error {
 	h.ctx, h.cancel = context.WithCancelCause(ctx)
 	defer h.cancel(errStopping)
-	if err := h.takeOver(former); err != nil {
+	if err := h.loadFromStore(previous); err != nil {
 		return err
 	}
-	taken()
-	defer lost()
+	onAcquired()
+	defer onLost()
 	var loops sync.WaitGroup
-	work := []func(){h.decideLoop, h.commitLoop, h.followHosts, h.followJobs, h.tellAccounts, func() { h.router.Run(h.ctx) }}
+	work := []func(){h.decideLoop, h.commitLoop, h.followHosts, h.followJobs, h.reportAccounts, func() { h.router.Run(h.ctx) }}
 	if h.cfg.Machines != nil {
-		work = append(work, h.followWaves)
+		work = append(work, h.followRollouts)
 	}
 	for _, loop := range work {
 		loops.Go(loop)
@@ -169,11 +172,11 @@
 	return context.Cause(h.ctx)
 }
 
-// tellAccounts keeps the metrics of client accounts up to date.
-func (h *Holder) tellAccounts() {
-	tick := time.NewTicker(accountsEvery)
+// reportAccounts updates the metrics of client accounts periodically.
+func (h *Holder) reportAccounts() {
+	tick := time.NewTicker(accountMetricsInterval)
 	defer tick.Stop()
-	defer h.cfg.Metrics.tellAccounts(nil)
+	defer h.cfg.Metrics.reportAccounts(nil)
 	for {
 		select {
 		case <-h.ctx.Done():
@@ -182,35 +185,35 @@
 			h.mu.Lock()
 			loads := h.engine.AccountLoads(now)
 			h.mu.Unlock()
-			h.cfg.Metrics.tellAccounts(loads)
+			h.cfg.Metrics.reportAccounts(loads)
 		}
 	}
 }
 
-// do tells the engine something and has it decide again.
-func (h *Holder) do(fn func(e *engine.Engine, now time.Time)) {
-	begun := time.Now()
+// updateEngine applies an update to the engine under the lock and triggers a decision.
+func (h *Holder) updateEngine(update func(e *engine.Engine, now time.Time)) {
+	start := time.Now()
 	h.mu.Lock()
 	now := time.Now()
-	fn(h.engine, now)
+	update(h.engine, now)
 	h.mu.Unlock()
-	h.cfg.Metrics.waited(now.Sub(begun))
-	h.rouse()
+	h.cfg.Metrics.observeWait(now.Sub(start))
+	h.wakeDecider()
 }
 
-// together runs a function that tells the engine something.
-func (h *Holder) together(fn func(now time.Time)) {
-	h.do(func(_ *engine.Engine, now time.Time) { fn(now) })
+// applyOutcomes runs update, which passes outcomes of host calls to the engine, under the lock.
+func (h *Holder) applyOutcomes(update func(now time.Time)) {
+	h.updateEngine(func(_ *engine.Engine, now time.Time) { update(now) })
 }
 
-func (h *Holder) rouse() {
+func (h *Holder) wakeDecider() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-// decideLoop has the engine decide whenever something happened or became due.
+// decideLoop runs the engine after each update and when a decision becomes due.
 func (h *Holder) decideLoop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -219,7 +222,7 @@
 		case <-h.ctx.Done():
 			return
 		case <-h.wake:
-			time.Sleep(gatherFor)
+			time.Sleep(eventBatchDelay)
 		case <-timer.C:
 		}
 		orders, due := h.decide()
@@ -227,52 +230,52 @@
 			h.cancel(ledger.ErrDeposed)
 			return
 		}
-		h.carryOut(orders)
+		h.dispatchOrders(orders)
 		timer.Reset(time.Until(due))
 	}
 }
 
 func (h *Holder) decide() (engine.Orders, time.Time) {
 	c := h.cfg.Catalog()
-	lanes := h.cfg.Lanes()
-	names := make([]string, 0, len(lanes))
-	for name := range lanes {
+	members := h.cfg.Lanes()
+	names := make([]string, 0, len(members))
+	for name := range members {
 		names = append(names, name)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	h.hosts.Store(int64(h.engine.Hosts()))
+	h.hostCount.Store(int64(h.engine.Hosts()))
 	h.engine.SetCatalog(c, now)
 	h.engine.SetMembers(names)
-	h.engine.SetProved(h.ledger.Proved().Add(rightTerm))
+	h.engine.SetProved(h.ledger.LastConfirmed().Add(authorityDuration))
 	orders, due := h.engine.Next(now)
-	h.cfg.Metrics.decided(time.Since(now))
+	h.cfg.Metrics.observeDecision(time.Since(now))
 	return orders, due
 }
 
-// carryOut sends the orders. Nothing is waited for here.
-func (h *Holder) carryOut(o engine.Orders) {
+// dispatchOrders starts the execution of the orders without waiting for any result.
+func (h *Holder) dispatchOrders(o engine.Orders) {
 	h.router.Do(h.ctx, h.hostCalls(o))
 	for _, a := range o.Asks {
-		h.calls.Go(func() { h.ask(a) })
+		h.calls.Go(func() { h.queryPolicy(a) })
 	}
 	for _, u := range o.Upkeeps {
-		h.calls.Go(func() { h.beginUpkeep(u) })
+		h.calls.Go(func() { h.startMaintenance(u) })
 	}
 	if o.ListMachines {
 		h.calls.Go(h.listMachines)
 	}
 	if o.Commit || o.CommitNow {
 		select {
-		case h.commit <- struct{}{}:
+		case h.commitRequested <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// hostCalls are the calls to hosts that the orders ask for. Their outcomes are told to
-// the engine with the lock held.
+// hostCalls returns the host calls for the orders. The Done callbacks pass the outcomes to
+// the engine and have to be called with the lock held.
 func (h *Holder) hostCalls(o engine.Orders) []linkshard.Call {
 	e := h.engine
 	calls := make([]linkshard.Call, 0, len(o.Stops)+len(o.Starts)+len(o.Paces)+len(o.Looks))
@@ -300,15 +303,15 @@
 	return calls
 }
 
-// ask asks the policy service through the member that the engine has chosen.
-func (h *Holder) ask(o engine.AskOrder) {
-	patience := o.Patience
+// queryPolicy queries the policy service through the member that the engine selected.
+func (h *Holder) queryPolicy(o engine.AskOrder) {
+	timeout := o.Patience
 	if h.cfg.Busy() {
-		patience += busySlack
+		timeout += busyTimeoutExtension
 	}
-	ctx, cancel := context.WithTimeout(h.ctx, patience)
+	ctx, cancel := context.WithTimeout(h.ctx, timeout)
 	defer cancel()
-	var answer advice.Answer
-	err := h.cfg.Peers.Call(ctx, h.cfg.Lanes()[o.Lane], peer.KindAdvise, AdviseRequest{Step: o.Step, Hosts: o.Hosts}, &answer)
-	h.do(func(e *engine.Engine, now time.Time) { e.Advised(o, answer, err, now) })
+	var reply advice.Answer
+	err := h.cfg.Peers.Call(ctx, h.cfg.Lanes()[o.Lane], peer.KindAdvise, PolicyQuery{Step: o.Step, Hosts: o.Hosts}, &reply)
+	h.updateEngine(func(e *engine.Engine, now time.Time) { e.Advised(o, reply, err, now) })
 }
--- a/internal/holder/messages.go
+++ b/internal/holder/messages.go
@@ -13,64 +13,64 @@
 	"pulleyquay/internal/spec"
 )
 
-// AdviseRequest asks a member to ask the policy service.
-type AdviseRequest struct {
+// PolicyQuery asks a member to query the policy service about hosts for a step.
+type PolicyQuery struct {
 	Step  spec.StepID `cbor:"1,keyasint"`
 	Hosts []host.ID   `cbor:"2,keyasint"`
 }
 
-// ServeAdvice answers the questions of holders through this process's lane.
+// ServeAdvice registers the handler that forwards policy queries of holders to service.
 func ServeAdvice(mux *peer.Mux, service advice.Service) {
-	peer.Handle(mux, peer.KindAdvise, func(ctx context.Context, q AdviseRequest) (advice.Answer, error) {
-		answer, err := service.Advise(ctx, q.Step, q.Hosts)
+	peer.Handle(mux, peer.KindAdvise, func(ctx context.Context, query PolicyQuery) (advice.Answer, error) {
+		reply, err := service.Advise(ctx, query.Step, query.Hosts)
 		switch {
 		case errors.Is(err, advice.ErrBusy):
 			return advice.Answer{}, result.New(result.AdviceBusy, result.RanNo, "%v", err)
 		case err != nil:
 			return advice.Answer{}, result.New(result.AdviceFailed, result.RanUnknown, "%v", err)
 		}
-		return answer, nil
+		return reply, nil
 	})
 }
 
-// Accepted tells the holder of a job that is stored.
+// Accepted notifies the holder that a job of its partition was accepted and stored.
 type Accepted struct {
 	Partition int        `cbor:"1,keyasint"`
 	Job       record.Job `cbor:"2,keyasint"`
-	// Age is how long ago the job was accepted.
+	// Age is the time since the job was accepted.
 	Age time.Duration `cbor:"3,keyasint"`
-	// Fresh is true when no other holder was told of the job.
+	// Fresh is true if no other holder was notified of the job.
 	Fresh bool `cbor:"4,keyasint"`
 }
 
-// JobRequest names a job.
+// JobRequest asks for the state of a job or for its cancellation.
 type JobRequest struct {
 	Partition int    `cbor:"1,keyasint"`
 	Job       string `cbor:"2,keyasint"`
-	// Account is the caller's; a job of another one is not known to it. Versions that knew no
-	// accounts leave it out.
+	// Account is the caller's client account. Jobs of other accounts are reported as unknown.
+	// Versions without client accounts omit the field.
 	Account string `cbor:"3,keyasint,omitempty"`
 }
 
-// JobReply tells the state of a job; Known is false when the holder has no such
-// job.
+// JobReply reports the state of a job. Known is false if the holder has no such job or the
+// account has no access to it.
 type JobReply struct {
 	Known bool         `cbor:"1,keyasint"`
 	State record.State `cbor:"2,keyasint"`
-	// Checked is true when the holder has seen to it that the job is open to the account.
+	// Checked is true if the holder verified that the account has access to the job.
 	Checked bool `cbor:"3,keyasint,omitempty"`
 }
 
-// PendingRequest asks how many jobs of a queue have not begun.
+// PendingRequest asks for the number of jobs of a queue that have not started.
 type PendingRequest struct {
 	Partition int    `cbor:"1,keyasint"`
 	Queue     string `cbor:"2,keyasint"`
 }
 
-// PendingReply is the answer.
+// PendingReply is the reply to a PendingRequest.
 type PendingReply struct {
 	Pending int `cbor:"1,keyasint"`
 }
 
-// Empty is an answer that says nothing but that it came.
+// Empty is a reply without content: it only acknowledges the request.
 type Empty struct{}
--- a/internal/holder/metrics.go
+++ b/internal/holder/metrics.go
@@ -13,58 +13,60 @@
 	"pulleyquay/internal/result"
 )
 
-// Metrics are the counters and latencies of all holders of a process.
+// Metrics are the metrics of all holders of a process.
 type Metrics struct {
 	commits *prometheus.HistogramVec
 	writes  prometheus.Counter
-	// events counts what engines decided or came to believe, by the name of the event.
+	// events counts the events of engines by name.
 	events *prometheus.CounterVec
-	// failed counts jobs that ended as failed, by the code of their reason; crashes counts
-	// those that were held against tasks, by how they were seen.
+	// failed counts failed jobs by the result code of the reason; crashes counts host crashes
+	// that were attributed to tasks, by how the task's run was observed on the host.
 	failed, crashes *prometheus.CounterVec
-	// decisions is how long one decision takes, waits how long what happened waits to be
-	// taken in, jobAge how old an accepted job is when the engine knows it.
+	// decisions is the duration of one decision, waits the time that an update waits for the
+	// engine's lock, jobAge the age of an accepted job when the engine receives it.
 	decisions, waits, jobAge prometheus.Histogram
 
-	// accounts is what client accounts have and wait for, of a bounded number of them.
+	// accounts has the usage and the waiting steps of at most maxAccountMetrics client accounts.
 	accounts *prometheus.GaugeVec
 
 	mu   sync.Mutex
 	load Load
 }
 
-// mostAccounts bounds how many client accounts have metrics, those of which most waits.
-const mostAccounts = 32
+// maxAccountMetrics bounds the number of client accounts with metrics. The accounts with the
+// most steps that wait for quota, then with the most waiting steps, are included.
+const maxAccountMetrics = 32
 
-// What the metric of client accounts tells.
+// Values of the label "what" of the metric of client accounts.
 const (
-	accountShare    = "share"
-	accountFull     = "full"
-	accountSteps    = "steps_waiting"
-	accountForQuota = "steps_waiting_for_quota"
+	accountShare         = "share"
+	accountFull          = "full"
+	accountStepsWaiting  = "steps_waiting"
+	accountStepsForQuota = "steps_waiting_for_quota"
 )
 
-// tellAccounts sets what client accounts have and wait for.
-func (m *Metrics) tellAccounts(loads []engine.AccountLoad) {
+// reportAccounts sets the metrics of client accounts to loads, which are sorted as
+// maxAccountMetrics requires.
+func (m *Metrics) reportAccounts(loads []engine.AccountLoad) {
 	m.accounts.Reset()
-	for _, l := range loads[:min(len(loads), mostAccounts)] {
+	for _, l := range loads[:min(len(loads), maxAccountMetrics)] {
 		m.accounts.WithLabelValues(l.Account, accountShare).Set(l.Share)
 		m.accounts.WithLabelValues(l.Account, accountFull).Set(l.Full)
-		m.accounts.WithLabelValues(l.Account, accountSteps).Set(float64(l.Steps))
-		m.accounts.WithLabelValues(l.Account, accountForQuota).Set(float64(l.ForQuota))
+		m.accounts.WithLabelValues(l.Account, accountStepsWaiting).Set(float64(l.Steps))
+		m.accounts.WithLabelValues(l.Account, accountStepsForQuota).Set(float64(l.ForQuota))
 	}
 }
 
-// Load is what holders of this process did since the last reading.
+// Load summarizes the work of the holders of this process since it was last taken.
 type Load struct {
-	// Deciding is the time that decisions took.
+	// Deciding is the total duration of decisions.
 	Deciding time.Duration
-	// LongestWait is the longest time for which something waited to be taken in,
-	// OldestJob the age of the oldest job when the engine knew of it.
+	// LongestWait is the longest wait of an update for the engine's lock, OldestJob the
+	// largest age of an accepted job when the engine received it.
 	LongestWait, OldestJob time.Duration
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics returns the metrics, registered with reg.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		commits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -84,12 +86,12 @@
 	m.crashes = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pulleyquay_holder_crashes_held_total", Help: "Crashes of hosts that were held against tasks, by how they were seen, as in the log.",
 	}, []string{"seen"})
-	moments := func(name, help string) prometheus.Histogram {
+	histogram := func(name, help string) prometheus.Histogram {
 		return prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(0.00005, 4, 9)})
 	}
-	m.decisions = moments("pulleyquay_holder_decision_seconds", "Decisions: all that is due at a moment.")
-	m.waits = moments("pulleyquay_holder_wait_seconds", "Waits of what happened until it is taken in.")
-	m.jobAge = moments("pulleyquay_holder_job_age_seconds", "Ages of accepted jobs when the holder knows of them.")
+	m.decisions = histogram("pulleyquay_holder_decision_seconds", "Decisions: all that is due at a moment.")
+	m.waits = histogram("pulleyquay_holder_wait_seconds", "Waits of what happened until it is taken in.")
+	m.jobAge = histogram("pulleyquay_holder_job_age_seconds", "Ages of accepted jobs when the holder knows of them.")
 	m.accounts = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "pulleyquay_holder_account", Help: "Client accounts of which most waits: their share of the cell, how full their quotas are (1: full), and the steps that wait, also for the quota alone.",
 	}, []string{"account", "what"})
@@ -97,7 +99,7 @@
 	return m
 }
 
-// TakeLoad returns the load since it was last taken.
+// TakeLoad returns the load since the previous call and resets it.
 func (m *Metrics) TakeLoad() Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,27 +108,28 @@
 	return l
 }
 
-// count counts an event of an engine.
-func (m *Metrics) count(e engine.Event) {
+// countEvent counts an engine's event by name, and by result code or observation where the
+// event has one.
+func (m *Metrics) countEvent(e engine.Event) {
 	m.events.WithLabelValues(e.What).Inc()
 	switch e.What {
 	case eventEnded:
 		if reason, failed := strings.CutPrefix(e.Why, string(record.StateFailed)); failed {
-			m.failed.WithLabelValues(codeIn(reason)).Inc()
+			m.failed.WithLabelValues(resultCodeOf(reason)).Inc()
 		}
 	case eventCrash:
 		m.crashes.WithLabelValues(e.Kind).Inc()
 	}
 }
 
-// Events that are counted by their reason as well.
+// Events that are also counted by reason or kind.
 const (
 	eventEnded = "job ended"
 	eventCrash = "crash held against task"
 )
 
-// codeIn is the result code that a reason begins with, or "none".
-func codeIn(reason string) string {
+// resultCodeOf returns the result code that a reason begins with, or "none".
+func resultCodeOf(reason string) string {
 	word, _, _ := strings.Cut(strings.TrimSpace(reason), " ")
 	n, err := strconv.Atoi(word)
 	if _, known := result.Lookup(result.Code(n)); err != nil || !known {
@@ -135,32 +138,32 @@
 	return word
 }
 
-func (m *Metrics) decided(took time.Duration) {
+func (m *Metrics) observeDecision(took time.Duration) {
 	m.decisions.Observe(took.Seconds())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.load.Deciding += took
 }
 
-func (m *Metrics) waited(d time.Duration) {
+func (m *Metrics) observeWait(d time.Duration) {
 	m.waits.Observe(d.Seconds())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.load.LongestWait = max(m.load.LongestWait, d)
 }
 
-func (m *Metrics) known(age time.Duration) {
+func (m *Metrics) observeJobAge(age time.Duration) {
 	m.jobAge.Observe(age.Seconds())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.load.OldestJob = max(m.load.OldestJob, age)
 }
 
-func (m *Metrics) commit(begun time.Time, records int, err error) {
+func (m *Metrics) observeCommit(start time.Time, records int, err error) {
 	outcome := "done"
 	if err != nil {
 		outcome = "failed"
 	}
-	m.commits.WithLabelValues(outcome).Observe(time.Since(begun).Seconds())
+	m.commits.WithLabelValues(outcome).Observe(time.Since(start).Seconds())
 	m.writes.Add(float64(records))
 }
--- a/internal/holder/metrics_test.go
+++ b/internal/holder/metrics_test.go
@@ -16,14 +16,14 @@
 	for name, tc := range map[string]struct{ why, code string }{
 		"done":           {"completed", ""},
 		"failed often":   {"failed", "none"},
-		"given up":       {"failed " + result.New(result.JobCrashesHosts, result.RanUnknown, "task 1").Error(), "5212"},
+		"crashing task":  {"failed " + result.New(result.JobCrashesHosts, result.RanUnknown, "task 1").Error(), "5212"},
 		"no such code":   {"failed 17 times", "none"},
 		"another reason": {"failed for another reason", "none"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			m := NewMetrics(prometheus.NewRegistry())
-			m.count(engine.Event{What: eventEnded, Why: tc.why})
+			m.countEvent(engine.Event{What: eventEnded, Why: tc.why})
 			if tc.code == "" {
 				is.Equal(testutil.CollectAndCount(m.failed), 0)
 				return
@@ -38,7 +38,7 @@
 	is := is.New(t)
 	m := NewMetrics(prometheus.NewRegistry())
 	for _, how := range []string{crashloop.HowProven, crashloop.HowUnsure, crashloop.HowProven} {
-		m.count(engine.Event{What: eventCrash, Kind: how})
+		m.countEvent(engine.Event{What: eventCrash, Kind: how})
 	}
 	is.Equal(testutil.ToFloat64(m.crashes.WithLabelValues(crashloop.HowProven)), 2.0)
 	is.Equal(testutil.ToFloat64(m.crashes.WithLabelValues(crashloop.HowUnsure)), 1.0)
--- a/internal/holder/table.go
+++ b/internal/holder/table.go
@@ -12,12 +12,12 @@
 	"pulleyquay/internal/result"
 )
 
-// comeBack is when a caller is told to come back after a refusal that a new
-// holder ends.
-const comeBack = 500 * time.Millisecond
+// retryDelay is the retry-after delay in refusals that end as soon as the partition has a
+// holder that is ready.
+const retryDelay = 500 * time.Millisecond
 
-// Table holds the partitions of this process and answers members' messages about
-// their jobs.
+// Table has the holders of this process by partition and answers messages from members
+// about their jobs.
 type Table struct {
 	cfg Config
 
@@ -25,7 +25,7 @@
 	holders map[int]*Holder
 }
 
-// NewTable returns a table of nothing and registers its message kinds.
+// NewTable returns an empty table and registers its message handlers on mux.
 func NewTable(cfg Config, mux *peer.Mux) *Table {
 	t := &Table{cfg: cfg, holders: map[int]*Holder{}}
 	peer.Handle(mux, peer.KindAccepted, t.onAccepted)
@@ -36,11 +36,11 @@
 	return t
 }
 
-// Hold runs a claimed partition until it is lost or ctx ends.
-func (t *Table) Hold(ctx context.Context, l *ledger.Ledger, former ledger.Holder) error {
+// Hold runs a claimed partition until it is lost or ctx ends, and returns the cause.
+func (t *Table) Hold(ctx context.Context, l *ledger.Ledger, previous ledger.Holder) error {
 	h := New(t.cfg, l)
 	p := l.Holder().Partition
-	return h.Run(ctx, former, func() {
+	return h.Run(ctx, previous, func() {
 		t.mu.Lock()
 		t.holders[p] = h
 		t.mu.Unlock()
@@ -51,15 +51,15 @@
 	})
 }
 
-// holder returns the holder of a partition, or an error that promises that
-// nothing was done.
+// holder returns the holder of a partition. Its error guarantees that the request had no
+// effect.
 func (t *Table) holder(partition int) (*Holder, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if h := t.holders[partition]; h != nil {
 		return h, nil
 	}
-	return nil, result.New(result.HolderAway, result.RanNo, "partition %d is not held here", partition).Later(comeBack)
+	return nil, result.New(result.HolderAway, result.RanNo, "partition %d is not held here", partition).Later(retryDelay)
 }
 
 func (t *Table) onAccepted(_ context.Context, a Accepted) (Empty, error) {
@@ -67,46 +67,46 @@
 	if err != nil {
 		return Empty{}, err
 	}
-	begun := time.Now()
-	h.do(func(e *engine.Engine, now time.Time) {
-		age := a.Age + now.Sub(begun)
-		h.cfg.Metrics.known(age)
+	received := time.Now()
+	h.updateEngine(func(e *engine.Engine, now time.Time) {
+		age := a.Age + now.Sub(received)
+		h.cfg.Metrics.observeJobAge(age)
 		e.Accept(&a.Job, a.Fresh, now.Add(-age), now)
 	})
 	return Empty{}, nil
 }
 
-func (t *Table) onState(_ context.Context, q JobRequest) (JobReply, error) {
-	h, err := t.holder(q.Partition)
+func (t *Table) onState(_ context.Context, req JobRequest) (JobReply, error) {
+	h, err := t.holder(req.Partition)
 	if err != nil {
 		return JobReply{}, err
 	}
-	return h.state(q), nil
+	return h.state(req), nil
 }
 
-func (h *Holder) state(q JobRequest) JobReply {
+func (h *Holder) state(req JobRequest) JobReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.engine.Open(q.Job, q.Account) {
+	if !h.engine.Open(req.Job, req.Account) {
 		return JobReply{}
 	}
-	s, _ := h.engine.State(q.Job)
+	s, _ := h.engine.State(req.Job)
 	return JobReply{Known: true, State: s, Checked: true}
 }
 
-func (t *Table) onCancel(ctx context.Context, q JobRequest) (JobReply, error) {
-	h, err := t.holder(q.Partition)
+func (t *Table) onCancel(ctx context.Context, req JobRequest) (JobReply, error) {
+	h, err := t.holder(req.Partition)
 	if err != nil {
 		return JobReply{}, err
 	}
-	return h.cancelJob(ctx, q)
+	return h.cancelJob(ctx, req)
 }
 
-// cancelJob ends a job and waits until that is stored.
-func (h *Holder) cancelJob(ctx context.Context, q JobRequest) (JobReply, error) {
-	id, known := q.Job, false
-	h.do(func(e *engine.Engine, now time.Time) {
-		if e.Open(id, q.Account) {
+// cancelJob cancels a job and waits until its final state is stored.
+func (h *Holder) cancelJob(ctx context.Context, req JobRequest) (JobReply, error) {
+	id, known := req.Job, false
+	h.updateEngine(func(e *engine.Engine, now time.Time) {
+		if e.Open(id, req.Account) {
 			_, known = e.Cancel(id, now)
 		}
 	})
@@ -116,22 +116,22 @@
 	for {
 		h.mu.Lock()
 		s, _ := h.engine.State(id)
-		stored := h.stored
+		batchStored := h.batchStored
 		h.mu.Unlock()
 		if s.Final() {
 			return JobReply{Known: true, State: s, Checked: true}, nil
 		}
 		select {
-		case <-stored:
+		case <-batchStored:
 		case <-ctx.Done():
-			return JobReply{}, result.New(result.JobStoreUnknown, result.RanUnknown, "the cancellation is not stored yet").Later(comeBack)
+			return JobReply{}, result.New(result.JobStoreUnknown, result.RanUnknown, "the cancellation is not stored yet").Later(retryDelay)
 		case <-h.ctx.Done():
-			return JobReply{}, result.New(result.HolderAway, result.RanUnknown, "the partition was lost while the cancellation was stored").Later(comeBack)
+			return JobReply{}, result.New(result.HolderAway, result.RanUnknown, "the partition was lost while the cancellation was stored").Later(retryDelay)
 		}
 	}
 }
 
-// onHostReport takes in how calls to hosts have ended that were given to link shards.
+// onHostReport passes the outcomes of host calls made by link shards to the router.
 func (t *Table) onHostReport(_ context.Context, r linkshard.Report) (Empty, error) {
 	h, err := t.holder(r.Partition)
 	if err != nil {
@@ -143,8 +143,8 @@
 	return Empty{}, h.router.Report(r)
 }
 
-// UnderWay is how many calls to hosts wait for their outcome, and whether this process
-// holds a partition at all.
+// UnderWay returns the number of host calls whose outcome is pending, and whether this
+// process holds any partition.
 func (t *Table) UnderWay() (calls int, holds bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,12 +154,12 @@
 	return calls, len(t.holders) > 0
 }
 
-func (t *Table) onPending(_ context.Context, q PendingRequest) (PendingReply, error) {
-	h, err := t.holder(q.Partition)
+func (t *Table) onPending(_ context.Context, req PendingRequest) (PendingReply, error) {
+	h, err := t.holder(req.Partition)
 	if err != nil {
 		return PendingReply{}, err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return PendingReply{Pending: h.engine.Pending(q.Queue)}, nil
+	return PendingReply{Pending: h.engine.Pending(req.Queue)}, nil
 }
--- a/internal/holder/upkeep.go
+++ b/internal/holder/upkeep.go
@@ -9,48 +9,48 @@
 	"pulleyquay/internal/platform/follow"
 )
 
-// wavesWait is how long the store holds a question for new waves.
-const wavesWait = 25 * time.Second
+// rolloutWatchTimeout is how long the store holds a watch request without changes.
+const rolloutWatchTimeout = 25 * time.Second
 
-// followWaves tells the engine of the waves that operators ask for.
-func (h *Holder) followWaves() {
+// followRollouts passes the maintenance rollouts that operators request to the engine.
+func (h *Holder) followRollouts() {
 	f := follow.Follower{
-		Store: h.cfg.Store, Health: h.cfg.Health, Prefix: h.cfg.WavePrefix, Wait: wavesWait,
+		Store: h.cfg.Store, Health: h.cfg.Health, Prefix: h.cfg.WavePrefix, Wait: rolloutWatchTimeout,
 		List: func(records []platform.Record) {
 			for _, rec := range records {
-				h.takeWave(rec)
+				h.applyRollout(rec)
 			}
 		},
 		Change: func(c platform.Change) {
 			if !c.Deleted {
-				h.takeWave(c.Record)
+				h.applyRollout(c.Record)
 			}
 		},
 	}
 	f.Run(h.ctx)
 }
 
-func (h *Holder) takeWave(rec platform.Record) {
+func (h *Holder) applyRollout(rec platform.Record) {
 	w, err := h.cfg.DecodeWave(rec)
 	if err != nil {
-		h.log.WithError(err).Error("wave of upkeep can not be read")
+		h.log.WithError(err).Error("cannot decode a maintenance rollout")
 		return
 	}
-	h.do(func(e *engine.Engine, _ time.Time) { e.SetWave(w) })
+	h.updateEngine(func(e *engine.Engine, _ time.Time) { e.SetWave(w) })
 }
 
 func (h *Holder) listMachines() {
-	ctx, cancel := context.WithTimeout(h.ctx, machinePatience)
+	ctx, cancel := context.WithTimeout(h.ctx, machineCallTimeout)
 	defer cancel()
-	asked := time.Now()
+	sentAt := time.Now()
 	machines, err := h.cfg.Machines.Machines(ctx)
-	h.do(func(e *engine.Engine, now time.Time) { e.SetMachines(machines, err, asked, now) })
+	h.updateEngine(func(e *engine.Engine, now time.Time) { e.SetMachines(machines, err, sentAt, now) })
 }
 
-func (h *Holder) beginUpkeep(o engine.UpkeepOrder) {
-	ctx, cancel := context.WithTimeout(h.ctx, machinePatience)
+func (h *Holder) startMaintenance(o engine.UpkeepOrder) {
+	ctx, cancel := context.WithTimeout(h.ctx, machineCallTimeout)
 	defer cancel()
 	self := h.ledger.Holder()
 	out, err := h.cfg.Machines.Begin(ctx, o.Machine, o.Wave, self.Name, self.Epoch)
-	h.do(func(e *engine.Engine, now time.Time) { e.Upkept(o, out, err, now) })
+	h.updateEngine(func(e *engine.Engine, now time.Time) { e.Upkept(o, out, err, now) })
 }
--- a/internal/lateness/lateness.go
+++ b/internal/lateness/lateness.go
@@ -15,16 +15,16 @@
 
 // What is measured, and from when on it counts.
 const (
-	// Every is how often a timer is set, lateTimer when it counts as late: on a
+	// SampleInterval is how often a timer is set, lateTimer when it counts as late: on a
 	// host with time to spare timers are late by a millisecond, on one without by tens.
-	Every     = 30 * time.Millisecond
-	lateTimer = 10 * time.Millisecond
-	// Kept is how many timers are looked at, and mostLate how many of them may be
+	SampleInterval = 30 * time.Millisecond
+	lateThreshold  = 10 * time.Millisecond
+	// SampleCount is how many timers are looked at, and mostLate how many of them may be
 	// late: one pause of the process is not yet slowness.
-	Kept     = 8
-	mostLate = 2
-	// slowWork is by how many times longer than usual the work takes on a slow host.
-	slowWork = 2.5
+	SampleCount = 8
+	maxLate     = 2
+	// slowWorkFactor is by how many times longer than usual the work takes on a slow host.
+	slowWorkFactor = 2.5
 )
 
 // workBytes is how much is hashed as the fixed piece of work, some 4 microseconds, and
@@ -32,12 +32,12 @@
 // other threads take their turn between two pieces but hardly in each of them. With one
 // piece of 15 us a holder on a sound host took itself for slow in a burst.
 const (
-	workBytes = 4 << 10
-	pieces    = 4
+	workBytes   = 4 << 10
+	repetitions = 4
 )
 
-// Timing is what one timer has shown.
-type Timing struct {
+// Sample is what one timer has shown.
+type Sample struct {
 	Late time.Duration
 	Work time.Duration // that the fixed piece of work took
 }
@@ -45,39 +45,39 @@
 // Timers knows how late the timers of this process fire, and how long a fixed piece of
 // work takes it. It is safe for concurrent use; the zero value knows of no lateness.
 type Timers struct {
-	mu    sync.Mutex
-	last  [Kept]Timing
-	next  int
-	usual time.Duration // that the work takes while timers are in time
+	mu        sync.Mutex
+	samples   [SampleCount]Sample
+	next      int
+	usualWork time.Duration // that the work takes while timers are in time
 }
 
 // Observe takes in what a timer has shown.
-func (l *Timers) Observe(t Timing) {
+func (l *Timers) Observe(s Sample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last[l.next] = t
-	l.next = (l.next + 1) % Kept
-	l.learn(t)
+	l.samples[l.next] = s
+	l.next = (l.next + 1) % SampleCount
+	l.updateUsualWork(s)
 }
 
 // Over how many timers the usual time of the work follows what is measured, upward and
 // downward: near its lower quarter, and not at one measurement that was far below. With
 // the shortest ever, a sound holder took itself for slow on a calm day.
 const (
-	upward   = 256
-	downward = 16
+	upwardSamples   = 256
+	downwardSamples = 16
 )
 
-// learn takes in what the work takes while timers are in time; the lock is held.
-func (l *Timers) learn(t Timing) {
+// updateUsualWork takes in what the work takes while timers are in time; the lock is held.
+func (l *Timers) updateUsualWork(s Sample) {
 	switch {
-	case t.Work <= 0 || t.Late >= lateTimer:
-	case l.usual == 0:
-		l.usual = t.Work
-	case t.Work < l.usual:
-		l.usual += (t.Work - l.usual) / downward
+	case s.Work <= 0 || s.Late >= lateThreshold:
+	case l.usualWork == 0:
+		l.usualWork = s.Work
+	case s.Work < l.usualWork:
+		l.usualWork += (s.Work - l.usualWork) / downwardSamples
 	default:
-		l.usual += (t.Work - l.usual) / upward
+		l.usualWork += (s.Work - l.usualWork) / upwardSamples
 	}
 }
 
@@ -87,12 +87,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	work := time.Duration(0)
-	for _, t := range l.last {
+	for _, t := range l.samples {
 		if t.Work > 0 && (work == 0 || t.Work < work) {
 			work = t.Work
 		}
 	}
-	return l.late() > mostLate && l.usual > 0 && float64(work) >= slowWork*float64(l.usual)
+	return l.countLate() > maxLate && l.usualWork > 0 && float64(work) >= slowWorkFactor*float64(l.usualWork)
 }
 
 // Busy reports whether too many timers were late lately: there is more to do here than
@@ -100,25 +100,25 @@
 func (l *Timers) Busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.late() > mostLate
+	return l.countLate() > maxLate
 }
 
 // Latest is by how much the latest of the last timers was late.
 func (l *Timers) Latest() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := time.Duration(0)
-	for _, t := range l.last {
-		most = max(most, t.Late)
+	latest := time.Duration(0)
+	for _, t := range l.samples {
+		latest = max(latest, t.Late)
 	}
-	return most
+	return latest
 }
 
-// late counts the late timers.
-func (l *Timers) late() int {
+// countLate counts the late timers.
+func (l *Timers) countLate() int {
 	n := 0
-	for _, t := range l.last {
-		if t.Late >= lateTimer {
+	for _, t := range l.samples {
+		if t.Late >= lateThreshold {
 			n++
 		}
 	}
@@ -128,28 +128,28 @@
 // Run sets timers until ctx ends.
 func (l *Timers) Run(ctx context.Context) {
 	buf := make([]byte, workBytes)
-	timer := time.NewTimer(Every)
+	timer := time.NewTimer(SampleInterval)
 	defer timer.Stop()
 	for {
-		due := time.Now().Add(Every)
-		timer.Reset(Every)
+		due := time.Now().Add(SampleInterval)
+		timer.Reset(SampleInterval)
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 		}
-		l.Observe(Timing{Late: time.Since(due), Work: shortest(buf)})
+		l.Observe(Sample{Late: time.Since(due), Work: measureWork(buf)})
 	}
 }
 
-// shortest is how long the fixed piece of work takes at its best.
-func shortest(buf []byte) time.Duration {
+// measureWork is how long the fixed piece of work takes at its best.
+func measureWork(buf []byte) time.Duration {
 	best := time.Duration(0)
-	for range pieces {
-		begun := time.Now()
+	for range repetitions {
+		start := time.Now()
 		h := fnv.New64a()
 		_, _ = h.Write(buf) // a hash takes everything
-		if took := time.Since(begun); best == 0 || took < best {
+		if took := time.Since(start); best == 0 || took < best {
 			best = took
 		}
 	}
--- a/internal/lateness/lateness_test.go
+++ b/internal/lateness/lateness_test.go
@@ -12,30 +12,30 @@
 // members: served 0.034).
 func TestLateness(t *testing.T) {
 	const ms, us = time.Millisecond, time.Microsecond
-	usual, slow := 15*us, 120*us
+	usualWork, slowWork := 15*us, 120*us
 	tests := map[string]struct {
-		timers []Timing
-		slow   bool
-		busy   bool
+		timers   []Sample
+		slowWork bool
+		busy     bool
 	}{
-		"in time":                     {[]Timing{{ms, usual}, {0, usual}, {2 * ms, usual}}, false, false},
-		"one long pause":              {[]Timing{{4 * time.Second, slow}, {ms, usual}, {ms, usual}}, false, true},
-		"slow":                        {[]Timing{{30 * ms, slow}, {20 * ms, slow}, {60 * ms, slow}, {ms, slow}}, true, true},
-		"much to do on a sound host":  {[]Timing{{30 * ms, slow}, {20 * ms, usual}, {60 * ms, slow}, {90 * ms, slow}}, false, true},
-		"slow, but with little to do": {[]Timing{{ms, slow}, {ms, slow}, {ms, slow}, {ms, slow}, {ms, slow}}, false, false},
-		"a little slower":             {[]Timing{{30 * ms, 2 * usual}, {20 * ms, 2 * usual}, {60 * ms, 2 * usual}}, false, true},
+		"in time":                     {[]Sample{{ms, usualWork}, {0, usualWork}, {2 * ms, usualWork}}, false, false},
+		"one long pause":              {[]Sample{{4 * time.Second, slowWork}, {ms, usualWork}, {ms, usualWork}}, false, true},
+		"slow":                        {[]Sample{{30 * ms, slowWork}, {20 * ms, slowWork}, {60 * ms, slowWork}, {ms, slowWork}}, true, true},
+		"much to do on a sound host":  {[]Sample{{30 * ms, slowWork}, {20 * ms, usualWork}, {60 * ms, slowWork}, {90 * ms, slowWork}}, false, true},
+		"slow, but with little to do": {[]Sample{{ms, slowWork}, {ms, slowWork}, {ms, slowWork}, {ms, slowWork}, {ms, slowWork}}, false, false},
+		"a little slower":             {[]Sample{{30 * ms, 2 * usualWork}, {20 * ms, 2 * usualWork}, {60 * ms, 2 * usualWork}}, false, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			var l Timers
-			l.Observe(Timing{0, usual}) // at its best
-			for range Kept {
-				l.Observe(Timing{0, slow})
+			l.Observe(Sample{0, usualWork}) // at its best
+			for range SampleCount {
+				l.Observe(Sample{0, slowWork})
 			}
-			for i := range Kept {
+			for i := range SampleCount {
 				l.Observe(tc.timers[i%len(tc.timers)])
 			}
-			is.New(t).Equal(l.Slow(), tc.slow)
+			is.New(t).Equal(l.Slow(), tc.slowWork)
 			is.New(t).Equal(l.Busy(), tc.busy)
 		})
 	}
@@ -47,16 +47,16 @@
 	const usual = 5 * time.Microsecond
 	var l Timers
 	for range 100 {
-		l.Observe(Timing{time.Millisecond, usual})
+		l.Observe(Sample{time.Millisecond, usual})
 	}
-	l.Observe(Timing{0, usual / 5})
-	for range Kept {
-		l.Observe(Timing{20 * time.Millisecond, usual})
+	l.Observe(Sample{0, usual / 5})
+	for range SampleCount {
+		l.Observe(Sample{20 * time.Millisecond, usual})
 	}
 	is.New(t).True(!l.Slow())
 	is.New(t).True(l.Busy())
-	for range Kept {
-		l.Observe(Timing{20 * time.Millisecond, 5 * usual})
+	for range SampleCount {
+		l.Observe(Sample{20 * time.Millisecond, 5 * usual})
 	}
 	is.New(t).True(l.Slow())
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -41,7 +41,7 @@
 	// ErrDeposed: another process has claimed the partition.
 	ErrDeposed = errors.New("ledger: the partition has another holder")
 	// ErrRaced: the claim found another claim than it was told.
-	ErrRaced = errors.New("ledger: another claim came first")
+	ErrClaimConflict = errors.New("ledger: another claim came first")
 )
 
 // Holder is the record of who holds a partition.
@@ -71,8 +71,8 @@
 	return h, nil
 }
 
-// link is the value of a chain's key: the transaction that wrote it last.
-type link struct {
+// chainRecord is the value of a chain's key: the transaction that wrote it last.
+type chainRecord struct {
 	Epoch    uint64 `cbor:"1,keyasint"`
 	Sequence uint64 `cbor:"2,keyasint"`
 }
@@ -90,80 +90,80 @@
 	chains [Chains]chain
 
 	mu sync.Mutex
-	// proved is when the last transaction that took effect was first sent; see uptime.
-	proved time.Time
+	// confirmedAt is when the last transaction that took effect was first sent; see uptime.
+	confirmedAt time.Time
 }
 
 // chain is one chain of transactions: the revision of its key, and how many there were.
 type chain struct {
-	at       platform.Revision
+	revision platform.Revision
 	sequence uint64
 }
 
 // Claim makes self the holder after seen, which is the zero Holder when there
 // was none. It returns ErrRaced with the present holder when seen is no longer
 // the record, and platform.ErrUnavailable when nothing is known to have happened.
-func Claim(ctx context.Context, store *resend.Sender, seen, self Holder) (*Ledger, Holder, error) {
-	self.Epoch = seen.Epoch + 1
+func Claim(ctx context.Context, store *resend.Sender, previous, self Holder) (*Ledger, Holder, error) {
+	self.Epoch = previous.Epoch + 1
 	value, err := cbor.Marshal(self)
 	if err != nil {
 		return nil, Holder{}, err
 	}
 	l := &Ledger{store: store, self: self}
 	txn := platform.Txn{
-		If:   []platform.Condition{{Key: HolderKey(self.Partition), ModRevision: seen.Revision}},
+		If:   []platform.Condition{{Key: HolderKey(self.Partition), ModRevision: previous.Revision}},
 		Then: []platform.Write{{Key: HolderKey(self.Partition), Value: value}},
 	}
 	for i := range l.chains {
 		txn.Then = append(txn.Then, l.chainWrite(i))
 	}
 	sent := uptime.Now()
-	reply, err := l.settle(ctx, txn)
+	reply, err := l.send(ctx, txn)
 	if err != nil {
 		return nil, Holder{}, err
 	}
 	if reply.Applied {
-		l.begin(reply.Revision, sent)
+		l.initialize(reply.Revision, sent)
 		return l, l.self, nil
 	}
-	return l.claimed(reply.Found, sent)
+	return l.resolveClaim(reply.Found, sent)
 }
 
-// claimed reads who holds the partition after a claim that was refused: this
+// resolveClaim reads who holds the partition after a claim that was refused: this
 // process itself when an earlier copy of the claim took effect.
-func (l *Ledger) claimed(found []platform.Record, sent time.Time) (*Ledger, Holder, error) {
+func (l *Ledger) resolveClaim(found []platform.Record, sent time.Time) (*Ledger, Holder, error) {
 	if len(found) == 0 {
-		return nil, Holder{}, ErrRaced
+		return nil, Holder{}, ErrClaimConflict
 	}
-	present, err := DecodeHolder(found[0])
+	current, err := DecodeHolder(found[0])
 	if err != nil {
 		return nil, Holder{}, err
 	}
-	if present.Incarnation != l.self.Incarnation || present.Epoch != l.self.Epoch {
-		return nil, present, ErrRaced
+	if current.Incarnation != l.self.Incarnation || current.Epoch != l.self.Epoch {
+		return nil, current, ErrClaimConflict
 	}
-	l.begin(found[0].ModRevision, sent)
+	l.initialize(found[0].ModRevision, sent)
 	return l, l.self, nil
 }
 
-func (l *Ledger) begin(at platform.Revision, sent time.Time) {
-	l.self.Revision, l.proved = at, sent
+func (l *Ledger) initialize(revision platform.Revision, sent time.Time) {
+	l.self.Revision, l.confirmedAt = revision, sent
 	for i := range l.chains {
-		l.chains[i].at = at
+		l.chains[i].revision = revision
 	}
 }
 
 // Holder returns the claim that this ledger writes under.
 func (l *Ledger) Holder() Holder { return l.self }
 
-// Proved is when this process surely was the holder last: when the last
+// LastConfirmed is when this process surely was the holder last: when the last
 // transaction that took effect was sent. A suspension since then lets it lie back as far:
 // a holder that was suspended for longer than its right lasts must not give one order, as
 // it has been succeeded meanwhile.
-func (l *Ledger) Proved() time.Time {
+func (l *Ledger) LastConfirmed() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Now().Add(-uptime.Since(l.proved))
+	return time.Now().Add(-uptime.Since(l.confirmedAt))
 }
 
 // Commit applies the writes, unless the partition has another holder. Those of one
@@ -175,11 +175,11 @@
 	txns := pack(groups)
 	for len(txns) > 0 {
 		n := min(len(txns), Chains)
-		var all errgroup.Group
+		var commits errgroup.Group
 		for i, writes := range txns[:n] {
-			all.Go(func() error { return l.commitTo(ctx, i, writes) })
+			commits.Go(func() error { return l.commitTo(ctx, i, writes) })
 		}
-		if err := all.Wait(); err != nil {
+		if err := commits.Wait(); err != nil {
 			return err
 		}
 		txns = txns[n:]
@@ -191,13 +191,13 @@
 // it proves the claim.
 func pack(groups [][]platform.Write) [][]platform.Write {
 	txns := [][]platform.Write{nil}
-	for _, g := range groups {
+	for _, group := range groups {
 		last := len(txns) - 1
-		if len(txns[last])+len(g) > maxWrites {
+		if len(txns[last])+len(group) > maxWrites {
 			txns = append(txns, nil)
 			last++
 		}
-		txns[last] = append(txns[last], g...)
+		txns[last] = append(txns[last], group...)
 	}
 	return txns
 }
@@ -209,33 +209,33 @@
 	txn := platform.Txn{
 		If: []platform.Condition{
 			{Key: HolderKey(l.self.Partition), ModRevision: l.self.Revision},
-			{Key: chainKey(l.self.Partition, i), ModRevision: c.at},
+			{Key: chainKey(l.self.Partition, i), ModRevision: c.revision},
 		},
 		Then: append([]platform.Write{l.chainWrite(i)}, writes...),
 	}
 	sent := uptime.Now()
-	reply, err := l.settle(ctx, txn)
+	reply, err := l.send(ctx, txn)
 	if err != nil {
 		return err
 	}
-	c.at = reply.Revision
+	c.revision = reply.Revision
 	if !reply.Applied {
-		if c.at, err = l.applied(i, reply.Found); err != nil {
+		if c.revision, err = l.resolveCommit(i, reply.Found); err != nil {
 			return err
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if sent.After(l.proved) {
-		l.proved = sent
+	if sent.After(l.confirmedAt) {
+		l.confirmedAt = sent
 	}
 	return nil
 }
 
-// applied returns the revision at which an earlier copy of a chain's present
+// resolveCommit returns the revision at which an earlier copy of a chain's present
 // transaction took effect, or ErrDeposed.
-func (l *Ledger) applied(i int, found []platform.Record) (platform.Revision, error) {
-	var at platform.Revision
+func (l *Ledger) resolveCommit(i int, found []platform.Record) (platform.Revision, error) {
+	var revision platform.Revision
 	for _, rec := range found {
 		switch rec.Key {
 		case HolderKey(l.self.Partition):
@@ -243,23 +243,23 @@
 				return 0, ErrDeposed
 			}
 		case chainKey(l.self.Partition, i):
-			var last link
+			var last chainRecord
 			if err := cbor.Unmarshal(rec.Value, &last); err != nil {
 				return 0, fmt.Errorf("record %s: %w", rec.Key, err)
 			}
-			if last == (link{l.self.Epoch, l.chains[i].sequence}) {
-				at = rec.ModRevision
+			if last == (chainRecord{l.self.Epoch, l.chains[i].sequence}) {
+				revision = rec.ModRevision
 			}
 		}
 	}
-	if at == 0 {
+	if revision == 0 {
 		return 0, ErrDeposed
 	}
-	return at, nil
+	return revision, nil
 }
 
-// settle sends a transaction until it is answered or ctx ends.
-func (l *Ledger) settle(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+// send sends a transaction until it is answered or ctx ends.
+func (l *Ledger) send(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	reply, err := l.store.Commit(ctx, txn, nil)
 	if err != nil && !errors.Is(err, platform.ErrRefused) && ctx.Err() != nil {
 		err = ctx.Err()
@@ -269,7 +269,7 @@
 
 // chainWrite is the write of a chain's key that each of its transactions makes.
 func (l *Ledger) chainWrite(i int) platform.Write {
-	value, _ := cbor.Marshal(link{l.self.Epoch, l.chains[i].sequence}) // numbers always encode
+	value, _ := cbor.Marshal(chainRecord{l.self.Epoch, l.chains[i].sequence}) // numbers always encode
 	return platform.Write{Key: chainKey(l.self.Partition, i), Value: value}
 }
 
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -66,7 +66,7 @@
 					before := time.Now()
 					is.NoErr(l.Commit(t.Context(), write("k", fmt.Sprint(i))))
 					is.Equal(value(t, e, "k"), fmt.Sprint(i))
-					is.True(!l.Proved().Before(before)) // each commit proves the claim anew
+					is.True(!l.LastConfirmed().Before(before)) // each commit proves the claim anew
 				}
 				time.Sleep(20 * time.Second) // late copies arrive
 				is.Equal(value(t, e, "k"), "5")
@@ -84,7 +84,7 @@
 				is := is.New(t)
 				e := memstore.New()
 				defer e.Close()
-				old, present, err := Claim(t.Context(), sender(e.Client("a")), Holder{}, self("a"))
+				old, previous, err := Claim(t.Context(), sender(e.Client("a")), Holder{}, self("a"))
 				is.NoErr(err)
 				is.NoErr(old.Commit(t.Context(), write("k", "old")))
 				e.Client("a").SetFaults(memstore.Faults{RequestDelayMS: delay})
@@ -92,7 +92,7 @@
 				go func() { ended <- old.Commit(t.Context(), write("k", "late")) }()
 				if delay > 0 {
 					time.Sleep(10 * time.Millisecond) // it is under way
-					next, _, err := Claim(t.Context(), sender(e.Client("b")), present, self("b"))
+					next, _, err := Claim(t.Context(), sender(e.Client("b")), previous, self("b"))
 					is.NoErr(err)
 					is.NoErr(next.Commit(t.Context(), write("k", "new")))
 					is.True(errors.Is(<-ended, ErrDeposed))
@@ -120,10 +120,10 @@
 		is.Equal(first.Epoch, uint64(1))
 		is.NoErr(l.Commit(t.Context(), nil))
 
-		_, seen, err := Claim(t.Context(), sender(e.Client("b")), Holder{}, self("b"))
-		is.True(errors.Is(err, ErrRaced))
-		is.Equal(seen.Name, "a") // told who it is, the next try can succeed
-		_, second, err := Claim(t.Context(), sender(e.Client("b")), seen, self("b"))
+		_, current, err := Claim(t.Context(), sender(e.Client("b")), Holder{}, self("b"))
+		is.True(errors.Is(err, ErrClaimConflict))
+		is.Equal(current.Name, "a") // told who it is, the next try can succeed
+		_, second, err := Claim(t.Context(), sender(e.Client("b")), current, self("b"))
 		is.NoErr(err)
 		is.Equal(second.Epoch, uint64(2))
 		is.True(errors.Is(l.Commit(t.Context(), nil), ErrDeposed))
@@ -161,10 +161,10 @@
 				v := []byte(fmt.Sprint(round))
 				groups = append(groups, []platform.Write{{Key: fmt.Sprint("end/", i), Value: v}, {Key: fmt.Sprint("progress/", i), Value: v}})
 			}
-			begun := time.Now()
+			start := time.Now()
 			is.NoErr(l.Commit(t.Context(), groups))
 			if round > 0 { // the first learns how long answers take
-				is.True(time.Since(begun) < 400*time.Millisecond)
+				is.True(time.Since(start) < 400*time.Millisecond)
 			}
 			for i := range 150 {
 				is.Equal(value(t, e, fmt.Sprint("end/", i)), fmt.Sprint(round))
@@ -185,17 +185,17 @@
 			groups[i][k].Key = fmt.Sprint(i)
 		}
 	}
-	at, sum := map[string]int{}, 0
+	txnOf, writes := map[string]int{}, 0
 	for n, txn := range pack(groups) {
 		is.True(len(txn) <= maxWrites)
 		for _, w := range txn {
-			sum++
-			if before, seen := at[w.Key]; seen {
+			writes++
+			if before, seen := txnOf[w.Key]; seen {
 				is.Equal(before, n)
 			}
-			at[w.Key] = n
+			txnOf[w.Key] = n
 		}
 	}
-	is.Equal(sum, 199)
+	is.Equal(writes, 199)
 	is.Equal(len(pack(nil)), 1)
 }
--- a/internal/ledger/suspended_test.go
+++ b/internal/ledger/suspended_test.go
@@ -28,18 +28,18 @@
 		l, _, err := Claim(t.Context(), sender(c), Holder{}, self("a"))
 		is.NoErr(err)
 		is.NoErr(l.Commit(t.Context(), write("k", "1")))
-		is.True(time.Since(l.Proved()) < 100*time.Millisecond)
+		is.True(time.Since(l.LastConfirmed()) < 100*time.Millisecond)
 
 		suspended.Add(int64(5 * time.Second))
-		is.True(time.Since(l.Proved()) >= 5*time.Second)
+		is.True(time.Since(l.LastConfirmed()) >= 5*time.Second)
 
 		is.NoErr(l.Commit(t.Context(), write("k", "2")))
-		is.True(time.Since(l.Proved()) < 100*time.Millisecond)
+		is.True(time.Since(l.LastConfirmed()) < 100*time.Millisecond)
 
 		// Suspended between a transaction and its answer: the proof is from before.
 		c.SetFaults(memstore.Faults{AnswerDelayMS: 300})
 		time.AfterFunc(100*time.Millisecond, func() { suspended.Add(int64(5 * time.Second)) })
 		is.NoErr(l.Commit(t.Context(), write("k", "3")))
-		is.True(time.Since(l.Proved()) >= 5*time.Second)
+		is.True(time.Since(l.LastConfirmed()) >= 5*time.Second)
 	})
 }
--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -18,8 +18,8 @@
 // nothing to look at, so that a suspension is seen before the next decision; asking now and
 // then besides covers a time of day that is set back at the same moment.
 const (
-	checkEvery = 100 * time.Millisecond
-	jump       = 10 * time.Millisecond
+	checkInterval = 100 * time.Millisecond
+	jumpThreshold = 10 * time.Millisecond
 )
 
 // Clock knows for how long the machine was suspended since the clock was made. It is safe
@@ -28,19 +28,19 @@
 	source func() time.Duration
 	base   time.Time
 
-	total   atomic.Int64 // nanoseconds
-	gap     atomic.Int64 // of the time of day to the steady clock, when last asked
-	askedAt atomic.Int64 // by the steady clock, since base
+	suspended  atomic.Int64 // nanoseconds
+	wallOffset atomic.Int64 // of the time of day to the steady clock, when last asked
+	checkedAt  atomic.Int64 // by the steady clock, since base
 
-	mu    sync.Mutex
-	first time.Duration
+	mu      sync.Mutex
+	initial time.Duration
 }
 
 // NewClock returns a clock that asks source for how long the machine has been suspended
 // since some moment.
 func NewClock(source func() time.Duration) *Clock {
 	c := &Clock{source: source, base: time.Now()}
-	c.first = source()
+	c.initial = source()
 	return c
 }
 
@@ -48,26 +48,26 @@
 func (c *Clock) Suspended() time.Duration {
 	now := time.Now()
 	steady := now.Sub(c.base)
-	gap := now.Round(0).Sub(c.base.Round(0)) - steady
-	if (gap-time.Duration(c.gap.Load())).Abs() > jump || steady-time.Duration(c.askedAt.Load()) > checkEvery {
-		c.ask(gap, steady)
+	wallOffset := now.Round(0).Sub(c.base.Round(0)) - steady
+	if (wallOffset-time.Duration(c.wallOffset.Load())).Abs() > jumpThreshold || steady-time.Duration(c.checkedAt.Load()) > checkInterval {
+		c.refresh(wallOffset, steady)
 	}
-	return time.Duration(c.total.Load())
+	return time.Duration(c.suspended.Load())
 }
 
-func (c *Clock) ask(gap, steady time.Duration) {
+func (c *Clock) refresh(wallOffset, steady time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if total := int64(c.source() - c.first); total > c.total.Load() {
-		c.total.Store(total)
+	if suspended := int64(c.source() - c.initial); suspended > c.suspended.Load() {
+		c.suspended.Store(suspended)
 	}
-	c.gap.Store(int64(gap))
-	c.askedAt.Store(int64(steady))
+	c.wallOffset.Store(int64(wallOffset))
+	c.checkedAt.Store(int64(steady))
 }
 
-// kernel is by how much the clock that counts suspensions is ahead of the steady one; zero
+// kernelSuspended is by how much the clock that counts suspensions is ahead of the steady one; zero
 // where the system has no such clock.
-func kernel() time.Duration {
+func kernelSuspended() time.Duration {
 	var boot, steady unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0
@@ -75,21 +75,21 @@
 	return time.Duration(boot.Nano() - steady.Nano())
 }
 
-// own tells for how long this process's machine was suspended; see Use.
-var own atomic.Pointer[func() time.Duration]
+// processSuspended tells for how long this process's machine was suspended; see Use.
+var processSuspended atomic.Pointer[func() time.Duration]
 
-func init() { Use(NewClock(kernel).Suspended) }
+func init() { Use(NewClock(kernelSuspended).Suspended) }
 
 // Use has this process take another function's word for how long its machine was suspended,
 // and returns a function that takes that back. It is meant for tests and simulations, which
 // can not suspend the machine.
 func Use(suspended func() time.Duration) (restore func()) {
-	before := own.Swap(&suspended)
-	return func() { own.Store(before) }
+	previous := processSuspended.Swap(&suspended)
+	return func() { processSuspended.Store(previous) }
 }
 
 // Suspended is for how long the machine was suspended since this process began.
-func Suspended() time.Duration { return (*own.Load())() }
+func Suspended() time.Duration { return (*processSuspended.Load())() }
 
 // Now is the present moment by a steady clock that also counts suspensions. Its times are
 // only to be compared with each other: the time of day in them is too late by the
--- a/internal/uptime/uptime_test.go
+++ b/internal/uptime/uptime_test.go
@@ -12,24 +12,24 @@
 func TestSuspensionsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var slept atomic.Int64
-		slept.Store(int64(time.Hour)) // before the clock was made
-		c := NewClock(func() time.Duration { return time.Duration(slept.Load()) })
+		var suspended atomic.Int64
+		suspended.Store(int64(time.Hour)) // before the clock was made
+		c := NewClock(func() time.Duration { return time.Duration(suspended.Load()) })
 		defer Use(c.Suspended)()
 		is.Equal(Suspended(), time.Duration(0))
 		before := Now()
 		time.Sleep(time.Second)
 		is.Equal(Since(before), time.Second)
-		slept.Add(int64(7 * time.Second))
-		time.Sleep(checkEvery + time.Millisecond) // the time of day of a bubble does not jump
+		suspended.Add(int64(7 * time.Second))
+		time.Sleep(checkInterval + time.Millisecond) // the time of day of a bubble does not jump
 		is.Equal(Suspended(), 7*time.Second)
-		is.Equal(Since(before), 8*time.Second+checkEvery+time.Millisecond)
-		is.Equal(Until(before.Add(10*time.Second)), 2*time.Second-checkEvery-time.Millisecond)
+		is.Equal(Since(before), 8*time.Second+checkInterval+time.Millisecond)
+		is.Equal(Until(before.Add(10*time.Second)), 2*time.Second-checkInterval-time.Millisecond)
 	})
 }
 
 func TestKernelKnows(t *testing.T) {
 	is := is.New(t)
-	is.True(kernel() >= 0)
+	is.True(kernelSuspended() >= 0)
 	is.True(Suspended() < time.Minute) // no machine of ours sleeps in a test
 }
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -14,10 +14,10 @@
 
 // Times of the table's long poll.
 const (
-	pollWait     = time.Second            // a placer answers at the latest after this
-	pollTimeout  = 3 * time.Second        // then the next placer is asked
-	retryInitial = 50 * time.Millisecond  // first wait after a failure
-	retryMax     = 500 * time.Millisecond // longest wait after failures
+	maxPollWait       = time.Second            // a placer answers at the latest after this
+	pollTimeout       = 3 * time.Second        // then the next placer is asked
+	initialRetryDelay = 50 * time.Millisecond  // first wait after a failure
+	maxRetryDelay     = 500 * time.Millisecond // longest wait after failures
 )
 
 // Request asks a placer for a table newer than a revision, or with a change that
@@ -35,13 +35,13 @@
 // Serve answers KindView on mux from the placer's own table. The channel of
 // changed is closed at the next change after the call.
 func Serve(mux *peer.Mux, table func() *Table, changed func() <-chan struct{}) {
-	peer.Handle(mux, peer.KindView, func(ctx context.Context, req Request) (Reply, error) {
-		return waitNewer(ctx, table, changed, req), nil
+	peer.Handle(mux, peer.KindView, func(ctx context.Context, request Request) (Reply, error) {
+		return waitNewer(ctx, table, changed, request), nil
 	})
 }
 
 func waitNewer(ctx context.Context, table func() *Table, changed func() <-chan struct{}, req Request) Reply {
-	deadline := time.NewTimer(pollWait)
+	deadline := time.NewTimer(maxPollWait)
 	defer deadline.Stop()
 	for {
 		change := changed() // before the look, so that no change is missed
@@ -95,8 +95,8 @@
 
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	go f.loop(ctx, func(int) string { return f.seeds[0] })
-	f.loop(ctx, func(turn int) string {
+	go f.pollLoop(ctx, func(int) string { return f.seeds[0] })
+	f.pollLoop(ctx, func(turn int) string {
 		others := f.others()
 		return others[turn%len(others)]
 	})
@@ -125,19 +125,19 @@
 	return out
 }
 
-func (f *Follower) loop(ctx context.Context, next func(turn int) string) {
-	wait := &backoff.ExponentialBackOff{
-		InitialInterval: retryInitial, MaxInterval: retryMax,
+func (f *Follower) pollLoop(ctx context.Context, nextAddr func(turn int) string) {
+	retryDelay := &backoff.ExponentialBackOff{
+		InitialInterval: initialRetryDelay, MaxInterval: maxRetryDelay,
 		Multiplier: backoff.DefaultMultiplier, RandomizationFactor: backoff.DefaultRandomizationFactor,
 	}
-	wait.Reset()
+	retryDelay.Reset()
 	for turn := 0; ctx.Err() == nil; turn++ {
-		if err := f.poll(ctx, next(turn)); err == nil {
-			wait.Reset()
+		if err := f.poll(ctx, nextAddr(turn)); err == nil {
+			retryDelay.Reset()
 			continue
 		}
 		select {
-		case <-time.After(wait.NextBackOff()):
+		case <-time.After(retryDelay.NextBackOff()):
 		case <-ctx.Done():
 		}
 	}
@@ -147,8 +147,8 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	var reply Reply
-	have := f.Table()
-	if err := f.peers.Call(ctx, addr, peer.KindView, Request{After: have.Revision, Sum: have.sum()}, &reply); err != nil {
+	current := f.Table()
+	if err := f.peers.Call(ctx, addr, peer.KindView, Request{After: current.Revision, Sum: current.sum()}, &reply); err != nil {
 		return result.From(err)
 	}
 	f.apply(reply.Table)
@@ -158,14 +158,14 @@
 // apply takes in what a table tells that the present one lacks.
 func (f *Follower) apply(t *Table) {
 	for t != nil {
-		have, next := f.table.Load(), t
-		if have != nil {
-			next = have.merge(t)
+		current, next := f.table.Load(), t
+		if current != nil {
+			next = current.merge(t)
 		}
-		if next == have {
+		if next == current {
 			return
 		}
-		if f.table.CompareAndSwap(have, next) {
+		if f.table.CompareAndSwap(current, next) {
 			f.log.WithFields(logrus.Fields{"revision": next.Revision, "members": len(next.Members)}).Debug("table applied")
 			return
 		}
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -16,14 +16,14 @@
 // placer is a fake placer whose table a test moves.
 type placer struct {
 	table   atomic.Pointer[Table]
-	changes Broadcast
+	updates Broadcast
 	mux     *peer.Mux
 }
 
 func newPlacer(revision int64) *placer {
 	p := &placer{mux: peer.NewMux()}
 	p.set(revision)
-	Serve(p.mux, func() *Table { return p.table.Load() }, p.changes.Next)
+	Serve(p.mux, func() *Table { return p.table.Load() }, p.updates.Next)
 	return p
 }
 
@@ -32,7 +32,7 @@
 		Revision: revision, Members: []Member{{Name: "a", Addr: "a"}, {Name: "b", Addr: "b"}},
 		Partitions: []Partition{{ID: 0}},
 	})
-	p.changes.Tell()
+	p.updates.Tell()
 }
 
 // TestFollowerOfNewPlacer: a placer that was started just now answers with a
@@ -78,7 +78,7 @@
 		synctest.Wait()
 		is.Equal(f.Table().Revision, int64(9)) // told at once, not at the next poll
 		a.set(7)
-		time.Sleep(2 * pollWait)
+		time.Sleep(2 * maxPollWait)
 		is.Equal(f.Table().Revision, int64(9))
 		cancel()
 		time.Sleep(pollTimeout)
@@ -97,7 +97,7 @@
 		time.Sleep(10 * time.Millisecond)
 		a.mux.Stop() // answers nothing from now on
 		b.set(2)
-		time.Sleep(2*pollTimeout + pollWait)
+		time.Sleep(2*pollTimeout + maxPollWait)
 		is.Equal(f.Table().Revision, int64(2))
 		cancel()
 		time.Sleep(pollTimeout)
@@ -123,12 +123,12 @@
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(f.Table().Partitions[0].Holder, "old")
 		a.table.Store(table(9, Partition{ID: 0, Holder: "new", ModRevision: 8}, Partition{ID: 1, Holder: "x", ModRevision: 5}))
-		a.changes.Tell()
+		a.updates.Tell()
 		synctest.Wait()
 		is.Equal(f.Table().Partitions[0].Holder, "new")
 		// A later revision that still lacks it takes nothing back.
 		a.table.Store(table(11, Partition{ID: 0, Holder: "old", ModRevision: 4}, Partition{ID: 1, Holder: "y", ModRevision: 10}))
-		a.changes.Tell()
+		a.updates.Tell()
 		synctest.Wait()
 		is.Equal(f.Table().Partitions[0].Holder, "new")
 		is.Equal(f.Table().Partitions[1].Holder, "y")
