--- a/internal/cell/claimer.go
+++ b/internal/cell/claimer.go
@@ -17,46 +17,44 @@
 	"pulleyquay/internal/wait"
 )
 
-// Times of the heartbeats.
 const (
-	// MinHeartbeatInterval is how often a member asks the holder of a partition.
+	// MinHeartbeatInterval is the heartbeat interval in cells of few members.
 	MinHeartbeatInterval = 200 * time.Millisecond
-	// heartbeatTimeout bounds the wait for the answer to one.
+	// heartbeatTimeout bounds the wait for the reply to a heartbeat.
 	heartbeatTimeout = 500 * time.Millisecond
-	// statusTimeout bounds the wait for other members' opinions.
+	// statusTimeout bounds the wait for the other members' holder status.
 	statusTimeout = 150 * time.Millisecond
-	// claimTimeout bounds a claim.
+	// claimTimeout bounds the transaction of a claim, with its retries.
 	claimTimeout = 3 * time.Second
-	// firstClaimDelay is how long after its start a member claims a partition that
-	// nobody has ever held: until then the others have entered themselves.
+	// firstClaimDelay is the time after its start at which a member may claim a partition that
+	// has never been held. By then the other members have registered.
 	firstClaimDelay = 600 * time.Millisecond
-	// strongerCheckInterval is how often a holder looks for a member with much more processor
-	// time to hand the partition to.
+	// strongerCheckInterval is how often a holder checks for a member with much more processor
+	// time, to hand the partition over to it.
 	strongerCheckInterval = time.Second
-	// handoverTimeout bounds the wait for a successor's claim in a planned stop.
+	// handoverTimeout bounds the wait for the next holder's claim in a handover.
 	handoverTimeout = 1500 * time.Millisecond
 )
 
-// Hold runs a partition that this process has claimed from the former holder,
-// until ctx ends or the partition is lost. It returns why.
-type Hold func(ctx context.Context, l *ledger.Ledger, former ledger.Holder) error
+// Hold runs a partition that this process has claimed after the previous holder, until ctx
+// ends or the partition is lost. It returns the cause.
+type Hold func(ctx context.Context, l *ledger.Ledger, previous ledger.Holder) error
 
-// Claimer watches the holders of the partitions and takes over from those that
-// are dead.
+// Claimer monitors the holders of all partitions and claims the partitions of failed holders.
 type Claimer struct {
 	Self   Member
 	View   *View
 	Store  platform.Poller
-	Writes *resend.Sender // to Store
+	Writes *resend.Sender // sends transactions to Store
 	Health *follow.Health
 	Peers  peer.Caller
 	Log    *logrus.Entry
 	Hold   Hold
-	// CatalogVersion is that of the configuration in force here; Behind is told
+	// CatalogVersion returns the version of the configuration in force. Behind is called with
 	// the address of a member that has a newer one.
 	CatalogVersion func() int64
 	Behind         func(addr string)
-	// Late knows the timers of this process; Run measures them.
+	// Lateness measures the lateness of this process's timers. Start runs it.
 	Late *lateness.Timers
 
 	started   time.Time
@@ -66,27 +64,26 @@
 	running   sync.WaitGroup
 }
 
-// holderMonitor is what this process knows of one partition's holder.
+// holderMonitor has the state of the failure detection for one partition's holder.
 type holderMonitor struct {
 	partition int
 
 	mu          sync.Mutex
-	epoch       uint64    // of the holder that the rest is about
-	lastContact time.Time // when it last answered as the holder
-	// refused is true while nothing listens at its address, replaced once another
-	// incarnation has answered there; cut is for how long it lacked the store when
-	// it last answered.
+	epoch       uint64    // of the monitored holder
+	lastContact time.Time // when it last replied as the holder
+	// refused is true while connections to its address are refused, replaced once another
+	// incarnation has replied there; storeOutage is the outage that its last reply reported.
 	refused, replaced bool
 	storeOutage       time.Duration
-	invitedEpoch      uint64 // epoch of a holder that asked this process to succeed
+	invitedEpoch      uint64 // epoch of a holder that requested a handover to this process
 	held              bool
-	stop              context.CancelFunc // ends holding
-	chainRevision     platform.Revision  // of the holder's last write as last read
-	chainChangedAt    time.Time          // since when that has stood still
-	chainReadAt       time.Time          // when it was read
+	stop              context.CancelFunc // stops the holder in this process
+	chainRevision     platform.Revision  // of the chain's key when last read
+	chainChangedAt    time.Time          // when a read first returned chainRevision
+	chainReadAt       time.Time          // when the chain's key was last read
 }
 
-// Start registers the message kinds and watches the partitions.
+// Start registers the message handlers and starts monitoring the partitions.
 func (c *Claimer) Start(ctx context.Context, mux *peer.Mux, partitions int) {
 	c.started, c.leaving = time.Now(), make(chan struct{})
 	for p := range partitions {
@@ -119,7 +116,8 @@
 	w.invitedEpoch = epoch
 }
 
-// trackEpoch starts the watch anew for another holder, who is given time to speak.
+// trackEpoch resets the monitor if the holder has changed. The new holder has the full silence
+// limit to reply to a heartbeat.
 func (w *holderMonitor) trackEpoch(epoch uint64, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,13 +127,14 @@
 	}
 }
 
-// monitor beats one partition's holder and claims the partition when it is dead.
+// monitor sends heartbeats to one partition's holder and claims the partition if the holder is
+// considered dead.
 func (c *Claimer) monitor(ctx context.Context, w *holderMonitor) {
 	for ctx.Err() == nil {
 		h, _ := c.View.Holder(w.partition)
 		w.trackEpoch(h.Epoch, time.Now())
 		if c.Health.Age(time.Now()) > time.Hour {
-			wait.For(ctx, MinHeartbeatInterval/4) // nothing is known before the store has answered once
+			wait.For(ctx, MinHeartbeatInterval/4) // no information before the store's first reply
 			continue
 		}
 		if h.Epoch > 0 && h.Incarnation != c.Self.Incarnation {
@@ -149,7 +148,8 @@
 	}
 }
 
-// waitForChange waits for the next beat, or until something has changed.
+// waitForChange waits until the next heartbeat is due, the holder has changed or a handover is
+// requested.
 func (c *Claimer) waitForChange(ctx context.Context, w *holderMonitor, epoch uint64) {
 	timer := time.NewTimer(heartbeatInterval(c.View.Size()))
 	defer timer.Stop()
@@ -174,8 +174,8 @@
 	return w.invitedEpoch == epoch && epoch != 0
 }
 
-// sendHeartbeat asks the holder whether it is there. Beats do not wait for each other: each
-// answer counts when it comes.
+// sendHeartbeat sends one heartbeat and processes the reply. Heartbeats may overlap; each reply
+// is processed on arrival.
 func (c *Claimer) sendHeartbeat(ctx context.Context, w *holderMonitor, h ledger.Holder) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
--- a/internal/cell/evidence.go
+++ b/internal/cell/evidence.go
@@ -12,22 +12,23 @@
 	"pulleyquay/internal/peer"
 )
 
-// evidence is what the heartbeats so far say of a holder.
+// evidence returns the evidence on a holder from heartbeats alone.
 func (c *Claimer) evidence(w *holderMonitor, h ledger.Holder) Evidence {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := Evidence{Holder: h, Silence: now.Sub(w.lastContact), Limit: silenceLimit(c.View.Size()), Refused: w.refused, Replaced: w.replaced, HolderStoreOutage: w.storeOutage}
 	if h.Epoch > 0 && h.Incarnation == c.Self.Incarnation {
-		e.Replaced = true // a claim of ours that arrived after we gave it up
+		e.Replaced = true // a claim of this process took effect after its time-out
 	}
 	if c.Health.Failing(now) > 0 || e.HolderStoreOutage > 0 && c.Health.Age(now) >= e.HolderStoreOutage {
-		e.HolderStoreOutage = 0 // this process could not take over either, as far as it knows
+		e.HolderStoreOutage = 0 // this process may not reach the store either
 	}
 	return e
 }
 
-// isHolderDead completes the evidence as far as needed and judges it.
+// isHolderDead reports whether the partition is to be claimed. It queries other members and
+// reads the holder's writes if heartbeats alone are not conclusive.
 func (c *Claimer) isHolderDead(ctx context.Context, w *holderMonitor, e Evidence) bool {
 	if w.isInvited(e.Holder.Epoch) || e.Dead() {
 		return true
@@ -49,7 +50,8 @@
 	return true
 }
 
-// queryMembers asks the other members whether they hear the holder.
+// queryMembers asks other members whether they are in contact with the holder and counts the
+// replies in e.
 func (c *Claimer) queryMembers(ctx context.Context, w *holderMonitor, e *Evidence) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -76,11 +78,11 @@
 	calls.Wait()
 }
 
-// maxQueriedMembers is how many members one asks for their opinion: with all asking all,
-// a cell of many members would be busy with that alone.
+// maxQueriedMembers bounds the number of members that a member queries. If all members queried
+// all others, a large cell would be overloaded by the queries.
 const maxQueriedMembers = 6
 
-// otherMembers are the members but for this one and the holder.
+// otherMembers returns the members except this one and the holder.
 func (c *Claimer) otherMembers(holder string) []Member {
 	var out []Member
 	for _, m := range c.View.Members(time.Now()) {
@@ -91,14 +93,14 @@
 	return out
 }
 
-// sampleMembers are some of the members, for a question to each.
+// sampleMembers returns at most maxQueriedMembers random members. It shuffles members.
 func sampleMembers(members []Member) []Member {
 	rand.Shuffle(len(members), func(a, b int) { members[a], members[b] = members[b], members[a] })
 	return members[:min(len(members), maxQueriedMembers)]
 }
 
-// checkWrites reads whether the holder still writes, for a member that can ask
-// nobody.
+// checkWrites determines from the store for how long the holder has not written. The result is
+// needed by members that cannot query others.
 func (c *Claimer) checkWrites(ctx context.Context, w *holderMonitor, e *Evidence) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
--- a/internal/cell/beat.go
+++ b/internal/cell/heartbeat.go
@@ -9,65 +9,66 @@
 	"pulleyquay/internal/result"
 )
 
-// Heartbeat is a member's question to the holder of a partition.
+// Heartbeat is sent periodically by each member to the holder of a partition.
 type Heartbeat struct {
 	Partition int    `cbor:"1,keyasint"`
 	From      string `cbor:"2,keyasint"`
-	// Catalog is the version of the configuration that the sender has in force.
+	// Catalog is the version of the configuration in force at the sender.
 	Catalog int64 `cbor:"3,keyasint"`
-	// FromAddr is where the sender can be asked for a newer configuration.
+	// FromAddr is the sender's peer address, from which a newer configuration can be fetched.
 	FromAddr string `cbor:"4,keyasint"`
-	// Members asks for those that the other knows, as the sender lacks the store. They
-	// are many bytes in a large cell.
+	// Members requests the member list in the reply, since the store does not answer the
+	// sender. The list is large in a large cell.
 	Members bool `cbor:"5,keyasint,omitempty"`
 }
 
-// HeartbeatReply is the answer of whoever is asked.
+// HeartbeatReply is the reply of the process at the holder's address, which may be another one.
 type HeartbeatReply struct {
 	Incarnation string `cbor:"1,keyasint"`
-	// Holds is true when the answering process is the holder.
+	// Holds is true if the replying process is the holder.
 	Holds bool `cbor:"2,keyasint"`
-	// StoreOutage is for how long it has been without the store.
+	// StoreOutage is the time for which the store has not answered the replying process.
 	StoreOutage time.Duration `cbor:"3,keyasint"`
-	// Holder is the holder that it knows of, with its record's revision.
+	// Holder is the last known holder, Revision the revision of its record.
 	Holder   ledger.Holder     `cbor:"4,keyasint"`
 	Revision platform.Revision `cbor:"5,keyasint"`
 	Catalog  int64             `cbor:"6,keyasint"`
-	// Members are those that it knows, if they were asked for.
+	// Members are the registered members, if they were requested.
 	Members []Member `cbor:"7,keyasint,omitempty"`
 }
 
-// HolderStatusRequest asks whether a member has heard a holder.
+// HolderStatusRequest asks a member whether it is in contact with a holder.
 type HolderStatusRequest struct {
 	Partition int    `cbor:"1,keyasint"`
 	Epoch     uint64 `cbor:"2,keyasint"`
 }
 
-// HolderStatus is what a member says of a holder.
+// HolderStatus is a member's view of a holder.
 type HolderStatus struct {
-	// Reachable is true when it has heard the holder lately.
+	// Reachable is true if the member recently received a reply from the holder.
 	Reachable bool `cbor:"1,keyasint"`
-	// Holder is the holder that it knows of, with its record's revision.
+	// Holder is the last known holder, Revision the revision of its record.
 	Holder   ledger.Holder     `cbor:"2,keyasint"`
 	Revision platform.Revision `cbor:"3,keyasint"`
 }
 
-// HandoverRequest asks a member to claim a partition from a holder that leaves.
+// HandoverRequest asks a member to claim a partition from its current holder.
 type HandoverRequest struct {
 	Holder   ledger.Holder     `cbor:"1,keyasint"`
 	Revision platform.Revision `cbor:"2,keyasint"`
 }
 
-// Empty is an answer that says nothing but that it came.
+// Empty is a reply without content: it only acknowledges the request.
 type Empty struct{}
 
-// withRevision puts a holder and its record's revision together again.
+// withRevision returns h with the revision, which is not part of the encoded record.
 func withRevision(h ledger.Holder, at platform.Revision) ledger.Holder {
 	h.Revision = at
 	return h
 }
 
-// onHeartbeat answers a member's heartbeat.
+// onHeartbeat replies to a heartbeat and starts an update of the configuration if the sender
+// has a newer one.
 func (c *Claimer) onHeartbeat(_ context.Context, req Heartbeat) (HeartbeatReply, error) {
 	if req.Partition < 0 || req.Partition >= len(c.monitors) {
 		return HeartbeatReply{}, result.New(result.BadInput, result.RanNo, "partition %d", req.Partition)
@@ -86,12 +87,12 @@
 	return reply, nil
 }
 
-// storeSilenceThreshold is for how long no call may have been answered before a process counts
-// itself as cut from the store: longer than a store that is only slow takes.
+// storeSilenceThreshold is the time without any answered call after which a process considers
+// itself disconnected from the store. It exceeds the latency of a store that is merely slow.
 const storeSilenceThreshold = 500 * time.Millisecond
 
-// storeOutage is for how long this process has been without the store: since the first call
-// that nothing was answered after.
+// storeOutage returns the time for which the store has not answered this process: the time
+// since the first call after which no call was answered.
 func (c *Claimer) storeOutage(now time.Time) time.Duration {
 	outage := c.Health.Failing(now)
 	if silent := c.Health.Silent(now); silent >= storeSilenceThreshold {
@@ -100,7 +101,7 @@
 	return outage
 }
 
-// onHolderStatus tells another member whether this one hears the holder.
+// onHolderStatus replies whether this process is in contact with the holder.
 func (c *Claimer) onHolderStatus(_ context.Context, req HolderStatusRequest) (HolderStatus, error) {
 	if req.Partition < 0 || req.Partition >= len(c.monitors) {
 		return HolderStatus{}, result.New(result.BadInput, result.RanNo, "partition %d", req.Partition)
@@ -110,7 +111,7 @@
 	return HolderStatus{Reachable: m.isInContact(req.Epoch, silenceLimit(c.View.Size()), time.Now()), Holder: h, Revision: h.Revision}, nil
 }
 
-// onHandover claims a partition at its holder's wish.
+// onHandover accepts the request to claim a partition, unless this process is slow.
 func (c *Claimer) onHandover(_ context.Context, req HandoverRequest) (Empty, error) {
 	h := withRevision(req.Holder, req.Revision)
 	if h.Partition < 0 || h.Partition >= len(c.monitors) {
--- a/internal/cell/beat_test.go
+++ b/internal/cell/heartbeat_test.go
@@ -14,9 +14,9 @@
 	"pulleyquay/internal/platform/follow"
 )
 
-// TestBeatsStaySmall: each answer to a heartbeat carried all members, more than the link
-// of a holder of many members could take, which then was taken for dead.
-func TestBeatsStaySmall(t *testing.T) {
+// TestHeartbeatRepliesStaySmall guards against member lists in all heartbeat replies. With many
+// members they exceeded the capacity of the holder's link, and the holder was presumed dead.
+func TestHeartbeatRepliesStaySmall(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
 	var records []platform.Record
@@ -36,24 +36,24 @@
 		return len(data)
 	}
 	is.True(size(Heartbeat{Catalog: 3}) < 200)
-	is.True(size(Heartbeat{Catalog: 3, Members: true}) > 300*10) // a member without the store still learns them
+	is.True(size(Heartbeat{Catalog: 3, Members: true}) > 300*10) // a member without the store still receives them
 }
 
-// TestHolderCutFromTheStore: a holder tells for how long it has been without the store
-// from its first unanswered call on; a member that the store has not answered since
-// either does not try to take over.
-func TestHolderCutFromTheStore(t *testing.T) {
+// TestHolderWithoutStore checks that a holder reports a store outage from its first unanswered
+// call on, and that a member which the store has not answered since then does not start a
+// failover.
+func TestHolderWithoutStore(t *testing.T) {
 	const ms = time.Millisecond
 	tests := map[string]struct {
-		unansweredFor     time.Duration // ago, by the holder; zero for answered
-		memberAnsweredAgo time.Duration // ago, to the member
+		unansweredFor     time.Duration // age of the holder's open call; zero for none
+		memberAnsweredAgo time.Duration // time since the last reply to the member
 		storeOutage       bool
 	}{
-		"the store answers the holder":           {0, 100 * ms, false},
-		"an answer to the holder is due":         {400 * ms, 100 * ms, false},
-		"cut, and the member reaches the store":  {800 * ms, 100 * ms, true},
-		"cut, and nobody has heard of the store": {800 * ms, 900 * ms, false},
-		"cut, heard just before":                 {800 * ms, 800 * ms, false},
+		"store answers the holder":                {0, 100 * ms, false},
+		"reply to the holder is pending":          {400 * ms, 100 * ms, false},
+		"outage, member reaches the store":        {800 * ms, 100 * ms, true},
+		"outage at holder and member":             {800 * ms, 900 * ms, false},
+		"outage, last reply to the member as old": {800 * ms, 800 * ms, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cell/service.go
+++ b/internal/cell/service.go
@@ -13,20 +13,19 @@
 	"pulleyquay/internal/wait"
 )
 
-// Times of a member's own entry.
 const (
-	// entryTTL is after how long the entry of a member that died goes.
+	// entryTTL is the time after which the entry of a failed member is deleted.
 	entryTTL = 5 * time.Second
-	// entryRenewInterval is how often the entry is renewed; it is also how soon the
+	// entryRenewInterval is how often the entry is renewed. It also bounds the time until the
 	// process notices that the store does not answer.
 	entryRenewInterval = 900 * time.Millisecond
-	// entryTimeout bounds the wait for the answer to a renewal.
+	// entryTimeout bounds a renewal.
 	entryTimeout = 700 * time.Millisecond
-	// watchTimeout is how long the store holds a question for changes.
+	// watchTimeout is how long the store holds a watch request without changes.
 	watchTimeout = 20 * time.Second
 )
 
-// Service keeps this process's entry among the members and the View.
+// Service keeps this process registered as a member and the View up to date.
 type Service struct {
 	Store  platform.Poller
 	Health *follow.Health
@@ -37,7 +36,7 @@
 	lease platform.LeaseID
 }
 
-// Run follows the cell until ctx ends.
+// Run follows the cell's records and renews the entry until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	f := follow.Follower{
 		Store: s.Store, Health: s.Health, Prefix: Prefix, Wait: watchTimeout,
@@ -52,11 +51,11 @@
 
 func (s *Service) logError(err error) {
 	if err != nil {
-		s.Log.WithError(err).Error("the store holds a record that can not be read")
+		s.Log.WithError(err).Error("cannot decode a record of the cell")
 	}
 }
 
-// renewLoop enters this process among the members and keeps the entry.
+// renewLoop registers this process and renews its entry until ctx ends.
 func (s *Service) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := entryRenewInterval
@@ -69,8 +68,7 @@
 	}
 }
 
-// renew renews the lease, or writes the entry anew where the lease or the entry
-// is gone.
+// renew renews the entry's lease, or writes a new entry if the lease or the entry is gone.
 func (s *Service) renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
@@ -109,8 +107,8 @@
 	return err
 }
 
-// isRegistered reports whether the entry stands as far as this process has seen. A
-// lease may go on although its keys were taken away.
+// isRegistered reports whether the View has this process's entry. Keys may be deleted while
+// their lease is still valid.
 func (s *Service) isRegistered() bool {
 	for _, m := range s.View.Registered() {
 		if m.Name == s.Self.Name {
@@ -120,7 +118,7 @@
 	return false
 }
 
-// Leave takes this process's entry away.
+// Leave deletes this process's entry by revoking its lease.
 func (s *Service) Leave(ctx context.Context) error {
 	if s.lease == 0 {
 		return nil
--- a/internal/cell/slow.go
+++ b/internal/cell/slow.go
@@ -12,24 +12,21 @@
 	"pulleyquay/internal/wait"
 )
 
-// A holder on a host that has turned slow answers heartbeats, so that nobody takes it
-// for dead, but decides seconds late. It notices by its own timers, which then fire
-// late, and by a fixed piece of work, which then takes longer; and it has the partition
-// claimed by the member that answers it first. Late timers alone mean that there is
-// much to do: the next holder would have as much.
-
-// Times of slow processes.
+// A holder on a host that has become slow still answers heartbeats and is not considered dead,
+// but its decisions are seconds late. It detects this by late timers together with a benchmark
+// that takes longer than usual, and hands the partition over to the member that replies first.
+// Late timers alone indicate high load, which the next holder would have as well.
 const (
-	// minTenure is for how long a partition has to be held before it is given away as
-	// this process is slow: a cell that is slow as a whole would pass it round, and each
-	// take-over is a pause.
+	// minTenure is the time for which a partition has to be held before it is handed over
+	// because this process is slow. Otherwise a cell that is slow as a whole would hand it
+	// over continually, with an interruption each time.
 	minTenure = 10 * time.Second
-	// fastestTimeout bounds the wait for the first answer of a member.
+	// fastestTimeout bounds the wait for the first reply of a member.
 	fastestTimeout = 500 * time.Millisecond
 )
 
-// handOverWhenSlow has a held partition claimed by another member once this process is slow.
-// The claim ends the holding here, as any other would.
+// handOverWhenSlow asks another member to claim a held partition once this process is slow.
+// The claim deposes this process, like any other claim.
 func (c *Claimer) handOverWhenSlow(ctx context.Context, w *holderMonitor) {
 	pause := minTenure
 	for wait.For(ctx, pause) {
@@ -41,9 +38,9 @@
 	}
 }
 
-// atLeastAsStrong lists the members that can do better than this one would if it were well:
-// those that have at least as much processor time and as good a link. A weaker one would
-// soon be slow itself and give the partition back, with a pause each time.
+// atLeastAsStrong returns the members that have at least as much processor time and link
+// capacity as this one. A weaker member would soon become slow and hand the partition back,
+// with an interruption each time.
 func (c *Claimer) atLeastAsStrong(members []Member) []Member {
 	var out []Member
 	for _, m := range members {
@@ -54,7 +51,7 @@
 	return out
 }
 
-// handOverToFastest asks the member that answers first to claim a partition.
+// handOverToFastest asks the member that replies first to claim a partition.
 func (c *Claimer) handOverToFastest(ctx context.Context, w *holderMonitor) {
 	h, ok := c.View.Holder(w.partition)
 	if !ok || h.Incarnation != c.Self.Incarnation {
@@ -71,10 +68,10 @@
 		log.WithError(err).Warn("this process is slow, and nobody takes its partition")
 		return
 	}
-	log.Warn("this process is slow; its partition goes to the member that answered first")
+	log.Warn("this process is slow; handing its partition over to the first member that replied")
 }
 
-// fastestResponder asks some members and returns the one whose answer came first.
+// fastestResponder queries a sample of members and returns the one that replied first.
 func (c *Claimer) fastestResponder(ctx context.Context, partition int) (Member, bool) {
 	ctx, cancel := context.WithTimeout(ctx, fastestTimeout)
 	defer cancel()
@@ -95,7 +92,7 @@
 	}
 }
 
-// errProcessSlow refuses a partition that this process would hold badly.
+// errProcessSlow returns the refusal of a partition by a process that is slow.
 func errProcessSlow() error {
 	return result.New(result.NotReady, result.RanNo, "this process is slow itself").Later(minTenure)
 }
--- a/internal/cell/slow_test.go
+++ b/internal/cell/slow_test.go
@@ -19,7 +19,7 @@
 	"pulleyquay/internal/result"
 )
 
-// simulateSlowHost lets a process look as slow as one on a host that has turned slow.
+// simulateSlowHost records samples like those of a process on a host that has become slow.
 func simulateSlowHost(l *lateness.Timers) {
 	l.Observe(lateness.Sample{Work: time.Microsecond})
 	for range lateness.SampleCount {
@@ -27,9 +27,9 @@
 	}
 }
 
-// otherMembers answer after a time that differs, and note who is asked to claim.
+// otherMembers reply after a delay per member and record handover requests.
 type otherMembers struct {
-	answers map[string]time.Duration // by address; others never answer
+	answers map[string]time.Duration // delay by address; members without one never reply
 
 	mu      sync.Mutex
 	invited []string
@@ -68,21 +68,21 @@
 	return c, w
 }
 
-// TestSlowHolderGivesItsPartitionAway: a holder whose host had turned several times
-// slower answered heartbeats and decided seconds late.
-func TestSlowHolderGivesItsPartitionAway(t *testing.T) {
+// TestSlowHolderHandsItsPartitionOver guards against a holder that keeps its partition although
+// its host has become several times slower: it answers heartbeats, but decides seconds late.
+func TestSlowHolderHandsItsPartitionOver(t *testing.T) {
 	tests := map[string]struct {
 		answers map[string]time.Duration
 		slow    bool
 		want    string
 		weak    []string // members with less processor time than the holder
 	}{
-		"to the one that answers first": {map[string]time.Duration{"b": 40 * time.Millisecond, "c": 5 * time.Millisecond, "d": 90 * time.Millisecond}, true, "c", nil},
-		"not to one that is away":       {map[string]time.Duration{"d": 200 * time.Millisecond}, true, "d", nil},
-		"not to a weaker one":           {map[string]time.Duration{"b": time.Millisecond, "d": 90 * time.Millisecond}, true, "d", []string{"b"}},
-		"nobody is as strong":           {map[string]time.Duration{"b": time.Millisecond}, true, "", []string{"b", "c", "d"}},
-		"nobody answers":                {nil, true, "", nil},
-		"it is not slow":                {map[string]time.Duration{"b": time.Millisecond}, false, "", nil},
+		"to the member that replies first": {map[string]time.Duration{"b": 40 * time.Millisecond, "c": 5 * time.Millisecond, "d": 90 * time.Millisecond}, true, "c", nil},
+		"not to an unresponsive member":    {map[string]time.Duration{"d": 200 * time.Millisecond}, true, "d", nil},
+		"not to a weaker member":           {map[string]time.Duration{"b": time.Millisecond, "d": 90 * time.Millisecond}, true, "d", []string{"b"}},
+		"no member is as strong":           {map[string]time.Duration{"b": time.Millisecond}, true, "", []string{"b", "c", "d"}},
+		"no member replies":                {nil, true, "", nil},
+		"holder is not slow":               {map[string]time.Duration{"b": time.Millisecond}, false, "", nil},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -113,14 +113,13 @@
 					return
 				}
 				is.Equal(others.invited[0], tc.want)
-				is.True(others.at.Sub(start) >= minTenure) // no passing round
+				is.True(others.at.Sub(start) >= minTenure) // no earlier handover
 			})
 		})
 	}
 }
 
-// TestSlowProcessTakesNoPartition: a partition is not handed to a process that is slow
-// itself.
+// TestSlowProcessTakesNoPartition checks that a slow process refuses a handover request.
 func TestSlowProcessTakesNoPartition(t *testing.T) {
 	is := is.New(t)
 	c, w := slowClaimer(&otherMembers{})
--- a/internal/cell/succession.go
+++ b/internal/cell/succession.go
@@ -7,60 +7,59 @@
 	"pulleyquay/internal/ledger"
 )
 
-// Times of the succession.
 const (
-	// silenceThreshold is how long a holder may be silent before others doubt it; it is
-	// several heartbeats, and more than a process is held up for want of processor
-	// time.
+	// silenceThreshold is how long a holder may leave heartbeats unanswered before members
+	// suspect it. It spans several heartbeats and exceeds the pauses of a process that is
+	// short of processor time.
 	silenceThreshold = 700 * time.Millisecond
-	// rankDelay is how long each candidate waits for the one before it.
+	// rankDelay is the election delay per rank among the candidates.
 	rankDelay = 150 * time.Millisecond
-	// stalledWritesThreshold is how long the holder's writes have to stand still before a
-	// member claims that can ask nobody.
+	// stalledWritesThreshold is how long the holder must not have written before a member
+	// that cannot query others claims the partition.
 	stalledWritesThreshold = 2 * time.Second
-	// storeOutageThreshold is how long a holder may have been without the store before one
-	// that reaches it takes over: longer than a store that is only slow takes for an answer,
-	// and short, as nothing is started or stored meanwhile.
+	// storeOutageThreshold is how long a holder may be without the store before a member that
+	// reaches the store claims the partition. It exceeds the latency of a store that is merely
+	// slow, and is short since nothing is started or stored during the outage.
 	storeOutageThreshold = 700 * time.Millisecond
 )
 
-// heartbeatIntervalPerMember is how much time each member of a large cell adds to the pause between
-// heartbeats: it bounds those that a holder answers in a second.
+// heartbeatIntervalPerMember is the heartbeat interval per member in a large cell. It bounds
+// the number of heartbeats that a holder answers per second.
 const heartbeatIntervalPerMember = 4 * time.Millisecond
 
-// heartbeatInterval is how often a member of a cell of that size asks the holder.
+// heartbeatInterval returns the interval at which each member of a cell with that many members
+// sends heartbeats to a holder.
 func heartbeatInterval(members int) time.Duration {
 	return max(MinHeartbeatInterval, time.Duration(members)*heartbeatIntervalPerMember)
 }
 
-// silenceLimit is how long a holder may be silent in a cell of that size.
+// silenceLimit returns how long a holder may leave heartbeats unanswered in a cell with that
+// many members.
 func silenceLimit(members int) time.Duration {
 	return silenceThreshold + heartbeatInterval(members) - MinHeartbeatInterval
 }
 
-// Evidence is what a member knows of a partition's holder.
+// Evidence is what a member knows about the health of a partition's holder.
 type Evidence struct {
 	Holder ledger.Holder
-	// Silence is how long ago the holder was last heard, Limit for how long it may be
-	// silent.
+	// Silence is the time since the holder's last reply, Limit the silence limit.
 	Silence, Limit time.Duration
-	// Replaced is true when another incarnation answers at the holder's address.
+	// Replaced is true if another incarnation replies at the holder's address.
 	Replaced bool
-	// Refused is true when nothing listens at the holder's address, as it seems
-	// from here.
+	// Refused is true if connections from this process to the holder's address are refused.
 	Refused bool
-	// HolderStoreOutage is for how long the holder has been without the store, as it says.
+	// HolderStoreOutage is the store outage that the holder reports.
 	HolderStoreOutage time.Duration
-	// Others is how many other members there are, the holder left out; Agreeing
-	// how many of them do not hear the holder either; Hearing how many do.
+	// Others is the number of queried members, which are neither this one nor the holder.
+	// Agreeing counts those without contact with the holder, InContact those with contact.
 	Others, Agreeing, InContact int
-	// WritesStalled is how long the holder's writes in the store have stood still;
-	// zero when it is not known.
+	// WritesStalled is the time for which the holder has written nothing to the store; zero if
+	// unknown.
 	WritesStalled time.Duration
 }
 
-// Dead reports whether the evidence is enough to take the partition over. A wrong
-// yes moves the partition needlessly; it makes nothing unsafe.
+// Dead reports whether the evidence suffices to claim the partition. A false positive moves the
+// partition needlessly, but does not endanger safety.
 func (v Evidence) Dead() bool {
 	switch {
 	case v.Holder.Epoch == 0, v.Replaced, v.HolderStoreOutage >= storeOutageThreshold:
@@ -75,9 +74,9 @@
 	return v.Silence >= v.Limit && v.WritesStalled >= stalledWritesThreshold
 }
 
-// Candidates orders the members that may succeed the holder: those with the most
-// processor time first, then those that started last, as they are the least
-// likely to be restarted next.
+// Candidates returns the members that may succeed the holder, in order of preference: members
+// with more processor time first, then members that started later, since they are less likely
+// to be restarted next.
 func Candidates(members []Member, holder string) []Member {
 	var out []Member
 	for _, m := range members {
@@ -98,11 +97,12 @@
 	return out
 }
 
-// strongerFactor is by how much more processor time a member has to have for a holder
-// to hand its partition over; a hand-over costs a pause.
+// strongerFactor is the ratio of processor time above which a holder hands its partition over
+// to a stronger member, as a handover interrupts service.
 const strongerFactor = 1.5
 
-// Stronger returns a member with much more processor time than self, or "".
+// Stronger returns the name of the best candidate with much more processor time than self, or
+// "" if there is none.
 func Stronger(members []Member, self Member) string {
 	for _, m := range Candidates(members, self.Name) {
 		if m.Cores > strongerFactor*self.Cores {
@@ -112,8 +112,8 @@
 	return ""
 }
 
-// ClaimDelay is how long a member waits before it claims, so that the candidates
-// do not race.
+// ClaimDelay returns the election delay of self: how long it waits before it claims the
+// partition, so that candidates do not compete.
 func ClaimDelay(members []Member, holder string, self Member) time.Duration {
 	candidates := Candidates(members, holder)
 	rank := len(candidates)
@@ -129,16 +129,16 @@
 	return wait
 }
 
-// maxRank bounds how many members are waited for.
+// maxRank bounds the number of better candidates that a member waits for.
 const maxRank = 8
 
-// weakDelay is how much longer a member waits that has much less processor time
-// than the strongest one: those are often back within a second, and a weak holder
-// serves badly.
+// weakDelay is the additional election delay of a member with much less processor time than
+// the strongest one. A strong member is often available again within a second, and a weak
+// holder performs poorly.
 const weakDelay = 1200 * time.Millisecond
 
-// weak reports whether another member, the late holder included, has much more
-// processor time.
+// weak reports whether another member, including the failed holder, has much more processor
+// time.
 func (m Member) weak(members []Member) bool {
 	for _, other := range members {
 		if other.Cores > strongerFactor*m.Cores {
--- a/internal/cell/takeover.go
+++ b/internal/cell/takeover.go
@@ -12,8 +12,8 @@
 	"pulleyquay/internal/wait"
 )
 
-// claim claims a partition, after those who go before this member, and holds
-// it.
+// claim claims a partition, after the election delay unless a handover was requested, and runs
+// it if the claim succeeds.
 func (c *Claimer) claim(ctx context.Context, w *holderMonitor, previous ledger.Holder) {
 	if previous.Epoch == 0 {
 		wait.For(ctx, firstClaimDelay-time.Since(c.started))
@@ -40,8 +40,8 @@
 	c.runPartition(ctx, w, l, previous)
 }
 
-// waitClaimDelay waits for the members that should claim first. It reports false when
-// one of them has.
+// waitClaimDelay waits for this member's election delay. It returns false if another member
+// has claimed the partition meanwhile or ctx has ended.
 func (c *Claimer) waitClaimDelay(ctx context.Context, w *holderMonitor, previous ledger.Holder) bool {
 	ctx, cancel := context.WithTimeout(ctx, ClaimDelay(c.View.Members(time.Now()), previous.Name, c.Self))
 	defer cancel()
@@ -58,7 +58,7 @@
 	}
 }
 
-// runPartition runs the partition until it is lost or given up.
+// runPartition runs a claimed partition until it is lost or handed over.
 func (c *Claimer) runPartition(ctx context.Context, w *holderMonitor, l *ledger.Ledger, previous ledger.Holder) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -77,7 +77,8 @@
 	c.Log.WithError(err).WithFields(logrus.Fields{"partition": w.partition, "epoch": l.Holder().Epoch}).Warn("partition not held any more")
 }
 
-// Leave claims nothing any more and hands every held partition to a successor.
+// Leave stops claiming and hands all held partitions over. It returns when other members have
+// claimed them or ctx ends.
 func (c *Claimer) Leave(ctx context.Context) {
 	c.leaveOnce.Do(func() { close(c.leaving) })
 	for _, w := range c.monitors {
@@ -105,8 +106,7 @@
 	}
 }
 
-// awaitSuccessor waits until a partition that this process held has another
-// holder.
+// awaitSuccessor waits until another process is the holder of the partition or ctx ends.
 func (c *Claimer) awaitSuccessor(ctx context.Context, w *holderMonitor) {
 	for ctx.Err() == nil {
 		changed := c.View.Changed()
@@ -120,7 +120,8 @@
 	}
 }
 
-// yieldToStronger ends the holding of a partition when a much stronger member is there.
+// yieldToStronger calls stop, which leads to a handover, once a much stronger member has been
+// present in two checks.
 func (c *Claimer) yieldToStronger(ctx context.Context, stop context.CancelFunc) {
 	seen := map[string]bool{}
 	for wait.For(ctx, strongerCheckInterval) {
@@ -128,7 +129,7 @@
 		if stronger == "" {
 			continue
 		}
-		if !seen[stronger] { // it has to stand for a while
+		if !seen[stronger] { // wait for a second check
 			seen[stronger] = true
 			continue
 		}
@@ -137,8 +138,8 @@
 	}
 }
 
-// handOverPartition asks the best candidate to claim a partition that is no longer worked
-// on here, and the next one if it does not.
+// handOverPartition asks the candidates, in order of preference, to claim a partition that this
+// process has stopped running, until one of them does.
 func (c *Claimer) handOverPartition(ctx context.Context, w *holderMonitor) {
 	h, ok := c.View.Holder(w.partition)
 	if !ok || h.Incarnation != c.Self.Incarnation {
@@ -154,7 +155,8 @@
 	}
 }
 
-// requestClaim asks one candidate and waits until the partition has another holder.
+// requestClaim asks one candidate to claim a partition. It returns true once the partition has
+// a new holder, and false on failure or time-out.
 func (c *Claimer) requestClaim(ctx context.Context, m Member, h ledger.Holder) bool {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
--- a/internal/cell/view.go
+++ b/internal/cell/view.go
@@ -1,10 +1,9 @@
-// Package cell knows the members of the cell and who holds which partition, and
-// decides who succeeds a holder that is silent.
+// Package cell maintains the membership of the cell and the holders of its partitions, detects
+// failed holders and elects their successors.
 //
-// What it knows comes from the store, which every member watches, and from
-// heartbeats, which carry it to members that the store does not answer. Nothing
-// rests on it: a claim is a compare-and-swap in the store, a holder's writes are
-// conditional on its claim, and hosts refuse the orders of earlier epochs.
+// Members watch the store for this information; heartbeats carry it to members that the store
+// does not answer. Safety does not depend on it: a claim is a compare-and-swap in the store, a
+// holder's writes are conditional on its claim, and hosts refuse orders of earlier epochs.
 package cell
 
 import (
@@ -20,36 +19,37 @@
 	"pulleyquay/internal/platform"
 )
 
-// Prefix is what every member watches: the members and the holders.
+// Prefix is the store prefix of the member entries and the holder records. Every member watches
+// it.
 const Prefix = "cell/"
 
 const memberPrefix = Prefix + "members/"
 
-// Member is one process of the cell.
+// Member is the entry of one process of the cell.
 type Member struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation string `cbor:"2,keyasint"`
-	// Addr is where peers reach it.
+	// Addr is the member's peer address.
 	Addr string `cbor:"3,keyasint"`
 	Zone string `cbor:"4,keyasint"` // availability zone
-	// Cores is the processor time that it has, in cores.
+	// Cores is the processor time available to the member, in cores.
 	Cores float64 `cbor:"5,keyasint"`
-	// StartedUnixMilli is when it started, by its own clock.
+	// StartedUnixMilli is the start time by the member's own clock.
 	StartedUnixMilli int64 `cbor:"6,keyasint"`
-	// Leaving members take up nothing new.
+	// Leaving is true if the member must not become the holder of any partition.
 	Leaving bool `cbor:"7,keyasint,omitempty"`
-	// LinkMbps is what its link carries, in megabits a second; zero when it is not known.
+	// LinkMbps is the capacity of the member's link in megabits per second; zero if unknown.
 	LinkMbps float64 `cbor:"8,keyasint,omitempty"`
 }
 
 func memberKey(name string) string { return memberPrefix + name }
 
-// View is what is known of the cell. It is safe for concurrent use.
+// View has the known members and holders of the cell. It is safe for concurrent use.
 type View struct {
 	mu      sync.Mutex
 	members map[string]Member
-	// reported are members that peers have told of while the store did not answer,
-	// with the time until which that counts.
+	// reported are members that peers reported while the store did not answer, with their
+	// expiry.
 	reported map[string]reported
 	holders  map[int]ledger.Holder
 	changed  chan struct{}
@@ -60,11 +60,11 @@
 	until  time.Time
 }
 
-// reportedMemberTTL is how long a member counts that only a peer has told of. Heartbeats
-// tell again several times a second, but a peer's own list may be as old.
+// reportedMemberTTL is how long a member is kept that was only reported by a peer. Heartbeats
+// renew the report several times a second, but the peer's own list may be outdated.
 const reportedMemberTTL = 2 * time.Second
 
-// NewView returns a view of nothing.
+// NewView returns a view without members and holders.
 func NewView() *View {
 	return &View{
 		members: map[string]Member{}, reported: map[string]reported{}, holders: map[int]ledger.Holder{},
@@ -72,21 +72,21 @@
 	}
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of members or holders.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// notify wakes those who wait for a change. The lock is held.
+// notify closes the channel that Changed returned. The caller holds the lock.
 func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// Members returns the members by name: those in the store as last seen, and those
-// that peers have told of lately.
+// Members returns the registered members and those that peers recently reported, sorted by
+// name.
 func (v *View) Members(now time.Time) []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -103,7 +103,7 @@
 	return out
 }
 
-// Registered returns the members that stand in the store, as last seen.
+// Registered returns the members that have an entry in the store, as last observed.
 func (v *View) Registered() []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -114,15 +114,15 @@
 	return out
 }
 
-// Size is how many members stand in the store, as last seen.
+// Size returns the number of registered members.
 func (v *View) Size() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.members)
 }
 
-// Holder returns the holder of a partition with the highest epoch known; ok is
-// false when none is.
+// Holder returns the known holder of a partition with the highest epoch; ok is false if no
+// holder is known.
 func (v *View) Holder(partition int) (h ledger.Holder, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -130,8 +130,8 @@
 	return h, ok
 }
 
-// Learn takes in a holder that somebody has told of, if it is later than the one
-// known.
+// UpdateHolder records a holder read from the store or reported by a peer if its epoch is higher than
+// that of the known holder, or equal to it while the known revision is zero.
 func (v *View) Learn(h ledger.Holder) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -145,7 +145,8 @@
 	}
 }
 
-// applyList takes in everything under Prefix.
+// applyList replaces the members by those in records, which are all records under Prefix, and
+// records the holders. It skips invalid records and returns the last error.
 func (v *View) applyList(records []platform.Record) error {
 	members := map[string]Member{}
 	var failed error
@@ -173,7 +174,8 @@
 	return failed
 }
 
-// applyChange takes in one change under Prefix. A holder's record is never deleted.
+// applyChange applies one change under Prefix. Deletions of holder records, which do not occur
+// in operation, are ignored.
 func (v *View) applyChange(c platform.Change) error {
 	if strings.HasPrefix(c.Key, ledger.HolderPrefix) {
 		if c.Deleted {
@@ -201,15 +203,15 @@
 	return err
 }
 
-// decodeMember reads a member's entry. One that names another member, or lacks what it
-// takes to reach it, is an error.
+// decodeMember decodes a member entry. It returns an error for an entry with another name or
+// without an address.
 func decodeMember(name string, rec platform.Record) (Member, error) {
 	var m Member
 	if err := cbor.Unmarshal(rec.Value, &m); err != nil {
 		return Member{}, fmt.Errorf("record %s: %w", rec.Key, err)
 	}
 	if m.Name != name || m.Addr == "" {
-		return Member{}, fmt.Errorf("record %s: names %q at %q", rec.Key, m.Name, m.Addr)
+		return Member{}, fmt.Errorf("record %s: invalid entry: member name %q, address %q", rec.Key, m.Name, m.Addr)
 	}
 	return m, nil
 }
@@ -223,7 +225,7 @@
 	return nil
 }
 
-// addReported takes in the members that a peer has entered in its view.
+// addReported records the members that a peer reported and removes expired reports.
 func (v *View) addReported(members []Member, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/cell/view_test.go
+++ b/internal/cell/view_test.go
@@ -25,9 +25,9 @@
 	return out
 }
 
-// TestHearsayEnds: a member whose entry had gone was told of by a peer that had
-// not seen that yet, and then stayed for ever.
-func TestHearsayEnds(t *testing.T) {
+// TestReportedMembersExpire guards against deleted members that are kept permanently because a
+// peer reported them before it had observed the deletion.
+func TestReportedMembersExpire(t *testing.T) {
 	is := is.New(t)
 	v := NewView()
 	is.NoErr(v.applyList([]platform.Record{entry(is, "a"), entry(is, "b")}))
@@ -54,7 +54,7 @@
 	is.Equal(h.Name, "c")
 	is.NoErr(v.applyChange(platform.Change{Record: platform.Record{Key: ledger.HolderKey(0)}, Deleted: true}))
 	h, _ = v.Holder(0)
-	is.Equal(h.Name, "c") // the record of a holder is never taken away
+	is.Equal(h.Name, "c") // deletions of holder records are ignored
 }
 
 func TestEvidence(t *testing.T) {
@@ -63,21 +63,21 @@
 		evidence Evidence
 		dead     bool
 	}{
-		"nobody holds it":                     {Evidence{}, true},
-		"heard":                               {Evidence{Holder: held, Silence: 100 * time.Millisecond}, false},
-		"another process at its address":      {Evidence{Holder: held, Replaced: true}, true},
-		"refused, another agrees":             {Evidence{Holder: held, Refused: true, Others: 5, Agreeing: 1}, true},
-		"refused, nobody can be asked":        {Evidence{Holder: held, Refused: true, Others: 5, Silence: time.Second}, false},
-		"refused, alone":                      {Evidence{Holder: held, Refused: true}, true},
-		"refused here, heard elsewhere":       {Evidence{Holder: held, Refused: true, Others: 5, Agreeing: 4, InContact: 1}, false},
-		"silent to all":                       {Evidence{Holder: held, Silence: time.Second, Others: 5, Agreeing: 5}, true},
-		"silent to half":                      {Evidence{Holder: held, Silence: time.Second, Others: 4, Agreeing: 2}, true},
-		"silent to few, the others not asked": {Evidence{Holder: held, Silence: time.Second, Others: 5, Agreeing: 2}, false},
-		"silent here, heard elsewhere":        {Evidence{Holder: held, Silence: 9 * time.Second, Others: 5, Agreeing: 4, InContact: 1, WritesStalled: 9 * time.Second}, false},
-		"silent, alone, still writing":        {Evidence{Holder: held, Silence: time.Second, Others: 5}, false},
-		"silent, alone, writes no more":       {Evidence{Holder: held, Silence: 3 * time.Second, Others: 5, WritesStalled: stalledWritesThreshold}, true},
-		"cut from the store":                  {Evidence{Holder: held, HolderStoreOutage: storeOutageThreshold}, true},
-		"cut from the store for a moment":     {Evidence{Holder: held, HolderStoreOutage: storeOutageThreshold / 2}, false},
+		"no holder":  {Evidence{}, true},
+		"in contact": {Evidence{Holder: held, Silence: 100 * time.Millisecond}, false},
+		"another process at the holder's address":     {Evidence{Holder: held, Replaced: true}, true},
+		"refused, another member agrees":              {Evidence{Holder: held, Refused: true, Others: 5, Agreeing: 1}, true},
+		"refused, no member replies":                  {Evidence{Holder: held, Refused: true, Others: 5, Silence: time.Second}, false},
+		"refused, no other members":                   {Evidence{Holder: held, Refused: true}, true},
+		"refused, another member in contact":          {Evidence{Holder: held, Refused: true, Others: 5, Agreeing: 4, InContact: 1}, false},
+		"silent, all members agree":                   {Evidence{Holder: held, Silence: time.Second, Others: 5, Agreeing: 5}, true},
+		"silent, half of the members agree":           {Evidence{Holder: held, Silence: time.Second, Others: 4, Agreeing: 2}, true},
+		"silent, less than half of the members reply": {Evidence{Holder: held, Silence: time.Second, Others: 5, Agreeing: 2}, false},
+		"silent, another member in contact":           {Evidence{Holder: held, Silence: 9 * time.Second, Others: 5, Agreeing: 4, InContact: 1, WritesStalled: 9 * time.Second}, false},
+		"silent, no member replies, still writing":    {Evidence{Holder: held, Silence: time.Second, Others: 5}, false},
+		"silent, no member replies, writes stalled":   {Evidence{Holder: held, Silence: 3 * time.Second, Others: 5, WritesStalled: stalledWritesThreshold}, true},
+		"without the store":                           {Evidence{Holder: held, HolderStoreOutage: storeOutageThreshold}, true},
+		"briefly without the store":                   {Evidence{Holder: held, HolderStoreOutage: storeOutageThreshold / 2}, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 	is.Equal(names(Candidates(members, "e")), []string{"c", "b", "a"})
 	is.Equal(ClaimDelay(members, "e", members[2]), time.Duration(0))
 	is.Equal(ClaimDelay(members, "e", members[1]), rankDelay)
-	is.Equal(ClaimDelay(members, "e", members[0]), 2*rankDelay+weakDelay) // the strong may be back soon
+	is.Equal(ClaimDelay(members, "e", members[0]), 2*rankDelay+weakDelay) // a stronger member may return soon
 }
 
 func TestStronger(t *testing.T) {
@@ -104,12 +104,12 @@
 	members := []Member{{Name: "a", Cores: 0.2}, {Name: "b", Cores: 0.8}, {Name: "c", Cores: 0.9, Leaving: true}}
 	is.Equal(Stronger(members, Member{Name: "a", Cores: 0.2}), "b")
 	is.Equal(Stronger(members, Member{Name: "b", Cores: 0.8}), "")
-	is.Equal(Stronger(members, Member{Name: "d", Cores: 0.6}), "") // not by enough
+	is.Equal(Stronger(members, Member{Name: "d", Cores: 0.6}), "") // b has less than strongerFactor times as much
 }
 
-// TestLargeCellsBeatLess: a holder answers no more heartbeats a second than it can,
-// and is given as much more time as they are apart.
-func TestLargeCellsBeatLess(t *testing.T) {
+// TestHeartbeatIntervalOfLargeCells checks that the number of heartbeats per second that a
+// holder answers is bounded, and that the silence limit grows with the interval.
+func TestHeartbeatIntervalOfLargeCells(t *testing.T) {
 	is := is.New(t)
 	for members, want := range map[int]time.Duration{1: MinHeartbeatInterval, 7: MinHeartbeatInterval, 43: MinHeartbeatInterval, 100: 400 * time.Millisecond, 300: 1200 * time.Millisecond} {
 		is.Equal(heartbeatInterval(members), want)
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestEntriesOfOtherWriters: an entry that can not be read, or names another member or no
-// address, stands for no member; the others hold.
+// TestEntriesOfOtherWriters checks that an entry that cannot be decoded, has another member's
+// name or has no address is skipped, and that the other entries remain valid.
 func TestEntriesOfOtherWriters(t *testing.T) {
 	is := is.New(t)
 	other := entry(is, "x")
@@ -137,13 +137,13 @@
 		is.Equal(names(v.Registered()), []string{"a"})
 		is.NoErr(v.applyChange(platform.Change{Record: entry(is, "b")}))
 		if v.applyChange(platform.Change{Record: rec}) == nil {
-			t.Error(name, "taken")
+			t.Error(name, "accepted")
 		}
 		is.Equal(names(v.Registered()), []string{"a"})
 	}
 }
 
-// FuzzMembers: no entry ends the process, and none that is taken lacks an address.
+// FuzzMembers checks that no entry causes a panic, and that every accepted entry has an address.
 func FuzzMembers(f *testing.F) {
 	f.Add("a", entry(is.New(f), "a").Value)
 	f.Add("b", []byte{0xa1, 1, 0x61, 'b'})
--- a/internal/holder/burst_test.go
+++ b/internal/holder/burst_test.go
@@ -168,7 +168,7 @@
 	dest, holderResources, disconnect := e.route(e.addr, addr)
 	if disconnect {
 		<-ctx.Done()
-		return result.New(result.PeerLost, result.RanUnknown, "cut")
+		return result.New(result.PeerLost, result.RanUnknown, "disconnected")
 	}
 	body, err := cbor.Marshal(req)
 	if err != nil {
--- a/internal/holder/follow.go
+++ b/internal/holder/follow.go
@@ -39,7 +39,7 @@
 	progress map[string]*record.Progress
 	roster   record.Roster
 	hosts    []host.Info
-	waves    []upkeep.Progress
+	rollouts []upkeep.Progress
 	// jobsRevision and hostsRevision are the revisions at which jobs and hosts were read.
 	jobsRevision, hostsRevision platform.Revision
 }
@@ -95,7 +95,7 @@
 			if err := cbor.Unmarshal(rec.Value, &w); err != nil {
 				return err
 			}
-			state.waves = append(state.waves, w)
+			state.rollouts = append(state.rollouts, w)
 			return nil
 		})
 	})
@@ -131,7 +131,7 @@
 		if previous.Epoch > 0 {
 			firstOrderAt = now.Add(authorityDuration + h.cfg.DutyLease)
 		}
-		h.engine.SetUpkeep(firstOrderAt, state.waves)
+		h.engine.SetUpkeep(firstOrderAt, state.rollouts)
 	}
 	h.jobsRevision, h.hostsRevision = state.jobsRevision, state.hostsRevision
 	h.log.WithField("jobs", len(state.jobs)).WithField("hosts", len(state.hosts)).WithField("took_ms", now.Sub(start).Milliseconds()).Info("records read")
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -79,7 +79,7 @@
 	// and the next holder's first one.
 	DutyLease time.Duration
 	Catalog   func() *catalog.Catalog
-	// Lanes returns the members that can query the policy service, with their addresses.
+	// PolicyMembers returns the members that can query the policy service, with their addresses.
 	Lanes   func() map[string]string
 	Metrics *Metrics
 	Event   func(engine.Event)
--- a/internal/holder/messages.go
+++ b/internal/holder/messages.go
@@ -19,7 +19,7 @@
 	Hosts []host.ID   `cbor:"2,keyasint"`
 }
 
-// ServeAdvice registers the handler that forwards policy queries of holders to service.
+// ServePolicyQueries registers the handler that forwards policy queries of holders to service.
 func ServeAdvice(mux *peer.Mux, service advice.Service) {
 	peer.Handle(mux, peer.KindAdvise, func(ctx context.Context, query PolicyQuery) (advice.Answer, error) {
 		reply, err := service.Advise(ctx, query.Step, query.Hosts)
@@ -33,7 +33,7 @@
 	})
 }
 
-// Accepted notifies the holder that a job of its partition was accepted and stored.
+// JobAccepted notifies the holder that a job of its partition was accepted and stored.
 type Accepted struct {
 	Partition int        `cbor:"1,keyasint"`
 	Job       record.Job `cbor:"2,keyasint"`
@@ -52,12 +52,12 @@
 	Account string `cbor:"3,keyasint,omitempty"`
 }
 
-// JobReply reports the state of a job. Known is false if the holder has no such job or the
+// JobReply reports the state of a job. Found is false if the holder has no such job or the
 // account has no access to it.
 type JobReply struct {
 	Known bool         `cbor:"1,keyasint"`
 	State record.State `cbor:"2,keyasint"`
-	// Checked is true if the holder verified that the account has access to the job.
+	// AccessChecked is true if the holder verified that the account has access to the job.
 	Checked bool `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/holder/metrics.go
+++ b/internal/holder/metrics.go
@@ -59,9 +59,9 @@
 
 // Load summarizes the work of the holders of this process since it was last taken.
 type Load struct {
-	// Deciding is the total duration of decisions.
+	// DecisionTime is the total duration of decisions.
 	Deciding time.Duration
-	// LongestWait is the longest wait of an update for the engine's lock, OldestJob the
+	// LongestWait is the longest wait of an update for the engine's lock, OldestJobAge the
 	// largest age of an accepted job when the engine received it.
 	LongestWait, OldestJob time.Duration
 }
--- a/internal/lateness/lateness.go
+++ b/internal/lateness/lateness.go
@@ -1,9 +1,8 @@
-// Package lateness tells whether this process gets the processor time that it needs.
+// Package lateness detects whether this process lacks processor time.
 //
-// Two faults look alike from outside: a host that has turned slow, and a process with
-// more to do than it can. Both have late timers; on a slow host a fixed piece of work
-// takes longer as well. The first is mended by another process, the second by doing
-// less.
+// There are two possible causes: the host has become slow, or the process is overloaded. Timers
+// are late in both cases, but only on a slow host does a benchmark of fixed size take longer as
+// well. A slow host calls for a handover to another process, overload for less work.
 package lateness
 
 import (
@@ -13,45 +12,46 @@
 	"time"
 )
 
-// What is measured, and from when on it counts.
 const (
-	// SampleInterval is how often a timer is set, lateTimer when it counts as late: on a
-	// host with time to spare timers are late by a millisecond, on one without by tens.
+	// SampleInterval is the duration of each timer, lateThreshold the lateness from which on a
+	// timer counts as late. Timers are late by about a millisecond on a host with spare
+	// processor time and by tens of milliseconds on one without.
 	SampleInterval = 30 * time.Millisecond
 	lateThreshold  = 10 * time.Millisecond
-	// SampleCount is how many timers are looked at, and mostLate how many of them may be
-	// late: one pause of the process is not yet slowness.
+	// SampleCount is the number of timers considered, maxLate how many of them may be late, so
+	// that a single pause of the process is tolerated.
 	SampleCount = 8
 	maxLate     = 2
-	// slowWorkFactor is by how many times longer than usual the work takes on a slow host.
+	// slowWorkFactor is the ratio to the usual duration of the benchmark from which on a host
+	// is considered slow.
 	slowWorkFactor = 2.5
 )
 
-// workBytes is how much is hashed as the fixed piece of work, some 4 microseconds, and
-// pieces how often in a row, of which the shortest counts: where there is much to do,
-// other threads take their turn between two pieces but hardly in each of them. With one
-// piece of 15 us a holder on a sound host took itself for slow in a burst.
+// The benchmark hashes workBytes, which takes about 4 microseconds, repetitions times in a row;
+// the shortest duration counts. Under load, other threads preempt some of the repetitions but
+// rarely all of them. With a single repetition of 15 us, a holder on a healthy host considered
+// itself slow during a burst.
 const (
 	workBytes   = 4 << 10
 	repetitions = 4
 )
 
-// Sample is what one timer has shown.
+// Sample is the measurement at one timer: its lateness and the duration of the benchmark.
 type Sample struct {
 	Late time.Duration
-	Work time.Duration // that the fixed piece of work took
+	Work time.Duration // duration of the benchmark
 }
 
-// Timers knows how late the timers of this process fire, and how long a fixed piece of
-// work takes it. It is safe for concurrent use; the zero value knows of no lateness.
+// Timers records the lateness of this process's timers and the duration of the benchmark. It is
+// safe for concurrent use; the zero value has no samples and reports no lateness.
 type Timers struct {
 	mu        sync.Mutex
 	samples   [SampleCount]Sample
 	next      int
-	usualWork time.Duration // that the work takes while timers are in time
+	usualWork time.Duration // duration of the benchmark while timers are on time
 }
 
-// Observe takes in what a timer has shown.
+// Observe records a sample.
 func (l *Timers) Observe(s Sample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,15 +60,17 @@
 	l.updateUsualWork(s)
 }
 
-// Over how many timers the usual time of the work follows what is measured, upward and
-// downward: near its lower quarter, and not at one measurement that was far below. With
-// the shortest ever, a sound holder took itself for slow on a calm day.
+// upwardSamples and downwardSamples are the time constants, in samples, with which the usual
+// duration of the benchmark follows longer and shorter measurements. It stays near the lower
+// quartile and is not dominated by one very short measurement. With the minimum instead, a
+// holder on a healthy host considered itself slow without load.
 const (
 	upwardSamples   = 256
 	downwardSamples = 16
 )
 
-// updateUsualWork takes in what the work takes while timers are in time; the lock is held.
+// updateUsualWork updates the usual duration of the benchmark from a sample whose timer was on
+// time. The caller holds the lock.
 func (l *Timers) updateUsualWork(s Sample) {
 	switch {
 	case s.Work <= 0 || s.Late >= lateThreshold:
@@ -81,8 +83,8 @@
 	}
 }
 
-// Slow reports whether the host is slow: too many timers were late lately, and not
-// once did the work take about as long as usual.
+// Slow reports whether the host is slow: more than maxLate of the recent timers were late, and
+// the benchmark took much longer than usual in all recent samples.
 func (l *Timers) Slow() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,15 +97,15 @@
 	return l.countLate() > maxLate && l.usualWork > 0 && float64(work) >= slowWorkFactor*float64(l.usualWork)
 }
 
-// Busy reports whether too many timers were late lately: there is more to do here than
-// there is processor time, so what seems late elsewhere may be late here.
+// Busy reports whether more than maxLate of the recent timers were late. The process is then
+// short of processor time, and replies that seem late may have been delayed in this process.
 func (l *Timers) Busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.countLate() > maxLate
 }
 
-// Latest is by how much the latest of the last timers was late.
+// MaxLateness returns the maximum lateness among the recent timers.
 func (l *Timers) Latest() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,7 +116,7 @@
 	return latest
 }
 
-// countLate counts the late timers.
+// countLate counts the late timers among the samples. The caller holds the lock.
 func (l *Timers) countLate() int {
 	n := 0
 	for _, t := range l.samples {
@@ -125,7 +127,7 @@
 	return n
 }
 
-// Run sets timers until ctx ends.
+// Run takes a sample every SampleInterval until ctx ends.
 func (l *Timers) Run(ctx context.Context) {
 	buf := make([]byte, workBytes)
 	timer := time.NewTimer(SampleInterval)
@@ -142,13 +144,13 @@
 	}
 }
 
-// measureWork is how long the fixed piece of work takes at its best.
+// measureWork runs the benchmark and returns its shortest duration.
 func measureWork(buf []byte) time.Duration {
 	best := time.Duration(0)
 	for range repetitions {
 		start := time.Now()
 		h := fnv.New64a()
-		_, _ = h.Write(buf) // a hash takes everything
+		_, _ = h.Write(buf) // never fails
 		if took := time.Since(start); best == 0 || took < best {
 			best = took
 		}
--- a/internal/lateness/lateness_test.go
+++ b/internal/lateness/lateness_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestLateness: with late timers alone the holder of 3,000 hosts gave its partition
-// away every five seconds, to a member that had as much to do then (sweep at 300
-// members: served 0.034).
+// TestLateness guards against late timers alone being taken for a slow host. By that criterion,
+// a holder of 3,000 hosts in a cell of 300 members handed its partition over every five seconds
+// to a member that was then as loaded, and 0.034 of the jobs were served.
 func TestLateness(t *testing.T) {
 	const ms, us = time.Millisecond, time.Microsecond
 	usualWork, slowWork := 15*us, 120*us
@@ -18,17 +18,17 @@
 		slowWork bool
 		busy     bool
 	}{
-		"in time":                     {[]Sample{{ms, usualWork}, {0, usualWork}, {2 * ms, usualWork}}, false, false},
-		"one long pause":              {[]Sample{{4 * time.Second, slowWork}, {ms, usualWork}, {ms, usualWork}}, false, true},
-		"slow":                        {[]Sample{{30 * ms, slowWork}, {20 * ms, slowWork}, {60 * ms, slowWork}, {ms, slowWork}}, true, true},
-		"much to do on a sound host":  {[]Sample{{30 * ms, slowWork}, {20 * ms, usualWork}, {60 * ms, slowWork}, {90 * ms, slowWork}}, false, true},
-		"slow, but with little to do": {[]Sample{{ms, slowWork}, {ms, slowWork}, {ms, slowWork}, {ms, slowWork}, {ms, slowWork}}, false, false},
-		"a little slower":             {[]Sample{{30 * ms, 2 * usualWork}, {20 * ms, 2 * usualWork}, {60 * ms, 2 * usualWork}}, false, true},
+		"on time":             {[]Sample{{ms, usualWork}, {0, usualWork}, {2 * ms, usualWork}}, false, false},
+		"one long pause":      {[]Sample{{4 * time.Second, slowWork}, {ms, usualWork}, {ms, usualWork}}, false, true},
+		"slow":                {[]Sample{{30 * ms, slowWork}, {20 * ms, slowWork}, {60 * ms, slowWork}, {ms, slowWork}}, true, true},
+		"loaded healthy host": {[]Sample{{30 * ms, slowWork}, {20 * ms, usualWork}, {60 * ms, slowWork}, {90 * ms, slowWork}}, false, true},
+		"slow without load":   {[]Sample{{ms, slowWork}, {ms, slowWork}, {ms, slowWork}, {ms, slowWork}, {ms, slowWork}}, false, false},
+		"a little slower":     {[]Sample{{30 * ms, 2 * usualWork}, {20 * ms, 2 * usualWork}, {60 * ms, 2 * usualWork}}, false, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			var l Timers
-			l.Observe(Sample{0, usualWork}) // at its best
+			l.Observe(Sample{0, usualWork}) // fastest benchmark
 			for range SampleCount {
 				l.Observe(Sample{0, slowWork})
 			}
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestOneMeasurementFarBelow: a piece of work that was measured at a fifth of its time,
-// once, made a sound holder with much to do give its partition away.
+// TestOneMeasurementFarBelow guards against a single very short benchmark. One measurement of a
+// fifth of the usual duration made a loaded holder on a healthy host hand its partition over.
 func TestOneMeasurementFarBelow(t *testing.T) {
 	const usual = 5 * time.Microsecond
 	var l Timers
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,10 +1,10 @@
-// Package ledger is what the holder of a partition writes to the platform's
-// store: its claim, and then chains of transactions, each on condition that the
-// claim still stands and that the one before it in its chain took effect.
+// Package ledger writes the claim and the records of a partition's holder to the platform's
+// store. After the claim, transactions are written in chains. Each transaction is conditional
+// on the claim being current and on its predecessor in the chain having taken effect.
 //
-// So a process whose partition was claimed by another can write nothing any
-// more, and a transaction whose answer was lost can be sent again: of all its
-// copies, however late they arrive, one takes effect.
+// Therefore a process can write nothing once another process has claimed its partition. A
+// transaction whose reply was lost can be sent again: exactly one of its copies takes effect,
+// however late they arrive.
 package ledger
 
 import (
@@ -23,45 +23,43 @@
 	"pulleyquay/internal/uptime"
 )
 
-// HolderPrefix is where the holders of the partitions stand in the store.
+// HolderPrefix is the store prefix of the holder records of all partitions.
 const HolderPrefix = "cell/holders/"
 
-// chainPrefix is where each holder's chains of transactions stand. They are apart
-// from the claim, which others watch.
+// chainPrefix is the store prefix of the holders' transaction chains. The chains are separate
+// from the claims, which other members watch.
 const chainPrefix = "chain/"
 
-// Chains is how many transactions of a holder can be under way at a time. A store
-// that takes 0.24 s an answer lets one chain write 120 records a second; 1,100 hosts in
-// a burst end 330 jobs a second, and 0.62 of those that ended in 4 s were not stored
-// before they were worth nothing.
+// Chains is the number of transactions that a holder can have in flight. With a store latency
+// of 0.24 s one chain writes 120 records a second, but 1,100 hosts in a burst end 330 jobs a
+// second: 62% of the jobs that ended within 4 s were stored too late to be of use.
 const Chains = 16
 
-// Errors of a ledger.
 var (
-	// ErrDeposed: another process has claimed the partition.
-	ErrDeposed = errors.New("ledger: the partition has another holder")
-	// ErrRaced: the claim found another claim than it was told.
-	ErrClaimConflict = errors.New("ledger: another claim came first")
+	// ErrDeposed is returned once another process has claimed the partition.
+	ErrDeposed = errors.New("ledger: another process has claimed the partition")
+	// ErrClaimConflict is returned by Claim if the holder record is not the expected one.
+	ErrClaimConflict = errors.New("ledger: claim conflict: the holder record has changed")
 )
 
-// Holder is the record of who holds a partition.
+// Holder is the record of the process that holds a partition.
 type Holder struct {
 	Partition int `cbor:"1,keyasint"`
-	// Epoch grows with each claim; hosts refuse orders of a lower one.
+	// Epoch increases with each claim; hosts refuse orders with a lower epoch.
 	Epoch uint64 `cbor:"2,keyasint"`
 	Name  string `cbor:"3,keyasint"`
-	// Incarnation tells the runs of one process apart.
+	// Incarnation identifies one run of the process named Name.
 	Incarnation string `cbor:"4,keyasint"`
-	// Addr is where the holder's peers reach it.
+	// Addr is the holder's peer address.
 	Addr string `cbor:"5,keyasint"`
-	// Revision is that of the record in the store; it is not stored.
+	// Revision is the modification revision of the record; it is not part of the record.
 	Revision platform.Revision `cbor:"-"`
 }
 
 // HolderKey returns the key of a partition's holder.
 func HolderKey(partition int) string { return HolderPrefix + strconv.Itoa(partition) }
 
-// DecodeHolder reads a holder's record.
+// DecodeHolder decodes a holder record and sets its Revision.
 func DecodeHolder(rec platform.Record) (Holder, error) {
 	var h Holder
 	if err := cbor.Unmarshal(rec.Value, &h); err != nil {
@@ -71,18 +69,17 @@
 	return h, nil
 }
 
-// chainRecord is the value of a chain's key: the transaction that wrote it last.
+// chainRecord is the value of a chain's key. It identifies the last transaction of the chain.
 type chainRecord struct {
 	Epoch    uint64 `cbor:"1,keyasint"`
 	Sequence uint64 `cbor:"2,keyasint"`
 }
 
-// maxWrites is how many writes one transaction may have: the platform takes 32
-// entries, of which the claim's and the chain's conditions and the chain's write
-// are three.
+// maxWrites bounds the writes of one transaction. The platform accepts 32 entries; the
+// conditions on the claim and on the chain and the write of the chain's key take three.
 const maxWrites = 29
 
-// Ledger writes for one holder. Commit is for one goroutine at a time.
+// Ledger writes the records of one holder. Commit must not be called concurrently.
 type Ledger struct {
 	store *resend.Sender
 	self  Holder
@@ -90,19 +87,20 @@
 	chains [Chains]chain
 
 	mu sync.Mutex
-	// confirmedAt is when the last transaction that took effect was first sent; see uptime.
+	// confirmedAt is when the last transaction that took effect was first sent, by the clock
+	// of package uptime.
 	confirmedAt time.Time
 }
 
-// chain is one chain of transactions: the revision of its key, and how many there were.
+// chain is one chain of transactions: the revision of its key and the number of transactions.
 type chain struct {
 	revision platform.Revision
 	sequence uint64
 }
 
-// Claim makes self the holder after seen, which is the zero Holder when there
-// was none. It returns ErrRaced with the present holder when seen is no longer
-// the record, and platform.ErrUnavailable when nothing is known to have happened.
+// Claim makes self the holder after previous, which is the zero Holder if there was none. It
+// returns ErrClaimConflict with the current holder if previous is no longer the record, and
+// platform.ErrUnavailable if the outcome is unknown.
 func Claim(ctx context.Context, store *resend.Sender, previous, self Holder) (*Ledger, Holder, error) {
 	self.Epoch = previous.Epoch + 1
 	value, err := cbor.Marshal(self)
@@ -129,8 +127,8 @@
 	return l.resolveClaim(reply.Found, sent)
 }
 
-// resolveClaim reads who holds the partition after a claim that was refused: this
-// process itself when an earlier copy of the claim took effect.
+// resolveClaim determines the holder from the records found by a claim that was not applied.
+// The holder is this process if an earlier copy of the claim took effect.
 func (l *Ledger) resolveClaim(found []platform.Record, sent time.Time) (*Ledger, Holder, error) {
 	if len(found) == 0 {
 		return nil, Holder{}, ErrClaimConflict
@@ -156,21 +154,21 @@
 // Holder returns the claim that this ledger writes under.
 func (l *Ledger) Holder() Holder { return l.self }
 
-// LastConfirmed is when this process surely was the holder last: when the last
-// transaction that took effect was sent. A suspension since then lets it lie back as far:
-// a holder that was suspended for longer than its right lasts must not give one order, as
-// it has been succeeded meanwhile.
+// LastConfirmed returns the last time at which this process is known to have been the holder:
+// when the last transaction that took effect was sent. The duration of suspensions since then
+// is subtracted, as a holder that was suspended for longer than its authority lasts has been
+// replaced in the meantime and must not give any order.
 func (l *Ledger) LastConfirmed() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Now().Add(-uptime.Since(l.confirmedAt))
 }
 
-// Commit applies the writes, unless the partition has another holder. Those of one
-// group take effect together; groups may take effect apart, and in any order. It
-// returns ErrDeposed, platform.ErrRefused for writes that the store never takes, or
-// ctx's error; after an error the writes may or may not have taken effect, and the
-// ledger can not be used any more.
+// Commit applies the writes unless another process has claimed the partition. The writes of
+// one group take effect atomically; groups may take effect separately and in any order.
+// Commit returns ErrDeposed, platform.ErrRefused for writes that the store rejects
+// permanently, or ctx's error. After an error it is unknown which writes have taken effect,
+// and the ledger must not be used again.
 func (l *Ledger) Commit(ctx context.Context, groups [][]platform.Write) error {
 	txns := pack(groups)
 	for len(txns) > 0 {
@@ -187,8 +185,8 @@
 	return nil
 }
 
-// pack puts groups together into as few transactions as they fit in, one at the least:
-// it proves the claim.
+// pack combines consecutive groups into transactions of at most maxWrites writes. It returns
+// at least one transaction, since an empty one also confirms the claim.
 func pack(groups [][]platform.Write) [][]platform.Write {
 	txns := [][]platform.Write{nil}
 	for _, group := range groups {
@@ -202,7 +200,7 @@
 	return txns
 }
 
-// commitTo makes the next transaction of a chain.
+// commitTo commits the next transaction of chain i.
 func (l *Ledger) commitTo(ctx context.Context, i int, writes []platform.Write) error {
 	c := &l.chains[i]
 	c.sequence++
@@ -232,8 +230,8 @@
 	return nil
 }
 
-// resolveCommit returns the revision at which an earlier copy of a chain's present
-// transaction took effect, or ErrDeposed.
+// resolveCommit returns the revision at which an earlier copy of chain i's current
+// transaction took effect, or ErrDeposed if none did.
 func (l *Ledger) resolveCommit(i int, found []platform.Record) (platform.Revision, error) {
 	var revision platform.Revision
 	for _, rec := range found {
@@ -258,7 +256,7 @@
 	return revision, nil
 }
 
-// send sends a transaction until it is answered or ctx ends.
+// send sends a transaction, with retries, until the store replies or ctx ends.
 func (l *Ledger) send(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	reply, err := l.store.Commit(ctx, txn, nil)
 	if err != nil && !errors.Is(err, platform.ErrRefused) && ctx.Err() != nil {
@@ -267,14 +265,14 @@
 	return reply.TxnReply, err
 }
 
-// chainWrite is the write of a chain's key that each of its transactions makes.
+// chainWrite returns the write of chain i's key for its current transaction.
 func (l *Ledger) chainWrite(i int) platform.Write {
-	value, _ := cbor.Marshal(chainRecord{l.self.Epoch, l.chains[i].sequence}) // numbers always encode
+	value, _ := cbor.Marshal(chainRecord{l.self.Epoch, l.chains[i].sequence}) // integers always encode
 	return platform.Write{Key: chainKey(l.self.Partition, i), Value: value}
 }
 
-// ChainKey returns the key that the holder of a partition writes at least as often as
-// it renews its right to give orders.
+// ChainKey returns the key that the holder of a partition writes at least whenever it renews
+// its authority.
 func ChainKey(partition int) string { return chainKey(partition, 0) }
 
 func chainKey(partition, i int) string {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -24,7 +24,7 @@
 	return [][]platform.Write{{{Key: key, Value: []byte(value)}}}
 }
 
-// value reads a key past every fault.
+// value reads a key with a client that has no injected faults.
 func value(t *testing.T, e *memstore.Engine, key string) string {
 	t.Helper()
 	rec, ok, err := e.Client("judge").Get(t.Context(), key)
@@ -35,19 +35,19 @@
 	return string(rec.Value)
 }
 
-// TestCommitsUnderFaults: whatever becomes of the copies of a transaction, it takes
-// effect once, and what comes after it sees it.
+// TestCommitsUnderFaults checks that a transaction takes effect exactly once, before the next
+// one, whichever of its copies or replies are lost or delayed.
 func TestCommitsUnderFaults(t *testing.T) {
 	tests := map[string]memstore.Faults{
-		"calm":                    {},
-		"answers lost":            {LoseAnswers: 3},
-		"requests lost":           {LoseRequests: 3},
-		"answers come late":       {AnswerDelayMS: 900},
-		"requests come late":      {RequestDelayMS: 900},
-		"refused for a while":     {Refuse: true},
-		"silent for a while":      {Hang: true},
-		"late, and answers lost":  {RequestDelayMS: 700, LoseAnswers: 2},
-		"late, and requests lost": {RequestDelayMS: 700, LoseRequests: 2},
+		"no faults":                      {},
+		"replies lost":                   {LoseAnswers: 3},
+		"requests lost":                  {LoseRequests: 3},
+		"replies delayed":                {AnswerDelayMS: 900},
+		"requests delayed":               {RequestDelayMS: 900},
+		"refused for a while":            {Refuse: true},
+		"unresponsive for a while":       {Hang: true},
+		"requests delayed, replies lost": {RequestDelayMS: 700, LoseAnswers: 2},
+		"requests delayed and lost":      {RequestDelayMS: 700, LoseRequests: 2},
 	}
 	for name, faults := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -66,17 +66,17 @@
 					before := time.Now()
 					is.NoErr(l.Commit(t.Context(), write("k", fmt.Sprint(i))))
 					is.Equal(value(t, e, "k"), fmt.Sprint(i))
-					is.True(!l.LastConfirmed().Before(before)) // each commit proves the claim anew
+					is.True(!l.LastConfirmed().Before(before)) // each commit confirms the claim
 				}
-				time.Sleep(20 * time.Second) // late copies arrive
+				time.Sleep(20 * time.Second) // delayed copies arrive
 				is.Equal(value(t, e, "k"), "5")
 			})
 		})
 	}
 }
 
-// TestDeposedHolderWritesNothing: after another claim nothing of the former holder
-// takes effect any more, a copy that was under way included.
+// TestDeposedHolderWritesNothing checks that no write of the previous holder takes effect
+// after another claim, not even one that was in flight.
 func TestDeposedHolderWritesNothing(t *testing.T) {
 	for _, delay := range []int64{0, 300, 2500} {
 		t.Run(fmt.Sprint(delay, " ms late"), func(t *testing.T) {
@@ -91,7 +91,7 @@
 				ended := make(chan error, 1)
 				go func() { ended <- old.Commit(t.Context(), write("k", "late")) }()
 				if delay > 0 {
-					time.Sleep(10 * time.Millisecond) // it is under way
+					time.Sleep(10 * time.Millisecond) // the commit is in flight
 					next, _, err := Claim(t.Context(), sender(e.Client("b")), previous, self("b"))
 					is.NoErr(err)
 					is.NoErr(next.Commit(t.Context(), write("k", "new")))
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestClaims: of two claims from the same holder one wins; a claim whose answer was
-// lost is found to be its own.
+// TestClaims checks that one of two claims after the same holder succeeds, and that a claim
+// whose reply was lost is recognized as the process's own.
 func TestClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -122,7 +122,7 @@
 
 		_, current, err := Claim(t.Context(), sender(e.Client("b")), Holder{}, self("b"))
 		is.True(errors.Is(err, ErrClaimConflict))
-		is.Equal(current.Name, "a") // told who it is, the next try can succeed
+		is.Equal(current.Name, "a") // a retry with the current holder can succeed
 		_, second, err := Claim(t.Context(), sender(e.Client("b")), current, self("b"))
 		is.NoErr(err)
 		is.Equal(second.Epoch, uint64(2))
@@ -145,8 +145,8 @@
 	})
 }
 
-// TestManyRecordsInASlowStore: a store that took 0.24 s an answer let a holder store 120
-// records a second, of 330 jobs that ended.
+// TestManyRecordsInASlowStore guards the write rate with a store latency of 0.24 s: without
+// parallel chains a holder stored 120 records a second while 330 jobs a second ended.
 func TestManyRecordsInASlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -163,7 +163,7 @@
 			}
 			start := time.Now()
 			is.NoErr(l.Commit(t.Context(), groups))
-			if round > 0 { // the first learns how long answers take
+			if round > 0 { // the first round measures the latency
 				is.True(time.Since(start) < 400*time.Millisecond)
 			}
 			for i := range 150 {
@@ -174,8 +174,8 @@
 	})
 }
 
-// TestGroupsStayTogether: the end of a job and what it makes needless take effect
-// together, or a next holder would find a job without either.
+// TestGroupsStayTogether checks that groups are never split across transactions. Otherwise the
+// next holder could find a job without its end and without the records that its end deletes.
 func TestGroupsStayTogether(t *testing.T) {
 	is := is.New(t)
 	var groups [][]platform.Write
--- a/internal/ledger/suspended_test.go
+++ b/internal/ledger/suspended_test.go
@@ -12,11 +12,11 @@
 	"pulleyquay/internal/uptime"
 )
 
-// TestProofAgesWhileSuspended: a holder whose machine is suspended for seconds is succeeded
-// meanwhile. The steady clock had not moved when it woke, so its proof seemed as fresh as
-// before, and it would have given orders for the rest of the three seconds that the right
-// lasts, beside its successor.
-func TestProofAgesWhileSuspended(t *testing.T) {
+// TestConfirmationAgesWhileSuspended guards against two holders that give orders at a time. A
+// holder whose machine is suspended for seconds is replaced, but the monotonic clock stops
+// meanwhile. Measured by it, the holder's authority would last for the rest of its three
+// seconds after the resumption.
+func TestConfirmationAgesWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var suspended atomic.Int64
@@ -36,7 +36,8 @@
 		is.NoErr(l.Commit(t.Context(), write("k", "2")))
 		is.True(time.Since(l.LastConfirmed()) < 100*time.Millisecond)
 
-		// Suspended between a transaction and its answer: the proof is from before.
+		// A suspension between a transaction and its reply counts, as LastConfirmed is the time
+		// of sending.
 		c.SetFaults(memstore.Faults{AnswerDelayMS: 300})
 		time.AfterFunc(100*time.Millisecond, func() { suspended.Add(int64(5 * time.Second)) })
 		is.NoErr(l.Commit(t.Context(), write("k", "3")))
--- a/internal/record/former_test.go
+++ b/internal/record/former_test.go
@@ -9,11 +9,11 @@
 	"pulleyquay/internal/crashloop"
 )
 
-// A rolling update has two versions read each other's records. A field that changes its
-// meaning or its type under the number that it had would turn a crash that nobody saw the
-// end of into a proven one, or make a roster unreadable, and with it a take-over impossible.
+// During a rolling update two versions read each other's records. If a field changed its
+// meaning or type but kept its number, an unconfirmed crash could be read as a confirmed one,
+// or a roster could not be decoded, which would make a failover impossible.
 
-// previousCrash is a crash as the version before wrote it.
+// previousCrash is a crash as written by the previous version.
 type previousCrash struct {
 	Run     int    `cbor:"1,keyasint"`
 	Host    string `cbor:"2,keyasint"`
@@ -21,7 +21,7 @@
 	Unheard bool   `cbor:"9,keyasint,omitempty"`
 }
 
-// previousRoster is a roster as the version before wrote it.
+// previousRoster is a roster as written by the previous version.
 type previousRoster struct {
 	Hosts []RosterHost `cbor:"1,keyasint"`
 	Lost  int          `cbor:"3,keyasint,omitempty"`
@@ -48,7 +48,7 @@
 	value, err := Encode(crashloop.Judge(crashloop.Evidence{Run: 1, Host: "a"}, 1e-6))
 	is.NoErr(err)
 	is.NoErr(cbor.Unmarshal(value, &c))
-	is.True(c.Unheard) // it takes everything else for proven
+	is.True(c.Unheard) // the previous version treats crashes without the flag as confirmed
 
 	var r previousRoster
 	value, err = Encode(Roster{Hosts: []RosterHost{{ID: "a"}}, Lost: []string{"b"}})
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,9 +1,10 @@
-// Package record holds what the platform's store keeps of jobs.
+// Package record defines the records of jobs, and of the hosts used for them, in the
+// platform's store.
 //
-// A job has one record under jobs/, made once by the process that accepted it.
-// When the job has ended its holder replaces it by a short one that tells how.
-// In between, the holder keeps under progress/ what the hosts can not tell
-// again: which tasks are done and which have failed how often.
+// Each job has one record under jobs/, written by the process that accepted the job. When the
+// job ends, its holder replaces the record by a short one with the outcome. Until then, the
+// holder stores under progress/ what hosts cannot report again: which tasks are done, and the
+// failed runs of the others.
 package record
 
 import (
@@ -18,111 +19,113 @@
 	"pulleyquay/internal/spec"
 )
 
-// State is the state of a job as callers see it.
+// State is the state of a job as reported to callers.
 type State string
 
 // The states of a job. The last three are final.
 const (
-	StateQueued    State = "queued" // nothing of it has started
+	StateQueued    State = "queued" // no task has started
 	StateRunning   State = "running"
 	StateCompleted State = "completed" // every task is done
-	StateFailed    State = "failed"    // a task failed as often as it may
+	StateFailed    State = "failed"    // a task reached its limit of attempts, or the job was failed for another reason
 	StateCancelled State = "cancelled"
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the state is final.
 func (s State) Final() bool {
 	return s == StateCompleted || s == StateFailed || s == StateCancelled
 }
 
-// Job is an accepted job.
+// Job is the record of an accepted job.
 type Job struct {
 	ID      string `cbor:"1,keyasint"`
 	Queue   string `cbor:"2,keyasint,omitempty"`
 	Service string `cbor:"3,keyasint,omitempty"`
-	// Rules are those of the queue when the job was accepted.
+	// Rules are the rules of the queue when the job was accepted.
 	Rules catalog.Rules `cbor:"4,keyasint,omitzero"`
 	Graph spec.Graph    `cbor:"5,keyasint,omitzero"`
-	// AcceptedUnixMilli is by the clock of the process that accepted it.
+	// AcceptedUnixMilli is the time of acceptance by the clock of the accepting process.
 	AcceptedUnixMilli int64 `cbor:"6,keyasint,omitempty"`
-	// Ended is set, and the rest but the id left out, once the job is final.
+	// Ended is the final state; empty until the job has ended. The record of an ended job has
+	// the id and the following fields only.
 	Ended State `cbor:"7,keyasint,omitempty"`
-	// EndedUnixMilli is by the clock of the holder that recorded the end.
+	// EndedUnixMilli is the time of the end by the clock of the holder that recorded it.
 	EndedUnixMilli int64 `cbor:"8,keyasint,omitempty"`
-	// Why is the result code and the reason for which it ended, for operators; empty where
-	// the state says all.
+	// EndReason is the result code and the reason of the end, for operators; empty where the state
+	// is sufficient.
 	Why string `cbor:"9,keyasint,omitempty"`
-	// Account is the client account whose job it is, also once it has ended; empty where its
-	// queue needs no key, and for jobs of versions that knew no accounts.
+	// Account is the client account that owns the job, also once the job has ended; empty for
+	// queues that need no key and for jobs of versions without client accounts.
 	Account string `cbor:"10,keyasint,omitempty"`
-	// Largest is the most that a task of it takes in each dimension, once the job is final: one
-	// may still run.
+	// Largest is the maximum size of the job's tasks in each dimension. It is set once the job
+	// is final, as a task may still be running then.
 	Largest spec.Resources `cbor:"11,keyasint,omitzero"`
-	// Left is what its tasks may have had running, on hosts that were told to stop them, when its
-	// end was recorded; LeftFillers those of them that fill.
+	// RunningAtEnd is the total size of the tasks that may still have been running when the
+	// end was recorded, on hosts that had been ordered to stop them. BackfillAtEnd is the part
+	// of it that belongs to backfill tasks.
 	Left        spec.Resources `cbor:"12,keyasint,omitzero"`
 	LeftFillers spec.Resources `cbor:"13,keyasint,omitzero"`
 }
 
-// Open reports whether the job may be read and cancelled for a client account; empty for
+// Open reports whether a client account may read and cancel the job. Account is empty for
 // callers without one.
 func (j *Job) Open(account string) bool { return j.Account == "" || j.Account == account }
 
-// Progress is what is known of a live job's steps.
+// Progress is the recorded progress of the steps of a job that has not ended.
 type Progress struct {
 	Steps []StepProgress `cbor:"1,keyasint"`
 }
 
-// StepProgress is what is known of the tasks of one step of one occurrence.
+// StepProgress is the recorded progress of the tasks of one step in one occurrence of a job.
 type StepProgress struct {
 	Occurrence int    `cbor:"1,keyasint,omitempty"`
 	Step       int    `cbor:"2,keyasint,omitempty"`
 	Done       Bitmap `cbor:"3,keyasint,omitempty"`
-	// Failed lists the numbers of the runs that failed, by task; a gang has them
-	// under task 0. A host may show a failure again to a next holder, which must
-	// not count it twice.
+	// Failed lists the numbers of the failed runs by task; the failed runs of a gang are under
+	// task 0. A host may report a failure again to the next holder, which must not count it
+	// twice.
 	Failed map[int][]int `cbor:"4,keyasint,omitempty"`
-	// Crashed lists the hosts that crashed under a task, by task, also of a gang.
+	// Crashed has the host crashes attributed to each task, also for the tasks of a gang.
 	Crashed map[int]crashloop.History `cbor:"5,keyasint,omitempty"`
-	// Trying lists the present runs of those tasks, by task.
+	// CurrentRuns has the current runs of the tasks in Crashed.
 	Trying map[int]RunOn `cbor:"6,keyasint,omitempty"`
 }
 
-// RunOn is a run and the life of the host that it was ordered on.
+// RunOn is a run and the host on which it was ordered.
 type RunOn struct {
 	Run  int    `cbor:"1,keyasint"`
 	Host string `cbor:"2,keyasint"`
-	// Seen is true once the run is known to be there.
+	// Observed is true once the run is known to exist on the host.
 	Seen bool `cbor:"3,keyasint,omitempty"`
 }
 
-// JobPrefix returns the prefix of the records of a partition's jobs.
+// JobPrefix returns the key prefix of the records of a partition's jobs.
 func JobPrefix(partition int) string { return "jobs/" + strconv.Itoa(partition) + "/" }
 
-// JobKey returns the key of a job's record.
+// JobKey returns the key of the record of job id.
 func JobKey(partition int, id string) string { return JobPrefix(partition) + id }
 
-// ProgressPrefix returns the prefix of the progress of a partition's jobs.
+// ProgressPrefix returns the key prefix of the progress records of a partition's jobs.
 func ProgressPrefix(partition int) string { return "progress/" + strconv.Itoa(partition) + "/" }
 
-// ProgressKey returns the key of a job's progress.
+// ProgressKey returns the key of a job's progress record.
 func ProgressKey(partition int, id string) string { return ProgressPrefix(partition) + id }
 
-// WavePrefix returns the prefix of the progress of waves of upkeep.
+// WavePrefix returns the key prefix of the progress records of maintenance rollouts.
 func WavePrefix(partition int) string { return "waves/" + strconv.Itoa(partition) + "/" }
 
-// WaveKey returns the key of a wave's progress.
-func WaveKey(partition int, wave int64) string {
-	return WavePrefix(partition) + strconv.FormatInt(wave, 10)
+// WaveKey returns the key of the progress record of a rollout.
+func WaveKey(partition int, rollout int64) string {
+	return WavePrefix(partition) + strconv.FormatInt(rollout, 10)
 }
 
-// IDOf returns the job's id, the last part of either key.
+// JobIDOf returns the job id from a key of a job record or of a progress record.
 func IDOf(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// Encode gives the stored form of a record.
+// Encode returns the CBOR encoding in which records are stored.
 func Encode(v any) ([]byte, error) { return cbor.Marshal(v) }
 
-// DecodeJob reads a job's record.
+// DecodeJob decodes a job record. It ignores fields that this version does not know.
 func DecodeJob(value []byte) (*Job, error) {
 	j := &Job{}
 	if err := cbor.Unmarshal(value, j); err != nil {
@@ -131,7 +134,7 @@
 	return j, nil
 }
 
-// DecodeProgress reads a job's progress.
+// DecodeProgress decodes a progress record. It ignores fields that this version does not know.
 func DecodeProgress(value []byte) (*Progress, error) {
 	p := &Progress{}
 	if err := cbor.Unmarshal(value, p); err != nil {
@@ -149,10 +152,10 @@
 // Has reports whether i is in the set.
 func (b Bitmap) Has(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
 
-// Set adds i.
+// Set adds i, which has to be below the capacity given to NewBitmap.
 func (b Bitmap) Set(i int) { b[i/8] |= 1 << (i % 8) }
 
-// Fail notes which runs of a task have failed.
+// SetFailed records the numbers of the failed runs of a task.
 func (s *StepProgress) Fail(task int, runs []int) {
 	if len(runs) == 0 {
 		return
@@ -163,7 +166,7 @@
 	s.Failed[task] = runs
 }
 
-// Crash notes which hosts crashed under a task, and its present run; nil for none.
+// SetCrashes records the host crashes attributed to a task and its current run; nil for none.
 func (s *StepProgress) Crash(task int, h crashloop.History, present *RunOn) {
 	if len(h) == 0 {
 		return
@@ -177,45 +180,46 @@
 	}
 }
 
-// Roster names the hosts to which the holder of a partition may have given
-// orders. A next holder has to hear of each of them, or wait out its lease.
+// Roster lists the hosts to which the holder of a partition may have given orders. For each of
+// them, the next holder has to obtain a report or to wait until its lease has expired.
 type Roster struct {
 	Hosts []RosterHost `cbor:"1,keyasint"`
-	// Shrunk is the smallest share of its room that a host has lately shrunk to; zero where
-	// none has shrunk.
+	// CapacityRatio is the smallest fraction of its previous capacity to which a host was
+	// recently reduced; zero if none was.
 	Shrunk float64 `cbor:"2,keyasint,omitempty"`
-	// Lost are hosts that have lately gone by themselves.
+	// UnattributedFailures are the hosts that recently failed without the failure being
+	// attributed to a task.
 	Lost []string `cbor:"4,keyasint,omitempty"`
 }
 
-// RosterHost is one host of a roster.
+// RosterHost is a host in a roster.
 type RosterHost struct {
 	ID   string `cbor:"1,keyasint"`
 	Addr string `cbor:"2,keyasint"`
-	// Closed hosts were silent when the roster was written: nothing but Tasks may
-	// run there, and nothing new is started before they are open again.
+	// Closed is true if the host was unresponsive when the roster was written. Only Tasks may
+	// be running on it, and nothing is started on it until it is stored as open again.
 	Closed bool         `cbor:"3,keyasint,omitempty"`
 	Tasks  []RosterTask `cbor:"4,keyasint,omitempty"`
-	// Life is the life of the host that the holder has spoken to; zero when not known.
+	// Life is the incarnation of the host that last answered the holder; zero if unknown.
 	Life int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// RosterTask names a run of a task that may be on a closed host.
+// RosterTask identifies a run of a task that may be on a closed host.
 type RosterTask struct {
 	Job        string `cbor:"1,keyasint"`
 	Occurrence int    `cbor:"2,keyasint,omitempty"`
 	Step       int    `cbor:"3,keyasint,omitempty"`
 	Index      int    `cbor:"4,keyasint,omitempty"`
-	// Run is the number of the run that may be there.
+	// Run is the number of the run.
 	Run int `cbor:"5,keyasint,omitempty"`
-	// Unsure is true when its start was not answered and nobody has seen it there.
+	// Unconfirmed is true if the start was not acknowledged and the host has never reported the run.
 	Unsure bool `cbor:"6,keyasint,omitempty"`
 }
 
-// RosterKey returns the key of a partition's roster.
+// RosterKey returns the key of the single roster record of a partition.
 func RosterKey(partition int) string { return "roster/" + strconv.Itoa(partition) }
 
-// DecodeRoster reads a roster.
+// DecodeRoster decodes a roster. It ignores fields that this version does not know.
 func DecodeRoster(value []byte) (Roster, error) {
 	var r Roster
 	if err := cbor.Unmarshal(value, &r); err != nil {
--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -1,9 +1,9 @@
-// Package uptime tells time that also passes while the machine is suspended.
+// Package uptime provides a monotonic clock that includes the time for which the machine is
+// suspended.
 //
-// The steady clock, which Go's times carry, stands still meanwhile: a lease, a right or a
-// promise that is measured by it seems younger, after the machine has woken, than it is for
-// everybody else. Whatever is given up by the passing of time, and that others rely on being
-// given up, is measured here.
+// The monotonic clock in Go's times stops during a suspension. Measured by it, a lease, an
+// authority or a promise seems younger after the resumption than it is for other processes.
+// Everything that expires, and whose expiry other processes rely on, is measured by this package.
 package uptime
 
 import (
@@ -14,37 +14,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// How often the kernel is asked. The time of day jumps when the machine wakes, and costs
-// nothing to look at, so that a suspension is seen before the next decision; asking now and
-// then besides covers a time of day that is set back at the same moment.
+// The kernel is queried when the wall clock has moved by more than jumpThreshold against the
+// monotonic clock, and at least every checkInterval of use. The wall clock jumps at a resumption
+// and is cheap to read, so that a suspension is detected before the next decision. The periodic
+// query covers a wall clock that is set back at the same moment.
 const (
 	checkInterval = 100 * time.Millisecond
 	jumpThreshold = 10 * time.Millisecond
 )
 
-// Clock knows for how long the machine was suspended since the clock was made. It is safe
+// Clock measures for how long the machine was suspended since the clock was created. It is safe
 // for concurrent use.
 type Clock struct {
 	source func() time.Duration
 	base   time.Time
 
 	suspended  atomic.Int64 // nanoseconds
-	wallOffset atomic.Int64 // of the time of day to the steady clock, when last asked
-	checkedAt  atomic.Int64 // by the steady clock, since base
+	wallOffset atomic.Int64 // of the wall clock to the monotonic clock, at the last query
+	checkedAt  atomic.Int64 // time of the last query by the monotonic clock, since base
 
 	mu      sync.Mutex
 	initial time.Duration
 }
 
-// NewClock returns a clock that asks source for how long the machine has been suspended
-// since some moment.
+// NewClock returns a clock that queries source, which returns the total duration of suspensions
+// since a fixed point in time.
 func NewClock(source func() time.Duration) *Clock {
 	c := &Clock{source: source, base: time.Now()}
 	c.initial = source()
 	return c
 }
 
-// Suspended is for how long the machine was suspended since the clock was made.
+// Suspended returns the total duration of suspensions since the clock was created.
 func (c *Clock) Suspended() time.Duration {
 	now := time.Now()
 	steady := now.Sub(c.base)
@@ -65,8 +66,8 @@
 	c.checkedAt.Store(int64(steady))
 }
 
-// kernelSuspended is by how much the clock that counts suspensions is ahead of the steady one; zero
-// where the system has no such clock.
+// kernelSuspended returns the total duration of suspensions since boot: the difference between
+// the boot-time clock and the monotonic clock, or zero if the system lacks either clock.
 func kernelSuspended() time.Duration {
 	var boot, steady unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
@@ -75,29 +76,28 @@
 	return time.Duration(boot.Nano() - steady.Nano())
 }
 
-// processSuspended tells for how long this process's machine was suspended; see Use.
+// processSuspended points to the function behind Suspended; see Use.
 var processSuspended atomic.Pointer[func() time.Duration]
 
 func init() { Use(NewClock(kernelSuspended).Suspended) }
 
-// Use has this process take another function's word for how long its machine was suspended,
-// and returns a function that takes that back. It is meant for tests and simulations, which
-// can not suspend the machine.
+// Use replaces the function behind Suspended and returns a function that restores the previous
+// one. It is intended for tests and simulations, which cannot suspend the machine.
 func Use(suspended func() time.Duration) (restore func()) {
 	previous := processSuspended.Swap(&suspended)
 	return func() { processSuspended.Store(previous) }
 }
 
-// Suspended is for how long the machine was suspended since this process began.
+// Suspended returns the total duration of suspensions since this process started.
 func Suspended() time.Duration { return (*processSuspended.Load())() }
 
-// Now is the present moment by a steady clock that also counts suspensions. Its times are
-// only to be compared with each other: the time of day in them is too late by the
-// suspensions, which it has counted itself.
+// Now returns the current time by a monotonic clock that includes suspensions. The results may
+// only be compared with each other: their wall-clock time is ahead by the duration of the
+// suspensions, which the wall clock already includes.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// Since is how much time has passed since t, which Now returned.
+// Since returns the time elapsed since t, which has to be a result of Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is how much time is left until t, which Now returned or which was reckoned from it.
+// Until returns the time left until t, which has to be derived from a result of Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
--- a/internal/view/broadcast.go
+++ b/internal/view/broadcast.go
@@ -2,14 +2,13 @@
 
 import "sync"
 
-// Broadcast tells any number of waiters that something has changed. The zero
-// value is ready to use.
+// Broadcast notifies any number of waiters of a change. The zero value is ready to use.
 type Broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-// Next returns a channel that is closed at the next Tell.
+// Next returns a channel that is closed at the next Notify.
 func (b *Broadcast) Next() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -19,7 +18,7 @@
 	return b.next
 }
 
-// Tell wakes all who wait.
+// Notify closes the channel that Next has returned since the previous call.
 func (b *Broadcast) Tell() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -12,28 +12,28 @@
 	"pulleyquay/internal/result"
 )
 
-// Times of the table's long poll.
+// Times of the long poll for the table.
 const (
-	maxPollWait       = time.Second            // a placer answers at the latest after this
-	pollTimeout       = 3 * time.Second        // then the next placer is asked
-	initialRetryDelay = 50 * time.Millisecond  // first wait after a failure
-	maxRetryDelay     = 500 * time.Millisecond // longest wait after failures
+	maxPollWait       = time.Second            // time after which a placer replies without a newer table
+	pollTimeout       = 3 * time.Second        // time-out of a poll at the polling process
+	initialRetryDelay = 50 * time.Millisecond  // delay after the first failure
+	maxRetryDelay     = 500 * time.Millisecond // maximum delay after repeated failures
 )
 
-// Request asks a placer for a table newer than a revision, or with a change that
-// the asking process lacks.
+// Request asks a placer for a table that is newer than a revision or has a change of a
+// partition that the polling process lacks.
 type Request struct {
 	After int64 `cbor:"1,keyasint"`
-	Sum   int64 `cbor:"2,keyasint,omitempty"` // of the revisions of its partitions
+	Sum   int64 `cbor:"2,keyasint,omitempty"` // sum of the revisions of the partitions
 }
 
-// Reply carries a newer table, or nil when there was none in time.
+// Reply has a newer table, or nil if there was none within maxPollWait.
 type Reply struct {
 	Table *Table `cbor:"1,keyasint,omitempty"`
 }
 
-// Serve answers KindView on mux from the placer's own table. The channel of
-// changed is closed at the next change after the call.
+// Serve registers the handler of KindView, which replies with the placer's table. The channel
+// that changed returns has to be closed at the next change after the call.
 func Serve(mux *peer.Mux, table func() *Table, changed func() <-chan struct{}) {
 	peer.Handle(mux, peer.KindView, func(ctx context.Context, request Request) (Reply, error) {
 		return waitNewer(ctx, table, changed, request), nil
@@ -44,7 +44,7 @@
 	deadline := time.NewTimer(maxPollWait)
 	defer deadline.Stop()
 	for {
-		change := changed() // before the look, so that no change is missed
+		change := changed() // obtained before table is read, so that no change is missed
 		if t := table(); t != nil && (t.Revision > req.After || t.sum() > req.Sum) {
 			return Reply{Table: t}
 		}
@@ -58,9 +58,9 @@
 	}
 }
 
-// Follower keeps a process that holds no partitions up to date. It asks its own
-// host's placer and, beside it, the others in turn, so that one placer that is
-// cut from the store does not keep it behind. Its table never goes down.
+// Follower maintains the table of a process that holds no partitions. It polls the placer of
+// its own host and, concurrently, the other placers in turn, so that its table stays current
+// when one placer is disconnected from the store. The table's revision never decreases.
 type Follower struct {
 	peers peer.Caller
 	seeds []string
@@ -68,13 +68,13 @@
 	table atomic.Pointer[Table]
 }
 
-// NewFollower returns a follower of the placers at seeds; the first is the one
-// of the same host.
+// NewFollower returns a follower of the placers at the addresses in seeds. The first one has to
+// be the placer of the same host.
 func NewFollower(peers peer.Caller, seeds []string, log *logrus.Entry) *Follower {
 	return &Follower{peers: peers, seeds: seeds, log: log}
 }
 
-// Table returns the newest table, or an empty one before the first answer.
+// Table returns the latest table, or an empty one before the first reply.
 func (f *Follower) Table() *Table {
 	if t := f.table.Load(); t != nil {
 		return t
@@ -82,7 +82,7 @@
 	return &Table{}
 }
 
-// Lacks lists what the follower has not learnt yet.
+// NotReadyReasons returns the reasons why the follower is not ready; nil once it is.
 func (f *Follower) Lacks() []string {
 	switch t := f.table.Load(); {
 	case t == nil:
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// Run follows until ctx ends.
+// Run polls until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	go f.pollLoop(ctx, func(int) string { return f.seeds[0] })
 	f.pollLoop(ctx, func(turn int) string {
@@ -102,8 +102,8 @@
 	})
 }
 
-// others lists every known placer but the first seed; that one alone when
-// there are no others.
+// others returns the addresses of all known placers except the first seed, or only the first
+// seed if no other is known.
 func (f *Follower) others() []string {
 	seen := map[string]bool{f.seeds[0]: true}
 	var out []string
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// apply takes in what a table tells that the present one lacks.
+// apply merges a received table into the current one.
 func (f *Follower) apply(t *Table) {
 	for t != nil {
 		current, next := f.table.Load(), t
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -13,17 +13,17 @@
 	"pulleyquay/internal/peer"
 )
 
-// placer is a fake placer whose table a test moves.
+// placer is a fake placer whose table is set by a test.
 type placer struct {
 	table   atomic.Pointer[Table]
-	updates Broadcast
+	changes Broadcast
 	mux     *peer.Mux
 }
 
 func newPlacer(revision int64) *placer {
 	p := &placer{mux: peer.NewMux()}
 	p.set(revision)
-	Serve(p.mux, func() *Table { return p.table.Load() }, p.updates.Next)
+	Serve(p.mux, func() *Table { return p.table.Load() }, p.changes.Next)
 	return p
 }
 
@@ -32,11 +32,11 @@
 		Revision: revision, Members: []Member{{Name: "a", Addr: "a"}, {Name: "b", Addr: "b"}},
 		Partitions: []Partition{{ID: 0}},
 	})
-	p.updates.Tell()
+	p.changes.Tell()
 }
 
-// TestFollowerOfNewPlacer: a placer that was started just now answers with a
-// table that lacks the partitions; the follower is not ready by it.
+// TestFollowerOfNewPlacer checks that a follower is not ready with a table without partitions,
+// as a placer sends just after its start.
 func TestFollowerOfNewPlacer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -71,12 +71,12 @@
 		is.Equal(f.Table().Revision, int64(5))
 		is.Equal(len(f.Lacks()), 0)
 
-		time.Sleep(3 * time.Second) // b was asked too
+		time.Sleep(3 * time.Second) // b was polled as well
 		is.Equal(f.Table().Revision, int64(5))
 
-		b.set(9) // the own host's placer stays behind
+		b.set(9) // the placer of the own host still has revision 5
 		synctest.Wait()
-		is.Equal(f.Table().Revision, int64(9)) // told at once, not at the next poll
+		is.Equal(f.Table().Revision, int64(9)) // the open poll was answered at once
 		a.set(7)
 		time.Sleep(2 * maxPollWait)
 		is.Equal(f.Table().Revision, int64(9))
@@ -95,7 +95,7 @@
 		defer cancel()
 		go f.Run(ctx)
 		time.Sleep(10 * time.Millisecond)
-		a.mux.Stop() // answers nothing from now on
+		a.mux.Stop() // stops answering
 		b.set(2)
 		time.Sleep(2*pollTimeout + maxPollWait)
 		is.Equal(f.Table().Revision, int64(2))
@@ -104,10 +104,10 @@
 	})
 }
 
-// TestFollowerLearnsWhatATableLacked: a placer had seen a member's change and not
-// yet an older one of a partition; its table stood at the later revision, the
-// partition's change did not raise it, and the follower asked the former holder of
-// that partition for ever (e2e TestPlacerFails, planned stop, once beside load).
+// TestFollowerLearnsWhatATableLacked guards against a partition with an outdated holder. A
+// placer's table can include a change of a member and lack an older change of a partition.
+// When the older change arrives it does not raise the table's revision. A follower that
+// compared revisions only would send requests to the previous holder permanently.
 func TestFollowerLearnsWhatATableLacked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -123,12 +123,12 @@
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(f.Table().Partitions[0].Holder, "old")
 		a.table.Store(table(9, Partition{ID: 0, Holder: "new", ModRevision: 8}, Partition{ID: 1, Holder: "x", ModRevision: 5}))
-		a.updates.Tell()
+		a.changes.Tell()
 		synctest.Wait()
 		is.Equal(f.Table().Partitions[0].Holder, "new")
-		// A later revision that still lacks it takes nothing back.
+		// A table with a later revision that lacks the change does not revert it.
 		a.table.Store(table(11, Partition{ID: 0, Holder: "old", ModRevision: 4}, Partition{ID: 1, Holder: "y", ModRevision: 10}))
-		a.updates.Tell()
+		a.changes.Tell()
 		synctest.Wait()
 		is.Equal(f.Table().Partitions[0].Holder, "new")
 		is.Equal(f.Table().Partitions[1].Holder, "y")
