--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -27,7 +27,7 @@
 	StateQueued    State = "queued" // no task has started
 	StateRunning   State = "running"
 	StateCompleted State = "completed" // every task is done
-	StateFailed    State = "failed"    // a task reached its limit of attempts, or the job was failed for another reason
+	StateFailed    State = "failed"    // out of attempts, or failed for another reason
 	StateCancelled State = "cancelled"
 )
 
@@ -51,7 +51,7 @@
 	Ended State `cbor:"7,keyasint,omitempty"`
 	// EndedUnixMilli is the time of the end by the clock of the holder that recorded it.
 	EndedUnixMilli int64 `cbor:"8,keyasint,omitempty"`
-	// EndReason is the result code and the reason of the end, for operators; empty where the state
+	// Why is the result code and the reason of the end, for operators; empty where the state
 	// is sufficient.
 	Why string `cbor:"9,keyasint,omitempty"`
 	// Account is the client account that owns the job, also once the job has ended; empty for
