--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -9,16 +9,16 @@
 )
 
 // waiting is a request in a queue.
-type waiting = queue.Item[chan<- grant]
+type queuedRequest = queue.Item[chan<- grant]
 
 // acquire waits for leave to send w. It fails at once when the deadline can
 // not be met; every failure means that nothing was sent. A request that comes
 // back because another holder had no slot after all keeps its place.
-func (d *Dispatcher) acquire(ctx context.Context, p *pool, w Work, back *waiting) (grant, *waiting, *result.Error) {
-	g, it, ready, err := d.takeOrQueue(p, w, back)
+func (d *Dispatcher) acquire(ctx context.Context, p *pool, w Work, requeued *queuedRequest) (grant, *queuedRequest, *result.Error) {
+	g, it, ready, err := d.acquireOrEnqueue(p, w, requeued)
 	if err != nil && err.Code == result.NoExecutor {
 		d.offload() // others may have told of theirs since the last look
-		g, it, ready, err = d.takeOrQueue(p, w, back)
+		g, it, ready, err = d.acquireOrEnqueue(p, w, requeued)
 	}
 	if err != nil {
 		d.metrics.refused.WithLabelValues(p.service).Inc()
@@ -33,95 +33,95 @@
 	case g = <-ready:
 		return g, it, g.err
 	case <-ctx.Done():
-		d.abandon(p, it, ready)
-		return grant{}, nil, callerGone()
+		d.cancelWait(p, it, ready)
+		return grant{}, nil, callerGoneError()
 	case <-timer.C:
-		d.abandon(p, it, ready)
-		return grant{}, nil, deadlineQueued(p)
+		d.cancelWait(p, it, ready)
+		return grant{}, nil, deadlineQueuedError(p)
 	}
 }
 
 // takeOrQueue returns a grant when a slot is free and nobody waits, otherwise
 // the queued item and the channel on which its grant will come.
-func (d *Dispatcher) takeOrQueue(p *pool, w Work, back *waiting) (grant, *waiting, <-chan grant, *result.Error) {
+func (d *Dispatcher) acquireOrEnqueue(p *pool, w Work, requeued *queuedRequest) (grant, *queuedRequest, <-chan grant, *result.Error) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if p.queue.Len() == 0 {
-		if g, ok := d.takeNow(p, now); ok {
-			return g, back, nil, nil
+		if g, ok := d.tryAcquire(p, now); ok {
+			return g, requeued, nil, nil
 		}
 	}
 	ready := make(chan grant, 1)
-	if back != nil {
-		back.Value = ready
-		p.queue.Restore(back)
-		d.wake()
-		return grant{}, back, ready, nil
+	if requeued != nil {
+		requeued.Value = ready
+		p.queue.Restore(requeued)
+		d.notifyQueued()
+		return grant{}, requeued, ready, nil
 	}
-	it := &waiting{Caller: w.Caller, Arrived: now, Deadline: w.Deadline, Value: ready}
+	it := &queuedRequest{Caller: w.Caller, Arrived: now, Deadline: w.Deadline, Value: ready}
 	if err := d.enqueue(p, w, it, now); err != nil {
 		return grant{}, nil, nil, err
 	}
 	d.metrics.queued.WithLabelValues(p.service).Inc()
-	d.wake()
+	d.notifyQueued()
 	return grant{}, it, ready, nil
 }
 
 // enqueue admits a new request to the queue, or refuses it.
-func (d *Dispatcher) enqueue(p *pool, w Work, it *waiting, now time.Time) *result.Error {
+func (d *Dispatcher) enqueue(p *pool, w Work, it *queuedRequest, now time.Time) *result.Error {
 	if err := d.admit(p, w, now); err != nil {
 		return err
 	}
 	if p.queue.Len() == 0 {
-		p.lastGap = now
+		p.lastForwardAt = now
 	}
-	verdict, displaced := p.queue.Push(it)
+	pushed, displaced := p.queue.Push(it)
 	if displaced != nil {
-		displaced.Value <- grant{err: d.overShare(p)}
+		displaced.Value <- grant{err: d.overShareError(p)}
 	}
-	switch verdict {
+	switch pushed {
 	case queue.Full:
 		return result.New(result.QueueFull, result.RanNo,
 			"%d requests wait for %s", p.queue.Len(), p.service).Later(d.drainTime(p, now))
 	case queue.OverShare:
-		return d.overShare(p)
+		return d.overShareError(p)
 	}
 	return nil
 }
 
 // wake tells Run that requests wait.
-func (d *Dispatcher) wake() {
+func (d *Dispatcher) notifyQueued() {
 	select {
-	case d.queued <- struct{}{}:
+	case d.requestQueued <- struct{}{}:
 	default: // Run is awake already
 	}
 }
 
 // takeNow takes a free slot here or at another holder.
-func (d *Dispatcher) takeNow(p *pool, now time.Time) (grant, bool) {
+func (d *Dispatcher) tryAcquire(p *pool, now time.Time) (grant, bool) {
 	if e := d.pick(p, now); e != nil {
-		return e.take(), true
+		return e.acquireSlot(), true
 	}
 	if r := d.pickRemote(p); r != nil {
-		return r.take(p.service), true
+		return r.acquireSlot(p.service), true
 	}
 	return grant{}, false
 }
 
 // admit refuses what the queue can not serve before its deadline.
 func (d *Dispatcher) admit(p *pool, w Work, now time.Time) *result.Error {
-	slots, soonest := d.slotsInUse(p, now)
-	d.noteServed(p, slots, now)
-	if now.Sub(later(p.servedAt, d.started)) > servedMemory {
+	slots, retryAfter := d.usableSlots(p, now)
+	d.recordServed(p, slots, now)
+	if now.Sub(laterOf(p.servedAt, d.started)) > servedGracePeriod {
 		return result.New(result.NoExecutor, result.RanNo,
-			"no executor of %s can be used now", p.service).Later(soonest)
+			"no executor of %s can be used now", p.service).Later(retryAfter)
 	}
 	if !now.Before(w.Deadline) {
-		return deadlineQueued(p)
+		return deadlineQueuedError(p)
 	}
-	wait := p.expectedWait(p.queue.Ahead(w.Caller), slots, now) * waitMargin / 100
-	if now.Add(wait + p.meanTime).After(w.Deadline) {
+	wait := p.expectedWait(p.queue.Ahead(w.Caller), slots, now) * waitMarginPercent / 100
+	if now.Add(wait + p.meanServiceTime).After(w.Deadline) {
 		return result.New(result.DeadlineTooShort, result.RanNo,
 			"%d requests wait for %s", p.queue.Len(), p.service).Later(d.drainTime(p, now))
 	}
@@ -133,9 +133,9 @@
 // heartbeat of its new one shows its executors. A process that has just started
 // believes it of every service, until it has read the host list and heard of
 // the others.
-const servedMemory = 2 * time.Second
+const servedGracePeriod = 2 * time.Second
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -143,16 +143,16 @@
 }
 
 // noteServed notes that the service has executors in use, here or elsewhere.
-func (d *Dispatcher) noteServed(p *pool, slots int, now time.Time) {
-	if slots > 0 || d.servedElsewhere(p.service) {
+func (d *Dispatcher) recordServed(p *pool, slots int, now time.Time) {
+	if slots > 0 || d.hasRemoteExecutors(p.service) {
 		p.servedAt = now
 	}
 }
 
 // servedElsewhere tells whether another holder has executors of the service.
-func (d *Dispatcher) servedElsewhere(service string) bool {
+func (d *Dispatcher) hasRemoteExecutors(service string) bool {
 	for _, r := range d.remotes {
-		if _, ok := r.told.Free[service]; ok {
+		if _, ok := r.reported.Free[service]; ok {
 			return true
 		}
 	}
@@ -161,24 +161,24 @@
 
 // slotsInUse counts the slots of usable endpoints; soonest is when to come
 // back when there are none.
-func (d *Dispatcher) slotsInUse(p *pool, now time.Time) (slots int, soonest time.Duration) {
-	soonest = noExecutorRetry
+func (d *Dispatcher) usableSlots(p *pool, now time.Time) (slots int, retryAfter time.Duration) {
+	retryAfter = noExecutorRetryAfter
 	for _, e := range p.endpoints {
 		if limit := p.limit(e, now); limit > 0 {
 			slots += limit
-		} else if wait := e.usableAt.Sub(now); wait > 0 && wait < soonest {
-			soonest = wait
+		} else if wait := e.usableAt.Sub(now); wait > 0 && wait < retryAfter {
+			retryAfter = wait
 		}
 	}
-	return slots, soonest
+	return slots, retryAfter
 }
 
 // noExecutorRetry is when to come back to a service without executors.
-const noExecutorRetry = 5 * time.Second
+const noExecutorRetryAfter = 5 * time.Second
 
 // waitMargin is the part of the expected wait that has to fit, in per cent.
 // Without a margin one request in twenty is refused only after it has waited.
-const waitMargin = 150
+const waitMarginPercent = 150
 
 // minRetryAfter keeps refused callers from coming back in the same instant.
 const minRetryAfter = 100 * time.Millisecond
@@ -188,34 +188,34 @@
 // requests.
 func (p *pool) expectedWait(ahead, slots int, now time.Time) time.Duration {
 	if slots == 0 {
-		return max(p.meanGap, now.Sub(p.lastGap)) * time.Duration(ahead)
+		return max(p.meanForwardGap, now.Sub(p.lastForwardAt)) * time.Duration(ahead)
 	}
-	return p.meanTime * time.Duration(ahead+1) / time.Duration(slots)
+	return p.meanServiceTime * time.Duration(ahead+1) / time.Duration(slots)
 }
 
 // drainTime is when a refused caller should come back: when what waits now
 // has been served.
 func (d *Dispatcher) drainTime(p *pool, now time.Time) time.Duration {
-	slots, _ := d.slotsInUse(p, now)
+	slots, _ := d.usableSlots(p, now)
 	return max(p.expectedWait(p.queue.Len(), slots, now), minRetryAfter)
 }
 
-func (d *Dispatcher) overShare(p *pool) *result.Error {
+func (d *Dispatcher) overShareError(p *pool) *result.Error {
 	return result.New(result.CallerOverShare, result.RanNo,
 		"the queue for %s is full and this caller holds most of it", p.service).Later(d.drainTime(p, time.Now()))
 }
 
-func callerGone() *result.Error {
+func callerGoneError() *result.Error {
 	return result.New(result.CallerGone, result.RanNo, "the caller went away before dispatch")
 }
 
-func deadlineQueued(p *pool) *result.Error {
+func deadlineQueuedError(p *pool) *result.Error {
 	return result.New(result.DeadlineQueued, result.RanNo, "waited for an executor of %s", p.service)
 }
 
 // abandon takes an item out of the queue, or gives back the grant that came at
 // the same moment.
-func (d *Dispatcher) abandon(p *pool, it *waiting, ready <-chan grant) {
+func (d *Dispatcher) cancelWait(p *pool, it *queuedRequest, ready <-chan grant) {
 	d.mu.Lock()
 	removed := p.queue.Remove(it)
 	d.mu.Unlock()
@@ -223,15 +223,15 @@
 		return
 	}
 	g := <-ready
-	d.giveBack(p, g)
+	d.returnGrant(p, g)
 }
 
 // giveBack returns an unused grant.
-func (d *Dispatcher) giveBack(p *pool, g grant) {
+func (d *Dispatcher) returnGrant(p *pool, g grant) {
 	switch {
 	case g.endpoint != nil:
 		d.release(p, g.endpoint)
 	case g.remote != nil:
-		d.returnRemote(p, g.remote)
+		d.returnRemoteSlot(p, g.remote)
 	}
 }
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -22,10 +22,10 @@
 )
 
 // bench is one dispatcher that holds the only partition.
-type bench struct {
+type testBench struct {
 	*dispatch.Dispatcher
 	executors requesttest.Executors
-	right     requesttest.Right
+	authority requesttest.Right
 	values    settings.Values
 	stop      context.CancelFunc
 	remotes   []dispatch.Remote
@@ -36,8 +36,8 @@
 }
 
 // newBench lists executors in three zones and acquires their partition.
-func newBench(t testing.TB, executors int, takeover hold.Takeover) *bench {
-	b := &bench{values: settings.Defaults(), executors: requesttest.Executors{Time: 10 * time.Millisecond}}
+func newTestBench(t testing.TB, executors int, takeover hold.Takeover) *testBench {
+	b := &testBench{values: settings.Defaults(), executors: requesttest.Executors{Time: 10 * time.Millisecond}}
 	for i := range executors {
 		b.hosts = append(b.hosts, platform.Host{
 			Name: fmt.Sprintf("executor-%d", i), Role: platform.RoleExecutor, Addr: fmt.Sprintf("executor-%d", i),
@@ -47,10 +47,10 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	b.Dispatcher = dispatch.New(dispatch.Config{
-		Hosts:    b.list,
+		Hosts:    b.hostList,
 		Settings: func(string) (settings.Values, bool) { return b.values, true },
 		Remotes:  func() []dispatch.Remote { return b.remotes },
-		Peers:    b, Right: &b.right, Client: &b.executors, Zone: "zone-0", Partitions: 1,
+		Peers:    b, Right: &b.authority, Client: &b.executors, Zone: "zone-0", Partitions: 1,
 		Log: logrus.NewEntry(log), Metrics: prometheus.NewRegistry(),
 	})
 	takeover.TakenAt = time.Now()
@@ -63,28 +63,28 @@
 	return b
 }
 
-func (b *bench) list() []platform.Host {
+func (b *testBench) hostList() []platform.Host {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]platform.Host(nil), b.hosts...)
 }
 
 // setLeaving marks an executor in the host list.
-func (b *bench) setLeaving(i int) {
+func (b *testBench) setLeaving(i int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts[i].Leaving = true
 }
 
 // move has an executor listed at another address.
-func (b *bench) move(i int, addr string) {
+func (b *testBench) setAddr(i int, addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts[i].Addr = addr
 }
 
 // send makes one request and returns its failure, if any.
-func (b *bench) send(ctx context.Context, caller string, idempotent bool, timeout time.Duration) *result.Error {
+func (b *testBench) send(ctx context.Context, caller string, idempotent bool, timeout time.Duration) *result.Error {
 	_, err := b.Do(ctx, dispatch.Work{
 		Service: "ledger", Caller: caller, Idempotent: idempotent, Deadline: time.Now().Add(timeout),
 		Request: executor.Request{Method: "POST", Path: "/" + caller},
@@ -100,7 +100,7 @@
 }
 
 // wave sends n requests at once and returns the failures.
-func (b *bench) wave(n int, caller string, timeout time.Duration) []*result.Error {
+func (b *testBench) sendConcurrently(n int, caller string, timeout time.Duration) []*result.Error {
 	var mu sync.Mutex
 	var failures []*result.Error
 	var wg sync.WaitGroup
@@ -118,7 +118,7 @@
 }
 
 // ranAt counts the runs by executor since the given run.
-func (b *bench) ranAt(since int) map[string]int {
+func (b *testBench) ranAt(since int) map[string]int {
 	at := map[string]int{}
 	for _, r := range b.executors.Runs()[since:] {
 		at[r.Addr]++
@@ -127,11 +127,11 @@
 }
 
 // steady sends idempotent requests at an even rate and counts the failures.
-func (b *bench) steady(length, every time.Duration) int {
+func (b *testBench) sendAtInterval(duration, interval time.Duration) int {
 	var mu sync.Mutex
 	failed := 0
 	var wg sync.WaitGroup
-	for range int(length / every) {
+	for range int(duration / interval) {
 		wg.Go(func() {
 			if b.send(context.Background(), "crew", true, time.Second) != nil {
 				mu.Lock()
@@ -139,7 +139,7 @@
 				failed++
 			}
 		})
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 	wg.Wait()
 	return failed
@@ -156,11 +156,11 @@
 }
 
 // firstOnly plants a fault on the next request alone.
-func firstOnly(f requesttest.Fault) func(string, executor.Request) requesttest.Fault {
+func faultOnce(f requesttest.Fault) func(string, executor.Request) requesttest.Fault {
 	var once sync.Once
 	return func(string, executor.Request) requesttest.Fault {
-		now := requesttest.NoFault
-		once.Do(func() { now = f })
-		return now
+		injected := requesttest.NoFault
+		once.Do(func() { injected = f })
+		return injected
 	}
 }
--- a/internal/dispatch/cancel_bench_test.go
+++ b/internal/dispatch/cancel_bench_test.go
@@ -13,10 +13,10 @@
 // cancels them all; the figure is the time from the cancellation to the end of
 // the last, for each request.
 func BenchmarkCancelledWave(b *testing.B) {
-	const wave = 5000
-	h := newBench(b, 1, hold.Takeover{Fresh: true})
+	const requests = 5000
+	h := newTestBench(b, 1, hold.Takeover{Fresh: true})
 	defer h.stop()
-	h.values.Request.QueueLimit = 2 * wave
+	h.values.Request.QueueLimit = 2 * requests
 	h.values.Request.MaxDeadlineMS = 600000
 	h.executors.Time = 10 * time.Minute
 	for range 8 {
@@ -29,10 +29,10 @@
 	for b.Loop() {
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		for range wave {
+		for range requests {
 			wg.Go(func() { h.send(ctx, "crew", false, 10*time.Minute) })
 		}
-		for h.Queued("ledger") < wave {
+		for h.Queued("ledger") < requests {
 			time.Sleep(time.Millisecond)
 		}
 		start := time.Now()
@@ -40,5 +40,5 @@
 		wg.Wait()
 		cancelling += time.Since(start)
 	}
-	b.ReportMetric(float64(cancelling.Nanoseconds())/float64(b.N)/wave, "ns/cancelled")
+	b.ReportMetric(float64(cancelling.Nanoseconds())/float64(b.N)/requests, "ns/cancelled")
 }
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -26,7 +26,7 @@
 	}
 	var best *endpoint
 	for _, e := range p.endpoints {
-		if p.free(e, now) > 0 && (best == nil || d.before(e, best)) {
+		if p.free(e, now) > 0 && (best == nil || d.prefers(e, best)) {
 			best = e
 		}
 	}
@@ -34,10 +34,10 @@
 }
 
 // before orders endpoints with free slots.
-func (d *Dispatcher) before(a, b *endpoint) bool {
-	ownA, ownB := a.host.Zone == d.cfg.Zone, b.host.Zone == d.cfg.Zone
-	if ownA != ownB && d.cfg.Chooser == ZoneLeastLoaded {
-		return ownA
+func (d *Dispatcher) prefers(a, b *endpoint) bool {
+	sameZoneA, sameZoneB := a.host.Zone == d.cfg.Zone, b.host.Zone == d.cfg.Zone
+	if sameZoneA != sameZoneB && d.cfg.Chooser == ZoneLeastLoaded {
+		return sameZoneA
 	}
 	return a.lessLoaded(b)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -23,26 +23,26 @@
 func TestLeavingExecutorGetsNothingNew(t *testing.T) {
 	cases := []struct {
 		name  string
-		leave func(*bench)
+		leave func(*testBench)
 		wait  time.Duration
 	}{
-		{"host list", func(b *bench) { b.setLeaving(0) }, 3 * time.Second},
-		{"own signal", func(b *bench) {
+		{"host list", func(b *testBench) { b.setLeaving(0) }, 3 * time.Second},
+		{"own signal", func(b *testBench) {
 			b.executors.FaultOf = faultAt("executor-0", requesttest.Leave)
-			b.wave(20, "crew", time.Second)
+			b.sendConcurrently(20, "crew", time.Second)
 		}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t, 3, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 				defer b.stop()
-				is.Equal(len(b.wave(20, "crew", time.Second)), 0)
+				is.Equal(len(b.sendConcurrently(20, "crew", time.Second)), 0)
 				tc.leave(b)
 				time.Sleep(tc.wait)
 				before := len(b.executors.Runs())
-				is.Equal(len(b.wave(100, "crew", time.Second)), 0)
+				is.Equal(len(b.sendConcurrently(100, "crew", time.Second)), 0)
 				is.Equal(b.ranAt(before)["executor-0"], 0)
 			})
 		})
@@ -52,12 +52,12 @@
 func TestInFlightWorkOfLeavingExecutorIsFinished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 1, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.Time = 5 * time.Second
 		b.values.Request.MaxDeadlineMS = 10000
 		var wg sync.WaitGroup
-		wg.Go(func() { is.Equal(len(b.wave(8, "crew", 10*time.Second)), 0) })
+		wg.Go(func() { is.Equal(len(b.sendConcurrently(8, "crew", 10*time.Second)), 0) })
 		time.Sleep(time.Second)
 		b.setLeaving(0)
 		wg.Wait()
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestTakeoverWaitsOutLongestDispatch(t *testing.T) {
+func TestFailoverWaitsForLongestDispatch(t *testing.T) {
 	cases := []struct {
 		name     string
 		takeover hold.Takeover
@@ -83,7 +83,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t, 2, tc.takeover)
+				b := newTestBench(t, 2, tc.takeover)
 				defer b.stop()
 				if tc.usable > 0 {
 					time.Sleep(tc.usable - time.Second)
@@ -97,39 +97,39 @@
 	}
 }
 
-func TestHandOverTellsBusySlots(t *testing.T) {
+func TestHandoverIncludesBusySlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 		var wg sync.WaitGroup
 		defer wg.Wait()
-		wg.Go(func() { b.wave(1, "crew", 2*time.Second) })
+		wg.Go(func() { b.sendConcurrently(1, "crew", 2*time.Second) })
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		state, err := b.Release(ctx, 0)
 		is.NoErr(err)
-		next := newBench(t, 2, hold.Takeover{SignedOff: true, State: state})
+		next := newTestBench(t, 2, hold.Takeover{SignedOff: true, State: state})
 		defer next.stop()
-		is.Equal(len(next.wave(16, "crew", time.Second)), 0)
+		is.Equal(len(next.sendConcurrently(16, "crew", time.Second)), 0)
 		is.Equal(next.ranAt(0), map[string]int{"executor-1": 16})
 	})
 }
 
-func TestHandOverTellsWhoIsLeaving(t *testing.T) {
+func TestHandoverIncludesLeavingExecutors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Leave)
-		is.Equal(len(b.wave(1, "crew", time.Second)), 0)
+		is.Equal(len(b.sendConcurrently(1, "crew", time.Second)), 0)
 		state, err := b.Release(t.Context(), 0)
 		is.NoErr(err)
-		next := newBench(t, 2, hold.Takeover{SignedOff: true, State: state})
+		next := newTestBench(t, 2, hold.Takeover{SignedOff: true, State: state})
 		defer next.stop()
-		is.Equal(len(next.wave(8, "crew", time.Second)), 0)
+		is.Equal(len(next.sendConcurrently(8, "crew", time.Second)), 0)
 		is.Equal(next.ranAt(0), map[string]int{"executor-1": 8})
 	})
 }
@@ -153,11 +153,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t, 3, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 				defer b.stop()
-				b.wave(40, "crew", time.Second) // earns a budget
+				b.sendConcurrently(40, "crew", time.Second) // earns a budget
 				before := len(b.executors.Runs())
-				b.executors.FaultOf = firstOnly(tc.fault)
+				b.executors.FaultOf = faultOnce(tc.fault)
 				got := b.send(t.Context(), "crew", tc.idempotent, time.Second)
 				if tc.code == 0 {
 					is.Equal(got, nil)
@@ -174,7 +174,7 @@
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 3, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.FaultOf = func(string, executor.Request) requesttest.Fault { return requesttest.CutAfter }
 		const requests = 1000
@@ -190,15 +190,15 @@
 func TestOneCallersStormDoesNotStarveOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 1, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 		defer b.stop()
-		storm := make(chan []*result.Error)
-		go func() { storm <- b.wave(2000, "crew", 2*time.Second) }()
+		refusals := make(chan []*result.Error)
+		go func() { refusals <- b.sendConcurrently(2000, "crew", 2*time.Second) }()
 		synctest.Wait()
 		start := time.Now()
-		is.Equal(len(b.wave(16, "school", time.Second)), 0)
+		is.Equal(len(b.sendConcurrently(16, "school", time.Second)), 0)
 		is.True(time.Since(start) < 100*time.Millisecond) // not behind 256 others
-		refused := <-storm
+		refused := <-refusals
 		is.True(len(refused) > 0)
 		for _, r := range refused {
 			is.Equal(r.Ran, result.RanNo)
@@ -211,7 +211,7 @@
 func TestCancelledWaveLeavesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 1, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.values.Request.QueueLimit = 10000
 		ctx, cancel := context.WithCancel(t.Context())
@@ -228,16 +228,16 @@
 }
 
 // Call implements peer.Caller: the other holder's executor answers at once.
-func (b *bench) Call(_ context.Context, addr string, _ peer.Kind, _, resp any) error {
+func (b *testBench) Call(_ context.Context, addr string, _ peer.Kind, _, resp any) error {
 	*resp.(*requestmsg.DispatchReply) = requestmsg.DispatchReply{Answer: executor.Answer{Status: http.StatusOK}, Free: 1}
 	b.forwarded = append(b.forwarded, addr)
 	return nil
 }
 
-func TestOthersAreAskedForNewsBeforeARefusal(t *testing.T) {
+func TestRemotesAreRefreshedBeforeRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 0, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 0, hold.Takeover{Fresh: true})
 		defer b.stop()
 		synctest.Wait()
 		b.remotes = []dispatch.Remote{{Name: "other", Addr: "other:1", Free: map[string]int{"ledger": 1}}}
@@ -249,7 +249,7 @@
 func TestProcessThatHasJustStartedDoesNotRefuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 0, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 0, hold.Takeover{Fresh: true})
 		defer b.stop()
 		go func() {
 			time.Sleep(time.Second)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -71,7 +71,7 @@
 	remotes map[string]*remote
 
 	// queued wakes Run when a request begins to wait.
-	queued chan struct{}
+	requestQueued chan struct{}
 }
 
 // Work is one request to send. Its Deadline is on this process's clock.
@@ -91,28 +91,28 @@
 // New returns a Dispatcher that holds no executors yet.
 func New(cfg Config) *Dispatcher {
 	return &Dispatcher{
-		cfg:     cfg,
-		metrics: newMetrics(cfg.Metrics),
-		pools:   map[string]*pool{},
-		parts:   map[int]*heldPartition{},
-		started: time.Now(),
-		queued:  make(chan struct{}, 1),
+		cfg:           cfg,
+		metrics:       newMetrics(cfg.Metrics),
+		pools:         map[string]*pool{},
+		parts:         map[int]*heldPartition{},
+		started:       time.Now(),
+		requestQueued: make(chan struct{}, 1),
 	}
 }
 
 // refreshEvery is how often the host list is applied. With the list's own lag
 // it has to stay under the 3 s within which a leaving host gets nothing new.
-const refreshEvery = 250 * time.Millisecond
+const refreshInterval = 250 * time.Millisecond
 
 // offloadEvery is how often queued requests are offered to other holders.
-const offloadEvery = 20 * time.Millisecond
+const offloadInterval = 20 * time.Millisecond
 
 // Run applies the host list, and offers queued requests to other holders while
 // there are any, until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	refresh := time.NewTicker(refreshEvery)
+	refresh := time.NewTicker(refreshInterval)
 	defer refresh.Stop()
-	offload := time.NewTimer(offloadEvery)
+	offload := time.NewTimer(offloadInterval)
 	defer offload.Stop()
 	armed := true // offload's timer runs; each new request must not put it off
 	for {
@@ -122,14 +122,14 @@
 		case <-refresh.C:
 			d.Refresh()
 			d.offload()
-		case <-d.queued:
+		case <-d.requestQueued:
 			if !armed {
-				offload.Reset(offloadEvery)
+				offload.Reset(offloadInterval)
 				armed = true
 			}
 		case <-offload.C:
 			if armed = d.offload(); armed {
-				offload.Reset(offloadEvery)
+				offload.Reset(offloadInterval)
 			}
 		}
 	}
@@ -143,28 +143,28 @@
 	defer d.mu.Unlock()
 	d.applyHosts(hosts, now)
 	for _, p := range d.pools {
-		d.pump(p, now)
+		d.dispatchQueued(p, now)
 	}
 }
 
 // offload learns of other holders' free slots and hands them queued requests. It
 // reports whether requests still wait.
 func (d *Dispatcher) offload() bool {
-	told := d.cfg.Remotes()
+	reported := d.cfg.Remotes()
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.hear(told, now)
-	waiting := false
+	d.applyRemotes(reported, now)
+	stillQueued := false
 	for _, p := range d.pools {
-		slots, _ := d.slotsInUse(p, now)
-		d.noteServed(p, slots, now)
+		slots, _ := d.usableSlots(p, now)
+		d.recordServed(p, slots, now)
 		if p.queue.Len() > 0 {
-			d.pumpRemote(p, now)
+			d.forwardQueued(p, now)
 		}
-		waiting = waiting || p.queue.Len() > 0
+		stillQueued = stillQueued || p.queue.Len() > 0
 	}
-	return waiting
+	return stillQueued
 }
 
 // pool returns the pool of a service, made on first use.
@@ -186,7 +186,7 @@
 	defer d.mu.Unlock()
 	free := make(map[string]int, len(d.pools))
 	for name, p := range d.pools {
-		if slots, _ := d.slotsInUse(p, now); slots > 0 {
+		if slots, _ := d.usableSlots(p, now); slots > 0 {
 			free[name] = p.freeSlots(now)
 		}
 	}
@@ -194,7 +194,7 @@
 }
 
 // freeNow is the number of free slots of one service.
-func (d *Dispatcher) freeNow(p *pool) int {
+func (d *Dispatcher) countFreeSlots(p *pool) int {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/dump.go
+++ b/internal/dispatch/dump.go
@@ -48,9 +48,9 @@
 		out.Services[name] = p.dump(now)
 	}
 	for _, r := range d.remotes {
-		known := r.told
-		known.Free = maps.Clone(r.free)
-		out.Remotes = append(out.Remotes, known)
+		snapshot := r.reported
+		snapshot.Free = maps.Clone(r.free)
+		out.Remotes = append(out.Remotes, snapshot)
 	}
 	sort.Slice(out.Remotes, func(i, j int) bool { return out.Remotes[i].Name < out.Remotes[j].Name })
 	return out
@@ -58,14 +58,14 @@
 
 func (p *pool) dump(now time.Time) PoolDump {
 	out := PoolDump{
-		Queued: p.queue.Len(), Callers: p.queue.Callers(), MeanTimeMS: millis(p.meanTime),
+		Queued: p.queue.Len(), Callers: p.queue.Callers(), MeanTimeMS: millis(p.meanServiceTime),
 	}
 	for _, e := range p.endpoints {
 		out.Executors = append(out.Executors, EndpointDump{
 			Name: e.host.Name, Addr: e.host.Addr, Zone: e.host.Zone, Partition: e.partition,
 			Busy: e.busy, Limit: p.limit(e, now), Slots: e.slots,
-			Listed: e.listed, Leaving: e.host.Leaving || e.signedLeaving,
-			Health: e.health.machine.Current(), Failing: e.health.failing, MeanMS: millis(e.health.mean),
+			Listed: e.listed, Leaving: e.host.Leaving || e.leavingSignalled,
+			Health: e.health.machine.Current(), Failing: e.health.failureRate, MeanMS: millis(e.health.mean),
 			UsableInMS: max(e.usableAt.Sub(now).Milliseconds(), 0),
 		})
 	}
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -29,16 +29,16 @@
 	// ejected; one bad request does not look like a bad executor.
 	failuresToEject = 5
 	// failingShare ejects an endpoint that fails this share of its requests.
-	failingShare = 0.5
+	maxFailureRate = 0.5
 	// outlierShare is the most that the others may fail for an endpoint to be
 	// ejected for its status codes.
-	outlierShare = 0.25
+	outlierMaxOthersRate = 0.25
 	// successesToRecover ends probing.
 	successesToRecover = 3
 	// firstEjection is the first pause of an ejected endpoint; it doubles up
 	// to longestEjection while probes fail.
-	firstEjection   = 500 * time.Millisecond
-	longestEjection = 15 * time.Second
+	minEjection = 500 * time.Millisecond
+	maxEjection = 15 * time.Second
 	// slowFactor: an endpoint this much slower than the mean of all is given
 	// fewer slots.
 	slowFactor = 2
@@ -59,13 +59,13 @@
 type health struct {
 	machine *fsm.FSM
 	// failing is the moving mean of failures, from 0 to 1.
-	failing float64
+	failureRate float64
 	// mean is the moving mean of an answered request's time.
-	mean      time.Duration
-	inARow    int // silent failures since the last answer
-	successes int // since probing began
-	ejections int // since last healthy for good
-	until     time.Time
+	mean                time.Duration
+	consecutiveNoAnswer int // silent failures since the last answer
+	successes           int // since probing began
+	ejections           int // since last healthy for good
+	ejectedUntil        time.Time
 }
 
 func newHealth() *health {
@@ -80,8 +80,8 @@
 // succeeded learns from a whole answer. It reports whether the endpoint has
 // recovered by it.
 func (h *health) succeeded(took time.Duration) bool {
-	h.inARow = 0
-	h.failing -= h.failing / outcomeWeight
+	h.consecutiveNoAnswer = 0
+	h.failureRate -= h.failureRate / outcomeWeight
 	if h.mean == 0 {
 		h.mean = took
 	}
@@ -93,7 +93,7 @@
 	if h.successes < successesToRecover || !h.fire(eventRecover) {
 		return false
 	}
-	h.ejections, h.failing = 0, 0
+	h.ejections, h.failureRate = 0, 0
 	return true
 }
 
@@ -102,7 +102,7 @@
 
 const (
 	// faultSilent: no whole answer, or none in time.
-	faultSilent fault = iota
+	faultNoAnswer fault = iota
 	// faultStatus: a whole answer with a 5xx status. It counts against the
 	// endpoint only where others do better: it may be the request's fault, or
 	// the service's.
@@ -112,19 +112,19 @@
 // failed learns from a failure; others is the mean share of failures at the
 // service's other endpoints. It reports whether the endpoint is ejected now.
 func (h *health) failed(now time.Time, f fault, others float64) bool {
-	h.failing += (1 - h.failing) / outcomeWeight
-	bad := h.failing > failingShare || h.machine.Current() == stateProbing
-	if f == faultSilent {
-		h.inARow++
-		bad = bad || h.inARow >= failuresToEject
-	} else if others > outlierShare {
-		bad = false
+	h.failureRate += (1 - h.failureRate) / outcomeWeight
+	eject := h.failureRate > maxFailureRate || h.machine.Current() == stateProbing
+	if f == faultNoAnswer {
+		h.consecutiveNoAnswer++
+		eject = eject || h.consecutiveNoAnswer >= failuresToEject
+	} else if others > outlierMaxOthersRate {
+		eject = false
 	}
-	if !bad || !h.fire(eventEject) {
+	if !eject || !h.fire(eventEject) {
 		return false
 	}
-	pause := min(firstEjection<<min(h.ejections, 10), longestEjection)
-	h.until = now.Add(pause + rand.N(pause/4))
+	pause := min(minEjection<<min(h.ejections, 10), maxEjection)
+	h.ejectedUntil = now.Add(pause + rand.N(pause/4))
 	h.ejections++
 	return true
 }
@@ -132,10 +132,10 @@
 // limit is how many of its slots the endpoint may use now. others is the mean
 // time at all endpoints of the service; alone means that none is healthy, and
 // that ejected ones are probed without a pause.
-func (h *health) limit(slots int, others time.Duration, alone bool, now time.Time) int {
+func (h *health) limit(slots int, others time.Duration, noneHealthy bool, now time.Time) int {
 	switch h.machine.Current() {
 	case stateEjected:
-		if (now.Before(h.until) && !alone) || !h.fire(eventProbe) {
+		if (now.Before(h.ejectedUntil) && !noneHealthy) || !h.fire(eventProbe) {
 			return 0
 		}
 		h.successes = 0
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -14,34 +14,34 @@
 	"pulleyquay/internal/requesttest"
 )
 
-func TestFailingExecutorIsSetAsideAndProbed(t *testing.T) {
+func TestFailingExecutorIsEjectedAndProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 3, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Fail)
-		b.steady(10*time.Second, 5*time.Millisecond)
+		b.sendAtInterval(10*time.Second, 5*time.Millisecond)
 		before := len(b.executors.Runs())
-		b.steady(10*time.Second, 5*time.Millisecond)
+		b.sendAtInterval(10*time.Second, 5*time.Millisecond)
 		is.True(b.ranAt(before)["executor-0"] < 20) // probes alone, of 2000 requests
 		b.executors.FaultOf = nil
-		b.steady(20*time.Second, 5*time.Millisecond)
+		b.sendAtInterval(20*time.Second, 5*time.Millisecond)
 		before = len(b.executors.Runs())
-		b.steady(time.Second, 5*time.Millisecond)
+		b.sendAtInterval(time.Second, 5*time.Millisecond)
 		is.True(b.ranAt(before)["executor-0"] > 100) // own zone, back in full use
 	})
 }
 
-func TestHastyCallersDoNotEjectSoundExecutors(t *testing.T) {
+func TestShortDeadlinesDoNotEjectHealthyExecutors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
 		defer b.stop()
 		for range 50 {
 			b.send(t.Context(), "hasty", false, time.Millisecond)
 		}
 		before := len(b.executors.Runs())
-		is.Equal(len(b.wave(16, "crew", time.Second)), 0)
+		is.Equal(len(b.sendConcurrently(16, "crew", time.Second)), 0)
 		is.Equal(b.ranAt(before), map[string]int{"executor-0": 8, "executor-1": 8})
 	})
 }
@@ -49,12 +49,12 @@
 func TestHangingExecutorIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 		var wg sync.WaitGroup
 		defer wg.Wait()
-		wg.Go(func() { b.wave(8, "crew", time.Second) })
+		wg.Go(func() { b.sendConcurrently(8, "crew", time.Second) })
 		time.Sleep(3 * time.Second) // past the usual deadline
 		is.True(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health != "healthy")
 	})
@@ -63,7 +63,7 @@
 // A request without an answer was charged to its executor twice: when its usual deadline
 // had passed and when it was given up. Three such requests in a row ejected an executor for
 // which five are asked; one that had been sent before a pause could end the probing after it.
-func TestSilenceIsChargedOnce(t *testing.T) {
+func TestMissingAnswerIsChargedOnce(t *testing.T) {
 	cases := map[string]struct {
 		requests int
 		healthy  bool
@@ -75,10 +75,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t, 1, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 				defer b.stop()
 				b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
-				is.Equal(len(b.wave(tc.requests, "crew", time.Second)), tc.requests) // until each is given up
+				is.Equal(len(b.sendConcurrently(tc.requests, "crew", time.Second)), tc.requests) // until each is given up
 				is.Equal(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health == "healthy", tc.healthy)
 			})
 		})
@@ -88,7 +88,7 @@
 // An executor that started again at another address stayed ejected for what the process
 // before it had left unanswered, and requests that still waited for that one were charged to
 // it up to 30 s after its start.
-func TestAnotherProcessUnderTheNameStartsSound(t *testing.T) {
+func TestReplacedExecutorStartsHealthy(t *testing.T) {
 	cases := map[string]struct {
 		timeout time.Duration // of requests to the process before
 		before  time.Duration // from them to the start of the next one
@@ -100,14 +100,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t, 1, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 				defer b.stop()
 				b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 				var wg sync.WaitGroup
 				defer wg.Wait()
-				wg.Go(func() { b.wave(8, "crew", tc.timeout) })
+				wg.Go(func() { b.sendConcurrently(8, "crew", tc.timeout) })
 				time.Sleep(tc.before)
-				b.move(0, "executor-0-again")
+				b.setAddr(0, "executor-0-again")
 				for range 40 { // until all that were sent before are given up
 					time.Sleep(time.Second)
 					is.Equal(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health, "healthy")
@@ -117,10 +117,10 @@
 	}
 }
 
-func TestSlowExecutorIsGivenLess(t *testing.T) {
+func TestSlowExecutorGetsFewerRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 3, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.TimeOf = func(addr string) time.Duration {
 			if addr == "executor-0" {
@@ -128,9 +128,9 @@
 			}
 			return 10 * time.Millisecond
 		}
-		b.steady(10*time.Second, time.Millisecond)
+		b.sendAtInterval(10*time.Second, time.Millisecond)
 		before := len(b.executors.Runs())
-		b.steady(10*time.Second, time.Millisecond)
+		b.sendAtInterval(10*time.Second, time.Millisecond)
 		is.True(b.ranAt(before)["executor-0"] <= 21) // one slot of eight
 	})
 }
@@ -138,30 +138,30 @@
 func TestFailingZoneDoesNotEjectEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 6, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 6, hold.Takeover{Fresh: true})
 		defer b.stop()
-		var cut sync.Map
+		var unreachable sync.Map
 		b.executors.FaultOf = func(addr string, _ executor.Request) requesttest.Fault {
-			if _, ok := cut.Load(addr); ok {
+			if _, ok := unreachable.Load(addr); ok {
 				return requesttest.Refuse
 			}
 			return requesttest.NoFault
 		}
-		for _, h := range b.list() {
+		for _, h := range b.hostList() {
 			if h.Zone != "zone-2" {
-				cut.Store(h.Addr, true)
+				unreachable.Store(h.Addr, true)
 			}
 		}
-		b.steady(5*time.Second, 5*time.Millisecond)
+		b.sendAtInterval(5*time.Second, 5*time.Millisecond)
 		before := len(b.executors.Runs())
-		failed := b.steady(10*time.Second, 5*time.Millisecond)
+		failed := b.sendAtInterval(10*time.Second, 5*time.Millisecond)
 		is.Equal(len(b.executors.Runs())-before+failed, 2000)
 		is.True(failed < 100)
-		for _, h := range b.list() {
-			cut.Store(h.Addr, true)
+		for _, h := range b.hostList() {
+			unreachable.Store(h.Addr, true)
 		}
-		b.steady(10*time.Second, 5*time.Millisecond)
-		cut.Clear()
-		is.Equal(b.steady(time.Second, 100*time.Millisecond), 0) // half are still in use
+		b.sendAtInterval(10*time.Second, 5*time.Millisecond)
+		unreachable.Clear()
+		is.Equal(b.sendAtInterval(time.Second, 100*time.Millisecond), 0) // half are still in use
 	})
 }
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -33,12 +33,12 @@
 var compare = flag.Bool("compare", false, "compare all queue disciplines and choosers")
 
 const (
-	loadSeed    = 5
-	loadLength  = 4 * time.Second
-	meanService = 10 * time.Millisecond
-	holderShare = 7 // executors of one holder: 48 over 7 entry hosts
-	slotsEach   = 8
-	zoneTrip    = time.Millisecond
+	loadSeed         = 5
+	loadLength       = 4 * time.Second
+	meanService      = 10 * time.Millisecond
+	executorCount    = 7 // executors of one holder: 48 over 7 entry hosts
+	slotsPerExecutor = 8
+	zoneRoundTrip    = time.Millisecond
 	// promptRefusal is what still counts as an answer at once.
 	promptRefusal = 10 * time.Millisecond
 )
@@ -55,7 +55,7 @@
 // and service times, callers of unlike weight, three classes of deadline.
 func arrivals(load float64) []arrival {
 	rng := rand.New(rand.NewPCG(loadSeed, math.Float64bits(load)))
-	gap := float64(meanService) / (holderShare * slotsEach * load)
+	gap := float64(meanService) / (executorCount * slotsPerExecutor * load)
 	timeouts := []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 200 * time.Millisecond, time.Second}
 	var out []arrival
 	for at := time.Duration(0); at < loadLength; at += time.Duration(rng.ExpFloat64() * gap) {
@@ -70,32 +70,32 @@
 
 // unlikeExecutors takes the service time that the request names, times the
 // executor's age, and a round trip to another zone.
-type unlikeExecutors struct{ age, trip map[string]float64 }
+type heterogeneousExecutors struct{ slowdown, roundTrips map[string]float64 }
 
 const serviceHeader = "Service-Ns"
 
 // Do implements executor.Client.
-func (u unlikeExecutors) Do(_ context.Context, addr string, req executor.Request, _ int64) (executor.Answer, error) {
+func (u heterogeneousExecutors) Do(_ context.Context, addr string, req executor.Request, _ int64) (executor.Answer, error) {
 	ns, _ := strconv.ParseFloat(req.Header.Get(serviceHeader), 64)
-	time.Sleep(time.Duration(ns*u.age[addr] + u.trip[addr]*float64(zoneTrip)))
+	time.Sleep(time.Duration(ns*u.slowdown[addr] + u.roundTrips[addr]*float64(zoneRoundTrip)))
 	return executor.Answer{Status: http.StatusOK}, nil
 }
 
 // figures are what one run came to.
-type figures struct {
+type loadResult struct {
 	offered, good    int
 	waitP50, waitP99 time.Duration
 	wasted           float64 // share of the executors' time
 	// lateRefused waited more than promptRefusal for their refusal.
-	lateRefused int
+	refusedLate int
 }
 
-func (f figures) goodput() float64 { return float64(f.good) / loadLength.Seconds() }
+func (f loadResult) goodput() float64 { return float64(f.good) / loadLength.Seconds() }
 
 // overload runs a load through one dispatcher.
-func overload(t *testing.T, load float64, order queue.Discipline, choose dispatch.Chooser) (f figures) {
+func runOverload(t *testing.T, load float64, order queue.Discipline, choose dispatch.Chooser) (f loadResult) {
 	synctest.Test(t, func(t *testing.T) {
-		d, stop := unlikeDispatcher(t, order, choose)
+		d, stop := newHeterogeneousDispatcher(t, order, choose)
 		defer stop()
 		f = replay(d, arrivals(load))
 	})
@@ -103,13 +103,13 @@
 }
 
 // unlikeDispatcher holds seven executors of unlike age in three zones.
-func unlikeDispatcher(t *testing.T, order queue.Discipline, choose dispatch.Chooser) (*dispatch.Dispatcher, func()) {
-	client := unlikeExecutors{age: map[string]float64{}, trip: map[string]float64{}}
+func newHeterogeneousDispatcher(t *testing.T, order queue.Discipline, choose dispatch.Chooser) (*dispatch.Dispatcher, func()) {
+	client := heterogeneousExecutors{slowdown: map[string]float64{}, roundTrips: map[string]float64{}}
 	var hosts []platform.Host
-	for i := range holderShare {
+	for i := range executorCount {
 		name := fmt.Sprintf("executor-%d", i)
-		client.age[name] = 0.7 + 0.1*float64(i) // 0.7 to 1.3, mean 1
-		client.trip[name] = float64(min(i%3, 1))
+		client.slowdown[name] = 0.7 + 0.1*float64(i) // 0.7 to 1.3, mean 1
+		client.roundTrips[name] = float64(min(i%3, 1))
 		hosts = append(hosts, platform.Host{
 			Name: name, Role: platform.RoleExecutor, Addr: name, Zone: fmt.Sprintf("zone-%d", i%3), Service: "ledger",
 		})
@@ -133,35 +133,35 @@
 }
 
 // replay sends the arrivals at their times and waits for all to end.
-func replay(d *dispatch.Dispatcher, load []arrival) figures {
+func replay(d *dispatch.Dispatcher, load []arrival) loadResult {
 	var mu sync.Mutex
 	var waits []time.Duration
-	f := figures{offered: len(load)}
+	f := loadResult{offered: len(load)}
 	var used, wasted time.Duration
 	var wg sync.WaitGroup
 	start := time.Now()
 	for _, a := range load {
 		time.Sleep(time.Until(start.Add(a.at)))
 		wg.Go(func() {
-			came, deadline := time.Now(), time.Now().Add(a.timeout)
-			var began time.Time
+			arrived, deadline := time.Now(), time.Now().Add(a.timeout)
+			var dispatched time.Time
 			_, err := d.Do(context.Background(), dispatch.Work{
 				Service: "ledger", Caller: a.caller, Deadline: deadline,
 				Request: executor.Request{Header: http.Header{serviceHeader: {strconv.Itoa(int(a.service))}}},
-				Begin:   func() bool { began = time.Now(); return true },
+				Begin:   func() bool { dispatched = time.Now(); return true },
 			})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				if time.Since(came) > promptRefusal {
-					f.lateRefused++
+				if time.Since(arrived) > promptRefusal {
+					f.refusedLate++
 				}
 				return
 			}
-			waits = append(waits, began.Sub(came))
-			used += time.Since(began)
+			waits = append(waits, dispatched.Sub(arrived))
+			used += time.Since(dispatched)
 			if time.Now().After(deadline) {
-				wasted += time.Since(began)
+				wasted += time.Since(dispatched)
 				return
 			}
 			f.good++
@@ -178,14 +178,14 @@
 
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	is := is.New(t)
-	at := map[float64]figures{}
+	at := map[float64]loadResult{}
 	for _, load := range loads {
-		at[load] = overload(t, load, 0, 0)
-		logFigures(t, "kept", load, at[load])
+		at[load] = runOverload(t, load, 0, 0)
+		logResult(t, "kept", load, at[load])
 	}
 	is.True(at[3.0].goodput() >= 0.95*at[1.0].goodput())
 	is.True(at[3.0].wasted < 0.05)
-	is.True(at[3.0].lateRefused < at[3.0].offered/50) // what is refused is refused at once
+	is.True(at[3.0].refusedLate < at[3.0].offered/50) // what is refused is refused at once
 	if *compare {
 		logComparison(t)
 	}
@@ -199,14 +199,14 @@
 	for order, o := range orders {
 		for choose, c := range choosers {
 			for _, load := range loads {
-				logFigures(t, order+", "+choose, load, overload(t, load, o, c))
+				logResult(t, order+", "+choose, load, runOverload(t, load, o, c))
 			}
 		}
 	}
 }
 
-func logFigures(t *testing.T, name string, load float64, f figures) {
+func logResult(t *testing.T, name string, load float64, f loadResult) {
 	t.Logf("%-36s load %.1f offered %6d goodput %6.0f/s wait median %9s 99%% %9s wasted %.2f%% refused late %.2f%%",
 		name, load, f.offered, f.goodput(), f.waitP50.Round(10*time.Microsecond), f.waitP99.Round(10*time.Microsecond), 100*f.wasted,
-		100*float64(f.lateRefused)/float64(f.offered))
+		100*float64(f.refusedLate)/float64(f.offered))
 }
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -25,11 +25,11 @@
 	endpoints map[string]*endpoint
 	queue     *queue.Queue[chan<- grant]
 	// meanTime is the moving mean of a request's time at an executor.
-	meanTime time.Duration
+	meanServiceTime time.Duration
 	// meanGap is the moving mean of the time between two answers of other
 	// holders while requests waited here; lastGap is when the last one came.
-	meanGap time.Duration
-	lastGap time.Time
+	meanForwardGap time.Duration
+	lastForwardAt  time.Time
 	// servedAt is when the service was last seen to have executors in use.
 	servedAt time.Time
 	healthy  int // listed endpoints in the healthy state
@@ -49,22 +49,22 @@
 	listed   bool
 	health   *health
 	// signedLeaving is the executor's own word that it wants nothing new.
-	signedLeaving bool
+	leavingSignalled bool
 	// blocked is set when the right to the partition was found lapsed.
-	blocked bool
+	authorityLost bool
 }
 
 // usable tells whether new requests may go to the endpoint.
 func (e *endpoint) usable(now time.Time) bool {
-	return e.listed && !e.host.Leaving && !e.signedLeaving && !e.blocked && !now.Before(e.usableAt)
+	return e.listed && !e.host.Leaving && !e.leavingSignalled && !e.authorityLost && !now.Before(e.usableAt)
 }
 
 // movedFrom reports whether another process has the endpoint's name than the one that was
 // listed as a host: what becomes of requests to that one says nothing of it.
-func (e *endpoint) movedFrom(host *platform.Host) bool { return e.host.Addr != host.Addr }
+func (e *endpoint) addrChanged(host *platform.Host) bool { return e.host.Addr != host.Addr }
 
 // take makes one slot busy.
-func (e *endpoint) take() grant {
+func (e *endpoint) acquireSlot() grant {
 	e.busy++
 	return grant{endpoint: e, host: e.host}
 }
@@ -74,7 +74,7 @@
 	if !e.usable(now) {
 		return 0
 	}
-	return e.health.limit(e.slots, p.meanTime, p.healthy == 0, now)
+	return e.health.limit(e.slots, p.meanServiceTime, p.healthy == 0, now)
 }
 
 // free is the number of slots that a new request may take.
@@ -92,26 +92,26 @@
 }
 
 // learnTime notes the time of an answered request.
-func (p *pool) learnTime(took time.Duration) {
-	if p.meanTime == 0 {
-		p.meanTime = took
+func (p *pool) recordServiceTime(took time.Duration) {
+	if p.meanServiceTime == 0 {
+		p.meanServiceTime = took
 	}
-	p.meanTime += (took - p.meanTime) / outcomeWeight
+	p.meanServiceTime += (took - p.meanServiceTime) / outcomeWeight
 }
 
 // learnGap notes that another holder has answered a request.
-func (p *pool) learnGap(now time.Time) {
-	gap := now.Sub(p.lastGap)
-	if p.meanGap == 0 {
-		p.meanGap = gap
+func (p *pool) recordForwardGap(now time.Time) {
+	gap := now.Sub(p.lastForwardAt)
+	if p.meanForwardGap == 0 {
+		p.meanForwardGap = gap
 	}
-	p.meanGap += (gap - p.meanGap) / outcomeWeight
-	p.lastGap = now
+	p.meanForwardGap += (gap - p.meanForwardGap) / outcomeWeight
+	p.lastForwardAt = now
 }
 
 // countHealthy notes whether any listed endpoint is healthy. It is called
 // after each change of a state, so that limits need not look at all.
-func (p *pool) countHealthy() {
+func (p *pool) updateHealthyCount() {
 	p.healthy = 0
 	for _, e := range p.endpoints {
 		if e.listed && e.health.machine.Current() == stateHealthy {
@@ -121,11 +121,11 @@
 }
 
 // othersFailing is the mean share of failures at all endpoints but one.
-func (p *pool) othersFailing(but *endpoint) float64 {
+func (p *pool) meanFailureRateExcept(except *endpoint) float64 {
 	sum, n := 0.0, 0
 	for _, e := range p.endpoints {
-		if e != but && e.listed {
-			sum += e.health.failing
+		if e != except && e.listed {
+			sum += e.health.failureRate
 			n++
 		}
 	}
@@ -141,7 +141,7 @@
 	for _, p := range d.pools {
 		for _, e := range p.endpoints {
 			e.listed = false
-			e.blocked = false
+			e.authorityLost = false
 		}
 	}
 	for _, h := range hosts {
@@ -155,7 +155,7 @@
 				delete(p.endpoints, name)
 			}
 		}
-		p.countHealthy()
+		p.updateHealthyCount()
 	}
 }
 
@@ -179,10 +179,10 @@
 	if e.held != part {
 		e.held = part
 		e.usableAt = part.usableAt(h.Name, values)
-		e.signedLeaving = e.signedLeaving || part.leaving[h.Name] == h.Addr
+		e.leavingSignalled = e.leavingSignalled || part.leaving[h.Name] == h.Addr
 	}
 	if e.host != nil && e.host.Addr != h.Addr {
-		e.signedLeaving, e.health = false, newHealth() // another process under the same name
+		e.leavingSignalled, e.health = false, newHealth() // another process under the same name
 	}
 	e.host = &h
 	e.listed = true
@@ -200,46 +200,46 @@
 		if _, err := d.cfg.Right.Check(best.partition); err == nil {
 			return best
 		}
-		best.blocked = true
+		best.authorityLost = true
 	}
 }
 
 // pump gives free slots to waiting requests. The caller holds the lock.
-func (d *Dispatcher) pump(p *pool, now time.Time) {
+func (d *Dispatcher) dispatchQueued(p *pool, now time.Time) {
 	for p.queue.Len() > 0 {
 		e := d.pick(p, now)
 		if e == nil {
 			return
 		}
-		it := d.popItem(p, now)
+		it := d.popQueued(p, now)
 		if it == nil {
 			return
 		}
-		it.Value <- e.take()
+		it.Value <- e.acquireSlot()
 	}
 }
 
 // pumpRemote gives other holders' free slots to waiting requests.
-func (d *Dispatcher) pumpRemote(p *pool, now time.Time) {
+func (d *Dispatcher) forwardQueued(p *pool, now time.Time) {
 	for p.queue.Len() > 0 {
 		r := d.pickRemote(p)
 		if r == nil {
 			return
 		}
-		it := d.popItem(p, now)
+		it := d.popQueued(p, now)
 		if it == nil {
 			return
 		}
-		it.Value <- r.take(p.service)
+		it.Value <- r.acquireSlot(p.service)
 	}
 }
 
 // popItem takes the next request that can still make its deadline, if it takes
 // no longer than others, and answers those that can not.
-func (d *Dispatcher) popItem(p *pool, now time.Time) *waiting {
-	it, late := p.queue.Pop(now.Add(p.meanTime))
-	for _, l := range late {
-		l.Value <- grant{err: deadlineQueued(p)}
+func (d *Dispatcher) popQueued(p *pool, now time.Time) *queuedRequest {
+	it, expired := p.queue.Pop(now.Add(p.meanServiceTime))
+	for _, l := range expired {
+		l.Value <- grant{err: deadlineQueuedError(p)}
 	}
 	return it
 }
@@ -249,5 +249,5 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e.busy--
-	d.pump(p, time.Now())
+	d.dispatchQueued(p, time.Now())
 }
--- a/internal/dispatch/queue/discipline.go
+++ b/internal/dispatch/queue/discipline.go
@@ -17,15 +17,15 @@
 )
 
 // share is one caller's waiting items: a heap in the discipline's order.
-type share[T any] struct {
-	caller string
-	order  Discipline
-	newest bool // AdaptiveLIFO in overload
-	place  int  // index in the queue's ring
-	items  []*Item[T]
+type callerQueue[T any] struct {
+	caller      string
+	order       Discipline
+	newestFirst bool // AdaptiveLIFO in overload
+	ringIndex   int  // index in the queue's ring
+	items       []*Item[T]
 }
 
-func (s *share[T]) len() int {
+func (s *callerQueue[T]) len() int {
 	if s == nil {
 		return 0
 	}
@@ -33,16 +33,16 @@
 }
 
 // first returns the item to serve next.
-func (s *share[T]) first(overload bool) *Item[T] {
-	if s.order == AdaptiveLIFO && s.newest != overload {
-		s.newest = overload
+func (s *callerQueue[T]) first(overload bool) *Item[T] {
+	if s.order == AdaptiveLIFO && s.newestFirst != overload {
+		s.newestFirst = overload
 		heap.Init(s)
 	}
 	return s.items[0]
 }
 
 // last returns the item that would be served last.
-func (s *share[T]) last() *Item[T] {
+func (s *callerQueue[T]) last() *Item[T] {
 	worst := 0
 	for i := range s.items {
 		if s.Less(worst, i) {
@@ -53,15 +53,15 @@
 }
 
 // Len implements heap.Interface.
-func (s *share[T]) Len() int { return len(s.items) }
+func (s *callerQueue[T]) Len() int { return len(s.items) }
 
 // Less implements heap.Interface.
-func (s *share[T]) Less(i, j int) bool {
+func (s *callerQueue[T]) Less(i, j int) bool {
 	a, b := s.items[i], s.items[j]
 	switch {
 	case s.order == EDF && !a.Deadline.Equal(b.Deadline):
 		return a.Deadline.Before(b.Deadline)
-	case s.newest:
+	case s.newestFirst:
 		return a.seq > b.seq
 	default:
 		return a.seq < b.seq
@@ -69,20 +69,20 @@
 }
 
 // Swap implements heap.Interface.
-func (s *share[T]) Swap(i, j int) {
+func (s *callerQueue[T]) Swap(i, j int) {
 	s.items[i], s.items[j] = s.items[j], s.items[i]
 	s.items[i].index, s.items[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (s *share[T]) Push(x any) {
+func (s *callerQueue[T]) Push(x any) {
 	it := x.(*Item[T])
 	it.index = len(s.items)
 	s.items = append(s.items, it)
 }
 
 // Pop implements heap.Interface.
-func (s *share[T]) Pop() any {
+func (s *callerQueue[T]) Pop() any {
 	end := len(s.items) - 1
 	it := s.items[end]
 	s.items[end] = nil
--- a/internal/dispatch/queue/queue.go
+++ b/internal/dispatch/queue/queue.go
@@ -17,7 +17,7 @@
 
 	seq   uint64
 	index int // place in the caller's heap, or notQueued
-	owner *share[T]
+	owner *callerQueue[T]
 }
 
 const notQueued = -1
@@ -26,11 +26,11 @@
 func (it *Item[T]) Queued() bool { return it.owner != nil }
 
 // Verdict is what a push came to.
-type Verdict int
+type PushResult int
 
 // The verdicts of Push.
 const (
-	Accepted Verdict = iota
+	Accepted PushResult = iota
 	// Full: the queue is full and the caller's share is no smaller than others'.
 	Full
 	// OverShare: the queue is full and this caller has the largest share.
@@ -40,18 +40,18 @@
 // Queue holds the waiting requests of one service. It is not safe for
 // concurrent use.
 type Queue[T any] struct {
-	limit  int
-	order  Discipline
-	shares map[string]*share[T]
-	ring   []*share[T] // callers with waiting requests, in turn
-	next   int
-	size   int
-	seq    uint64
+	limit    int
+	order    Discipline
+	byCaller map[string]*callerQueue[T]
+	ring     []*callerQueue[T] // callers with waiting requests, in turn
+	next     int
+	size     int
+	seq      uint64
 }
 
 // New returns an empty queue of at most limit items.
 func New[T any](limit int, order Discipline) *Queue[T] {
-	return &Queue[T]{limit: limit, order: order, shares: map[string]*share[T]{}}
+	return &Queue[T]{limit: limit, order: order, byCaller: map[string]*callerQueue[T]{}}
 }
 
 // Len is the number of waiting items.
@@ -66,14 +66,14 @@
 // Push adds an item. When the queue is full, a caller with a smaller share
 // displaces the last item of the caller with the largest; that item is
 // returned and is the user's to answer.
-func (q *Queue[T]) Push(it *Item[T]) (Verdict, *Item[T]) {
+func (q *Queue[T]) Push(it *Item[T]) (PushResult, *Item[T]) {
 	var displaced *Item[T]
 	if q.size >= q.limit {
 		largest := q.largest()
 		if largest == nil {
 			return Full, nil
 		}
-		own := q.shares[it.Caller]
+		own := q.byCaller[it.Caller]
 		if own == largest && len(q.ring) > 1 {
 			return OverShare, nil
 		}
@@ -97,7 +97,7 @@
 // own, and as many of each other caller's, for they take turns. It is exact
 // for FIFO when nothing else comes.
 func (q *Queue[T]) Ahead(caller string) int {
-	own := q.shares[caller].len()
+	own := q.byCaller[caller].len()
 	ahead := 0
 	for _, s := range q.ring {
 		ahead += min(s.len(), own+1)
@@ -134,23 +134,23 @@
 	it.owner = nil
 	q.size--
 	if owner.len() == 0 {
-		q.dropShare(owner)
+		q.removeCaller(owner)
 	}
 	return true
 }
 
 // advance gives the turn to the caller after owner, which may have left.
-func (q *Queue[T]) advance(owner *share[T]) {
+func (q *Queue[T]) advance(owner *callerQueue[T]) {
 	if q.next < len(q.ring) && q.ring[q.next] == owner {
 		q.next++
 	}
 }
 
 func (q *Queue[T]) insert(it *Item[T]) {
-	owner := q.shares[it.Caller]
+	owner := q.byCaller[it.Caller]
 	if owner == nil {
-		owner = &share[T]{caller: it.Caller, order: q.order, place: len(q.ring)}
-		q.shares[it.Caller] = owner
+		owner = &callerQueue[T]{caller: it.Caller, order: q.order, ringIndex: len(q.ring)}
+		q.byCaller[it.Caller] = owner
 		q.ring = append(q.ring, owner)
 	}
 	it.owner = owner
@@ -159,18 +159,18 @@
 }
 
 // dropShare removes an empty share from the ring; the last one takes its place.
-func (q *Queue[T]) dropShare(s *share[T]) {
-	delete(q.shares, s.caller)
+func (q *Queue[T]) removeCaller(s *callerQueue[T]) {
+	delete(q.byCaller, s.caller)
 	end := len(q.ring) - 1
 	moved := q.ring[end]
-	q.ring[s.place] = moved
-	moved.place = s.place
+	q.ring[s.ringIndex] = moved
+	moved.ringIndex = s.ringIndex
 	q.ring[end] = nil
 	q.ring = q.ring[:end]
 }
 
-func (q *Queue[T]) largest() *share[T] {
-	var most *share[T]
+func (q *Queue[T]) largest() *callerQueue[T] {
+	var most *callerQueue[T]
 	for _, s := range q.ring {
 		if most == nil || s.len() > most.len() {
 			most = s
--- a/internal/dispatch/queue/queue_test.go
+++ b/internal/dispatch/queue/queue_test.go
@@ -11,7 +11,7 @@
 var epoch = time.Unix(0, 0)
 
 // fill pushes items named after their caller, with deadlines in seconds.
-func fill(q *Queue[string], callers ...string) {
+func pushAll(q *Queue[string], callers ...string) {
 	for i, c := range callers {
 		q.Push(&Item[string]{Caller: c, Value: c, Deadline: epoch.Add(time.Duration(100-i) * time.Second)})
 	}
@@ -54,27 +54,27 @@
 
 func TestCallersTakeTurns(t *testing.T) {
 	q := New[string](10, FIFO)
-	fill(q, "a", "a", "a", "b", "c")
+	pushAll(q, "a", "a", "a", "b", "c")
 	is.New(t).Equal(drain(q), []string{"a", "b", "c", "a", "a"})
 }
 
 func TestFullQueueIsShared(t *testing.T) {
 	is := is.New(t)
 	q := New[string](4, FIFO)
-	fill(q, "a", "a", "a", "a")
-	verdict, displaced := q.Push(&Item[string]{Caller: "a"})
-	is.Equal(verdict, Full)
+	pushAll(q, "a", "a", "a", "a")
+	pushed, displaced := q.Push(&Item[string]{Caller: "a"})
+	is.Equal(pushed, Full)
 	is.Equal(displaced, nil)
-	verdict, displaced = q.Push(&Item[string]{Caller: "b", Value: "b", Deadline: epoch.Add(time.Second)})
-	is.Equal(verdict, Accepted)
+	pushed, displaced = q.Push(&Item[string]{Caller: "b", Value: "b", Deadline: epoch.Add(time.Second)})
+	is.Equal(pushed, Accepted)
 	is.Equal(displaced.Value, "a")
 	is.True(!displaced.Queued())
-	verdict, _ = q.Push(&Item[string]{Caller: "a"})
-	is.Equal(verdict, OverShare)
+	pushed, _ = q.Push(&Item[string]{Caller: "a"})
+	is.Equal(pushed, OverShare)
 	is.Equal(q.Len(), 4)
 }
 
-func TestLateItemsAreGivenBack(t *testing.T) {
+func TestExpiredItemsAreReturned(t *testing.T) {
 	is := is.New(t)
 	q := New[string](10, FIFO)
 	q.Push(&Item[string]{Caller: "a", Value: "late", Deadline: epoch})
@@ -89,36 +89,36 @@
 func TestQueueKeepsCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[string](rapid.IntRange(1, 20).Draw(t, "limit"), Discipline(rapid.IntRange(0, 2).Draw(t, "order")))
-		in := map[*Item[string]]bool{}
+		queued := map[*Item[string]]bool{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			caller := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "caller")
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				it := &Item[string]{Caller: caller, Deadline: epoch.Add(time.Duration(rapid.IntRange(-1, 3).Draw(t, "deadline")) * time.Second)}
-				verdict, displaced := q.Push(it)
-				delete(in, displaced)
-				if verdict == Accepted {
-					in[it] = true
+				pushed, displaced := q.Push(it)
+				delete(queued, displaced)
+				if pushed == Accepted {
+					queued[it] = true
 				}
 			case 1:
 				it, late := q.Pop(epoch)
-				for _, gone := range append(late, it) {
-					if gone != nil && !in[gone] {
+				for _, removed := range append(late, it) {
+					if removed != nil && !queued[removed] {
 						t.Fatal("popped twice")
 					}
-					delete(in, gone)
+					delete(queued, removed)
 				}
 			case 2:
-				for it := range in {
+				for it := range queued {
 					if !q.Remove(it) || q.Remove(it) {
 						t.Fatal("removed not once")
 					}
-					delete(in, it)
+					delete(queued, it)
 					break
 				}
 			}
-			if q.Len() != len(in) {
-				t.Fatalf("length %d, expected %d", q.Len(), len(in))
+			if q.Len() != len(queued) {
+				t.Fatalf("length %d, expected %d", q.Len(), len(queued))
 			}
 		}
 	})
@@ -127,7 +127,7 @@
 func TestAheadCountsTurns(t *testing.T) {
 	is := is.New(t)
 	q := New[string](20, FIFO)
-	fill(q, "a", "a", "a", "a", "b", "b", "c")
+	pushAll(q, "a", "a", "a", "a", "b", "b", "c")
 	is.Equal(q.Ahead("new"), 3) // one of each
 	is.Equal(q.Ahead("c"), 5)   // its one, two of a and b
 	is.Equal(q.Ahead("a"), 7)
--- a/internal/dispatch/remote.go
+++ b/internal/dispatch/remote.go
@@ -7,7 +7,7 @@
 
 // remote is another holder as this process knows it.
 type remote struct {
-	told Remote // its last heartbeat
+	reported Remote // its last heartbeat
 	// free is the number of free slots by service: from its last heartbeat or
 	// answer, less what was sent since.
 	free map[string]int
@@ -17,22 +17,22 @@
 
 // probeEvery is how often a holder that was last known to be full is tried
 // with one request, while requests wait here.
-const probeEvery = 50 * time.Millisecond
+const remoteProbeInterval = 50 * time.Millisecond
 
 // take makes a grant for one request to the holder.
-func (r *remote) take(service string) grant {
+func (r *remote) acquireSlot(service string) grant {
 	r.free[service]--
 	return grant{remote: r}
 }
 
 // hear applies what the other holders last told. What is older than their
 // answers to this process changes nothing.
-func (d *Dispatcher) hear(told []Remote, now time.Time) {
-	present := make(map[string]*remote, len(told))
-	for _, t := range told {
+func (d *Dispatcher) applyRemotes(reported []Remote, now time.Time) {
+	present := make(map[string]*remote, len(reported))
+	for _, t := range reported {
 		r := d.remotes[t.Name]
-		if r == nil || r.told.Addr != t.Addr || !maps.Equal(r.told.Free, t.Free) {
-			r = &remote{told: t, free: map[string]int{}, probedAt: map[string]time.Time{}}
+		if r == nil || r.reported.Addr != t.Addr || !maps.Equal(r.reported.Free, t.Free) {
+			r = &remote{reported: t, free: map[string]int{}, probedAt: map[string]time.Time{}}
 			maps.Copy(r.free, t.Free)
 		}
 		for service := range t.Free {
@@ -50,7 +50,7 @@
 
 // probe lets one request try a holder that was full, or had no executors.
 func (r *remote) probe(service string, now time.Time) {
-	if r.free[service] > 0 || now.Sub(r.probedAt[service]) < probeEvery {
+	if r.free[service] > 0 || now.Sub(r.probedAt[service]) < remoteProbeInterval {
 		return
 	}
 	r.free[service] = 1
@@ -70,30 +70,30 @@
 }
 
 // learnForward notes what a forwarded request took, and the holder's free slots.
-func (d *Dispatcher) learnForward(p *pool, r *remote, free int, took time.Duration) {
+func (d *Dispatcher) recordForward(p *pool, r *remote, free int, took time.Duration) {
 	d.mu.Lock()
-	p.learnTime(took)
+	p.recordServiceTime(took)
 	if p.queue.Len() > 0 {
-		p.learnGap(time.Now())
+		p.recordForwardGap(time.Now())
 	}
 	d.mu.Unlock()
-	d.learnFree(p, r, free)
+	d.setRemoteFree(p, r, free)
 }
 
 // learnFree notes a holder's free slots from its answer and uses them.
-func (d *Dispatcher) learnFree(p *pool, r *remote, free int) {
+func (d *Dispatcher) setRemoteFree(p *pool, r *remote, free int) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r.free[p.service] = free
-	d.pumpRemote(p, now)
+	d.forwardQueued(p, now)
 }
 
 // returnRemote gives back an unused grant of another holder's slot.
-func (d *Dispatcher) returnRemote(p *pool, r *remote) {
+func (d *Dispatcher) returnRemoteSlot(p *pool, r *remote) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r.free[p.service]++
-	d.pumpRemote(p, now)
+	d.forwardQueued(p, now)
 }
--- a/internal/dispatch/resident.go
+++ b/internal/dispatch/resident.go
@@ -13,9 +13,9 @@
 
 // heldPartition is a partition whose executors are used from here.
 type heldPartition struct {
-	takenAt time.Time
+	acquiredAt time.Time
 	// unordered: the previous holder may still have requests in flight.
-	unordered bool
+	unclean bool
 	// busyUntil names executors with slots that a signed-off holder could not
 	// free, and how much longer they may be busy.
 	busyUntil map[string]time.Time
@@ -27,14 +27,14 @@
 
 // usableAt is when an executor of the partition may get its first request.
 func (h *heldPartition) usableAt(name string, values settings.Values) time.Time {
-	if h.unordered {
-		return h.takenAt.Add(maxDeadline(values))
+	if h.unclean {
+		return h.acquiredAt.Add(maxDeadline(values))
 	}
 	return h.busyUntil[name]
 }
 
 // handOver is the state passed to the next holder.
-type handOver struct {
+type handoverState struct {
 	// Busy gives, by executor, how long a slot may still be busy.
 	Busy map[string]time.Duration `cbor:"1,keyasint"`
 	// Leaving gives the address of each executor that signalled leaving.
@@ -48,16 +48,16 @@
 // previous holder did not sign off are used after its longest dispatch.
 func (d *Dispatcher) Acquire(_ context.Context, t hold.Takeover) error {
 	now := time.Now()
-	part := &heldPartition{takenAt: now, unordered: !t.Fresh && !t.SignedOff}
+	part := &heldPartition{acquiredAt: now, unclean: !t.Fresh && !t.SignedOff}
 	if t.SignedOff {
-		var state handOver
+		var state handoverState
 		if err := cbor.Unmarshal(t.State, &state); err != nil {
-			part.unordered = true
+			part.unclean = true
 		}
 		part.leaving = state.Leaving
 		part.busyUntil = make(map[string]time.Time, len(state.Busy))
-		for name, left := range state.Busy {
-			part.busyUntil[name] = now.Add(left)
+		for name, remaining := range state.Busy {
+			part.busyUntil[name] = now.Add(remaining)
 		}
 	}
 	d.mu.Lock()
@@ -68,7 +68,7 @@
 }
 
 // releasePoll is how often a release looks whether its executors are idle.
-const releasePoll = 5 * time.Millisecond
+const releasePollInterval = 5 * time.Millisecond
 
 // Release implements hold.Resident. It waits until the partition's executors
 // are idle; when ctx ends first, the state tells how long they may be busy.
@@ -82,16 +82,16 @@
 	part.releasing = true
 	d.setUnlisted(partition)
 	d.mu.Unlock()
-	tick := time.NewTicker(releasePoll)
+	tick := time.NewTicker(releasePollInterval)
 	defer tick.Stop()
 	for d.inFlight(partition) > 0 {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return d.packAndForget(partition)
+			return d.finishRelease(partition)
 		}
 	}
-	return d.packAndForget(partition)
+	return d.finishRelease(partition)
 }
 
 // Drop implements hold.Resident.
@@ -100,7 +100,7 @@
 	defer d.mu.Unlock()
 	d.setUnlisted(partition)
 	delete(d.parts, partition)
-	d.forgetIdle(partition)
+	d.removeIdle(partition)
 }
 
 // setUnlisted stops new requests to a partition's executors.
@@ -111,7 +111,7 @@
 				e.listed = false
 			}
 		}
-		p.countHealthy()
+		p.updateHealthyCount()
 	}
 }
 
@@ -131,37 +131,37 @@
 }
 
 // packAndForget returns the state for the next holder and lets go.
-func (d *Dispatcher) packAndForget(partition int) ([]byte, error) {
+func (d *Dispatcher) finishRelease(partition int) ([]byte, error) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	state := handOver{Busy: map[string]time.Duration{}, Leaving: map[string]string{}}
+	state := handoverState{Busy: map[string]time.Duration{}, Leaving: map[string]string{}}
 	for service, p := range d.pools {
 		values, _ := d.cfg.Settings(service)
 		for name, e := range p.endpoints {
 			if e.partition != partition {
 				continue
 			}
-			if e.signedLeaving {
+			if e.leavingSignalled {
 				state.Leaving[name] = e.host.Addr
 			}
-			left := e.usableAt.Sub(now)
+			remaining := e.usableAt.Sub(now)
 			if e.busy > 0 {
-				left = max(left, maxDeadline(values))
+				remaining = max(remaining, maxDeadline(values))
 			}
-			if left > 0 {
-				state.Busy[name] = left
+			if remaining > 0 {
+				state.Busy[name] = remaining
 			}
 		}
 	}
 	delete(d.parts, partition)
-	d.forgetIdle(partition)
+	d.removeIdle(partition)
 	return cbor.Marshal(state)
 }
 
 // forgetIdle removes a partition's idle endpoints; busy ones go when a refresh
 // finds them idle.
-func (d *Dispatcher) forgetIdle(partition int) {
+func (d *Dispatcher) removeIdle(partition int) {
 	for _, p := range d.pools {
 		for name, e := range p.endpoints {
 			if e.partition == partition && e.busy == 0 {
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -44,15 +44,15 @@
 // attempts repeats a request while it may be repeated.
 func (d *Dispatcher) attempts(ctx context.Context, p *pool, w Work, values settings.Values) (executor.Answer, error) {
 	ran := result.RanNo
-	var back *waiting
+	var requeued *queuedRequest
 	for attempt := 1; ; attempt++ {
-		g, it, err := d.acquire(ctx, p, w, back)
+		g, it, err := d.acquire(ctx, p, w, requeued)
 		if err != nil {
-			return executor.Answer{}, withRan(err, ran)
+			return executor.Answer{}, weakenRan(err, ran)
 		}
 		if w.Begin != nil && !w.Begin() {
-			d.giveBack(p, g)
-			return executor.Answer{}, withRan(callerGone(), ran)
+			d.returnGrant(p, g)
+			return executor.Answer{}, weakenRan(callerGoneError(), ran)
 		}
 		answer, err := d.send(p, g, w, values)
 		if err == nil {
@@ -63,15 +63,15 @@
 		} else if ran == result.RanNo && w.Unsent != nil {
 			w.Unsent()
 		}
-		back = it
-		if !d.again(ctx, p, w, err, attempt) {
-			return executor.Answer{}, withRan(err, ran)
+		requeued = it
+		if !d.retryAllowed(ctx, p, w, err, attempt) {
+			return executor.Answer{}, weakenRan(err, ran)
 		}
 	}
 }
 
 // withRan weakens a promise that an earlier attempt has broken.
-func withRan(err *result.Error, ran result.Ran) *result.Error {
+func weakenRan(err *result.Error, ran result.Ran) *result.Error {
 	if ran == result.RanNo || err.Ran == result.RanYes {
 		return err
 	}
@@ -81,14 +81,14 @@
 }
 
 // again decides about another attempt and waits the jitter before it.
-func (d *Dispatcher) again(ctx context.Context, p *pool, w Work, err *result.Error, attempt int) bool {
+func (d *Dispatcher) retryAllowed(ctx context.Context, p *pool, w Work, err *result.Error, attempt int) bool {
 	if err.Code == result.NoFreeSlot {
 		return ctx.Err() == nil // only the hint was wrong
 	}
 	if attempt >= maxAttempts || (err.Ran != result.RanNo && !w.Idempotent) {
 		return false
 	}
-	return p.budget.Spend() && sleepJitter(ctx, attempt)
+	return p.budget.Spend() && sleepBackoff(ctx, attempt)
 }
 
 // send uses a grant.
@@ -107,14 +107,14 @@
 	defer cancel()
 	req := withTimeout(w)
 	if _, err := d.cfg.Right.Check(e.partition); err != nil {
-		d.block(p, e)
+		d.blockEndpoint(p, e)
 		return executor.Answer{}, result.New(result.NoFreeSlot, result.RanNo, "%v", err)
 	}
 	start := time.Now()
-	watch := time.AfterFunc(patience(w, values), func() { d.overdue(p, e, host) })
+	overdueTimer := time.AfterFunc(overdueAfter(w, values), func() { d.recordOverdue(p, e, host) })
 	answer, err := d.cfg.Client.Do(ctx, host.Addr, req, values.Request.MaxAnswerBytes)
-	charged := !watch.Stop()
-	d.record(p, e, host, outcome{answer: answer, err: err, took: time.Since(start), charged: charged})
+	timeoutCharged := !overdueTimer.Stop()
+	d.record(p, e, host, outcome{answer: answer, err: err, took: time.Since(start), timeoutCharged: timeoutCharged})
 	if err == nil {
 		d.release(p, e)
 		return answer, nil
@@ -135,9 +135,9 @@
 }
 
 // block takes an endpoint out of use until the next refresh.
-func (d *Dispatcher) block(p *pool, e *endpoint) {
+func (d *Dispatcher) blockEndpoint(p *pool, e *endpoint) {
 	d.mu.Lock()
-	e.blocked = true
+	e.authorityLost = true
 	d.mu.Unlock()
 	d.release(p, e)
 }
@@ -148,7 +148,7 @@
 	err    error
 	took   time.Duration
 	// charged is true when the executor was charged with its silence before the end.
-	charged bool
+	timeoutCharged bool
 }
 
 // record learns from a request's outcome at a host.
@@ -156,30 +156,30 @@
 	d.metrics.dispatched.WithLabelValues(p.service, outcomeLabel(o.err)).Inc()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if e.movedFrom(host) {
+	if e.addrChanged(host) {
 		return
 	}
-	if o.answer.Leaving && !e.signedLeaving {
-		e.signedLeaving = true
+	if o.answer.Leaving && !e.leavingSignalled {
+		e.leavingSignalled = true
 		d.cfg.Log.WithField("executor", e.host.Name).Info("executor signals that it is leaving")
 	}
 	switch {
 	case errors.Is(o.err, executor.ErrAnswerTooLarge):
 		return // the request's doing
-	case o.failed() && o.charged:
+	case o.failed() && o.timeoutCharged:
 		return // once a request
 	case o.err != nil:
-		d.failed(p, e, faultSilent)
+		d.failed(p, e, faultNoAnswer)
 		return
 	case o.failed():
 		d.failed(p, e, faultStatus)
 		return
 	}
 	if e.health.succeeded(o.took) {
-		p.countHealthy()
+		p.updateHealthyCount()
 		d.cfg.Log.WithField("executor", e.host.Name).Info("executor back in use")
 	}
-	p.learnTime(o.took)
+	p.recordServiceTime(o.took)
 }
 
 // failed reports whether the executor is to be charged with the outcome.
@@ -189,10 +189,10 @@
 
 // failed counts a failure against an endpoint. The caller holds the lock.
 func (d *Dispatcher) failed(p *pool, e *endpoint, f fault) {
-	if e.health.failed(time.Now(), f, p.othersFailing(e)) {
-		p.countHealthy()
+	if e.health.failed(time.Now(), f, p.meanFailureRateExcept(e)) {
+		p.updateHealthyCount()
 		d.metrics.ejections.WithLabelValues(p.service).Inc()
-		d.cfg.Log.WithFields(logrus.Fields{"executor": e.host.Name, "until": e.health.until}).
+		d.cfg.Log.WithFields(logrus.Fields{"executor": e.host.Name, "until": e.health.ejectedUntil}).
 			Warn("executor ejected for failures")
 	}
 }
@@ -200,18 +200,18 @@
 // patience is how long an executor may take before it counts as failing: to the
 // request's deadline, but no less than the service's usual one, or callers in a
 // hurry would make sound executors look bad.
-func patience(w Work, values settings.Values) time.Duration {
+func overdueAfter(w Work, values settings.Values) time.Duration {
 	usual := time.Duration(values.Request.DefaultDeadlineMS) * time.Millisecond
 	return max(time.Until(w.Deadline), usual)
 }
 
 // overdue counts a request without an answer as a failure, while the executor
 // may still answer.
-func (d *Dispatcher) overdue(p *pool, e *endpoint, host *platform.Host) {
+func (d *Dispatcher) recordOverdue(p *pool, e *endpoint, host *platform.Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !e.movedFrom(host) {
-		d.failed(p, e, faultSilent)
+	if !e.addrChanged(host) {
+		d.failed(p, e, faultNoAnswer)
 	}
 }
 
@@ -226,18 +226,18 @@
 	msg := requestmsg.Dispatch{Service: w.Service, Timeout: time.Until(w.Deadline), Request: w.Request}
 	var reply requestmsg.DispatchReply
 	start := time.Now()
-	err := d.cfg.Peers.Call(ctx, r.told.Addr, peer.KindDispatch, msg, &reply)
+	err := d.cfg.Peers.Call(ctx, r.reported.Addr, peer.KindDispatch, msg, &reply)
 	if err == nil {
-		d.learnForward(p, r, reply.Free, time.Since(start))
+		d.recordForward(p, r, reply.Free, time.Since(start))
 		return reply.Answer, nil
 	}
-	d.learnFree(p, r, 0)
+	d.setRemoteFree(p, r, 0)
 	e := result.From(err)
 	switch e.Code {
 	case result.PeerNotReached:
-		return executor.Answer{}, result.New(result.NoFreeSlot, result.RanNo, "%s: %s", r.told.Name, e.Detail)
+		return executor.Answer{}, result.New(result.NoFreeSlot, result.RanNo, "%s: %s", r.reported.Name, e.Detail)
 	case result.PeerLost:
-		return executor.Answer{}, result.New(result.ExecutorLost, result.RanUnknown, "%s: %s", r.told.Name, e.Detail)
+		return executor.Answer{}, result.New(result.ExecutorLost, result.RanUnknown, "%s: %s", r.reported.Name, e.Detail)
 	}
 	return executor.Answer{}, e
 }
@@ -249,7 +249,7 @@
 		return requestmsg.DispatchReply{}, result.New(result.UnknownService, result.RanNo, "service %q", msg.Service)
 	}
 	now := time.Now()
-	p, g, ok := d.takeHere(msg.Service, values, now)
+	p, g, ok := d.tryAcquireLocal(msg.Service, values, now)
 	if !ok {
 		return requestmsg.DispatchReply{}, result.New(result.NoFreeSlot, result.RanNo, "no free slot for %s", msg.Service)
 	}
@@ -258,11 +258,11 @@
 	if err != nil {
 		return requestmsg.DispatchReply{}, err
 	}
-	return requestmsg.DispatchReply{Answer: answer, Free: d.freeNow(p)}, nil
+	return requestmsg.DispatchReply{Answer: answer, Free: d.countFreeSlots(p)}, nil
 }
 
 // takeHere takes a free slot of an executor held here, when nobody waits.
-func (d *Dispatcher) takeHere(service string, values settings.Values, now time.Time) (*pool, grant, bool) {
+func (d *Dispatcher) tryAcquireLocal(service string, values settings.Values, now time.Time) (*pool, grant, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p := d.pool(service, values)
@@ -273,7 +273,7 @@
 	if e == nil {
 		return p, grant{}, false
 	}
-	return p, e.take(), true
+	return p, e.acquireSlot(), true
 }
 
 // withTimeout returns the request with what is left of its deadline.
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -25,14 +25,14 @@
 		steps []step
 	}{
 		{"one job failing says nothing", []step{{0, "a", Good}, {0, "a", Good}, {0, "a", Good}, {0, "a", Good}}},
-		{"different jobs set it aside", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", SetAside}, {0, "d", SetAside}}},
+		{"different jobs set it aside", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {0, "d", Excluded}}},
 		{"success in between clears", []step{{0, "a", Good}, {0, "b", Good}, {0, "ok", Good}, {0, "c", Good}}},
 		{"old failures lapse", []step{{0, "a", Good}, {0, "b", Good}, {cfg.Window + 1, "c", Good}}},
-		{"probe too early", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", SetAside}, {cfg.ProbeFirst - 1, "probe", SetAside}}},
-		{"good probe", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", SetAside}, {cfg.ProbeFirst, "probe", Probing}, {0, "ok", Good}, {0, "a", Good}}},
+		{"probe too early", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait - 1, "probe", Excluded}}},
+		{"good probe", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait, "probe", Probing}, {0, "ok", Good}, {0, "a", Good}}},
 		{"bad probe doubles the wait", []step{
-			{0, "a", Good}, {0, "b", Good}, {0, "c", SetAside}, {cfg.ProbeFirst, "probe", Probing}, {0, "d", SetAside},
-			{cfg.ProbeFirst, "probe", SetAside}, {cfg.ProbeFirst, "probe", Probing},
+			{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait, "probe", Probing}, {0, "d", Excluded},
+			{cfg.MinProbeWait, "probe", Excluded}, {cfg.MinProbeWait, "probe", Probing},
 		}},
 	}
 	for _, tt := range cases {
@@ -63,9 +63,9 @@
 		w.Failed("w", fmt.Sprint(i), now)
 	}
 	for range 20 {
-		now = now.Add(cfg.ProbeMost)
+		now = now.Add(cfg.MaxProbeWait)
 		is.True(w.ProbeDue("w", now))
-		is.Equal(w.Failed("w", "x", now), SetAside)
+		is.Equal(w.Failed("w", "x", now), Excluded)
 	}
 }
 
@@ -75,7 +75,7 @@
 	is.True(j.Failed("job", "w1", start) == nil)
 	is.True(j.Failed("job", "w1", start) == nil) // the same worker again
 	is.True(j.Failed("job", "w2", start) == nil)
-	j.Acquit("w1") // it was the worker's fault
+	j.ClearWorker("w1") // it was the worker's fault
 	is.True(j.Failed("job", "w3", start) == nil)
 	is.Equal(j.Avoid("job"), []string{"w2", "w3"})
 	err := j.Failed("job", "w4", start)
@@ -85,7 +85,7 @@
 	is.Equal(len(j.Avoid("job")), 0)
 }
 
-func TestFailuresLapse(t *testing.T) {
+func TestFailuresExpire(t *testing.T) {
 	is := is.New(t)
 	j := NewJobs(DefaultConfig())
 	for i := range 10 {
--- a/internal/health/jobs.go
+++ b/internal/health/jobs.go
@@ -53,7 +53,7 @@
 
 // Acquit takes a worker out of every job's failures: it was set aside, so that
 // the failures there were its own.
-func (j *Jobs) Acquit(worker string) {
+func (j *Jobs) ClearWorker(worker string) {
 	for job, failed := range j.jobs {
 		delete(failed, worker)
 		if len(failed) == 0 {
--- a/internal/health/pacer.go
+++ b/internal/health/pacer.go
@@ -47,7 +47,7 @@
 // wait, but they use up the pace of the others.
 func (p *Pacer) Take(now time.Time) []Lost {
 	if !p.sorted {
-		slices.SortStableFunc(p.waiting, byNeed)
+		slices.SortStableFunc(p.waiting, byUrgency)
 		p.sorted = true
 	}
 	n := 0
@@ -70,7 +70,7 @@
 var kindRank = map[spec.Kind]int{spec.KindService: 0, spec.KindGang: 1, spec.KindBatch: 2}
 
 // byNeed puts first what has to come back first.
-func byNeed(a, b Lost) int {
+func byUrgency(a, b Lost) int {
 	if a.Urgent != b.Urgent {
 		if a.Urgent {
 			return -1
--- a/internal/health/workers.go
+++ b/internal/health/workers.go
@@ -17,15 +17,15 @@
 // The states of a worker.
 const (
 	Good     State = "good"
-	SetAside State = "set-aside" // gets nothing until its probe is due
+	Excluded State = "set-aside" // gets nothing until its probe is due
 	Probing  State = "probing"   // gets one task; its end decides
 )
 
 // The events between the states.
 const (
-	eventBlame = "blame"
-	eventProbe = "probe"
-	eventClear = "clear"
+	eventExclude = "blame"
+	eventProbe   = "probe"
+	eventClear   = "clear"
 )
 
 // Config bounds when blame falls and for how long.
@@ -38,14 +38,14 @@
 	Window           time.Duration
 	// ProbeFirst is the wait before the first probe; it doubles with each
 	// failed probe up to ProbeMost.
-	ProbeFirst, ProbeMost time.Duration
+	MinProbeWait, MaxProbeWait time.Duration
 }
 
 // DefaultConfig is what a holder starts with.
 func DefaultConfig() Config {
 	return Config{
 		DifferentJobs: 3, DifferentWorkers: 3, Window: 10 * time.Minute,
-		ProbeFirst: 30 * time.Second, ProbeMost: 30 * time.Minute,
+		MinProbeWait: 30 * time.Second, MaxProbeWait: 30 * time.Minute,
 	}
 }
 
@@ -63,8 +63,8 @@
 	failed map[string]time.Time
 	// probeAt is when a worker set aside may be probed; wait is the backoff
 	// that led there.
-	probeAt time.Time
-	wait    time.Duration
+	probeAt   time.Time
+	probeWait time.Duration
 }
 
 // NewWorkers returns a tracker that thinks well of every worker.
@@ -73,8 +73,8 @@
 		config:  config,
 		records: map[string]*workerRecord{},
 		machine: fsm.NewFSM(string(Good), fsm.Events{
-			{Name: eventBlame, Src: []string{string(Good), string(Probing)}, Dst: string(SetAside)},
-			{Name: eventProbe, Src: []string{string(SetAside)}, Dst: string(Probing)},
+			{Name: eventExclude, Src: []string{string(Good), string(Probing)}, Dst: string(Excluded)},
+			{Name: eventProbe, Src: []string{string(Excluded)}, Dst: string(Probing)},
 			{Name: eventClear, Src: []string{string(Probing)}, Dst: string(Good)},
 		}, nil),
 	}
@@ -103,7 +103,7 @@
 		}
 	}
 	if r.state == Probing || r.state == Good && len(r.failed) >= w.config.DifferentJobs {
-		w.setAside(r, now)
+		w.exclude(r, now)
 	}
 	return r.state
 }
@@ -130,7 +130,7 @@
 // returns true once for each probe.
 func (w *Workers) ProbeDue(name string, now time.Time) bool {
 	r := w.records[name]
-	if r == nil || r.state != SetAside || now.Before(r.probeAt) {
+	if r == nil || r.state != Excluded || now.Before(r.probeAt) {
 		return false
 	}
 	w.fire(r, eventProbe)
@@ -140,10 +140,10 @@
 // Forget drops what is known of a worker: it was restarted or replaced.
 func (w *Workers) Forget(name string) { delete(w.records, name) }
 
-func (w *Workers) setAside(r *workerRecord, now time.Time) {
-	w.fire(r, eventBlame)
-	r.wait = min(max(2*r.wait, w.config.ProbeFirst), w.config.ProbeMost)
-	r.probeAt = now.Add(r.wait)
+func (w *Workers) exclude(r *workerRecord, now time.Time) {
+	w.fire(r, eventExclude)
+	r.probeWait = min(max(2*r.probeWait, w.config.MinProbeWait), w.config.MaxProbeWait)
+	r.probeAt = now.Add(r.probeWait)
 }
 
 // fire runs one event on the shared machine for the record's state.
--- a/internal/hostcall/hostcall.go
+++ b/internal/hostcall/hostcall.go
@@ -20,7 +20,7 @@
 )
 
 // orderPatience bounds the wait for the answer to the copies of a start or a stop.
-const orderPatience = 300 * time.Millisecond
+const orderTimeout = 300 * time.Millisecond
 
 // Caller makes calls to hosts. It is safe for concurrent use.
 type Caller struct {
@@ -32,12 +32,12 @@
 
 	// answers is how long hosts take to answer orders; losses tells of those that got
 	// lost.
-	answers resend.Latency
-	copies  *retrybudget.Budget // of orders
-	losses  *losses
-	looks   atomic.Int64 // under way
+	answers       resend.Latency
+	copies        *retrybudget.Budget // of orders
+	lossTracker   *lossTracker
+	pollsInFlight atomic.Int64 // under way
 	// called are the hosts that were called lately.
-	called recent
+	called recentHosts
 }
 
 var _ host.Client = (*Caller)(nil)
@@ -47,7 +47,7 @@
 func New(hosts host.Client, health *follow.Health, busy func() bool, metrics *Metrics) *Caller {
 	return &Caller{
 		hosts: hosts, health: health, busy: busy, metrics: metrics,
-		copies: retrybudget.New(), losses: newLosses(),
+		copies: retrybudget.New(), lossTracker: newLossTracker(),
 	}
 }
 
@@ -67,7 +67,7 @@
 
 // Pace implements host.Client. It is made once: the next one corrects it.
 func (c *Caller) Pace(ctx context.Context, to host.Info, epoch uint64, r host.Run, percent int) (host.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderPatience)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	begun := time.Now()
 	reply, err := c.hosts.Pace(ctx, to, epoch, r, percent)
@@ -78,47 +78,47 @@
 // order makes an order, with copies, and counts it.
 func (c *Caller) order(ctx context.Context, kind string, to host.Info, send func(context.Context) (host.Reply, error)) (host.Reply, error) {
 	begun := time.Now()
-	c.called.note(to.ID, begun)
-	reply, err := c.repeat(ctx, to, send)
+	c.called.record(to.ID, begun)
+	reply, err := c.sendCopies(ctx, to, send)
 	c.metrics.called(kind, begun, reply, err)
 	return reply, err
 }
 
 // recentFor is for how long a host counts as one of those that this process calls: a
 // host at rest is looked at more often.
-const recentFor = 10 * time.Second
+const recentPeriod = 10 * time.Second
 
 // recent counts the hosts that were called lately.
-type recent struct {
-	mu    sync.Mutex
-	last  map[host.ID]time.Time
-	swept time.Time
+type recentHosts struct {
+	mu       sync.Mutex
+	lastCall map[host.ID]time.Time
+	prunedAt time.Time
 }
 
 // note notes a call to a host.
-func (r *recent) note(id host.ID, now time.Time) {
+func (r *recentHosts) record(id host.ID, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.last == nil {
-		r.last = map[host.ID]time.Time{}
+	if r.lastCall == nil {
+		r.lastCall = map[host.ID]time.Time{}
 	}
-	r.last[id] = now
-	if now.Sub(r.swept) < recentFor {
+	r.lastCall[id] = now
+	if now.Sub(r.prunedAt) < recentPeriod {
 		return
 	}
-	r.swept = now
-	for id, at := range r.last {
-		if now.Sub(at) > recentFor {
-			delete(r.last, id)
+	r.prunedAt = now
+	for id, at := range r.lastCall {
+		if now.Sub(at) > recentPeriod {
+			delete(r.lastCall, id)
 		}
 	}
 }
 
 // size is how many hosts were called lately.
-func (r *recent) size() int {
+func (r *recentHosts) size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.last)
+	return len(r.lastCall)
 }
 
 // outcome names how a call ended, for the metrics.
--- a/internal/hostcall/look_test.go
+++ b/internal/hostcall/poll_test.go
@@ -20,17 +20,17 @@
 }
 
 // silentHosts answers no look before it is told to.
-type silentHosts struct {
+type unresponsiveHosts struct {
 	host.Client
-	speaks atomic.Bool
-	looks  atomic.Int64
-	waited atomic.Int64 // by the last look, in nanoseconds
+	responsive atomic.Bool
+	polls      atomic.Int64
+	lastWait   atomic.Int64 // by the last look, in nanoseconds
 }
 
-func (s *silentHosts) Look(ctx context.Context, _ host.Info, _ uint64, l host.Look) (host.View, error) {
-	s.looks.Add(1)
-	s.waited.Store(int64(l.Wait))
-	if !s.speaks.Load() {
+func (s *unresponsiveHosts) Look(ctx context.Context, _ host.Info, _ uint64, l host.Look) (host.View, error) {
+	s.polls.Add(1)
+	s.lastWait.Store(int64(l.Wait))
+	if !s.responsive.Load() {
 		<-ctx.Done()
 		return host.View{}, host.ErrLost
 	}
@@ -39,19 +39,19 @@
 
 // TestLooksAreAskedAgain: looks wait for seconds for an answer. When connections fell
 // silent, or answers of hosts got lost, ends were heard of seconds late.
-func TestLooksAreAskedAgain(t *testing.T) {
+func TestPollsAreRepeated(t *testing.T) {
 	tests := map[string]struct {
-		event  func(c *Caller)
-		waited time.Duration // by the second look
+		event    func(c *Caller)
+		lastWait time.Duration // by the second look
 	}{
 		"connections fell silent": {func(c *Caller) { c.health.Renew() }, 2 * time.Second},
-		"answers get lost":        {func(c *Caller) { c.losses.note(time.Now()) }, lossyWait},
+		"answers get lost":        {func(c *Caller) { c.lossTracker.record(time.Now()) }, lossyPollWait},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				hosts := &silentHosts{}
+				hosts := &unresponsiveHosts{}
 				c := newCaller(hosts)
 				ended := make(chan struct{})
 				begun := time.Now()
@@ -63,12 +63,12 @@
 					close(ended)
 				}()
 				time.Sleep(100 * time.Millisecond)
-				hosts.speaks.Store(true)
+				hosts.responsive.Store(true)
 				tc.event(c)
 				<-ended
-				is.Equal(hosts.looks.Load(), int64(2))
-				is.True(time.Since(begun)-100*time.Millisecond <= relookShare) // one look is under way
-				is.Equal(time.Duration(hosts.waited.Load()), tc.waited)
+				is.Equal(hosts.polls.Load(), int64(2))
+				is.True(time.Since(begun)-100*time.Millisecond <= repollSpread) // one look is under way
+				is.Equal(time.Duration(hosts.lastWait.Load()), tc.lastWait)
 			})
 		})
 	}
@@ -76,21 +76,21 @@
 
 // TestLossesAreForgotten: after a while without losses looks wait for long again, and
 // one loss does not have every host asked again and again.
-func TestLossesAreForgotten(t *testing.T) {
+func TestLossesExpire(t *testing.T) {
 	is := is.New(t)
-	l := newLosses()
+	l := newLossTracker()
 	now := time.Unix(1_800_000_000, 0)
-	lossy, first := l.lately(now)
+	lossy, first := l.recentLoss(now)
 	is.True(!lossy)
-	l.note(now)
+	l.record(now)
 	is.True(isClosed(first))
-	_, second := l.lately(now)
-	l.note(now.Add(relookEvery - 1))
+	_, second := l.recentLoss(now)
+	l.record(now.Add(repollInterval - 1))
 	is.True(!isClosed(second))
-	l.note(now.Add(relookEvery))
+	l.record(now.Add(repollInterval))
 	is.True(isClosed(second))
-	lossy, _ = l.lately(now.Add(relookEvery + lossyFor - 1))
+	lossy, _ = l.recentLoss(now.Add(repollInterval + lossyPeriod - 1))
 	is.True(lossy)
-	lossy, _ = l.lately(now.Add(relookEvery + lossyFor))
+	lossy, _ = l.recentLoss(now.Add(repollInterval + lossyPeriod))
 	is.True(!lossy)
 }
--- a/internal/hostcall/repeat.go
+++ b/internal/hostcall/repeat.go
@@ -15,29 +15,29 @@
 // begin anew.
 
 // mostOrderCopies bounds the copies of one order; the pauses between them double.
-const mostOrderCopies = 3
+const maxOrderCopies = 3
 
 // Reconnecter is a client of hosts that can be told to open a new connection to one
 // for the next call: an open one may have fallen silent.
 type Reconnecter interface{ ReconnectTo(addr string) }
 
 // endWithin bounds the wait for copies that were given up to end.
-const endWithin = 50 * time.Millisecond
+const cancelGrace = 50 * time.Millisecond
 
 // order is one start or stop on its way.
 type order struct {
 	ctx     context.Context // of the copies
 	cancel  context.CancelFunc
 	send    func(ctx context.Context) (host.Reply, error)
-	answers chan orderAnswer
+	answers chan copyResult
 	copies  int        // sent so far
-	open    int        // not answered yet
+	pending int        // not answered yet
 	lost    bool       // a copy broke off and may have an effect
-	broke   bool       // the connection of such a copy broke
+	broken  bool       // the connection of such a copy broke
 	refused host.Reply // by which a copy came to nothing
 }
 
-type orderAnswer struct {
+type copyResult struct {
 	reply host.Reply
 	err   error
 	took  time.Duration // of this copy
@@ -46,13 +46,13 @@
 // repeat sends copies of an order until one is answered or orderPatience is over. A
 // refusal counts only while no other copy may have been carried out; otherwise the
 // outcome is host.ErrLost. It is host.ErrNotSent when no copy got as far as its host.
-func (c *Caller) repeat(ctx context.Context, to host.Info, send func(context.Context) (host.Reply, error)) (host.Reply, error) {
-	c.copies.Earn(copyPercent)
-	ctx, cancel := context.WithTimeout(ctx, orderPatience+lateFor)
-	o := order{ctx: ctx, cancel: cancel, send: send, answers: make(chan orderAnswer, mostOrderCopies)}
+func (c *Caller) sendCopies(ctx context.Context, to host.Info, send func(context.Context) (host.Reply, error)) (host.Reply, error) {
+	c.copies.Earn(copyBudgetPercent)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout+lateAnswerWait)
+	o := order{ctx: ctx, cancel: cancel, send: send, answers: make(chan copyResult, maxOrderCopies)}
 	reply, err := c.await(ctx, &o, to)
-	if err == nil && o.open > 0 {
-		go c.awaitCopies(&o)
+	if err == nil && o.pending > 0 {
+		go c.awaitLateCopies(&o)
 		return reply, nil
 	}
 	cancel()
@@ -61,43 +61,43 @@
 
 // await sends the copies and waits for the first answer that settles the order.
 func (c *Caller) await(ctx context.Context, o *order, to host.Info) (host.Reply, error) {
-	patience := time.NewTimer(orderPatience)
-	defer patience.Stop()
-	gap := c.answers.Wait()
-	next := time.NewTimer(gap)
+	timeout := time.NewTimer(orderTimeout)
+	defer timeout.Stop()
+	delay := c.answers.Wait()
+	next := time.NewTimer(delay)
 	defer next.Stop()
-	o.start()
+	o.sendCopy()
 	for {
 		select {
 		case a := <-o.answers:
-			c.learn(a)
-			if o.settledBy(a) {
+			c.observeLatency(a)
+			if o.settles(a) {
 				return o.outcome(a)
 			}
-			if o.open == 0 {
+			if o.pending == 0 {
 				return host.Reply{}, o.failure(a.err)
 			}
 		case <-next.C:
-			if o.copies == mostOrderCopies || !c.repeats() || !c.copies.Spend() {
+			if o.copies == maxOrderCopies || !c.mayRepeat() || !c.copies.Spend() {
 				continue
 			}
 			if r, ok := c.hosts.(Reconnecter); ok {
 				r.ReconnectTo(to.Addr)
 			}
-			o.start()
-			gap *= 2
-			next.Reset(gap)
-		case <-patience.C:
-			return o.giveUp()
+			o.sendCopy()
+			delay *= 2
+			next.Reset(delay)
+		case <-timeout.C:
+			return o.abort()
 		case <-ctx.Done():
-			return o.giveUp()
+			return o.abort()
 		}
 	}
 }
 
 // learn takes in how long one copy took: answers that come late, as this process itself
 // is busy, must lengthen the wait, or copies would keep it busy.
-func (c *Caller) learn(a orderAnswer) {
+func (c *Caller) observeLatency(a copyResult) {
 	if a.err == nil {
 		c.answers.Observe(a.took)
 	}
@@ -105,36 +105,36 @@
 
 // copyPercent is how many copies a hundred orders allow for: enough for a third of them
 // to get lost.
-const copyPercent = 50
+const copyBudgetPercent = 50
 
 // noteLoss notes that an answer got lost, unless this process is busy or has many hosts:
 // what is late then is late here, and asking hosts more often would only add to it.
-func (c *Caller) noteLoss() {
-	if c.repeats() {
-		c.losses.note(time.Now())
+func (c *Caller) recordLoss() {
+	if c.mayRepeat() {
+		c.lossTracker.record(time.Now())
 	}
 }
 
 // lateFor is for how long a copy that was overtaken by another may still be answered: a
 // busy process often takes in the later answer first.
-const lateFor = 150 * time.Millisecond
+const lateAnswerWait = 150 * time.Millisecond
 
 // awaitCopies notes a loss unless the copies still under way are answered after all.
-func (c *Caller) awaitCopies(o *order) {
+func (c *Caller) awaitLateCopies(o *order) {
 	defer o.cancel()
-	timer := time.NewTimer(lateFor)
+	timer := time.NewTimer(lateAnswerWait)
 	defer timer.Stop()
-	for o.open > 0 {
+	for o.pending > 0 {
 		select {
 		case a := <-o.answers:
-			o.open--
-			c.learn(a)
+			o.pending--
+			c.observeLatency(a)
 			if a.err != nil {
-				c.noteLoss()
+				c.recordLoss()
 				return
 			}
 		case <-timer.C:
-			c.noteLoss()
+			c.recordLoss()
 			return
 		case <-o.ctx.Done():
 			return
@@ -143,38 +143,38 @@
 }
 
 // start sends one more copy.
-func (o *order) start() {
+func (o *order) sendCopy() {
 	o.copies++
-	o.open++
+	o.pending++
 	begun := time.Now()
 	go func() {
 		reply, err := o.send(o.ctx)
-		o.answers <- orderAnswer{reply, err, time.Since(begun)}
+		o.answers <- copyResult{reply, err, time.Since(begun)}
 	}()
 }
 
 // settledBy takes in the end of a copy and reports whether that settles the order.
-func (o *order) settledBy(a orderAnswer) bool {
-	o.open--
+func (o *order) settles(a copyResult) bool {
+	o.pending--
 	switch {
 	case errors.Is(a.err, host.ErrOtherLife):
 		return true // nothing can run there
 	case errors.Is(a.err, host.ErrNotSent):
-		return o.open == 0 && !o.lost
+		return o.pending == 0 && !o.lost
 	case a.err != nil:
 		o.lost = true
-		o.broke = o.broke || errors.Is(a.err, host.ErrBroken)
+		o.broken = o.broken || errors.Is(a.err, host.ErrBroken)
 		return false
 	case a.reply.Refused == "", a.reply.Refused == host.RefusedFenced:
 		return true
 	}
 	o.refused = a.reply
-	return o.open == 0 && !o.lost // else another copy may be why this one was refused
+	return o.pending == 0 && !o.lost // else another copy may be why this one was refused
 }
 
 // outcome is that of an order which a copy has settled. Where that copy was not sent and
 // another one was refused, the host has spoken.
-func (o *order) outcome(a orderAnswer) (host.Reply, error) {
+func (o *order) outcome(a copyResult) (host.Reply, error) {
 	if errors.Is(a.err, host.ErrNotSent) && o.refused.Refused != "" {
 		return o.refused, nil
 	}
@@ -184,18 +184,18 @@
 // giveUp ends the copies under way. An order whose copies all still waited for a connection
 // was not sent; called lost, it would count as a run that may have been there when its host
 // turns out to have ended.
-func (o *order) giveUp() (host.Reply, error) {
+func (o *order) abort() (host.Reply, error) {
 	o.cancel()
-	timer := time.NewTimer(endWithin)
+	timer := time.NewTimer(cancelGrace)
 	defer timer.Stop()
-	for o.open > 0 {
+	for o.pending > 0 {
 		select {
 		case a := <-o.answers:
-			if o.settledBy(a) {
+			if o.settles(a) {
 				return o.outcome(a)
 			}
 		case <-timer.C:
-			o.open = 0
+			o.pending = 0
 		}
 	}
 	return host.Reply{}, o.failure(fmt.Errorf("%w: no answer to %d copies", host.ErrLost, o.copies))
@@ -203,7 +203,7 @@
 
 // failure is the error of an order none of whose copies settled it.
 func (o *order) failure(last error) error {
-	if o.broke {
+	if o.broken {
 		return fmt.Errorf("%w: %d copies", host.ErrBroken, o.copies)
 	}
 	if last != nil && !errors.Is(last, host.ErrNotSent) {
--- a/internal/httponce/line.go
+++ b/internal/httponce/connection.go
@@ -17,13 +17,13 @@
 )
 
 // errSealed is what a write meets after its request has failed.
-var errSealed = errors.New("request given up before this write")
+var errWritesBlocked = errors.New("request given up before this write")
 
 // errHeader is the cause of a failure whose answer's header was over the limit.
-var errHeader = errors.New("answer's header larger than allowed")
+var errHeaderTooLarge = errors.New("answer's header larger than allowed")
 
 // errClosing is met where a server ends the connection with the answer that gave it a mark.
-var errClosing = errors.New("the connection ends before the request")
+var errConnectionEnds = errors.New("the connection ends before the request")
 
 // maxHeaderBytes bounds an answer's header.
 const maxHeaderBytes = 1 << 20
@@ -31,7 +31,7 @@
 // line is one connection. One request at a time uses it, in the goroutine of its
 // caller: net/http writes the request and reads the answer, and nothing else is
 // there to replay it.
-type line struct {
+type connection struct {
 	conn      *countingConn
 	in        *bufio.Reader
 	out       *bufio.Writer
@@ -39,7 +39,7 @@
 	opened    time.Time
 	idleSince time.Time
 	reused    bool
-	mark      int64 // see Marked
+	serverID  int64 // see Marked
 }
 
 // reply is an answer with what matters for the connection.
@@ -48,11 +48,11 @@
 	close bool
 }
 
-func newLine(conn net.Conn, count *traffic.Counter) *line {
+func newConnection(conn net.Conn, count *traffic.Counter) *connection {
 	count.Opened()
 	counting := &countingConn{Conn: conn, traffic: count}
 	limit := &io.LimitedReader{R: counting}
-	return &line{
+	return &connection{
 		conn: counting, limit: limit, opened: time.Now(),
 		in: bufio.NewReader(limit), out: bufio.NewWriter(counting),
 	}
@@ -60,21 +60,21 @@
 
 // leadTo returns an error unless the connection leads to the process that b means, which is
 // asked for if that is not known.
-func (l *line) leadTo(ctx context.Context, b *Bound) error {
-	if b == nil {
+func (cn *connection) checkServer(ctx context.Context, binding *Bound) error {
+	if binding == nil {
 		return nil
 	}
-	if l.mark == 0 {
-		r, err := l.exchangeMarked(ctx, b.Ask)
+	if cn.serverID == 0 {
+		r, err := cn.roundTripTracked(ctx, binding.Ask)
 		if err != nil {
 			return err
 		}
 		if r.close {
-			return errClosing
+			return errConnectionEnds
 		}
 	}
-	switch l.mark {
-	case b.Mark:
+	switch cn.serverID {
+	case binding.Mark:
 		return nil
 	case 0:
 		return ErrNoMark
@@ -83,25 +83,25 @@
 }
 
 // exchangeMarked makes one request and notes what its answer tells of the process.
-func (l *line) exchangeMarked(ctx context.Context, m Marked) (reply, error) {
-	r, err := l.roundTrip(ctx, m.Request, m.Body(l.mark), m.MaxBody)
+func (cn *connection) roundTripTracked(ctx context.Context, m Marked) (reply, error) {
+	r, err := cn.roundTrip(ctx, m.Request, m.Body(cn.serverID), m.MaxBody)
 	if err == nil && m.Mark != nil {
-		l.mark = m.Mark(r.Answer)
+		cn.serverID = m.Mark(r.Answer)
 	}
 	return r, err
 }
 
 // roundTrip sends the request and reads the whole answer.
-func (l *line) roundTrip(ctx context.Context, req *http.Request, body []byte, maxBody int64) (reply, error) {
+func (cn *connection) roundTrip(ctx context.Context, req *http.Request, body []byte, maxBody int64) (reply, error) {
 	req = req.WithContext(ctx)
 	req.Body, req.GetBody, req.ContentLength = http.NoBody, nil, int64(len(body))
 	if len(body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(body))
 	}
-	l.conn.begin()
+	cn.conn.resetWritten()
 	// The connection ends with the context: its reads and writes then fail.
-	stop := context.AfterFunc(ctx, l.conn.abort)
-	answer, err := l.exchange(req, maxBody)
+	stop := context.AfterFunc(ctx, cn.conn.abort)
+	answer, err := cn.exchange(req, maxBody)
 	if !stop() && err == nil {
 		err = ctx.Err() // the connection may be closed already
 	}
@@ -113,65 +113,65 @@
 
 // exchange writes the request and reads its answer, whatever informational ones
 // come before.
-func (l *line) exchange(req *http.Request, maxBody int64) (reply, error) {
-	if err := req.Write(l.out); err != nil {
+func (cn *connection) exchange(req *http.Request, maxBody int64) (reply, error) {
+	if err := req.Write(cn.out); err != nil {
 		return reply{}, err
 	}
-	if err := l.out.Flush(); err != nil {
+	if err := cn.out.Flush(); err != nil {
 		return reply{}, err
 	}
 	for {
-		l.limit.N = maxHeaderBytes
-		resp, err := http.ReadResponse(l.in, req)
+		cn.limit.N = maxHeaderBytes
+		resp, err := http.ReadResponse(cn.in, req)
 		if err != nil {
-			if l.limit.N <= 0 {
-				err = errHeader
+			if cn.limit.N <= 0 {
+				err = errHeaderTooLarge
 			}
 			return reply{}, err
 		}
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		l.limit.N = maxBody + maxHeaderBytes // chunks have headers of their own
-		whole, err := readAll(resp, req.Method, maxBody)
+		cn.limit.N = maxBody + maxHeaderBytes // chunks have headers of their own
+		body, err := readBody(resp, req.Method, maxBody)
 		if err != nil {
 			return reply{}, err
 		}
-		return reply{Answer{resp.StatusCode, resp.Header, whole}, resp.Close}, nil
+		return reply{Answer{resp.StatusCode, resp.Header, body}, resp.Close}, nil
 	}
 }
 
 // usable reports whether the connection stands, as far as can be told without
 // writing, and was used lately.
-func (l *line) usable(idleTimeout time.Duration) bool {
-	return time.Since(l.idleSince) < idleTimeout && l.in.Buffered() == 0 && l.conn.stands()
+func (cn *connection) usable(idleTimeout time.Duration) bool {
+	return time.Since(cn.idleSince) < idleTimeout && cn.in.Buffered() == 0 && cn.conn.isOpen()
 }
 
 // close ends the connection and reports whether a byte of the last request may
 // have been written.
-func (l *line) close() (sent bool) {
-	sent = l.conn.seal()
-	l.conn.ended.Do(l.conn.traffic.Closed)
-	_ = l.conn.Close() // nothing is left to be lost on it
+func (cn *connection) close() (sent bool) {
+	sent = cn.conn.blockWrites()
+	cn.conn.closedOnce.Do(cn.conn.traffic.Closed)
+	_ = cn.conn.Close() // nothing is left to be lost on it
 	return sent
 }
 
 // countingConn knows whether a byte of the present request was written.
 type countingConn struct {
 	net.Conn
-	traffic *traffic.Counter
-	ended   sync.Once
+	traffic    *traffic.Counter
+	closedOnce sync.Once
 
-	mu     sync.Mutex
-	wrote  bool
-	sealed bool
+	mu      sync.Mutex
+	written bool
+	blocked bool
 }
 
 // begin starts the count anew for the next request.
-func (c *countingConn) begin() {
+func (c *countingConn) resetWritten() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wrote = false
+	c.written = false
 }
 
 // abort fails every read and write, also those under way.
@@ -181,28 +181,28 @@
 
 // seal lets every later write fail and reports whether there was one. A write
 // under way counts as written.
-func (c *countingConn) seal() bool {
+func (c *countingConn) blockWrites() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
-	return c.wrote
+	c.blocked = true
+	return c.written
 }
 
 // Write counts before it writes, so that seal errs on the side of "written".
 func (c *countingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.blocked {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errWritesBlocked
 	}
-	first := !c.wrote
-	c.wrote = true
+	first := !c.written
+	c.written = true
 	c.mu.Unlock()
 	n, err := c.Conn.Write(b)
 	c.traffic.Sent(n)
 	if first && n == 0 && err != nil {
 		c.mu.Lock()
-		c.wrote = false
+		c.written = false
 		c.mu.Unlock()
 	}
 	return n, err
@@ -217,7 +217,7 @@
 
 // stands reports whether an idle connection is still open and silent: a read that
 // does not wait finds neither its end nor a byte.
-func (c *countingConn) stands() bool {
+func (c *countingConn) isOpen() bool {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -226,12 +226,12 @@
 	if err != nil {
 		return false
 	}
-	stands := false
+	isOpen := false
 	err = conn.Read(func(fd uintptr) bool {
 		var one [1]byte
 		n, readErr := syscall.Read(int(fd), one[:])
-		stands = n < 0 && (errors.Is(readErr, syscall.EAGAIN) || errors.Is(readErr, syscall.EWOULDBLOCK))
+		isOpen = n < 0 && (errors.Is(readErr, syscall.EAGAIN) || errors.Is(readErr, syscall.EWOULDBLOCK))
 		return true // whatever it found, without waiting
 	})
-	return err == nil && stands
+	return err == nil && isOpen
 }
--- a/internal/httponce/line_test.go
+++ b/internal/httponce/connection_test.go
@@ -11,23 +11,23 @@
 // slowConn is a connection whose writes wait to be let through.
 type slowConn struct {
 	net.Conn
-	entered chan struct{}
-	result  chan error
-	bytes   int
+	entered     chan struct{}
+	writeResult chan error
+	bytes       int
 }
 
 func (c *slowConn) Write(b []byte) (int, error) {
 	c.entered <- struct{}{}
-	if err := <-c.result; err != nil {
+	if err := <-c.writeResult; err != nil {
 		return 0, err
 	}
 	c.bytes += len(b)
 	return len(b), nil
 }
 
-func TestSealAndWrites(t *testing.T) {
+func TestBlockWrites(t *testing.T) {
 	newConn := func() (*slowConn, *countingConn) {
-		s := &slowConn{entered: make(chan struct{}), result: make(chan error, 1)}
+		s := &slowConn{entered: make(chan struct{}), writeResult: make(chan error, 1)}
 		return s, &countingConn{Conn: s}
 	}
 	write := func(c *countingConn) chan error {
@@ -43,18 +43,18 @@
 		s, c := newConn()
 		done := write(c)
 		<-s.entered
-		is.True(c.seal())
-		s.result <- nil
+		is.True(c.blockWrites())
+		s.writeResult <- nil
 		is.NoErr(<-done)
 	})
 	t.Run("a write after the seal reaches nobody", func(t *testing.T) {
 		is := is.New(t)
 		s, c := newConn()
-		is.True(!c.seal())
-		s.result <- nil
+		is.True(!c.blockWrites())
+		s.writeResult <- nil
 		select {
 		case err := <-write(c):
-			is.True(errors.Is(err, errSealed))
+			is.True(errors.Is(err, errWritesBlocked))
 		case <-s.entered:
 			is.Fail() // it went through
 		}
@@ -65,18 +65,18 @@
 		s, c := newConn()
 		done := write(c)
 		<-s.entered
-		s.result <- errors.New("broken pipe")
+		s.writeResult <- errors.New("broken pipe")
 		is.True(<-done != nil)
-		is.True(!c.seal())
+		is.True(!c.blockWrites())
 	})
 	t.Run("the next request counts anew", func(t *testing.T) {
 		is := is.New(t)
 		s, c := newConn()
 		done := write(c)
 		<-s.entered
-		s.result <- nil
+		s.writeResult <- nil
 		is.NoErr(<-done)
-		c.begin()
-		is.True(!c.seal())
+		c.resetWritten()
+		is.True(!c.blockWrites())
 	})
 }
--- a/internal/httponce/httponce.go
+++ b/internal/httponce/httponce.go
@@ -45,7 +45,7 @@
 var ErrNoLength = errors.New("answer without a length")
 
 // errSwitched is the cause when the server changed the protocol unasked.
-var errSwitched = errors.New("answer switches protocols")
+var errProtocolSwitched = errors.New("answer switches protocols")
 
 // Options of a Client; zero fields take the defaults.
 type Options struct {
@@ -91,13 +91,13 @@
 	pools map[string]*pool
 	idle  int // connections that lie idle
 	// renewed is when Reconnect was last called.
-	renewed time.Time
+	reconnectedAt time.Time
 }
 
 // pool holds the connections to one address, the last used at the end.
 type pool struct {
 	slots *semaphore.Weighted
-	idle  []*line
+	idle  []*connection
 }
 
 // New returns a client without connections.
@@ -166,26 +166,26 @@
 	}
 	defer p.slots.Release(1)
 	for {
-		l, err := c.line(ctx, p, addr)
+		cn, err := c.connection(ctx, p, addr)
 		if err != nil {
 			return Answer{}, &Failure{Err: err}
 		}
-		if err := l.leadTo(ctx, m.Bound); err != nil {
-			l.close()
-			if l.reused && ctx.Err() == nil {
+		if err := cn.checkServer(ctx, m.Bound); err != nil {
+			cn.close()
+			if cn.reused && ctx.Err() == nil {
 				continue // a new connection may lead to the process that is meant
 			}
 			return Answer{}, &Failure{Err: err}
 		}
-		reply, err := l.exchangeMarked(ctx, m)
+		reply, err := cn.roundTripTracked(ctx, m)
 		if err == nil {
-			c.release(p, l, reply.close)
+			c.release(p, cn, reply.close)
 			return reply.Answer, nil
 		}
-		sent := l.close()
+		sent := cn.close()
 		// An idle connection may turn out dead before anything was written:
 		// then another one is as good as the first.
-		if sent || !l.reused || ctx.Err() != nil {
+		if sent || !cn.reused || ctx.Err() != nil {
 			return Answer{}, &Failure{Sent: sent, Err: err}
 		}
 	}
@@ -203,60 +203,60 @@
 }
 
 // line returns an idle connection that still stands, or a new one.
-func (c *Client) line(ctx context.Context, p *pool, addr string) (*line, error) {
+func (c *Client) connection(ctx context.Context, p *pool, addr string) (*connection, error) {
 	for {
-		l := c.takeIdle(p)
-		if l == nil {
+		cn := c.takeIdle(p)
+		if cn == nil {
 			break
 		}
-		if l.usable(c.opt.IdleTimeout) {
-			return l, nil
+		if cn.usable(c.opt.IdleTimeout) {
+			return cn, nil
 		}
-		l.close()
+		cn.close()
 	}
 	dialer := net.Dialer{Timeout: c.opt.DialTimeout, KeepAliveConfig: c.opt.Probes}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return newLine(conn, c.opt.Traffic), nil
+	return newConnection(conn, c.opt.Traffic), nil
 }
 
-func (c *Client) takeIdle(p *pool) *line {
+func (c *Client) takeIdle(p *pool) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(p.idle) == 0 {
 		return nil
 	}
-	l := p.idle[len(p.idle)-1]
+	cn := p.idle[len(p.idle)-1]
 	p.idle = p.idle[:len(p.idle)-1]
 	c.idle--
-	return l
+	return cn
 }
 
 // release puts the connection back unless the server wants it closed, and
 // closes those that lay idle too long.
-func (c *Client) release(p *pool, l *line, closing bool) {
+func (c *Client) release(p *pool, cn *connection, closing bool) {
 	if closing {
-		l.close()
+		cn.close()
 		return
 	}
-	l.idleSince, l.reused = time.Now(), true
+	cn.idleSince, cn.reused = time.Now(), true
 	c.mu.Lock()
-	if l.opened.Before(c.renewed) || c.idle >= c.opt.MaxIdle {
+	if cn.opened.Before(c.reconnectedAt) || c.idle >= c.opt.MaxIdle {
 		c.mu.Unlock()
-		l.close()
+		cn.close()
 		return
 	}
-	p.idle = append(p.idle, l)
+	p.idle = append(p.idle, cn)
 	c.idle++
-	old := 0
-	for old < len(p.idle) && !p.idle[old].usable(c.opt.IdleTimeout) {
-		old++
+	expired := 0
+	for expired < len(p.idle) && !p.idle[expired].usable(c.opt.IdleTimeout) {
+		expired++
 	}
-	stale := append([]*line(nil), p.idle[:old]...)
-	p.idle = p.idle[old:]
-	c.idle -= old
+	stale := append([]*connection(nil), p.idle[:expired]...)
+	p.idle = p.idle[expired:]
+	c.idle -= expired
 	c.mu.Unlock()
 	for _, s := range stale {
 		s.close()
@@ -267,7 +267,7 @@
 // may have fallen silent for good. Calls under way go on.
 func (c *Client) Reconnect() {
 	c.mu.Lock()
-	c.renewed = time.Now()
+	c.reconnectedAt = time.Now()
 	c.mu.Unlock()
 	c.Close()
 }
@@ -276,38 +276,38 @@
 // those that lie idle now.
 func (c *Client) ReconnectTo(addr string) {
 	c.mu.Lock()
-	var idle []*line
+	var idle []*connection
 	if p := c.pools[addr]; p != nil {
 		idle, p.idle = p.idle, nil
 		c.idle -= len(idle)
 	}
 	c.mu.Unlock()
-	for _, l := range idle {
-		l.close()
+	for _, cn := range idle {
+		cn.close()
 	}
 }
 
 // Close closes the idle connections; the client can still be used.
 func (c *Client) Close() {
 	c.mu.Lock()
-	var idle []*line
+	var idle []*connection
 	for _, p := range c.pools {
 		idle = append(idle, p.idle...)
 		p.idle = nil
 	}
 	c.idle = 0
 	c.mu.Unlock()
-	for _, l := range idle {
-		l.close()
+	for _, cn := range idle {
+		cn.close()
 	}
 }
 
 // readAll reads a whole body of a known length or in chunks. The body is not
 // closed: that would wait for the rest of one that is refused, and the connection
 // is closed then anyway.
-func readAll(resp *http.Response, method string, maxBody int64) ([]byte, error) {
+func readBody(resp *http.Response, method string, maxBody int64) ([]byte, error) {
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		return nil, errSwitched
+		return nil, errProtocolSwitched
 	}
 	if method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified {
 		return nil, nil
--- a/internal/httponce/httponce_test.go
+++ b/internal/httponce/httponce_test.go
@@ -291,10 +291,10 @@
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var open atomic.Int64
-	gather := make(chan struct{})
+	release := make(chan struct{})
 	script := func(_ int64, c net.Conn, _ *http.Request) bool {
 		open.Add(1)
-		<-gather // all are under way at the same time
+		<-release // all are under way at the same time
 		ok(c, "")
 		return true
 	}
@@ -311,7 +311,7 @@
 	for open.Load() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	close(gather)
+	close(release)
 	calls.Wait()
 	for range 3 { // those that were kept are used again, and counted right
 		for _, s := range servers {
@@ -356,18 +356,18 @@
 // one that it was meant for: it goes over connections with the mark of that one only.
 func TestBoundRequestsReachOneProcess(t *testing.T) {
 	for name, tc := range map[string]struct {
-		known int64 // mark that the connections have at first
-		now   int64 // mark that is told by the answer to the question
-		want  int64
-		paths string // that the server sees
-		err   error
+		known   int64 // mark that the connections have at first
+		current int64 // mark that is told by the answer to the question
+		want    int64
+		paths   string // that the server sees
+		err     error
 	}{
-		"no connection yet":                  {now: 7, want: 7, paths: "/ask /do"},
-		"another process":                    {now: 8, want: 7, paths: "/ask", err: httponce.ErrOtherMark},
-		"the connection is known":            {known: 7, now: 7, want: 7, paths: "/ask /do"},
-		"the connection is another's":        {known: 6, now: 7, want: 7, paths: "/ask /ask /do"},
-		"the connection is the next one's":   {known: 8, now: 8, want: 7, paths: "/ask /ask", err: httponce.ErrOtherMark},
-		"the process does not tell its mark": {now: 0, want: 7, paths: "/ask", err: httponce.ErrNoMark},
+		"no connection yet":                  {current: 7, want: 7, paths: "/ask /do"},
+		"another process":                    {current: 8, want: 7, paths: "/ask", err: httponce.ErrOtherMark},
+		"the connection is known":            {known: 7, current: 7, want: 7, paths: "/ask /do"},
+		"the connection is another's":        {known: 6, current: 7, want: 7, paths: "/ask /ask /do"},
+		"the connection is the next one's":   {known: 8, current: 8, want: 7, paths: "/ask /ask", err: httponce.ErrOtherMark},
+		"the process does not tell its mark": {current: 0, want: 7, paths: "/ask", err: httponce.ErrNoMark},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -396,7 +396,7 @@
 				is.NoErr(err)
 			}
 			bound := request("/do", 0)
-			bound.Mark, bound.Bound = nil, &httponce.Bound{Mark: tc.want, Ask: request("/ask", tc.now)}
+			bound.Mark, bound.Bound = nil, &httponce.Bound{Mark: tc.want, Ask: request("/ask", tc.current)}
 			_, err := client.DoMarked(t.Context(), s.addr, bound)
 			is.True(errors.Is(err, tc.err))
 			var f *httponce.Failure
--- a/internal/linkshard/assign.go
+++ b/internal/linkshard/assign.go
@@ -24,15 +24,15 @@
 
 // What a host in use costs whoever calls it, at its usual starts: two requests for each.
 const (
-	hostCores = 0.0005
-	hostMbps  = 0.036
+	coresPerHost = 0.0005
+	mbpsPerHost  = 0.036
 )
 
 // carries is how many hosts a member could call with all that it has.
-func (m Member) carries() float64 {
-	hosts := m.Cores / hostCores
+func (m Member) hostCapacity() float64 {
+	hosts := m.Cores / coresPerHost
 	if m.LinkMbps > 0 {
-		hosts = min(hosts, m.LinkMbps/hostMbps)
+		hosts = min(hosts, m.LinkMbps/mbpsPerHost)
 	}
 	return hosts
 }
@@ -41,45 +41,45 @@
 const (
 	// ownShare is the part of what a member has that calls to hosts may take: the rest
 	// is for its callers, for a holder's decisions, and for bursts.
-	ownShare = 0.2
+	callShare = 0.2
 	// strongShare is how much a member has to carry, of what the strongest carries, to
 	// be a shard: batches to many weak ones would cost the holder more than they save.
-	strongShare = 0.5
+	minRelativeCapacity = 0.5
 	// spareRoom is how many times the hosts the shards together can carry in their own
 	// shares, so that the loss of some leaves enough.
-	spareRoom = 2
+	capacityFactor = 2
 )
 
 // Spread chooses the members that call a partition's hosts for its holder; none where
 // the holder can well call them itself. It takes the strongest, as many from each
 // availability zone as from the others, and no more than are needed: the fewer there
 // are, the more calls go in one batch.
-func Spread(members []Member, self string, hosts int) []Member {
-	strongest, own := 0.0, 0.0
+func SelectShards(members []Member, self string, hosts int) []Member {
+	maxCapacity, selfCapacity := 0.0, 0.0
 	var others []Member
 	for _, m := range members {
 		if m.Name == self {
-			own = m.carries()
+			selfCapacity = m.hostCapacity()
 			continue
 		}
-		strongest = max(strongest, m.carries())
+		maxCapacity = max(maxCapacity, m.hostCapacity())
 		others = append(others, m)
 	}
-	if float64(hosts) <= ownShare*own {
+	if float64(hosts) <= callShare*selfCapacity {
 		return nil
 	}
 	slices.SortFunc(others, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(b.carries(), a.carries()), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.hostCapacity(), a.hostCapacity()), cmp.Compare(a.Name, b.Name))
 	})
 	var out []Member
-	room := 0.0
-	for _, m := range interleaved(others) {
-		if room >= spareRoom*float64(hosts) {
+	capacity := 0.0
+	for _, m := range interleaveZones(others) {
+		if capacity >= capacityFactor*float64(hosts) {
 			break
 		}
-		if m.carries() >= strongShare*strongest {
+		if m.hostCapacity() >= minRelativeCapacity*maxCapacity {
 			out = append(out, m)
-			room += ownShare * m.carries()
+			capacity += callShare * m.hostCapacity()
 		}
 	}
 	return out
@@ -87,16 +87,16 @@
 
 // interleaved takes the first of each availability zone, then the second of each, and
 // so on.
-func interleaved(members []Member) []Member {
+func interleaveZones(members []Member) []Member {
 	type ranked struct {
 		Member
 		rank int // in its zone
 	}
-	seen := map[string]int{}
+	zoneCount := map[string]int{}
 	all := make([]ranked, 0, len(members))
 	for _, m := range members {
-		all = append(all, ranked{m, seen[m.Zone]})
-		seen[m.Zone]++
+		all = append(all, ranked{m, zoneCount[m.Zone]})
+		zoneCount[m.Zone]++
 	}
 	slices.SortStableFunc(all, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
 	out := make([]Member, 0, len(all))
@@ -109,13 +109,13 @@
 // spreader chooses the shard that calls a host: one of the host's availability zone if
 // there is one, and another one for a host that was not reached. A shard that comes or
 // goes moves its own hosts only.
-type spreader struct {
+type shardSelector struct {
 	all    *rendezvous.Rendezvous
 	byZone map[string]*rendezvous.Rendezvous
 }
 
-func newSpreader(shards []Member) *spreader {
-	s := &spreader{byZone: map[string]*rendezvous.Rendezvous{}, all: rendezvous.New(nil, hash)}
+func newShardSelector(shards []Member) *shardSelector {
+	s := &shardSelector{byZone: map[string]*rendezvous.Rendezvous{}, all: rendezvous.New(nil, hash)}
 	for _, m := range shards {
 		s.all.Add(m.Name)
 		zone := s.byZone[m.Zone]
@@ -130,11 +130,11 @@
 
 // shardOf returns the name of the shard that calls a host. Passed is how many times in a
 // row the host was not reached through the ones before.
-func (s *spreader) shardOf(id host.ID, zone string, passed int) string {
-	if near := s.byZone[zone]; near != nil && passed == 0 {
-		return near.Lookup(string(id))
+func (s *shardSelector) shardOf(id host.ID, zone string, failedRoutes int) string {
+	if sameZone := s.byZone[zone]; sameZone != nil && failedRoutes == 0 {
+		return sameZone.Lookup(string(id))
 	}
-	return s.all.Lookup(string(id) + "/" + strconv.Itoa(passed))
+	return s.all.Lookup(string(id) + "/" + strconv.Itoa(failedRoutes))
 }
 
 func hash(s string) uint64 {
--- a/internal/linkshard/assign_test.go
+++ b/internal/linkshard/assign_test.go
@@ -10,7 +10,7 @@
 )
 
 // cellOf returns members of like strength in two availability zones.
-func cellOf(n int, cores, mbps float64) []Member {
+func testMembers(n int, cores, mbps float64) []Member {
 	var out []Member
 	for i := range n {
 		out = append(out, Member{Name: fmt.Sprint("m", i), Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%2), Cores: cores, LinkMbps: mbps})
@@ -20,26 +20,26 @@
 
 // TestSpread: whoever holds a small cell calls its hosts itself; in a large one, or
 // where links are thin, the strong members do.
-func TestSpread(t *testing.T) {
-	mixed := append(cellOf(3, 0.8, 200), Member{Name: "weak", Addr: "w", Cores: 0.19, LinkMbps: 20})
-	thin := append(cellOf(3, 0.8, 200), Member{Name: "thin", Addr: "w", Cores: 0.8, LinkMbps: 20})
+func TestSelectShards(t *testing.T) {
+	mixed := append(testMembers(3, 0.8, 200), Member{Name: "weak", Addr: "w", Cores: 0.19, LinkMbps: 20})
+	thin := append(testMembers(3, 0.8, 200), Member{Name: "thin", Addr: "w", Cores: 0.8, LinkMbps: 20})
 	tests := map[string]struct {
 		members []Member
 		hosts   int
 		want    int
 	}{
-		"48 hosts, 7 members of 0.4 cores":               {cellOf(7, 0.4, 1000), 48, 0},
-		"48 hosts, links that do not bind":               {cellOf(7, 0.4, 0), 48, 0},
-		"120 hosts, 17 members of 0.12 cores and 2 Mbit": {cellOf(17, 0.12, 2), 120, 16},
+		"48 hosts, 7 members of 0.4 cores":               {testMembers(7, 0.4, 1000), 48, 0},
+		"48 hosts, links that do not bind":               {testMembers(7, 0.4, 0), 48, 0},
+		"120 hosts, 17 members of 0.12 cores and 2 Mbit": {testMembers(17, 0.12, 2), 120, 16},
 		"1100 hosts, strong members and a weak one":      {mixed, 1100, 2},
 		"1100 hosts, one member with a thin link":        {thin, 1100, 2},
-		"nobody else": {cellOf(1, 0.8, 200), 1100, 0},
-		"a thin link binds though the processor does not": {cellOf(7, 0.8, 5), 48, 4},
-		"no more than are needed":                         {cellOf(15, 0.8, 200), 1100, 7},
+		"nobody else": {testMembers(1, 0.8, 200), 1100, 0},
+		"a thin link binds though the processor does not": {testMembers(7, 0.8, 5), 48, 4},
+		"no more than are needed":                         {testMembers(15, 0.8, 200), 1100, 7},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := Spread(tc.members, "m0", tc.hosts)
+			got := SelectShards(tc.members, "m0", tc.hosts)
 			is.New(t).Equal(len(got), tc.want)
 			for _, m := range got {
 				is.New(t).True(m.Name != "m0" && m.Name != "weak" && m.Name != "thin")
@@ -49,10 +49,10 @@
 }
 
 // TestSpreadOverZones: the loss of a zone takes its share of the shards only.
-func TestSpreadOverZones(t *testing.T) {
+func TestShardsAreSelectedAcrossZones(t *testing.T) {
 	is := is.New(t)
 	zones := map[string]int{}
-	for _, m := range Spread(cellOf(16, 0.8, 200), "m0", 1100) {
+	for _, m := range SelectShards(testMembers(16, 0.8, 200), "m0", 1100) {
 		zones[m.Zone]++
 	}
 	is.True(zones["z0"] >= 3 && zones["z1"] >= 3)
@@ -62,12 +62,12 @@
 // moves its own hosts only; a host that is not reached is called through others in turn.
 func TestShardsOfHosts(t *testing.T) {
 	is := is.New(t)
-	members := cellOf(10, 0.8, 200)
+	members := testMembers(10, 0.8, 200)
 	zones := map[string]string{}
 	for _, m := range members {
 		zones[m.Name] = m.Zone
 	}
-	all, fewer := newSpreader(members), newSpreader(members[1:])
+	all, fewer := newShardSelector(members), newShardSelector(members[1:])
 	const hosts = 1000
 	share := map[string]int{}
 	for i := range hosts {
@@ -79,13 +79,13 @@
 			is.Equal(fewer.shardOf(id, zone, 0), first)
 		}
 		tried := map[string]bool{}
-		for passed := range 12 {
-			tried[all.shardOf(id, zone, passed)] = true
+		for failedRoutes := range 12 {
+			tried[all.shardOf(id, zone, failedRoutes)] = true
 		}
 		is.True(len(tried) > 3)
 	}
 	for _, m := range members {
 		is.True(share[m.Name] > hosts/20) // a tenth is even
 	}
-	is.Equal(newSpreader(members).shardOf("h", "another zone", 0) != "", true)
+	is.Equal(newShardSelector(members).shardOf("h", "another zone", 0) != "", true)
 }
--- a/internal/linkshard/batch.go
+++ b/internal/linkshard/batch.go
@@ -7,37 +7,37 @@
 )
 
 // numbered is a call with the number under which its outcome is reported.
-type numbered struct {
+type numberedCall struct {
 	id   uint64
 	call Call
 }
 
 // newBatch packs calls. Partition, epoch and address are the sender's to fill in.
-func newBatch(calls []numbered) Batch {
+func newBatch(calls []numberedCall) Batch {
 	var b Batch
 	var hosts table[host.ID]
 	var steps stepTable
 	var commands table[string]
 	for _, n := range calls {
 		c := &n.call
-		place := hosts.place(c.To.ID)
-		if place == len(b.Hosts) {
+		index := hosts.index(c.To.ID)
+		if index == len(b.Hosts) {
 			b.Hosts = append(b.Hosts, hostRow{ID: c.To.ID, Addr: c.To.Addr})
 		}
 		switch {
 		case c.Start != nil:
 			b.Starts = append(b.Starts, startRow{
-				ID: n.id, Host: place, Run: steps.row(c.Start.Run), Command: commands.place(c.Start.Command),
+				ID: n.id, Host: index, Run: steps.row(c.Start.Run), Command: commands.index(c.Start.Command),
 				Deadline: c.Start.Deadline, Checkpoint: c.Start.Checkpoint, Ticket: c.Start.Ticket,
 			})
-			b.StartLives = append(b.StartLives, c.Start.Life)
+			b.StartIncarnations = append(b.StartIncarnations, c.Start.Life)
 		case c.Stop != nil:
-			b.Stops = append(b.Stops, stopRow{ID: n.id, Host: place, Run: steps.row(*c.Stop)})
+			b.Stops = append(b.Stops, stopRow{ID: n.id, Host: index, Run: steps.row(*c.Stop)})
 		case c.Look != nil:
-			b.Looks = append(b.Looks, lookRow{ID: n.id, Host: place, Seen: c.Look.Seen, Lease: c.Look.Lease, Wait: c.Look.Wait.Milliseconds()})
-			b.LookLives = append(b.LookLives, c.Look.Life)
+			b.Polls = append(b.Polls, pollRow{ID: n.id, Host: index, Seen: c.Look.Seen, Lease: c.Look.Lease, Wait: c.Look.Wait.Milliseconds()})
+			b.PollIncarnations = append(b.PollIncarnations, c.Look.Life)
 		case c.Pace != nil:
-			b.Paces = append(b.Paces, paceRow{ID: n.id, Host: place, Run: steps.row(c.Pace.Run), Percent: c.Pace.Percent})
+			b.Paces = append(b.Paces, paceRow{ID: n.id, Host: index, Run: steps.row(c.Pace.Run), Percent: c.Pace.Percent})
 		}
 	}
 	b.Steps, b.Commands = steps.values, commands.values
@@ -45,11 +45,11 @@
 }
 
 // calls unpacks a batch. A row that refers to nothing fails the whole batch.
-func (b *Batch) calls() ([]numbered, error) {
-	var out []numbered
+func (b *Batch) calls() ([]numberedCall, error) {
+	var out []numberedCall
 	var failed error
-	add := func(id uint64, place int, c Call, err error) {
-		h, hostErr := at(b.Hosts, place)
+	add := func(id uint64, index int, c Call, err error) {
+		h, hostErr := rowAt(b.Hosts, index)
 		if failed == nil && err != nil {
 			failed = err
 		}
@@ -57,7 +57,7 @@
 			failed = hostErr
 		}
 		c.To = host.Info{ID: h.ID, Addr: h.Addr}
-		out = append(out, numbered{id, c})
+		out = append(out, numberedCall{id, c})
 	}
 	for _, r := range b.Stops {
 		run, err := runOf(b.Steps, r.Run)
@@ -65,17 +65,17 @@
 	}
 	for i, r := range b.Starts {
 		run, err := runOf(b.Steps, r.Run)
-		command, commandErr := at(b.Commands, r.Command)
+		command, commandErr := rowAt(b.Commands, r.Command)
 		if err == nil {
 			err = commandErr
 		}
 		add(r.ID, r.Host, Call{Start: &host.Start{
-			Run: run, Life: lifeAt(b.StartLives, i), Command: command, Deadline: r.Deadline, Checkpoint: r.Checkpoint, Ticket: r.Ticket,
+			Run: run, Life: incarnationAt(b.StartIncarnations, i), Command: command, Deadline: r.Deadline, Checkpoint: r.Checkpoint, Ticket: r.Ticket,
 		}}, err)
 	}
-	for i, r := range b.Looks {
+	for i, r := range b.Polls {
 		add(r.ID, r.Host, Call{Look: &host.Look{
-			Seen: r.Seen, Life: lifeAt(b.LookLives, i), Lease: r.Lease, Wait: time.Duration(r.Wait) * time.Millisecond,
+			Seen: r.Seen, Life: incarnationAt(b.PollIncarnations, i), Lease: r.Lease, Wait: time.Duration(r.Wait) * time.Millisecond,
 		}}, nil)
 	}
 	for _, r := range b.Paces {
@@ -86,19 +86,19 @@
 }
 
 // finished is the outcome of a numbered call; look tells whether that was a look.
-type finished struct {
+type numberedOutcome struct {
 	id      uint64
-	look    bool
+	isPoll  bool
 	outcome Outcome
 }
 
 // newReport packs outcomes.
-func newReport(partition int, epoch uint64, list []finished) Report {
+func newReport(partition int, epoch uint64, list []numberedOutcome) Report {
 	r := Report{Partition: partition, Epoch: epoch}
 	var steps stepTable
 	for _, f := range list {
 		o := &f.outcome
-		if !f.look {
+		if !f.isPoll {
 			r.Replies = append(r.Replies, replyRow{ID: f.id, Failure: failureOf(o.Err), Clock: o.Reply.Clock, Refused: o.Reply.Refused})
 			continue
 		}
@@ -110,17 +110,17 @@
 			row.Ended = append(row.Ended, endRow{Number: v.Number, Run: steps.row(v.Run), How: v.How, Checkpoint: v.Checkpoint})
 		}
 		r.Views = append(r.Views, row)
-		r.ViewLives = append(r.ViewLives, o.View.Life)
+		r.ViewIncarnations = append(r.ViewIncarnations, o.View.Life)
 	}
 	r.Steps = steps.values
 	return r
 }
 
 // outcomes unpacks a report. A row that refers to nothing fails the whole report.
-func (r *Report) outcomes() ([]finished, error) {
-	out := make([]finished, 0, len(r.Replies)+len(r.Views))
+func (r *Report) outcomes() ([]numberedOutcome, error) {
+	out := make([]numberedOutcome, 0, len(r.Replies)+len(r.Views))
 	for _, row := range r.Replies {
-		out = append(out, finished{id: row.ID, outcome: Outcome{
+		out = append(out, numberedOutcome{id: row.ID, outcome: Outcome{
 			Reply: host.Reply{Clock: row.Clock, Refused: row.Refused}, Err: row.Failure.err(),
 		}})
 	}
@@ -129,18 +129,18 @@
 		if err != nil {
 			return nil, err
 		}
-		view.Life = lifeAt(r.ViewLives, i)
-		out = append(out, finished{id: row.ID, look: true, outcome: Outcome{View: view, Err: row.Failure.err()}})
+		view.Life = incarnationAt(r.ViewIncarnations, i)
+		out = append(out, numberedOutcome{id: row.ID, isPoll: true, outcome: Outcome{View: view, Err: row.Failure.err()}})
 	}
 	return out, nil
 }
 
 // lifeAt is the life with a place in a list, or none where the sender knows of no lives.
-func lifeAt(lives []host.Life, place int) host.Life {
-	if place >= len(lives) {
+func incarnationAt(incarnations []host.Life, index int) host.Life {
+	if index >= len(incarnations) {
 		return 0
 	}
-	return lives[place]
+	return incarnations[index]
 }
 
 func (r *Report) view(row viewRow) (host.View, error) {
--- a/internal/linkshard/batch_test.go
+++ b/internal/linkshard/batch_test.go
@@ -44,11 +44,11 @@
 
 // TestBatchesArriveWhole: whatever calls are packed, the same arrive, though in another
 // order.
-func TestBatchesArriveWhole(t *testing.T) {
+func TestBatchRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var calls []numbered
+		var calls []numberedCall
 		for i := range rapid.IntRange(0, 20).Draw(t, "calls") {
-			calls = append(calls, numbered{uint64(i), drawCall(t)})
+			calls = append(calls, numberedCall{uint64(i), drawCall(t)})
 		}
 		data, err := cbor.Marshal(newBatch(calls))
 		is.New(t).NoErr(err)
@@ -64,12 +64,12 @@
 }
 
 // TestReportsArriveWhole: the same for outcomes.
-func TestReportsArriveWhole(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var list []finished
+		var list []numberedOutcome
 		for i := range rapid.IntRange(0, 10).Draw(t, "outcomes") {
-			f := finished{id: uint64(i), look: rapid.Bool().Draw(t, "look")}
-			if !f.look {
+			f := numberedOutcome{id: uint64(i), isPoll: rapid.Bool().Draw(t, "look")}
+			if !f.isPoll {
 				f.outcome.Reply = host.Reply{Clock: host.Millis(i), Refused: rapid.SampledFrom([]host.Refusal{"", host.RefusedFull}).Draw(t, "refused")}
 				list = append(list, f)
 				continue
@@ -97,12 +97,12 @@
 }
 
 // TestRowsThatReferToNothing: another version's, or a damaged, message is refused whole.
-func TestRowsThatReferToNothing(t *testing.T) {
+func TestInvalidRowsAreRejected(t *testing.T) {
 	is := is.New(t)
 	host := []hostRow{{ID: "h", Addr: "a"}}
 	step := []spec.StepID{{Job: "j"}}
 	for name, b := range map[string]Batch{
-		"host":    {Looks: []lookRow{{Host: 0}}},
+		"host":    {Polls: []pollRow{{Host: 0}}},
 		"step":    {Hosts: host, Stops: []stopRow{{Run: runRow{Step: 1}}}, Steps: step},
 		"command": {Hosts: host, Starts: []startRow{{}}, Steps: step},
 		"below":   {Hosts: host, Paces: []paceRow{{Run: runRow{Step: -1}}}, Steps: step},
@@ -121,22 +121,22 @@
 // ten milliseconds at 1,740 starts a second in the cell, and says the bytes of a start,
 // its look included.
 func BenchmarkBatch(b *testing.B) {
-	var calls []numbered
-	var list []finished
+	var calls []numberedCall
+	var list []numberedOutcome
 	run := func(i int) host.Run {
 		return host.Run{Task: spec.StepTask{StepID: spec.StepID{Job: "5c0e7a21d94b36f8"}, Index: i}, No: 1}
 	}
 	const starts = 12
 	for i := range starts {
 		to := host.Info{ID: host.ID([]string{"a1b2c3d4e5f60718", "b1b2c3d4e5f60718", "c1b2c3d4e5f60718"}[i%3]), Addr: "10.1.2.34:8167"}
-		calls = append(calls, numbered{uint64(100000 + 2*i), Call{To: to, Start: &host.Start{Run: run(i), Command: string(make([]byte, 150)), Deadline: 486000, Ticket: "00000bb87a21d94b"}}},
-			numbered{uint64(100001 + 2*i), Call{To: to, Look: &host.Look{Seen: 57, Lease: 486000, Wait: 2 * time.Second}}})
+		calls = append(calls, numberedCall{uint64(100000 + 2*i), Call{To: to, Start: &host.Start{Run: run(i), Command: string(make([]byte, 150)), Deadline: 486000, Ticket: "00000bb87a21d94b"}}},
+			numberedCall{uint64(100001 + 2*i), Call{To: to, Look: &host.Look{Seen: 57, Lease: 486000, Wait: 2 * time.Second}}})
 		view := host.View{Clock: 482113, Ended: []host.End{{Number: 58, Run: run(i), How: host.EndDone}}}
 		for k := range 3 {
 			view.Running = append(view.Running, host.Running{Run: run(k), Percent: 41, Gauge: 16000})
 		}
-		list = append(list, finished{id: uint64(100000 + 2*i), outcome: Outcome{Reply: host.Reply{Clock: 482113}}},
-			finished{id: uint64(100001 + 2*i), look: true, outcome: Outcome{View: view}})
+		list = append(list, numberedOutcome{id: uint64(100000 + 2*i), outcome: Outcome{Reply: host.Reply{Clock: 482113}}},
+			numberedOutcome{id: uint64(100001 + 2*i), isPoll: true, outcome: Outcome{View: view}})
 	}
 	bytes := 0
 	for b.Loop() {
@@ -144,18 +144,18 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		told, err := cbor.Marshal(newReport(0, 1, list))
+		reported, err := cbor.Marshal(newReport(0, 1, list))
 		if err != nil {
 			b.Fatal(err)
 		}
 		var r Report
-		if err := cbor.Unmarshal(told, &r); err != nil {
+		if err := cbor.Unmarshal(reported, &r); err != nil {
 			b.Fatal(err)
 		}
 		if _, err := r.outcomes(); err != nil {
 			b.Fatal(err)
 		}
-		bytes = len(sent) + len(told)
+		bytes = len(sent) + len(reported)
 	}
 	b.ReportMetric(float64(bytes)/starts, "B/start")
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/starts, "ns/start")
@@ -163,16 +163,16 @@
 
 // TestMembersThatKnowNoLives: while members are replaced one by one, some neither send lives
 // nor read them. Their looks and views mean no life, and all else arrives.
-func TestMembersThatKnowNoLives(t *testing.T) {
+func TestMembersWithoutIncarnations(t *testing.T) {
 	is := is.New(t)
-	b := newBatch([]numbered{{1, Call{To: host.Info{ID: "h1"}, Look: &host.Look{Seen: 7, Life: 5}}}})
-	b.LookLives = nil
+	b := newBatch([]numberedCall{{1, Call{To: host.Info{ID: "h1"}, Look: &host.Look{Seen: 7, Life: 5}}}})
+	b.PollIncarnations = nil
 	calls, err := b.calls()
 	is.NoErr(err)
 	is.Equal(*calls[0].call.Look, host.Look{Seen: 7})
 
-	r := newReport(0, 3, []finished{{id: 1, look: true, outcome: Outcome{View: host.View{Clock: 9, Life: 5}}}})
-	r.ViewLives = nil
+	r := newReport(0, 3, []numberedOutcome{{id: 1, isPoll: true, outcome: Outcome{View: host.View{Clock: 9, Life: 5}}}})
+	r.ViewIncarnations = nil
 	list, err := r.outcomes()
 	is.NoErr(err)
 	is.Equal(list[0].outcome.View, host.View{Clock: 9})
--- a/internal/linkshard/giveup.go
+++ b/internal/linkshard/failure.go
@@ -17,11 +17,11 @@
 // late reports whether a call was given up as its time was over. The peer may have
 // answered: a holder that is behind takes its answer in too late, and taking the shard
 // for lost then would have it make all its calls again, through others.
-func late(ctx context.Context) bool { return errors.Is(ctx.Err(), context.DeadlineExceeded) }
+func timedOut(ctx context.Context) bool { return errors.Is(ctx.Err(), context.DeadlineExceeded) }
 
 // failed takes a shard out of use for a while and gives its calls to others: those of
 // the batch that it did not answer, and all that it was given before.
-func (r *Router) failed(s *shard, batch []numbered, err error, now time.Time) {
+func (r *Router) markFailed(s *shard, batch []numberedCall, err error, now time.Time) {
 	unsent := map[uint64]bool{}
 	if result.From(err).Ran == result.RanNo {
 		for _, n := range batch {
@@ -29,21 +29,21 @@
 		}
 	}
 	r.mu.Lock()
-	s.noteLost(now)
+	s.markUnresponsive(now)
 	for _, n := range s.queue {
 		unsent[n.id] = true
 	}
 	s.queue = nil
-	r.workedOut = time.Time{}
+	r.selectedAt = time.Time{}
 	r.chooseShards(now)
-	var done []ended
+	var done []endedCall
 	moved := 0
 	for id, p := range r.calls {
 		if p.shard != s {
 			continue
 		}
-		p.doubt = p.doubt || !unsent[id]
-		if e, over := r.reroute(id, p); over {
+		p.possiblySent = p.possiblySent || !unsent[id]
+		if e, ended := r.reroute(id, p); ended {
 			done = append(done, e)
 		} else {
 			moved++
@@ -59,15 +59,15 @@
 
 // unsent gives the calls of a batch that this process, as it is busy, has not sent in time to
 // their shards once more. Nobody will tell of them: waited for, they would end as lost.
-func (r *Router) unsent(s *shard, batch []numbered) {
-	var done []ended
+func (r *Router) requeueUnsent(s *shard, batch []numberedCall) {
+	var done []endedCall
 	r.mu.Lock()
 	for _, n := range batch {
 		p := r.calls[n.id]
 		if p == nil || p.shard != s {
 			continue
 		}
-		if e, over := r.reroute(n.id, p); over {
+		if e, ended := r.reroute(n.id, p); ended {
 			done = append(done, e)
 		}
 	}
@@ -76,53 +76,53 @@
 }
 
 // reroute gives a call to another shard, or ends it. The lock is held.
-func (r *Router) reroute(id uint64, p *pending) (ended, bool) {
+func (r *Router) reroute(id uint64, p *pending) (endedCall, bool) {
 	s := r.shardFor(&p.call.To)
-	if p.routes >= mostRoutes || s == nil {
+	if p.routes >= maxRoutes || s == nil {
 		delete(r.calls, id)
 		err := host.ErrNotSent
-		if p.doubt {
+		if p.possiblySent {
 			err = host.ErrLost
 		}
-		return ended{p, Outcome{Err: fmt.Errorf("%w: %d link shards did not answer", err, p.routes)}}, true
+		return endedCall{p, Outcome{Err: fmt.Errorf("%w: %d link shards did not answer", err, p.routes)}}, true
 	}
-	p.shard, p.until = s, time.Time{}
+	p.shard, p.expiresAt = s, time.Time{}
 	p.routes++
-	r.enqueue(s, numbered{id, p.call})
-	return ended{}, false
+	r.enqueue(s, numberedCall{id, p.call})
+	return endedCall{}, false
 }
 
 // expire gives up the calls that a shard was given and said nothing of in time. While
 // this process is busy, reports wait here to be taken in: a start that is given up then is
 // stopped though it works, which leaves still more to do.
 func (r *Router) expire(now time.Time) {
-	patience := time.Duration(0)
+	grace := time.Duration(0)
 	if r.conf.Busy() {
-		patience = busyPatience
+		grace = busyGrace
 	}
-	var done []ended
+	var done []endedCall
 	r.mu.Lock()
 	for id, p := range r.calls {
-		if p.until.IsZero() || now.Before(p.until.Add(patience)) {
+		if p.expiresAt.IsZero() || now.Before(p.expiresAt.Add(grace)) {
 			continue
 		}
 		delete(r.calls, id)
-		r.passBy(p.call.To.ID)
-		done = append(done, ended{p, Outcome{Err: fmt.Errorf("%w: nothing heard of it", host.ErrLost)}})
+		r.rerouteHost(p.call.To.ID)
+		done = append(done, endedCall{p, Outcome{Err: fmt.Errorf("%w: nothing heard of it", host.ErrLost)}})
 	}
 	r.mu.Unlock()
 	r.finish(done)
 }
 
 // finish tells the outcomes, all in one go.
-func (r *Router) finish(done []ended) {
+func (r *Router) finish(done []endedCall) {
 	if len(done) == 0 {
 		return
 	}
 	r.conf.Apply(func(now time.Time) {
 		for _, e := range done {
-			e.outcome.Sent = e.call.sent
-			e.outcome.settle(e.call.doubt)
+			e.outcome.Sent = e.call.firstSentAt
+			e.outcome.markUncertain(e.call.possiblySent)
 			e.call.call.Done(e.outcome, now)
 		}
 	})
@@ -130,16 +130,16 @@
 
 // settle makes an outcome that says that nothing was done one that leaves it open, if
 // another shard may have made the call, or may still make it.
-func (o *Outcome) settle(doubt bool) {
-	if !doubt {
+func (o *Outcome) markUncertain(possiblySent bool) {
+	if !possiblySent {
 		return
 	}
 	switch failureOf(o.Err) {
-	case notSent, turnedAway:
+	case failureNotSent, failureRefused:
 		o.Err = fmt.Errorf("%w: through another link shard", host.ErrLost)
-	case answered:
-		if why := o.Reply.Refused; why != "" && why != host.RefusedFenced {
-			o.Reply, o.Err = host.Reply{}, fmt.Errorf("%w: refused (%s), and given to another link shard before", host.ErrLost, why)
+	case failureNone:
+		if reason := o.Reply.Refused; reason != "" && reason != host.RefusedFenced {
+			o.Reply, o.Err = host.Reply{}, fmt.Errorf("%w: refused (%s), and given to another link shard before", host.ErrLost, reason)
 		}
 	}
 }
--- a/internal/linkshard/messages.go
+++ b/internal/linkshard/messages.go
@@ -24,13 +24,13 @@
 	Commands []string      `cbor:"7,keyasint,omitempty"`
 	Starts   []startRow    `cbor:"8,keyasint,omitempty"`
 	Stops    []stopRow     `cbor:"9,keyasint,omitempty"`
-	Looks    []lookRow     `cbor:"10,keyasint,omitempty"`
+	Polls    []pollRow     `cbor:"10,keyasint,omitempty"`
 	Paces    []paceRow     `cbor:"11,keyasint,omitempty"`
 	// LookLives and StartLives are the lives that the looks and the starts mean, in their
 	// order. They stand beside the rows, as members of before and after an update of the rows
 	// could not read each other's: who does not know them leaves them out, and means no life.
-	LookLives  []host.Life `cbor:"12,keyasint,omitempty"`
-	StartLives []host.Life `cbor:"13,keyasint,omitempty"`
+	PollIncarnations  []host.Life `cbor:"12,keyasint,omitempty"`
+	StartIncarnations []host.Life `cbor:"13,keyasint,omitempty"`
 }
 
 type hostRow struct {
@@ -63,7 +63,7 @@
 	Run  runRow
 }
 
-type lookRow struct {
+type pollRow struct {
 	_     struct{} `cbor:",toarray"`
 	ID    uint64
 	Host  int
@@ -88,7 +88,7 @@
 	Replies   []replyRow    `cbor:"4,keyasint,omitempty"`
 	Views     []viewRow     `cbor:"5,keyasint,omitempty"`
 	// ViewLives are the lives that the views show, in their order; see Batch.LookLives.
-	ViewLives []host.Life `cbor:"6,keyasint,omitempty"`
+	ViewIncarnations []host.Life `cbor:"6,keyasint,omitempty"`
 }
 
 type replyRow struct {
@@ -132,12 +132,12 @@
 type failure uint8
 
 const (
-	answered failure = iota
-	notSent
-	otherLife
-	lost
-	broken // members that do not know these two take them for lost
-	turnedAway
+	failureNone failure = iota
+	failureNotSent
+	failureOtherIncarnation
+	failureLost
+	failureBroken // members that do not know these two take them for lost
+	failureRefused
 )
 
 // errReported is what a shard's failure stands for at the holder.
@@ -146,30 +146,30 @@
 func failureOf(err error) failure {
 	switch {
 	case err == nil:
-		return answered
+		return failureNone
 	case errors.Is(err, host.ErrRefused):
-		return turnedAway
+		return failureRefused
 	case errors.Is(err, host.ErrNotSent):
-		return notSent
+		return failureNotSent
 	case errors.Is(err, host.ErrOtherLife):
-		return otherLife
+		return failureOtherIncarnation
 	case errors.Is(err, host.ErrBroken):
-		return broken
+		return failureBroken
 	}
-	return lost
+	return failureLost
 }
 
 func (f failure) err() error {
 	switch f {
-	case answered:
+	case failureNone:
 		return nil
-	case notSent:
+	case failureNotSent:
 		return fmt.Errorf("%w: %w", host.ErrNotSent, errReported)
-	case otherLife:
+	case failureOtherIncarnation:
 		return fmt.Errorf("%w: %w", host.ErrOtherLife, errReported)
-	case turnedAway:
+	case failureRefused:
 		return fmt.Errorf("%w: %w", host.ErrRefused, errReported)
-	case broken:
+	case failureBroken:
 		return fmt.Errorf("%w: %w", host.ErrBroken, errReported)
 	}
 	return fmt.Errorf("%w: %w", host.ErrLost, errReported)
@@ -177,18 +177,18 @@
 
 // table numbers values in the order in which they are first met.
 type table[T comparable] struct {
-	places map[T]int
-	values []T
+	indexes map[T]int
+	values  []T
 }
 
-func (t *table[T]) place(v T) int {
-	if at, ok := t.places[v]; ok {
-		return at
+func (t *table[T]) index(v T) int {
+	if i, ok := t.indexes[v]; ok {
+		return i
 	}
-	if t.places == nil {
-		t.places = map[T]int{}
+	if t.indexes == nil {
+		t.indexes = map[T]int{}
 	}
-	t.places[v] = len(t.values)
+	t.indexes[v] = len(t.values)
 	t.values = append(t.values, v)
 	return len(t.values) - 1
 }
@@ -197,22 +197,22 @@
 type stepTable struct{ table[spec.StepID] }
 
 func (t *stepTable) row(r host.Run) runRow {
-	return runRow{Step: t.place(r.Task.StepID), Index: r.Task.Index, No: r.No}
+	return runRow{Step: t.index(r.Task.StepID), Index: r.Task.Index, No: r.No}
 }
 
 // errRow: a row refers to a place that its table does not have.
-var errRow = errors.New("linkshard: a row refers to nothing")
+var errBadRow = errors.New("linkshard: a row refers to nothing")
 
 // at returns the value at a place of a table.
-func at[T any](values []T, place int) (T, error) {
-	if place < 0 || place >= len(values) {
-		var none T
-		return none, errRow
+func rowAt[T any](values []T, index int) (T, error) {
+	if index < 0 || index >= len(values) {
+		var zero T
+		return zero, errBadRow
 	}
-	return values[place], nil
+	return values[index], nil
 }
 
 func runOf(steps []spec.StepID, r runRow) (host.Run, error) {
-	step, err := at(steps, r.Step)
+	step, err := rowAt(steps, r.Step)
 	return host.Run{Task: spec.StepTask{StepID: step, Index: r.Index}, No: r.No}, err
 }
--- a/internal/linkshard/router_test.go
+++ b/internal/linkshard/router_test.go
@@ -23,13 +23,13 @@
 type fault int
 
 const (
-	well       fault = iota
-	gone             // nothing listens
-	silent           // messages vanish, and answers do not come
-	deaf             // calls are made, but neither their receipt nor their outcomes are told
-	unreported       // the receipt is told, the outcomes are not
-	twice            // each report comes twice
-	stuck            // messages are not sent in the time that they have
+	noFault          fault = iota
+	notListening           // nothing listens
+	blackhole              // messages vanish, and answers do not come
+	noAnswers              // calls are made, but neither their receipt nor their outcomes are told
+	noReports              // the receipt is told, the outcomes are not
+	duplicateReports       // each report comes twice
+	notSentInTime          // messages are not sent in the time that they have
 )
 
 // network carries messages between a holder at "holder" and shards at "a0" and so on.
@@ -59,12 +59,12 @@
 }
 
 // from is a shard's or the holder's end of the network.
-type from struct {
+type callsFrom struct {
 	*network
 	addr string
 }
 
-func (f from) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
+func (f callsFrom) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
 	other := addr
 	if other == "holder" {
 		other = f.addr
@@ -81,17 +81,17 @@
 		return result.New(result.PeerLost, result.RanUnknown, "no answer")
 	}
 	switch {
-	case fault == gone:
+	case fault == notListening:
 		return result.New(result.PeerNotReached, result.RanNo, "refused")
-	case fault == stuck:
+	case fault == notSentInTime:
 		<-ctx.Done()
 		return result.New(result.PeerNotReached, result.RanNo, "no link yet")
-	case fault == silent, fault == unreported && kind == peer.KindHostReport, fault == deaf && kind == peer.KindHostReport:
+	case fault == blackhole, fault == noReports && kind == peer.KindHostReport, fault == noAnswers && kind == peer.KindHostReport:
 		return lost()
-	case fault == deaf:
+	case fault == noAnswers:
 		_ = f.Local.Call(ctx, addr, kind, req, resp)
 		return lost()
-	case fault == twice && kind == peer.KindHostReport:
+	case fault == duplicateReports && kind == peer.KindHostReport:
 		_ = f.Local.Call(ctx, addr, kind, req, resp)
 	}
 	return f.Local.Call(ctx, addr, kind, req, resp)
@@ -99,16 +99,16 @@
 
 // countingHosts carries out each start once, whoever sends it, and tells the one end.
 type countingHosts struct {
-	mu      sync.Mutex
-	starts  map[host.Run]int
-	calls   int
-	refuse  host.Refusal
-	takes   time.Duration
-	cut     string // no call of this shard arrives
-	fenceAt uint64
+	mu              sync.Mutex
+	starts          map[host.Run]int
+	calls           int
+	refuse          host.Refusal
+	latency         time.Duration
+	unreachableFrom string // no call of this shard arrives
+	fenceEpoch      uint64
 }
 
-func (c *countingHosts) from(shard string) host.Client { return hostsFrom{c, shard} }
+func (c *countingHosts) callsFrom(shard string) host.Client { return hostsFrom{c, shard} }
 
 type hostsFrom struct {
 	*countingHosts
@@ -116,14 +116,14 @@
 }
 
 func (c hostsFrom) arrive(ctx context.Context, epoch uint64) (host.Reply, error) {
-	time.Sleep(c.takes)
+	time.Sleep(c.latency)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
 	switch {
-	case c.shard == c.cut && c.shard != "":
+	case c.shard == c.unreachableFrom && c.shard != "":
 		return host.Reply{}, host.ErrLost
-	case epoch < c.fenceAt:
+	case epoch < c.fenceEpoch:
 		return host.Reply{Refused: host.RefusedFenced}, nil
 	}
 	return host.Reply{Clock: 5, Refused: c.refuse}, ctx.Err()
@@ -154,7 +154,7 @@
 }
 
 // rig is a holder's router with shards, hosts and a network between them.
-type rig struct {
+type fixture struct {
 	network *network
 	hosts   *countingHosts
 	router  *Router
@@ -166,10 +166,10 @@
 	at       map[int]time.Time
 }
 
-func newRig(t *testing.T, shards, partitionHosts int) *rig {
-	r := &rig{
+func newFixture(t *testing.T, shards, partitionHosts int) *fixture {
+	r := &fixture{
 		network:  &network{Local: peer.Local{}, faults: map[string]fault{}, sent: map[string]int{}},
-		hosts:    &countingHosts{starts: map[host.Run]int{}, takes: 2 * time.Millisecond},
+		hosts:    &countingHosts{starts: map[host.Run]int{}, latency: 2 * time.Millisecond},
 		outcomes: map[int][]Outcome{}, at: map[int]time.Time{},
 	}
 	logger := logrus.New()
@@ -179,12 +179,12 @@
 	for i := range shards {
 		addr := fmt.Sprint("a", i)
 		mux := peer.NewMux()
-		NewServer(mux, r.hosts.from(addr), from{r.network, addr}, log)
+		NewServer(mux, r.hosts.callsFrom(addr), callsFrom{r.network, addr}, log)
 		r.network.Local[addr] = mux
 		members = append(members, Member{Name: addr, Addr: addr, Zone: "z", Cores: 0.12, LinkMbps: 2})
 	}
 	r.router = New(Config{
-		Epoch: 7, Self: "holder", Addr: "holder", Peers: from{r.network, "holder"}, Local: r.hosts.from("holder"),
+		Epoch: 7, Self: "holder", Addr: "holder", Peers: callsFrom{r.network, "holder"}, Local: r.hosts.callsFrom("holder"),
 		Members: func() []Member { return members }, Hosts: func() int { return partitionHosts }, Log: log, Busy: r.busy.Load,
 		Apply: func(fn func(time.Time)) {
 			r.mu.Lock()
@@ -202,7 +202,7 @@
 		r.router.Wait()
 		close(ended)
 	}()
-	t.Cleanup(func() { cancel(); <-ended; time.Sleep(2 * reportFor) })
+	t.Cleanup(func() { cancel(); <-ended; time.Sleep(2 * reportRetryPeriod) })
 	r.ctx = ctx
 	return r
 }
@@ -212,7 +212,7 @@
 }
 
 // start orders the runs from first on, one on each of as many hosts.
-func (r *rig) start(first, n int) {
+func (r *fixture) start(first, n int) {
 	var calls []Call
 	for i := first; i < first+n; i++ {
 		calls = append(calls, r.call(i, Call{Start: &host.Start{Run: runNo(i)}}))
@@ -220,7 +220,7 @@
 	r.router.Do(r.ctx, calls)
 }
 
-func (r *rig) call(i int, c Call) Call {
+func (r *fixture) call(i int, c Call) Call {
 	c.To = host.Info{ID: host.ID(fmt.Sprint("h", i)), Zone: "z"}
 	c.Done = func(o Outcome, now time.Time) {
 		r.outcomes[i] = append(r.outcomes[i], o)
@@ -230,7 +230,7 @@
 }
 
 // count counts the calls whose outcome is one that the function takes.
-func (r *rig) count(is func(Outcome) bool) int {
+func (r *fixture) count(is func(Outcome) bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -247,34 +247,34 @@
 // TestShardsAreLost: a shard that goes, falls silent or keeps what it hears to itself
 // costs its calls some time: each is told once how it ended, is carried out once at the
 // most, and is never told as not sent if it may be.
-func TestShardsAreLost(t *testing.T) {
+func TestShardFailures(t *testing.T) {
 	const calls = 40
 	tests := map[string]struct {
 		fault  fault
 		within time.Duration // all are told
 		done   int           // at the least
 	}{
-		"well":                     {well, 50 * time.Millisecond, calls},
-		"reports come twice":       {twice, 50 * time.Millisecond, calls},
-		"gone":                     {gone, 100 * time.Millisecond, calls},
-		"silent":                   {silent, 550 * time.Millisecond, calls},
-		"calls made, nothing told": {deaf, 550 * time.Millisecond, calls},
-		"outcomes not told":        {unreported, 800 * time.Millisecond, calls / 3},
+		"well":                     {noFault, 50 * time.Millisecond, calls},
+		"reports come twice":       {duplicateReports, 50 * time.Millisecond, calls},
+		"gone":                     {notListening, 100 * time.Millisecond, calls},
+		"silent":                   {blackhole, 550 * time.Millisecond, calls},
+		"calls made, nothing told": {noAnswers, 550 * time.Millisecond, calls},
+		"outcomes not told":        {noReports, 800 * time.Millisecond, calls / 3},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r := newRig(t, 4, 200)
+				r := newFixture(t, 4, 200)
 				r.network.set(tc.fault, "a0", "a1")
 				r.start(0, calls)
 				time.Sleep(tc.within)
 				synctest.Wait()
 				is.Equal(r.count(func(Outcome) bool { return true }), calls) // each told once
 				is.True(r.count(done) >= tc.done)
-				is.Equal(r.count(func(o Outcome) bool { return failureOf(o.Err) == notSent }), 0)
+				is.Equal(r.count(func(o Outcome) bool { return failureOf(o.Err) == failureNotSent }), 0)
 				before := r.count(done)
-				r.network.set(well, "a0", "a1")
+				r.network.set(noFault, "a0", "a1")
 				time.Sleep(5 * time.Second)
 				is.Equal(r.count(done), before) // late reports say nothing more
 				r.start(1000, calls)
@@ -290,15 +290,15 @@
 // at its host went unnoticed, as nothing more was to be sent to it. Its hosts counted as
 // silent ("nothing heard of it") shortly before their leases were over, though each would
 // have answered; with the time that a busy holder waits besides, leases ended.
-func TestLooksOutliveTheirShard(t *testing.T) {
-	const looks = 40
-	for name, fault := range map[string]fault{"gone": gone, "silent": silent, "well": well} {
+func TestPollsSurviveShardFailure(t *testing.T) {
+	const polls = 40
+	for name, fault := range map[string]fault{"gone": notListening, "silent": blackhole, "well": noFault} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r := newRig(t, 4, 200)
+				r := newFixture(t, 4, 200)
 				var calls []Call
-				for i := range looks {
+				for i := range polls {
 					calls = append(calls, r.call(i, Call{Look: &host.Look{Wait: 2 * time.Second}}))
 				}
 				r.router.Do(r.ctx, calls)
@@ -306,7 +306,7 @@
 				r.network.set(fault, "a0", "a1")
 				time.Sleep(4 * time.Second)
 				synctest.Wait()
-				is.Equal(r.count(func(o Outcome) bool { return o.Err == nil && o.View.Clock == 5 }), looks)
+				is.Equal(r.count(func(o Outcome) bool { return o.Err == nil && o.View.Clock == 5 }), polls)
 				before := r.network.batches()
 				time.Sleep(10 * time.Second)
 				is.True(r.network.batches()-before <= 2*30) // a shard without calls is not asked, a lost one now and then
@@ -318,26 +318,26 @@
 // TestABusyHoldersBatchThatWasNotSent: a busy holder, whose calls to shards are late as it
 // is busy, waited for the outcomes of a batch that had never left it. Starts that nobody had
 // sent were called lost ("nothing heard of it"), and their runs were in doubt.
-func TestABusyHoldersBatchThatWasNotSent(t *testing.T) {
+func TestUnsentBatchOfBusyHolder(t *testing.T) {
 	const calls = 40
 	tests := map[string]struct {
 		clears time.Duration // zero for never
 		want   func(Outcome) bool
 	}{
 		"sent later":     {500 * time.Millisecond, done},
-		"not sent again": {0, func(o Outcome) bool { return failureOf(o.Err) == notSent }},
+		"not sent again": {0, func(o Outcome) bool { return failureOf(o.Err) == failureNotSent }},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r := newRig(t, 4, 200)
+				r := newFixture(t, 4, 200)
 				r.busy.Store(true)
-				r.network.set(stuck, "a0", "a1", "a2", "a3")
+				r.network.set(notSentInTime, "a0", "a1", "a2", "a3")
 				r.start(0, calls)
 				if tc.clears > 0 {
 					time.Sleep(tc.clears)
-					r.network.set(well, "a0", "a1", "a2", "a3")
+					r.network.set(noFault, "a0", "a1", "a2", "a3")
 				}
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
@@ -348,16 +348,16 @@
 }
 
 // TestNobodyIsReached: without any shard the holder makes the calls itself.
-func TestNobodyIsReached(t *testing.T) {
+func TestNoShardIsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, 3, 200)
-		r.network.set(gone, "a0", "a1", "a2")
+		r := newFixture(t, 3, 200)
+		r.network.set(notListening, "a0", "a1", "a2")
 		r.start(0, 10)
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
 		is.Equal(r.count(func(Outcome) bool { return true }), 10)
-		is.Equal(r.count(func(o Outcome) bool { return failureOf(o.Err) == notSent || done(o) }), 10)
+		is.Equal(r.count(func(o Outcome) bool { return failureOf(o.Err) == failureNotSent || done(o) }), 10)
 		r.start(100, 10)
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
@@ -366,10 +366,10 @@
 }
 
 // TestSmallCellsPayNothing: no message goes to another member.
-func TestSmallCellsPayNothing(t *testing.T) {
+func TestSmallCellsUseNoShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, 4, 10)
+		r := newFixture(t, 4, 10)
 		r.start(0, 10)
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
@@ -380,30 +380,30 @@
 
 // TestRefusalsInDoubt: what a second shard is told proves nothing of a call that the
 // first may have made, but for a later holder's epoch.
-func TestRefusalsInDoubt(t *testing.T) {
+func TestRefusalsOfPossiblySentCalls(t *testing.T) {
 	refused := host.Reply{Refused: host.RefusedFull}
 	tests := map[string]struct {
-		outcome Outcome
-		doubt   bool
-		want    failure
-		refused host.Refusal
+		outcome      Outcome
+		possiblySent bool
+		want         failure
+		refused      host.Refusal
 	}{
-		"done":                   {Outcome{}, true, answered, ""},
-		"refused":                {Outcome{Reply: refused}, false, answered, host.RefusedFull},
-		"refused, in doubt":      {Outcome{Reply: refused}, true, lost, ""},
-		"too old, in doubt":      {Outcome{Reply: host.Reply{Refused: host.RefusedOld}}, true, lost, ""},
-		"fenced, in doubt":       {Outcome{Reply: host.Reply{Refused: host.RefusedFenced}}, true, answered, host.RefusedFenced},
-		"not sent":               {Outcome{Err: host.ErrNotSent}, false, notSent, ""},
-		"not sent, in doubt":     {Outcome{Err: host.ErrNotSent}, true, lost, ""},
-		"another life, in doubt": {Outcome{Err: host.ErrOtherLife}, true, otherLife, ""},
-		"broken, in doubt":       {Outcome{Err: host.ErrBroken}, true, broken, ""},
-		"turned away":            {Outcome{Err: host.ErrRefused}, false, turnedAway, ""},
-		"turned away, in doubt":  {Outcome{Err: host.ErrRefused}, true, lost, ""},
+		"done":                   {Outcome{}, true, failureNone, ""},
+		"refused":                {Outcome{Reply: refused}, false, failureNone, host.RefusedFull},
+		"refused, in doubt":      {Outcome{Reply: refused}, true, failureLost, ""},
+		"too old, in doubt":      {Outcome{Reply: host.Reply{Refused: host.RefusedOld}}, true, failureLost, ""},
+		"fenced, in doubt":       {Outcome{Reply: host.Reply{Refused: host.RefusedFenced}}, true, failureNone, host.RefusedFenced},
+		"not sent":               {Outcome{Err: host.ErrNotSent}, false, failureNotSent, ""},
+		"not sent, in doubt":     {Outcome{Err: host.ErrNotSent}, true, failureLost, ""},
+		"another life, in doubt": {Outcome{Err: host.ErrOtherLife}, true, failureOtherIncarnation, ""},
+		"broken, in doubt":       {Outcome{Err: host.ErrBroken}, true, failureBroken, ""},
+		"turned away":            {Outcome{Err: host.ErrRefused}, false, failureRefused, ""},
+		"turned away, in doubt":  {Outcome{Err: host.ErrRefused}, true, failureLost, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			tc.outcome.settle(tc.doubt)
+			tc.outcome.markUncertain(tc.possiblySent)
 			is.Equal(failureOf(tc.outcome.Err), tc.want)
 			is.Equal(tc.outcome.Reply.Refused, tc.refused)
 		})
@@ -411,11 +411,11 @@
 }
 
 // TestCutFromHosts: a host that its shard does not reach is called through another one.
-func TestCutFromHosts(t *testing.T) {
+func TestShardDisconnectedFromHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, 4, 200)
-		r.hosts.cut = "a1"
+		r := newFixture(t, 4, 200)
+		r.hosts.unreachableFrom = "a1"
 		const hosts = 40
 		r.start(0, hosts)
 		time.Sleep(100 * time.Millisecond)
@@ -438,10 +438,10 @@
 // TestLooksCountFromTheirSending: a view is as old as the holder's own sending of the
 // look says, however long the shard and its report took; a look that is held back is
 // told in time.
-func TestLooksCountFromTheirSending(t *testing.T) {
+func TestPollsCountFromTheirSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, 4, 200)
+		r := newFixture(t, 4, 200)
 		begun := time.Now()
 		r.router.Do(r.ctx, []Call{r.call(0, Call{Look: &host.Look{Wait: 2 * time.Second}})})
 		time.Sleep(2100 * time.Millisecond)
@@ -461,7 +461,7 @@
 func TestBurstTravelsInFewBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, 15, 1100)
+		r := newFixture(t, 15, 1100)
 		for i := range 1000 {
 			r.start(4*i, 4)
 			time.Sleep(time.Millisecond)
@@ -474,20 +474,20 @@
 }
 
 // TestFormerHoldersAreNotTold: reports for a holding that is over are dropped.
-func TestFormerHoldersAreNotTold(t *testing.T) {
+func TestReportsForPreviousHoldersAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, 1, 200)
+		r := newFixture(t, 1, 200)
 		mux := peer.NewMux()
-		told := 0
+		reports := 0
 		peer.Handle(mux, peer.KindHostReport, func(context.Context, Report) (Empty, error) {
-			told++
+			reports++
 			return Empty{}, result.New(result.HolderAway, result.RanNo, "not held")
 		})
 		r.network.Local["holder"] = mux
 		r.start(0, 1)
-		time.Sleep(2 * reportFor)
+		time.Sleep(2 * reportRetryPeriod)
 		synctest.Wait()
-		is.Equal(told, 1)
+		is.Equal(reports, 1)
 	})
 }
--- a/internal/linkshard/server.go
+++ b/internal/linkshard/server.go
@@ -18,13 +18,13 @@
 	// reportPatience bounds the wait for the answer to one report: a link that breaks or
 	// falls silent ends the call sooner, and a holder that is behind would only be kept
 	// behind by copies. reportPause is the pause before it is sent again.
-	reportPatience = 2 * time.Second
-	reportPause    = 50 * time.Millisecond
+	reportTimeout    = 2 * time.Second
+	reportRetryDelay = 50 * time.Millisecond
 	// reportFor is for how long a report is sent again: the holder has given its calls
 	// up by then.
-	reportFor = 4 * time.Second
+	reportRetryPeriod = 4 * time.Second
 	// mostReported bounds the outcomes in one report, and with them its size.
-	mostReported = 512
+	maxReportOutcomes = 512
 )
 
 // Server makes calls for the holders of other members.
@@ -33,8 +33,8 @@
 	peers peer.Caller
 	log   *logrus.Entry
 
-	mu      sync.Mutex
-	reports map[reportKey]*reporter
+	mu        sync.Mutex
+	reporters map[reportKey]*reporter
 }
 
 // reportKey names the holding that a reporter reports to.
@@ -46,13 +46,13 @@
 
 // NewServer returns a server that calls hosts for whoever asks through mux.
 func NewServer(mux *peer.Mux, hosts host.Client, peers peer.Caller, log *logrus.Entry) *Server {
-	s := &Server{hosts: hosts, peers: peers, log: log, reports: map[reportKey]*reporter{}}
-	peer.Handle(mux, peer.KindHostCalls, s.onBatch)
+	s := &Server{hosts: hosts, peers: peers, log: log, reporters: map[reportKey]*reporter{}}
+	peer.Handle(mux, peer.KindHostCalls, s.handleBatch)
 	return s
 }
 
 // onBatch takes the calls of a batch on; their outcomes are reported.
-func (s *Server) onBatch(_ context.Context, b Batch) (Empty, error) {
+func (s *Server) handleBatch(_ context.Context, b Batch) (Empty, error) {
 	calls, err := b.calls()
 	if err != nil {
 		return Empty{}, result.New(result.BadInput, result.RanNo, "%v", err)
@@ -61,7 +61,7 @@
 	for _, n := range calls {
 		go func() {
 			o := perform(context.Background(), s.hosts, b.Epoch, &n.call)
-			r.add(finished{n.id, n.call.Look != nil, o}, b.ReportEvery)
+			r.add(numberedOutcome{n.id, n.call.Look != nil, o}, b.ReportEvery)
 		}()
 	}
 	return Empty{}, nil
@@ -70,13 +70,13 @@
 func (s *Server) reporter(key reportKey) *reporter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.reports[key]
+	r := s.reporters[key]
 	if r == nil {
 		r = &reporter{server: s, key: key}
-		s.reports[key] = r
-		for other := range s.reports {
+		s.reporters[key] = r
+		for other := range s.reporters {
 			if other.partition == key.partition && other.epoch < key.epoch {
-				delete(s.reports, other) // a former holding; what is under way for it ends by itself
+				delete(s.reporters, other) // a former holding; what is under way for it ends by itself
 			}
 		}
 	}
@@ -89,66 +89,66 @@
 	server *Server
 	key    reportKey
 
-	mu      sync.Mutex
-	list    []finished
-	sending bool
-	last    time.Time // when a report was last sent
+	mu         sync.Mutex
+	outcomes   []numberedOutcome
+	sending    bool
+	lastReport time.Time // when a report was last sent
 }
 
 // add reports an outcome soon, and not within every of the report before.
-func (r *reporter) add(f finished, every time.Duration) {
+func (r *reporter) add(f numberedOutcome, interval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list = append(r.list, f)
+	r.outcomes = append(r.outcomes, f)
 	if !r.sending {
 		r.sending = true
-		go r.send(every)
+		go r.send(interval)
 	}
 }
 
 // take returns what is to be reported next; the reporter rests when there is nothing.
-func (r *reporter) take() []finished {
+func (r *reporter) takeOutcomes() []numberedOutcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := min(len(r.list), mostReported)
+	n := min(len(r.outcomes), maxReportOutcomes)
 	if n == 0 {
 		r.sending = false
 		return nil
 	}
-	list := r.list[:n:n]
-	r.list = append([]finished(nil), r.list[n:]...)
-	r.last = time.Now()
-	return list
+	outcomes := r.outcomes[:n:n]
+	r.outcomes = append([]numberedOutcome(nil), r.outcomes[n:]...)
+	r.lastReport = time.Now()
+	return outcomes
 }
 
-func (r *reporter) send(every time.Duration) {
+func (r *reporter) send(interval time.Duration) {
 	for {
-		if rest := every - time.Since(r.last); rest > 0 {
-			time.Sleep(rest)
+		if pause := interval - time.Since(r.lastReport); pause > 0 {
+			time.Sleep(pause)
 		}
-		list := r.take()
-		if list == nil {
+		outcomes := r.takeOutcomes()
+		if outcomes == nil {
 			return
 		}
-		r.deliver(newReport(r.key.partition, r.key.epoch, list))
+		r.deliver(newReport(r.key.partition, r.key.epoch, outcomes))
 	}
 }
 
 // deliver sends a report until the holder has it, refuses it, or has given up.
 func (r *reporter) deliver(report Report) {
-	ctx, cancel := context.WithTimeout(context.Background(), reportFor)
+	ctx, cancel := context.WithTimeout(context.Background(), reportRetryPeriod)
 	defer cancel()
 	for {
-		callCtx, done := context.WithTimeout(ctx, reportPatience)
+		callCtx, cancelCall := context.WithTimeout(ctx, reportTimeout)
 		err := r.server.peers.Call(callCtx, r.key.holder, peer.KindHostReport, report, &Empty{})
-		done()
+		cancelCall()
 		if err == nil {
 			return
 		}
 		if result.CodeOf(err) == result.HolderAway {
 			return // the holding is over; the next holder looks at the hosts itself
 		}
-		if !wait.For(ctx, reportPause) {
+		if !wait.For(ctx, reportRetryDelay) {
 			r.server.log.WithError(err).WithFields(logrus.Fields{
 				"partition": r.key.partition, "epoch": r.key.epoch, "outcomes": len(report.Replies) + len(report.Views),
 			}).Info("report of a link shard not delivered")
--- a/internal/linkshard/shards.go
+++ b/internal/linkshard/shards.go
@@ -15,13 +15,13 @@
 
 // chooseShards works out anew, now and then, which members get calls. The lock is held.
 func (r *Router) chooseShards(now time.Time) {
-	if now.Sub(r.workedOut) < membersEvery {
+	if now.Sub(r.selectedAt) < selectInterval {
 		return
 	}
-	r.workedOut = now
-	r.forgetHosts()
+	r.selectedAt = now
+	r.pruneHosts()
 	var members []Member
-	for _, m := range Spread(r.answering(now), r.conf.Self, r.conf.Hosts()) {
+	for _, m := range SelectShards(r.availableMembers(now), r.conf.Self, r.conf.Hosts()) {
 		members = append(members, m)
 		if s := r.shards[m.Name]; s != nil {
 			s.member = m
@@ -35,111 +35,111 @@
 	if (len(members) == 0) != (len(r.members) == 0) {
 		r.conf.Log.WithFields(logrus.Fields{"shards": len(members), "hosts": r.conf.Hosts()}).Info("calls to hosts are spread over link shards")
 	}
-	r.members, r.spread = members, newSpreader(members)
+	r.members, r.selector = members, newShardSelector(members)
 	clear(r.routes)
 }
 
 // answering are the members but for lost shards, which are asked whether they are back.
 // The lock is held.
-func (r *Router) answering(now time.Time) []Member {
+func (r *Router) availableMembers(now time.Time) []Member {
 	members := r.conf.Members()
 	out := make([]Member, 0, len(members))
 	for _, m := range members {
 		s := r.shards[m.Name]
-		if s == nil || !s.lost {
+		if s == nil || !s.unresponsive {
 			out = append(out, m)
 			continue
 		}
 		s.member = m
-		r.askLost(s, now)
+		r.probeUnresponsive(s, now)
 	}
 	return out
 }
 
 // forgetHosts lets go of what is known of hosts, most of which have gone, when it has
 // become much. The lock is held.
-func (r *Router) forgetHosts() {
-	if most := forgetFactor * (r.conf.Hosts() + 1); len(r.routes) > most || len(r.passed) > most {
+func (r *Router) pruneHosts() {
+	if limit := maxHostsFactor * (r.conf.Hosts() + 1); len(r.routes) > limit || len(r.failedRoutes) > limit {
 		clear(r.routes)
-		clear(r.passed)
+		clear(r.failedRoutes)
 	}
 }
 
 // askLost asks a shard that was lost whether it is back, when it is time. The lock is held.
-func (r *Router) askLost(s *shard, now time.Time) {
-	if s.asking || now.Before(s.askAfter) {
+func (r *Router) probeUnresponsive(s *shard, now time.Time) {
+	if s.probing || now.Before(s.probeAfter) {
 		return
 	}
-	s.asking = true
-	go r.ask(r.ctx, s, s.member.Addr)
+	s.probing = true
+	go r.probeRecovery(r.ctx, s, s.member.Addr)
 }
 
 // sendNothing sends a batch of nothing. It reports besides whether the time for that was over.
-func (r *Router) sendNothing(ctx context.Context, addr string) (overtime bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, batchPatience)
+func (r *Router) sendProbe(ctx context.Context, addr string) (deadlineExceeded bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
 	empty := Batch{Partition: r.conf.Partition, Epoch: r.conf.Epoch, Holder: r.conf.Addr}
 	err = r.conf.Peers.Call(ctx, addr, peer.KindHostCalls, empty, &Empty{})
-	return late(ctx), err
+	return timedOut(ctx), err
 }
 
 // ask takes a lost shard into use again if it answers a batch of nothing.
-func (r *Router) ask(ctx context.Context, s *shard, addr string) {
-	_, err := r.sendNothing(ctx, addr)
+func (r *Router) probeRecovery(ctx context.Context, s *shard, addr string) {
+	_, err := r.sendProbe(ctx, addr)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.asking = false
+	s.probing = false
 	if err != nil {
-		s.noteLost(time.Now())
+		s.markUnresponsive(time.Now())
 		return
 	}
-	s.lost, r.workedOut = false, time.Time{}
+	s.unresponsive, r.selectedAt = false, time.Time{}
 }
 
 // askQuiet asks the shards that have calls and have said nothing for a while whether they
 // are there. All looks of a shard may be held back at their hosts, and nothing more is sent to
 // it then: without a question its end would be taken for the silence of its hosts.
-func (r *Router) askQuiet(now time.Time) {
+func (r *Router) probeQuietShards(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.calls {
 		s := p.shard
-		if s.lost || s.asking || s.sending || now.Sub(s.heard) < quietAfter || now.Sub(s.last) < quietAfter {
+		if s.unresponsive || s.probing || s.sending || now.Sub(s.lastContact) < quietTimeout || now.Sub(s.lastBatch) < quietTimeout {
 			continue
 		}
-		s.asking, s.last = true, now
-		go r.askThere(r.ctx, s, s.member.Addr)
+		s.probing, s.lastBatch = true, now
+		go r.probeQuietShard(r.ctx, s, s.member.Addr)
 	}
 }
 
 // askThere takes a shard for lost that does not answer a batch of nothing.
-func (r *Router) askThere(ctx context.Context, s *shard, addr string) {
-	overtime, err := r.sendNothing(ctx, addr)
+func (r *Router) probeQuietShard(ctx context.Context, s *shard, addr string) {
+	deadlineExceeded, err := r.sendProbe(ctx, addr)
 	now := time.Now()
 	r.mu.Lock()
-	s.asking = false
-	lost := s.lost // a batch has failed meanwhile
+	s.probing = false
+	unresponsive := s.unresponsive // a batch has failed meanwhile
 	r.mu.Unlock()
 	switch {
 	case err == nil:
-		r.hear(s, now)
-	case lost:
-	case ctx.Err() == nil && !(r.conf.Busy() && overtime):
-		r.failed(s, nil, err, now)
+		r.recordContact(s, now)
+	case unresponsive:
+	case ctx.Err() == nil && !(r.conf.Busy() && deadlineExceeded):
+		r.markFailed(s, nil, err, now)
 	}
 }
 
 // hear notes that a shard has answered.
-func (r *Router) hear(s *shard, now time.Time) {
+func (r *Router) recordContact(s *shard, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.heard = now
+	s.lastContact = now
 }
 
 // noteLost takes the shard out of use until it has answered again.
-func (s *shard) noteLost(now time.Time) {
-	s.lost, s.askAfter = true, now.Add(firstRest<<min(s.fails, doublings))
-	s.fails++
+func (s *shard) markUnresponsive(now time.Time) {
+	s.unresponsive, s.probeAfter = true, now.Add(initialBackoff<<min(s.failures, maxDoublings))
+	s.failures++
 }
 
 // shardFor returns the shard that calls a host, or nil for this process. The lock is held.
@@ -149,7 +149,7 @@
 	}
 	s := r.routes[to.ID]
 	if s == nil {
-		s = r.shards[r.spread.shardOf(to.ID, to.Zone, r.passed[to.ID])]
+		s = r.shards[r.selector.shardOf(to.ID, to.Zone, r.failedRoutes[to.ID])]
 		r.routes[to.ID] = s
 	}
 	return s
@@ -157,15 +157,15 @@
 
 // noteReached has a host called through another shard the next time if it was not
 // reached: the path from this one may be cut. The lock is held.
-func (r *Router) noteReached(id host.ID, err error) {
+func (r *Router) recordReach(id host.ID, err error) {
 	switch failureOf(err) {
-	case notSent, turnedAway, lost, broken:
-		r.passBy(id)
+	case failureNotSent, failureRefused, failureLost, failureBroken:
+		r.rerouteHost(id)
 	}
 }
 
 // passBy has a host called through another shard from now on. The lock is held.
-func (r *Router) passBy(id host.ID) {
-	r.passed[id]++
+func (r *Router) rerouteHost(id host.ID) {
+	r.failedRoutes[id]++
 	delete(r.routes, id)
 }
