--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -8,16 +8,16 @@
 	"pulleyquay/internal/result"
 )
 
-// waiting is a request in a queue.
+// queuedRequest is a request in a service's queue.
 type queuedRequest = queue.Item[chan<- grant]
 
-// acquire waits for leave to send w. It fails at once when the deadline can
-// not be met; every failure means that nothing was sent. A request that comes
-// back because another holder had no slot after all keeps its place.
+// acquire waits for a grant to send w. It fails at once when the deadline can not be met; every
+// failure means that nothing was sent. A request that is repeated because another holder had no
+// free slot after all returns to its place in the queue (requeued).
 func (d *Dispatcher) acquire(ctx context.Context, p *pool, w Work, requeued *queuedRequest) (grant, *queuedRequest, *result.Error) {
 	g, it, ready, err := d.acquireOrEnqueue(p, w, requeued)
 	if err != nil && err.Code == result.NoExecutor {
-		d.offload() // others may have told of theirs since the last look
+		d.offload() // the other holders may have reported executors since the last refresh
 		g, it, ready, err = d.acquireOrEnqueue(p, w, requeued)
 	}
 	if err != nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// takeOrQueue returns a grant when a slot is free and nobody waits, otherwise
-// the queued item and the channel on which its grant will come.
+// acquireOrEnqueue returns a grant when a slot is free and no request is queued, otherwise the
+// queued item and the channel on which its grant is delivered.
 func (d *Dispatcher) acquireOrEnqueue(p *pool, w Work, requeued *queuedRequest) (grant, *queuedRequest, <-chan grant, *result.Error) {
 	now := time.Now()
 	d.mu.Lock()
@@ -90,15 +90,15 @@
 	return nil
 }
 
-// wake tells Run that requests wait.
+// notifyQueued signals Run that requests are queued.
 func (d *Dispatcher) notifyQueued() {
 	select {
 	case d.requestQueued <- struct{}{}:
-	default: // Run is awake already
+	default: // a signal is already pending
 	}
 }
 
-// takeNow takes a free slot here or at another holder.
+// tryAcquire takes a free slot of an executor in a held partition, or of another holder.
 func (d *Dispatcher) tryAcquire(p *pool, now time.Time) (grant, bool) {
 	if e := d.pick(p, now); e != nil {
 		return e.acquireSlot(), true
@@ -109,7 +109,7 @@
 	return grant{}, false
 }
 
-// admit refuses what the queue can not serve before its deadline.
+// admit refuses a request that the queue is not expected to serve before its deadline.
 func (d *Dispatcher) admit(p *pool, w Work, now time.Time) *result.Error {
 	slots, retryAfter := d.usableSlots(p, now)
 	d.recordServed(p, slots, now)
@@ -128,11 +128,10 @@
 	return nil
 }
 
-// servedMemory is how long a service that had executors is believed to have
-// them: while a partition is handed over, neither its old holder nor the last
-// heartbeat of its new one shows its executors. A process that has just started
-// believes it of every service, until it has read the host list and heard of
-// the others.
+// servedGracePeriod is how long a service is assumed to have executors after they were last seen:
+// while a partition is handed over, neither its previous holder nor the last heartbeat of its new
+// one reports its executors. A process that has just started assumes it of every service, until it
+// has read the host list and received the other holders' heartbeats.
 const servedGracePeriod = 2 * time.Second
 
 func laterOf(a, b time.Time) time.Time {
@@ -142,14 +141,14 @@
 	return b
 }
 
-// noteServed notes that the service has executors in use, here or elsewhere.
+// recordServed records that the service has executors in use, here or at another holder.
 func (d *Dispatcher) recordServed(p *pool, slots int, now time.Time) {
 	if slots > 0 || d.hasRemoteExecutors(p.service) {
 		p.servedAt = now
 	}
 }
 
-// servedElsewhere tells whether another holder has executors of the service.
+// hasRemoteExecutors reports whether another holder has executors of the service.
 func (d *Dispatcher) hasRemoteExecutors(service string) bool {
 	for _, r := range d.remotes {
 		if _, ok := r.reported.Free[service]; ok {
@@ -159,8 +158,8 @@
 	return false
 }
 
-// slotsInUse counts the slots of usable endpoints; soonest is when to come
-// back when there are none.
+// usableSlots counts the slots of usable endpoints; retryAfter is the retry hint for the case that
+// there are none.
 func (d *Dispatcher) usableSlots(p *pool, now time.Time) (slots int, retryAfter time.Duration) {
 	retryAfter = noExecutorRetryAfter
 	for _, e := range p.endpoints {
@@ -173,18 +172,18 @@
 	return slots, retryAfter
 }
 
-// noExecutorRetry is when to come back to a service without executors.
+// noExecutorRetryAfter is the retry hint for a service without executors.
 const noExecutorRetryAfter = 5 * time.Second
 
-// waitMargin is the part of the expected wait that has to fit, in per cent.
-// Without a margin one request in twenty is refused only after it has waited.
+// waitMarginPercent scales the expected wait that has to fit before the deadline. Without a margin,
+// one request in twenty is refused only after it has waited.
 const waitMarginPercent = 150
 
-// minRetryAfter keeps refused callers from coming back in the same instant.
+// minRetryAfter prevents refused callers from retrying immediately.
 const minRetryAfter = 100 * time.Millisecond
 
-// expectedWait is how long a request waits that has others ahead of it. A home
-// without slots of its own goes by the pace at which others have taken its
+// expectedWait is how long a request waits that has others ahead of it. A process without slots of
+// its own for the service estimates it from the rate at which other holders have answered its
 // requests.
 func (p *pool) expectedWait(ahead, slots int, now time.Time) time.Duration {
 	if slots == 0 {
@@ -193,8 +192,8 @@
 	return p.meanServiceTime * time.Duration(ahead+1) / time.Duration(slots)
 }
 
-// drainTime is when a refused caller should come back: when what waits now
-// has been served.
+// drainTime is the retry hint for a refused caller: the time until the requests queued now have
+// been served.
 func (d *Dispatcher) drainTime(p *pool, now time.Time) time.Duration {
 	slots, _ := d.usableSlots(p, now)
 	return max(p.expectedWait(p.queue.Len(), slots, now), minRetryAfter)
@@ -213,8 +212,8 @@
 	return result.New(result.DeadlineQueued, result.RanNo, "waited for an executor of %s", p.service)
 }
 
-// abandon takes an item out of the queue, or gives back the grant that came at
-// the same moment.
+// cancelWait removes an item from the queue, or returns the grant that was delivered at the same
+// moment.
 func (d *Dispatcher) cancelWait(p *pool, it *queuedRequest, ready <-chan grant) {
 	d.mu.Lock()
 	removed := p.queue.Remove(it)
@@ -226,7 +225,7 @@
 	d.returnGrant(p, g)
 }
 
-// giveBack returns an unused grant.
+// returnGrant releases the slot of an unused grant.
 func (d *Dispatcher) returnGrant(p *pool, g grant) {
 	switch {
 	case g.endpoint != nil:
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -21,7 +21,7 @@
 	"pulleyquay/internal/settings"
 )
 
-// bench is one dispatcher that holds the only partition.
+// testBench is one dispatcher that holds the only partition.
 type testBench struct {
 	*dispatch.Dispatcher
 	executors requesttest.Executors
@@ -29,13 +29,13 @@
 	values    settings.Values
 	stop      context.CancelFunc
 	remotes   []dispatch.Remote
-	forwarded []string // addresses of other holders that were sent requests
+	forwarded []string // addresses of the holders that were sent requests
 
 	mu    sync.Mutex
 	hosts []platform.Host
 }
 
-// newBench lists executors in three zones and acquires their partition.
+// newTestBench lists executors in three zones and acquires their partition.
 func newTestBench(t testing.TB, executors int, takeover hold.Takeover) *testBench {
 	b := &testBench{values: settings.Defaults(), executors: requesttest.Executors{Time: 10 * time.Millisecond}}
 	for i := range executors {
@@ -69,21 +69,21 @@
 	return append([]platform.Host(nil), b.hosts...)
 }
 
-// setLeaving marks an executor in the host list.
+// setLeaving marks an executor as leaving in the host list.
 func (b *testBench) setLeaving(i int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts[i].Leaving = true
 }
 
-// move has an executor listed at another address.
+// setAddr changes the listed address of an executor.
 func (b *testBench) setAddr(i int, addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts[i].Addr = addr
 }
 
-// send makes one request and returns its failure, if any.
+// send makes one request and returns its error, if any.
 func (b *testBench) send(ctx context.Context, caller string, idempotent bool, timeout time.Duration) *result.Error {
 	_, err := b.Do(ctx, dispatch.Work{
 		Service: "ledger", Caller: caller, Idempotent: idempotent, Deadline: time.Now().Add(timeout),
@@ -99,7 +99,7 @@
 	return e
 }
 
-// wave sends n requests at once and returns the failures.
+// sendConcurrently sends n requests at once and returns the failures.
 func (b *testBench) sendConcurrently(n int, caller string, timeout time.Duration) []*result.Error {
 	var mu sync.Mutex
 	var failures []*result.Error
@@ -117,7 +117,7 @@
 	return failures
 }
 
-// ranAt counts the runs by executor since the given run.
+// ranAt counts the runs by executor, starting at index since.
 func (b *testBench) ranAt(since int) map[string]int {
 	at := map[string]int{}
 	for _, r := range b.executors.Runs()[since:] {
@@ -126,7 +126,7 @@
 	return at
 }
 
-// steady sends idempotent requests at an even rate and counts the failures.
+// sendAtInterval sends idempotent requests at an even rate and counts the failures.
 func (b *testBench) sendAtInterval(duration, interval time.Duration) int {
 	var mu sync.Mutex
 	failed := 0
@@ -145,7 +145,7 @@
 	return failed
 }
 
-// faultAt plants a fault on one executor.
+// faultAt injects a fault at one executor.
 func faultAt(at string, f requesttest.Fault) func(string, executor.Request) requesttest.Fault {
 	return func(addr string, _ executor.Request) requesttest.Fault {
 		if addr == at {
@@ -155,7 +155,7 @@
 	}
 }
 
-// firstOnly plants a fault on the next request alone.
+// faultOnce injects a fault into the next request only.
 func faultOnce(f requesttest.Fault) func(string, executor.Request) requesttest.Fault {
 	var once sync.Once
 	return func(string, executor.Request) requesttest.Fault {
--- a/internal/dispatch/cancel_bench_test.go
+++ b/internal/dispatch/cancel_bench_test.go
@@ -9,9 +9,8 @@
 	"pulleyquay/internal/hold"
 )
 
-// BenchmarkCancelledWave queues 5,000 requests behind busy executors and
-// cancels them all; the figure is the time from the cancellation to the end of
-// the last, for each request.
+// BenchmarkCancelledWave queues 5,000 requests behind busy executors and cancels them all. It
+// reports the time from the cancellation to the end of the last request, divided by the requests.
 func BenchmarkCancelledWave(b *testing.B) {
 	const requests = 5000
 	h := newTestBench(b, 1, hold.Takeover{Fresh: true})
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Chooser is a way to choose among executors with free slots. The ways are
-// weighed in docs/REQUESTS.md.
+// Chooser is a strategy for choosing among executors with free slots. The strategies are compared
+// in docs/REQUESTS.md.
 type Chooser int
 
 const (
-	// ZoneLeastLoaded takes the own zone first, then the executor with the
-	// smallest share of its slots busy.
+	// ZoneLeastLoaded prefers the own availability zone, then the executor with the smallest share
+	// of its slots busy.
 	ZoneLeastLoaded Chooser = iota
-	// LeastLoaded takes the smallest share of busy slots in any zone.
+	// LeastLoaded chooses the smallest share of busy slots in any zone.
 	LeastLoaded
-	// TwoChoices takes the less loaded of two drawn at random.
+	// TwoChoices chooses the less loaded of two executors drawn at random.
 	TwoChoices
 )
 
@@ -33,7 +33,7 @@
 	return best
 }
 
-// before orders endpoints with free slots.
+// prefers reports whether a is preferred to b; both have free slots.
 func (d *Dispatcher) prefers(a, b *endpoint) bool {
 	sameZoneA, sameZoneB := a.host.Zone == d.cfg.Zone, b.host.Zone == d.cfg.Zone
 	if sameZoneA != sameZoneB && d.cfg.Chooser == ZoneLeastLoaded {
@@ -42,7 +42,7 @@
 	return a.lessLoaded(b)
 }
 
-// lessLoaded compares shares of busy slots; the faster one wins a tie.
+// lessLoaded compares shares of busy slots; the endpoint with the lower mean time wins a tie.
 func (a *endpoint) lessLoaded(b *endpoint) bool {
 	loadA, loadB := a.busy*b.slots, b.busy*a.slots
 	if loadA != loadB {
@@ -54,7 +54,7 @@
 	return a.host.Name < b.host.Name
 }
 
-// twoChoices draws among the endpoints with free slots.
+// twoChoices draws two endpoints with free slots and returns the less loaded one.
 func (p *pool) twoChoices(now time.Time) *endpoint {
 	free := make([]*endpoint, 0, len(p.endpoints))
 	for _, e := range p.endpoints {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -27,7 +27,7 @@
 		wait  time.Duration
 	}{
 		{"host list", func(b *testBench) { b.setLeaving(0) }, 3 * time.Second},
-		{"own signal", func(b *testBench) {
+		{"executor's signal", func(b *testBench) {
 			b.executors.FaultOf = faultAt("executor-0", requesttest.Leave)
 			b.sendConcurrently(20, "crew", time.Second)
 		}, 0},
@@ -73,11 +73,11 @@
 	cases := []struct {
 		name     string
 		takeover hold.Takeover
-		usable   time.Duration // after the takeover
+		usable   time.Duration // after the acquisition
 	}{
 		{"fresh", hold.Takeover{Fresh: true}, 0},
-		{"unordered", hold.Takeover{}, 30 * time.Second},
-		{"signed off without state", hold.Takeover{SignedOff: true}, 30 * time.Second},
+		{"failover", hold.Takeover{}, 30 * time.Second},
+		{"handover without state", hold.Takeover{SignedOff: true}, 30 * time.Second},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -145,9 +145,9 @@
 	}{
 		{"refused, not idempotent", requesttest.Refuse, false, 0, "", 1},
 		{"refused, idempotent", requesttest.Refuse, true, 0, "", 1},
-		{"cut before it ran, not idempotent", requesttest.CutBefore, false, result.ExecutorLost, result.RanUnknown, 0},
-		{"cut after it ran, not idempotent", requesttest.CutAfter, false, result.ExecutorLost, result.RanUnknown, 1},
-		{"cut after it ran, idempotent", requesttest.CutAfter, true, 0, "", 2},
+		{"connection cut before it ran, not idempotent", requesttest.CutBefore, false, result.ExecutorLost, result.RanUnknown, 0},
+		{"connection cut after it ran, not idempotent", requesttest.CutAfter, false, result.ExecutorLost, result.RanUnknown, 1},
+		{"connection cut after it ran, idempotent", requesttest.CutAfter, true, 0, "", 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -155,7 +155,7 @@
 				is := is.New(t)
 				b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 				defer b.stop()
-				b.sendConcurrently(40, "crew", time.Second) // earns a budget
+				b.sendConcurrently(40, "crew", time.Second) // fills the retry budget
 				before := len(b.executors.Runs())
 				b.executors.FaultOf = faultOnce(tc.fault)
 				got := b.send(t.Context(), "crew", tc.idempotent, time.Second)
@@ -197,7 +197,7 @@
 		synctest.Wait()
 		start := time.Now()
 		is.Equal(len(b.sendConcurrently(16, "school", time.Second)), 0)
-		is.True(time.Since(start) < 100*time.Millisecond) // not behind 256 others
+		is.True(time.Since(start) < 100*time.Millisecond) // not queued behind 256 others
 		refused := <-refusals
 		is.True(len(refused) > 0)
 		for _, r := range refused {
@@ -222,7 +222,7 @@
 		synctest.Wait()
 		cancel()
 		wg.Wait()
-		is.Equal(len(b.executors.Runs()), 8) // those that had begun
+		is.Equal(len(b.executors.Runs()), 8) // those that had been sent
 		is.Equal(b.send(t.Context(), "crew", false, 20*time.Millisecond), nil)
 	})
 }
@@ -241,7 +241,7 @@
 		defer b.stop()
 		synctest.Wait()
 		b.remotes = []dispatch.Remote{{Name: "other", Addr: "other:1", Free: map[string]int{"ledger": 1}}}
-		is.Equal(b.send(t.Context(), "crew", false, time.Second), nil) // between two looks
+		is.Equal(b.send(t.Context(), "crew", false, time.Second), nil) // between two refreshes
 		is.Equal(b.forwarded, []string{"other:1"})
 	})
 }
@@ -257,6 +257,6 @@
 			defer b.mu.Unlock()
 			b.hosts = []platform.Host{{Name: "executor-0", Addr: "executor-0", Role: platform.RoleExecutor, Service: "ledger"}}
 		}()
-		is.Equal(b.send(t.Context(), "crew", false, 2*time.Second), nil) // waits for the host list
+		is.Equal(b.send(t.Context(), "crew", false, 2*time.Second), nil) // queued until the host list is read
 	})
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,10 +1,10 @@
-// Package dispatch sends requests to executors. A placer counts the slots of
-// the executors in the partitions it holds, queues what finds no free one, and
-// asks other holders when they have room.
+// Package dispatch sends requests to executors. A placer counts the slots of the executors in the
+// partitions it holds, queues requests that find no free slot, and forwards them to other holders
+// that have free slots.
 //
-// A slot is busy from the moment a request may leave until its answer is
-// whole. Where the connection fails after that, the executor may still work:
-// the slot stays busy until the deadline that the executor was told.
+// A slot is busy from the moment a request may be sent until its whole answer has been received.
+// Where the connection fails after that, the executor may still work: the slot stays busy until the
+// deadline that was sent to the executor.
 package dispatch
 
 import (
@@ -24,24 +24,25 @@
 	"pulleyquay/internal/settings"
 )
 
-// Remote is what another holder last told of its executors.
+// Remote is what another holder last reported of its executors.
 type Remote struct {
 	Name string
 	Addr string
 	Zone string
-	// Free is the number of free slots by service; a hint, never a right.
+	// Free is the number of free slots by service. It is a hint: the holder may refuse all the
+	// same.
 	Free map[string]int
 }
 
-// Config is what a Dispatcher needs of the rest of the process.
+// Config holds the dependencies and settings of a Dispatcher.
 type Config struct {
-	// Hosts returns the last known host list.
+	// Hosts returns the last received host list.
 	Hosts func() []platform.Host
-	// Settings returns a service's effective values; false: no such service.
+	// Settings returns a service's effective values, or false for an unknown service.
 	Settings func(service string) (settings.Values, bool)
-	// Remotes returns the other holders, without this process and those that
-	// are leaving or not heard. It is asked with each refresh, and every
-	// offloadEvery while requests wait.
+	// Remotes returns the other holders, without this process and those that are leaving or have
+	// sent no recent heartbeat. It is called with each refresh, and every offloadInterval while
+	// requests are queued.
 	Remotes func() []Remote
 	Right   hold.Right
 	Client  executor.Client
@@ -50,14 +51,14 @@
 	Zone string
 	// Partitions is the number of partitions in the cell.
 	Partitions int
-	// Discipline and Chooser are the ways that measured best when left zero.
+	// Discipline and Chooser default, when left zero, to the variants that measured best.
 	Discipline queue.Discipline
 	Chooser    Chooser
 	Log        *logrus.Entry
 	Metrics    prometheus.Registerer
 }
 
-// Dispatcher is the hold.Resident of executors.
+// Dispatcher is the hold.Resident that owns the executors of held partitions.
 type Dispatcher struct {
 	cfg     Config
 	metrics *metrics
@@ -65,26 +66,26 @@
 	mu    sync.Mutex
 	pools map[string]*pool
 	parts map[int]*heldPartition
-	// started is when this process began to learn of executors.
+	// started is when this process began to receive host lists and heartbeats.
 	started time.Time
 	// remotes are the other holders by name.
 	remotes map[string]*remote
 
-	// queued wakes Run when a request begins to wait.
+	// requestQueued signals Run that a request was queued.
 	requestQueued chan struct{}
 }
 
-// Work is one request to send. Its Deadline is on this process's clock.
+// Work is one request to send. Its Deadline is by this process's clock.
 type Work struct {
 	Service    string
 	Caller     string
 	Deadline   time.Time
 	Idempotent bool
 	Request    executor.Request
-	// Begin, when set, is called right before a byte may be sent. When it
-	// returns false the request was cancelled and must not be sent.
+	// Begin, when set, is called right before a byte may be sent. When it returns false, the
+	// request was cancelled and must not be sent.
 	Begin func() bool
-	// Unsent, when set, is called when after Begin nothing was sent after all.
+	// Unsent, when set, is called when nothing was sent after a call of Begin.
 	Unsent func()
 }
 
@@ -100,21 +101,21 @@
 	}
 }
 
-// refreshEvery is how often the host list is applied. With the list's own lag
-// it has to stay under the 3 s within which a leaving host gets nothing new.
+// refreshInterval is how often the host list is applied. Together with the list's own delay it has
+// to stay under the 3 s within which a leaving host gets no more requests.
 const refreshInterval = 250 * time.Millisecond
 
-// offloadEvery is how often queued requests are offered to other holders.
+// offloadInterval is how often queued requests are offered to other holders.
 const offloadInterval = 20 * time.Millisecond
 
-// Run applies the host list, and offers queued requests to other holders while
-// there are any, until ctx ends.
+// Run applies the host list, and offers queued requests to other holders while there are any, until
+// ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
 	refresh := time.NewTicker(refreshInterval)
 	defer refresh.Stop()
 	offload := time.NewTimer(offloadInterval)
 	defer offload.Stop()
-	armed := true // offload's timer runs; each new request must not put it off
+	armed := true // the offload timer runs; a new request must not postpone it
 	for {
 		select {
 		case <-ctx.Done():
@@ -135,7 +136,7 @@
 	}
 }
 
-// Refresh applies the host list now.
+// Refresh applies the current host list without waiting for the next interval.
 func (d *Dispatcher) Refresh() {
 	hosts := d.cfg.Hosts()
 	now := time.Now()
@@ -147,8 +148,8 @@
 	}
 }
 
-// offload learns of other holders' free slots and hands them queued requests. It
-// reports whether requests still wait.
+// offload reads the other holders' reported free slots and forwards queued requests to them. It
+// reports whether requests are still queued.
 func (d *Dispatcher) offload() bool {
 	reported := d.cfg.Remotes()
 	now := time.Now()
@@ -167,7 +168,7 @@
 	return stillQueued
 }
 
-// pool returns the pool of a service, made on first use.
+// pool returns the pool of a service, and creates it on first use.
 func (d *Dispatcher) pool(service string, values settings.Values) *pool {
 	p := d.pools[service]
 	if p == nil {
@@ -178,8 +179,8 @@
 	return p
 }
 
-// Free returns the free slots of the executors held here, by service, for the
-// heartbeat's capacity hint. A service without a usable executor is left out.
+// Free returns the free slots of the executors held here by service, for the capacity hint in the
+// heartbeat. A service without a usable executor is left out.
 func (d *Dispatcher) Free() map[string]int {
 	now := time.Now()
 	d.mu.Lock()
@@ -193,7 +194,7 @@
 	return free
 }
 
-// freeNow is the number of free slots of one service.
+// countFreeSlots returns the number of free slots of one service.
 func (d *Dispatcher) countFreeSlots(p *pool) int {
 	now := time.Now()
 	d.mu.Lock()
--- a/internal/dispatch/dump.go
+++ b/internal/dispatch/dump.go
@@ -34,7 +34,8 @@
 	Health    string  `json:"health"`
 	Failing   float64 `json:"failing"`
 	MeanMS    float64 `json:"mean_time_ms"`
-	// UsableInMS is how long a previous holder's requests are waited out.
+	// UsableInMS is how long the endpoint stays unused because a previous holder's requests may
+	// still be running there.
 	UsableInMS int64 `json:"usable_in_ms,omitempty"`
 }
 
@@ -73,7 +74,7 @@
 	return out
 }
 
-// Queued is the number of requests that wait for a slot of the service.
+// Queued returns the number of requests that wait for a slot of the service.
 func (d *Dispatcher) Queued(service string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -8,16 +8,16 @@
 	"github.com/looplab/fsm"
 )
 
-// The health states of an endpoint.
+// Health states of an endpoint.
 const (
 	stateHealthy = "healthy"
-	// stateEjected gets nothing until its pause is over.
+	// stateEjected receives no requests until its ejection period is over.
 	stateEjected = "ejected"
-	// stateProbing gets one request at a time.
+	// stateProbing receives one request at a time.
 	stateProbing = "probing"
 )
 
-// The events between the health states.
+// Events that change the health state.
 const (
 	eventEject   = "eject"
 	eventProbe   = "probe"
@@ -25,46 +25,46 @@
 )
 
 const (
-	// failuresToEject is the failures in a row after which an endpoint is
-	// ejected; one bad request does not look like a bad executor.
+	// failuresToEject is the number of consecutive failures after which an endpoint is ejected. It
+	// is above one, as a single bad request does not mean that the executor is bad.
 	failuresToEject = 5
-	// failingShare ejects an endpoint that fails this share of its requests.
+	// maxFailureRate is the failure rate above which an endpoint is ejected.
 	maxFailureRate = 0.5
-	// outlierShare is the most that the others may fail for an endpoint to be
-	// ejected for its status codes.
+	// outlierMaxOthersRate is the highest mean failure rate of the other endpoints at which an
+	// endpoint is ejected for its status codes.
 	outlierMaxOthersRate = 0.25
-	// successesToRecover ends probing.
+	// successesToRecover is the number of successful probes after which an endpoint is healthy
+	// again.
 	successesToRecover = 3
-	// firstEjection is the first pause of an ejected endpoint; it doubles up
-	// to longestEjection while probes fail.
+	// minEjection is the first ejection period of an endpoint; it doubles up to maxEjection while
+	// probes fail.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 15 * time.Second
-	// slowFactor: an endpoint this much slower than the mean of all is given
-	// fewer slots.
+	// slowFactor: an endpoint that is slower than the mean of all by this factor gets fewer slots.
 	slowFactor = 2
-	// slowMargin keeps differences that do not matter from counting as slow.
+	// slowMargin prevents insignificant differences from counting as slow.
 	slowMargin = 2 * time.Millisecond
-	// outcomeWeight is the weight of the newest outcome in moving means, as 1/n.
+	// outcomeWeight sets the weight of the newest outcome in moving means: 1/outcomeWeight.
 	outcomeWeight = 16
 )
 
-// healthEvents is the state machine of every endpoint's health.
+// healthEvents are the transitions of every endpoint's health.
 var healthEvents = fsm.Events{
 	{Name: eventEject, Src: []string{stateHealthy, stateProbing}, Dst: stateEjected},
 	{Name: eventProbe, Src: []string{stateEjected}, Dst: stateProbing},
 	{Name: eventRecover, Src: []string{stateProbing}, Dst: stateHealthy},
 }
 
-// health is what an endpoint's answers say about it. It reads no clock.
+// health is the health of an endpoint, derived from its answers. It reads no clock.
 type health struct {
 	machine *fsm.FSM
-	// failing is the moving mean of failures, from 0 to 1.
+	// failureRate is the moving mean of failures, from 0 to 1.
 	failureRate float64
-	// mean is the moving mean of an answered request's time.
+	// mean is the moving mean of the time that an answered request takes.
 	mean                time.Duration
-	consecutiveNoAnswer int // silent failures since the last answer
+	consecutiveNoAnswer int // failures without an answer since the last answer
 	successes           int // since probing began
-	ejections           int // since last healthy for good
+	ejections           int // since the endpoint was last healthy
 	ejectedUntil        time.Time
 }
 
@@ -72,13 +72,12 @@
 	return &health{machine: fsm.NewFSM(stateHealthy, healthEvents, nil)}
 }
 
-// fire moves the machine. An event that does not fit the state changes nothing.
+// fire applies an event. An event that does not fit the state changes nothing.
 func (h *health) fire(event string) bool {
 	return h.machine.Event(context.Background(), event) == nil
 }
 
-// succeeded learns from a whole answer. It reports whether the endpoint has
-// recovered by it.
+// succeeded records a whole answer. It reports whether the endpoint has recovered with it.
 func (h *health) succeeded(took time.Duration) bool {
 	h.consecutiveNoAnswer = 0
 	h.failureRate -= h.failureRate / outcomeWeight
@@ -97,20 +96,19 @@
 	return true
 }
 
-// fault is what kind of failure an endpoint is charged with.
+// fault is the kind of failure that an endpoint is charged with.
 type fault int
 
 const (
-	// faultSilent: no whole answer, or none in time.
+	// faultNoAnswer: no whole answer, or none in time.
 	faultNoAnswer fault = iota
-	// faultStatus: a whole answer with a 5xx status. It counts against the
-	// endpoint only where others do better: it may be the request's fault, or
-	// the service's.
+	// faultStatus: a whole answer with a 5xx status. It counts against the endpoint only where
+	// others do better, as the request or the service may be the cause.
 	faultStatus
 )
 
-// failed learns from a failure; others is the mean share of failures at the
-// service's other endpoints. It reports whether the endpoint is ejected now.
+// failed records a failure; others is the mean failure rate of the service's other endpoints. It
+// reports whether the failure has ejected the endpoint.
 func (h *health) failed(now time.Time, f fault, others float64) bool {
 	h.failureRate += (1 - h.failureRate) / outcomeWeight
 	eject := h.failureRate > maxFailureRate || h.machine.Current() == stateProbing
@@ -129,9 +127,9 @@
 	return true
 }
 
-// limit is how many of its slots the endpoint may use now. others is the mean
-// time at all endpoints of the service; alone means that none is healthy, and
-// that ejected ones are probed without a pause.
+// limit is how many of its slots the endpoint may use now. others is the mean time at all endpoints
+// of the service; noneHealthy means that no endpoint is healthy, so that ejected ones are probed
+// without waiting.
 func (h *health) limit(slots int, others time.Duration, noneHealthy bool, now time.Time) int {
 	switch h.machine.Current() {
 	case stateEjected:
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -23,12 +23,12 @@
 		b.sendAtInterval(10*time.Second, 5*time.Millisecond)
 		before := len(b.executors.Runs())
 		b.sendAtInterval(10*time.Second, 5*time.Millisecond)
-		is.True(b.ranAt(before)["executor-0"] < 20) // probes alone, of 2000 requests
+		is.True(b.ranAt(before)["executor-0"] < 20) // only probes, of 2000 requests
 		b.executors.FaultOf = nil
 		b.sendAtInterval(20*time.Second, 5*time.Millisecond)
 		before = len(b.executors.Runs())
 		b.sendAtInterval(time.Second, 5*time.Millisecond)
-		is.True(b.ranAt(before)["executor-0"] > 100) // own zone, back in full use
+		is.True(b.ranAt(before)["executor-0"] > 100) // in the own zone, and preferred again
 	})
 }
 
@@ -55,21 +55,22 @@
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		wg.Go(func() { b.sendConcurrently(8, "crew", time.Second) })
-		time.Sleep(3 * time.Second) // past the usual deadline
+		time.Sleep(3 * time.Second) // past the default deadline
 		is.True(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health != "healthy")
 	})
 }
 
-// A request without an answer was charged to its executor twice: when its usual deadline
-// had passed and when it was given up. Three such requests in a row ejected an executor for
-// which five are asked; one that had been sent before a pause could end the probing after it.
+// Guards against a request without an answer being charged to its executor twice: when the default
+// deadline had passed, and again when the request ended. Three such requests in a row then ejected
+// an executor, although five are required, and a request that was sent before an ejection could end
+// the probing after it.
 func TestMissingAnswerIsChargedOnce(t *testing.T) {
 	cases := map[string]struct {
 		requests int
 		healthy  bool
 	}{
-		"one less than ejects": {4, true},
-		"enough":               {5, false},
+		"one below the threshold": {4, true},
+		"at the threshold":        {5, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -78,23 +79,23 @@
 				b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 				defer b.stop()
 				b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
-				is.Equal(len(b.sendConcurrently(tc.requests, "crew", time.Second)), tc.requests) // until each is given up
+				is.Equal(len(b.sendConcurrently(tc.requests, "crew", time.Second)), tc.requests) // until each has timed out
 				is.Equal(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health == "healthy", tc.healthy)
 			})
 		})
 	}
 }
 
-// An executor that started again at another address stayed ejected for what the process
-// before it had left unanswered, and requests that still waited for that one were charged to
-// it up to 30 s after its start.
+// Guards against an executor that restarted at another address staying ejected for requests that
+// its previous process had left unanswered. Requests still in flight to the previous process were
+// also charged to the new one, up to 30 s after its start.
 func TestReplacedExecutorStartsHealthy(t *testing.T) {
 	cases := map[string]struct {
-		timeout time.Duration // of requests to the process before
-		before  time.Duration // from them to the start of the next one
+		timeout time.Duration // of requests to the previous process
+		before  time.Duration // from these requests to the start of the next process
 	}{
-		"ejected before":           {time.Second, 3 * time.Second},
-		"requests still under way": {10 * time.Second, time.Second},
+		"ejected before the restart": {time.Second, 3 * time.Second},
+		"requests still in flight":   {10 * time.Second, time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -108,7 +109,7 @@
 				wg.Go(func() { b.sendConcurrently(8, "crew", tc.timeout) })
 				time.Sleep(tc.before)
 				b.setAddr(0, "executor-0-again")
-				for range 40 { // until all that were sent before are given up
+				for range 40 { // until all earlier requests have timed out
 					time.Sleep(time.Second)
 					is.Equal(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health, "healthy")
 				}
--- a/internal/dispatch/jitter.go
+++ b/internal/dispatch/jitter.go
@@ -7,11 +7,11 @@
 	"pulleyquay/internal/wait"
 )
 
-// retryPause is the longest pause before the first retry; it doubles.
+// initialRetryDelay is the maximum delay before the first retry; it doubles with each attempt.
 const initialRetryDelay = 10 * time.Millisecond
 
-// sleepJitter pauses for a random part of the attempt's pause. It reports
-// false when ctx ends first.
+// sleepBackoff sleeps for a random part of the attempt's maximum delay. It reports false when ctx
+// ends first.
 func sleepBackoff(ctx context.Context, attempt int) bool {
 	return wait.Jittered(ctx, initialRetryDelay<<(attempt-1))
 }
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the dispatcher's counters.
+// metrics holds the dispatcher's counters.
 type metrics struct {
 	dispatched *prometheus.CounterVec
 	queued     *prometheus.CounterVec
@@ -29,7 +29,7 @@
 	return m
 }
 
-// outcomeLabel is the metric label of an executor call's outcome.
+// outcomeLabel returns the metric label of an executor call's outcome.
 func outcomeLabel(err error) string {
 	if err != nil {
 		return "failed"
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -39,7 +39,7 @@
 	executorCount    = 7 // executors of one holder: 48 over 7 entry hosts
 	slotsPerExecutor = 8
 	zoneRoundTrip    = time.Millisecond
-	// promptRefusal is what still counts as an answer at once.
+	// promptRefusal is the longest wait of a refusal that counts as immediate.
 	promptRefusal = 10 * time.Millisecond
 )
 
@@ -51,8 +51,8 @@
 	service time.Duration
 }
 
-// arrivals draws a load of the given multiple of capacity: exponential gaps
-// and service times, callers of unlike weight, three classes of deadline.
+// arrivals generates a load of the given multiple of capacity: exponential gaps and service times,
+// callers of unequal weight, three classes of deadline.
 func arrivals(load float64) []arrival {
 	rng := rand.New(rand.NewPCG(loadSeed, math.Float64bits(load)))
 	gap := float64(meanService) / (executorCount * slotsPerExecutor * load)
@@ -68,8 +68,8 @@
 	return out
 }
 
-// unlikeExecutors takes the service time that the request names, times the
-// executor's age, and a round trip to another zone.
+// heterogeneousExecutors simulates executors of different speed and distance: a request takes its
+// service time, times the executor's slowdown, plus a round trip to another zone.
 type heterogeneousExecutors struct{ slowdown, roundTrips map[string]float64 }
 
 const serviceHeader = "Service-Ns"
@@ -81,18 +81,18 @@
 	return executor.Answer{Status: http.StatusOK}, nil
 }
 
-// figures are what one run came to.
+// loadResult holds the measurements of one run.
 type loadResult struct {
 	offered, good    int
 	waitP50, waitP99 time.Duration
 	wasted           float64 // share of the executors' time
-	// lateRefused waited more than promptRefusal for their refusal.
+	// refusedLate counts the requests that waited more than promptRefusal for their refusal.
 	refusedLate int
 }
 
 func (f loadResult) goodput() float64 { return float64(f.good) / loadLength.Seconds() }
 
-// overload runs a load through one dispatcher.
+// runOverload runs a load through one dispatcher.
 func runOverload(t *testing.T, load float64, order queue.Discipline, choose dispatch.Chooser) (f loadResult) {
 	synctest.Test(t, func(t *testing.T) {
 		d, stop := newHeterogeneousDispatcher(t, order, choose)
@@ -102,7 +102,8 @@
 	return f
 }
 
-// unlikeDispatcher holds seven executors of unlike age in three zones.
+// newHeterogeneousDispatcher returns a dispatcher that holds seven executors of different speed in
+// three zones.
 func newHeterogeneousDispatcher(t *testing.T, order queue.Discipline, choose dispatch.Chooser) (*dispatch.Dispatcher, func()) {
 	client := heterogeneousExecutors{slowdown: map[string]float64{}, roundTrips: map[string]float64{}}
 	var hosts []platform.Host
@@ -132,7 +133,7 @@
 	return d, cancel
 }
 
-// replay sends the arrivals at their times and waits for all to end.
+// replay sends the requests at their arrival times and waits for all to end.
 func replay(d *dispatch.Dispatcher, load []arrival) loadResult {
 	var mu sync.Mutex
 	var waits []time.Duration
@@ -181,11 +182,11 @@
 	at := map[float64]loadResult{}
 	for _, load := range loads {
 		at[load] = runOverload(t, load, 0, 0)
-		logResult(t, "kept", load, at[load])
+		logResult(t, "default", load, at[load])
 	}
 	is.True(at[3.0].goodput() >= 0.95*at[1.0].goodput())
 	is.True(at[3.0].wasted < 0.05)
-	is.True(at[3.0].refusedLate < at[3.0].offered/50) // what is refused is refused at once
+	is.True(at[3.0].refusedLate < at[3.0].offered/50) // refusals are immediate
 	if *compare {
 		logComparison(t)
 	}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -10,24 +10,24 @@
 	"pulleyquay/internal/retrybudget"
 )
 
-// grant is leave to send one request: to an executor's slot held here, to
-// another holder, or nowhere when err says why.
+// grant is permission to send one request: to a slot of an executor held here or to another holder.
+// It permits nothing when err is set.
 type grant struct {
 	endpoint *endpoint
-	host     *platform.Host // the endpoint's, as of the grant
+	host     *platform.Host // the endpoint's host as of the grant
 	remote   *remote
 	err      *result.Error
 }
 
-// pool is the executors held here and the waiting requests of one service.
+// pool holds one service's executors in the partitions held here, and its queued requests.
 type pool struct {
 	service   string
 	endpoints map[string]*endpoint
 	queue     *queue.Queue[chan<- grant]
-	// meanTime is the moving mean of a request's time at an executor.
+	// meanServiceTime is the moving mean of a request's time at an executor.
 	meanServiceTime time.Duration
-	// meanGap is the moving mean of the time between two answers of other
-	// holders while requests waited here; lastGap is when the last one came.
+	// meanForwardGap is the moving mean of the time between two answers of other holders while
+	// requests were queued here; lastForwardAt is when the last one was received.
 	meanForwardGap time.Duration
 	lastForwardAt  time.Time
 	// servedAt is when the service was last seen to have executors in use.
@@ -38,32 +38,35 @@
 
 // endpoint is one executor in a held partition.
 type endpoint struct {
-	host      *platform.Host // replaced, never changed
+	host      *platform.Host // replaced as a whole, never modified
 	partition int
-	// held is the holding that usableAt was worked out for.
+	// held is the holding for which usableAt was computed.
 	held  *heldPartition
 	slots int
 	busy  int
-	// usableAt is when a previous holder's last dispatch has surely ended.
+	// usableAt is when the last dispatch of a previous holder has certainly ended.
 	usableAt time.Time
 	listed   bool
 	health   *health
-	// signedLeaving is the executor's own word that it wants nothing new.
+	// leavingSignalled is set when the executor itself has signalled that it accepts no new
+	// requests.
 	leavingSignalled bool
-	// blocked is set when the right to the partition was found lapsed.
+	// authorityLost is set when this process was found to have lost its authority for the
+	// partition.
 	authorityLost bool
 }
 
-// usable tells whether new requests may go to the endpoint.
+// usable reports whether new requests may be sent to the endpoint.
 func (e *endpoint) usable(now time.Time) bool {
 	return e.listed && !e.host.Leaving && !e.leavingSignalled && !e.authorityLost && !now.Before(e.usableAt)
 }
 
-// movedFrom reports whether another process has the endpoint's name than the one that was
-// listed as a host: what becomes of requests to that one says nothing of it.
+// addrChanged reports whether the endpoint now has another address than host, so that another
+// process runs under its name: outcomes of requests to the earlier process say nothing about this
+// one.
 func (e *endpoint) addrChanged(host *platform.Host) bool { return e.host.Addr != host.Addr }
 
-// take makes one slot busy.
+// acquireSlot marks one slot busy and returns its grant.
 func (e *endpoint) acquireSlot() grant {
 	e.busy++
 	return grant{endpoint: e, host: e.host}
@@ -77,12 +80,12 @@
 	return e.health.limit(e.slots, p.meanServiceTime, p.healthy == 0, now)
 }
 
-// free is the number of slots that a new request may take.
+// free is the number of slots that a new request may use.
 func (p *pool) free(e *endpoint, now time.Time) int {
 	return max(p.limit(e, now)-e.busy, 0)
 }
 
-// freeSlots is the number of free slots, less the requests that wait for one.
+// freeSlots is the number of free slots, less the queued requests.
 func (p *pool) freeSlots(now time.Time) int {
 	n := -p.queue.Len()
 	for _, e := range p.endpoints {
@@ -91,7 +94,7 @@
 	return max(n, 0)
 }
 
-// learnTime notes the time of an answered request.
+// recordServiceTime records the time of an answered request.
 func (p *pool) recordServiceTime(took time.Duration) {
 	if p.meanServiceTime == 0 {
 		p.meanServiceTime = took
@@ -99,7 +102,7 @@
 	p.meanServiceTime += (took - p.meanServiceTime) / outcomeWeight
 }
 
-// learnGap notes that another holder has answered a request.
+// recordForwardGap records that another holder has answered a request.
 func (p *pool) recordForwardGap(now time.Time) {
 	gap := now.Sub(p.lastForwardAt)
 	if p.meanForwardGap == 0 {
@@ -109,8 +112,8 @@
 	p.lastForwardAt = now
 }
 
-// countHealthy notes whether any listed endpoint is healthy. It is called
-// after each change of a state, so that limits need not look at all.
+// updateHealthyCount counts the listed endpoints that are healthy. It is called after each change
+// of a state, so that limits need not look at every endpoint.
 func (p *pool) updateHealthyCount() {
 	p.healthy = 0
 	for _, e := range p.endpoints {
@@ -120,7 +123,7 @@
 	}
 }
 
-// othersFailing is the mean share of failures at all endpoints but one.
+// meanFailureRateExcept is the mean failure rate of all listed endpoints but one.
 func (p *pool) meanFailureRateExcept(except *endpoint) float64 {
 	sum, n := 0.0, 0
 	for _, e := range p.endpoints {
@@ -130,13 +133,13 @@
 		}
 	}
 	if n == 0 {
-		return 1 // nothing to compare with
+		return 1 // no other endpoint to compare with
 	}
 	return sum / float64(n)
 }
 
-// applyHosts brings the pools in line with the host list and the partitions
-// held. Endpoints with requests in flight stay until these have ended.
+// applyHosts updates the pools from the host list and the partitions held. Endpoints with requests
+// in flight stay until these have ended.
 func (d *Dispatcher) applyHosts(hosts []platform.Host, now time.Time) {
 	for _, p := range d.pools {
 		for _, e := range p.endpoints {
@@ -159,7 +162,7 @@
 	}
 }
 
-// applyHost adds or updates one executor when its partition is held here.
+// applyHost adds or updates one executor if its partition is held here.
 func (d *Dispatcher) applyHost(h platform.Host) {
 	id := partition.OfExecutor(h.Name, d.cfg.Partitions)
 	part := d.parts[id]
@@ -189,8 +192,8 @@
 	e.slots = int(min(values.Executor.Slots, values.Executor.Connections))
 }
 
-// pick returns the endpoint for the next request that this process may still
-// send to, or nil.
+// pick returns the endpoint for the next request, among those whose partition this process still
+// has authority for, or nil.
 func (d *Dispatcher) pick(p *pool, now time.Time) *endpoint {
 	for {
 		best := d.choose(p, now)
@@ -204,7 +207,7 @@
 	}
 }
 
-// pump gives free slots to waiting requests. The caller holds the lock.
+// dispatchQueued assigns free slots to queued requests. The caller holds the lock.
 func (d *Dispatcher) dispatchQueued(p *pool, now time.Time) {
 	for p.queue.Len() > 0 {
 		e := d.pick(p, now)
@@ -219,7 +222,7 @@
 	}
 }
 
-// pumpRemote gives other holders' free slots to waiting requests.
+// forwardQueued assigns free slots of other holders to queued requests. The caller holds the lock.
 func (d *Dispatcher) forwardQueued(p *pool, now time.Time) {
 	for p.queue.Len() > 0 {
 		r := d.pickRemote(p)
@@ -234,8 +237,8 @@
 	}
 }
 
-// popItem takes the next request that can still make its deadline, if it takes
-// no longer than others, and answers those that can not.
+// popQueued removes and returns the next request that meets its deadline if it takes the mean
+// service time, and answers those that can not.
 func (d *Dispatcher) popQueued(p *pool, now time.Time) *queuedRequest {
 	it, expired := p.queue.Pop(now.Add(p.meanServiceTime))
 	for _, l := range expired {
@@ -244,7 +247,7 @@
 	return it
 }
 
-// release frees a slot and passes it on.
+// release frees a slot and assigns it to a queued request, if any.
 func (d *Dispatcher) release(p *pool, e *endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/queue/discipline.go
+++ b/internal/dispatch/queue/discipline.go
@@ -5,22 +5,22 @@
 // Discipline is the order in which one caller's items leave a queue.
 type Discipline int
 
-// The disciplines weighed in docs/REQUESTS.md.
+// The disciplines compared in docs/REQUESTS.md.
 const (
-	// FIFO serves the oldest first.
+	// FIFO serves the oldest item first.
 	FIFO Discipline = iota
-	// EDF serves the earliest deadline first.
+	// EDF serves the item with the earliest deadline first.
 	EDF
-	// AdaptiveLIFO serves the oldest first, but the newest first while the
-	// queue is more than half full.
+	// AdaptiveLIFO serves the oldest item first, but the newest first while the queue is more than
+	// half full.
 	AdaptiveLIFO
 )
 
-// share is one caller's waiting items: a heap in the discipline's order.
+// callerQueue holds one caller's queued items: a heap in the discipline's order.
 type callerQueue[T any] struct {
 	caller      string
 	order       Discipline
-	newestFirst bool // AdaptiveLIFO in overload
+	newestFirst bool // set for AdaptiveLIFO under overload
 	ringIndex   int  // index in the queue's ring
 	items       []*Item[T]
 }
--- a/internal/dispatch/queue/queue.go
+++ b/internal/dispatch/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue is a bounded, deadline-aware queue that is shared fairly among
-// callers. It does no I/O and reads no clock, so that the same code runs in the
-// placer and in the comparison of disciplines.
+// Package queue provides a bounded, deadline-aware queue that is shared fairly among callers. It
+// does no I/O and reads no clock, so that the same code runs in the placer and in the comparison of
+// disciplines.
 package queue
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Item is one waiting request. Its zero Value is up to the user.
+// Item is one queued request. Value is for the user of the queue.
 type Item[T any] struct {
 	Caller   string
 	Arrived  time.Time
@@ -16,19 +16,19 @@
 	Value    T
 
 	seq   uint64
-	index int // place in the caller's heap, or notQueued
+	index int // index in the caller's heap, or notQueued
 	owner *callerQueue[T]
 }
 
 const notQueued = -1
 
-// Queued tells whether the item waits in a queue now.
+// Queued reports whether the item is in a queue.
 func (it *Item[T]) Queued() bool { return it.owner != nil }
 
-// Verdict is what a push came to.
+// PushResult is the result of Push.
 type PushResult int
 
-// The verdicts of Push.
+// Results of Push.
 const (
 	Accepted PushResult = iota
 	// Full: the queue is full and the caller's share is no smaller than others'.
@@ -37,13 +37,12 @@
 	OverShare
 )
 
-// Queue holds the waiting requests of one service. It is not safe for
-// concurrent use.
+// Queue holds the queued requests of one service. It is not safe for concurrent use.
 type Queue[T any] struct {
 	limit    int
 	order    Discipline
 	byCaller map[string]*callerQueue[T]
-	ring     []*callerQueue[T] // callers with waiting requests, in turn
+	ring     []*callerQueue[T] // callers with queued items, served round-robin
 	next     int
 	size     int
 	seq      uint64
@@ -54,18 +53,18 @@
 	return &Queue[T]{limit: limit, order: order, byCaller: map[string]*callerQueue[T]{}}
 }
 
-// Len is the number of waiting items.
+// Len returns the number of queued items.
 func (q *Queue[T]) Len() int { return q.size }
 
-// Callers is the number of callers with waiting items.
+// Callers returns the number of callers with queued items.
 func (q *Queue[T]) Callers() int { return len(q.ring) }
 
-// SetLimit changes the bound. Items already waiting stay.
+// SetLimit changes the limit. Items already queued stay.
 func (q *Queue[T]) SetLimit(limit int) { q.limit = limit }
 
-// Push adds an item. When the queue is full, a caller with a smaller share
-// displaces the last item of the caller with the largest; that item is
-// returned and is the user's to answer.
+// Push adds an item. When the queue is full, a caller with a smaller share displaces the last item
+// of the caller with the largest; that item is returned and has to be answered by the user of the
+// queue.
 func (q *Queue[T]) Push(it *Item[T]) (PushResult, *Item[T]) {
 	var displaced *Item[T]
 	if q.size >= q.limit {
@@ -89,13 +88,13 @@
 	return Accepted, displaced
 }
 
-// Restore puts back an item that was popped but could not be started. It keeps
-// its place, and may exceed the limit.
+// Restore puts back an item that was popped but could not be started. It keeps its position, and
+// may exceed the limit.
 func (q *Queue[T]) Restore(it *Item[T]) { q.insert(it) }
 
-// Ahead is how many items would be served before a new one of the caller: its
-// own, and as many of each other caller's, for they take turns. It is exact
-// for FIFO when nothing else comes.
+// Ahead returns how many items would be served before a new one of the caller: its own, and as many
+// of each other caller's, as callers are served round-robin. It is exact for FIFO when no other
+// items are pushed.
 func (q *Queue[T]) Ahead(caller string) int {
 	own := q.byCaller[caller].len()
 	ahead := 0
@@ -105,8 +104,8 @@
 	return ahead
 }
 
-// Pop takes the next item whose deadline is after earliest. Items that can not
-// make it are removed and returned in late.
+// Pop removes and returns the next item whose deadline is after earliest. Items with an earlier
+// deadline are removed and returned in late.
 func (q *Queue[T]) Pop(earliest time.Time) (it *Item[T], late []*Item[T]) {
 	for q.size > 0 {
 		if q.next >= len(q.ring) {
@@ -124,7 +123,7 @@
 	return nil, late
 }
 
-// Remove takes an item out; it reports false when the item was not waiting.
+// Remove removes an item; it reports false when the item was not queued.
 func (q *Queue[T]) Remove(it *Item[T]) bool {
 	owner := it.owner
 	if owner == nil {
@@ -139,7 +138,7 @@
 	return true
 }
 
-// advance gives the turn to the caller after owner, which may have left.
+// advance moves to the caller after owner, which may already have been removed.
 func (q *Queue[T]) advance(owner *callerQueue[T]) {
 	if q.next < len(q.ring) && q.ring[q.next] == owner {
 		q.next++
@@ -158,7 +157,7 @@
 	q.size++
 }
 
-// dropShare removes an empty share from the ring; the last one takes its place.
+// removeCaller removes an empty caller queue from the ring; the last one moves to its index.
 func (q *Queue[T]) removeCaller(s *callerQueue[T]) {
 	delete(q.byCaller, s.caller)
 	end := len(q.ring) - 1
--- a/internal/dispatch/queue/queue_test.go
+++ b/internal/dispatch/queue/queue_test.go
@@ -10,14 +10,14 @@
 
 var epoch = time.Unix(0, 0)
 
-// fill pushes items named after their caller, with deadlines in seconds.
+// pushAll pushes items named after their caller, with deadlines in seconds.
 func pushAll(q *Queue[string], callers ...string) {
 	for i, c := range callers {
 		q.Push(&Item[string]{Caller: c, Value: c, Deadline: epoch.Add(time.Duration(100-i) * time.Second)})
 	}
 }
 
-// drain pops everything and returns the values.
+// drain pops every item and returns the values.
 func drain(q *Queue[string]) []string {
 	var out []string
 	for {
@@ -37,9 +37,9 @@
 		want  []string
 	}{
 		{"FIFO", FIFO, 10, []string{"0", "1", "2", "3"}},
-		{"EDF", EDF, 10, []string{"3", "2", "1", "0"}}, // later ones have earlier deadlines
-		{"adaptive LIFO, calm", AdaptiveLIFO, 10, []string{"0", "1", "2", "3"}},
-		{"adaptive LIFO, overload", AdaptiveLIFO, 4, []string{"3", "2", "0", "1"}}, // until half full
+		{"EDF", EDF, 10, []string{"3", "2", "1", "0"}}, // later items have earlier deadlines
+		{"adaptive LIFO, below half full", AdaptiveLIFO, 10, []string{"0", "1", "2", "3"}},
+		{"adaptive LIFO, overload", AdaptiveLIFO, 4, []string{"3", "2", "0", "1"}}, // until the queue is half full
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -84,8 +84,8 @@
 	is.Equal(len(late), 1)
 }
 
-// Whatever is pushed, popped and removed, each item leaves once, and the
-// expected number ahead is what FIFO then serves first.
+// For any sequence of pushes, pops and removals, each item leaves the queue once and the length is
+// right.
 func TestQueueKeepsCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[string](rapid.IntRange(1, 20).Draw(t, "limit"), Discipline(rapid.IntRange(0, 2).Draw(t, "order")))
@@ -104,14 +104,14 @@
 				it, late := q.Pop(epoch)
 				for _, removed := range append(late, it) {
 					if removed != nil && !queued[removed] {
-						t.Fatal("popped twice")
+						t.Fatal("item was popped twice")
 					}
 					delete(queued, removed)
 				}
 			case 2:
 				for it := range queued {
 					if !q.Remove(it) || q.Remove(it) {
-						t.Fatal("removed not once")
+						t.Fatal("item was not removed exactly once")
 					}
 					delete(queued, it)
 					break
@@ -128,7 +128,7 @@
 	is := is.New(t)
 	q := New[string](20, FIFO)
 	pushAll(q, "a", "a", "a", "a", "b", "b", "c")
-	is.Equal(q.Ahead("new"), 3) // one of each
-	is.Equal(q.Ahead("c"), 5)   // its one, two of a and b
+	is.Equal(q.Ahead("new"), 3) // one item of each caller
+	is.Equal(q.Ahead("c"), 5)   // its one item, two of a and two of b
 	is.Equal(q.Ahead("a"), 7)
 }
--- a/internal/dispatch/remote.go
+++ b/internal/dispatch/remote.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// remote is another holder as this process knows it.
+// remote is another holder as this process sees it.
 type remote struct {
-	reported Remote // its last heartbeat
-	// free is the number of free slots by service: from its last heartbeat or
-	// answer, less what was sent since.
+	reported Remote // from its last heartbeat
+	// free is the number of free slots by service, from the holder's last heartbeat or answer, less
+	// what was sent since.
 	free map[string]int
-	// probedAt is when free was last set to one to try the holder again.
+	// probedAt is when free was last set to one to probe the holder again.
 	probedAt map[string]time.Time
 }
 
-// probeEvery is how often a holder that was last known to be full is tried
-// with one request, while requests wait here.
+// remoteProbeInterval is how often a holder that was last known to be full is probed with one
+// request, while requests are queued here.
 const remoteProbeInterval = 50 * time.Millisecond
 
-// take makes a grant for one request to the holder.
+// acquireSlot returns a grant for one request to the holder.
 func (r *remote) acquireSlot(service string) grant {
 	r.free[service]--
 	return grant{remote: r}
 }
 
-// hear applies what the other holders last told. What is older than their
-// answers to this process changes nothing.
+// applyRemotes applies what the other holders last reported. A report that has not changed is older
+// than their answers to this process and changes nothing.
 func (d *Dispatcher) applyRemotes(reported []Remote, now time.Time) {
 	present := make(map[string]*remote, len(reported))
 	for _, t := range reported {
@@ -37,7 +37,7 @@
 		}
 		for service := range t.Free {
 			if values, ok := d.cfg.Settings(service); ok {
-				d.pool(service, values) // so that it is known to be served
+				d.pool(service, values) // creates the pool, so that the service counts as served
 			}
 		}
 		for service := range d.pools {
@@ -48,7 +48,7 @@
 	d.remotes = present
 }
 
-// probe lets one request try a holder that was full, or had no executors.
+// probe allows one request to a holder that was full, or had no executors.
 func (r *remote) probe(service string, now time.Time) {
 	if r.free[service] > 0 || now.Sub(r.probedAt[service]) < remoteProbeInterval {
 		return
@@ -69,7 +69,7 @@
 	return best
 }
 
-// learnForward notes what a forwarded request took, and the holder's free slots.
+// recordForward records the time that a forwarded request took, and the holder's free slots.
 func (d *Dispatcher) recordForward(p *pool, r *remote, free int, took time.Duration) {
 	d.mu.Lock()
 	p.recordServiceTime(took)
@@ -80,7 +80,7 @@
 	d.setRemoteFree(p, r, free)
 }
 
-// learnFree notes a holder's free slots from its answer and uses them.
+// setRemoteFree records a holder's free slots from its answer and forwards queued requests to them.
 func (d *Dispatcher) setRemoteFree(p *pool, r *remote, free int) {
 	now := time.Now()
 	d.mu.Lock()
@@ -89,7 +89,7 @@
 	d.forwardQueued(p, now)
 }
 
-// returnRemote gives back an unused grant of another holder's slot.
+// returnRemoteSlot returns an unused grant for another holder.
 func (d *Dispatcher) returnRemoteSlot(p *pool, r *remote) {
 	now := time.Now()
 	d.mu.Lock()
--- a/internal/dispatch/resident.go
+++ b/internal/dispatch/resident.go
@@ -11,21 +11,21 @@
 	"pulleyquay/internal/settings"
 )
 
-// heldPartition is a partition whose executors are used from here.
+// heldPartition is a partition whose executors this process dispatches to.
 type heldPartition struct {
 	acquiredAt time.Time
-	// unordered: the previous holder may still have requests in flight.
+	// unclean: the previous holder may still have requests in flight, as it did not hand over.
 	unclean bool
-	// busyUntil names executors with slots that a signed-off holder could not
-	// free, and how much longer they may be busy.
+	// busyUntil gives, by executor, until when slots that the previous holder could not free at the
+	// handover may be busy.
 	busyUntil map[string]time.Time
-	// leaving gives the addresses of executors that have signalled to the
-	// previous holder that they are leaving.
+	// leaving gives the addresses of executors that signalled to the previous holder that they are
+	// leaving.
 	leaving   map[string]string
 	releasing bool
 }
 
-// usableAt is when an executor of the partition may get its first request.
+// usableAt is the time from which an executor of the partition may receive requests.
 func (h *heldPartition) usableAt(name string, values settings.Values) time.Time {
 	if h.unclean {
 		return h.acquiredAt.Add(maxDeadline(values))
@@ -33,19 +33,19 @@
 	return h.busyUntil[name]
 }
 
-// handOver is the state passed to the next holder.
+// handoverState is the state passed to the next holder.
 type handoverState struct {
 	// Busy gives, by executor, how long a slot may still be busy.
 	Busy map[string]time.Duration `cbor:"1,keyasint"`
-	// Leaving gives the address of each executor that signalled leaving.
+	// Leaving gives the address of each executor that signalled that it is leaving.
 	Leaving map[string]string `cbor:"2,keyasint,omitempty"`
 }
 
 // Name implements hold.Resident.
 func (d *Dispatcher) Name() string { return "executors" }
 
-// Acquire implements hold.Resident. It returns at once; executors whose
-// previous holder did not sign off are used after its longest dispatch.
+// Acquire implements hold.Resident. It returns at once; after a failover, executors get no requests
+// until the previous holder's longest dispatch is certainly over.
 func (d *Dispatcher) Acquire(_ context.Context, t hold.Takeover) error {
 	now := time.Now()
 	part := &heldPartition{acquiredAt: now, unclean: !t.Fresh && !t.SignedOff}
@@ -67,11 +67,11 @@
 	return nil
 }
 
-// releasePoll is how often a release looks whether its executors are idle.
+// releasePollInterval is how often a release checks whether its executors are idle.
 const releasePollInterval = 5 * time.Millisecond
 
-// Release implements hold.Resident. It waits until the partition's executors
-// are idle; when ctx ends first, the state tells how long they may be busy.
+// Release implements hold.Resident. It waits until the partition's executors are idle; when ctx
+// ends first, the state tells the next holder how long they may be busy.
 func (d *Dispatcher) Release(ctx context.Context, partition int) ([]byte, error) {
 	d.mu.Lock()
 	part := d.parts[partition]
@@ -103,7 +103,7 @@
 	d.removeIdle(partition)
 }
 
-// setUnlisted stops new requests to a partition's executors.
+// setUnlisted stops new requests to a partition's executors. The caller holds the lock.
 func (d *Dispatcher) setUnlisted(partition int) {
 	for _, p := range d.pools {
 		for _, e := range p.endpoints {
@@ -130,7 +130,7 @@
 	return n
 }
 
-// packAndForget returns the state for the next holder and lets go.
+// finishRelease returns the state for the next holder and drops the partition.
 func (d *Dispatcher) finishRelease(partition int) ([]byte, error) {
 	now := time.Now()
 	d.mu.Lock()
@@ -159,8 +159,8 @@
 	return cbor.Marshal(state)
 }
 
-// forgetIdle removes a partition's idle endpoints; busy ones go when a refresh
-// finds them idle.
+// removeIdle removes a partition's idle endpoints; a refresh removes the busy ones once they are
+// idle.
 func (d *Dispatcher) removeIdle(partition int) {
 	for _, p := range d.pools {
 		for name, e := range p.endpoints {
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -17,18 +17,17 @@
 	"pulleyquay/internal/settings"
 )
 
-// TimeoutHeader carries a deadline in milliseconds from now: from callers to
-// entries, and to executors what is left of it.
+// TimeoutHeader carries a deadline in milliseconds from now: from callers to entries, and the
+// remaining time to executors.
 const TimeoutHeader = "Request-Timeout-Ms"
 
-// maxAttempts bounds how often one request is tried, whatever its kind.
+// maxAttempts bounds the attempts of one request, whether or not it is idempotent.
 const maxAttempts = 3
 
-// Do sends a request to an executor and returns its answer or a *result.Error.
-// While the request waits, the end of ctx cancels it. Once it has been sent,
-// Do returns when the executor has answered or failed, or when the service's
-// longest deadline is over, whatever becomes of ctx: the answer is then known
-// for the caller's retry.
+// Do sends a request to an executor and returns its answer or a *result.Error. While the request is
+// queued, the end of ctx cancels it. Once it has been sent, Do ignores ctx and returns when the
+// executor has answered or failed, or when the service's longest deadline is over: the answer is
+// then available to the caller's retry.
 func (d *Dispatcher) Do(ctx context.Context, w Work) (executor.Answer, error) {
 	values, ok := d.cfg.Settings(w.Service)
 	if !ok {
@@ -41,7 +40,7 @@
 	return d.attempts(ctx, p, w, values)
 }
 
-// attempts repeats a request while it may be repeated.
+// attempts sends a request, and repeats it while that is allowed.
 func (d *Dispatcher) attempts(ctx context.Context, p *pool, w Work, values settings.Values) (executor.Answer, error) {
 	ran := result.RanNo
 	var requeued *queuedRequest
@@ -70,7 +69,8 @@
 	}
 }
 
-// withRan weakens a promise that an earlier attempt has broken.
+// weakenRan replaces the error's Ran where an earlier attempt may have run, so that it no longer
+// states that nothing ran.
 func weakenRan(err *result.Error, ran result.Ran) *result.Error {
 	if ran == result.RanNo || err.Ran == result.RanYes {
 		return err
@@ -80,10 +80,10 @@
 	return &weaker
 }
 
-// again decides about another attempt and waits the jitter before it.
+// retryAllowed decides whether to make another attempt, and sleeps the backoff before it.
 func (d *Dispatcher) retryAllowed(ctx context.Context, p *pool, w Work, err *result.Error, attempt int) bool {
 	if err.Code == result.NoFreeSlot {
-		return ctx.Err() == nil // only the hint was wrong
+		return ctx.Err() == nil // only the hint of free slots was wrong
 	}
 	if attempt >= maxAttempts || (err.Ran != result.RanNo && !w.Idempotent) {
 		return false
@@ -91,7 +91,7 @@
 	return p.budget.Spend() && sleepBackoff(ctx, attempt)
 }
 
-// send uses a grant.
+// send sends the request to the grant's endpoint or holder.
 func (d *Dispatcher) send(p *pool, g grant, w Work, values settings.Values) (executor.Answer, *result.Error) {
 	if g.remote != nil {
 		return d.forward(p, g.remote, w, values)
@@ -99,8 +99,8 @@
 	return d.call(p, g, w, values)
 }
 
-// call sends the request to an executor held here and frees its slot when the
-// executor has surely ended the work.
+// call sends the request to an executor held here and frees its slot when the executor has
+// certainly ended the work.
 func (d *Dispatcher) call(p *pool, g grant, w Work, values settings.Values) (executor.Answer, *result.Error) {
 	e, host := g.endpoint, g.host
 	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline(values))
@@ -134,7 +134,7 @@
 	return executor.Answer{}, result.New(result.ExecutorLost, result.RanUnknown, "%s: %v", host.Name, err)
 }
 
-// block takes an endpoint out of use until the next refresh.
+// blockEndpoint excludes an endpoint until the next refresh, and frees its slot.
 func (d *Dispatcher) blockEndpoint(p *pool, e *endpoint) {
 	d.mu.Lock()
 	e.authorityLost = true
@@ -142,16 +142,17 @@
 	d.release(p, e)
 }
 
-// outcome is how a request ended at its executor.
+// outcome is the outcome of a request at its executor.
 type outcome struct {
 	answer executor.Answer
 	err    error
 	took   time.Duration
-	// charged is true when the executor was charged with its silence before the end.
+	// timeoutCharged is set when the executor was already charged with a failure for not answering
+	// in time.
 	timeoutCharged bool
 }
 
-// record learns from a request's outcome at a host.
+// record updates metrics, health and service time from a request's outcome at a host.
 func (d *Dispatcher) record(p *pool, e *endpoint, host *platform.Host, o outcome) {
 	d.metrics.dispatched.WithLabelValues(p.service, outcomeLabel(o.err)).Inc()
 	d.mu.Lock()
@@ -165,9 +166,9 @@
 	}
 	switch {
 	case errors.Is(o.err, executor.ErrAnswerTooLarge):
-		return // the request's doing
+		return // caused by the request, not by the executor
 	case o.failed() && o.timeoutCharged:
-		return // once a request
+		return // a request is charged once
 	case o.err != nil:
 		d.failed(p, e, faultNoAnswer)
 		return
@@ -177,12 +178,12 @@
 	}
 	if e.health.succeeded(o.took) {
 		p.updateHealthyCount()
-		d.cfg.Log.WithField("executor", e.host.Name).Info("executor back in use")
+		d.cfg.Log.WithField("executor", e.host.Name).Info("executor recovered; no longer ejected")
 	}
 	p.recordServiceTime(o.took)
 }
 
-// failed reports whether the executor is to be charged with the outcome.
+// failed reports whether the executor is charged with the outcome.
 func (o *outcome) failed() bool {
 	return o.err != nil || o.answer.Status >= http.StatusInternalServerError
 }
@@ -197,16 +198,16 @@
 	}
 }
 
-// patience is how long an executor may take before it counts as failing: to the
-// request's deadline, but no less than the service's usual one, or callers in a
-// hurry would make sound executors look bad.
+// overdueAfter is how long an executor may take before the request counts as a failure: to the
+// request's deadline, but no less than the service's default one, as callers with short deadlines
+// would make healthy executors look bad.
 func overdueAfter(w Work, values settings.Values) time.Duration {
 	usual := time.Duration(values.Request.DefaultDeadlineMS) * time.Millisecond
 	return max(time.Until(w.Deadline), usual)
 }
 
-// overdue counts a request without an answer as a failure, while the executor
-// may still answer.
+// recordOverdue counts a request without an answer as a failure, while the executor may still
+// answer.
 func (d *Dispatcher) recordOverdue(p *pool, e *endpoint, host *platform.Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -215,11 +216,11 @@
 	}
 }
 
-// forwardMargin is how much longer a home waits for another holder than that
-// holder waits for its executor, so that the holder's word comes first.
+// forwardMargin is how much longer a process waits for another holder than that holder waits for
+// its executor, so that the holder's answer arrives first.
 const forwardMargin = 500 * time.Millisecond
 
-// forward asks another holder to dispatch.
+// forward asks another holder to dispatch the request.
 func (d *Dispatcher) forward(p *pool, r *remote, w Work, values settings.Values) (executor.Answer, *result.Error) {
 	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline(values)+forwardMargin)
 	defer cancel()
@@ -242,7 +243,7 @@
 	return executor.Answer{}, e
 }
 
-// ServeDispatch answers peer.KindDispatch.
+// ServeDispatch handles peer.KindDispatch.
 func (d *Dispatcher) ServeDispatch(_ context.Context, msg requestmsg.Dispatch) (requestmsg.DispatchReply, error) {
 	values, ok := d.cfg.Settings(msg.Service)
 	if !ok {
@@ -261,7 +262,7 @@
 	return requestmsg.DispatchReply{Answer: answer, Free: d.countFreeSlots(p)}, nil
 }
 
-// takeHere takes a free slot of an executor held here, when nobody waits.
+// tryAcquireLocal takes a free slot of an executor held here, unless requests are queued.
 func (d *Dispatcher) tryAcquireLocal(service string, values settings.Values, now time.Time) (*pool, grant, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -276,7 +277,7 @@
 	return p, e.acquireSlot(), true
 }
 
-// withTimeout returns the request with what is left of its deadline.
+// withTimeout returns the request with the remaining time until its deadline in its header.
 func withTimeout(w Work) executor.Request {
 	req := w.Request
 	header := make(http.Header, len(req.Header)+1)
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -24,13 +24,13 @@
 		name  string
 		steps []step
 	}{
-		{"one job failing says nothing", []step{{0, "a", Good}, {0, "a", Good}, {0, "a", Good}, {0, "a", Good}}},
-		{"different jobs set it aside", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {0, "d", Excluded}}},
+		{"failures of one job do not exclude", []step{{0, "a", Good}, {0, "a", Good}, {0, "a", Good}, {0, "a", Good}}},
+		{"failures of different jobs exclude", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {0, "d", Excluded}}},
 		{"success in between clears", []step{{0, "a", Good}, {0, "b", Good}, {0, "ok", Good}, {0, "c", Good}}},
-		{"old failures lapse", []step{{0, "a", Good}, {0, "b", Good}, {cfg.Window + 1, "c", Good}}},
+		{"old failures expire", []step{{0, "a", Good}, {0, "b", Good}, {cfg.Window + 1, "c", Good}}},
 		{"probe too early", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait - 1, "probe", Excluded}}},
-		{"good probe", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait, "probe", Probing}, {0, "ok", Good}, {0, "a", Good}}},
-		{"bad probe doubles the wait", []step{
+		{"successful probe", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait, "probe", Probing}, {0, "ok", Good}, {0, "a", Good}}},
+		{"failed probe doubles the wait", []step{
 			{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait, "probe", Probing}, {0, "d", Excluded},
 			{cfg.MinProbeWait, "probe", Excluded}, {cfg.MinProbeWait, "probe", Probing},
 		}},
@@ -75,7 +75,7 @@
 	is.True(j.Failed("job", "w1", start) == nil)
 	is.True(j.Failed("job", "w1", start) == nil) // the same worker again
 	is.True(j.Failed("job", "w2", start) == nil)
-	j.ClearWorker("w1") // it was the worker's fault
+	j.ClearWorker("w1") // the worker was excluded
 	is.True(j.Failed("job", "w3", start) == nil)
 	is.Equal(j.Avoid("job"), []string{"w2", "w3"})
 	err := j.Failed("job", "w4", start)
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestZoneLost replaces what a zone ran: urgent work at once, the rest at the
-// pace, services before batch.
+// TestZoneLost replaces what a zone ran: urgent tasks at once, the others at the limited rate,
+// services before batch.
 func TestZoneLost(t *testing.T) {
 	is := is.New(t)
 	p := NewPacer(100, 50)
--- a/internal/health/jobs.go
+++ b/internal/health/jobs.go
@@ -7,8 +7,7 @@
 	"pulleyquay/internal/result"
 )
 
-// Jobs follows the failing jobs of one home. Only jobs with a failure on
-// record take memory.
+// Jobs tracks the failing jobs of one home partition. Only jobs with recorded failures take memory.
 type Jobs struct {
 	config Config
 	jobs   map[string]map[string]time.Time // job to worker to last failure
@@ -19,9 +18,8 @@
 	return &Jobs{config: config, jobs: map[string]map[string]time.Time{}}
 }
 
-// Failed notes that a task of the job failed on the worker. It returns an error
-// with code JobFaulty, the reason for which the job is to be stopped, once the
-// job has failed on enough different workers.
+// Failed records that a task of the job failed on the worker. Once the job has failed on enough
+// different workers, it returns an error with code JobFaulty, the reason for stopping the job.
 func (j *Jobs) Failed(job, worker string, now time.Time) *result.Error {
 	failed := j.jobs[job]
 	if failed == nil {
@@ -41,7 +39,7 @@
 		len(failed), j.config.Window, j.Avoid(job))
 }
 
-// Avoid lists the workers that the job failed on, in order of name.
+// Avoid returns the workers that the job failed on, sorted by name.
 func (j *Jobs) Avoid(job string) []string {
 	var out []string
 	for worker := range j.jobs[job] {
@@ -51,8 +49,8 @@
 	return out
 }
 
-// Acquit takes a worker out of every job's failures: it was set aside, so that
-// the failures there were its own.
+// ClearWorker removes a worker from every job's failures: the worker was excluded, so the failures
+// there are attributed to it.
 func (j *Jobs) ClearWorker(worker string) {
 	for job, failed := range j.jobs {
 		delete(failed, worker)
@@ -62,5 +60,5 @@
 	}
 }
 
-// Forget drops what is known of a job: it has ended, or a task of it ended well.
+// Forget removes a job's failures: it has ended, or a task of it has succeeded.
 func (j *Jobs) Forget(job string) { delete(j.jobs, job) }
--- a/internal/health/pacer.go
+++ b/internal/health/pacer.go
@@ -19,17 +19,17 @@
 	At       time.Time
 }
 
-// Pacer spreads the replacement of lost tasks over time, so that the loss of a
-// rack or zone does not push all else out of the queues: urgent ones first, then
-// by priority, then services, gangs and batch, then by the time of loss.
+// Pacer limits the rate at which lost tasks are replaced, so that the loss of a rack or zone does
+// not displace all other work from the queues. The order is urgent tasks first, then by priority,
+// then services, gangs and batch, then by the time of loss.
 type Pacer struct {
 	limiter *rate.Limiter
 	waiting []Lost
 	sorted  bool
 }
 
-// NewPacer returns a pacer that lets perSecond replacements go, and at most
-// burst at once. An ordinary host's tasks should fit the burst.
+// NewPacer returns a pacer that releases perSecond replacements a second, and at most burst at
+// once. The burst should cover the tasks of an ordinary host.
 func NewPacer(perSecond float64, burst int) *Pacer {
 	return &Pacer{limiter: rate.NewLimiter(rate.Limit(perSecond), burst)}
 }
@@ -43,8 +43,8 @@
 // Len returns how many tasks wait for their replacement.
 func (p *Pacer) Len() int { return len(p.waiting) }
 
-// Take returns the tasks whose replacement may start now. Urgent ones do not
-// wait, but they use up the pace of the others.
+// Take returns the tasks whose replacement may start now. Urgent ones do not wait, but count
+// towards the rate of the others.
 func (p *Pacer) Take(now time.Time) []Lost {
 	if !p.sorted {
 		slices.SortStableFunc(p.waiting, byUrgency)
@@ -59,8 +59,7 @@
 	return out
 }
 
-// Drop takes out the waiting tasks of a job that was cancelled; it returns how
-// many.
+// Drop removes the waiting tasks of a cancelled job and returns their number.
 func (p *Pacer) Drop(job string) int {
 	before := len(p.waiting)
 	p.waiting = slices.DeleteFunc(p.waiting, func(l Lost) bool { return l.Task.Job == job })
@@ -69,7 +68,7 @@
 
 var kindRank = map[spec.Kind]int{spec.KindService: 0, spec.KindGang: 1, spec.KindBatch: 2}
 
-// byNeed puts first what has to come back first.
+// byUrgency orders lost tasks by the order of their replacement.
 func byUrgency(a, b Lost) int {
 	if a.Urgent != b.Urgent {
 		if a.Urgent {
--- a/internal/health/workers.go
+++ b/internal/health/workers.go
@@ -1,7 +1,7 @@
-// Package health tells whose fault a failure is. A worker that fails tasks of
-// different jobs is set aside and probed; a job that fails on different workers
-// is stopped; what a lost rack or zone ran is replaced at a bounded pace. It is
-// pure: the caller passes the time and serialises calls.
+// Package health attributes failures to workers and jobs. A worker that fails tasks of different
+// jobs is excluded and probed; a job that fails on different workers is stopped; the tasks of a
+// lost rack or zone are replaced at a bounded rate. The package does no I/O: the caller passes the
+// time and serialises calls.
 package health
 
 import (
@@ -11,37 +11,37 @@
 	"github.com/looplab/fsm"
 )
 
-// State is what is thought of a worker.
+// State is the health state of a worker.
 type State string
 
-// The states of a worker.
+// States of a worker.
 const (
 	Good     State = "good"
-	Excluded State = "set-aside" // gets nothing until its probe is due
-	Probing  State = "probing"   // gets one task; its end decides
+	Excluded State = "set-aside" // receives no tasks until its probe is due
+	Probing  State = "probing"   // receives one task, whose end decides
 )
 
-// The events between the states.
+// Events that change the state.
 const (
 	eventExclude = "blame"
 	eventProbe   = "probe"
 	eventClear   = "clear"
 )
 
-// Config bounds when blame falls and for how long.
+// Config holds the thresholds and durations of exclusions.
 type Config struct {
-	// DifferentJobs that fail on a worker within Window set it aside, unless a
-	// task ended well there in between.
+	// DifferentJobs is the number of jobs whose failures on a worker within Window exclude it,
+	// unless a task succeeded there in between.
 	DifferentJobs int
-	// DifferentWorkers that a job fails on within Window stop it.
+	// DifferentWorkers is the number of workers on which a job's failures within Window stop it.
 	DifferentWorkers int
 	Window           time.Duration
-	// ProbeFirst is the wait before the first probe; it doubles with each
-	// failed probe up to ProbeMost.
+	// MinProbeWait is the wait before the first probe; it doubles with each failed probe up to
+	// MaxProbeWait.
 	MinProbeWait, MaxProbeWait time.Duration
 }
 
-// DefaultConfig is what a holder starts with.
+// DefaultConfig returns the configuration of a holder.
 func DefaultConfig() Config {
 	return Config{
 		DifferentJobs: 3, DifferentWorkers: 3, Window: 10 * time.Minute,
@@ -49,8 +49,7 @@
 	}
 }
 
-// Workers follows the workers of one holder. Only workers with a failure on
-// record take memory.
+// Workers tracks the workers of one holder. Only workers with recorded failures take memory.
 type Workers struct {
 	config  Config
 	machine *fsm.FSM // shared: set to a worker's state before each event
@@ -61,13 +60,12 @@
 	state State
 	// failed holds the last failure of each job since the last success.
 	failed map[string]time.Time
-	// probeAt is when a worker set aside may be probed; wait is the backoff
-	// that led there.
+	// probeAt is when an excluded worker may be probed; probeWait is the present backoff.
 	probeAt   time.Time
 	probeWait time.Duration
 }
 
-// NewWorkers returns a tracker that thinks well of every worker.
+// NewWorkers returns a tracker without failures.
 func NewWorkers(config Config) *Workers {
 	return &Workers{
 		config:  config,
@@ -80,7 +78,7 @@
 	}
 }
 
-// State returns what is thought of a worker.
+// State returns a worker's state.
 func (w *Workers) State(name string) State {
 	if r := w.records[name]; r != nil {
 		return r.state
@@ -88,8 +86,8 @@
 	return Good
 }
 
-// Failed notes that a task of the job failed on the worker, and returns the
-// worker's state after it.
+// Failed records that a task of the job failed on the worker, and returns the resulting state of
+// the worker.
 func (w *Workers) Failed(name, job string, now time.Time) State {
 	r := w.records[name]
 	if r == nil {
@@ -108,8 +106,8 @@
 	return r.state
 }
 
-// Succeeded notes that a task ended well on the worker, and returns the
-// worker's state after it.
+// Succeeded records that a task succeeded on the worker, and returns the resulting state of the
+// worker.
 func (w *Workers) Succeeded(name string) State {
 	r := w.records[name]
 	if r == nil {
@@ -126,8 +124,8 @@
 	return r.state
 }
 
-// ProbeDue moves a worker whose time has come from set aside to probing; it
-// returns true once for each probe.
+// ProbeDue changes an excluded worker whose probe is due to probing; it returns true once for each
+// probe.
 func (w *Workers) ProbeDue(name string, now time.Time) bool {
 	r := w.records[name]
 	if r == nil || r.state != Excluded || now.Before(r.probeAt) {
@@ -137,7 +135,7 @@
 	return true
 }
 
-// Forget drops what is known of a worker: it was restarted or replaced.
+// Forget removes a worker's record: it was restarted or replaced.
 func (w *Workers) Forget(name string) { delete(w.records, name) }
 
 func (w *Workers) exclude(r *workerRecord, now time.Time) {
@@ -146,7 +144,7 @@
 	r.probeAt = now.Add(r.probeWait)
 }
 
-// fire runs one event on the shared machine for the record's state.
+// fire applies an event to the record's state on the shared machine.
 func (w *Workers) fire(r *workerRecord, event string) {
 	w.machine.SetState(string(r.state))
 	if err := w.machine.Event(context.Background(), event); err != nil {
--- a/internal/hostcall/hostcall.go
+++ b/internal/hostcall/hostcall.go
@@ -1,9 +1,8 @@
-// Package hostcall carries single calls to hosts through faults: an order that is not
-// answered in the usual time is sent again, and a look is asked again when its
-// connection has fallen silent or answers get lost.
+// Package hostcall makes single calls to hosts tolerant of network faults: an order that is not
+// answered in the usual time is sent again, and a poll is repeated when its connection has become
+// silent or answers are lost.
 //
-// A Caller is itself a host.Client, so whoever makes calls to hosts need not know
-// whether they are repeated.
+// A Caller is itself a host.Client, so its users need not know whether calls are repeated.
 package hostcall
 
 import (
@@ -19,7 +18,7 @@
 	"pulleyquay/internal/retrybudget"
 )
 
-// orderPatience bounds the wait for the answer to the copies of a start or a stop.
+// orderTimeout bounds the wait for the answer to the copies of a start or a stop.
 const orderTimeout = 300 * time.Millisecond
 
 // Caller makes calls to hosts. It is safe for concurrent use.
@@ -27,23 +26,22 @@
 	hosts   host.Client
 	health  *follow.Health
 	metrics *Metrics
-	// busy reports whether this process lacks processor time: it repeats nothing then.
+	// busy reports whether this process lacks processor time: nothing is repeated then.
 	busy func() bool
 
-	// answers is how long hosts take to answer orders; losses tells of those that got
+	// answers is how long hosts take to answer orders; lossTracker records the answers that were
 	// lost.
 	answers       resend.Latency
-	copies        *retrybudget.Budget // of orders
+	copies        *retrybudget.Budget // budget for copies of orders
 	lossTracker   *lossTracker
 	pollsInFlight atomic.Int64 // under way
-	// called are the hosts that were called lately.
+	// called are the hosts that were called recently.
 	called recentHosts
 }
 
 var _ host.Client = (*Caller)(nil)
 
-// New returns a caller of hosts. Questions that wait are asked again when health is
-// renewed.
+// New returns a caller of hosts. Polls in flight are repeated when health is renewed.
 func New(hosts host.Client, health *follow.Health, busy func() bool, metrics *Metrics) *Caller {
 	return &Caller{
 		hosts: hosts, health: health, busy: busy, metrics: metrics,
@@ -65,7 +63,7 @@
 	})
 }
 
-// Pace implements host.Client. It is made once: the next one corrects it.
+// Pace implements host.Client. It is sent once, as the next one corrects a lost one.
 func (c *Caller) Pace(ctx context.Context, to host.Info, epoch uint64, r host.Run, percent int) (host.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -75,7 +73,7 @@
 	return reply, err
 }
 
-// order makes an order, with copies, and counts it.
+// order sends an order, with copies, and counts it in the metrics.
 func (c *Caller) order(ctx context.Context, kind string, to host.Info, send func(context.Context) (host.Reply, error)) (host.Reply, error) {
 	begun := time.Now()
 	c.called.record(to.ID, begun)
@@ -84,18 +82,18 @@
 	return reply, err
 }
 
-// recentFor is for how long a host counts as one of those that this process calls: a
-// host at rest is looked at more often.
+// recentPeriod is how long after a call a host counts as one that this process calls. Idle hosts
+// are polled at shorter intervals, so they count as well.
 const recentPeriod = 10 * time.Second
 
-// recent counts the hosts that were called lately.
+// recentHosts counts the hosts that were called recently.
 type recentHosts struct {
 	mu       sync.Mutex
 	lastCall map[host.ID]time.Time
 	prunedAt time.Time
 }
 
-// note notes a call to a host.
+// record records a call to a host.
 func (r *recentHosts) record(id host.ID, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,14 +112,14 @@
 	}
 }
 
-// size is how many hosts were called lately.
+// size returns the number of recently called hosts.
 func (r *recentHosts) size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.lastCall)
 }
 
-// outcome names how a call ended, for the metrics.
+// outcome returns the metric label of a call's outcome.
 func outcome(r host.Reply, err error) string {
 	switch {
 	case errors.Is(err, host.ErrNotSent):
--- a/internal/hostcall/poll.go
+++ b/internal/hostcall/poll.go
@@ -9,48 +9,47 @@
 	"pulleyquay/internal/wait"
 )
 
-// Times of looks.
+// Timeouts and intervals of polls.
 const (
-	// lookSlack is how much longer than it may be held back an answer to a look is
-	// waited for.
+	// pollSlack is the time that the answer to a poll may take in addition to the time that the
+	// host may hold it.
 	pollSlack = 500 * time.Millisecond
-	// lossyWait and lossySlack stand in for the wait and the slack while answers of
-	// hosts get lost: the end of a task is heard of only by the next look.
+	// lossyPollWait and lossyPollSlack replace the wait and the slack while answers of hosts are
+	// lost: the end of a task is received only with the next poll.
 	lossyPollWait  = 400 * time.Millisecond
 	lossyPollSlack = 250 * time.Millisecond
-	// relookShare is over how much time for each look under way looks are asked again.
+	// repollSpread is the time, for each poll in flight, over which repeated polls are spread.
 	repollSpread = time.Millisecond
-	// lossyFor is for how long after a lost answer more are expected to get lost.
+	// lossyPeriod is how long after a lost answer more losses are expected.
 	lossyPeriod = 3 * time.Second
-	// relookEvery is the least time between two rounds of asking every host again.
+	// repollInterval is the least time between two repetitions of all polls in flight.
 	repollInterval = 1500 * time.Millisecond
 )
 
-// mostRepeating is for how many hosts of one process orders are repeated and looks made
-// more often when answers get lost. A process that calls more has no processor time to
-// spare for that: answers that come late after a burst would be taken for lost, and the
-// repeated calls would keep them late.
+// maxRepeatHosts is the number of hosts up to which a process repeats orders, and polls more often,
+// when answers are lost. A process that calls more hosts has no processor time to spare for that:
+// answers that are late after a burst would be taken for lost, and the repeated calls would keep
+// them late.
 const maxRepeatHosts = 128
 
-// repeats reports whether this process has processor time for more calls than needed
-// while answers get lost.
+// mayRepeat reports whether this process has processor time for additional calls while answers are
+// lost.
 func (c *Caller) mayRepeat() bool {
 	return !c.busy() && c.called.size() <= maxRepeatHosts
 }
 
-// losses knows whether answers of hosts have got lost lately. It is safe for
-// concurrent use.
+// lossTracker tracks whether answers of hosts were lost recently. It is safe for concurrent use.
 type lossTracker struct {
 	mu         sync.Mutex
-	lastLoss   time.Time     // when an answer got lost
-	repolledAt time.Time     // when the looks under way were last given up
-	repoll     chan struct{} // closed to give up the looks under way
+	lastLoss   time.Time     // when an answer was last lost
+	repolledAt time.Time     // when the polls in flight were last cancelled
+	repoll     chan struct{} // closed to cancel the polls in flight
 }
 
 func newLossTracker() *lossTracker { return &lossTracker{repoll: make(chan struct{})} }
 
-// note notes that an answer got lost. The answers to looks under way may be lost too,
-// so these are asked again.
+// record records that an answer was lost. The answers to polls in flight may be lost too, so these
+// polls are repeated.
 func (l *lossTracker) record(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,16 +62,16 @@
 	l.repoll = make(chan struct{})
 }
 
-// lately reports whether answers got lost lately, and returns the channel that is
-// closed when looks are to be asked again.
+// recentLoss reports whether answers were lost recently, and returns the channel that is closed
+// when polls are to be repeated.
 func (l *lossTracker) recentLoss(now time.Time) (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Sub(l.lastLoss) < lossyPeriod, l.repoll
 }
 
-// Look implements host.Client. It asks again over a new connection when those that are
-// open may have fallen silent, or answers get lost.
+// Look implements host.Client. It polls again over a new connection when the open ones may have
+// become silent, or answers are lost.
 func (c *Caller) Look(ctx context.Context, to host.Info, epoch uint64, l host.Look) (host.View, error) {
 	inFlight := time.Duration(c.pollsInFlight.Add(1))
 	defer c.pollsInFlight.Add(-1)
@@ -88,7 +87,7 @@
 	}
 }
 
-// lookOnce asks once. It reports whether the question was given up to be asked again.
+// pollOnce polls once. It reports whether the poll was cancelled to be repeated.
 func (c *Caller) pollOnce(ctx context.Context, to host.Info, epoch uint64, l host.Look, now time.Time) (view host.View, retry bool, err error) {
 	slack := pollSlack
 	lossy, repoll := c.lossTracker.recentLoss(now)
--- a/internal/hostcall/poll_test.go
+++ b/internal/hostcall/poll_test.go
@@ -14,17 +14,17 @@
 	"pulleyquay/internal/platform/follow"
 )
 
-// newCaller returns a caller of hosts in a process with time to spare.
+// newCaller returns a caller of hosts in a process that is not busy.
 func newCaller(hosts host.Client) *Caller {
 	return New(hosts, follow.NewHealth(nil), func() bool { return false }, NewMetrics(prometheus.NewRegistry()))
 }
 
-// silentHosts answers no look before it is told to.
+// unresponsiveHosts answers no poll until responsive is set.
 type unresponsiveHosts struct {
 	host.Client
 	responsive atomic.Bool
 	polls      atomic.Int64
-	lastWait   atomic.Int64 // by the last look, in nanoseconds
+	lastWait   atomic.Int64 // wait of the last poll, in nanoseconds
 }
 
 func (s *unresponsiveHosts) Look(ctx context.Context, _ host.Info, _ uint64, l host.Look) (host.View, error) {
@@ -37,15 +37,15 @@
 	return host.View{Clock: 1}, nil
 }
 
-// TestLooksAreAskedAgain: looks wait for seconds for an answer. When connections fell
-// silent, or answers of hosts got lost, ends were heard of seconds late.
+// TestPollsAreRepeated: a poll may wait for seconds for its answer. Without repetition, ends are
+// received seconds late when connections become silent or answers of hosts are lost.
 func TestPollsAreRepeated(t *testing.T) {
 	tests := map[string]struct {
 		event    func(c *Caller)
-		lastWait time.Duration // by the second look
+		lastWait time.Duration // wait of the second poll
 	}{
-		"connections fell silent": {func(c *Caller) { c.health.Renew() }, 2 * time.Second},
-		"answers get lost":        {func(c *Caller) { c.lossTracker.record(time.Now()) }, lossyPollWait},
+		"connections became silent": {func(c *Caller) { c.health.Renew() }, 2 * time.Second},
+		"answers are lost":          {func(c *Caller) { c.lossTracker.record(time.Now()) }, lossyPollWait},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -67,15 +67,15 @@
 				tc.event(c)
 				<-ended
 				is.Equal(hosts.polls.Load(), int64(2))
-				is.True(time.Since(begun)-100*time.Millisecond <= repollSpread) // one look is under way
+				is.True(time.Since(begun)-100*time.Millisecond <= repollSpread) // one poll is in flight
 				is.Equal(time.Duration(hosts.lastWait.Load()), tc.lastWait)
 			})
 		})
 	}
 }
 
-// TestLossesAreForgotten: after a while without losses looks wait for long again, and
-// one loss does not have every host asked again and again.
+// TestLossesExpire: after a time without losses polls have their full wait again, and polls are
+// repeated at most once in repollInterval.
 func TestLossesExpire(t *testing.T) {
 	is := is.New(t)
 	l := newLossTracker()
--- a/internal/hostcall/repeat.go
+++ b/internal/hostcall/repeat.go
@@ -9,22 +9,22 @@
 	"pulleyquay/internal/host"
 )
 
-// A start or stop that is not answered in the usual time is sent again as it is: by
-// its run's number a host carries it out once, whichever copy arrives first. Orders get
-// lost, or are carried out seconds late, and a gang of which one start is in doubt has to
-// begin anew.
+// A start or stop that is not answered in the usual time is sent again unchanged: a host identifies
+// it by the run's number and carries it out once, whichever copy arrives first. Without copies,
+// orders are lost or carried out seconds late, and a gang of which one start is in doubt has to
+// start again.
 
-// mostOrderCopies bounds the copies of one order; the pauses between them double.
+// maxOrderCopies bounds the copies of one order; the delays between them double.
 const maxOrderCopies = 3
 
-// Reconnecter is a client of hosts that can be told to open a new connection to one
-// for the next call: an open one may have fallen silent.
+// Reconnecter is a client of hosts that can be made to open a new connection to a host for the next
+// call, as an open one may have become silent.
 type Reconnecter interface{ ReconnectTo(addr string) }
 
-// endWithin bounds the wait for copies that were given up to end.
+// cancelGrace bounds the wait for cancelled copies to end.
 const cancelGrace = 50 * time.Millisecond
 
-// order is one start or stop on its way.
+// order is one start or stop in flight.
 type order struct {
 	ctx     context.Context // of the copies
 	cancel  context.CancelFunc
@@ -32,9 +32,9 @@
 	answers chan copyResult
 	copies  int        // sent so far
 	pending int        // not answered yet
-	lost    bool       // a copy broke off and may have an effect
+	lost    bool       // a copy failed and may have an effect
 	broken  bool       // the connection of such a copy broke
-	refused host.Reply // by which a copy came to nothing
+	refused host.Reply // the refusal of a copy, if any
 }
 
 type copyResult struct {
@@ -43,9 +43,9 @@
 	took  time.Duration // of this copy
 }
 
-// repeat sends copies of an order until one is answered or orderPatience is over. A
-// refusal counts only while no other copy may have been carried out; otherwise the
-// outcome is host.ErrLost. It is host.ErrNotSent when no copy got as far as its host.
+// sendCopies sends copies of an order until one is answered or orderTimeout is over. A refusal
+// counts only while no other copy may have been carried out; otherwise the outcome is host.ErrLost.
+// It is host.ErrNotSent when no copy reached its host.
 func (c *Caller) sendCopies(ctx context.Context, to host.Info, send func(context.Context) (host.Reply, error)) (host.Reply, error) {
 	c.copies.Earn(copyBudgetPercent)
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout+lateAnswerWait)
@@ -95,31 +95,31 @@
 	}
 }
 
-// learn takes in how long one copy took: answers that come late, as this process itself
-// is busy, must lengthen the wait, or copies would keep it busy.
+// observeLatency records how long one copy took: answers that are late because this process is busy
+// must lengthen the delay, or copies would keep it busy.
 func (c *Caller) observeLatency(a copyResult) {
 	if a.err == nil {
 		c.answers.Observe(a.took)
 	}
 }
 
-// copyPercent is how many copies a hundred orders allow for: enough for a third of them
-// to get lost.
+// copyBudgetPercent is how many copies are allowed for a hundred orders: enough when a third of
+// them is lost.
 const copyBudgetPercent = 50
 
-// noteLoss notes that an answer got lost, unless this process is busy or has many hosts:
-// what is late then is late here, and asking hosts more often would only add to it.
+// recordLoss records that an answer was lost, unless this process is busy or has many hosts: then
+// the delay is more likely in this process, and polling hosts more often would only add to it.
 func (c *Caller) recordLoss() {
 	if c.mayRepeat() {
 		c.lossTracker.record(time.Now())
 	}
 }
 
-// lateFor is for how long a copy that was overtaken by another may still be answered: a
-// busy process often takes in the later answer first.
+// lateAnswerWait is how long a copy may still be answered after another one was: a busy process
+// often processes the later answer first.
 const lateAnswerWait = 150 * time.Millisecond
 
-// awaitCopies notes a loss unless the copies still under way are answered after all.
+// awaitLateCopies records a loss unless the copies still in flight are answered after all.
 func (c *Caller) awaitLateCopies(o *order) {
 	defer o.cancel()
 	timer := time.NewTimer(lateAnswerWait)
@@ -142,7 +142,7 @@
 	}
 }
 
-// start sends one more copy.
+// sendCopy sends one more copy.
 func (o *order) sendCopy() {
 	o.copies++
 	o.pending++
@@ -153,7 +153,7 @@
 	}()
 }
 
-// settledBy takes in the end of a copy and reports whether that settles the order.
+// settles records the end of a copy and reports whether it settles the order.
 func (o *order) settles(a copyResult) bool {
 	o.pending--
 	switch {
@@ -169,11 +169,11 @@
 		return true
 	}
 	o.refused = a.reply
-	return o.pending == 0 && !o.lost // else another copy may be why this one was refused
+	return o.pending == 0 && !o.lost // otherwise another copy may be why this one was refused
 }
 
-// outcome is that of an order which a copy has settled. Where that copy was not sent and
-// another one was refused, the host has spoken.
+// outcome returns the outcome of an order that a copy has settled. Where that copy was not sent and
+// another one was refused, it is the refusal.
 func (o *order) outcome(a copyResult) (host.Reply, error) {
 	if errors.Is(a.err, host.ErrNotSent) && o.refused.Refused != "" {
 		return o.refused, nil
@@ -181,9 +181,9 @@
 	return a.reply, a.err
 }
 
-// giveUp ends the copies under way. An order whose copies all still waited for a connection
-// was not sent; called lost, it would count as a run that may have been there when its host
-// turns out to have ended.
+// abort cancels the copies in flight. An order whose copies all still waited for a connection was
+// not sent. If it were reported as lost, it would count as a run that may have been present when
+// its host turns out to have ended.
 func (o *order) abort() (host.Reply, error) {
 	o.cancel()
 	timer := time.NewTimer(cancelGrace)
@@ -201,7 +201,7 @@
 	return host.Reply{}, o.failure(fmt.Errorf("%w: no answer to %d copies", host.ErrLost, o.copies))
 }
 
-// failure is the error of an order none of whose copies settled it.
+// failure returns the error of an order that no copy has settled.
 func (o *order) failure(last error) error {
 	if o.broken {
 		return fmt.Errorf("%w: %d copies", host.ErrBroken, o.copies)
--- a/internal/hostcall/repeat_test.go
+++ b/internal/hostcall/repeat_test.go
@@ -14,27 +14,28 @@
 	"pulleyquay/internal/host"
 )
 
-// copyOf is what becomes of one copy of an order.
+// copyOutcome is the simulated outcome of one copy of an order.
 type copyOutcome struct {
-	after   time.Duration // its answer, or its failure
+	after   time.Duration // delay of its answer or failure
 	refused host.Refusal
 	err     error
-	// unsent copies wait for their connection until they are given up.
+	// unsent copies wait for their connection until they are cancelled.
 	unsent bool
 }
 
-// hangs is a copy that nothing is heard of.
+// noAnswer is a copy that is never answered.
 var noAnswer = copyOutcome{after: time.Hour}
 
-// dials is a copy whose connection is never made.
+// noConnection is a copy whose connection is never made.
 var noConnection = copyOutcome{after: time.Hour, unsent: true}
 
-// TestOrdersAreRepeated: an order that got lost was settled by a look, a stop and
-// another look, and a gang of which one start was in doubt had to begin anew.
+// TestOrdersAreRepeated: without copies, a lost order is settled by a poll, a stop and another
+// poll, and a gang of which one start is in doubt has to start again.
 //
-// A start to a host that was dark already was called lost while its connection was still
-// being made. Nothing had been sent, yet its run counted as one under which a host crashed
-// ("start unanswered", then "run lost ... in doubt", then "crash held against task").
+// It also guards against a start being reported as lost while its connection is still being made,
+// to a host that has lost power. Nothing has been sent then, yet the run would count as one under
+// which a host crashed ("start unanswered", then "run lost ... in doubt", then "crash held against
+// task").
 func TestOrdersAreRepeated(t *testing.T) {
 	ms := time.Millisecond
 	tests := map[string]struct {
@@ -45,31 +46,31 @@
 		within  time.Duration
 		lossy   bool
 	}{
-		"answered":                               {copies: []copyOutcome{{after: 2 * ms}}, sent: 1, within: 2 * ms},
-		"refused":                                {copies: []copyOutcome{{after: 2 * ms, refused: host.RefusedFull}}, refused: host.RefusedFull, sent: 1, within: 2 * ms},
-		"lost, then answered":                    {copies: []copyOutcome{noAnswer, {after: 2 * ms}}, sent: 2, within: 70 * ms, lossy: true},
-		"lost twice, then answered":              {copies: []copyOutcome{noAnswer, noAnswer, {after: 2 * ms}}, sent: 3, within: 190 * ms, lossy: true},
-		"lost for good":                          {copies: []copyOutcome{noAnswer, noAnswer, noAnswer}, want: host.ErrLost, sent: 3, within: orderTimeout},
-		"slow, answered after its copy was sent": {copies: []copyOutcome{{after: 80 * ms}, {after: 40 * ms}}, sent: 2, within: 80 * ms},
-		"overtaken, answered after all":          {copies: []copyOutcome{{after: 100 * ms}, {after: 2 * ms}}, sent: 2, within: 70 * ms},
+		"answered":                             {copies: []copyOutcome{{after: 2 * ms}}, sent: 1, within: 2 * ms},
+		"refused":                              {copies: []copyOutcome{{after: 2 * ms, refused: host.RefusedFull}}, refused: host.RefusedFull, sent: 1, within: 2 * ms},
+		"lost, then answered":                  {copies: []copyOutcome{noAnswer, {after: 2 * ms}}, sent: 2, within: 70 * ms, lossy: true},
+		"lost twice, then answered":            {copies: []copyOutcome{noAnswer, noAnswer, {after: 2 * ms}}, sent: 3, within: 190 * ms, lossy: true},
+		"lost for good":                        {copies: []copyOutcome{noAnswer, noAnswer, noAnswer}, want: host.ErrLost, sent: 3, within: orderTimeout},
+		"slow, answered after a copy was sent": {copies: []copyOutcome{{after: 80 * ms}, {after: 40 * ms}}, sent: 2, within: 80 * ms},
+		"answered after its copy":              {copies: []copyOutcome{{after: 100 * ms}, {after: 2 * ms}}, sent: 2, within: 70 * ms},
 		"done, but the answer got lost, and its copy is too old": {
 			copies: []copyOutcome{noAnswer, {after: 2 * ms, refused: host.RefusedOld}, {after: 2 * ms, refused: host.RefusedOld}},
 			want:   host.ErrLost, sent: 3, within: orderTimeout,
 		},
-		"lost, then fenced":           {copies: []copyOutcome{noAnswer, {after: 2 * ms, refused: host.RefusedFenced}}, refused: host.RefusedFenced, sent: 2, within: 70 * ms, lossy: true},
-		"lost, then another life":     {copies: []copyOutcome{noAnswer, {after: 2 * ms, err: host.ErrOtherLife}}, want: host.ErrOtherLife, sent: 2, within: 70 * ms},
-		"nothing listens":             {copies: []copyOutcome{{after: ms, err: host.ErrNotSent}}, want: host.ErrNotSent, sent: 1, within: ms},
-		"lost, then nothing listens":  {copies: []copyOutcome{noAnswer, {after: ms, err: host.ErrNotSent}, {after: ms, err: host.ErrNotSent}}, want: host.ErrLost, sent: 3, within: orderTimeout},
-		"no connection is made":       {copies: []copyOutcome{noConnection, noConnection, noConnection}, want: host.ErrNotSent, sent: 3, within: orderTimeout},
-		"lost, then no connection":    {copies: []copyOutcome{noAnswer, noConnection, noConnection}, want: host.ErrLost, sent: 3, within: orderTimeout},
-		"no connection, then lost":    {copies: []copyOutcome{noConnection, noConnection, noAnswer}, want: host.ErrLost, sent: 3, within: orderTimeout},
-		"no connection, then refused": {copies: []copyOutcome{noConnection, {after: 2 * ms, refused: host.RefusedFull}, noConnection}, refused: host.RefusedFull, sent: 3, within: orderTimeout},
-		"the connection breaks":       {copies: []copyOutcome{{after: 10 * ms, err: host.ErrLost}}, want: host.ErrLost, sent: 1, within: 10 * ms},
-		"it breaks by itself":         {copies: []copyOutcome{{after: 10 * ms, err: host.ErrBroken}}, want: host.ErrBroken, sent: 1, within: 10 * ms},
-		"broken, then turned away":    {copies: []copyOutcome{{after: 80 * ms, err: host.ErrBroken}, {after: 40 * ms, err: host.ErrRefused}}, want: host.ErrBroken, sent: 2, within: 100 * ms},
-		"turned away":                 {copies: []copyOutcome{{after: ms, err: host.ErrRefused}}, want: host.ErrRefused, sent: 1, within: ms},
-		"both break, one unsent":      {copies: []copyOutcome{{after: 80 * ms, err: host.ErrLost}, {after: 40 * ms, err: host.ErrNotSent}}, want: host.ErrLost, sent: 2, within: 100 * ms},
-		"refused twice":               {copies: []copyOutcome{{after: 90 * ms, refused: host.RefusedFull}, {after: 2 * ms, refused: host.RefusedFull}}, refused: host.RefusedFull, sent: 2, within: 90 * ms},
+		"lost, then fenced":               {copies: []copyOutcome{noAnswer, {after: 2 * ms, refused: host.RefusedFenced}}, refused: host.RefusedFenced, sent: 2, within: 70 * ms, lossy: true},
+		"lost, then another incarnation":  {copies: []copyOutcome{noAnswer, {after: 2 * ms, err: host.ErrOtherLife}}, want: host.ErrOtherLife, sent: 2, within: 70 * ms},
+		"host not reached":                {copies: []copyOutcome{{after: ms, err: host.ErrNotSent}}, want: host.ErrNotSent, sent: 1, within: ms},
+		"lost, then host not reached":     {copies: []copyOutcome{noAnswer, {after: ms, err: host.ErrNotSent}, {after: ms, err: host.ErrNotSent}}, want: host.ErrLost, sent: 3, within: orderTimeout},
+		"no connection is made":           {copies: []copyOutcome{noConnection, noConnection, noConnection}, want: host.ErrNotSent, sent: 3, within: orderTimeout},
+		"lost, then no connection":        {copies: []copyOutcome{noAnswer, noConnection, noConnection}, want: host.ErrLost, sent: 3, within: orderTimeout},
+		"no connection, then lost":        {copies: []copyOutcome{noConnection, noConnection, noAnswer}, want: host.ErrLost, sent: 3, within: orderTimeout},
+		"no connection, then refused":     {copies: []copyOutcome{noConnection, {after: 2 * ms, refused: host.RefusedFull}, noConnection}, refused: host.RefusedFull, sent: 3, within: orderTimeout},
+		"lost at once":                    {copies: []copyOutcome{{after: 10 * ms, err: host.ErrLost}}, want: host.ErrLost, sent: 1, within: 10 * ms},
+		"the connection breaks":           {copies: []copyOutcome{{after: 10 * ms, err: host.ErrBroken}}, want: host.ErrBroken, sent: 1, within: 10 * ms},
+		"broken, then connection refused": {copies: []copyOutcome{{after: 80 * ms, err: host.ErrBroken}, {after: 40 * ms, err: host.ErrRefused}}, want: host.ErrBroken, sent: 2, within: 100 * ms},
+		"connection refused":              {copies: []copyOutcome{{after: ms, err: host.ErrRefused}}, want: host.ErrRefused, sent: 1, within: ms},
+		"both fail, one unsent":           {copies: []copyOutcome{{after: 80 * ms, err: host.ErrLost}, {after: 40 * ms, err: host.ErrNotSent}}, want: host.ErrLost, sent: 2, within: 100 * ms},
+		"refused twice":                   {copies: []copyOutcome{{after: 90 * ms, refused: host.RefusedFull}, {after: 2 * ms, refused: host.RefusedFull}}, refused: host.RefusedFull, sent: 2, within: 90 * ms},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +101,7 @@
 				is.Equal(reply.Refused, tc.refused)
 				is.True(time.Since(begun) <= tc.within)
 				is.Equal(sent.Load(), tc.sent)
-				time.Sleep(lateAnswerWait) // an answer that comes after all is no loss
+				time.Sleep(lateAnswerWait) // a late answer is no loss
 				synctest.Wait()
 				lossy, _ := c.lossTracker.recentLoss(time.Now())
 				is.Equal(lossy, tc.lossy)
@@ -109,8 +110,9 @@
 	}
 }
 
-// TestCopiesDoNotKeepAHolderBusy: a burst left a holder of many hosts without processor
-// time; answers came late, each order was sent three times, and that kept it busy.
+// TestCopiesDoNotOverloadABusyHolder: guards against copies adding to an overload. After a burst, a
+// holder of many hosts lacks processor time and answers are late; if each order were sent three
+// times, it would stay overloaded.
 func TestCopiesDoNotOverloadABusyHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -137,7 +139,7 @@
 		for range 200 {
 			order(150 * time.Millisecond) // the holder is busy
 		}
-		is.True(sent.Load() < 230) // it has learned that answers take longer
+		is.True(sent.Load() < 230) // the delay before a copy has grown with the latency
 		expectSingleCopies := func() {
 			sent.Store(0)
 			c.lossTracker.lastLoss = time.Time{}
@@ -147,9 +149,9 @@
 			time.Sleep(time.Second)
 			is.Equal(sent.Load(), int64(10)) // each is sent once
 			lossy, _ := c.lossTracker.recentLoss(time.Now())
-			is.True(!lossy) // hosts are not asked more often besides
+			is.True(!lossy) // hosts are not polled more often either
 		}
-		busy.Store(true) // as its timers show
+		busy.Store(true) // as its timers would show
 		expectSingleCopies()
 		busy.Store(false)
 		for i := range maxRepeatHosts + 1 {
--- a/internal/httponce/connection.go
+++ b/internal/httponce/connection.go
@@ -16,33 +16,34 @@
 	"pulleyquay/internal/traffic"
 )
 
-// errSealed is what a write meets after its request has failed.
+// errWritesBlocked is the error of a write after its request has failed.
 var errWritesBlocked = errors.New("request given up before this write")
 
-// errHeader is the cause of a failure whose answer's header was over the limit.
+// errHeaderTooLarge is the cause of a failure whose answer's header was over the limit.
 var errHeaderTooLarge = errors.New("answer's header larger than allowed")
 
-// errClosing is met where a server ends the connection with the answer that gave it a mark.
+// errConnectionEnds is the error where a server closes the connection with the answer that set its
+// mark.
 var errConnectionEnds = errors.New("the connection ends before the request")
 
 // maxHeaderBytes bounds an answer's header.
 const maxHeaderBytes = 1 << 20
 
-// line is one connection. One request at a time uses it, in the goroutine of its
-// caller: net/http writes the request and reads the answer, and nothing else is
-// there to replay it.
+// connection is one connection to a server. One request at a time uses it, in the goroutine of its
+// caller: net/http writes the request and reads the answer, and has no other connection to replay
+// it on.
 type connection struct {
 	conn      *countingConn
 	in        *bufio.Reader
 	out       *bufio.Writer
-	limit     *io.LimitedReader // below in
+	limit     *io.LimitedReader // between conn and in
 	opened    time.Time
 	idleSince time.Time
 	reused    bool
-	serverID  int64 // see Marked
+	serverID  int64 // identifies the process at the other end; see Marked
 }
 
-// reply is an answer with what matters for the connection.
+// reply is an answer and whether the connection ends with it.
 type reply struct {
 	Answer
 	close bool
@@ -58,8 +59,8 @@
 	}
 }
 
-// leadTo returns an error unless the connection leads to the process that b means, which is
-// asked for if that is not known.
+// checkServer returns an error unless the connection leads to the process of the binding. A
+// connection without a known process first sends the binding's Ask.
 func (cn *connection) checkServer(ctx context.Context, binding *Bound) error {
 	if binding == nil {
 		return nil
@@ -82,7 +83,7 @@
 	return ErrOtherMark
 }
 
-// exchangeMarked makes one request and notes what its answer tells of the process.
+// roundTripTracked makes one request and records the process that its answer identifies.
 func (cn *connection) roundTripTracked(ctx context.Context, m Marked) (reply, error) {
 	r, err := cn.roundTrip(ctx, m.Request, m.Body(cn.serverID), m.MaxBody)
 	if err == nil && m.Mark != nil {
@@ -99,7 +100,7 @@
 		req.Body = io.NopCloser(bytes.NewReader(body))
 	}
 	cn.conn.resetWritten()
-	// The connection ends with the context: its reads and writes then fail.
+	// The end of ctx ends the connection: its reads and writes then fail.
 	stop := context.AfterFunc(ctx, cn.conn.abort)
 	answer, err := cn.exchange(req, maxBody)
 	if !stop() && err == nil {
@@ -111,8 +112,7 @@
 	return answer, err
 }
 
-// exchange writes the request and reads its answer, whatever informational ones
-// come before.
+// exchange writes the request and reads its answer, skipping informational ones.
 func (cn *connection) exchange(req *http.Request, maxBody int64) (reply, error) {
 	if err := req.Write(cn.out); err != nil {
 		return reply{}, err
@@ -141,22 +141,21 @@
 	}
 }
 
-// usable reports whether the connection stands, as far as can be told without
-// writing, and was used lately.
+// usable reports whether the connection was used recently and is open, as far as can be determined
+// without writing.
 func (cn *connection) usable(idleTimeout time.Duration) bool {
 	return time.Since(cn.idleSince) < idleTimeout && cn.in.Buffered() == 0 && cn.conn.isOpen()
 }
 
-// close ends the connection and reports whether a byte of the last request may
-// have been written.
+// close closes the connection and reports whether a byte of the last request may have been written.
 func (cn *connection) close() (sent bool) {
 	sent = cn.conn.blockWrites()
 	cn.conn.closedOnce.Do(cn.conn.traffic.Closed)
-	_ = cn.conn.Close() // nothing is left to be lost on it
+	_ = cn.conn.Close() // no data is left to be lost on it
 	return sent
 }
 
-// countingConn knows whether a byte of the present request was written.
+// countingConn tracks whether a byte of the present request was written, and counts traffic.
 type countingConn struct {
 	net.Conn
 	traffic    *traffic.Counter
@@ -167,20 +166,20 @@
 	blocked bool
 }
 
-// begin starts the count anew for the next request.
+// resetWritten prepares for the next request.
 func (c *countingConn) resetWritten() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.written = false
 }
 
-// abort fails every read and write, also those under way.
+// abort fails every read and write, including those in progress.
 func (c *countingConn) abort() {
 	_ = c.Conn.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
-// seal lets every later write fail and reports whether there was one. A write
-// under way counts as written.
+// blockWrites fails every later write and reports whether there was one. A write in progress counts
+// as written.
 func (c *countingConn) blockWrites() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,7 +187,8 @@
 	return c.written
 }
 
-// Write counts before it writes, so that seal errs on the side of "written".
+// Write sets written before it writes, so that blockWrites may report an unwritten request as
+// written, but never the reverse.
 func (c *countingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.blocked {
@@ -208,15 +208,15 @@
 	return n, err
 }
 
-// Read counts what comes in.
+// Read counts received bytes.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.Received(n)
 	return n, err
 }
 
-// stands reports whether an idle connection is still open and silent: a read that
-// does not wait finds neither its end nor a byte.
+// isOpen reports whether an idle connection is still open and has no data: a non-blocking read
+// finds neither its end nor a byte.
 func (c *countingConn) isOpen() bool {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -231,7 +231,7 @@
 		var one [1]byte
 		n, readErr := syscall.Read(int(fd), one[:])
 		isOpen = n < 0 && (errors.Is(readErr, syscall.EAGAIN) || errors.Is(readErr, syscall.EWOULDBLOCK))
-		return true // whatever it found, without waiting
+		return true // done after one attempt, without waiting
 	})
 	return err == nil && isOpen
 }
--- a/internal/httponce/connection_test.go
+++ b/internal/httponce/connection_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// slowConn is a connection whose writes wait to be let through.
+// slowConn is a connection whose writes block until the test allows them.
 type slowConn struct {
 	net.Conn
 	entered     chan struct{}
@@ -38,7 +38,7 @@
 		}()
 		return done
 	}
-	t.Run("a write under way counts", func(t *testing.T) {
+	t.Run("a write in progress counts", func(t *testing.T) {
 		is := is.New(t)
 		s, c := newConn()
 		done := write(c)
@@ -47,7 +47,7 @@
 		s.writeResult <- nil
 		is.NoErr(<-done)
 	})
-	t.Run("a write after the seal reaches nobody", func(t *testing.T) {
+	t.Run("a write after blockWrites is not passed on", func(t *testing.T) {
 		is := is.New(t)
 		s, c := newConn()
 		is.True(!c.blockWrites())
@@ -56,7 +56,7 @@
 		case err := <-write(c):
 			is.True(errors.Is(err, errWritesBlocked))
 		case <-s.entered:
-			is.Fail() // it went through
+			is.Fail() // the write was passed on
 		}
 		is.Equal(s.bytes, 0)
 	})
@@ -69,7 +69,7 @@
 		is.True(<-done != nil)
 		is.True(!c.blockWrites())
 	})
-	t.Run("the next request counts anew", func(t *testing.T) {
+	t.Run("the next request starts as not written", func(t *testing.T) {
 		is := is.New(t)
 		s, c := newConn()
 		done := write(c)
--- a/internal/httponce/httponce.go
+++ b/internal/httponce/httponce.go
@@ -1,10 +1,9 @@
 // Package httponce is an HTTP/1.1 client that sends each request at most once.
 //
-// net/http's Transport replays a request on a new connection when a reused one
-// turns out to be closed and the request looks replayable: any GET, and
-// anything with an Idempotency-Key header. Here net/http only writes the request
-// and reads the answer, in the caller's goroutine and on the connection that it
-// was given, so that there is nothing to replay a request on.
+// net/http's Transport replays a request on a new connection when a reused one turns out to be
+// closed and the request looks replayable: any GET, and anything with an Idempotency-Key header.
+// Here net/http only writes the request and reads the answer, in the caller's goroutine and on the
+// connection that it is given, so that it has no other connection to replay a request on.
 package httponce
 
 import (
@@ -26,38 +25,39 @@
 const (
 	DefaultMaxConns = 64
 	DefaultMaxIdle  = 4096
-	// DefaultIdleTimeout is below the 5 seconds after which common servers
-	// close an idle connection: a request that meets the close has an unknown
+	// DefaultIdleTimeout is below the 5 seconds after which common servers close an idle
+	// connection: a request that is sent while the server closes the connection has an unknown
 	// outcome.
 	DefaultIdleTimeout = 4 * time.Second
 	DefaultDialTimeout = 2 * time.Second
 )
 
-// DefaultProbes finds a connection on which nothing comes through any more after
-// three seconds: TCP counts them whole.
+// DefaultProbes detects within three seconds a connection over which no packets arrive; TCP takes
+// these intervals in whole seconds.
 var DefaultProbes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
 // ErrTooLarge is the cause of a failure whose answer's body was over the limit.
 var ErrTooLarge = errors.New("answer larger than allowed")
 
-// ErrNoLength is the cause of a failure whose answer was to end with the
-// connection: it can not be told from a truncated one.
+// ErrNoLength is the cause of a failure whose answer was to end with the connection: such an answer
+// can not be told from a truncated one.
 var ErrNoLength = errors.New("answer without a length")
 
-// errSwitched is the cause when the server changed the protocol unasked.
+// errProtocolSwitched is the cause of a failure whose answer changed the protocol without a request
+// for it.
 var errProtocolSwitched = errors.New("answer switches protocols")
 
 // Options of a Client; zero fields take the defaults.
 type Options struct {
 	// MaxConns bounds the open connections to one address.
 	MaxConns int
-	// IdleTimeout closes a connection that was not used for so long.
+	// IdleTimeout is the time without use after which a connection is closed.
 	IdleTimeout time.Duration
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
-	// MaxIdle bounds the connections that lie idle, to all addresses together.
+	// MaxIdle bounds the idle connections, to all addresses together.
 	MaxIdle int
-	// Probes finds connections that have fallen silent while an answer is awaited.
+	// Probes configures the detection of silent connections while an answer is awaited.
 	Probes net.KeepAliveConfig
 	// Traffic counts connections and bytes; nil counts nothing.
 	Traffic *traffic.Counter
@@ -77,7 +77,7 @@
 	Err  error
 }
 
-// Error tells whether anything was sent, and why it failed.
+// Error returns whether anything was sent, and the cause.
 func (f *Failure) Error() string { return fmt.Sprintf("sent=%t: %v", f.Sent, f.Err) }
 
 // Unwrap returns the cause.
@@ -89,12 +89,12 @@
 
 	mu    sync.Mutex
 	pools map[string]*pool
-	idle  int // connections that lie idle
-	// renewed is when Reconnect was last called.
+	idle  int // idle connections, to all addresses
+	// reconnectedAt is when Reconnect was last called.
 	reconnectedAt time.Time
 }
 
-// pool holds the connections to one address, the last used at the end.
+// pool holds the connections to one address, the most recently used at the end.
 type pool struct {
 	slots *semaphore.Weighted
 	idle  []*connection
@@ -120,39 +120,38 @@
 	return &Client{opt: opt, pools: map[string]*pool{}}
 }
 
-// Do sends the request to addr (host:port), once, and returns the whole answer
-// with a body of at most maxBody bytes, or a *Failure. The body is given apart;
-// one set in req is ignored. Do waits for one of the address's connections as
-// long as ctx allows.
+// Do sends the request to addr (host:port), once, and returns the whole answer with a body of at
+// most maxBody bytes, or a *Failure. The request's body is the parameter; one set in req is
+// ignored. Do waits for one of the address's connections until ctx ends.
 func (c *Client) Do(ctx context.Context, addr string, req *http.Request, body []byte, maxBody int64) (Answer, error) {
 	return c.DoMarked(ctx, addr, Marked{Request: req, Body: func(int64) []byte { return body }, MaxBody: maxBody})
 }
 
-// Marked is a request whose body depends on the connection that it goes over. A connection
-// ends with the process at its other end, so what an answer on it has told of that process
-// holds for the next request on it, and for no other.
+// Marked is a request whose body depends on the connection over which it is sent. A connection ends
+// with the process at its other end, so what an answer on it has shown of that process (the mark)
+// holds for the next request on the same connection, and for no other.
 type Marked struct {
 	Request *http.Request
-	// Body gives the request's body for a connection with a mark; a new one has none, which
-	// is zero.
+	// Body returns the request's body for a connection with the given mark. A new connection has no
+	// mark, which is zero.
 	Body func(mark int64) []byte
-	// Mark gives the connection's mark from now on; nil leaves it as it is.
+	// Mark returns the connection's mark from now on; nil keeps the present one.
 	Mark    func(Answer) int64
 	MaxBody int64
-	// Bound, unless nil, keeps the request to connections with one mark.
+	// Bound, unless nil, restricts the request to connections with one mark.
 	Bound *Bound
 }
 
-// Bound keeps a request to the process that a mark stands for.
+// Bound restricts a request to the process that a mark identifies.
 type Bound struct {
 	Mark int64
-	// Ask is sent first over a connection that has no mark yet, and gives it one. It has to
-	// do no harm, whichever process gets it.
+	// Ask is sent first over a connection without a mark, and sets its mark. It must be harmless to
+	// any process that receives it.
 	Ask Marked
 }
 
-// Causes of a failure whose request is bound to a process: another one answers at the address,
-// or it is not known which.
+// Causes of a failure whose request is bound to a process: another one answers at the address, or
+// its answer does not identify it.
 var (
 	ErrOtherMark = errors.New("another process answers there")
 	ErrNoMark    = errors.New("it is not known which process answers there")
@@ -173,7 +172,7 @@
 		if err := cn.checkServer(ctx, m.Bound); err != nil {
 			cn.close()
 			if cn.reused && ctx.Err() == nil {
-				continue // a new connection may lead to the process that is meant
+				continue // a new connection may lead to the right process
 			}
 			return Answer{}, &Failure{Err: err}
 		}
@@ -183,8 +182,8 @@
 			return reply.Answer, nil
 		}
 		sent := cn.close()
-		// An idle connection may turn out dead before anything was written:
-		// then another one is as good as the first.
+		// An idle connection may turn out closed before anything was written: the request is then
+		// safe to send on another one.
 		if sent || !cn.reused || ctx.Err() != nil {
 			return Answer{}, &Failure{Sent: sent, Err: err}
 		}
@@ -202,7 +201,7 @@
 	return p
 }
 
-// line returns an idle connection that still stands, or a new one.
+// connection returns an idle connection that is still open, or a new one.
 func (c *Client) connection(ctx context.Context, p *pool, addr string) (*connection, error) {
 	for {
 		cn := c.takeIdle(p)
@@ -234,8 +233,8 @@
 	return cn
 }
 
-// release puts the connection back unless the server wants it closed, and
-// closes those that lay idle too long.
+// release returns the connection to the pool unless the server wants it closed, and closes those
+// that were idle too long.
 func (c *Client) release(p *pool, cn *connection, closing bool) {
 	if closing {
 		cn.close()
@@ -263,8 +262,8 @@
 	}
 }
 
-// Reconnect lets calls to come open connections of their own: those that stand now
-// may have fallen silent for good. Calls under way go on.
+// Reconnect makes later calls open new connections, as those open now may have become silent. Calls
+// in flight continue.
 func (c *Client) Reconnect() {
 	c.mu.Lock()
 	c.reconnectedAt = time.Now()
@@ -272,8 +271,7 @@
 	c.Close()
 }
 
-// ReconnectTo lets the calls to come to one address open new connections, in place of
-// those that lie idle now.
+// ReconnectTo closes the idle connections to one address, so that later calls to it open new ones.
 func (c *Client) ReconnectTo(addr string) {
 	c.mu.Lock()
 	var idle []*connection
@@ -302,9 +300,8 @@
 	}
 }
 
-// readAll reads a whole body of a known length or in chunks. The body is not
-// closed: that would wait for the rest of one that is refused, and the connection
-// is closed then anyway.
+// readBody reads a whole body of a known length or in chunks. The body is not closed: that would
+// wait for the rest of one that is rejected, and the connection is closed then anyway.
 func readBody(resp *http.Response, method string, maxBody int64) ([]byte, error) {
 	if resp.StatusCode == http.StatusSwitchingProtocols {
 		return nil, errProtocolSwitched
--- a/internal/httponce/httponce_test.go
+++ b/internal/httponce/httponce_test.go
@@ -23,15 +23,15 @@
 
 const limit = 1 << 10
 
-// server is a raw TCP server: it reads requests and lets a script treat each.
+// server is a raw TCP server that reads requests and passes each to a script.
 type server struct {
 	addr  string
 	seen  atomic.Int64 // requests whose first line arrived
 	conns atomic.Int64
 }
 
-// serve runs script for the n-th request (from 1) over all connections; script
-// returns false to close the connection. A whole request is read before it.
+// serve runs script for the n-th request (from 1) over all connections, after the whole request was
+// read; script returns false to close the connection.
 func serve(t *testing.T, script func(n int64, c net.Conn, r *http.Request) bool) *server {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,8 +89,8 @@
 	return c.Do(ctx, addr, request(method), []byte(body), limit)
 }
 
-// TestNeverReplays closes a reused connection at nasty moments. Every method
-// and body here is one that net/http's Transport would replay.
+// TestNeverReplays closes a reused connection at each stage of an exchange. Every method and body
+// here is one that net/http's Transport would replay.
 func TestNeverReplays(t *testing.T) {
 	moments := []struct {
 		name string
@@ -180,7 +180,7 @@
 		{"too large in chunks", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n401\r\n" +
 			strings.Repeat("x", limit+1) + "\r\n0\r\n\r\n", httponce.ErrTooLarge, ""},
 		{"just not too large", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 1024\r\n\r\n" + strings.Repeat("x", limit), nil, strings.Repeat("x", limit)},
-		{"closed by the server's wish", "GET", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", nil, "ok"},
+		{"closed by the server", "GET", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", nil, "ok"},
 	}
 	for _, k := range cases {
 		t.Run(k.name, func(t *testing.T) {
@@ -191,7 +191,7 @@
 			})
 			c := httponce.New(httponce.Options{})
 			defer c.Close()
-			for range 2 { // the second time on what the first left behind
+			for range 2 { // the second time on the connection of the first
 				a, err := do(c, s.addr, k.method, "")
 				is.True(errors.Is(err, k.want))
 				is.Equal(string(a.Body), k.body)
@@ -213,7 +213,7 @@
 	_, err = do(c, addr, "POST", "x")
 	var f *httponce.Failure
 	is.True(errors.As(err, &f))
-	is.True(!f.Sent) // nobody listens
+	is.True(!f.Sent) // nothing listens
 }
 
 func TestConnectionCap(t *testing.T) {
@@ -238,7 +238,7 @@
 	_, err := c.Do(ctx, s.addr, request("GET"), nil, limit)
 	var f *httponce.Failure
 	is.True(errors.As(err, &f))
-	is.True(!f.Sent) // it waited for a connection in vain
+	is.True(!f.Sent) // it timed out waiting for a connection
 	close(release)
 	wg.Wait()
 	is.Equal(s.conns.Load(), int64(2))
@@ -258,15 +258,15 @@
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-// TestReconnectLeavesSilentConnections: connections that are open fall silent without
-// a reset while new ones work; each of those that lay idle cost a call.
+// TestReconnectLeavesSilentConnections: open connections may become silent without a reset while
+// new ones work. Without Reconnect, each idle one costs a call.
 func TestReconnectLeavesSilentConnections(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, func(_ int64, c net.Conn, _ *http.Request) bool { ok(c, ""); return true })
 	proxy := proxytest.New(t, "", s.addr)
 	c := httponce.New(httponce.Options{})
 	var calls sync.WaitGroup
-	for range 4 { // four connections that lie idle afterwards
+	for range 4 { // four connections that are idle afterwards
 		calls.Go(func() {
 			if _, err := do(c, proxy.Addr, http.MethodGet, ""); err != nil {
 				t.Error(err)
@@ -278,7 +278,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := c.Do(ctx, proxy.Addr, request(http.MethodGet), nil, limit)
-	is.True(errors.Is(err, context.DeadlineExceeded)) // it met a silent one
+	is.True(errors.Is(err, context.DeadlineExceeded)) // it used a silent one
 	c.Reconnect()
 	begun := time.Now()
 	_, err = do(c, proxy.Addr, http.MethodGet, "")
@@ -286,15 +286,15 @@
 	is.True(time.Since(begun) < time.Second)
 }
 
-// TestIdleConnectionsAreBounded: a holder of thousands of hosts kept so many connections
-// idle that none could be opened any more.
+// TestIdleConnectionsAreBounded: without a bound, a holder of thousands of hosts keeps so many
+// connections idle that it can open no more.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var open atomic.Int64
 	release := make(chan struct{})
 	script := func(_ int64, c net.Conn, _ *http.Request) bool {
 		open.Add(1)
-		<-release // all are under way at the same time
+		<-release // all are in flight at the same time
 		ok(c, "")
 		return true
 	}
@@ -313,7 +313,7 @@
 	}
 	close(release)
 	calls.Wait()
-	for range 3 { // those that were kept are used again, and counted right
+	for range 3 { // kept connections are used again, and counted right
 		for _, s := range servers {
 			_, err := do(c, s.addr, http.MethodGet, "")
 			is.NoErr(err)
@@ -327,8 +327,8 @@
 	is.True(dialled <= 7) // the other two were
 }
 
-// TestMarksEndWithTheirConnections: what was learned on a connection is known to the next
-// request on it, and to none on a new one.
+// TestMarksEndWithTheirConnections: the mark set by an answer is passed to the next request on the
+// same connection, and to none on a new one.
 func TestMarksEndWithTheirConnections(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, func(n int64, c net.Conn, _ *http.Request) bool {
@@ -347,27 +347,27 @@
 			Mark:    func(httponce.Answer) int64 { return 10 + i },
 		})
 		is.NoErr(err)
-		time.Sleep(20 * time.Millisecond) // the end of a connection is seen
+		time.Sleep(20 * time.Millisecond) // until the end of a connection is seen
 	}
 	is.Equal(marks, []int64{0, 10, 0, 12})
 }
 
-// TestBoundRequestsReachOneProcess guards against a request that reaches the process after the
-// one that it was meant for: it goes over connections with the mark of that one only.
+// TestBoundRequestsReachOneProcess guards against a request reaching the successor of the process
+// that it was meant for: it is sent only over connections with that process's mark.
 func TestBoundRequestsReachOneProcess(t *testing.T) {
 	for name, tc := range map[string]struct {
-		known   int64 // mark that the connections have at first
-		current int64 // mark that is told by the answer to the question
+		known   int64 // initial mark of the connections
+		current int64 // mark set by the answer to Ask
 		want    int64
-		paths   string // that the server sees
+		paths   string // paths of the requests that the server receives
 		err     error
 	}{
-		"no connection yet":                  {current: 7, want: 7, paths: "/ask /do"},
-		"another process":                    {current: 8, want: 7, paths: "/ask", err: httponce.ErrOtherMark},
-		"the connection is known":            {known: 7, current: 7, want: 7, paths: "/ask /do"},
-		"the connection is another's":        {known: 6, current: 7, want: 7, paths: "/ask /ask /do"},
-		"the connection is the next one's":   {known: 8, current: 8, want: 7, paths: "/ask /ask", err: httponce.ErrOtherMark},
-		"the process does not tell its mark": {current: 0, want: 7, paths: "/ask", err: httponce.ErrNoMark},
+		"no connection yet":                {current: 7, want: 7, paths: "/ask /do"},
+		"another process":                  {current: 8, want: 7, paths: "/ask", err: httponce.ErrOtherMark},
+		"connection to the process":        {known: 7, current: 7, want: 7, paths: "/ask /do"},
+		"connection to an earlier process": {known: 6, current: 7, want: 7, paths: "/ask /ask /do"},
+		"connection to its successor":      {known: 8, current: 8, want: 7, paths: "/ask /ask", err: httponce.ErrOtherMark},
+		"the answer sets no mark":          {current: 0, want: 7, paths: "/ask", err: httponce.ErrNoMark},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -400,7 +400,7 @@
 			_, err := client.DoMarked(t.Context(), s.addr, bound)
 			is.True(errors.Is(err, tc.err))
 			var f *httponce.Failure
-			is.True(tc.err == nil || errors.As(err, &f) && !f.Sent) // nothing of it was sent
+			is.True(tc.err == nil || errors.As(err, &f) && !f.Sent) // no part of it was sent
 			mu.Lock()
 			defer mu.Unlock()
 			is.Equal(strings.Join(paths, " "), tc.paths)
--- a/internal/httponce/sent_test.go
+++ b/internal/httponce/sent_test.go
@@ -16,9 +16,9 @@
 	"pulleyquay/internal/httponce"
 )
 
-// TestNotSentIsNeverSeen gives requests up at random moments while the server
-// closes connections at others. No request that failed as not sent may have
-// been seen by the server, and none may have been seen twice.
+// TestNotSentIsNeverSeen cancels requests at random moments while the server closes connections at
+// others. No request that failed as not sent may have been received by the server, and none may
+// have been received twice.
 func TestNotSentIsNeverSeen(t *testing.T) {
 	const (
 		senders = 8
@@ -65,7 +65,7 @@
 	defer mu.Unlock()
 	for _, list := range notSent {
 		for _, key := range list {
-			is.Equal(seen[key], 0) // promised not sent
+			is.Equal(seen[key], 0) // reported as not sent
 		}
 	}
 	for _, n := range seen {
--- a/internal/linkshard/assign.go
+++ b/internal/linkshard/assign.go
@@ -11,24 +11,25 @@
 	"pulleyquay/internal/host"
 )
 
-// Member is a member that can be a shard, with what it has.
+// Member is a member that can be a shard, with its resources.
 type Member struct {
 	Name string
 	Addr string
 	Zone string // availability zone
-	// Cores is its processor time in cores, LinkMbps what its link carries; zero stands
-	// for a link that does not bind.
+	// Cores is its processor time in cores, LinkMbps the throughput of its link. Zero LinkMbps
+	// means that the link is not a limit.
 	Cores    float64
 	LinkMbps float64
 }
 
-// What a host in use costs whoever calls it, at its usual starts: two requests for each.
+// Resources that calls to a host in use take at the usual rate of starts: two requests for each
+// start.
 const (
 	coresPerHost = 0.0005
 	mbpsPerHost  = 0.036
 )
 
-// carries is how many hosts a member could call with all that it has.
+// hostCapacity is how many hosts a member could call with all of its resources.
 func (m Member) hostCapacity() float64 {
 	hosts := m.Cores / coresPerHost
 	if m.LinkMbps > 0 {
@@ -37,22 +38,22 @@
 	return hosts
 }
 
-// Limits of who calls which hosts.
+// Limits for the selection of shards.
 const (
-	// ownShare is the part of what a member has that calls to hosts may take: the rest
-	// is for its callers, for a holder's decisions, and for bursts.
+	// callShare is the part of a member's resources that calls to hosts may take: the rest is for
+	// its callers, for a holder's decisions, and for bursts.
 	callShare = 0.2
-	// strongShare is how much a member has to carry, of what the strongest carries, to
-	// be a shard: batches to many weak ones would cost the holder more than they save.
+	// minRelativeCapacity is the least capacity of a shard relative to the member with the largest:
+	// batches to many small members would cost the holder more than they save.
 	minRelativeCapacity = 0.5
-	// spareRoom is how many times the hosts the shards together can carry in their own
-	// shares, so that the loss of some leaves enough.
+	// capacityFactor is the total capacity of the shards, within their call shares, as a multiple
+	// of the hosts, so that enough remains when some fail.
 	capacityFactor = 2
 )
 
-// Spread chooses the members that call a partition's hosts for its holder; none where
-// the holder can well call them itself. It takes the strongest, as many from each
-// availability zone as from the others, and no more than are needed: the fewer there
+// SelectShards chooses the members that call a partition's hosts for its holder; none where the
+// holder has the capacity to call them itself. It takes the members with the largest capacity, as
+// many from each availability zone as from the others, and no more than are needed: the fewer there
 // are, the more calls go in one batch.
 func SelectShards(members []Member, self string, hosts int) []Member {
 	maxCapacity, selfCapacity := 0.0, 0.0
@@ -85,12 +86,12 @@
 	return out
 }
 
-// interleaved takes the first of each availability zone, then the second of each, and
-// so on.
+// interleaveZones orders members as the first of each availability zone, then the second of each,
+// and so on.
 func interleaveZones(members []Member) []Member {
 	type ranked struct {
 		Member
-		rank int // in its zone
+		rank int // within its zone
 	}
 	zoneCount := map[string]int{}
 	all := make([]ranked, 0, len(members))
@@ -106,9 +107,9 @@
 	return out
 }
 
-// spreader chooses the shard that calls a host: one of the host's availability zone if
-// there is one, and another one for a host that was not reached. A shard that comes or
-// goes moves its own hosts only.
+// shardSelector chooses the shard that calls a host: one in the host's availability zone if there
+// is one, and another one for a host that was not reached. Adding or removing a shard moves only
+// that shard's hosts.
 type shardSelector struct {
 	all    *rendezvous.Rendezvous
 	byZone map[string]*rendezvous.Rendezvous
@@ -128,8 +129,8 @@
 	return s
 }
 
-// shardOf returns the name of the shard that calls a host. Passed is how many times in a
-// row the host was not reached through the ones before.
+// shardOf returns the name of the shard that calls a host. failedRoutes is how many times in a row
+// the host was not reached through the shards before.
 func (s *shardSelector) shardOf(id host.ID, zone string, failedRoutes int) string {
 	if sameZone := s.byZone[zone]; sameZone != nil && failedRoutes == 0 {
 		return sameZone.Lookup(string(id))
@@ -139,6 +140,6 @@
 
 func hash(s string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(s)) // a hash takes everything
+	_, _ = h.Write([]byte(s)) // a hash never returns an error
 	return h.Sum64()
 }
--- a/internal/linkshard/assign_test.go
+++ b/internal/linkshard/assign_test.go
@@ -9,7 +9,7 @@
 	"pulleyquay/internal/host"
 )
 
-// cellOf returns members of like strength in two availability zones.
+// testMembers returns members of equal resources in two availability zones.
 func testMembers(n int, cores, mbps float64) []Member {
 	var out []Member
 	for i := range n {
@@ -18,8 +18,8 @@
 	return out
 }
 
-// TestSpread: whoever holds a small cell calls its hosts itself; in a large one, or
-// where links are thin, the strong members do.
+// TestSelectShards: the holder of a small cell calls its hosts itself; in a large one, or where
+// links are slow, the members with the largest capacity do.
 func TestSelectShards(t *testing.T) {
 	mixed := append(testMembers(3, 0.8, 200), Member{Name: "weak", Addr: "w", Cores: 0.19, LinkMbps: 20})
 	thin := append(testMembers(3, 0.8, 200), Member{Name: "thin", Addr: "w", Cores: 0.8, LinkMbps: 20})
@@ -29,13 +29,13 @@
 		want    int
 	}{
 		"48 hosts, 7 members of 0.4 cores":               {testMembers(7, 0.4, 1000), 48, 0},
-		"48 hosts, links that do not bind":               {testMembers(7, 0.4, 0), 48, 0},
+		"48 hosts, links without limit":                  {testMembers(7, 0.4, 0), 48, 0},
 		"120 hosts, 17 members of 0.12 cores and 2 Mbit": {testMembers(17, 0.12, 2), 120, 16},
 		"1100 hosts, strong members and a weak one":      {mixed, 1100, 2},
-		"1100 hosts, one member with a thin link":        {thin, 1100, 2},
-		"nobody else": {testMembers(1, 0.8, 200), 1100, 0},
-		"a thin link binds though the processor does not": {testMembers(7, 0.8, 5), 48, 4},
-		"no more than are needed":                         {testMembers(15, 0.8, 200), 1100, 7},
+		"1100 hosts, one member with a slow link":        {thin, 1100, 2},
+		"no other member":                                {testMembers(1, 0.8, 200), 1100, 0},
+		"the link is the limit, not the processor":       {testMembers(7, 0.8, 5), 48, 4},
+		"no more shards than needed":                     {testMembers(15, 0.8, 200), 1100, 7},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestSpreadOverZones: the loss of a zone takes its share of the shards only.
+// TestShardsAreSelectedAcrossZones: the loss of a zone removes only its share of the shards.
 func TestShardsAreSelectedAcrossZones(t *testing.T) {
 	is := is.New(t)
 	zones := map[string]int{}
@@ -58,8 +58,8 @@
 	is.True(zones["z0"] >= 3 && zones["z1"] >= 3)
 }
 
-// TestShardsOfHosts: hosts are called from their own zone, evenly; a shard that goes
-// moves its own hosts only; a host that is not reached is called through others in turn.
+// TestShardsOfHosts: hosts are called from their own zone, evenly; the removal of a shard moves
+// only its own hosts; a host that is not reached is called through different shards in turn.
 func TestShardsOfHosts(t *testing.T) {
 	is := is.New(t)
 	members := testMembers(10, 0.8, 200)
@@ -85,7 +85,7 @@
 		is.True(len(tried) > 3)
 	}
 	for _, m := range members {
-		is.True(share[m.Name] > hosts/20) // a tenth is even
+		is.True(share[m.Name] > hosts/20) // a tenth would be even
 	}
 	is.Equal(newShardSelector(members).shardOf("h", "another zone", 0) != "", true)
 }
--- a/internal/linkshard/batch.go
+++ b/internal/linkshard/batch.go
@@ -6,13 +6,13 @@
 	"pulleyquay/internal/host"
 )
 
-// numbered is a call with the number under which its outcome is reported.
+// numberedCall is a call with the number under which its outcome is reported.
 type numberedCall struct {
 	id   uint64
 	call Call
 }
 
-// newBatch packs calls. Partition, epoch and address are the sender's to fill in.
+// newBatch encodes calls. The sender sets partition, epoch and address.
 func newBatch(calls []numberedCall) Batch {
 	var b Batch
 	var hosts table[host.ID]
@@ -44,7 +44,7 @@
 	return b
 }
 
-// calls unpacks a batch. A row that refers to nothing fails the whole batch.
+// calls decodes a batch. An invalid reference in a row fails the whole batch.
 func (b *Batch) calls() ([]numberedCall, error) {
 	var out []numberedCall
 	var failed error
@@ -85,14 +85,14 @@
 	return out, failed
 }
 
-// finished is the outcome of a numbered call; look tells whether that was a look.
+// numberedOutcome is the outcome of a numbered call; isPoll tells whether that was a poll.
 type numberedOutcome struct {
 	id      uint64
 	isPoll  bool
 	outcome Outcome
 }
 
-// newReport packs outcomes.
+// newReport encodes outcomes.
 func newReport(partition int, epoch uint64, list []numberedOutcome) Report {
 	r := Report{Partition: partition, Epoch: epoch}
 	var steps stepTable
@@ -116,7 +116,7 @@
 	return r
 }
 
-// outcomes unpacks a report. A row that refers to nothing fails the whole report.
+// outcomes decodes a report. An invalid reference in a row fails the whole report.
 func (r *Report) outcomes() ([]numberedOutcome, error) {
 	out := make([]numberedOutcome, 0, len(r.Replies)+len(r.Views))
 	for _, row := range r.Replies {
@@ -135,7 +135,8 @@
 	return out, nil
 }
 
-// lifeAt is the life with a place in a list, or none where the sender knows of no lives.
+// incarnationAt returns the incarnation at an index of a list, or none where the sender's version
+// does not send incarnations.
 func incarnationAt(incarnations []host.Life, index int) host.Life {
 	if index >= len(incarnations) {
 		return 0
--- a/internal/linkshard/batch_test.go
+++ b/internal/linkshard/batch_test.go
@@ -42,8 +42,7 @@
 	return c
 }
 
-// TestBatchesArriveWhole: whatever calls are packed, the same arrive, though in another
-// order.
+// TestBatchRoundTrip: decoding an encoded batch gives the same calls, though in another order.
 func TestBatchRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var calls []numberedCall
@@ -63,7 +62,7 @@
 	})
 }
 
-// TestReportsArriveWhole: the same for outcomes.
+// TestReportRoundTrip: decoding an encoded report gives the same outcomes.
 func TestReportRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []numberedOutcome
@@ -96,7 +95,8 @@
 	})
 }
 
-// TestRowsThatReferToNothing: another version's, or a damaged, message is refused whole.
+// TestInvalidRowsAreRejected: a message of another version, or a damaged one, is rejected as a
+// whole.
 func TestInvalidRowsAreRejected(t *testing.T) {
 	is := is.New(t)
 	host := []hostRow{{ID: "h", Addr: "a"}}
@@ -109,7 +109,7 @@
 	} {
 		_, err := b.calls()
 		if err == nil {
-			t.Error(name, "taken")
+			t.Error(name, "was accepted")
 		}
 	}
 	r := Report{Views: []viewRow{{Ended: []endRow{{Run: runRow{Step: 3}}}}}}
@@ -117,9 +117,9 @@
 	is.True(err != nil)
 }
 
-// BenchmarkBatch packs, sends and unpacks what one shard of 73 hosts gets and reports in
-// ten milliseconds at 1,740 starts a second in the cell, and says the bytes of a start,
-// its look included.
+// BenchmarkBatch encodes, sends and decodes what one shard of 73 hosts receives and reports in ten
+// milliseconds at 1,740 starts a second in the cell. It reports the bytes of a start, including its
+// poll.
 func BenchmarkBatch(b *testing.B) {
 	var calls []numberedCall
 	var list []numberedOutcome
@@ -161,8 +161,9 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/starts, "ns/start")
 }
 
-// TestMembersThatKnowNoLives: while members are replaced one by one, some neither send lives
-// nor read them. Their looks and views mean no life, and all else arrives.
+// TestMembersWithoutIncarnations: during a rolling update, members of the earlier version neither
+// send incarnations nor read them. Their polls and views decode without an incarnation, and
+// otherwise unchanged.
 func TestMembersWithoutIncarnations(t *testing.T) {
 	is := is.New(t)
 	b := newBatch([]numberedCall{{1, Call{To: host.Info{ID: "h1"}, Look: &host.Look{Seen: 7, Life: 5}}}})
--- a/internal/linkshard/failure.go
+++ b/internal/linkshard/failure.go
@@ -12,15 +12,15 @@
 	"pulleyquay/internal/result"
 )
 
-// What becomes of calls that a shard did not take, or that nobody has answered.
+// Handling of calls that a shard did not accept, or that were not answered in time.
 
-// late reports whether a call was given up as its time was over. The peer may have
-// answered: a holder that is behind takes its answer in too late, and taking the shard
-// for lost then would have it make all its calls again, through others.
+// timedOut reports whether a call ended because its deadline was over. The peer may have answered:
+// an overloaded holder processes the answer too late, and declaring the shard unresponsive then
+// would make it repeat all its calls through others.
 func timedOut(ctx context.Context) bool { return errors.Is(ctx.Err(), context.DeadlineExceeded) }
 
-// failed takes a shard out of use for a while and gives its calls to others: those of
-// the batch that it did not answer, and all that it was given before.
+// markFailed excludes a shard for a time and reroutes its calls: those of the batch that it did not
+// answer, and all that it was given before.
 func (r *Router) markFailed(s *shard, batch []numberedCall, err error, now time.Time) {
 	unsent := map[uint64]bool{}
 	if result.From(err).Ran == result.RanNo {
@@ -53,12 +53,12 @@
 	r.mu.Unlock()
 	r.conf.Log.WithError(err).WithFields(logrus.Fields{
 		"partition": r.conf.Partition, "epoch": r.conf.Epoch, "member": name, "calls_moved": moved, "calls_failed": len(done),
-	}).Warn("link shard does not answer; its calls go through others")
+	}).Warn("link shard does not answer; its calls are rerouted through others")
 	r.finish(done)
 }
 
-// unsent gives the calls of a batch that this process, as it is busy, has not sent in time to
-// their shards once more. Nobody will tell of them: waited for, they would end as lost.
+// requeueUnsent queues once more the calls of a batch that this process, being busy, has not sent
+// in time. No shard will report them, so waiting for their outcomes would end them as lost.
 func (r *Router) requeueUnsent(s *shard, batch []numberedCall) {
 	var done []endedCall
 	r.mu.Lock()
@@ -75,7 +75,7 @@
 	r.finish(done)
 }
 
-// reroute gives a call to another shard, or ends it. The lock is held.
+// reroute queues a call for another shard, or ends it. The lock is held.
 func (r *Router) reroute(id uint64, p *pending) (endedCall, bool) {
 	s := r.shardFor(&p.call.To)
 	if p.routes >= maxRoutes || s == nil {
@@ -92,9 +92,9 @@
 	return endedCall{}, false
 }
 
-// expire gives up the calls that a shard was given and said nothing of in time. While
-// this process is busy, reports wait here to be taken in: a start that is given up then is
-// stopped though it works, which leaves still more to do.
+// expire ends the calls whose outcome a shard has not reported in time. It waits longer while this
+// process is busy, as reports are then queued here: a start that is given up is stopped although it
+// works, which adds to the load.
 func (r *Router) expire(now time.Time) {
 	grace := time.Duration(0)
 	if r.conf.Busy() {
@@ -108,13 +108,13 @@
 		}
 		delete(r.calls, id)
 		r.rerouteHost(p.call.To.ID)
-		done = append(done, endedCall{p, Outcome{Err: fmt.Errorf("%w: nothing heard of it", host.ErrLost)}})
+		done = append(done, endedCall{p, Outcome{Err: fmt.Errorf("%w: no outcome reported in time", host.ErrLost)}})
 	}
 	r.mu.Unlock()
 	r.finish(done)
 }
 
-// finish tells the outcomes, all in one go.
+// finish applies the outcomes, all in one call of Apply.
 func (r *Router) finish(done []endedCall) {
 	if len(done) == 0 {
 		return
@@ -128,8 +128,8 @@
 	})
 }
 
-// settle makes an outcome that says that nothing was done one that leaves it open, if
-// another shard may have made the call, or may still make it.
+// markUncertain changes an outcome that says that nothing was done to an unknown one, if another
+// shard may have made the call, or may still make it.
 func (o *Outcome) markUncertain(possiblySent bool) {
 	if !possiblySent {
 		return
--- a/internal/linkshard/linkshard.go
+++ b/internal/linkshard/linkshard.go
@@ -1,14 +1,14 @@
-// Package linkshard spreads the calls of a partition's holder to its hosts over other
-// members, as Borg's link shards do: the holder decides, and members near the hosts
-// carry its starts, stops and looks, and report the outcomes together.
+// Package linkshard distributes the calls of a partition's holder to its hosts over other members,
+// as Borg's link shards do: the holder decides, and members near the hosts make its starts, stops
+// and polls, and report the outcomes in batches.
 //
-// When every call is a request of HTTP, starts and the looks that hear of their ends take
-// most of the processor time of a holder of many hosts, and a burst of urgent work leaves
-// it behind. Batches over one connection a member take a fraction of that.
+// When every call is an HTTP request, starts and the polls that return the end records take most of
+// the processor time of a holder of many hosts, and a burst of urgent work overloads it. Batches
+// over one connection for each member take a fraction of that.
 //
-// A shard keeps nothing and decides nothing. Hosts check the epoch of a call, not who
-// sends it, and carry a run out once, so a call may be given to another shard at any
-// time: a shard that is slow, cut off or gone costs the time until that is noticed.
+// A shard stores nothing and decides nothing. Hosts check the epoch of a call, not its sender, and
+// carry a run out once, so a call may be given to another shard at any time: a slow, disconnected
+// or failed shard costs only the time until that is detected.
 package linkshard
 
 import (
@@ -25,23 +25,23 @@
 	Stop  *host.Run
 	Look  *host.Look
 	Pace  *Pace
-	// Done takes in the outcome; it is called once, by Config.Apply.
+	// Done processes the outcome; it is called once, by Config.Apply.
 	Done func(o Outcome, now time.Time)
 }
 
-// Pace lets a run work at a share of its speed, in percent.
+// Pace limits a run to a share of its speed, in percent.
 type Pace struct {
 	Run     host.Run
 	Percent int
 }
 
-// Outcome is how a call ended.
+// Outcome is the outcome of a call.
 type Outcome struct {
-	// Reply answers a start, a stop or a pace, View a look.
+	// Reply is set for a start, a stop or a pace, View for a poll.
 	Reply host.Reply
 	View  host.View
 	Err   error
-	// Sent is when the holder sent the call: the host was not called before.
+	// Sent is when the holder sent the call: the host was not called before that time.
 	Sent time.Time
 }
 
--- a/internal/linkshard/messages.go
+++ b/internal/linkshard/messages.go
@@ -9,9 +9,9 @@
 	"pulleyquay/internal/spec"
 )
 
-// Batch is what a holder gives to a shard. Hosts, steps and commands stand in tables,
-// to which the rows of the calls refer by their places: the tasks of one job share
-// their step and their command, the calls to one host its address.
+// Batch holds the calls that a holder gives to a shard. Hosts, steps and commands are stored in
+// tables, to which the rows of the calls refer by index: the tasks of one job share their step and
+// their command, the calls to one host its address.
 type Batch struct {
 	Partition int    `cbor:"1,keyasint"`
 	Epoch     uint64 `cbor:"2,keyasint"`
@@ -26,9 +26,10 @@
 	Stops    []stopRow     `cbor:"9,keyasint,omitempty"`
 	Polls    []pollRow     `cbor:"10,keyasint,omitempty"`
 	Paces    []paceRow     `cbor:"11,keyasint,omitempty"`
-	// LookLives and StartLives are the lives that the looks and the starts mean, in their
-	// order. They stand beside the rows, as members of before and after an update of the rows
-	// could not read each other's: who does not know them leaves them out, and means no life.
+	// PollIncarnations and StartIncarnations are the incarnations that the polls and the starts are
+	// meant for, in their order. They are separate from the rows, as members of versions before and
+	// after a change of the rows could not read each other's. A sender of an earlier version omits
+	// them, which specifies no incarnation.
 	PollIncarnations  []host.Life `cbor:"12,keyasint,omitempty"`
 	StartIncarnations []host.Life `cbor:"13,keyasint,omitempty"`
 }
@@ -39,7 +40,7 @@
 	Addr string
 }
 
-// runRow names a run; Step is the place of its step in the table.
+// runRow identifies a run; Step is the index of its step in the table.
 type runRow struct {
 	_               struct{} `cbor:",toarray"`
 	Step, Index, No int
@@ -80,14 +81,15 @@
 	Percent int
 }
 
-// Report is what a shard has heard from hosts.
+// Report holds the outcomes that a shard has received from hosts.
 type Report struct {
 	Partition int           `cbor:"1,keyasint"`
 	Epoch     uint64        `cbor:"2,keyasint"`
 	Steps     []spec.StepID `cbor:"3,keyasint,omitempty"`
 	Replies   []replyRow    `cbor:"4,keyasint,omitempty"`
 	Views     []viewRow     `cbor:"5,keyasint,omitempty"`
-	// ViewLives are the lives that the views show, in their order; see Batch.LookLives.
+	// ViewIncarnations are the incarnations that the views report, in their order; see
+	// Batch.PollIncarnations.
 	ViewIncarnations []host.Life `cbor:"6,keyasint,omitempty"`
 }
 
@@ -125,10 +127,10 @@
 	Checkpoint string
 }
 
-// Empty is an answer that says nothing but that it came.
+// Empty is an acknowledgement without content.
 type Empty struct{}
 
-// failure numbers the errors of a call to a host.
+// failure is the encoded error of a call to a host.
 type failure uint8
 
 const (
@@ -136,12 +138,12 @@
 	failureNotSent
 	failureOtherIncarnation
 	failureLost
-	failureBroken // members that do not know these two take them for lost
+	failureBroken // earlier versions decode this value and the next as lost
 	failureRefused
 )
 
-// errReported is what a shard's failure stands for at the holder.
-var errReported = errors.New("told by a link shard")
+// errReported marks an error at the holder that a shard has reported.
+var errReported = errors.New("reported by a link shard")
 
 func failureOf(err error) failure {
 	switch {
@@ -175,7 +177,7 @@
 	return fmt.Errorf("%w: %w", host.ErrLost, errReported)
 }
 
-// table numbers values in the order in which they are first met.
+// table assigns indexes to values in the order in which they first occur.
 type table[T comparable] struct {
 	indexes map[T]int
 	values  []T
@@ -193,17 +195,17 @@
 	return len(t.values) - 1
 }
 
-// stepTable numbers the steps of runs.
+// stepTable assigns indexes to the steps of runs.
 type stepTable struct{ table[spec.StepID] }
 
 func (t *stepTable) row(r host.Run) runRow {
 	return runRow{Step: t.index(r.Task.StepID), Index: r.Task.Index, No: r.No}
 }
 
-// errRow: a row refers to a place that its table does not have.
+// errBadRow: a row refers to an index that its table does not have.
 var errBadRow = errors.New("linkshard: a row refers to nothing")
 
-// at returns the value at a place of a table.
+// rowAt returns the value at an index of a table.
 func rowAt[T any](values []T, index int) (T, error) {
 	if index < 0 || index >= len(values) {
 		var zero T
--- a/internal/linkshard/router.go
+++ b/internal/linkshard/router.go
@@ -13,59 +13,60 @@
 	"pulleyquay/internal/wait"
 )
 
-// Times and bounds of the calls that are given to shards.
+// Intervals, timeouts and limits of the calls that are given to shards.
 const (
-	// membersEvery is how often it is worked out who is a shard.
+	// selectInterval is how often shards are selected anew.
 	selectInterval = 200 * time.Millisecond
-	// batchesPerSecond bounds the batches to all shards together, and the reports from
-	// them: each costs the holder time, whatever it holds.
+	// batchesPerSecond bounds the batches to all shards together, and the reports from them: each
+	// costs the holder time, whatever its size.
 	batchesPerSecond = 500
-	// mostCalls bounds the calls in one batch, and with them its size.
+	// maxBatchCalls bounds the calls in one batch, and with them its size.
 	maxBatchCalls = 512
-	// batchPatience bounds the wait until a shard has a batch: it answers at once.
+	// batchTimeout bounds the wait for a shard's acknowledgement of a batch, which it sends at
+	// once.
 	batchTimeout = 400 * time.Millisecond
-	// firstRest is after how long a shard that did not answer is asked whether it is
-	// back; it doubles with each failure in a row, up to doublings times.
+	// initialBackoff is the time after which an unresponsive shard is probed; it doubles with each
+	// consecutive failure, up to maxDoublings times.
 	initialBackoff = 500 * time.Millisecond
 	maxDoublings   = 3
-	// orderPatience is how long after its sending a start, stop or pace is given up: a
-	// shard waits for the host, and batches and reports wait for each other.
+	// orderTimeout is how long after its sending a start, stop or pace is given up: a shard waits
+	// for the host, and batches and reports are sent one at a time.
 	orderTimeout = 700 * time.Millisecond
-	// lookSlack is how much longer than it may be held back, twice, an answer to a look
-	// is waited for: a shard asks again when its connections have fallen silent.
+	// pollSlack is the time that the answer to a poll may take in addition to twice the time that
+	// the host may hold it: a shard repeats a poll when its connections have become silent.
 	pollSlack = 900 * time.Millisecond
-	// busyPatience is how much longer a busy process waits for reports: less than a
-	// lease lasts.
+	// busyGrace is how much longer a busy process waits for reports: less than the duration of a
+	// lease.
 	busyGrace = 2500 * time.Millisecond
-	// expireEvery is how often calls are given up.
+	// expireInterval is how often timed-out calls are ended.
 	expireInterval = 50 * time.Millisecond
-	// quietAfter is for how long a shard that has calls may say nothing before it is asked
-	// whether it is there. It is well under a lease, which the hosts of a shard that ended
-	// live on until they are called through another one.
+	// quietTimeout is the time without contact after which a shard that has calls is probed. It is
+	// well under the duration of a lease, as the hosts of a failed shard have only their leases
+	// until they are called through another one.
 	quietTimeout = time.Second
-	// forgetFactor is how many times more hosts than there are may be remembered.
+	// maxHostsFactor limits the hosts for which routes are kept, as a multiple of the hosts in use.
 	maxHostsFactor = 4
-	// mostRoutes is how many shards one call is given to, one after the other.
+	// maxRoutes is how many shards one call is given to, one after the other.
 	maxRoutes = 3
 )
 
-// Config is what a Router works with.
+// Config holds the dependencies and settings of a Router.
 type Config struct {
 	Partition int
 	Epoch     uint64
 	// Self and Addr are this process's name and address among its peers.
 	Self, Addr string
 	Peers      peer.Caller
-	// Local makes the calls that are not given to others.
+	// Local makes the calls that are not given to shards.
 	Local host.Client
-	// Members lists the members that can be shards, this process included.
+	// Members lists the members that can be shards, including this process.
 	Members func() []Member
-	// Hosts is how many hosts the partition has.
+	// Hosts returns how many hosts the partition has.
 	Hosts func() int
-	// Apply runs a function that takes in outcomes, one at a time.
+	// Apply runs a function that processes outcomes, one at a time.
 	Apply func(func(now time.Time))
-	// Busy reports whether this process lacks processor time: what seems late elsewhere
-	// is late here then.
+	// Busy reports whether this process lacks processor time: answers that seem late may then be
+	// late because of this process.
 	Busy func() bool
 	Log  *logrus.Entry
 }
@@ -73,20 +74,20 @@
 // Router gives a holder's calls to shards, or makes them itself.
 type Router struct {
 	conf        Config
-	ctx         context.Context // of the holding
+	ctx         context.Context // ends with the holding
 	directCalls sync.WaitGroup
 
 	mu     sync.Mutex
 	lastID uint64
 	calls  map[uint64]*pending
 	shards map[string]*shard
-	// members are those that get calls now, spread chooses among them.
+	// members are the shards that get calls now; selector chooses among them.
 	members    []Member
 	selector   *shardSelector
 	selectedAt time.Time
-	// routes keeps the shard of each host that was called.
+	// routes maps each host that was called to its shard.
 	routes map[host.ID]*shard
-	// passed is how many times a host was not reached.
+	// failedRoutes is how many times in a row a host was not reached.
 	failedRoutes map[host.ID]int
 }
 
@@ -94,23 +95,23 @@
 type pending struct {
 	call        Call
 	shard       *shard
-	routes      int       // shards that it was given to
-	firstSentAt time.Time // first
-	expiresAt   time.Time // given up then; zero while it has not been sent
-	// doubt is true when a shard that was lost may have made the call.
+	routes      int       // number of shards that it was given to
+	firstSentAt time.Time // time of the first sending
+	expiresAt   time.Time // deadline; zero while it has not been sent
+	// possiblySent is true when an unresponsive shard may have made the call.
 	possiblySent bool
 }
 
-// shard is one member with the calls that wait for the next batch to it.
+// shard is one member with the calls queued for the next batch to it.
 type shard struct {
 	member      Member
 	queue       []numberedCall
 	sending     bool
 	lastBatch   time.Time // when a batch was last sent
-	lastContact time.Time // when a batch was last answered, or a report came
-	failures    int       // in a row
-	// lost shards get no calls before they have answered again; they are asked from
-	// askAfter on, and asking is true meanwhile.
+	lastContact time.Time // when a batch was last answered, or a report received
+	failures    int       // consecutive
+	// unresponsive shards get no calls until they have answered a probe; they are probed from
+	// probeAfter on, and probing is true meanwhile.
 	unresponsive, probing bool
 	probeAfter            time.Time
 }
@@ -123,7 +124,7 @@
 	}
 }
 
-// Run gives calls up in time until ctx ends.
+// Run ends timed-out calls and probes quiet shards until ctx ends.
 func (r *Router) Run(ctx context.Context) {
 	for wait.For(ctx, expireInterval) {
 		r.expire(time.Now())
@@ -131,12 +132,12 @@
 	}
 }
 
-// Wait waits for the calls that this process makes itself. It is to be called once no more
-// are made.
+// Wait waits for the calls that this process makes itself. It must be called only after the last
+// call of Do.
 func (r *Router) Wait() { r.directCalls.Wait() }
 
-// Do makes calls. It does not wait for their outcomes. It is for one goroutine, and not
-// to be called after ctx has ended.
+// Do makes calls. It does not wait for their outcomes. It must be called by one goroutine only, and
+// not after ctx has ended.
 func (r *Router) Do(ctx context.Context, calls []Call) {
 	if len(calls) == 0 {
 		return
@@ -162,7 +163,7 @@
 	}
 }
 
-// makeOwn makes a call from this process.
+// callDirectly makes a call from this process.
 func (r *Router) callDirectly(ctx context.Context, c Call) {
 	sent := time.Now()
 	o := perform(ctx, r.conf.Local, r.conf.Epoch, &c)
@@ -170,7 +171,7 @@
 	r.conf.Apply(func(now time.Time) { c.Done(o, now) })
 }
 
-// enqueue has a call sent with the next batch to a shard. The lock is held.
+// enqueue queues a call for the next batch to a shard. The lock is held.
 func (r *Router) enqueue(s *shard, n numberedCall) {
 	s.queue = append(s.queue, n)
 	if !s.sending {
@@ -179,14 +180,14 @@
 	}
 }
 
-// every is the least time between two batches to a shard, and two reports of one. The
-// lock is held.
+// batchInterval is the least time between two batches to a shard, and two reports of one. The lock
+// is held.
 func (r *Router) batchInterval() time.Duration {
 	return time.Duration(len(r.members)) * time.Second / batchesPerSecond
 }
 
-// send sends batches to a shard until nothing waits, each after the one before has
-// arrived: while a shard or this process is slow, the batches grow.
+// send sends batches to a shard until none is queued, each after the one before was acknowledged:
+// while a shard or this process is slow, the batches grow.
 func (r *Router) send(ctx context.Context, s *shard) {
 	for {
 		r.mu.Lock()
@@ -220,7 +221,7 @@
 	}
 }
 
-// take returns the calls of the next batch, or nil when nothing waits.
+// takeBatch returns the calls of the next batch, or nil when none is queued.
 func (r *Router) takeBatch(s *shard, now time.Time) []numberedCall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,7 +232,7 @@
 	}
 	batch := make([]numberedCall, 0, n)
 	for _, c := range s.queue[:n] {
-		if p := r.calls[c.id]; p != nil { // else it has been reported or given up meanwhile
+		if p := r.calls[c.id]; p != nil { // otherwise it has been reported or given up meanwhile
 			p.recordSent(now)
 			batch = append(batch, c)
 		}
@@ -241,7 +242,7 @@
 	return batch
 }
 
-// sendAt notes that the call is sent.
+// recordSent records that the call is sent, and sets its deadline.
 func (p *pending) recordSent(now time.Time) {
 	if p.firstSentAt.IsZero() {
 		p.firstSentAt = now
@@ -252,20 +253,20 @@
 	}
 }
 
-// ended is a call with its outcome.
+// endedCall is a call with its outcome.
 type endedCall struct {
 	call    *pending
 	outcome Outcome
 }
 
-// UnderWay is how many calls wait for their outcome, at shards or for a batch to them.
+// UnderWay returns how many calls wait for their outcome, queued or at shards.
 func (r *Router) UnderWay() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.calls)
 }
 
-// Report takes in what a shard has heard from hosts.
+// Report processes the outcomes that a shard has received from hosts.
 func (r *Router) Report(report Report) error {
 	list, err := report.outcomes()
 	if err != nil {
--- a/internal/linkshard/router_test.go
+++ b/internal/linkshard/router_test.go
@@ -19,20 +19,20 @@
 	"pulleyquay/internal/spec"
 )
 
-// fault is what becomes of the messages between the holder and one shard.
+// fault is a fault of the messages between the holder and one shard.
 type fault int
 
 const (
 	noFault          fault = iota
-	notListening           // nothing listens
-	blackhole              // messages vanish, and answers do not come
-	noAnswers              // calls are made, but neither their receipt nor their outcomes are told
-	noReports              // the receipt is told, the outcomes are not
-	duplicateReports       // each report comes twice
-	notSentInTime          // messages are not sent in the time that they have
+	notListening           // connections are refused
+	blackhole              // messages and answers are lost
+	noAnswers              // calls are made, but neither acknowledged nor reported
+	noReports              // batches are acknowledged, outcomes are not reported
+	duplicateReports       // each report arrives twice
+	notSentInTime          // messages are not sent before their timeout
 )
 
-// network carries messages between a holder at "holder" and shards at "a0" and so on.
+// network transmits messages between a holder at "holder" and shards at "a0" and so on.
 type network struct {
 	peer.Local
 	mu     sync.Mutex
@@ -58,7 +58,7 @@
 	return sum
 }
 
-// from is a shard's or the holder's end of the network.
+// callsFrom sends messages over the network as a shard or as the holder.
 type callsFrom struct {
 	*network
 	addr string
@@ -97,14 +97,14 @@
 	return f.Local.Call(ctx, addr, kind, req, resp)
 }
 
-// countingHosts carries out each start once, whoever sends it, and tells the one end.
+// countingHosts counts the starts of each run that arrive, whichever member sends them.
 type countingHosts struct {
 	mu              sync.Mutex
 	starts          map[host.Run]int
 	calls           int
 	refuse          host.Refusal
 	latency         time.Duration
-	unreachableFrom string // no call of this shard arrives
+	unreachableFrom string // calls from this shard do not arrive
 	fenceEpoch      uint64
 }
 
@@ -153,13 +153,13 @@
 	return host.View{Clock: r.Clock, Fenced: r.Refused == host.RefusedFenced}, err
 }
 
-// rig is a holder's router with shards, hosts and a network between them.
+// fixture is a holder's router with shards, hosts and a network between them.
 type fixture struct {
 	network *network
 	hosts   *countingHosts
 	router  *Router
 	ctx     context.Context
-	busy    atomic.Bool // the holder's process
+	busy    atomic.Bool // whether the holder's process is busy
 
 	mu       sync.Mutex
 	outcomes map[int][]Outcome // by call
@@ -211,7 +211,7 @@
 	return host.Run{Task: spec.StepTask{StepID: spec.StepID{Job: "j"}, Index: i}, No: 1}
 }
 
-// start orders the runs from first on, one on each of as many hosts.
+// start orders n runs, numbered from first, each on a host of its own.
 func (r *fixture) start(first, n int) {
 	var calls []Call
 	for i := first; i < first+n; i++ {
@@ -229,7 +229,7 @@
 	return c
 }
 
-// count counts the calls whose outcome is one that the function takes.
+// count counts the calls that have exactly one outcome, for which the function returns true.
 func (r *fixture) count(is func(Outcome) bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -244,22 +244,22 @@
 
 func done(o Outcome) bool { return o.Err == nil && o.Reply.Refused == "" }
 
-// TestShardsAreLost: a shard that goes, falls silent or keeps what it hears to itself
-// costs its calls some time: each is told once how it ended, is carried out once at the
-// most, and is never told as not sent if it may be.
+// TestShardFailures: a shard that stops, becomes unreachable or does not report delays its calls:
+// each has one outcome, is carried out at most once, and is never reported as not sent if it may
+// have been.
 func TestShardFailures(t *testing.T) {
 	const calls = 40
 	tests := map[string]struct {
 		fault  fault
-		within time.Duration // all are told
-		done   int           // at the least
+		within time.Duration // all outcomes are reported
+		done   int           // minimum
 	}{
-		"well":                     {noFault, 50 * time.Millisecond, calls},
-		"reports come twice":       {duplicateReports, 50 * time.Millisecond, calls},
-		"gone":                     {notListening, 100 * time.Millisecond, calls},
-		"silent":                   {blackhole, 550 * time.Millisecond, calls},
-		"calls made, nothing told": {noAnswers, 550 * time.Millisecond, calls},
-		"outcomes not told":        {noReports, 800 * time.Millisecond, calls / 3},
+		"no fault":               {noFault, 50 * time.Millisecond, calls},
+		"duplicate reports":      {duplicateReports, 50 * time.Millisecond, calls},
+		"connections refused":    {notListening, 100 * time.Millisecond, calls},
+		"messages lost":          {blackhole, 550 * time.Millisecond, calls},
+		"calls made, no answers": {noAnswers, 550 * time.Millisecond, calls},
+		"outcomes not reported":  {noReports, 800 * time.Millisecond, calls / 3},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -270,29 +270,29 @@
 				r.start(0, calls)
 				time.Sleep(tc.within)
 				synctest.Wait()
-				is.Equal(r.count(func(Outcome) bool { return true }), calls) // each told once
+				is.Equal(r.count(func(Outcome) bool { return true }), calls) // one outcome each
 				is.True(r.count(done) >= tc.done)
 				is.Equal(r.count(func(o Outcome) bool { return failureOf(o.Err) == failureNotSent }), 0)
 				before := r.count(done)
 				r.network.set(noFault, "a0", "a1")
 				time.Sleep(5 * time.Second)
-				is.Equal(r.count(done), before) // late reports say nothing more
+				is.Equal(r.count(done), before) // late reports change nothing
 				r.start(1000, calls)
 				time.Sleep(100 * time.Millisecond)
 				synctest.Wait()
-				is.Equal(r.count(done), before+calls) // all are in use again
+				is.Equal(r.count(done), before+calls) // all shards are in use again
 			})
 		})
 	}
 }
 
-// TestLooksOutliveTheirShard: a shard that ended while every look that it had was held back
-// at its host went unnoticed, as nothing more was to be sent to it. Its hosts counted as
-// silent ("nothing heard of it") shortly before their leases were over, though each would
-// have answered; with the time that a busy holder waits besides, leases ended.
+// TestPollsSurviveShardFailure: guards against a shard's failure going unnoticed while all of its
+// polls are held at their hosts, as nothing more is sent to it then. Its hosts counted as
+// unresponsive shortly before their leases ended, though each would have answered; with the
+// additional time that a busy holder waits, leases ended.
 func TestPollsSurviveShardFailure(t *testing.T) {
 	const polls = 40
-	for name, fault := range map[string]fault{"gone": notListening, "silent": blackhole, "well": noFault} {
+	for name, fault := range map[string]fault{"connections refused": notListening, "messages lost": blackhole, "no fault": noFault} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -309,15 +309,15 @@
 				is.Equal(r.count(func(o Outcome) bool { return o.Err == nil && o.View.Clock == 5 }), polls)
 				before := r.network.batches()
 				time.Sleep(10 * time.Second)
-				is.True(r.network.batches()-before <= 2*30) // a shard without calls is not asked, a lost one now and then
+				is.True(r.network.batches()-before <= 2*30) // a shard without calls is not probed, an unresponsive one now and then
 			})
 		})
 	}
 }
 
-// TestABusyHoldersBatchThatWasNotSent: a busy holder, whose calls to shards are late as it
-// is busy, waited for the outcomes of a batch that had never left it. Starts that nobody had
-// sent were called lost ("nothing heard of it"), and their runs were in doubt.
+// TestUnsentBatchOfBusyHolder: guards against a busy holder, whose calls to shards are late because
+// it is busy, waiting for the outcomes of a batch that it never sent. Its starts then ended as
+// lost, and their runs were in doubt.
 func TestUnsentBatchOfBusyHolder(t *testing.T) {
 	const calls = 40
 	tests := map[string]struct {
@@ -347,7 +347,7 @@
 	}
 }
 
-// TestNobodyIsReached: without any shard the holder makes the calls itself.
+// TestNoShardIsReachable: without any reachable shard the holder makes the calls itself.
 func TestNoShardIsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -365,7 +365,7 @@
 	})
 }
 
-// TestSmallCellsPayNothing: no message goes to another member.
+// TestSmallCellsUseNoShards: the holder of a small cell sends no message to another member.
 func TestSmallCellsUseNoShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -378,8 +378,9 @@
 	})
 }
 
-// TestRefusalsInDoubt: what a second shard is told proves nothing of a call that the
-// first may have made, but for a later holder's epoch.
+// TestRefusalsOfPossiblySentCalls: a refusal received through a second shard proves nothing about a
+// call that the first may have made, except for a fencing refusal, which means that a later holder
+// has taken over.
 func TestRefusalsOfPossiblySentCalls(t *testing.T) {
 	refused := host.Reply{Refused: host.RefusedFull}
 	tests := map[string]struct {
@@ -388,17 +389,17 @@
 		want         failure
 		refused      host.Refusal
 	}{
-		"done":                   {Outcome{}, true, failureNone, ""},
-		"refused":                {Outcome{Reply: refused}, false, failureNone, host.RefusedFull},
-		"refused, in doubt":      {Outcome{Reply: refused}, true, failureLost, ""},
-		"too old, in doubt":      {Outcome{Reply: host.Reply{Refused: host.RefusedOld}}, true, failureLost, ""},
-		"fenced, in doubt":       {Outcome{Reply: host.Reply{Refused: host.RefusedFenced}}, true, failureNone, host.RefusedFenced},
-		"not sent":               {Outcome{Err: host.ErrNotSent}, false, failureNotSent, ""},
-		"not sent, in doubt":     {Outcome{Err: host.ErrNotSent}, true, failureLost, ""},
-		"another life, in doubt": {Outcome{Err: host.ErrOtherLife}, true, failureOtherIncarnation, ""},
-		"broken, in doubt":       {Outcome{Err: host.ErrBroken}, true, failureBroken, ""},
-		"turned away":            {Outcome{Err: host.ErrRefused}, false, failureRefused, ""},
-		"turned away, in doubt":  {Outcome{Err: host.ErrRefused}, true, failureLost, ""},
+		"done":                               {Outcome{}, true, failureNone, ""},
+		"refused":                            {Outcome{Reply: refused}, false, failureNone, host.RefusedFull},
+		"refused, possibly sent":             {Outcome{Reply: refused}, true, failureLost, ""},
+		"too old, possibly sent":             {Outcome{Reply: host.Reply{Refused: host.RefusedOld}}, true, failureLost, ""},
+		"fenced, possibly sent":              {Outcome{Reply: host.Reply{Refused: host.RefusedFenced}}, true, failureNone, host.RefusedFenced},
+		"not sent":                           {Outcome{Err: host.ErrNotSent}, false, failureNotSent, ""},
+		"not sent, possibly sent by another": {Outcome{Err: host.ErrNotSent}, true, failureLost, ""},
+		"another incarnation, possibly sent": {Outcome{Err: host.ErrOtherLife}, true, failureOtherIncarnation, ""},
+		"broken, possibly sent":              {Outcome{Err: host.ErrBroken}, true, failureBroken, ""},
+		"connection refused":                 {Outcome{Err: host.ErrRefused}, false, failureRefused, ""},
+		"connection refused, possibly sent":  {Outcome{Err: host.ErrRefused}, true, failureLost, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -410,7 +411,8 @@
 	}
 }
 
-// TestCutFromHosts: a host that its shard does not reach is called through another one.
+// TestShardDisconnectedFromHosts: a host that its shard does not reach is called through another
+// one.
 func TestShardDisconnectedFromHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -435,9 +437,8 @@
 	})
 }
 
-// TestLooksCountFromTheirSending: a view is as old as the holder's own sending of the
-// look says, however long the shard and its report took; a look that is held back is
-// told in time.
+// TestPollsCountFromTheirSending: a view's age counts from the holder's own sending of the poll,
+// however long the shard and its report took; a poll held at the host is reported in time.
 func TestPollsCountFromTheirSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -456,8 +457,8 @@
 	})
 }
 
-// TestBurstTravelsInFewBatches: 4,000 calls in a second, the burst of a cell of 1,100
-// hosts, go out and come back in a bounded number of messages.
+// TestBurstTravelsInFewBatches: 4,000 calls in a second, the burst of a cell of 1,100 hosts, and
+// their outcomes take a bounded number of messages.
 func TestBurstTravelsInFewBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -473,7 +474,7 @@
 	})
 }
 
-// TestFormerHoldersAreNotTold: reports for a holding that is over are dropped.
+// TestReportsForPreviousHoldersAreDropped: reports for a holding that is over are not retried.
 func TestReportsForPreviousHoldersAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/linkshard/server.go
+++ b/internal/linkshard/server.go
@@ -13,21 +13,20 @@
 	"pulleyquay/internal/wait"
 )
 
-// Times of reports.
+// Timeouts and limits of reports.
 const (
-	// reportPatience bounds the wait for the answer to one report: a link that breaks or
-	// falls silent ends the call sooner, and a holder that is behind would only be kept
-	// behind by copies. reportPause is the pause before it is sent again.
+	// reportTimeout bounds the wait for the answer to one report: a link that breaks or becomes
+	// silent ends the call sooner, and copies would only add to the load of an overloaded holder.
+	// reportRetryDelay is the delay before it is sent again.
 	reportTimeout    = 2 * time.Second
 	reportRetryDelay = 50 * time.Millisecond
-	// reportFor is for how long a report is sent again: the holder has given its calls
-	// up by then.
+	// reportRetryPeriod is how long a report is retried: the holder has given its calls up by then.
 	reportRetryPeriod = 4 * time.Second
-	// mostReported bounds the outcomes in one report, and with them its size.
+	// maxReportOutcomes bounds the outcomes in one report, and with them its size.
 	maxReportOutcomes = 512
 )
 
-// Server makes calls for the holders of other members.
+// Server makes calls to hosts for the holders of other members.
 type Server struct {
 	hosts host.Client
 	peers peer.Caller
@@ -37,21 +36,21 @@
 	reporters map[reportKey]*reporter
 }
 
-// reportKey names the holding that a reporter reports to.
+// reportKey identifies the holding that a reporter reports to.
 type reportKey struct {
 	holder    string
 	partition int
 	epoch     uint64
 }
 
-// NewServer returns a server that calls hosts for whoever asks through mux.
+// NewServer returns a server that handles batches received through mux.
 func NewServer(mux *peer.Mux, hosts host.Client, peers peer.Caller, log *logrus.Entry) *Server {
 	s := &Server{hosts: hosts, peers: peers, log: log, reporters: map[reportKey]*reporter{}}
 	peer.Handle(mux, peer.KindHostCalls, s.handleBatch)
 	return s
 }
 
-// onBatch takes the calls of a batch on; their outcomes are reported.
+// handleBatch starts the calls of a batch and returns; their outcomes are reported later.
 func (s *Server) handleBatch(_ context.Context, b Batch) (Empty, error) {
 	calls, err := b.calls()
 	if err != nil {
@@ -76,15 +75,15 @@
 		s.reporters[key] = r
 		for other := range s.reporters {
 			if other.partition == key.partition && other.epoch < key.epoch {
-				delete(s.reporters, other) // a former holding; what is under way for it ends by itself
+				delete(s.reporters, other) // an earlier holding; its calls in flight end by themselves
 			}
 		}
 	}
 	return r
 }
 
-// reporter gathers the outcomes for one holding and reports them, one report after
-// the other: while the holder is slow to answer, the reports grow.
+// reporter collects the outcomes for one holding and reports them, one report after the other:
+// while the holder is slow to answer, the reports grow.
 type reporter struct {
 	server *Server
 	key    reportKey
@@ -95,7 +94,8 @@
 	lastReport time.Time // when a report was last sent
 }
 
-// add reports an outcome soon, and not within every of the report before.
+// add queues an outcome for the next report, which is sent no sooner than interval after the one
+// before.
 func (r *reporter) add(f numberedOutcome, interval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,8 @@
 	}
 }
 
-// take returns what is to be reported next; the reporter rests when there is nothing.
+// takeOutcomes returns the outcomes of the next report, or nil and ends the sending when there are
+// none.
 func (r *reporter) takeOutcomes() []numberedOutcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,7 +135,8 @@
 	}
 }
 
-// deliver sends a report until the holder has it, refuses it, or has given up.
+// deliver sends a report until the holder acknowledges it or refuses it, or the retry period is
+// over.
 func (r *reporter) deliver(report Report) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportRetryPeriod)
 	defer cancel()
@@ -146,12 +148,12 @@
 			return
 		}
 		if result.CodeOf(err) == result.HolderAway {
-			return // the holding is over; the next holder looks at the hosts itself
+			return // the holding is over; the next holder polls the hosts itself
 		}
 		if !wait.For(ctx, reportRetryDelay) {
 			r.server.log.WithError(err).WithFields(logrus.Fields{
 				"partition": r.key.partition, "epoch": r.key.epoch, "outcomes": len(report.Replies) + len(report.Views),
-			}).Info("report of a link shard not delivered")
+			}).Info("link shard report not delivered within the retry period")
 			return
 		}
 	}
--- a/internal/linkshard/shards.go
+++ b/internal/linkshard/shards.go
@@ -11,9 +11,9 @@
 	"pulleyquay/internal/peer"
 )
 
-// Which members are shards, and which of them a host is called through.
+// Selection of the members that are shards, and of the shard for each host.
 
-// chooseShards works out anew, now and then, which members get calls. The lock is held.
+// chooseShards selects the shards anew, at most every selectInterval. The lock is held.
 func (r *Router) chooseShards(now time.Time) {
 	if now.Sub(r.selectedAt) < selectInterval {
 		return
@@ -39,7 +39,7 @@
 	clear(r.routes)
 }
 
-// answering are the members but for lost shards, which are asked whether they are back.
+// availableMembers returns the members without unresponsive shards, which are probed for recovery.
 // The lock is held.
 func (r *Router) availableMembers(now time.Time) []Member {
 	members := r.conf.Members()
@@ -56,8 +56,8 @@
 	return out
 }
 
-// forgetHosts lets go of what is known of hosts, most of which have gone, when it has
-// become much. The lock is held.
+// pruneHosts clears the routes, most of which belong to removed hosts, when there are too many. The
+// lock is held.
 func (r *Router) pruneHosts() {
 	if limit := maxHostsFactor * (r.conf.Hosts() + 1); len(r.routes) > limit || len(r.failedRoutes) > limit {
 		clear(r.routes)
@@ -65,7 +65,7 @@
 	}
 }
 
-// askLost asks a shard that was lost whether it is back, when it is time. The lock is held.
+// probeUnresponsive probes an unresponsive shard if its backoff is over. The lock is held.
 func (r *Router) probeUnresponsive(s *shard, now time.Time) {
 	if s.probing || now.Before(s.probeAfter) {
 		return
@@ -74,7 +74,7 @@
 	go r.probeRecovery(r.ctx, s, s.member.Addr)
 }
 
-// sendNothing sends a batch of nothing. It reports besides whether the time for that was over.
+// sendProbe sends an empty batch. It also reports whether the deadline of the call was exceeded.
 func (r *Router) sendProbe(ctx context.Context, addr string) (deadlineExceeded bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
@@ -83,7 +83,7 @@
 	return timedOut(ctx), err
 }
 
-// ask takes a lost shard into use again if it answers a batch of nothing.
+// probeRecovery returns an unresponsive shard to use if it answers an empty batch.
 func (r *Router) probeRecovery(ctx context.Context, s *shard, addr string) {
 	_, err := r.sendProbe(ctx, addr)
 	r.mu.Lock()
@@ -96,9 +96,9 @@
 	s.unresponsive, r.selectedAt = false, time.Time{}
 }
 
-// askQuiet asks the shards that have calls and have said nothing for a while whether they
-// are there. All looks of a shard may be held back at their hosts, and nothing more is sent to
-// it then: without a question its end would be taken for the silence of its hosts.
+// probeQuietShards probes the shards that have calls and have had no contact for a while. All polls
+// of a shard may be held at their hosts, and nothing more is sent to it then: without a probe, its
+// failure would be mistaken for unresponsive hosts.
 func (r *Router) probeQuietShards(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// askThere takes a shard for lost that does not answer a batch of nothing.
+// probeQuietShard marks a shard as failed if it does not answer an empty batch.
 func (r *Router) probeQuietShard(ctx context.Context, s *shard, addr string) {
 	deadlineExceeded, err := r.sendProbe(ctx, addr)
 	now := time.Now()
@@ -129,14 +129,14 @@
 	}
 }
 
-// hear notes that a shard has answered.
+// recordContact records that a shard has answered.
 func (r *Router) recordContact(s *shard, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.lastContact = now
 }
 
-// noteLost takes the shard out of use until it has answered again.
+// markUnresponsive excludes the shard until it has answered a probe.
 func (s *shard) markUnresponsive(now time.Time) {
 	s.unresponsive, s.probeAfter = true, now.Add(initialBackoff<<min(s.failures, maxDoublings))
 	s.failures++
@@ -155,8 +155,8 @@
 	return s
 }
 
-// noteReached has a host called through another shard the next time if it was not
-// reached: the path from this one may be cut. The lock is held.
+// recordReach reroutes a host to another shard if it was not reached: the path from this shard may
+// be disconnected. The lock is held.
 func (r *Router) recordReach(id host.ID, err error) {
 	switch failureOf(err) {
 	case failureNotSent, failureRefused, failureLost, failureBroken:
@@ -164,7 +164,7 @@
 	}
 }
 
-// passBy has a host called through another shard from now on. The lock is held.
+// rerouteHost selects another shard for a host from now on. The lock is held.
 func (r *Router) rerouteHost(id host.ID) {
 	r.failedRoutes[id]++
 	delete(r.routes, id)
