--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -133,7 +133,7 @@
 	var wg sync.WaitGroup
 	for range int(duration / interval) {
 		wg.Go(func() {
-			if b.send(context.Background(), "crew", true, time.Second) != nil {
+			if b.send(context.Background(), "caller-a", true, time.Second) != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				failed++
--- a/internal/dispatch/cancel_bench_test.go
+++ b/internal/dispatch/cancel_bench_test.go
@@ -19,7 +19,7 @@
 	h.values.Request.MaxDeadlineMS = 600000
 	h.executors.Time = 10 * time.Minute
 	for range 8 {
-		go h.send(context.Background(), "crew", false, 10*time.Minute)
+		go h.send(context.Background(), "caller-a", false, 10*time.Minute)
 	}
 	for h.executors.Peak("executor-0") < 8 {
 		time.Sleep(time.Millisecond)
@@ -29,7 +29,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		for range requests {
-			wg.Go(func() { h.send(ctx, "crew", false, 10*time.Minute) })
+			wg.Go(func() { h.send(ctx, "caller-a", false, 10*time.Minute) })
 		}
 		for h.Queued("ledger") < requests {
 			time.Sleep(time.Millisecond)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -29,7 +29,7 @@
 		{"host list", func(b *testBench) { b.setLeaving(0) }, 3 * time.Second},
 		{"executor's signal", func(b *testBench) {
 			b.executors.FaultOf = faultAt("executor-0", requesttest.Leave)
-			b.sendConcurrently(20, "crew", time.Second)
+			b.sendConcurrently(20, "caller-a", time.Second)
 		}, 0},
 	}
 	for _, tc := range cases {
@@ -38,11 +38,11 @@
 				is := is.New(t)
 				b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 				defer b.stop()
-				is.Equal(len(b.sendConcurrently(20, "crew", time.Second)), 0)
+				is.Equal(len(b.sendConcurrently(20, "caller-a", time.Second)), 0)
 				tc.leave(b)
 				time.Sleep(tc.wait)
 				before := len(b.executors.Runs())
-				is.Equal(len(b.sendConcurrently(100, "crew", time.Second)), 0)
+				is.Equal(len(b.sendConcurrently(100, "caller-a", time.Second)), 0)
 				is.Equal(b.ranAt(before)["executor-0"], 0)
 			})
 		})
@@ -57,12 +57,12 @@
 		b.executors.Time = 5 * time.Second
 		b.values.Request.MaxDeadlineMS = 10000
 		var wg sync.WaitGroup
-		wg.Go(func() { is.Equal(len(b.sendConcurrently(8, "crew", 10*time.Second)), 0) })
+		wg.Go(func() { is.Equal(len(b.sendConcurrently(8, "caller-a", 10*time.Second)), 0) })
 		time.Sleep(time.Second)
 		b.setLeaving(0)
 		wg.Wait()
 		is.Equal(len(b.executors.Runs()), 8)
-		got := b.send(t.Context(), "crew", false, time.Second)
+		got := b.send(t.Context(), "caller-a", false, time.Second)
 		is.Equal(got.Code, result.NoExecutor)
 		is.Equal(got.Ran, result.RanNo)
 		is.True(got.RetryAfter > 0)
@@ -87,11 +87,11 @@
 				defer b.stop()
 				if tc.usable > 0 {
 					time.Sleep(tc.usable - time.Second)
-					got := b.send(t.Context(), "crew", true, 500*time.Millisecond)
+					got := b.send(t.Context(), "caller-a", true, 500*time.Millisecond)
 					is.Equal(got.Code, result.NoExecutor)
 					time.Sleep(time.Second + 500*time.Millisecond)
 				}
-				is.Equal(b.send(t.Context(), "crew", true, time.Second), nil)
+				is.Equal(b.send(t.Context(), "caller-a", true, time.Second), nil)
 			})
 		})
 	}
@@ -105,7 +105,7 @@
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 		var wg sync.WaitGroup
 		defer wg.Wait()
-		wg.Go(func() { b.sendConcurrently(1, "crew", 2*time.Second) })
+		wg.Go(func() { b.sendConcurrently(1, "caller-a", 2*time.Second) })
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -113,7 +113,7 @@
 		is.NoErr(err)
 		next := newTestBench(t, 2, hold.Takeover{SignedOff: true, State: state})
 		defer next.stop()
-		is.Equal(len(next.sendConcurrently(16, "crew", time.Second)), 0)
+		is.Equal(len(next.sendConcurrently(16, "caller-a", time.Second)), 0)
 		is.Equal(next.ranAt(0), map[string]int{"executor-1": 16})
 	})
 }
@@ -124,12 +124,12 @@
 		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Leave)
-		is.Equal(len(b.sendConcurrently(1, "crew", time.Second)), 0)
+		is.Equal(len(b.sendConcurrently(1, "caller-a", time.Second)), 0)
 		state, err := b.Release(t.Context(), 0)
 		is.NoErr(err)
 		next := newTestBench(t, 2, hold.Takeover{SignedOff: true, State: state})
 		defer next.stop()
-		is.Equal(len(next.sendConcurrently(8, "crew", time.Second)), 0)
+		is.Equal(len(next.sendConcurrently(8, "caller-a", time.Second)), 0)
 		is.Equal(next.ranAt(0), map[string]int{"executor-1": 8})
 	})
 }
@@ -155,10 +155,10 @@
 				is := is.New(t)
 				b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 				defer b.stop()
-				b.sendConcurrently(40, "crew", time.Second) // fills the retry budget
+				b.sendConcurrently(40, "caller-a", time.Second) // fills the retry budget
 				before := len(b.executors.Runs())
 				b.executors.FaultOf = faultOnce(tc.fault)
-				got := b.send(t.Context(), "crew", tc.idempotent, time.Second)
+				got := b.send(t.Context(), "caller-a", tc.idempotent, time.Second)
 				if tc.code == 0 {
 					is.Equal(got, nil)
 				} else {
@@ -179,7 +179,7 @@
 		b.executors.FaultOf = func(string, executor.Request) requesttest.Fault { return requesttest.CutAfter }
 		const requests = 1000
 		for range requests {
-			b.send(t.Context(), "crew", true, 100*time.Millisecond)
+			b.send(t.Context(), "caller-a", true, 100*time.Millisecond)
 		}
 		retries := len(b.executors.Runs()) - requests
 		const burst = 10 // what a full budget allows at once
@@ -193,10 +193,10 @@
 		b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 		defer b.stop()
 		refusals := make(chan []*result.Error)
-		go func() { refusals <- b.sendConcurrently(2000, "crew", 2*time.Second) }()
+		go func() { refusals <- b.sendConcurrently(2000, "caller-a", 2*time.Second) }()
 		synctest.Wait()
 		start := time.Now()
-		is.Equal(len(b.sendConcurrently(16, "school", time.Second)), 0)
+		is.Equal(len(b.sendConcurrently(16, "caller-b", time.Second)), 0)
 		is.True(time.Since(start) < 100*time.Millisecond) // not queued behind 256 others
 		refused := <-refusals
 		is.True(len(refused) > 0)
@@ -217,13 +217,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		for range 5000 {
-			wg.Go(func() { b.send(ctx, "crew", false, 20*time.Second) })
+			wg.Go(func() { b.send(ctx, "caller-a", false, 20*time.Second) })
 		}
 		synctest.Wait()
 		cancel()
 		wg.Wait()
 		is.Equal(len(b.executors.Runs()), 8) // those that had been sent
-		is.Equal(b.send(t.Context(), "crew", false, 20*time.Millisecond), nil)
+		is.Equal(b.send(t.Context(), "caller-a", false, 20*time.Millisecond), nil)
 	})
 }
 
@@ -241,7 +241,7 @@
 		defer b.stop()
 		synctest.Wait()
 		b.remotes = []dispatch.Remote{{Name: "other", Addr: "other:1", Free: map[string]int{"ledger": 1}}}
-		is.Equal(b.send(t.Context(), "crew", false, time.Second), nil) // between two refreshes
+		is.Equal(b.send(t.Context(), "caller-a", false, time.Second), nil) // between two refreshes
 		is.Equal(b.forwarded, []string{"other:1"})
 	})
 }
@@ -257,6 +257,6 @@
 			defer b.mu.Unlock()
 			b.hosts = []platform.Host{{Name: "executor-0", Addr: "executor-0", Role: platform.RoleExecutor, Service: "ledger"}}
 		}()
-		is.Equal(b.send(t.Context(), "crew", false, 2*time.Second), nil) // queued until the host list is read
+		is.Equal(b.send(t.Context(), "caller-a", false, 2*time.Second), nil) // queued until the host list is read
 	})
 }
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -38,10 +38,10 @@
 		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
 		defer b.stop()
 		for range 50 {
-			b.send(t.Context(), "hasty", false, time.Millisecond)
+			b.send(t.Context(), "caller-a", false, time.Millisecond)
 		}
 		before := len(b.executors.Runs())
-		is.Equal(len(b.sendConcurrently(16, "crew", time.Second)), 0)
+		is.Equal(len(b.sendConcurrently(16, "caller-a", time.Second)), 0)
 		is.Equal(b.ranAt(before), map[string]int{"executor-0": 8, "executor-1": 8})
 	})
 }
@@ -54,7 +54,7 @@
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 		var wg sync.WaitGroup
 		defer wg.Wait()
-		wg.Go(func() { b.sendConcurrently(8, "crew", time.Second) })
+		wg.Go(func() { b.sendConcurrently(8, "caller-a", time.Second) })
 		time.Sleep(3 * time.Second) // past the default deadline
 		is.True(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health != "healthy")
 	})
@@ -79,7 +79,7 @@
 				b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 				defer b.stop()
 				b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
-				is.Equal(len(b.sendConcurrently(tc.requests, "crew", time.Second)), tc.requests) // until each has timed out
+				is.Equal(len(b.sendConcurrently(tc.requests, "caller-a", time.Second)), tc.requests) // until each has timed out
 				is.Equal(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health == "healthy", tc.healthy)
 			})
 		})
@@ -106,7 +106,7 @@
 				b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 				var wg sync.WaitGroup
 				defer wg.Wait()
-				wg.Go(func() { b.sendConcurrently(8, "crew", tc.timeout) })
+				wg.Go(func() { b.sendConcurrently(8, "caller-a", tc.timeout) })
 				time.Sleep(tc.before)
 				b.setAddr(0, "executor-0-again")
 				for range 40 { // until all earlier requests have timed out
--- a/internal/dispatch/queue/queue_test.go
+++ b/internal/dispatch/queue/queue_test.go
@@ -45,7 +45,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			q := New[string](tc.limit, tc.order)
 			for i := range 4 {
-				q.Push(&Item[string]{Caller: "crew", Value: string(rune('0' + i)), Deadline: epoch.Add(time.Duration(9-i) * time.Second)})
+				q.Push(&Item[string]{Caller: "caller-a", Value: string(rune('0' + i)), Deadline: epoch.Add(time.Duration(9-i) * time.Second)})
 			}
 			is.New(t).Equal(drain(q), tc.want)
 		})
--- a/internal/dispatch/resident.go
+++ b/internal/dispatch/resident.go
@@ -14,7 +14,8 @@
 // heldPartition is a partition whose executors this process dispatches to.
 type heldPartition struct {
 	acquiredAt time.Time
-	// unclean: the previous holder may still have requests in flight, as it did not hand over.
+	// unclean: the previous holder may still have requests in flight, as it did not hand over or
+	// its state can not be read.
 	unclean bool
 	// busyUntil gives, by executor, until when slots that the previous holder could not free at the
 	// handover may be busy.
--- a/internal/hostcall/hostcall.go
+++ b/internal/hostcall/hostcall.go
@@ -34,7 +34,7 @@
 	answers       resend.Latency
 	copies        *retrybudget.Budget // budget for copies of orders
 	lossTracker   *lossTracker
-	pollsInFlight atomic.Int64 // under way
+	pollsInFlight atomic.Int64
 	// called are the hosts that were called recently.
 	called recentHosts
 }
@@ -67,18 +67,18 @@
 func (c *Caller) Pace(ctx context.Context, to host.Info, epoch uint64, r host.Run, percent int) (host.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	begun := time.Now()
+	started := time.Now()
 	reply, err := c.hosts.Pace(ctx, to, epoch, r, percent)
-	c.metrics.called("pace", begun, reply, err)
+	c.metrics.called("pace", started, reply, err)
 	return reply, err
 }
 
 // order sends an order, with copies, and counts it in the metrics.
 func (c *Caller) order(ctx context.Context, kind string, to host.Info, send func(context.Context) (host.Reply, error)) (host.Reply, error) {
-	begun := time.Now()
-	c.called.record(to.ID, begun)
+	started := time.Now()
+	c.called.record(to.ID, started)
 	reply, err := c.sendCopies(ctx, to, send)
-	c.metrics.called(kind, begun, reply, err)
+	c.metrics.called(kind, started, reply, err)
 	return reply, err
 }
 
--- a/internal/hostcall/metrics.go
+++ b/internal/hostcall/metrics.go
@@ -23,6 +23,6 @@
 	return m
 }
 
-func (m *Metrics) called(kind string, begun time.Time, r host.Reply, err error) {
-	m.calls.WithLabelValues(kind, outcome(r, err)).Observe(time.Since(begun).Seconds())
+func (m *Metrics) called(kind string, started time.Time, r host.Reply, err error) {
+	m.calls.WithLabelValues(kind, outcome(r, err)).Observe(time.Since(started).Seconds())
 }
--- a/internal/hostcall/poll.go
+++ b/internal/hostcall/poll.go
@@ -76,13 +76,13 @@
 	inFlight := time.Duration(c.pollsInFlight.Add(1))
 	defer c.pollsInFlight.Add(-1)
 	for {
-		begun := time.Now()
-		c.called.record(to.ID, begun)
-		view, retry, err := c.pollOnce(ctx, to, epoch, l, begun)
+		started := time.Now()
+		c.called.record(to.ID, started)
+		view, retry, err := c.pollOnce(ctx, to, epoch, l, started)
 		if retry && wait.Jittered(ctx, inFlight*repollSpread) {
 			continue
 		}
-		c.metrics.called("look", begun, host.Reply{}, err)
+		c.metrics.called("look", started, host.Reply{}, err)
 		return view, err
 	}
 }
--- a/internal/hostcall/poll_test.go
+++ b/internal/hostcall/poll_test.go
@@ -54,7 +54,7 @@
 				hosts := &unresponsiveHosts{}
 				c := newCaller(hosts)
 				ended := make(chan struct{})
-				begun := time.Now()
+				started := time.Now()
 				go func() {
 					_, err := c.Look(t.Context(), host.Info{ID: "h"}, 1, host.Look{Wait: 2 * time.Second})
 					if err != nil {
@@ -67,7 +67,7 @@
 				tc.event(c)
 				<-ended
 				is.Equal(hosts.polls.Load(), int64(2))
-				is.True(time.Since(begun)-100*time.Millisecond <= repollSpread) // one poll is in flight
+				is.True(time.Since(started)-100*time.Millisecond <= repollSpread) // one poll is in flight
 				is.Equal(time.Duration(hosts.lastWait.Load()), tc.lastWait)
 			})
 		})
--- a/internal/hostcall/repeat.go
+++ b/internal/hostcall/repeat.go
@@ -146,10 +146,10 @@
 func (o *order) sendCopy() {
 	o.copies++
 	o.pending++
-	begun := time.Now()
+	started := time.Now()
 	go func() {
 		reply, err := o.send(o.ctx)
-		o.answers <- copyResult{reply, err, time.Since(begun)}
+		o.answers <- copyResult{reply, err, time.Since(started)}
 	}()
 }
 
--- a/internal/hostcall/repeat_test.go
+++ b/internal/hostcall/repeat_test.go
@@ -81,7 +81,7 @@
 					c.answers.Observe(2 * time.Millisecond)
 				}
 				var sent atomic.Int64
-				begun := time.Now()
+				started := time.Now()
 				reply, err := c.sendCopies(t.Context(), host.Info{ID: "h"}, func(ctx context.Context) (host.Reply, error) {
 					outcome := noAnswer
 					if n := sent.Add(1); int(n) <= len(tc.copies) {
@@ -99,7 +99,7 @@
 				})
 				is.True(errors.Is(err, tc.want))
 				is.Equal(reply.Refused, tc.refused)
-				is.True(time.Since(begun) <= tc.within)
+				is.True(time.Since(started) <= tc.within)
 				is.Equal(sent.Load(), tc.sent)
 				time.Sleep(lateAnswerWait) // a late answer is no loss
 				synctest.Wait()
--- a/internal/httponce/httponce_test.go
+++ b/internal/httponce/httponce_test.go
@@ -280,10 +280,10 @@
 	_, err := c.Do(ctx, proxy.Addr, request(http.MethodGet), nil, limit)
 	is.True(errors.Is(err, context.DeadlineExceeded)) // it used a silent one
 	c.Reconnect()
-	begun := time.Now()
+	started := time.Now()
 	_, err = do(c, proxy.Addr, http.MethodGet, "")
 	is.NoErr(err)
-	is.True(time.Since(begun) < time.Second)
+	is.True(time.Since(started) < time.Second)
 }
 
 // TestIdleConnectionsAreBounded: without a bound, a holder of thousands of hosts keeps so many
@@ -356,7 +356,7 @@
 // that it was meant for: it is sent only over connections with that process's mark.
 func TestBoundRequestsReachOneProcess(t *testing.T) {
 	for name, tc := range map[string]struct {
-		known   int64 // initial mark of the connections
+		initial int64 // initial mark of the connections
 		current int64 // mark set by the answer to Ask
 		want    int64
 		paths   string // paths of the requests that the server receives
@@ -364,9 +364,9 @@
 	}{
 		"no connection yet":                {current: 7, want: 7, paths: "/ask /do"},
 		"another process":                  {current: 8, want: 7, paths: "/ask", err: httponce.ErrOtherMark},
-		"connection to the process":        {known: 7, current: 7, want: 7, paths: "/ask /do"},
-		"connection to an earlier process": {known: 6, current: 7, want: 7, paths: "/ask /ask /do"},
-		"connection to its successor":      {known: 8, current: 8, want: 7, paths: "/ask /ask", err: httponce.ErrOtherMark},
+		"connection to the process":        {initial: 7, current: 7, want: 7, paths: "/ask /do"},
+		"connection to an earlier process": {initial: 6, current: 7, want: 7, paths: "/ask /ask /do"},
+		"connection to its successor":      {initial: 8, current: 8, want: 7, paths: "/ask /ask", err: httponce.ErrOtherMark},
 		"the answer sets no mark":          {current: 0, want: 7, paths: "/ask", err: httponce.ErrNoMark},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -391,8 +391,8 @@
 					Mark:    func(httponce.Answer) int64 { return mark },
 				}
 			}
-			if tc.known != 0 {
-				_, err := client.DoMarked(t.Context(), s.addr, request("/ask", tc.known))
+			if tc.initial != 0 {
+				_, err := client.DoMarked(t.Context(), s.addr, request("/ask", tc.initial))
 				is.NoErr(err)
 			}
 			bound := request("/do", 0)
--- a/internal/linkshard/assign.go
+++ b/internal/linkshard/assign.go
@@ -129,8 +129,8 @@
 	return s
 }
 
-// shardOf returns the name of the shard that calls a host. failedRoutes is how many times in a row
-// the host was not reached through the shards before.
+// shardOf returns the name of the shard that calls a host. failedRoutes is how many times the host
+// was not reached through earlier shards.
 func (s *shardSelector) shardOf(id host.ID, zone string, failedRoutes int) string {
 	if sameZone := s.byZone[zone]; sameZone != nil && failedRoutes == 0 {
 		return sameZone.Lookup(string(id))
--- a/internal/linkshard/batch_test.go
+++ b/internal/linkshard/batch_test.go
@@ -67,7 +67,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var list []numberedOutcome
 		for i := range rapid.IntRange(0, 10).Draw(t, "outcomes") {
-			f := numberedOutcome{id: uint64(i), isPoll: rapid.Bool().Draw(t, "look")}
+			f := numberedOutcome{id: uint64(i), isPoll: rapid.Bool().Draw(t, "poll")}
 			if !f.isPoll {
 				f.outcome.Reply = host.Reply{Clock: host.Millis(i), Refused: rapid.SampledFrom([]host.Refusal{"", host.RefusedFull}).Draw(t, "refused")}
 				list = append(list, f)
--- a/internal/linkshard/linkshard.go
+++ b/internal/linkshard/linkshard.go
@@ -37,7 +37,7 @@
 
 // Outcome is the outcome of a call.
 type Outcome struct {
-	// Reply is set for a start, a stop or a pace, View for a poll.
+	// Reply is set for a start, a stop or a change of pace, View for a poll.
 	Reply host.Reply
 	View  host.View
 	Err   error
--- a/internal/linkshard/router.go
+++ b/internal/linkshard/router.go
@@ -87,7 +87,7 @@
 	selectedAt time.Time
 	// routes maps each host that was called to its shard.
 	routes map[host.ID]*shard
-	// failedRoutes is how many times in a row a host was not reached.
+	// failedRoutes is how many times a host was not reached.
 	failedRoutes map[host.ID]int
 }
 
--- a/internal/linkshard/router_test.go
+++ b/internal/linkshard/router_test.go
@@ -443,7 +443,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newFixture(t, 4, 200)
-		begun := time.Now()
+		started := time.Now()
 		r.router.Do(r.ctx, []Call{r.call(0, Call{Look: &host.Look{Wait: 2 * time.Second}})})
 		time.Sleep(2100 * time.Millisecond)
 		synctest.Wait()
@@ -453,7 +453,7 @@
 		o := r.outcomes[0][0]
 		is.NoErr(o.Err)
 		is.Equal(o.View.Clock, host.Millis(5))
-		is.True(o.Sent.Sub(begun) < 10*time.Millisecond)
+		is.True(o.Sent.Sub(started) < 10*time.Millisecond)
 	})
 }
 
--- a/internal/linkshard/shards.go
+++ b/internal/linkshard/shards.go
@@ -83,7 +83,7 @@
 	return timedOut(ctx), err
 }
 
-// probeRecovery returns an unresponsive shard to use if it answers an empty batch.
+// probeRecovery puts an unresponsive shard back into use if it answers an empty batch.
 func (r *Router) probeRecovery(ctx context.Context, s *shard, addr string) {
 	_, err := r.sendProbe(ctx, addr)
 	r.mu.Lock()
