--- a/internal/dispatch/cancel_bench_test.go
+++ b/internal/dispatch/cancel_bench_test.go
@@ -9,18 +9,17 @@
 	"pulleyquay/internal/hold"
 )
 
-// BenchmarkCancelledWave queues 5,000 requests behind busy executors and
-// cancels them all; the figure is the time from the cancellation to the end of
-// the last, for each request.
+// BenchmarkCancelledWave queues 5,000 requests behind busy executors and cancels them all. It
+// reports the time from the cancellation to the end of the last request, divided by the requests.
 func BenchmarkCancelledWave(b *testing.B) {
-	const wave = 5000
-	h := newBench(b, 1, hold.Takeover{Fresh: true})
+	const requests = 5000
+	h := newTestBench(b, 1, hold.Takeover{Fresh: true})
 	defer h.stop()
-	h.values.Request.QueueLimit = 2 * wave
+	h.values.Request.QueueLimit = 2 * requests
 	h.values.Request.MaxDeadlineMS = 600000
 	h.executors.Time = 10 * time.Minute
 	for range 8 {
-		go h.send(context.Background(), "crew", false, 10*time.Minute)
+		go h.send(context.Background(), "caller-a", false, 10*time.Minute)
 	}
 	for h.executors.Peak("executor-0") < 8 {
 		time.Sleep(time.Millisecond)
@@ -29,10 +28,10 @@
 	for b.Loop() {
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		for range wave {
-			wg.Go(func() { h.send(ctx, "crew", false, 10*time.Minute) })
+		for range requests {
+			wg.Go(func() { h.send(ctx, "caller-a", false, 10*time.Minute) })
 		}
-		for h.Queued("ledger") < wave {
+		for h.Queued("ledger") < requests {
 			time.Sleep(time.Millisecond)
 		}
 		start := time.Now()
@@ -40,5 +39,5 @@
 		wg.Wait()
 		cancelling += time.Since(start)
 	}
-	b.ReportMetric(float64(cancelling.Nanoseconds())/float64(b.N)/wave, "ns/cancelled")
+	b.ReportMetric(float64(cancelling.Nanoseconds())/float64(b.N)/requests, "ns/cancelled")
 }
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -14,34 +14,34 @@
 	"pulleyquay/internal/requesttest"
 )
 
-func TestFailingExecutorIsSetAsideAndProbed(t *testing.T) {
+func TestFailingExecutorIsEjectedAndProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 3, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Fail)
-		b.steady(10*time.Second, 5*time.Millisecond)
+		b.sendAtInterval(10*time.Second, 5*time.Millisecond)
 		before := len(b.executors.Runs())
-		b.steady(10*time.Second, 5*time.Millisecond)
-		is.True(b.ranAt(before)["executor-0"] < 20) // probes alone, of 2000 requests
+		b.sendAtInterval(10*time.Second, 5*time.Millisecond)
+		is.True(b.ranAt(before)["executor-0"] < 20) // only probes, of 2000 requests
 		b.executors.FaultOf = nil
-		b.steady(20*time.Second, 5*time.Millisecond)
+		b.sendAtInterval(20*time.Second, 5*time.Millisecond)
 		before = len(b.executors.Runs())
-		b.steady(time.Second, 5*time.Millisecond)
-		is.True(b.ranAt(before)["executor-0"] > 100) // own zone, back in full use
+		b.sendAtInterval(time.Second, 5*time.Millisecond)
+		is.True(b.ranAt(before)["executor-0"] > 100) // in the own zone, and preferred again
 	})
 }
 
-func TestHastyCallersDoNotEjectSoundExecutors(t *testing.T) {
+func TestShortDeadlinesDoNotEjectHealthyExecutors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
 		defer b.stop()
 		for range 50 {
-			b.send(t.Context(), "hasty", false, time.Millisecond)
+			b.send(t.Context(), "caller-a", false, time.Millisecond)
 		}
 		before := len(b.executors.Runs())
-		is.Equal(len(b.wave(16, "crew", time.Second)), 0)
+		is.Equal(len(b.sendConcurrently(16, "caller-a", time.Second)), 0)
 		is.Equal(b.ranAt(before), map[string]int{"executor-0": 8, "executor-1": 8})
 	})
 }
@@ -49,66 +49,67 @@
 func TestHangingExecutorIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 		var wg sync.WaitGroup
 		defer wg.Wait()
-		wg.Go(func() { b.wave(8, "crew", time.Second) })
-		time.Sleep(3 * time.Second) // past the usual deadline
+		wg.Go(func() { b.sendConcurrently(8, "caller-a", time.Second) })
+		time.Sleep(3 * time.Second) // past the default deadline
 		is.True(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health != "healthy")
 	})
 }
 
-// A request without an answer was charged to its executor twice: when its usual deadline
-// had passed and when it was given up. Three such requests in a row ejected an executor for
-// which five are asked; one that had been sent before a pause could end the probing after it.
-func TestSilenceIsChargedOnce(t *testing.T) {
+// Guards against a request without an answer being charged to its executor twice: when the default
+// deadline had passed, and again when the request ended. Three such requests in a row then ejected
+// an executor, although five are required, and a request that was sent before an ejection could end
+// the probing after it.
+func TestMissingAnswerIsChargedOnce(t *testing.T) {
 	cases := map[string]struct {
 		requests int
 		healthy  bool
 	}{
-		"one less than ejects": {4, true},
-		"enough":               {5, false},
+		"one below the threshold": {4, true},
+		"at the threshold":        {5, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t, 1, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 				defer b.stop()
 				b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
-				is.Equal(len(b.wave(tc.requests, "crew", time.Second)), tc.requests) // until each is given up
+				is.Equal(len(b.sendConcurrently(tc.requests, "caller-a", time.Second)), tc.requests) // until each has timed out
 				is.Equal(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health == "healthy", tc.healthy)
 			})
 		})
 	}
 }
 
-// An executor that started again at another address stayed ejected for what the process
-// before it had left unanswered, and requests that still waited for that one were charged to
-// it up to 30 s after its start.
-func TestAnotherProcessUnderTheNameStartsSound(t *testing.T) {
+// Guards against an executor that restarted at another address staying ejected for requests that
+// its previous process had left unanswered. Requests still in flight to the previous process were
+// also charged to the new one, up to 30 s after its start.
+func TestReplacedExecutorStartsHealthy(t *testing.T) {
 	cases := map[string]struct {
-		timeout time.Duration // of requests to the process before
-		before  time.Duration // from them to the start of the next one
+		timeout time.Duration // of requests to the previous process
+		before  time.Duration // from these requests to the start of the next process
 	}{
-		"ejected before":           {time.Second, 3 * time.Second},
-		"requests still under way": {10 * time.Second, time.Second},
+		"ejected before the restart": {time.Second, 3 * time.Second},
+		"requests still in flight":   {10 * time.Second, time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t, 1, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 1, hold.Takeover{Fresh: true})
 				defer b.stop()
 				b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 				var wg sync.WaitGroup
 				defer wg.Wait()
-				wg.Go(func() { b.wave(8, "crew", tc.timeout) })
+				wg.Go(func() { b.sendConcurrently(8, "caller-a", tc.timeout) })
 				time.Sleep(tc.before)
-				b.move(0, "executor-0-again")
-				for range 40 { // until all that were sent before are given up
+				b.setAddr(0, "executor-0-again")
+				for range 40 { // until all earlier requests have timed out
 					time.Sleep(time.Second)
 					is.Equal(b.Dump().(dispatch.Dump).Services["ledger"].Executors[0].Health, "healthy")
 				}
@@ -117,10 +118,10 @@
 	}
 }
 
-func TestSlowExecutorIsGivenLess(t *testing.T) {
+func TestSlowExecutorGetsFewerRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 3, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 3, hold.Takeover{Fresh: true})
 		defer b.stop()
 		b.executors.TimeOf = func(addr string) time.Duration {
 			if addr == "executor-0" {
@@ -128,9 +129,9 @@
 			}
 			return 10 * time.Millisecond
 		}
-		b.steady(10*time.Second, time.Millisecond)
+		b.sendAtInterval(10*time.Second, time.Millisecond)
 		before := len(b.executors.Runs())
-		b.steady(10*time.Second, time.Millisecond)
+		b.sendAtInterval(10*time.Second, time.Millisecond)
 		is.True(b.ranAt(before)["executor-0"] <= 21) // one slot of eight
 	})
 }
@@ -138,30 +139,30 @@
 func TestFailingZoneDoesNotEjectEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, 6, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 6, hold.Takeover{Fresh: true})
 		defer b.stop()
-		var cut sync.Map
+		var unreachable sync.Map
 		b.executors.FaultOf = func(addr string, _ executor.Request) requesttest.Fault {
-			if _, ok := cut.Load(addr); ok {
+			if _, ok := unreachable.Load(addr); ok {
 				return requesttest.Refuse
 			}
 			return requesttest.NoFault
 		}
-		for _, h := range b.list() {
+		for _, h := range b.hostList() {
 			if h.Zone != "zone-2" {
-				cut.Store(h.Addr, true)
+				unreachable.Store(h.Addr, true)
 			}
 		}
-		b.steady(5*time.Second, 5*time.Millisecond)
+		b.sendAtInterval(5*time.Second, 5*time.Millisecond)
 		before := len(b.executors.Runs())
-		failed := b.steady(10*time.Second, 5*time.Millisecond)
+		failed := b.sendAtInterval(10*time.Second, 5*time.Millisecond)
 		is.Equal(len(b.executors.Runs())-before+failed, 2000)
 		is.True(failed < 100)
-		for _, h := range b.list() {
-			cut.Store(h.Addr, true)
+		for _, h := range b.hostList() {
+			unreachable.Store(h.Addr, true)
 		}
-		b.steady(10*time.Second, 5*time.Millisecond)
-		cut.Clear()
-		is.Equal(b.steady(time.Second, 100*time.Millisecond), 0) // half are still in use
+		b.sendAtInterval(10*time.Second, 5*time.Millisecond)
+		unreachable.Clear()
+		is.Equal(b.sendAtInterval(time.Second, 100*time.Millisecond), 0) // half are still in use
 	})
 }
--- a/internal/dispatch/remote.go
+++ b/internal/dispatch/remote.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// remote is another holder as this process knows it.
+// remote is another holder as this process sees it.
 type remote struct {
-	told Remote // its last heartbeat
-	// free is the number of free slots by service: from its last heartbeat or
-	// answer, less what was sent since.
+	reported Remote // from its last heartbeat
+	// free is the number of free slots by service, from the holder's last heartbeat or answer, less
+	// what was sent since.
 	free map[string]int
-	// probedAt is when free was last set to one to try the holder again.
+	// probedAt is when free was last set to one to probe the holder again.
 	probedAt map[string]time.Time
 }
 
-// probeEvery is how often a holder that was last known to be full is tried
-// with one request, while requests wait here.
-const probeEvery = 50 * time.Millisecond
+// remoteProbeInterval is how often a holder that was last known to be full is probed with one
+// request, while requests are queued here.
+const remoteProbeInterval = 50 * time.Millisecond
 
-// take makes a grant for one request to the holder.
-func (r *remote) take(service string) grant {
+// acquireSlot returns a grant for one request to the holder.
+func (r *remote) acquireSlot(service string) grant {
 	r.free[service]--
 	return grant{remote: r}
 }
 
-// hear applies what the other holders last told. What is older than their
-// answers to this process changes nothing.
-func (d *Dispatcher) hear(told []Remote, now time.Time) {
-	present := make(map[string]*remote, len(told))
-	for _, t := range told {
+// applyRemotes applies what the other holders last reported. A report that has not changed is older
+// than their answers to this process and changes nothing.
+func (d *Dispatcher) applyRemotes(reported []Remote, now time.Time) {
+	present := make(map[string]*remote, len(reported))
+	for _, t := range reported {
 		r := d.remotes[t.Name]
-		if r == nil || r.told.Addr != t.Addr || !maps.Equal(r.told.Free, t.Free) {
-			r = &remote{told: t, free: map[string]int{}, probedAt: map[string]time.Time{}}
+		if r == nil || r.reported.Addr != t.Addr || !maps.Equal(r.reported.Free, t.Free) {
+			r = &remote{reported: t, free: map[string]int{}, probedAt: map[string]time.Time{}}
 			maps.Copy(r.free, t.Free)
 		}
 		for service := range t.Free {
 			if values, ok := d.cfg.Settings(service); ok {
-				d.pool(service, values) // so that it is known to be served
+				d.pool(service, values) // creates the pool, so that the service counts as served
 			}
 		}
 		for service := range d.pools {
@@ -48,9 +48,9 @@
 	d.remotes = present
 }
 
-// probe lets one request try a holder that was full, or had no executors.
+// probe allows one request to a holder that was full, or had no executors.
 func (r *remote) probe(service string, now time.Time) {
-	if r.free[service] > 0 || now.Sub(r.probedAt[service]) < probeEvery {
+	if r.free[service] > 0 || now.Sub(r.probedAt[service]) < remoteProbeInterval {
 		return
 	}
 	r.free[service] = 1
@@ -69,31 +69,31 @@
 	return best
 }
 
-// learnForward notes what a forwarded request took, and the holder's free slots.
-func (d *Dispatcher) learnForward(p *pool, r *remote, free int, took time.Duration) {
+// recordForward records the time that a forwarded request took, and the holder's free slots.
+func (d *Dispatcher) recordForward(p *pool, r *remote, free int, took time.Duration) {
 	d.mu.Lock()
-	p.learnTime(took)
+	p.recordServiceTime(took)
 	if p.queue.Len() > 0 {
-		p.learnGap(time.Now())
+		p.recordForwardGap(time.Now())
 	}
 	d.mu.Unlock()
-	d.learnFree(p, r, free)
+	d.setRemoteFree(p, r, free)
 }
 
-// learnFree notes a holder's free slots from its answer and uses them.
-func (d *Dispatcher) learnFree(p *pool, r *remote, free int) {
+// setRemoteFree records a holder's free slots from its answer and forwards queued requests to them.
+func (d *Dispatcher) setRemoteFree(p *pool, r *remote, free int) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r.free[p.service] = free
-	d.pumpRemote(p, now)
+	d.forwardQueued(p, now)
 }
 
-// returnRemote gives back an unused grant of another holder's slot.
-func (d *Dispatcher) returnRemote(p *pool, r *remote) {
+// returnRemoteSlot returns an unused grant for another holder.
+func (d *Dispatcher) returnRemoteSlot(p *pool, r *remote) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r.free[p.service]++
-	d.pumpRemote(p, now)
+	d.forwardQueued(p, now)
 }
--- a/internal/dispatch/resident.go
+++ b/internal/dispatch/resident.go
@@ -11,53 +11,54 @@
 	"pulleyquay/internal/settings"
 )
 
-// heldPartition is a partition whose executors are used from here.
+// heldPartition is a partition whose executors this process dispatches to.
 type heldPartition struct {
-	takenAt time.Time
-	// unordered: the previous holder may still have requests in flight.
-	unordered bool
-	// busyUntil names executors with slots that a signed-off holder could not
-	// free, and how much longer they may be busy.
+	acquiredAt time.Time
+	// unclean: the previous holder may still have requests in flight, as it did not hand over or
+	// its state can not be read.
+	unclean bool
+	// busyUntil gives, by executor, until when slots that the previous holder could not free at the
+	// handover may be busy.
 	busyUntil map[string]time.Time
-	// leaving gives the addresses of executors that have signalled to the
-	// previous holder that they are leaving.
+	// leaving gives the addresses of executors that signalled to the previous holder that they are
+	// leaving.
 	leaving   map[string]string
 	releasing bool
 }
 
-// usableAt is when an executor of the partition may get its first request.
+// usableAt is the time from which an executor of the partition may receive requests.
 func (h *heldPartition) usableAt(name string, values settings.Values) time.Time {
-	if h.unordered {
-		return h.takenAt.Add(maxDeadline(values))
+	if h.unclean {
+		return h.acquiredAt.Add(maxDeadline(values))
 	}
 	return h.busyUntil[name]
 }
 
-// handOver is the state passed to the next holder.
-type handOver struct {
+// handoverState is the state passed to the next holder.
+type handoverState struct {
 	// Busy gives, by executor, how long a slot may still be busy.
 	Busy map[string]time.Duration `cbor:"1,keyasint"`
-	// Leaving gives the address of each executor that signalled leaving.
+	// Leaving gives the address of each executor that signalled that it is leaving.
 	Leaving map[string]string `cbor:"2,keyasint,omitempty"`
 }
 
 // Name implements hold.Resident.
 func (d *Dispatcher) Name() string { return "executors" }
 
-// Acquire implements hold.Resident. It returns at once; executors whose
-// previous holder did not sign off are used after its longest dispatch.
+// Acquire implements hold.Resident. It returns at once; after a failover, executors get no requests
+// until the previous holder's longest dispatch is certainly over.
 func (d *Dispatcher) Acquire(_ context.Context, t hold.Takeover) error {
 	now := time.Now()
-	part := &heldPartition{takenAt: now, unordered: !t.Fresh && !t.SignedOff}
+	part := &heldPartition{acquiredAt: now, unclean: !t.Fresh && !t.SignedOff}
 	if t.SignedOff {
-		var state handOver
+		var state handoverState
 		if err := cbor.Unmarshal(t.State, &state); err != nil {
-			part.unordered = true
+			part.unclean = true
 		}
 		part.leaving = state.Leaving
 		part.busyUntil = make(map[string]time.Time, len(state.Busy))
-		for name, left := range state.Busy {
-			part.busyUntil[name] = now.Add(left)
+		for name, remaining := range state.Busy {
+			part.busyUntil[name] = now.Add(remaining)
 		}
 	}
 	d.mu.Lock()
@@ -67,11 +68,11 @@
 	return nil
 }
 
-// releasePoll is how often a release looks whether its executors are idle.
-const releasePoll = 5 * time.Millisecond
+// releasePollInterval is how often a release checks whether its executors are idle.
+const releasePollInterval = 5 * time.Millisecond
 
-// Release implements hold.Resident. It waits until the partition's executors
-// are idle; when ctx ends first, the state tells how long they may be busy.
+// Release implements hold.Resident. It waits until the partition's executors are idle; when ctx
+// ends first, the state tells the next holder how long they may be busy.
 func (d *Dispatcher) Release(ctx context.Context, partition int) ([]byte, error) {
 	d.mu.Lock()
 	part := d.parts[partition]
@@ -82,16 +83,16 @@
 	part.releasing = true
 	d.setUnlisted(partition)
 	d.mu.Unlock()
-	tick := time.NewTicker(releasePoll)
+	tick := time.NewTicker(releasePollInterval)
 	defer tick.Stop()
 	for d.inFlight(partition) > 0 {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return d.packAndForget(partition)
+			return d.finishRelease(partition)
 		}
 	}
-	return d.packAndForget(partition)
+	return d.finishRelease(partition)
 }
 
 // Drop implements hold.Resident.
@@ -100,10 +101,10 @@
 	defer d.mu.Unlock()
 	d.setUnlisted(partition)
 	delete(d.parts, partition)
-	d.forgetIdle(partition)
+	d.removeIdle(partition)
 }
 
-// setUnlisted stops new requests to a partition's executors.
+// setUnlisted stops new requests to a partition's executors. The caller holds the lock.
 func (d *Dispatcher) setUnlisted(partition int) {
 	for _, p := range d.pools {
 		for _, e := range p.endpoints {
@@ -111,7 +112,7 @@
 				e.listed = false
 			}
 		}
-		p.countHealthy()
+		p.updateHealthyCount()
 	}
 }
 
@@ -130,38 +131,38 @@
 	return n
 }
 
-// packAndForget returns the state for the next holder and lets go.
-func (d *Dispatcher) packAndForget(partition int) ([]byte, error) {
+// finishRelease returns the state for the next holder and drops the partition.
+func (d *Dispatcher) finishRelease(partition int) ([]byte, error) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	state := handOver{Busy: map[string]time.Duration{}, Leaving: map[string]string{}}
+	state := handoverState{Busy: map[string]time.Duration{}, Leaving: map[string]string{}}
 	for service, p := range d.pools {
 		values, _ := d.cfg.Settings(service)
 		for name, e := range p.endpoints {
 			if e.partition != partition {
 				continue
 			}
-			if e.signedLeaving {
+			if e.leavingSignalled {
 				state.Leaving[name] = e.host.Addr
 			}
-			left := e.usableAt.Sub(now)
+			remaining := e.usableAt.Sub(now)
 			if e.busy > 0 {
-				left = max(left, maxDeadline(values))
+				remaining = max(remaining, maxDeadline(values))
 			}
-			if left > 0 {
-				state.Busy[name] = left
+			if remaining > 0 {
+				state.Busy[name] = remaining
 			}
 		}
 	}
 	delete(d.parts, partition)
-	d.forgetIdle(partition)
+	d.removeIdle(partition)
 	return cbor.Marshal(state)
 }
 
-// forgetIdle removes a partition's idle endpoints; busy ones go when a refresh
-// finds them idle.
-func (d *Dispatcher) forgetIdle(partition int) {
+// removeIdle removes a partition's idle endpoints; a refresh removes the busy ones once they are
+// idle.
+func (d *Dispatcher) removeIdle(partition int) {
 	for _, p := range d.pools {
 		for name, e := range p.endpoints {
 			if e.partition == partition && e.busy == 0 {
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -17,18 +17,17 @@
 	"pulleyquay/internal/settings"
 )
 
-// TimeoutHeader carries a deadline in milliseconds from now: from callers to
-// entries, and to executors what is left of it.
+// TimeoutHeader carries a deadline in milliseconds from now: from callers to entries, and the
+// remaining time to executors.
 const TimeoutHeader = "Request-Timeout-Ms"
 
-// maxAttempts bounds how often one request is tried, whatever its kind.
+// maxAttempts bounds the attempts of one request, whether or not it is idempotent.
 const maxAttempts = 3
 
-// Do sends a request to an executor and returns its answer or a *result.Error.
-// While the request waits, the end of ctx cancels it. Once it has been sent,
-// Do returns when the executor has answered or failed, or when the service's
-// longest deadline is over, whatever becomes of ctx: the answer is then known
-// for the caller's retry.
+// Do sends a request to an executor and returns its answer or a *result.Error. While the request is
+// queued, the end of ctx cancels it. Once it has been sent, Do ignores ctx and returns when the
+// executor has answered or failed, or when the service's longest deadline is over: the answer is
+// then available to the caller's retry.
 func (d *Dispatcher) Do(ctx context.Context, w Work) (executor.Answer, error) {
 	values, ok := d.cfg.Settings(w.Service)
 	if !ok {
@@ -41,18 +40,18 @@
 	return d.attempts(ctx, p, w, values)
 }
 
-// attempts repeats a request while it may be repeated.
+// attempts sends a request, and repeats it while that is allowed.
 func (d *Dispatcher) attempts(ctx context.Context, p *pool, w Work, values settings.Values) (executor.Answer, error) {
 	ran := result.RanNo
-	var back *waiting
+	var requeued *queuedRequest
 	for attempt := 1; ; attempt++ {
-		g, it, err := d.acquire(ctx, p, w, back)
+		g, it, err := d.acquire(ctx, p, w, requeued)
 		if err != nil {
-			return executor.Answer{}, withRan(err, ran)
+			return executor.Answer{}, weakenRan(err, ran)
 		}
 		if w.Begin != nil && !w.Begin() {
-			d.giveBack(p, g)
-			return executor.Answer{}, withRan(callerGone(), ran)
+			d.returnGrant(p, g)
+			return executor.Answer{}, weakenRan(callerGoneError(), ran)
 		}
 		answer, err := d.send(p, g, w, values)
 		if err == nil {
@@ -63,15 +62,16 @@
 		} else if ran == result.RanNo && w.Unsent != nil {
 			w.Unsent()
 		}
-		back = it
-		if !d.again(ctx, p, w, err, attempt) {
-			return executor.Answer{}, withRan(err, ran)
+		requeued = it
+		if !d.retryAllowed(ctx, p, w, err, attempt) {
+			return executor.Answer{}, weakenRan(err, ran)
 		}
 	}
 }
 
-// withRan weakens a promise that an earlier attempt has broken.
-func withRan(err *result.Error, ran result.Ran) *result.Error {
+// weakenRan replaces the error's Ran where an earlier attempt may have run, so that it no longer
+// states that nothing ran.
+func weakenRan(err *result.Error, ran result.Ran) *result.Error {
 	if ran == result.RanNo || err.Ran == result.RanYes {
 		return err
 	}
@@ -80,18 +80,18 @@
 	return &weaker
 }
 
-// again decides about another attempt and waits the jitter before it.
-func (d *Dispatcher) again(ctx context.Context, p *pool, w Work, err *result.Error, attempt int) bool {
+// retryAllowed decides whether to make another attempt, and sleeps the backoff before it.
+func (d *Dispatcher) retryAllowed(ctx context.Context, p *pool, w Work, err *result.Error, attempt int) bool {
 	if err.Code == result.NoFreeSlot {
-		return ctx.Err() == nil // only the hint was wrong
+		return ctx.Err() == nil // only the hint of free slots was wrong
 	}
 	if attempt >= maxAttempts || (err.Ran != result.RanNo && !w.Idempotent) {
 		return false
 	}
-	return p.budget.Spend() && sleepJitter(ctx, attempt)
+	return p.budget.Spend() && sleepBackoff(ctx, attempt)
 }
 
-// send uses a grant.
+// send sends the request to the grant's endpoint or holder.
 func (d *Dispatcher) send(p *pool, g grant, w Work, values settings.Values) (executor.Answer, *result.Error) {
 	if g.remote != nil {
 		return d.forward(p, g.remote, w, values)
@@ -99,22 +99,22 @@
 	return d.call(p, g, w, values)
 }
 
-// call sends the request to an executor held here and frees its slot when the
-// executor has surely ended the work.
+// call sends the request to an executor held here and frees its slot when the executor has
+// certainly ended the work.
 func (d *Dispatcher) call(p *pool, g grant, w Work, values settings.Values) (executor.Answer, *result.Error) {
 	e, host := g.endpoint, g.host
 	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline(values))
 	defer cancel()
 	req := withTimeout(w)
 	if _, err := d.cfg.Right.Check(e.partition); err != nil {
-		d.block(p, e)
+		d.blockEndpoint(p, e)
 		return executor.Answer{}, result.New(result.NoFreeSlot, result.RanNo, "%v", err)
 	}
 	start := time.Now()
-	watch := time.AfterFunc(patience(w, values), func() { d.overdue(p, e, host) })
+	overdueTimer := time.AfterFunc(overdueAfter(w, values), func() { d.recordOverdue(p, e, host) })
 	answer, err := d.cfg.Client.Do(ctx, host.Addr, req, values.Request.MaxAnswerBytes)
-	charged := !watch.Stop()
-	d.record(p, e, host, outcome{answer: answer, err: err, took: time.Since(start), charged: charged})
+	timeoutCharged := !overdueTimer.Stop()
+	d.record(p, e, host, outcome{answer: answer, err: err, took: time.Since(start), timeoutCharged: timeoutCharged})
 	if err == nil {
 		d.release(p, e)
 		return answer, nil
@@ -134,122 +134,123 @@
 	return executor.Answer{}, result.New(result.ExecutorLost, result.RanUnknown, "%s: %v", host.Name, err)
 }
 
-// block takes an endpoint out of use until the next refresh.
-func (d *Dispatcher) block(p *pool, e *endpoint) {
+// blockEndpoint excludes an endpoint until the next refresh, and frees its slot.
+func (d *Dispatcher) blockEndpoint(p *pool, e *endpoint) {
 	d.mu.Lock()
-	e.blocked = true
+	e.authorityLost = true
 	d.mu.Unlock()
 	d.release(p, e)
 }
 
-// outcome is how a request ended at its executor.
+// outcome is the outcome of a request at its executor.
 type outcome struct {
 	answer executor.Answer
 	err    error
 	took   time.Duration
-	// charged is true when the executor was charged with its silence before the end.
-	charged bool
+	// timeoutCharged is set when the executor was already charged with a failure for not answering
+	// in time.
+	timeoutCharged bool
 }
 
-// record learns from a request's outcome at a host.
+// record updates metrics, health and service time from a request's outcome at a host.
 func (d *Dispatcher) record(p *pool, e *endpoint, host *platform.Host, o outcome) {
 	d.metrics.dispatched.WithLabelValues(p.service, outcomeLabel(o.err)).Inc()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if e.movedFrom(host) {
+	if e.addrChanged(host) {
 		return
 	}
-	if o.answer.Leaving && !e.signedLeaving {
-		e.signedLeaving = true
+	if o.answer.Leaving && !e.leavingSignalled {
+		e.leavingSignalled = true
 		d.cfg.Log.WithField("executor", e.host.Name).Info("executor signals that it is leaving")
 	}
 	switch {
 	case errors.Is(o.err, executor.ErrAnswerTooLarge):
-		return // the request's doing
-	case o.failed() && o.charged:
-		return // once a request
+		return // caused by the request, not by the executor
+	case o.failed() && o.timeoutCharged:
+		return // a request is charged once
 	case o.err != nil:
-		d.failed(p, e, faultSilent)
+		d.failed(p, e, faultNoAnswer)
 		return
 	case o.failed():
 		d.failed(p, e, faultStatus)
 		return
 	}
 	if e.health.succeeded(o.took) {
-		p.countHealthy()
-		d.cfg.Log.WithField("executor", e.host.Name).Info("executor back in use")
+		p.updateHealthyCount()
+		d.cfg.Log.WithField("executor", e.host.Name).Info("executor recovered; no longer ejected")
 	}
-	p.learnTime(o.took)
+	p.recordServiceTime(o.took)
 }
 
-// failed reports whether the executor is to be charged with the outcome.
+// failed reports whether the executor is charged with the outcome.
 func (o *outcome) failed() bool {
 	return o.err != nil || o.answer.Status >= http.StatusInternalServerError
 }
 
 // failed counts a failure against an endpoint. The caller holds the lock.
 func (d *Dispatcher) failed(p *pool, e *endpoint, f fault) {
-	if e.health.failed(time.Now(), f, p.othersFailing(e)) {
-		p.countHealthy()
+	if e.health.failed(time.Now(), f, p.meanFailureRateExcept(e)) {
+		p.updateHealthyCount()
 		d.metrics.ejections.WithLabelValues(p.service).Inc()
-		d.cfg.Log.WithFields(logrus.Fields{"executor": e.host.Name, "until": e.health.until}).
+		d.cfg.Log.WithFields(logrus.Fields{"executor": e.host.Name, "until": e.health.ejectedUntil}).
 			Warn("executor ejected for failures")
 	}
 }
 
-// patience is how long an executor may take before it counts as failing: to the
-// request's deadline, but no less than the service's usual one, or callers in a
-// hurry would make sound executors look bad.
-func patience(w Work, values settings.Values) time.Duration {
+// overdueAfter is how long an executor may take before the request counts as a failure: to the
+// request's deadline, but no less than the service's default one, as callers with short deadlines
+// would make healthy executors look bad.
+func overdueAfter(w Work, values settings.Values) time.Duration {
 	usual := time.Duration(values.Request.DefaultDeadlineMS) * time.Millisecond
 	return max(time.Until(w.Deadline), usual)
 }
 
-// overdue counts a request without an answer as a failure, while the executor
-// may still answer.
-func (d *Dispatcher) overdue(p *pool, e *endpoint, host *platform.Host) {
+// recordOverdue counts a request without an answer as a failure, while the executor may still
+// answer.
+func (d *Dispatcher) recordOverdue(p *pool, e *endpoint, host *platform.Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !e.movedFrom(host) {
-		d.failed(p, e, faultSilent)
+	if !e.addrChanged(host) {
+		d.failed(p, e, faultNoAnswer)
 	}
 }
 
-// forwardMargin is how much longer a home waits for another holder than that
-// holder waits for its executor, so that the holder's word comes first.
+// forwardMargin is how much longer a process waits for another holder than that holder waits for
+// its executor, so that the holder's answer arrives first.
 const forwardMargin = 500 * time.Millisecond
 
-// forward asks another holder to dispatch.
+// forward asks another holder to dispatch the request.
 func (d *Dispatcher) forward(p *pool, r *remote, w Work, values settings.Values) (executor.Answer, *result.Error) {
 	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline(values)+forwardMargin)
 	defer cancel()
 	msg := requestmsg.Dispatch{Service: w.Service, Timeout: time.Until(w.Deadline), Request: w.Request}
 	var reply requestmsg.DispatchReply
 	start := time.Now()
-	err := d.cfg.Peers.Call(ctx, r.told.Addr, peer.KindDispatch, msg, &reply)
+	err := d.cfg.Peers.Call(ctx, r.reported.Addr, peer.KindDispatch, msg, &reply)
 	if err == nil {
-		d.learnForward(p, r, reply.Free, time.Since(start))
+		d.recordForward(p, r, reply.Free, time.Since(start))
 		return reply.Answer, nil
 	}
-	d.learnFree(p, r, 0)
+	d.setRemoteFree(p, r, 0)
 	e := result.From(err)
 	switch e.Code {
 	case result.PeerNotReached:
-		return executor.Answer{}, result.New(result.NoFreeSlot, result.RanNo, "%s: %s", r.told.Name, e.Detail)
+		return executor.Answer{}, result.New(result.NoFreeSlot, result.RanNo, "%s: %s", r.reported.Name, e.Detail)
 	case result.PeerLost:
-		return executor.Answer{}, result.New(result.ExecutorLost, result.RanUnknown, "%s: %s", r.told.Name, e.Detail)
+		return executor.Answer{}, result.New(result.ExecutorLost, result.RanUnknown, "%s: %s", r.reported.Name, e.Detail)
 	}
 	return executor.Answer{}, e
 }
 
-// ServeDispatch answers peer.KindDispatch.
+// ServeDispatch handles peer.KindDispatch.
 func (d *Dispatcher) ServeDispatch(_ context.Context, msg requestmsg.Dispatch) (requestmsg.DispatchReply, error) {
 	values, ok := d.cfg.Settings(msg.Service)
 	if !ok {
 		return requestmsg.DispatchReply{}, result.New(result.UnknownService, result.RanNo, "service %q", msg.Service)
 	}
 	now := time.Now()
-	p, g, ok := d.takeHere(msg.Service, values, now)
+	p, g, ok := d.tryAcquireLocal(msg.Service, values, now)
 	if !ok {
 		return requestmsg.DispatchReply{}, result.New(result.NoFreeSlot, result.RanNo, "no free slot for %s", msg.Service)
 	}
@@ -258,11 +259,11 @@
 	if err != nil {
 		return requestmsg.DispatchReply{}, err
 	}
-	return requestmsg.DispatchReply{Answer: answer, Free: d.freeNow(p)}, nil
+	return requestmsg.DispatchReply{Answer: answer, Free: d.countFreeSlots(p)}, nil
 }
 
-// takeHere takes a free slot of an executor held here, when nobody waits.
-func (d *Dispatcher) takeHere(service string, values settings.Values, now time.Time) (*pool, grant, bool) {
+// tryAcquireLocal takes a free slot of an executor held here, unless requests are queued.
+func (d *Dispatcher) tryAcquireLocal(service string, values settings.Values, now time.Time) (*pool, grant, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p := d.pool(service, values)
@@ -273,10 +274,10 @@
 	if e == nil {
 		return p, grant{}, false
 	}
-	return p, e.take(), true
+	return p, e.acquireSlot(), true
 }
 
-// withTimeout returns the request with what is left of its deadline.
+// withTimeout returns the request with the remaining time until its deadline in its header.
 func withTimeout(w Work) executor.Request {
 	req := w.Request
 	header := make(http.Header, len(req.Header)+1)
--- /dev/null
+++ b/internal/hostcall/poll.go
@@ -0,0 +1,121 @@
+package hostcall
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"pulleyquay/internal/host"
+	"pulleyquay/internal/wait"
+)
+
+// Timeouts and intervals of polls.
+const (
+	// pollSlack is the time that the answer to a poll may take in addition to the time that the
+	// host may hold it.
+	pollSlack = 500 * time.Millisecond
+	// lossyPollWait and lossyPollSlack replace the wait and the slack while answers of hosts are
+	// lost: the end of a task is received only with the next poll.
+	lossyPollWait  = 400 * time.Millisecond
+	lossyPollSlack = 250 * time.Millisecond
+	// repollSpread is the time, for each poll in flight, over which repeated polls are spread.
+	repollSpread = time.Millisecond
+	// lossyPeriod is how long after a lost answer more losses are expected.
+	lossyPeriod = 3 * time.Second
+	// repollInterval is the least time between two repetitions of all polls in flight.
+	repollInterval = 1500 * time.Millisecond
+)
+
+// maxRepeatHosts is the number of hosts up to which a process repeats orders, and polls more often,
+// when answers are lost. A process that calls more hosts has no processor time to spare for that:
+// answers that are late after a burst would be taken for lost, and the repeated calls would keep
+// them late.
+const maxRepeatHosts = 128
+
+// mayRepeat reports whether this process has processor time for additional calls while answers are
+// lost.
+func (c *Caller) mayRepeat() bool {
+	return !c.busy() && c.called.size() <= maxRepeatHosts
+}
+
+// lossTracker tracks whether answers of hosts were lost recently. It is safe for concurrent use.
+type lossTracker struct {
+	mu         sync.Mutex
+	lastLoss   time.Time     // when an answer was last lost
+	repolledAt time.Time     // when the polls in flight were last cancelled
+	repoll     chan struct{} // closed to cancel the polls in flight
+}
+
+func newLossTracker() *lossTracker { return &lossTracker{repoll: make(chan struct{})} }
+
+// record records that an answer was lost. The answers to polls in flight may be lost too, so these
+// polls are repeated.
+func (l *lossTracker) record(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastLoss = now
+	if now.Sub(l.repolledAt) < repollInterval {
+		return
+	}
+	l.repolledAt = now
+	close(l.repoll)
+	l.repoll = make(chan struct{})
+}
+
+// recentLoss reports whether answers were lost recently, and returns the channel that is closed
+// when polls are to be repeated.
+func (l *lossTracker) recentLoss(now time.Time) (bool, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return now.Sub(l.lastLoss) < lossyPeriod, l.repoll
+}
+
+// Look implements host.Client. It polls again over a new connection when the open ones may have
+// become silent, or answers are lost.
+func (c *Caller) Look(ctx context.Context, to host.Info, epoch uint64, l host.Look) (host.View, error) {
+	inFlight := time.Duration(c.pollsInFlight.Add(1))
+	defer c.pollsInFlight.Add(-1)
+	for {
+		started := time.Now()
+		c.called.record(to.ID, started)
+		view, retry, err := c.pollOnce(ctx, to, epoch, l, started)
+		if retry && wait.Jittered(ctx, inFlight*repollSpread) {
+			continue
+		}
+		c.metrics.called("look", started, host.Reply{}, err)
+		return view, err
+	}
+}
+
+// pollOnce polls once. It reports whether the poll was cancelled to be repeated.
+func (c *Caller) pollOnce(ctx context.Context, to host.Info, epoch uint64, l host.Look, now time.Time) (view host.View, retry bool, err error) {
+	slack := pollSlack
+	lossy, repoll := c.lossTracker.recentLoss(now)
+	if lossy && c.mayRepeat() {
+		l.Wait = min(l.Wait, lossyPollWait)
+		slack = lossyPollSlack
+	}
+	renewed := c.health.Renewed()
+	ctx, cancel := context.WithTimeout(ctx, l.Wait+slack)
+	defer cancel()
+	go func() {
+		select {
+		case <-renewed:
+			cancel()
+		case <-repoll:
+			cancel()
+		case <-ctx.Done():
+		}
+	}()
+	view, err = c.hosts.Look(ctx, to, epoch, l)
+	return view, err != nil && (isClosed(renewed) || isClosed(repoll)), err
+}
+
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
--- a/internal/linkshard/assign.go
+++ b/internal/linkshard/assign.go
@@ -11,92 +11,93 @@
 	"pulleyquay/internal/host"
 )
 
-// Member is a member that can be a shard, with what it has.
+// Member is a member that can be a shard, with its resources.
 type Member struct {
 	Name string
 	Addr string
 	Zone string // availability zone
-	// Cores is its processor time in cores, LinkMbps what its link carries; zero stands
-	// for a link that does not bind.
+	// Cores is its processor time in cores, LinkMbps the throughput of its link. Zero LinkMbps
+	// means that the link is not a limit.
 	Cores    float64
 	LinkMbps float64
 }
 
-// What a host in use costs whoever calls it, at its usual starts: two requests for each.
+// Resources that calls to a host in use take at the usual rate of starts: two requests for each
+// start.
 const (
-	hostCores = 0.0005
-	hostMbps  = 0.036
+	coresPerHost = 0.0005
+	mbpsPerHost  = 0.036
 )
 
-// carries is how many hosts a member could call with all that it has.
-func (m Member) carries() float64 {
-	hosts := m.Cores / hostCores
+// hostCapacity is how many hosts a member could call with all of its resources.
+func (m Member) hostCapacity() float64 {
+	hosts := m.Cores / coresPerHost
 	if m.LinkMbps > 0 {
-		hosts = min(hosts, m.LinkMbps/hostMbps)
+		hosts = min(hosts, m.LinkMbps/mbpsPerHost)
 	}
 	return hosts
 }
 
-// Limits of who calls which hosts.
+// Limits for the selection of shards.
 const (
-	// ownShare is the part of what a member has that calls to hosts may take: the rest
-	// is for its callers, for a holder's decisions, and for bursts.
-	ownShare = 0.2
-	// strongShare is how much a member has to carry, of what the strongest carries, to
-	// be a shard: batches to many weak ones would cost the holder more than they save.
-	strongShare = 0.5
-	// spareRoom is how many times the hosts the shards together can carry in their own
-	// shares, so that the loss of some leaves enough.
-	spareRoom = 2
+	// callShare is the part of a member's resources that calls to hosts may take: the rest is for
+	// its callers, for a holder's decisions, and for bursts.
+	callShare = 0.2
+	// minRelativeCapacity is the least capacity of a shard relative to the member with the largest:
+	// batches to many small members would cost the holder more than they save.
+	minRelativeCapacity = 0.5
+	// capacityFactor is the total capacity of the shards, within their call shares, as a multiple
+	// of the hosts, so that enough remains when some fail.
+	capacityFactor = 2
 )
 
-// Spread chooses the members that call a partition's hosts for its holder; none where
-// the holder can well call them itself. It takes the strongest, as many from each
-// availability zone as from the others, and no more than are needed: the fewer there
+// SelectShards chooses the members that call a partition's hosts for its holder; none where the
+// holder has the capacity to call them itself. It takes the members with the largest capacity, as
+// many from each availability zone as from the others, and no more than are needed: the fewer there
 // are, the more calls go in one batch.
-func Spread(members []Member, self string, hosts int) []Member {
-	strongest, own := 0.0, 0.0
+func SelectShards(members []Member, self string, hosts int) []Member {
+	maxCapacity, selfCapacity := 0.0, 0.0
 	var others []Member
 	for _, m := range members {
 		if m.Name == self {
-			own = m.carries()
+			selfCapacity = m.hostCapacity()
 			continue
 		}
-		strongest = max(strongest, m.carries())
+		maxCapacity = max(maxCapacity, m.hostCapacity())
 		others = append(others, m)
 	}
-	if float64(hosts) <= ownShare*own {
+	if float64(hosts) <= callShare*selfCapacity {
 		return nil
 	}
 	slices.SortFunc(others, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(b.carries(), a.carries()), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.hostCapacity(), a.hostCapacity()), cmp.Compare(a.Name, b.Name))
 	})
 	var out []Member
-	room := 0.0
-	for _, m := range interleaved(others) {
-		if room >= spareRoom*float64(hosts) {
+	capacity := 0.0
+	for _, m := range interleaveZones(others) {
+		if capacity >= capacityFactor*float64(hosts) {
 			break
 		}
-		if m.carries() >= strongShare*strongest {
+		if m.hostCapacity() >= minRelativeCapacity*maxCapacity {
 			out = append(out, m)
-			room += ownShare * m.carries()
+			capacity += callShare * m.hostCapacity()
 		}
 	}
 	return out
 }
 
-// interleaved takes the first of each availability zone, then the second of each, and
-// so on.
-func interleaved(members []Member) []Member {
+// interleaveZones orders members as the first of each availability zone, then the second of each,
+// and so on.
+func interleaveZones(members []Member) []Member {
 	type ranked struct {
 		Member
-		rank int // in its zone
+		rank int // within its zone
 	}
-	seen := map[string]int{}
+	zoneCount := map[string]int{}
 	all := make([]ranked, 0, len(members))
 	for _, m := range members {
-		all = append(all, ranked{m, seen[m.Zone]})
-		seen[m.Zone]++
+		all = append(all, ranked{m, zoneCount[m.Zone]})
+		zoneCount[m.Zone]++
 	}
 	slices.SortStableFunc(all, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
 	out := make([]Member, 0, len(all))
@@ -106,16 +107,16 @@
 	return out
 }
 
-// spreader chooses the shard that calls a host: one of the host's availability zone if
-// there is one, and another one for a host that was not reached. A shard that comes or
-// goes moves its own hosts only.
-type spreader struct {
+// shardSelector chooses the shard that calls a host: one in the host's availability zone if there
+// is one, and another one for a host that was not reached. Adding or removing a shard moves only
+// that shard's hosts.
+type shardSelector struct {
 	all    *rendezvous.Rendezvous
 	byZone map[string]*rendezvous.Rendezvous
 }
 
-func newSpreader(shards []Member) *spreader {
-	s := &spreader{byZone: map[string]*rendezvous.Rendezvous{}, all: rendezvous.New(nil, hash)}
+func newShardSelector(shards []Member) *shardSelector {
+	s := &shardSelector{byZone: map[string]*rendezvous.Rendezvous{}, all: rendezvous.New(nil, hash)}
 	for _, m := range shards {
 		s.all.Add(m.Name)
 		zone := s.byZone[m.Zone]
@@ -128,17 +129,17 @@
 	return s
 }
 
-// shardOf returns the name of the shard that calls a host. Passed is how many times in a
-// row the host was not reached through the ones before.
-func (s *spreader) shardOf(id host.ID, zone string, passed int) string {
-	if near := s.byZone[zone]; near != nil && passed == 0 {
-		return near.Lookup(string(id))
+// shardOf returns the name of the shard that calls a host. failedRoutes is how many times the host
+// was not reached through earlier shards.
+func (s *shardSelector) shardOf(id host.ID, zone string, failedRoutes int) string {
+	if sameZone := s.byZone[zone]; sameZone != nil && failedRoutes == 0 {
+		return sameZone.Lookup(string(id))
 	}
-	return s.all.Lookup(string(id) + "/" + strconv.Itoa(passed))
+	return s.all.Lookup(string(id) + "/" + strconv.Itoa(failedRoutes))
 }
 
 func hash(s string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(s)) // a hash takes everything
+	_, _ = h.Write([]byte(s)) // a hash never returns an error
 	return h.Sum64()
 }
