--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -36,10 +36,10 @@
 	on      *hostState
 	size    spec.Resources
 	state   runState
-	// A run with unwanted set is to be stopped; stopSent is when the stop was last sent.
+	// A run with unwanted set is to be stopped; stopSentAt is when the stop was last sent.
 	unwanted     bool
 	stopSent     time.Time
-	stopping     bool // a stop call is in flight
+	stopping     bool // the answer to a stop call is to come
 	resumed      bool // started from a checkpoint
 	adopted      bool // started by a previous holder
 	suspect      bool // hosts have crashed under its task
@@ -90,7 +90,7 @@
 
 	strange []int64 // numbers of orphan ends (of unknown jobs), which the host has to keep
 
-	looking           bool      // a poll is in flight
+	looking           bool      // a poll other than a probe is in flight
 	probe             bool      // an extra poll beside the one in flight is wanted
 	presencePollsFrom time.Time // start of a suspect run from which presence polls are timed, zero when there are none
 	presencePolls     int       // presence polls made since
@@ -129,12 +129,12 @@
 	leavesAt time.Time        // earliest departure of a draining host
 	closed   bool             // cordoned: to be emptied for the maintenance of its machine
 
-	// room is how much of the host's size may be allocated, as last reported by the host; saidAt is the
-	// time of that report.
+	// room is how much of the host's size may be allocated, as last reported by the host; capacityReportedAt is
+	// the time of that report.
 	room   spec.Resources
 	saidAt time.Time
-	// fullSize is the last size refused for lack of capacity, taken as valid until fullUntil; overSince
-	// is since when the runs have exceeded the capacity.
+	// fullSize is the last size refused for lack of capacity, taken as valid until refusedUntil;
+	// overCapacitySince is since when the runs have exceeded the capacity.
 	fullSize  spec.Resources
 	fullUntil time.Time
 	overSince time.Time
@@ -142,7 +142,7 @@
 	startedAt time.Time // when a run was last started there, and of which job
 	startedOf *job
 	suspects  int // runs there whose tasks have crashed hosts
-	// Until quarantineUntil only starts of quarantinedJob are accepted there; see trial.go.
+	// Until quarantineUntil only starts of quarantinedJob are accepted there; see quarantine.go.
 	quarantinedJob  *job
 	quarantineUntil time.Time
 	// accused are the runs lost when the host's lease was over, while it is not known whether the host
--- a/internal/engine/life.go
+++ b/internal/engine/incarnation.go
@@ -41,8 +41,8 @@
 	return e.beginIncarnation(h, v, sent, now)
 }
 
-func (h *hostState) setIncarnation(life host.Life, now time.Time) {
-	h.life, h.incarnationSince = life, now
+func (h *hostState) setIncarnation(incarnation host.Life, now time.Time) {
+	h.life, h.incarnationSince = incarnation, now
 }
 
 // incarnationName names one incarnation of the host, or the host if it does not name its incarnations.
@@ -55,8 +55,8 @@
 
 // isPast reports whether an incarnation that answered a poll sent at sent had ended before the current
 // one was first seen.
-func (h *hostState) isPast(life host.Life, sent time.Time) bool {
-	return slices.Contains(h.pastIncarnations, life) || life < h.life && sent.Before(h.incarnationSince)
+func (h *hostState) isPast(incarnation host.Life, sent time.Time) bool {
+	return slices.Contains(h.pastIncarnations, incarnation) || incarnation < h.life && sent.Before(h.incarnationSince)
 }
 
 // beginIncarnation replaces the state of an ended incarnation by that of the next. Runs that the next
--- a/internal/engine/late_start_test.go
+++ b/internal/engine/late_start_test.go
@@ -27,7 +27,7 @@
 		l.keepsID, l.failover, l.secondFailover, l.restart, l.downtime, l.arrives)
 }
 
-// execute runs the job in a cell with room for it, and, for a gang, with one host more than it needs.
+// execute runs the job in a cell with room for it, and, for a gang, with one host more than needed.
 func (l lateStart) execute(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed)
 	w.follows, w.logs = true, true
--- a/internal/engine/lost.go
+++ b/internal/engine/lost.go
@@ -70,10 +70,10 @@
 func (e *Engine) hostGone(h *hostState, now time.Time, why string) {
 	h.gone = true
 	e.log(Event{What: "host gone", Host: string(h.info.ID), Why: fmt.Sprintf("%s; %d runs recorded", why, len(h.runs)), Age: h.silentFor(now)})
-	accused := append(h.accused, e.attributions(h, now)...)
+	pendingAttributions := append(h.accused, e.attributions(h, now)...)
 	e.dropLostRuns(h, why, now)
 	e.resolve(h, now)
-	e.attributeCrash(h, accused, now)
+	e.attributeCrash(h, pendingAttributions, now)
 	e.forgetHost(h)
 }
 
--- a/internal/engine/presumed_test.go
+++ b/internal/engine/presumed_test.go
@@ -61,7 +61,7 @@
 func TestLateCrashesWhileHoldersChange(t *testing.T) {
 	for _, every := range []time.Duration{5 * time.Second, 8 * time.Second} {
 		for _, after := range []time.Duration{1500 * time.Millisecond, 4 * time.Second} {
-			t.Run(fmt.Sprintf("holders change every %v, hosts go after %v", every, after), func(t *testing.T) {
+			t.Run(fmt.Sprintf("holders change every %v, hosts crash after %v", every, after), func(t *testing.T) {
 				w := crashWorld(t, 1, 16)
 				w.fleet.Crashes = func(spec.StepTask) time.Duration { return after }
 				const jobs = 3
