--- a/internal/engine/crash.go
+++ b/internal/engine/crash.go
@@ -272,9 +272,9 @@
 	for _, c := range s.Crashed[i] {
 		e.exiles[c.Host] = now
 	}
-	at, trying := s.Trying[i]
+	at, found := s.Trying[i]
 	h := e.hosts[host.ID(at.Host)]
-	if !trying || h == nil {
+	if !found || h == nil {
 		return
 	}
 	r := host.Run{Task: g.task(i), No: at.Run}
--- a/internal/engine/crash_faults_test.go
+++ b/internal/engine/crash_faults_test.go
@@ -58,8 +58,8 @@
 }
 
 // atRandomTimes calls do at random times, with the given mean interval, while faults are injected.
-func (w *world) atRandomTimes(mean time.Duration, do func()) {
-	for at := time.Second; at < faultPeriod; at += time.Duration(w.rnd.Int64N(2 * int64(mean))) {
+func (w *world) atRandomTimes(meanInterval time.Duration, do func()) {
+	for at := time.Second; at < faultPeriod; at += time.Duration(w.rnd.Int64N(2 * int64(meanInterval))) {
 		w.after(at, do)
 	}
 }
@@ -77,7 +77,7 @@
 	failedUnrelated     int // unrelated jobs reported as failed, with cause or without
 	withoutCause        int // jobs of either kind that were failed without cause
 	overBudget          int // tasks that were started too often
-	otherViolations     int // other violations
+	otherViolations     int
 }
 
 // runWithFaults runs jobs that crash their hosts, one or two a second, beside unrelated ones.
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -87,25 +87,25 @@
 	saving := step(4, 4, 7, 3000)
 	saving.Checkpointing = true
 	return map[string]crashCase{
-		"one task":                {id: culprit, steps: []spec.Step{single}, most: 3},
-		"a task of many":          {id: culprit, steps: []spec.Step{step(12, 6, 10, 2000)}, most: 3},
-		"all tasks of a job":      {id: allCrashingJob, steps: []spec.Step{step(8, 6, 10, 2000)}, most: 6},
-		"a member of a gang":      {id: culprit, steps: []spec.Step{gang}, most: 3},
-		"a long-running task":     {id: culprit, steps: []spec.Step{service}, most: 3},
-		"a checkpointing task":    {id: culprit, steps: []spec.Step{saving}, most: 3},
-		"with a placement policy": {id: culprit, steps: []spec.Step{single}, rules: catalog.Rules{Advice: &catalog.Advice{DecideMillis: 6, ValidMillis: 1500}}, most: 3},
-		"orders come late":        {id: culprit, steps: []spec.Step{single}, inject: func(w *world) { w.faults = faults{late: 0.3} }, most: 3},
-		"holders change": {id: culprit, steps: []spec.Step{single}, most: 4, inject: func(w *world) {
+		"one task":                {id: culprit, steps: []spec.Step{single}, maxHostsLost: 3},
+		"a task of many":          {id: culprit, steps: []spec.Step{step(12, 6, 10, 2000)}, maxHostsLost: 3},
+		"all tasks of a job":      {id: allCrashingJob, steps: []spec.Step{step(8, 6, 10, 2000)}, maxHostsLost: 6},
+		"a member of a gang":      {id: culprit, steps: []spec.Step{gang}, maxHostsLost: 3},
+		"a long-running task":     {id: culprit, steps: []spec.Step{service}, maxHostsLost: 3},
+		"a checkpointing task":    {id: culprit, steps: []spec.Step{saving}, maxHostsLost: 3},
+		"with a placement policy": {id: culprit, steps: []spec.Step{single}, rules: catalog.Rules{Advice: &catalog.Advice{DecideMillis: 6, ValidMillis: 1500}}, maxHostsLost: 3},
+		"orders come late":        {id: culprit, steps: []spec.Step{single}, inject: func(w *world) { w.faults = faults{late: 0.3} }, maxHostsLost: 3},
+		"holders change": {id: culprit, steps: []spec.Step{single}, maxHostsLost: 4, inject: func(w *world) {
 			for i := 1; i < 8; i++ {
 				w.after(time.Duration(i)*1700*time.Millisecond, w.takeOver)
 			}
 		}},
-		"holders change, unresponsive hosts in the roster": {id: culprit, steps: []spec.Step{single}, most: 4, inject: func(w *world) {
+		"holders change, unresponsive hosts in the roster": {id: culprit, steps: []spec.Step{single}, maxHostsLost: 4, inject: func(w *world) {
 			for i := 1; i < 8; i++ {
 				w.after(time.Duration(i)*3300*time.Millisecond, w.takeOver)
 			}
 		}},
-		"the store is unavailable": {id: culprit, steps: []spec.Step{single}, most: 3, inject: func(w *world) {
+		"the store is unavailable": {id: culprit, steps: []spec.Step{single}, maxHostsLost: 3, inject: func(w *world) {
 			w.after(200*time.Millisecond, func() { w.storeAway = true })
 			w.after(6*time.Second, func() { w.storeAway = false; w.takeOver() })
 		}},
@@ -116,18 +116,18 @@
 // get lost.
 func TestCrashingJobWithLostAnswers(t *testing.T) {
 	crashCase{
-		id: culprit, steps: []spec.Step{step(1, 6, 10, 640)}, most: 3,
+		id: culprit, steps: []spec.Step{step(1, 6, 10, 640)}, maxHostsLost: 3,
 		inject: func(w *world) { w.faults = faults{lostRequest: 0.2, lostAnswer: 0.3} },
 	}.execute(t)
 }
 
 // crashCase is a job that crashes its hosts, and what else happens while it is started.
 type crashCase struct {
-	id     string
-	steps  []spec.Step
-	rules  catalog.Rules
-	inject func(w *world)
-	most   int // hosts that the job may cost
+	id           string
+	steps        []spec.Step
+	rules        catalog.Rules
+	inject       func(w *world)
+	maxHostsLost int // hosts that the job may cost
 	// keepsID has the hosts restart under the same ids.
 	keepsID bool
 }
@@ -150,7 +150,7 @@
 	t.Logf("%d hosts lost", lost)
 	is.Equal(w.shown[tc.id+"0"], record.StateFailed)
 	is.Equal(w.innocentsLost(), nil)
-	is.True(lost <= tc.most)
+	is.True(lost <= tc.maxHostsLost)
 }
 
 // TestManyTasksThatCrashTheirHosts checks that twenty such jobs at once cost few hosts each, and that no
--- a/internal/engine/evidence.go
+++ b/internal/engine/evidence.go
@@ -23,7 +23,7 @@
 
 // clockOrigin is the earliest time at which a host's clock can have read zero, as known at a time: an
 // answer is never produced before its request was sent.
-type clockOrigin struct{ at, known time.Time }
+type clockOrigin struct{ at, asOf time.Time }
 
 // producedAt takes a reading of the host's clock from an answer to a request sent at sent, and returns
 // the earliest time at which the answer can have been produced. The answer may have arrived late, and
@@ -33,9 +33,9 @@
 		return sent
 	}
 	since := time.Duration(clock) * time.Millisecond
-	origin := h.origin.at.Add(-time.Duration(drift * float64(now.Sub(h.origin.known))))
-	if by := sent.Add(-since); h.origin.at.IsZero() || by.After(origin) {
-		h.origin, origin = clockOrigin{by, now}, by
+	origin := h.origin.at.Add(-time.Duration(drift * float64(now.Sub(h.origin.asOf))))
+	if earliest := sent.Add(-since); h.origin.at.IsZero() || earliest.After(origin) {
+		h.origin, origin = clockOrigin{earliest, now}, earliest
 	}
 	return origin.Add(since)
 }
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -139,9 +139,9 @@
 	fullUntil time.Time
 	overSince time.Time
 
-	startedAt time.Time // when a run was last started there, and of which job
-	startedOf *job
-	suspects  int // runs there whose tasks have crashed hosts
+	startedAt  time.Time // when a run was last started there, and of which job
+	startedJob *job
+	suspects   int // runs there whose tasks have crashed hosts
 	// Until quarantineUntil only starts of quarantinedJob are accepted there; see quarantine.go.
 	quarantinedJob  *job
 	quarantineUntil time.Time
--- a/internal/engine/incarnation.go
+++ b/internal/engine/incarnation.go
@@ -70,7 +70,7 @@
 	})
 	h.recordEndedBy(h.silent, v.Clock, now)
 	h.accused = append(h.accused, e.unacknowledgedStarts(h, v, now)...)
-	kept := e.detachSurvivors(h, v, sent)
+	survivors := e.detachSurvivors(h, v, sent)
 	quarantinedJob, quarantineUntil := h.quarantinedJob, h.quarantineUntil
 	e.hostGone(h, now, "restarted under the same id")
 	next := e.newHost(h.info)
@@ -79,7 +79,7 @@
 	next.leavesAt, next.looking, next.probe = h.leavesAt, h.looking, h.probe
 	next.pastIncarnations = append(h.pastIncarnations[max(0, len(h.pastIncarnations)-maxPastIncarnations+1):], h.life)
 	next.setIncarnation(v.Life, now)
-	for _, r := range kept {
+	for _, r := range survivors {
 		e.attach(next, r)
 		if r.group != nil && r.group.job == quarantinedJob {
 			next.quarantinedJob, next.quarantineUntil = quarantinedJob, quarantineUntil
@@ -144,8 +144,8 @@
 // recordEndedBy records the latest time at which an incarnation can have ended: when the host became
 // unresponsive, and at the latest when the clock of the next incarnation started.
 func (h *hostState) recordEndedBy(silent time.Time, clock host.Millis, now time.Time) {
-	begun := now.Add(-time.Duration(clock) * time.Millisecond)
-	for _, at := range []time.Time{silent, begun} {
+	started := now.Add(-time.Duration(clock) * time.Millisecond)
+	for _, at := range []time.Time{silent, started} {
 		if !at.IsZero() && at.After(h.incarnationSince) && (h.endedBy.IsZero() || at.Before(h.endedBy)) {
 			h.endedBy = at
 		}
@@ -158,8 +158,8 @@
 
 func (e *Engine) clockFits(h *hostState, c host.Millis, now time.Time) bool {
 	drift := time.Duration(float64(now.Sub(h.clockAt)) * e.cfg.Tuning.ClockDrift)
-	apart := time.Duration(c-h.now(now)) * time.Millisecond
-	return apart.Abs() <= maxClockError+drift
+	deviation := time.Duration(c-h.now(now)) * time.Millisecond
+	return deviation.Abs() <= maxClockError+drift
 }
 
 // recordReply takes the host's clock from the answer to an order; zero if the answer has none. The host
--- a/internal/engine/quarantine.go
+++ b/internal/engine/quarantine.go
@@ -40,7 +40,7 @@
 	if g.standing < crashloop.OnTrial || h.quarantinedJob == g.job && h.onTrial(now) {
 		return true
 	}
-	if h.suspects > g.suspectsOn(h) || h.startedOf != g.job && now.Sub(h.startedAt) < quietPeriod {
+	if h.suspects > g.suspectsOn(h) || h.startedJob != g.job && now.Sub(h.startedAt) < quietPeriod {
 		return false
 	}
 	if at := g.job.trialAt; !g.step.Gang && at != nil && at != h && at.quarantinedJob == g.job && at.onTrial(now) {
@@ -51,7 +51,7 @@
 
 // recordStart records that a task of the group was started on the host.
 func (e *Engine) noteStart(g *group, h *hostState, now time.Time) {
-	h.startedAt, h.startedOf = now, g.job
+	h.startedAt, h.startedJob = now, g.job
 	if g.standing >= crashloop.Suspect {
 		e.retried = true
 		e.touch(g.job)
--- a/internal/engine/restart_test.go
+++ b/internal/engine/restart_test.go
@@ -26,7 +26,7 @@
 // clock reading. With a deadline by the clock of an incarnation of minutes and a reading from one of
 // seconds it lay minutes ahead: what had run on such a host, terminated for good, was not given up. In
 // one deployment gangs that had been accepted never ran, for 111 s, though most of the cell was free; of
-// the 438 recorded hosts of its 350, 57 counted as not placeable.
+// the 438 hosts recorded for its 350, 57 counted as not placeable.
 
 // newRestartWorld has a few hosts that restart under the same ids, each of which has finished some work
 // before.
@@ -93,7 +93,7 @@
 			w.run(5 * time.Second)
 			w.submit("job", catalog.Rules{}, s)
 			w.run(time.Second)
-			w.loseForGood(2)
+			w.terminateHosts(2)
 			w.run(30 * time.Second)
 			w.check()
 			if s.LongRunning {
@@ -105,9 +105,9 @@
 	}
 }
 
-// loseForGood terminates n busy hosts for good, by turns disconnected and removed from the list, or just
+// terminateHosts terminates n busy hosts for good, by turns disconnected and removed from the list, or just
 // stopped.
-func (w *world) loseForGood(n int) {
+func (w *world) terminateHosts(n int) {
 	for _, h := range w.fleet.Hosts() {
 		if n == 0 || len(h.Running()) == 0 {
 			continue
