--- a/internal/engine/random_faults_test.go
+++ b/internal/engine/random_faults_test.go
@@ -89,7 +89,7 @@
 	takeOvers := w.rnd.IntN(3) > 0
 	pause := 100 + w.rnd.IntN(700)
 	for at := time.Second; at < searchFaultPeriod; at += time.Duration(50+w.rnd.IntN(2*pause)) * time.Millisecond {
-		w.after(at, func() { w.injectFault(takeOvers) })
+		w.after(at, func() { w.injectHostFault(takeOvers) })
 	}
 	w.run(searchFaultPeriod)
 	w.faults = faults{}
@@ -97,8 +97,8 @@
 	return w
 }
 
-// injectFault injects a random fault into a host, or replaces the holder.
-func (w *world) injectFault(takeOvers bool) {
+// injectHostFault injects a random fault into a host, or replaces the holder.
+func (w *world) injectHostFault(takeOvers bool) {
 	all := w.fleet.Hosts()
 	h := all[w.rnd.IntN(len(all))]
 	outage := time.Duration(200+w.rnd.IntN(7000)) * time.Millisecond
