--- /dev/null
+++ b/internal/engine/quarantine.go
@@ -0,0 +1,99 @@
+package engine
+
+import (
+	"time"
+
+	"pulleyquay/internal/crashloop"
+)
+
+// Limits of quarantine. A job that was on two hosts as they crashed starts only on a host where nothing
+// else has just started, with nothing new started beside it for a while, and on one host at a time. A
+// third crash is then evidence against that job alone, and unrelated jobs are not failed for what ran
+// beside them.
+const (
+	// quarantinePeriod is how long nothing new starts beside a quarantined job. Tasks that crash their
+	// hosts mostly do so right after their start.
+	quarantinePeriod = 2 * time.Second
+	// quietPeriod is how long nothing may have been started on a host before it takes a quarantined job:
+	// by then the end of the host would have been noticed.
+	quietPeriod = 300 * time.Millisecond
+	// hostsPerQuarantine is how many hosts the cell must have for each host that is in use by a
+	// quarantined job. It bounds how much of a cell such jobs can take down at once, and how much is
+	// withheld from other jobs.
+	hostsPerQuarantine = 8
+)
+
+// hasQuarantine reports whether the host takes only starts of a quarantined job at present.
+func (h *hostState) onTrial(now time.Time) bool {
+	return h.quarantinedJob != nil && now.Before(h.quarantineUntil)
+}
+
+// startAllowed reports whether the step may start on the host, considering quarantine and recent
+// capacity refusals of the host.
+func (e *Engine) open(g *group, h *hostState, now time.Time) bool {
+	if h.full(g.step.Booked(), now) {
+		return false
+	}
+	if h.onTrial(now) && h.quarantinedJob != g.job {
+		return false
+	}
+	if g.standing < crashloop.OnTrial || h.quarantinedJob == g.job && h.onTrial(now) {
+		return true
+	}
+	if h.suspects > g.suspectsOn(h) || h.startedJob != g.job && now.Sub(h.startedAt) < quietPeriod {
+		return false
+	}
+	if at := g.job.trialAt; !g.step.Gang && at != nil && at != h && at.quarantinedJob == g.job && at.onTrial(now) {
+		return false
+	}
+	return e.trials < max(1, len(e.sorted)/hostsPerQuarantine)
+}
+
+// recordStart records that a task of the group was started on the host.
+func (e *Engine) noteStart(g *group, h *hostState, now time.Time) {
+	h.startedAt, h.startedJob = now, g.job
+	if g.standing >= crashloop.Suspect {
+		e.retried = true
+		e.touch(g.job)
+	}
+	if g.standing < crashloop.OnTrial {
+		return
+	}
+	if !h.onTrial(now) {
+		e.trials++
+	}
+	h.quarantinedJob, h.quarantineUntil = g.job, now.Add(quarantinePeriod)
+	g.job.trialAt = h
+}
+
+// suspectRunsOn counts the suspect runs of the group's job on the host.
+func (g *group) suspectsOn(h *hostState) int {
+	n := 0
+	if h.suspects == 0 {
+		return 0
+	}
+	for _, r := range h.runs {
+		if r.suspect && r.group != nil && r.group.job == g.job {
+			n++
+		}
+	}
+	return n
+}
+
+// endQuarantine handles the end of a run: the host takes other work again when no run of the quarantined
+// job is left there.
+func (e *Engine) endQuarantine(r *run) {
+	h := r.on
+	if r.suspect {
+		h.suspects--
+	}
+	if h.quarantinedJob == nil || r.group == nil || r.group.job != h.quarantinedJob {
+		return
+	}
+	for _, other := range h.runs {
+		if other.group != nil && other.group.job == h.quarantinedJob {
+			return
+		}
+	}
+	h.quarantinedJob = nil
+}
