--- a/internal/engine/ask.go
+++ b/internal/engine/ask.go
@@ -10,129 +10,127 @@
 	"pulleyquay/internal/host"
 )
 
-// question is one that the policy service was asked.
+// question is a query to the policy service that is not answered yet.
 type question struct {
-	group *group
-	hosts []host.ID
-	lane  string
-	asked time.Time
+	group  *group
+	hosts  []host.ID
+	slot   string
+	sentAt time.Time
 }
 
-// Pauses before a step is asked about again.
+// Delays before the next query about a step, after an answer and after a failure.
 const (
-	askPause     = 20 * time.Millisecond
-	askFailPause = 150 * time.Millisecond
-	// askSlack is how much longer than worked out an answer is waited for.
-	askSlack = 400 * time.Millisecond
+	queryDelay      = 20 * time.Millisecond
+	queryRetryDelay = 150 * time.Millisecond
+	// queryTimeoutSlack is added to the expected time of an answer to give its time-out.
+	queryTimeoutSlack = 400 * time.Millisecond
 )
 
-// guessGood is the share of hosts that are expected to be good where nothing is
-// known yet.
-const guessGood = 0.5
+// defaultPermittedShare is the assumed share of permitted hosts for a queue without any answer.
+const defaultPermittedShare = 0.5
 
-// mostWeighed is how many hosts with room are weighed against each other before a
-// question; in a cell of thousands all of them would cost more than they gain.
-const mostWeighed = 128
+// maxCompared bounds how many hosts with free capacity are compared by cost before a query:
+// in a cell of thousands, comparing all of them costs more time than it gains.
+const maxCompared = 128
 
-// askForTasks asks about hosts that have room for tasks that wait.
+// askForTasks queries the policy service about hosts that have free capacity for waiting tasks.
 func (e *Engine) askForTasks(g *group, c []*hostState, now time.Time) {
 	size := g.step.Booked()
 	if !size.Fits(e.poolOf(g.job.rec.Service).roomiest) || !e.mayAsk(g, now) {
 		return
 	}
-	var open []*hostState
+	var candidates []*hostState
 	first := 0
-	if len(c) > mostWeighed {
+	if len(c) > maxCompared {
 		first = e.rnd.IntN(len(c))
 	}
 	for i := range c {
 		h := c[(first+i)%len(c)]
-		if len(open) == mostWeighed {
+		if len(candidates) == maxCompared {
 			break
 		}
 		if size.Fits(h.free()) && !e.allowed(g, h, now) && refusedBy(g, h) == "" && g.fits(h, e.roomFor(g, h, now)) > 0 {
-			open = append(open, h)
+			candidates = append(candidates, h)
 		}
 	}
-	if len(open) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	cost := make(map[*hostState]float64, len(open))
-	for _, h := range open {
+	cost := make(map[*hostState]float64, len(candidates))
+	for _, h := range candidates {
 		cost[h] = e.cost(g, h)
 	}
-	sort.SliceStable(open, func(a, b int) bool { return cost[open[a]] < cost[open[b]] })
-	e.ask(g, e.enough(g, open, float64(e.allowedNow(g))), now)
+	sort.SliceStable(candidates, func(a, b int) bool { return cost[candidates[a]] < cost[candidates[b]] })
+	e.ask(g, e.enoughHosts(g, candidates, float64(e.allowedNow(g))), now)
 }
 
-// spareAsked is by how much the places asked about should exceed those needed.
-const spareAsked = 1.6
+// querySlotFactor is the factor by which the slots that a query covers exceed those needed.
+const querySlotFactor = 1.6
 
-// spareAskedGang is the same for a gang, which needs all its places at once, a second
-// after it has asked, on hosts that others fill meanwhile. Asked about fewer, gangs find
-// too few places; asked about more, the policy service, which works on each host, has no
-// time left for other gangs.
-const spareAskedGang = 6.0
+// gangQuerySlotFactor is the same factor for a gang, which needs all its slots at once, a second
+// after its query, on hosts that others fill meanwhile. With a lower factor gangs find too
+// few slots; with a higher one the policy service, whose work grows with the hosts of a
+// query, has no time left for other gangs.
+const gangQuerySlotFactor = 6.0
 
-// leastAsked is how many hosts a question names at least, if there are so many.
+// leastAsked is the minimum number of hosts in a query, if there are so many.
 const leastAsked = 10
 
-// enough takes hosts from the first on until they can be expected to hold n
-// tasks.
-func (e *Engine) enough(g *group, open []*hostState, n float64) []*hostState {
-	want := n * spareAsked
-	for i, h := range open {
+// enoughHosts returns the first hosts of the list that together can be expected to hold n tasks.
+func (e *Engine) enoughHosts(g *group, candidates []*hostState, n float64) []*hostState {
+	want := n * querySlotFactor
+	for i, h := range candidates {
 		p := e.goodShare(g)
 		if g.advice.known[h] {
 			p = 1
 		}
 		want -= p * float64(g.fits(h, h.free()))
 		if want <= 0 && i+1 >= leastAsked || i+1 >= e.cfg.Tuning.AskMost {
-			return open[:i+1]
+			return candidates[:i+1]
 		}
 	}
-	return open
+	return candidates
 }
 
-// askAhead is how long before a gang's places are expected to be free its tickets
-// are asked for, beyond the time that the answer takes.
-const askAhead = 100 * time.Millisecond
+// ticketLeadTime is how long before the reserved slots of a gang are expected to be free its
+// tickets are requested, in addition to the time that the answer takes.
+const ticketLeadTime = 100 * time.Millisecond
 
-// placesComeSoon reports whether a gang's places will be free when an answer of the
-// policy service comes. While they will not, other hosts are worth asking about.
+// placesComeSoon reports whether the reserved slots of a gang will be free by the time the
+// policy service has answered. Until then, a query about other hosts may find slots sooner.
 func (e *Engine) placesComeSoon(g *group, now time.Time) bool {
 	took := g.job.rec.Rules.Advice.Took(len(g.reserved))
-	return g.reservedFrom.Sub(now) <= took+askAhead
+	return g.reservedFrom.Sub(now) <= took+ticketLeadTime
 }
 
-// askForTickets asks for tickets on the hosts that a gang has places reserved on, so
-// that they come when the places do, and on others that it may use in their stead.
+// askForTickets requests tickets for the hosts on which a gang has slots reserved, so that
+// they arrive when the slots become free, and for alternative hosts.
 func (e *Engine) askForTickets(g *group, good []*hostState, now time.Time) {
 	advice := g.job.rec.Rules.Advice
-	hosts := append(slices.Clone(g.reserved), e.spareHosts(g, good, now)...)
+	hosts := append(slices.Clone(g.reserved), e.alternativeHosts(g, good, now)...)
 	took := advice.Took(min(len(hosts), e.cfg.Tuning.AskMost))
-	if !e.askInParts(g, hosts, now) {
+	if !e.queryInBatches(g, hosts, now) {
 		return
 	}
 	g.settled = now.Add(took + advice.Valid())
 	e.clearAhead(g, took, now)
 }
 
-// spareHosts are those that will have most room for a gang when an answer comes, of the
-// good hosts where it has nothing reserved.
-func (e *Engine) spareHosts(g *group, good []*hostState, now time.Time) []*hostState {
+// alternativeHosts returns the permitted hosts without a reservation of the gang that will have
+// most free capacity for it when an answer arrives.
+func (e *Engine) alternativeHosts(g *group, good []*hostState, now time.Time) []*hostState {
 	var all []seat
-	in := g.job.rec.Rules.Advice.Took(e.cfg.Tuning.AskMost)
+	took := g.job.rec.Rules.Advice.Took(e.cfg.Tuning.AskMost)
 	for _, h := range good {
 		if slices.Contains(g.reserved, h) {
 			continue
 		}
-		if n := g.fits(h, e.roomAt(g, h, in, now)); n > 0 {
+		if n := g.fits(h, e.roomAt(g, h, took, now)); n > 0 {
 			all = append(all, seat{h, n})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b seat) int { return cmp.Compare(b.n, a.n) })
-	spare := int((spareTickets - 1) * float64(g.waiting))
+	spare := int((ticketSlotFactor - 1) * float64(g.waiting))
 	var out []*hostState
 	for _, s := range all {
 		if spare <= 0 {
@@ -144,18 +142,18 @@
 	return out
 }
 
-// askForPlaces asks about more hosts: as many as it takes, as things go, until the
-// gang has room on good ones.
+// askForPlaces queries about further hosts: as many as are expected to be needed for the
+// gang to have its slots on permitted hosts.
 func (e *Engine) askForPlaces(g *group, good, unknown []*hostState, now time.Time) {
-	room, could := 0, 0
+	room, roomIfEmpty := 0, 0
 	for _, h := range good {
-		could += g.fits(h, h.info.Size)
+		roomIfEmpty += g.fits(h, h.info.Size)
 		room += g.fits(h, e.roomFor(g, h, now))
 	}
-	e.askInParts(g, e.worthAsking(g, unknown, room, could, now), now)
+	e.queryInBatches(g, e.hostsToQuery(g, unknown, room, roomIfEmpty, now), now)
 }
 
-// goodHosts are the hosts that a step is known to be permitted on and that take work.
+// goodHosts returns the hosts that are known to be permitted for a step and that take work.
 func (e *Engine) goodHosts(g *group, now time.Time) []*hostState {
 	out := make([]*hostState, 0, len(g.advice.good))
 	for _, h := range g.advice.good {
@@ -166,15 +164,16 @@
 	return out
 }
 
-// mostUnknown is how many hosts that nothing is known of are weighed for a question: more
-// than the largest gangs ask about.
-const mostUnknown = 2048
+// maxUnqueried bounds how many hosts without an answer are considered for a query. It is more
+// than the queries of the largest gangs name.
+const maxUnqueried = 2048
 
-// unknownHosts are hosts, of those that take work, that a step was never asked about.
+// unknownHosts returns those of hosts that the policy service was never asked about for a
+// step.
 func (e *Engine) unknownHosts(g *group, hosts []*hostState) []*hostState {
-	out := make([]*hostState, 0, min(len(hosts), mostUnknown))
+	out := make([]*hostState, 0, min(len(hosts), maxUnqueried))
 	first := 0
-	if len(hosts) > mostUnknown {
+	if len(hosts) > maxUnqueried {
 		first = e.rnd.IntN(len(hosts))
 	}
 	for i := range hosts {
@@ -182,21 +181,21 @@
 		if _, known := g.advice.known[h]; !known && refusedBy(g, h) == "" {
 			out = append(out, h)
 		}
-		if len(out) == mostUnknown {
+		if len(out) == maxUnqueried {
 			break
 		}
 	}
 	return out
 }
 
-// spareTickets is how many more places than the gang needs are asked for when
-// its tickets are renewed, as some may be taken meanwhile.
-const spareTickets = 1.3
+// ticketSlotFactor is the factor by which the slots for which tickets are renewed exceed those
+// that the gang needs, as some may be taken meanwhile.
+const ticketSlotFactor = 1.3
 
-// worthAsking chooses hosts to ask about: first those with room now, until the
-// gang can be expected to find its room; then, where even empty hosts that are
-// known to be good could not hold it, those that could hold most.
-func (e *Engine) worthAsking(g *group, unknown []*hostState, room, could int, now time.Time) []*hostState {
+// hostsToQuery chooses the hosts of a query: first those with free capacity now, until the
+// gang can be expected to fit; then, if it would not fit on the permitted hosts even when
+// they are empty, those that could hold most of its members.
+func (e *Engine) hostsToQuery(g *group, unknown []*hostState, room, roomIfEmpty int, now time.Time) []*hostState {
 	p := e.goodShare(g)
 	take := func(fits func(*hostState) int, want float64) (out, rest []*hostState) {
 		all := make([]seat, 0, len(unknown))
@@ -214,18 +213,18 @@
 		}
 		return out, rest
 	}
-	first, rest := take(func(h *hostState) int { return g.fits(h, e.roomFor(g, h, now)) }, spareAskedGang*float64(g.waiting)-float64(room))
+	first, rest := take(func(h *hostState) int { return g.fits(h, e.roomFor(g, h, now)) }, gangQuerySlotFactor*float64(g.waiting)-float64(room))
 	for _, h := range first {
-		could += int(p * float64(g.fits(h, h.info.Size)))
+		roomIfEmpty += int(p * float64(g.fits(h, h.info.Size)))
 	}
 	unknown = rest
-	more, _ := take(func(h *hostState) int { return g.fits(h, h.info.Size) }, spareAskedGang*float64(g.waiting)-float64(could))
+	more, _ := take(func(h *hostState) int { return g.fits(h, h.info.Size) }, gangQuerySlotFactor*float64(g.waiting)-float64(roomIfEmpty))
 	return append(first, more...)
 }
 
-// askInParts asks about hosts through several members at the same time. It reports
-// whether it asked about any.
-func (e *Engine) askInParts(g *group, hosts []*hostState, now time.Time) (asked bool) {
+// queryInBatches splits the hosts over queries through several members at the same time. It
+// reports whether it sent any.
+func (e *Engine) queryInBatches(g *group, hosts []*hostState, now time.Time) (asked bool) {
 	for len(hosts) > 0 {
 		n := min(len(hosts), e.cfg.Tuning.AskMost)
 		if !e.ask(g, hosts[:n], now) {
@@ -237,42 +236,44 @@
 	return asked
 }
 
-// goodShare is the share of hosts that steps of the queue may run on, as learned.
+// goodShare returns the learned share of hosts that are permitted for steps of the queue.
 func (e *Engine) goodShare(g *group) float64 {
 	if p, ok := e.good[g.job.rec.Queue]; ok {
 		return p
 	}
-	return guessGood
+	return defaultPermittedShare
 }
 
-// goodMemory is over about how many answers the share of good hosts is taken.
-const goodMemory = 8
+// permittedShareWindow is about how many answers the moving average of the permitted share spans.
+const permittedShareWindow = 8
 
-// learnGood takes in how many hosts of a question were good.
-func (e *Engine) learnGood(g *group, good, asked int) {
+// updatePermittedShare updates the permitted share with the answer to a query: good of asked
+// hosts are permitted.
+func (e *Engine) updatePermittedShare(g *group, good, asked int) {
 	if asked == 0 {
 		return
 	}
 	share := max(float64(good)/float64(asked), 1/float64(2*asked))
-	e.good[g.job.rec.Queue] = e.goodShare(g) + (share-e.goodShare(g))/goodMemory
+	e.good[g.job.rec.Queue] = e.goodShare(g) + (share-e.goodShare(g))/permittedShareWindow
 }
 
-// mayAsk reports whether a question about a step may be asked now.
+// mayAsk reports whether a query about a step may be sent now.
 func (e *Engine) mayAsk(g *group, now time.Time) bool {
 	return g.advice.asking == 0 && !now.Before(g.advice.askAfter) && e.lanes.Open(g.job.rec.Rules.Advice.Took(1), now)
 }
 
-// ask books a lane and sends the question, or reports that no lane is open.
+// ask orders a query through a free query slot. It returns false if there are no hosts or no
+// slot is free.
 func (e *Engine) ask(g *group, hosts []*hostState, now time.Time) bool {
 	if len(hosts) == 0 {
 		return false
 	}
 	took := g.job.rec.Rules.Advice.Took(len(hosts))
-	lane, answered, ok := e.lanes.Book(took, now)
+	slot, answered, ok := e.lanes.Book(took, now)
 	if !ok {
 		return false
 	}
-	q := &question{group: g, lane: lane, asked: now}
+	q := &question{group: g, slot: slot, sentAt: now}
 	for _, h := range hosts {
 		q.hosts = append(q.hosts, h.info.ID)
 	}
@@ -280,12 +281,12 @@
 	e.asks[e.askID] = q
 	g.advice.asking++
 	e.out.Asks = append(e.out.Asks, AskOrder{
-		ID: e.askID, Lane: lane, Step: g.id, Hosts: q.hosts, Patience: answered.Sub(now) + askSlack,
+		ID: e.askID, Lane: slot, Step: g.id, Hosts: q.hosts, Patience: answered.Sub(now) + queryTimeoutSlack,
 	})
 	return true
 }
 
-// Advised takes in the outcome of a question.
+// Advised handles the outcome of a query to the policy service.
 func (e *Engine) Advised(o AskOrder, a advice.Answer, err error, now time.Time) {
 	e.now = now
 	q := e.asks[o.ID]
@@ -293,15 +294,15 @@
 		return
 	}
 	delete(e.asks, o.ID)
-	e.lanes.Answered(q.lane, err != nil, q.asked, now)
+	e.lanes.Answered(q.slot, err != nil, q.sentAt, now)
 	g := q.group
 	g.advice.asking--
 	if err != nil {
-		g.advice.askAfter = now.Add(askFailPause)
+		g.advice.askAfter = now.Add(queryRetryDelay)
 		e.log(Event{What: "no advice", Job: g.job.id(), Step: g.id.String(), Why: err.Error()})
 		return
 	}
-	g.advice.askAfter = now.Add(askPause)
+	g.advice.askAfter = now.Add(queryDelay)
 	g.advice.answers++
 	if g.advice.known == nil {
 		g.advice.known = map[*hostState]bool{}
@@ -329,6 +330,6 @@
 		}
 	}
 	if fresh == len(q.hosts) {
-		e.learnGood(g, good, fresh)
+		e.updatePermittedShare(g, good, fresh)
 	}
 }
--- a/internal/engine/closed_test.go
+++ b/internal/engine/closed_test.go
@@ -7,38 +7,33 @@
 	"pulleyquay/internal/catalog"
 )
 
-// A host was silent while holders changed, and the next one had taken it over as closed: nothing
-// but what the roster names may run there. It came back, and tasks were started on it six
-// milliseconds after it had shown what it runs, though the store still held it as closed. The
-// holder changed again while the host was cut off, and its successor, which saw no task of it in
-// the roster, started them all elsewhere while they ran on:
-//
-//	host claimed   h10   07:13:45.241, epoch 3
-//	start answered h10   07:13:45.247, task 20, run 2001
-//	start answered h02   07:13:48.945, task 20, run 3001, epoch 4
-//	host claimed   h10   07:13:52.080, epoch 4
+// TestStartsWaitUntilAClosedHostIsStoredAsOpen: an unresponsive host was inherited as closed, so that
+// only the runs listed in the roster could be on it. It answered, and tasks were started on it a
+// few milliseconds after its first view, while the stored roster still had it as closed. The host
+// was disconnected again and the partition changed hands: the next holder, whose roster listed
+// no run on the host, started the same tasks elsewhere while they were still running.
 func TestStartsWaitUntilAClosedHostIsStoredAsOpen(t *testing.T) {
 	w := newWorld(t, 4)
 	w.fleet.Add(2, "s", size(64, 128))
 	w.takeOver()
 	w.run(3 * time.Second)
-	away := w.host("h01")
-	away.Cut(true)
-	w.submit("before", catalog.Rules{}, step(2, 40, 60, 1000)) // has the silence noticed
+	disconnected := w.host("h01")
+	disconnected.Cut(true)
+	w.submit("before", catalog.Rules{}, step(2, 40, 60, 1000)) // a start there goes unanswered
 	w.run(8 * time.Second)
 	w.submit("beside", catalog.Rules{}, step(1, 64, 60, 4000)) // keeps the other host full
 	w.run(100 * time.Millisecond)
 	w.takeOver()
 	w.submit("job", catalog.Rules{}, step(2, 30, 60, 20000))
 	w.run(600 * time.Millisecond) // the roster is stored, and the silence is too short for the host to be closed
-	away.Cut(false)
-	for len(away.Running()) == 0 {
+	disconnected.Cut(false)
+	for len(disconnected.Running()) == 0 {
 		w.run(time.Millisecond)
 	}
-	away.Cut(true)
+	disconnected.Cut(true)
 	w.takeOver()
 	w.run(15 * time.Second)
-	away.Cut(false)
+	disconnected.Cut(false)
 	w.run(60 * time.Second)
 	w.check()
 }
--- a/internal/engine/commit.go
+++ b/internal/engine/commit.go
@@ -7,23 +7,24 @@
 	"pulleyquay/internal/record"
 )
 
-// Batch is what has to be written to the store next.
+// Batch is the next set of writes to the store.
 type Batch struct {
 	Seq uint64
-	// Groups are the writes; those of one group have to take effect together.
+	// Groups are the writes; those of one group have to be applied atomically.
 	Groups [][]platform.Write
-	// marks are the ends, by host, that may be forgotten once it is stored. They are those
-	// of one life: its books, and not its id, tell for which.
+	// marks are, by host, the end records to acknowledge, up to a number, once the batch is
+	// stored. The numbers are valid for one incarnation, so the key is its state and not the
+	// host's id.
 	marks map[*hostState]int64
-	// rostered are the hosts that the batch enters in the roster as open.
+	// rostered are the hosts that the batch stores as open in the roster.
 	rostered []*hostState
 }
 
-// forgetMost bounds the records deleted with one batch.
-const forgetMost = 16
+// maxDeletesPerBatch bounds the job records deleted with one batch.
+const maxDeletesPerBatch = 16
 
-// planCommit asks for a batch when there is something to store. Ends that need
-// no record may be forgotten at once.
+// planCommit requests a batch when there is something to store. If there is nothing, the
+// processed end records are acknowledged at once.
 func (e *Engine) planCommit() {
 	for _, j := range e.dirty {
 		e.out.Commit = true
@@ -34,7 +35,7 @@
 	if e.retried {
 		e.out.CommitNow = true
 	}
-	if len(e.forget) >= forgetMost {
+	if len(e.forget) >= maxDeletesPerBatch {
 		e.out.Commit = true
 	}
 	if e.rosterBehind {
@@ -42,17 +43,17 @@
 	}
 	if len(e.dirty) == 0 && e.commits == e.durable && e.marks > 0 {
 		for _, h := range e.sorted {
-			h.seen = h.markable()
+			h.seen = h.ackable()
 		}
 		e.marks = 0
 	}
 }
 
-// TakeBatch returns what has changed since the last batch, or nil. The batches
-// have to be stored in their order, and Stored called after each.
+// TakeBatch returns the writes for what has changed since the last batch, or nil. The
+// caller stores batches in order and calls Stored after each.
 func (e *Engine) TakeBatch(now time.Time) *Batch {
 	waves := e.waveWrites()
-	if len(e.dirty) == 0 && len(e.forget) < forgetMost && !e.rosterBehind && len(waves) == 0 {
+	if len(e.dirty) == 0 && len(e.forget) < maxDeletesPerBatch && !e.rosterBehind && len(waves) == 0 {
 		return nil
 	}
 	e.commits++
@@ -64,7 +65,7 @@
 		b.Groups = append(b.Groups, []platform.Write{encoded(record.RosterKey(e.cfg.Partition), roster)})
 		for i, h := range e.sorted {
 			if !roster.Hosts[i].Closed {
-				b.rostered = append(b.rostered, h) // one that is stored as closed may not be started on
+				b.rostered = append(b.rostered, h) // nothing may be started on a host that is stored as closed
 			}
 		}
 	}
@@ -72,20 +73,20 @@
 		b.Groups = append(b.Groups, []platform.Write{encoded(record.WaveKey(e.cfg.Partition, w.Wave), w), e.cfg.WaveState(w)})
 	}
 	for id, j := range e.dirty {
-		b.Groups = append(b.Groups, e.writesOf(j, now))
+		b.Groups = append(b.Groups, e.jobWrites(j, now))
 		j.told = b.Seq
 		if j.crashesNew {
 			j.crashesNew, j.crashesIn = false, b.Seq
 		}
 		delete(e.dirty, id)
 	}
-	n := min(len(e.forget), forgetMost)
+	n := min(len(e.forget), maxDeletesPerBatch)
 	for _, id := range e.forget[:n] {
 		b.Groups = append(b.Groups, []platform.Write{{Key: record.JobKey(e.cfg.Partition, id), Delete: true}})
 	}
 	e.forget = e.forget[n:]
 	for _, h := range e.sorted {
-		if n := h.markable(); n > h.seen {
+		if n := h.ackable(); n > h.seen {
 			b.marks[h] = n
 		}
 	}
@@ -93,11 +94,12 @@
 	return b
 }
 
-// writesOf gives the writes that bring a job's stored record up to date.
-func (e *Engine) writesOf(j *job, now time.Time) []platform.Write {
+// jobWrites returns the writes that bring the stored records of a job up to date. For a job that
+// has ended it replaces the record by a short one, without the graph.
+func (e *Engine) jobWrites(j *job, now time.Time) []platform.Write {
 	if !j.state.Final() {
 		j.storedProgress = true
-		return []platform.Write{encoded(record.ProgressKey(e.cfg.Partition, j.id()), progressOf(j))}
+		return []platform.Write{encoded(record.ProgressKey(e.cfg.Partition, j.id()), progressRecord(j))}
 	}
 	short := record.Job{ID: j.id(), Ended: j.state, EndedUnixMilli: now.UnixMilli(), Why: j.why, Account: j.rec.Account, Largest: j.rec.Graph.Largest()}
 	short.Left, short.LeftFillers = j.left()
@@ -112,12 +114,12 @@
 func encoded(key string, v any) platform.Write {
 	value, err := record.Encode(v)
 	if err != nil {
-		panic("engine: plain data that does not encode: " + err.Error())
+		panic("engine: cannot encode record " + key + ": " + err.Error())
 	}
 	return platform.Write{Key: key, Value: value}
 }
 
-func progressOf(j *job) record.Progress {
+func progressRecord(j *job) record.Progress {
 	var p record.Progress
 	for _, g := range j.groups {
 		s := record.StepProgress{Occurrence: g.id.Occurrence, Step: g.id.Step}
@@ -140,11 +142,11 @@
 	return p
 }
 
-// Stored notes that a batch, and all before it, are in the store.
+// Stored records that a batch, and all before it, are in the store.
 func (e *Engine) Stored(b *Batch, now time.Time) {
 	e.durable = b.Seq
 	for _, h := range b.rostered {
-		if !h.shut { // it may have fallen silent meanwhile
+		if !h.shut { // the host may have been closed as unresponsive meanwhile
 			h.rostered = true
 		}
 	}
--- a/internal/engine/drain.go
+++ b/internal/engine/drain.go
@@ -6,13 +6,13 @@
 	"pulleyquay/internal/spec"
 )
 
-// moveOff brings work away from a host that leaves or is to be emptied, where it
-// is worth it: tasks that last as soon as there is room elsewhere, and tasks that
-// have saved their progress and will not end in time. Others run on; a host that
-// leaves may stay longer than it says, and one that is emptied waits for them.
+// moveOff stops runs on a host that is draining, or cordoned for maintenance, where they
+// gain by a restart elsewhere: long-running tasks as soon as another host has room for
+// them, and checkpointing tasks that will not end in time. The other runs continue: a
+// draining host may stay longer than it has announced, and maintenance waits for them.
 //
-// A task that is at work on a host that only we want empty may be stopped only
-// while enough of its step are at work.
+// On a host that is only cordoned for maintenance, a long-running task that is at work is
+// stopped only while enough tasks of its step are at work.
 func (e *Engine) moveOff(h *hostState, now time.Time) {
 	for _, r := range h.runs {
 		g := r.group
@@ -22,18 +22,18 @@
 		switch {
 		case g.step.LongRunning:
 			if e.roomElsewhere(g, h, now) && (h.info.Draining || r.percent < atWork || g.mayMiss(r)) {
-				e.unwant(r, "its host leaves")
+				e.unwant(r, "its host is being drained")
 			}
 		case g.step.Checkpointing && (h.closed || r.endsBy(now).After(h.leavesAt)):
-			e.unwant(r, "its host leaves before it would end")
+			e.unwant(r, "its host is being drained and it would not end in time")
 		case g.step.Filler && h.closed && r.pace == 0:
-			e.unwant(r, "held back on a host that is to be emptied")
+			e.unwant(r, "it is throttled to zero on a host that is being drained")
 		}
 	}
 }
 
-// roomElsewhere reports whether another host has room for one task of a step, as
-// far as is known without asking the policy service.
+// roomElsewhere reports whether a host other than not has free capacity for one task of
+// a step, without a new query to the policy service.
 func (e *Engine) roomElsewhere(g *group, not *hostState, now time.Time) bool {
 	size := g.step.Booked()
 	for _, h := range e.sorted {
@@ -47,7 +47,7 @@
 	return false
 }
 
-// filling is what the fillers on a host want of its processors.
+// filling returns the total size of the backfill tasks on the host.
 func (h *hostState) filling() (sum spec.Resources) {
 	for _, r := range h.runs {
 		if r.fills() {
--- a/internal/engine/dump.go
+++ b/internal/engine/dump.go
@@ -9,118 +9,118 @@
 	"pulleyquay/internal/record"
 )
 
-// Bounds of a dump.
 const (
-	// mostDumped is how many rows of each kind it has.
-	mostDumped = 100
-	// mostTasksDumped is how many tasks a verdict that waits names.
-	mostTasksDumped = 20
+	// maxDumpRows is the maximum number of rows in each list of a dump.
+	maxDumpRows = 100
+	// maxDumpTasks is the maximum number of tasks listed for a deferred decision.
+	maxDumpTasks = 20
 )
 
-// Dump is what an engine holds against tasks, which hosts it does not hear, and what client
-// accounts have and wait for, for people.
-// Each list has a bounded number of rows, the most telling first; LeftOut counts the others.
+// Dump is the diagnostic state of an engine for operators: tasks suspected of crashing hosts,
+// unresponsive hosts, and the usage and waiting work of client accounts. Each list has a
+// bounded number of rows, the most important first; LeftOut counts the others.
 type Dump struct {
-	// Suspects are tasks under which hosts have crashed, the worst standing first.
+	// Suspects are tasks under which hosts have crashed, the highest suspicion level first.
 	Suspects []DumpedTask `json:"suspects"`
-	// Failed are the jobs that have ended as failed and are remembered, the last first.
-	Failed []DumpedEnd `json:"failed"`
-	// Silent are the hosts that do not answer, or were not heard since the takeover, that
-	// of the most runs first.
+	// Failed are the jobs that ended as failed and are not forgotten yet, the latest first.
+	Failed []DumpedFailure `json:"failed"`
+	// Silent are the hosts that do not answer, or have not reported since the failover; those
+	// with most runs first.
 	Silent []DumpedHost `json:"silent"`
-	// Verdicts are those that wait, the next first.
-	Verdicts []DumpedVerdict `json:"verdicts"`
-	// Accounts are the client accounts, those of which most waits for their quotas first.
+	// Decisions are the deferred crash-loop decisions, the next first.
+	Decisions []DumpedDecision `json:"verdicts"`
+	// Accounts are the client accounts; those with most steps waiting for their quota first.
 	Accounts []DumpedAccount `json:"accounts"`
 	LeftOut  DumpLeftOut     `json:"left_out"`
 }
 
-// DumpLeftOut counts the rows that a dump has no room for.
+// DumpLeftOut counts the rows that were omitted from each list of a dump.
 type DumpLeftOut struct {
-	Suspects int `json:"suspects"`
-	Failed   int `json:"failed"`
-	Silent   int `json:"silent"`
-	Verdicts int `json:"verdicts"`
-	Accounts int `json:"accounts"`
+	Suspects  int `json:"suspects"`
+	Failed    int `json:"failed"`
+	Silent    int `json:"silent"`
+	Decisions int `json:"verdicts"`
+	Accounts  int `json:"accounts"`
 }
 
 // DumpedTask is a task under which hosts have crashed.
 type DumpedTask struct {
 	Task     string `json:"task"`
 	Standing string `json:"standing"`
-	// Crashes names hosts and runs, and how each was seen.
+	// Crashes lists the hosts and runs, and how each crash was detected.
 	Crashes string `json:"crashes"`
-	// Stored is false while the store lacks some of it: the task does not start before.
+	// Stored is false while some of the crashes are not in the store; the task does not start
+	// until they are.
 	Stored bool `json:"stored"`
-	// Run, Host and State are those of its present run, if there is one.
+	// Run, Host and State are those of its current run, if there is one.
 	Run   int    `json:"run,omitempty"`
 	Host  string `json:"host,omitempty"`
 	State string `json:"state,omitempty"`
-	// WaitsMillis is for how long the task's step is not to start yet.
+	// WaitsMillis is the remaining delay before the task's step may start.
 	WaitsMillis int64 `json:"waits_ms,omitempty"`
 
-	standing crashloop.Standing
-	hosts    int
+	level crashloop.Standing
+	hosts int
 }
 
-// DumpedEnd is a job that has ended as failed.
-type DumpedEnd struct {
+// DumpedFailure is a job that has ended as failed.
+type DumpedFailure struct {
 	Job string `json:"job"`
-	// Why is the code and its reason; empty where a task has failed as often as it may.
+	// Why is the result code and its reason; empty if a task has used up its attempts.
 	Why string `json:"why,omitempty"`
-	// AgoMillis is how long ago that was, as far as this holder knows.
+	// AgoMillis is the time since the end, as far as this holder knows.
 	AgoMillis int64 `json:"ago_ms"`
 }
 
 // DumpedHost is a host that does not answer.
 type DumpedHost struct {
-	// Host names its life, where lives are told apart.
+	// Host is the host's id, with its incarnation if that is known.
 	Host string `json:"host"`
-	// Heard is true once it has answered this holder, Listed while it has an entry, Closed
-	// once nothing is to start there, as it was silent.
-	Heard  bool `json:"heard"`
-	Listed bool `json:"listed"`
-	Closed bool `json:"closed"`
-	// SilentMillis is since when calls go unanswered, UnreachedMillis since when it is not
-	// even reached.
+	// Reported is true once the host has answered a poll of this holder, Listed while it has an entry,
+	// and Closed while nothing is to start there because it was unresponsive.
+	Reported bool `json:"heard"`
+	Listed   bool `json:"listed"`
+	Closed   bool `json:"closed"`
+	// SilentMillis is for how long calls have gone unanswered, UnreachedMillis for how long the
+	// host has not even been reached.
 	SilentMillis    int64 `json:"silent_ms"`
 	UnreachedMillis int64 `json:"unreached_ms,omitempty"`
-	// LeaseOverMillis is until nothing that this holder has leased runs there any more; zero
-	// where that has come, or nothing is known of it.
+	// LeaseOverMillis is the time until every lease there has expired; zero if they have, or if
+	// nothing is known of them.
 	LeaseOverMillis int64 `json:"lease_over_in_ms"`
-	// Runs are in the books, MayRun was told by a former holder, and Accused were lost
-	// there while it is not known whether the host has crashed.
-	Runs    int `json:"runs"`
-	MayRun  int `json:"may_run"`
-	Accused int `json:"accused"`
+	// Runs counts the recorded runs, PossibleRuns the possible runs listed by the previous holder, and
+	// Unattributed the runs that were lost there while it is not known whether the host has crashed.
+	Runs         int `json:"runs"`
+	PossibleRuns int `json:"may_run"`
+	Unattributed int `json:"accused"`
 }
 
-// DumpedVerdict is a decision on tasks that waits.
-type DumpedVerdict struct {
-	// DueMillis is in how long it is decided; below zero when it is overdue.
+// DumpedDecision is a deferred crash-loop decision on tasks.
+type DumpedDecision struct {
+	// DueMillis is the time until the decision; negative when it is overdue.
 	DueMillis int64 `json:"due_in_ms"`
-	// Host names the life that ended; empty where a former holder had decided.
+	// Host is the incarnation that ended; empty if a previous holder had decided.
 	Host  string   `json:"host,omitempty"`
 	Tasks []string `json:"tasks"`
-	// Count is how many tasks there are, with those that Tasks has no room for.
+	// Count is the number of tasks, including those omitted from Tasks.
 	Count int `json:"count"`
 }
 
-// Dump tells what is held against tasks, and of hosts that are not heard.
+// Dump returns the diagnostic state for operators.
 func (e *Engine) Dump(now time.Time) Dump {
 	var d Dump
-	d.Suspects, d.LeftOut.Suspects = bounded(e.dumpSuspects(now))
-	d.Failed, d.LeftOut.Failed = bounded(e.dumpFailed(now))
-	d.Silent, d.LeftOut.Silent = bounded(e.dumpSilent(now))
-	d.Verdicts, d.LeftOut.Verdicts = bounded(e.dumpVerdicts(now))
-	loads, leftOut := bounded(e.AccountLoads(now))
+	d.Suspects, d.LeftOut.Suspects = truncateRows(e.dumpSuspects(now))
+	d.Failed, d.LeftOut.Failed = truncateRows(e.dumpFailed(now))
+	d.Silent, d.LeftOut.Silent = truncateRows(e.dumpSilent(now))
+	d.Decisions, d.LeftOut.Decisions = truncateRows(e.dumpDecisions(now))
+	loads, leftOut := truncateRows(e.AccountLoads(now))
 	d.Accounts, d.LeftOut.Accounts = e.dumpAccounts(loads, now), leftOut
 	return d
 }
 
-// bounded cuts rows, and counts those that are cut.
-func bounded[T any](rows []T) (kept []T, leftOut int) {
-	n := min(len(rows), mostDumped)
+// truncateRows truncates rows to maxDumpRows, and counts those that are left out.
+func truncateRows[T any](rows []T) (kept []T, leftOut int) {
+	n := min(len(rows), maxDumpRows)
 	return rows[:n], len(rows) - n
 }
 
@@ -136,7 +136,7 @@
 		}
 	}
 	slices.SortFunc(rows, func(a, b DumpedTask) int {
-		return cmp.Or(cmp.Compare(b.standing, a.standing), cmp.Compare(b.hosts, a.hosts), cmp.Compare(a.Task, b.Task))
+		return cmp.Or(cmp.Compare(b.level, a.level), cmp.Compare(b.hosts, a.hosts), cmp.Compare(a.Task, b.Task))
 	})
 	return rows
 }
@@ -144,17 +144,17 @@
 func (e *Engine) dumpTask(g *group, i int, now time.Time) DumpedTask {
 	t := &g.tasks[i]
 	row := DumpedTask{
-		Task: g.task(i).String(), standing: t.crashes.Standing(), hosts: len(t.crashes), Crashes: t.crashes.String(),
+		Task: g.task(i).String(), level: t.crashes.Standing(), hosts: len(t.crashes), Crashes: t.crashes.String(),
 		Stored: !g.job.crashesNew && g.job.crashesIn <= e.durable, WaitsMillis: millisUntil(g.notBefore, now),
 	}
-	row.Standing = standingName(row.standing)
+	row.Standing = suspicionLevelName(row.level)
 	if t.cur != nil {
 		row.Run, row.Host, row.State = t.cur.No, t.cur.on.lifeName(), t.cur.state.String()
 	}
 	return row
 }
 
-func standingName(s crashloop.Standing) string {
+func suspicionLevelName(s crashloop.Standing) string {
 	switch s {
 	case crashloop.Suspect:
 		return "suspect"
@@ -166,11 +166,11 @@
 	return "unsuspected"
 }
 
-func (e *Engine) dumpFailed(now time.Time) []DumpedEnd {
-	rows := []DumpedEnd{}
+func (e *Engine) dumpFailed(now time.Time) []DumpedFailure {
+	rows := []DumpedFailure{}
 	for _, end := range slices.Backward(e.ended) {
 		if j := e.jobs[end.id]; j != nil && j.state == record.StateFailed {
-			rows = append(rows, DumpedEnd{Job: end.id, Why: cmp.Or(j.why, j.rec.Why), AgoMillis: now.Sub(end.at).Milliseconds()})
+			rows = append(rows, DumpedFailure{Job: end.id, Why: cmp.Or(j.why, j.rec.Why), AgoMillis: now.Sub(end.at).Milliseconds()})
 		}
 	}
 	return rows
@@ -183,15 +183,15 @@
 			rows = append(rows, e.dumpHost(h, now))
 		}
 	}
-	there := func(d DumpedHost) int { return d.Runs + d.MayRun + d.Accused }
-	slices.SortStableFunc(rows, func(a, b DumpedHost) int { return cmp.Compare(there(b), there(a)) })
+	affected := func(d DumpedHost) int { return d.Runs + d.PossibleRuns + d.Unattributed }
+	slices.SortStableFunc(rows, func(a, b DumpedHost) int { return cmp.Compare(affected(b), affected(a)) })
 	return rows
 }
 
 func (e *Engine) dumpHost(h *hostState, now time.Time) DumpedHost {
 	row := DumpedHost{
-		Host: h.lifeName(), Heard: h.claimed, Listed: h.listed, Closed: h.shut, SilentMillis: h.silentFor(now).Milliseconds(),
-		Runs: len(h.runs), MayRun: len(h.mayRun) + len(h.tried), Accused: len(h.accused),
+		Host: h.lifeName(), Reported: h.claimed, Listed: h.listed, Closed: h.shut, SilentMillis: h.silentFor(now).Milliseconds(),
+		Runs: len(h.runs), PossibleRuns: len(h.mayRun) + len(h.tried), Unattributed: len(h.accused),
 	}
 	if !h.refused.IsZero() {
 		row.UnreachedMillis = now.Sub(h.refused).Milliseconds()
@@ -205,11 +205,11 @@
 	return row
 }
 
-func (e *Engine) dumpVerdicts(now time.Time) []DumpedVerdict {
-	rows := []DumpedVerdict{}
+func (e *Engine) dumpDecisions(now time.Time) []DumpedDecision {
+	rows := []DumpedDecision{}
 	for _, v := range e.verdicts {
-		row := DumpedVerdict{DueMillis: v.due.Sub(now).Milliseconds(), Host: v.life, Tasks: []string{}, Count: len(v.list)}
-		for _, a := range v.list[:min(len(v.list), mostTasksDumped)] {
+		row := DumpedDecision{DueMillis: v.due.Sub(now).Milliseconds(), Host: v.life, Tasks: []string{}, Count: len(v.list)}
+		for _, a := range v.list[:min(len(v.list), maxDumpTasks)] {
 			row.Tasks = append(row.Tasks, a.run.Task.String())
 		}
 		rows = append(rows, row)
@@ -217,5 +217,5 @@
 	return rows
 }
 
-// millisUntil is the time until a moment; zero once that has passed.
+// millisUntil returns the milliseconds from now until at; zero once at has passed.
 func millisUntil(at, now time.Time) int64 { return max(at.Sub(now).Milliseconds(), 0) }
--- a/internal/engine/dump_account.go
+++ b/internal/engine/dump_account.go
@@ -11,28 +11,29 @@
 	"pulleyquay/internal/spec"
 )
 
-// AccountLoad is what a client account has, and how much of it waits.
+// AccountLoad is the resource usage and the waiting work of a client account.
 type AccountLoad struct {
 	Account string `json:"account"`
-	// Running is what may be running, InDoubt the part of it that may run on hosts which were
-	// not heard of since the takeover.
+	// Running is the size of all runs that may exist, InDoubt the part of it on hosts that have
+	// not reported since the failover.
 	Running spec.Resources `json:"running"`
 	InDoubt spec.Resources `json:"in_doubt,omitzero"`
-	// Quota is what it may have running; -1 is no bound.
+	// Quota bounds what may run at once; -1 is no bound.
 	Quota fairshare.Quota `json:"quota"`
-	// Share is the largest part of any resource of the cell that it has, Full of its quota.
+	// Share is the account's dominant share of the cell's resources, Full that of its quota.
 	Share float64 `json:"share"`
 	Full  float64 `json:"full"`
-	// Steps wait for their start, ForQuota of them for the account's own quota.
+	// Steps counts the steps that wait for their start, ForQuota those of them that wait for
+	// the account's quota.
 	Steps    int `json:"steps_waiting"`
 	ForQuota int `json:"steps_waiting_for_quota"`
 
-	first *group // of those that wait
+	firstWaiting *group // the first waiting step in queue order
 }
 
-// AccountLoads tells of all client accounts, those of which most waits first.
+// AccountLoads returns the loads of all client accounts; those with most waiting steps first.
 func (e *Engine) AccountLoads(now time.Time) []AccountLoad {
-	total := e.cellSize(now)
+	total := e.placeableCapacity(now)
 	rows := make(map[*account]*AccountLoad, len(e.accounts))
 	for _, a := range e.accounts {
 		counted := e.counted(a)
@@ -46,8 +47,8 @@
 		if row == nil || !g.ready {
 			continue
 		}
-		if row.first == nil {
-			row.first = g
+		if row.firstWaiting == nil {
+			row.firstWaiting = g
 		}
 		row.Steps++
 		if e.allowedNow(g) == 0 {
@@ -64,10 +65,10 @@
 	return out
 }
 
-// DumpedAccount is a client account with the step of it that goes first.
+// DumpedAccount is the load of a client account with its first waiting step.
 type DumpedAccount struct {
 	AccountLoad
-	// Next is that step, since when it waits, and why.
+	// Next is that step, NextWaitsMS how long it has waited, and NextWhy what it waits for.
 	Next        string `json:"next,omitempty"`
 	NextWaitsMS int64  `json:"next_waits_ms,omitempty"`
 	NextWhy     string `json:"next_why,omitempty"`
@@ -77,16 +78,16 @@
 	out := make([]DumpedAccount, 0, len(loads))
 	for _, l := range loads {
 		row := DumpedAccount{AccountLoad: l}
-		if g := l.first; g != nil {
-			row.Next, row.NextWaitsMS, row.NextWhy = g.id.String(), now.Sub(g.readySince).Milliseconds(), e.whyWaiting(g, now)
+		if g := l.firstWaiting; g != nil {
+			row.Next, row.NextWaitsMS, row.NextWhy = g.id.String(), now.Sub(g.readySince).Milliseconds(), e.waitReason(g, now)
 		}
 		out = append(out, row)
 	}
 	return out
 }
 
-// cellSize is what the hosts that take work have together.
-func (e *Engine) cellSize(now time.Time) (sum spec.Resources) {
+// placeableCapacity returns the total size of the hosts that take new work.
+func (e *Engine) placeableCapacity(now time.Time) (sum spec.Resources) {
 	for _, h := range e.sorted {
 		if e.placeable(h, now) {
 			sum = sum.Add(h.info.Size)
@@ -95,16 +96,16 @@
 	return sum
 }
 
-// Explanation tells where a job stands, and why what waits of it waits.
+// Explanation is the progress of a job and the reason for which its waiting steps wait.
 type Explanation struct {
 	Job     string       `json:"job"`
 	Account string       `json:"account,omitempty"`
 	Queue   string       `json:"queue,omitempty"`
 	State   record.State `json:"state"`
-	// Why is the reason of its end, where its state does not say all.
+	// Why is the reason for its end, if the state alone does not give it.
 	Why   string          `json:"why,omitempty"`
 	Steps []ExplainedStep `json:"steps"`
-	// LeftOut counts the steps that there is no room for.
+	// LeftOut counts the steps that were omitted from Steps.
 	LeftOut int `json:"steps_left_out,omitempty"`
 }
 
@@ -115,11 +116,12 @@
 	Done    int `json:"done"`
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Why names what the waiting ones lack.
+	// Why is the reason for which the waiting tasks wait.
 	Why string `json:"why,omitempty"`
 }
 
-// Explain tells why a job waits. The second value is false when it is not known.
+// Explain returns the progress of a job and the reasons for which its steps wait. The second
+// result is false when the job is not known.
 func (e *Engine) Explain(id string, now time.Time) (Explanation, bool) {
 	j := e.jobs[id]
 	if j == nil {
@@ -130,7 +132,7 @@
 		if g.left == 0 || j.state.Final() {
 			continue
 		}
-		if len(out.Steps) == mostDumped {
+		if len(out.Steps) == maxDumpRows {
 			out.LeftOut++
 			continue
 		}
@@ -150,13 +152,13 @@
 	case e.unsettled:
 		s.Why = "the partition has changed hands; hosts are being asked what they run"
 	default:
-		s.Why = e.whyWaiting(g, now)
+		s.Why = e.waitReason(g, now)
 	}
 	return s
 }
 
-// tellAccounts logs which accounts have come to wait for their quotas, and which do no more.
-func (e *Engine) tellAccounts(now time.Time) {
+// logQuotaWaits logs which accounts have begun to wait for their quotas, and which have ceased to.
+func (e *Engine) logQuotaWaits(now time.Time) {
 	waiting := map[*account]int{}
 	for _, g := range e.queue {
 		if a := g.job.account; a != nil && g.ready && e.allowedNow(g) == 0 {
--- a/internal/engine/dump_account_test.go
+++ b/internal/engine/dump_account_test.go
@@ -10,9 +10,9 @@
 	"pulleyquay/internal/catalog"
 )
 
-// TestAccountsAreTold: the dump, the explanation of a job, and one line of the log a change say
-// whose work waits, and for what.
-func TestAccountsAreTold(t *testing.T) {
+// TestAccountsAreReported: the dump and the explanation of a job name the account whose steps wait
+// and what they wait for, and each change is logged once.
+func TestAccountsAreReported(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 19, 4)
 	w.logs = true
@@ -45,20 +45,20 @@
 	is.True(!known)
 
 	w.run(20 * time.Second)
-	told := map[string]int{}
+	lines := map[string]int{}
 	for _, ev := range w.logged {
 		if strings.HasPrefix(ev.What, "account waits") {
-			told[ev.What]++
+			lines[ev.What]++
 		}
 	}
-	is.Equal(told, map[string]int{"account waits for its quota": 1, "account waits for its quota no more": 1})
+	is.Equal(lines, map[string]int{"account waits for its quota": 1, "account waits for its quota no more": 1})
 	x, _ = w.engine.Explain("crew-1", w.now())
 	is.Equal(len(x.Steps), 0)
 }
 
-// TestAGangThatItsQuotaNeverHoldsIsTold: a quota that fell under what an accepted gang needs
-// at once is named with the numbers, as it waits until it rises.
-func TestAGangThatItsQuotaNeverHoldsIsTold(t *testing.T) {
+// TestGangAboveItsQuotaIsReported: after a quota was lowered below what an accepted gang
+// needs at once, the explanation states both figures; the gang waits until the quota is raised.
+func TestGangAboveItsQuotaIsReported(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 23, 4)
 	w.setQuota("crew", cores(4))
--- a/internal/engine/dump_test.go
+++ b/internal/engine/dump_test.go
@@ -14,14 +14,14 @@
 	"pulleyquay/internal/host"
 )
 
-// TestDump: at each moment of a task that crashes its hosts an operator sees what is held
-// against it, which hosts are silent, and in the end why its job has failed.
+// TestDump: while a task crashes its hosts, the dump lists the recorded crashes and the
+// unresponsive hosts, and at the end the reason for which the job has failed.
 func TestDump(t *testing.T) {
 	is := is.New(t)
 	w := crashWorld(t, 21, 16)
 	w.submit("bystander", catalog.Rules{}, step(16, 6, 10, 60000))
 	w.run(time.Second)
-	is.Equal(w.engine.Dump(w.now()), Dump{Suspects: []DumpedTask{}, Failed: []DumpedEnd{}, Silent: []DumpedHost{}, Verdicts: []DumpedVerdict{}, Accounts: []DumpedAccount{}})
+	is.Equal(w.engine.Dump(w.now()), Dump{Suspects: []DumpedTask{}, Failed: []DumpedFailure{}, Silent: []DumpedHost{}, Decisions: []DumpedDecision{}, Accounts: []DumpedAccount{}})
 	w.submit(culprit+"0", catalog.Rules{}, step(1, 6, 10, 640))
 	suspected, silent := false, false
 	var d Dump
@@ -42,7 +42,7 @@
 		for _, row := range d.Silent {
 			if row.Runs > 0 {
 				silent = true
-				is.True(row.Heard)
+				is.True(row.Reported)
 				is.True(row.SilentMillis+row.UnreachedMillis > 0)
 				is.True(row.LeaseOverMillis > 0 && row.LeaseOverMillis <= 7000)
 			}
@@ -55,11 +55,12 @@
 	is.True(strings.HasPrefix(d.Failed[0].Why, "5212 job-crashes-hosts: task "+culprit+"0/0/0/0"))
 	w.run(time.Second) // it is stored
 	w.takeOver()
-	is.Equal(w.engine.Dump(w.now()).Failed[0].Why, d.Failed[0].Why) // a next holder tells it as well
+	is.Equal(w.engine.Dump(w.now()).Failed[0].Why, d.Failed[0].Why) // the next holder has the reason as well
 }
 
-// TestDumpOfVerdicts: hosts that a new holder finds gone have verdicts wait.
-func TestDumpOfVerdicts(t *testing.T) {
+// TestDumpOfDeferredDecisions: after a failover, the dump lists inherited hosts that have not reported,
+// those with most possible runs first, and deferred decisions.
+func TestDumpOfDeferredDecisions(t *testing.T) {
 	is := is.New(t)
 	w := crashWorld(t, 22, 8)
 	w.submit("a", catalog.Rules{}, step(8, 20, 10, 60000))
@@ -67,21 +68,21 @@
 	w.host("h01").Crash()
 	w.run(3500 * time.Millisecond) // the roster has it closed, with what may run there
 	w.takeOver()
-	unheard := w.engine.Dump(w.now()).Silent
-	is.True(len(unheard) > 0)
-	is.True(strings.HasPrefix(unheard[0].Host, "h01")) // what may run there comes first
-	is.True(!unheard[0].Heard)
-	is.True(unheard[0].MayRun > 0)
-	is.True(unheard[0].LeaseOverMillis > 0)
+	silent := w.engine.Dump(w.now()).Silent
+	is.True(len(silent) > 0)
+	is.True(strings.HasPrefix(silent[0].Host, "h01")) // it has the most possible runs
+	is.True(!silent[0].Reported)
+	is.True(silent[0].PossibleRuns > 0)
+	is.True(silent[0].LeaseOverMillis > 0)
 	w.engine.verdicts = []verdict{{due: w.now().Add(verdictAfter), life: "h01", list: []accusation{{run: host.Run{Task: w.engine.jobs["a"].groups[0].task(3)}}}}}
-	is.Equal(w.engine.Dump(w.now()).Verdicts, []DumpedVerdict{{DueMillis: 1000, Host: "h01", Tasks: []string{"a/0/0/3"}, Count: 1}})
+	is.Equal(w.engine.Dump(w.now()).Decisions, []DumpedDecision{{DueMillis: 1000, Host: "h01", Tasks: []string{"a/0/0/3"}, Count: 1}})
 }
 
-// TestDumpIsBounded: whatever goes wrong at once, a dump can be read and costs little.
+// TestDumpIsBounded: the size of a dump is bounded, however many tasks and hosts have failed.
 func TestDumpIsBounded(t *testing.T) {
 	is := is.New(t)
-	w := crashWorld(t, 23, 3*mostDumped)
-	w.submit("a", catalog.Rules{}, step(3*mostDumped, 4, 4, 60000))
+	w := crashWorld(t, 23, 3*maxDumpRows)
+	w.submit("a", catalog.Rules{}, step(3*maxDumpRows, 4, 4, 60000))
 	w.run(time.Second)
 	e := w.engine
 	g := e.jobs["a"].groups[0]
@@ -95,27 +96,27 @@
 	for _, h := range e.sorted {
 		h.silent = w.now()
 	}
-	for range 2 * mostDumped {
+	for range 2 * maxDumpRows {
 		e.verdicts = append(e.verdicts, verdict{due: w.now(), life: "gone", list: list})
 	}
 	d := e.Dump(w.now())
-	is.Equal(len(d.Suspects), mostDumped)
-	is.Equal(len(d.Silent), mostDumped)
-	is.Equal(len(d.Verdicts), mostDumped)
-	is.Equal(d.LeftOut, DumpLeftOut{Suspects: 2 * mostDumped, Silent: 2 * mostDumped, Verdicts: mostDumped})
+	is.Equal(len(d.Suspects), maxDumpRows)
+	is.Equal(len(d.Silent), maxDumpRows)
+	is.Equal(len(d.Decisions), maxDumpRows)
+	is.Equal(d.LeftOut, DumpLeftOut{Suspects: 2 * maxDumpRows, Silent: 2 * maxDumpRows, Decisions: maxDumpRows})
 	is.Equal(d.Suspects[0].Task, g.task(len(g.tasks)-1).String()) // the worst comes first
-	is.Equal(len(d.Verdicts[0].Tasks), mostTasksDumped)
-	is.Equal(d.Verdicts[0].Count, len(list))
+	is.Equal(len(d.Decisions[0].Tasks), maxDumpTasks)
+	is.Equal(d.Decisions[0].Count, len(list))
 	text, err := json.Marshal(d)
 	is.NoErr(err)
 	is.True(len(text) < 256<<10)
 }
 
-func TestNamesOfStandings(t *testing.T) {
+func TestSuspicionLevelNames(t *testing.T) {
 	is := is.New(t)
 	for s, want := range map[crashloop.Standing]string{
 		crashloop.Unsuspected: "unsuspected", crashloop.Suspect: "suspect", crashloop.OnTrial: "on trial", crashloop.GivenUp: "given up",
 	} {
-		is.Equal(standingName(s), want)
+		is.Equal(suspicionLevelName(s), want)
 	}
 }
--- a/internal/engine/ends.go
+++ b/internal/engine/ends.go
@@ -9,8 +9,8 @@
 	"pulleyquay/internal/record"
 )
 
-// endOf handles the end of one run.
-func (e *Engine) endOf(h *hostState, end host.End, now time.Time) {
+// processEnd processes one end record of a host.
+func (e *Engine) processEnd(h *hostState, end host.End, now time.Time) {
 	r := h.runs[end.Run]
 	if r != nil {
 		e.remove(r)
@@ -21,7 +21,7 @@
 	g := e.groupOf(end.Task)
 	if g == nil {
 		if e.jobs[end.Task.Job] == nil {
-			e.keepEnd(h, end, now)
+			e.retainOrphanEnd(h, end, now)
 		}
 		return
 	}
@@ -38,12 +38,12 @@
 		e.taskDone(g, i, now)
 	case host.EndFailed:
 		e.blame(h, g.job.id(), now)
-		e.taskFailed(g, i, r, now)
+		e.recordTaskFailure(g, i, r, now)
 	}
 	e.released(r, now)
 }
 
-// taskDone notes that a task is done. One member's end stands for its whole gang.
+// taskDone records that a task is done. For a gang the end of one member counts for all.
 func (e *Engine) taskDone(g *group, i int, now time.Time) {
 	if g.step.LongRunning || g.tasks[i].state == taskDone {
 		return
@@ -67,18 +67,18 @@
 		return
 	}
 	if t.cur != nil && !g.step.Gang {
-		e.unwant(t.cur, "its task is done elsewhere")
+		e.unwant(t.cur, "another run has completed its task")
 	}
 	g.setState(i, taskDone)
 	g.left--
 	if g.standing != crashloop.Unsuspected {
-		g.judgeStanding() // what is held against a task that is done holds no other back
+		g.judgeStanding() // crashes under a task that is done no longer delay the others
 	}
 	e.refresh(g)
 }
 
-// taskFailed counts a failed run; a gang's run fails once, whoever's fault.
-func (e *Engine) taskFailed(g *group, i int, r *run, now time.Time) {
+// recordTaskFailure counts a failed run. A run of a gang counts once, whichever members fail.
+func (e *Engine) recordTaskFailure(g *group, i int, r *run, now time.Time) {
 	t := &g.tasks[i]
 	if t.state == taskDone {
 		return
@@ -92,7 +92,7 @@
 		failed = &g.failed
 	}
 	if slices.Contains(*failed, r.No) {
-		return // shown to a former holder, or by another member of the gang
+		return // counted by a previous holder, or for another member of the gang
 	}
 	*failed = append(*failed, r.No)
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// released notes that a run is over, however it ended.
+// released updates the task of a run that has ended for any reason.
 func (e *Engine) released(r *run, now time.Time) {
 	g := r.group
 	if g == nil || g.job.state.Final() {
@@ -114,7 +114,7 @@
 	t.run = max(t.run, r.No)
 	if t.cur != r {
 		g.inheritCheckpoint(r)
-		return // a later run of the task may be on a host not heard of yet
+		return // a later run of the task may be on a host that has not reported yet
 	}
 	t.cur = nil
 	if t.state == taskDone {
@@ -134,15 +134,15 @@
 	e.refresh(g)
 }
 
-// inheritCheckpoint keeps the checkpoint of a run that a former holder started and
-// that ended before this one saw it running.
+// inheritCheckpoint keeps the checkpoint of a run that a previous holder started and
+// that ended before a view listed it as running.
 func (g *group) inheritCheckpoint(r *run) {
 	t := &g.tasks[r.Task.Index]
 	if r.checkpoint == "" || t.cur != nil || t.state == taskDone || r.No < t.run {
 		return
 	}
 	if g.step.Gang {
-		g.checkpoint = r.checkpoint // any member's value serves the whole gang
+		g.checkpoint = r.checkpoint // the checkpoint of any member is valid for the whole gang
 		return
 	}
 	t.checkpoint = r.checkpoint
--- a/internal/engine/event.go
+++ b/internal/engine/event.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Event is one decision or change of belief, for the log. Fields that do not
-// apply are empty.
+// Event is a decision or a state change of the engine, for the log and the metrics.
+// Fields that do not apply are empty.
 type Event struct {
-	// What names the event.
+	// What names the event; it is a metric label as well.
 	What string
 	Job  string
 	Step string
 	Host string
-	// Kind tells events of one name apart, for the metrics: how a crash was seen.
+	// Kind distinguishes events of one name in the metrics, such as how a crash was detected.
 	Kind string
-	// Why gives the inputs that decided.
+	// Why states the inputs of the decision.
 	Why string
-	// Age is how old the inputs were.
+	// Age is the age of the inputs.
 	Age time.Duration
-	// Version is that of the inputs, such as an epoch.
+	// Version is the version of the inputs, such as an epoch.
 	Version int64
 }
 
--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -9,26 +9,25 @@
 	"pulleyquay/internal/spec"
 )
 
-// tellAfter is for how long a step waits before the log says why, and how often
-// it says so again.
-const tellAfter = 4 * time.Second
+// waitLogInterval is how long a step waits before the reason is logged, and the interval at
+// which it is logged again.
+const waitLogInterval = 4 * time.Second
 
-// mostWaitsTold bounds for how many steps that is told between two lines on the load of
-// the cell: it is found out by looking at every host, which costs decisions their time
-// when the queue is long.
-const mostWaitsTold = 20
+// maxWaitsLogged bounds the number of steps whose reason is logged between two "cell load"
+// lines: finding it examines every host, which delays decisions when the queue is long.
+const maxWaitsLogged = 20
 
-// tellWaiting logs why a step waits that has waited for long.
+// tellWaiting logs the reason for which a step waits, if it has waited for waitLogInterval.
 func (e *Engine) tellWaiting(g *group, now time.Time) {
-	if now.Sub(g.readySince) < tellAfter || now.Sub(g.toldAt) < tellAfter || e.waitsTold >= mostWaitsTold {
+	if now.Sub(g.readySince) < waitLogInterval || now.Sub(g.toldAt) < waitLogInterval || e.waitsTold >= maxWaitsLogged {
 		return
 	}
 	e.waitsTold++
 	g.toldAt = now
-	e.log(Event{What: "step waits", Job: g.job.id(), Step: g.id.String(), Why: e.whyWaiting(g, now), Age: now.Sub(g.readySince)})
+	e.log(Event{What: "step waits", Job: g.job.id(), Step: g.id.String(), Why: e.waitReason(g, now), Age: now.Sub(g.readySince)})
 }
 
-// logStart logs that tasks of a step were ordered to start.
+// logStart logs that starts of tasks of a step were ordered.
 func (e *Engine) logStart(g *group, tasks, hosts int, now time.Time) {
 	e.log(Event{
 		What: "step started", Job: g.job.id(), Step: g.id.String(), Age: now.Sub(g.readySince),
@@ -36,11 +35,11 @@
 	})
 }
 
-// whyWaiting tells what a step lacks: which rule refuses how many hosts, and how
-// much room there is on the others.
-func (e *Engine) whyWaiting(g *group, now time.Time) string {
+// waitReason describes what a step lacks: how many hosts each rule refuses, and how much
+// free capacity the others have.
+func (e *Engine) waitReason(g *group, now time.Time) string {
 	refused := map[string]int{}
-	good, ticketed, room, kept, could := 0, 0, 0, 0, 0
+	good, ticketed, room, reservedOn, roomIfEmpty := 0, 0, 0, 0, 0
 	for _, h := range e.sorted {
 		rule := refusedBy(g, h)
 		if !e.placeable(h, now) {
@@ -56,10 +55,10 @@
 		if e.allowed(g, h, now) {
 			ticketed++
 		}
-		could += g.fits(h, h.info.Size)
+		roomIfEmpty += g.fits(h, h.info.Size)
 		room += g.fits(h, e.roomFor(g, h, now))
 		if len(h.reserved) > 0 {
-			kept++
+			reservedOn++
 		}
 	}
 	rules := make([]string, 0, len(refused))
@@ -71,12 +70,12 @@
 		return over
 	}
 	return fmt.Sprintf("wants %d places (%d cores, %d MiB, %d accelerators each, label %q); has room for %d, %d if empty; %d hosts good, %d ticketed, places reserved on %d, for it on %d, %d questions asked; refused by rule: %s; %s",
-		g.waiting, g.step.Size.MilliCPU/1000, g.step.Size.MemoryMiB, g.step.Size.Accelerators, g.step.Label, room, could, good, ticketed, kept, len(g.reserved), g.advice.asking, strings.Join(rules, ", "), g.stillThere(e, now))
+		g.waiting, g.step.Size.MilliCPU/1000, g.step.Size.MemoryMiB, g.step.Size.Accelerators, g.step.Label, room, roomIfEmpty, good, ticketed, reservedOn, len(g.reserved), g.advice.asking, strings.Join(rules, ", "), g.describeRuns(e, now))
 }
 
-// stillThere tells which runs of a step are still in the books: a gang starts only when
-// none is. The one that was ordered first is told in full.
-func (g *group) stillThere(e *Engine, now time.Time) string {
+// describeRuns describes the recorded runs of a step: a gang starts only when there are none.
+// The run that was ordered first is described in detail.
+func (g *group) describeRuns(e *Engine, now time.Time) string {
 	n := 0
 	var first *run
 	for i := range g.tasks {
@@ -98,24 +97,23 @@
 		h.listed, h.life, h.silentFor(now).Milliseconds(), e.leaseOver(h).Sub(now).Milliseconds())
 }
 
-// tellLoadEvery is how often the log has a line on the load of the whole cell.
-const tellLoadEvery = 2 * time.Second
+// loadLogInterval is the interval between two "cell load" lines of the log.
+const loadLogInterval = 2 * time.Second
 
-// queueLoad is what a queue uses of the cell, and what waits in it.
+// queueLoad is the resource usage and the waiting work of a queue.
 type queueLoad struct {
 	used    spec.Resources
 	waiting int           // steps
-	longest time.Duration // for which one of them has waited
+	longest time.Duration // longest wait among these steps
 }
 
-// tellLoad logs how much of the cell is used in each dimension, by whom, and who
-// waits.
+// tellLoad logs the usage of the cell and the waiting steps, by queue.
 func (e *Engine) tellLoad(now time.Time) {
-	if now.Sub(e.loadToldAt) < tellLoadEvery {
+	if now.Sub(e.loadToldAt) < loadLogInterval {
 		return
 	}
 	e.loadToldAt, e.waitsTold = now, 0
-	e.tellAccounts(now)
+	e.logQuotaWaits(now)
 	var size spec.Resources
 	queues, placeable := map[string]*queueLoad{}, 0
 	of := func(queue string) *queueLoad {
@@ -137,10 +135,10 @@
 			}
 		}
 	}
-	held, longest := 0, time.Duration(0)
+	silentRuns, longest := 0, time.Duration(0)
 	for _, h := range e.sorted {
 		if len(h.runs) > 0 && !h.silent.IsZero() {
-			held += len(h.runs)
+			silentRuns += len(h.runs)
 			longest = max(longest, e.leaseOver(h).Sub(now))
 		}
 	}
@@ -161,10 +159,10 @@
 	}
 	sort.Strings(parts)
 	e.log(Event{What: "cell load", Why: fmt.Sprintf("%d of %d hosts take work; %s; %d steps have places reserved; %d questions asked; %d runs on silent hosts, the last lease over in %d ms",
-		placeable, len(e.sorted), strings.Join(parts, ", "), reserving, len(e.asks), held, longest.Milliseconds())})
+		placeable, len(e.sorted), strings.Join(parts, ", "), reserving, len(e.asks), silentRuns, longest.Milliseconds())})
 }
 
-// describe tells a queue's load for the log.
+// describe returns the queue's load as text for the log.
 func (q *queueLoad) describe(name string, size spec.Resources) string {
 	out := fmt.Sprintf("%s uses %.0f%% of processors, %.0f%% of memory", name,
 		100*share(q.used.MilliCPU, size.MilliCPU), 100*share(q.used.MemoryMiB, size.MemoryMiB))
--- a/internal/engine/fleet_test.go
+++ b/internal/engine/fleet_test.go
@@ -18,63 +18,63 @@
 	"pulleyquay/internal/spec"
 )
 
-// The large fleet's load: 1,100 hosts of 64 cores and 256 GB, a third of them slower,
+// The load of the large fleet: 1,100 hosts of 64 cores and 256 GB, a third of them slower,
 // with gangs of 40 tasks of 18 cores that may run on a quarter of the hosts, batch work
-// of 50 tasks of 11 cores, and urgent work of a few tasks of 16 cores that has half a
-// second to wait. 0.8 of the processors are asked for. Its figures are those of the
-// users' sheet.
+// of 50 tasks of 11 cores, and urgent work of a few tasks of 16 cores that may wait half
+// a second. The load requests 0.8 of the processors. The figures are from the users'
+// workload specification.
 const (
-	fleetHosts   = 1100
+	fleetSize    = 1100
 	fleetMembers = 146
 )
 
-// fleetKind is one kind of work of the load.
+// fleetKind is one class of jobs of the load.
 type fleetKind struct {
 	name      string
 	perSecond float64
-	steps     float64 // in the mean
+	steps     float64 // mean number per job
 	rules     catalog.Rules
-	good      uint32 // percent of hosts that the policy permits
+	good      uint32 // percent of hosts that the policy service permits
 
 	width, widthSpread, widthMost float64
 	cores, coresSpread, coresMost float64
 	gib, gibSpread, gibMost       float64
 	work, workSpread, workMost    float64 // milliseconds
-	uneven                        float64 // of the tasks of one step
-	estimateOff                   float64
-	gang, saves                   float64 // shares of the steps
-	worth                         float64
+	taskSpread                    float64 // spread of the work among the tasks of one step
+	estimateSpread                float64 // spread of the estimate around the work
+	gang, checkpointing           float64 // shares of the steps that are gangs, or checkpointing
+	value                         float64
 }
 
 var fleetKinds = []fleetKind{
 	{
-		name: "review", perSecond: 5.42, steps: 1.2, good: 25, worth: 11.8,
+		name: "review", perSecond: 5.42, steps: 1.2, good: 25, value: 11.8,
 		rules: catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000, Advice: &catalog.Advice{DecideMillis: 600, PerHostMillis: 8.6, ValidMillis: 1500}},
 		width: 40, widthSpread: 0.8, widthMost: 240, cores: 18, coresSpread: 0.4, coresMost: 30, gib: 52, gibSpread: 0.5, gibMost: 100,
-		work: 6200, workSpread: 0.5, workMost: 16000, uneven: 0.15, estimateOff: 0.5, gang: 1, saves: 0.5,
+		work: 6200, workSpread: 0.5, workMost: 16000, taskSpread: 0.15, estimateSpread: 0.5, gang: 1, checkpointing: 0.5,
 	},
 	{
-		name: "survey", perSecond: 11.2, steps: 1.5, good: 45, worth: 3.56,
+		name: "survey", perSecond: 11.2, steps: 1.5, good: 45, value: 3.56,
 		rules: catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000, Advice: &catalog.Advice{DecideMillis: 140, PerHostMillis: 2, ValidMillis: 1500}},
 		width: 50, widthSpread: 0.8, widthMost: 300, cores: 11, coresSpread: 0.45, coresMost: 33, gib: 31, gibSpread: 0.6, gibMost: 94,
-		work: 2200, workSpread: 0.5, workMost: 5400, uneven: 0.3, estimateOff: 0.2, saves: 0.8,
+		work: 2200, workSpread: 0.5, workMost: 5400, taskSpread: 0.3, estimateSpread: 0.2, checkpointing: 0.8,
 	},
 	{
-		name: "ticket", perSecond: 142, steps: 1, good: 70, worth: 0.394,
+		name: "ticket", perSecond: 142, steps: 1, good: 70, value: 0.394,
 		rules: catalog.Rules{Stretch: 1.5, TargetMillis: 250, Advice: &catalog.Advice{DecideMillis: 11, PerHostMillis: 0.16, ValidMillis: 1500}},
 		width: 4.5, widthSpread: 0.8, widthMost: 27, cores: 16, coresSpread: 0.45, coresMost: 47, gib: 45, gibSpread: 0.6, gibMost: 130,
-		work: 800, workSpread: 0.5, workMost: 2000, uneven: 0.15, estimateOff: 0.5, gang: 0.3,
+		work: 800, workSpread: 0.5, workMost: 2000, taskSpread: 0.15, estimateSpread: 0.5, gang: 0.3,
 	},
 }
 
-// burst multiplies a kind's work for a while.
+// burst multiplies the arrival rate of a kind from at until ends.
 type burst struct {
 	kind     string
 	at, ends time.Duration
 	times    float64
 }
 
-// fleetLoad is what arrived of the load.
+// fleetLoad submits the jobs of the load to a simulation and keeps a record of them.
 type fleetLoad struct {
 	w    *world
 	rnd  *rand.Rand
@@ -83,13 +83,13 @@
 }
 
 type fleetJob struct {
-	kind     *fleetKind
-	at       time.Time
-	promised time.Duration
-	weight   float64 // core-seconds
+	kind   *fleetKind
+	at     time.Time
+	target time.Duration
+	weight float64 // core-seconds
 }
 
-// newFleetLoad submits the load, at a share of the sheet's, for a while.
+// newFleetLoad returns a load that arrives for d at a share of the specified rate.
 func newFleetLoad(t testing.TB, seed uint64, share float64, d time.Duration, bursts ...burst) *fleetLoad {
 	w := newWorld(t, seed)
 	w.bounds.LeaseLimit, w.bounds.StopTakes, w.bounds.GangWait = 10*time.Second, 900*time.Millisecond, 5*time.Second
@@ -99,7 +99,7 @@
 	for i := range fleetMembers {
 		w.members = append(w.members, fmt.Sprint("m", i))
 	}
-	for i, h := range w.fleet.Add(fleetHosts, "s", spec.Resources{MilliCPU: 64000, MemoryMiB: 262144}) {
+	for i, h := range w.fleet.Add(fleetSize, "s", spec.Resources{MilliCPU: 64000, MemoryMiB: 262144}) {
 		if i%3 == 2 {
 			h.Slow(1.3)
 		}
@@ -116,17 +116,17 @@
 	w.takeOver()
 	w.run(5 * time.Second)
 	for i := range fleetKinds {
-		l.arrive(&fleetKinds[i], share, d, bursts)
+		l.scheduleArrivals(&fleetKinds[i], share, d, bursts)
 	}
 	return l
 }
 
-// draw draws a number from a log-normal distribution with a mean, bounded.
+// draw returns a sample of a log-normal distribution with the given mean, capped at most.
 func (l *fleetLoad) draw(mean, spread, most float64) float64 {
 	return min(mean*math.Exp(spread*l.rnd.NormFloat64()-spread*spread/2), most)
 }
 
-func (l *fleetLoad) arrive(k *fleetKind, share float64, d time.Duration, bursts []burst) {
+func (l *fleetLoad) scheduleArrivals(k *fleetKind, share float64, d time.Duration, bursts []burst) {
 	n := 0
 	for at := time.Duration(0); at < d; {
 		rate := share * k.perSecond
@@ -150,36 +150,37 @@
 		n = 2
 	}
 	var steps []spec.Step
-	chain := time.Duration(0)
+	criticalPath := time.Duration(0)
 	for i := range n {
 		work := l.draw(k.work, k.workSpread, k.workMost)
 		s := spec.Step{
 			Count:          max(int(l.draw(k.width, k.widthSpread, k.widthMost)), 1),
 			Size:           spec.Resources{MilliCPU: int64(1000 * l.draw(k.cores, k.coresSpread, k.coresMost)), MemoryMiB: int64(1024 * l.draw(k.gib, k.gibSpread, k.gibMost))},
-			EstimateMillis: int64(work * math.Exp(k.estimateOff*l.rnd.NormFloat64())),
-			Gang:           l.rnd.Float64() < k.gang, Checkpointing: l.rnd.Float64() < k.saves,
+			EstimateMillis: int64(work * math.Exp(k.estimateSpread*l.rnd.NormFloat64())),
+			Gang:           l.rnd.Float64() < k.gang, Checkpointing: l.rnd.Float64() < k.checkpointing,
 		}
 		if i > 0 {
 			s.After = []int{i - 1}
 		}
 		longest := 0.0
 		for t := range s.Count {
-			took := work * math.Exp(k.uneven*l.rnd.NormFloat64())
+			took := work * math.Exp(k.taskSpread*l.rnd.NormFloat64())
 			longest = max(longest, took)
 			l.work[spec.StepTask{StepID: spec.StepID{Job: id, Step: i}, Index: t}] = time.Duration(took * float64(time.Millisecond))
 			j.weight += took * float64(s.Size.MilliCPU) / 1e6
 		}
-		chain += time.Duration(longest * float64(time.Millisecond))
+		criticalPath += time.Duration(longest * float64(time.Millisecond))
 		steps = append(steps, s)
 	}
-	j.promised = time.Duration(k.rules.Stretch*float64(chain)) + time.Duration(k.rules.TargetMillis)*time.Millisecond
+	j.target = time.Duration(k.rules.Stretch*float64(criticalPath)) + time.Duration(k.rules.TargetMillis)*time.Millisecond
 	l.w.submit(id, k.rules, steps...)
 }
 
-// worth is which part of the worth of a kind's jobs was earned, of those submitted in
-// a span of the load: in time counts whole, up to three times as late a fifth, and
-// larger jobs count for more, as the users' measure has it.
-func (l *fleetLoad) worth(kind string, from, until time.Time) float64 {
+// value returns the share of the value of a kind's jobs that was earned, of the jobs
+// submitted in the interval [from, until). As in the users' measure, a job that completes
+// within its target duration earns its whole value, one within three times that duration
+// a fifth, and larger jobs have a higher value.
+func (l *fleetLoad) value(kind string, from, until time.Time) float64 {
 	var sum, n float64
 	for _, j := range l.jobs {
 		if j.kind.name == kind {
@@ -188,38 +189,38 @@
 		}
 	}
 	mean := sum / n
-	var got, owed float64
+	var earned, total float64
 	for id, j := range l.jobs {
 		if j.kind.name != kind || j.at.Before(from) || !j.at.Before(until) {
 			continue
 		}
-		worth := min(0.3+0.7*j.weight/mean, 4)
-		owed += worth
+		value := min(0.3+0.7*j.weight/mean, 4)
+		total += value
 		if l.w.shown[id] != record.StateCompleted {
 			continue
 		}
 		switch took := l.w.ended[id].Sub(j.at); {
-		case took <= j.promised:
-			got += worth
-		case took <= 3*j.promised:
-			got += 0.2 * worth
+		case took <= j.target:
+			earned += value
+		case took <= 3*j.target:
+			earned += 0.2 * value
 		}
 	}
-	return got / owed
+	return earned / total
 }
 
-// report tells the worth of each kind, for the log of a test.
-func (l *fleetLoad) report(from, until time.Time) string {
+// summary formats the earned value of each kind for the log of a test.
+func (l *fleetLoad) summary(from, until time.Time) string {
 	var parts []string
 	for _, k := range fleetKinds {
-		parts = append(parts, fmt.Sprintf("%s %.3f", k.name, l.worth(k.name, from, until)))
+		parts = append(parts, fmt.Sprintf("%s %.3f", k.name, l.value(k.name, from, until)))
 	}
 	return strings.Join(parts, ", ")
 }
 
-// TestGangsInALargeFleet replays the load of the users' calm day at its size, with its
-// two bursts closer together. Gangs that asked about as many hosts as they had places for,
-// and that kept places from each other, ended late.
+// TestGangsInALargeFleet replays the users' reference load at full size, with its two bursts
+// closer together. Gangs ended late when their queries named no more hosts than they needed
+// slots, and when gangs blocked slots for each other.
 func TestGangsInALargeFleet(t *testing.T) {
 	const (
 		seeds = 3
@@ -238,22 +239,22 @@
 				l.w.check()
 				mu.Lock()
 				defer mu.Unlock()
-				t.Logf("seed %d: %s", seed, l.report(at, at.Add(lasts)))
+				t.Logf("seed %d: %s", seed, l.summary(at, at.Add(lasts)))
 				for _, k := range fleetKinds {
-					mean[k.name] += l.worth(k.name, at, at.Add(lasts)) / seeds
+					mean[k.name] += l.value(k.name, at, at.Add(lasts)) / seeds
 				}
 			})
 		}
 	})
-	t.Logf("worth: reviews %.3f, surveys %.3f, tickets %.3f", mean["review"], mean["survey"], mean["ticket"])
+	t.Logf("value earned: reviews %.3f, surveys %.3f, tickets %.3f", mean["review"], mean["survey"], mean["ticket"])
 	is := is.New(t)
 	is.True(mean["review"] >= 0.74)
 	is.True(mean["survey"] >= 0.93)
 	is.True(mean["ticket"] >= 0.97)
 }
 
-// TestTakeoverAtSize: when the holder of 1,100 hosts is succeeded at full load, urgent jobs
-// that come right after are started within a second, and those that waited as well.
+// TestTakeoverAtSize: after a failover with 1,100 hosts at full load, urgent jobs that are
+// submitted in the first second start within a second.
 func TestTakeoverAtSize(t *testing.T) {
 	is := is.New(t)
 	l := newFleetLoad(t, 1, 0.87, 12*time.Second)
@@ -289,7 +290,7 @@
 			first = min(first, begun)
 		}
 	}
-	t.Logf("settled after %v, the first urgent job started after %v; %d of %d took over a second", settled, first, late, all)
+	t.Logf("reconciled after %v, first urgent job started after %v; %d of %d took over a second", settled, first, late, all)
 	is.True(first < 300*time.Millisecond)
 	is.True(settled > 0 && settled < time.Second)
 	is.True(all > 100)
--- a/internal/engine/foreign_test.go
+++ b/internal/engine/foreign_test.go
@@ -10,9 +10,9 @@
 	"pulleyquay/internal/host"
 )
 
-// TestHostsOfUnknownServices: a host whose entry names a service that the configuration
-// does not is not spoken to; it is used once the configuration names its service, and gets
-// nothing new when that is taken out again.
+// TestHostsOfUnknownServices: a host of a service that the configuration does not define is
+// not polled. It is used once the configuration defines its service, and gets no new work
+// once the service is removed.
 func TestHostsOfUnknownServices(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -31,7 +31,7 @@
 		return host.Info{ID: host.ID(id), Addr: "10.1.1.1:80", Service: service, Size: size(64, 64)}
 	}
 	e.SetHosts([]host.Info{info("own", "s"), info("foreign", "x")}, now)
-	looked := func() map[host.ID]bool {
+	polled := func() map[host.ID]bool {
 		out := map[host.ID]bool{}
 		orders, _ := e.Next(now)
 		for _, l := range orders.Looks {
@@ -40,9 +40,9 @@
 		}
 		return out
 	}
-	is.Equal(looked(), map[host.ID]bool{"own": true})
+	is.Equal(polled(), map[host.ID]bool{"own": true})
 	e.SetCatalog(named(2, "s", "x"), now)
-	is.Equal(looked(), map[host.ID]bool{"foreign": true})
+	is.Equal(polled(), map[host.ID]bool{"foreign": true})
 	e.Stored(e.TakeBatch(now), now)
 	is.True(e.placeable(e.hosts["foreign"], now))
 	e.SetCatalog(named(3, "s"), now)
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -9,16 +9,16 @@
 	"pulleyquay/internal/pacing"
 )
 
-// runsPerEpoch is how many starts of one task fit into an epoch: a holder numbers
-// its runs above all those that earlier holders can have given.
+// runsPerEpoch is the number of runs of one task that can be numbered in one epoch: a
+// holder numbers its runs above all numbers that earlier holders can have used.
 const runsPerEpoch = 1000
 
-// nextRun returns the number of the run after last.
+// nextRun returns the number of the next run of a task whose last run has number last.
 func (e *Engine) nextRun(last int) int {
 	return max(last, int(e.cfg.Epoch-1)*runsPerEpoch) + 1
 }
 
-// start books a run of a task and orders it.
+// start records a new run of a task on a host and orders the host to execute it.
 func (e *Engine) start(g *group, i, no int, h *hostState, checkpoint string, now time.Time) {
 	t := &g.tasks[i]
 	r := &run{
@@ -39,11 +39,11 @@
 		Checkpoint: checkpoint, Ticket: g.advice.tickets[h].text,
 	}})
 	if !h.looking {
-		h.lookAt = now // the lease of what was started has to be renewed
+		h.lookAt = now // polls renew the lease of the run
 	}
 }
 
-// Started takes in the outcome of a start.
+// Started handles the outcome of a start order.
 func (e *Engine) Started(o StartOrder, reply host.Reply, err error, now time.Time) {
 	e.now = now
 	h := e.hosts[o.To.ID]
@@ -53,19 +53,19 @@
 	r := h.runs[o.Start.Run]
 	switch {
 	case errors.Is(err, host.ErrOtherLife) && o.Start.Life == 0:
-		e.notStarted(h, r, now)
-		e.otherLife(h, o.To, now)
+		e.removeUnstarted(h, r, now)
+		e.handleOtherIncarnation(h, o.To, now)
 		return
 	case errors.Is(err, host.ErrOtherLife):
-		e.log(Event{What: "start met another life", Job: o.Start.Task.Job, Step: o.Start.Task.StepID.String(), Host: string(h.info.ID), Why: fmt.Sprintf("meant for the one that started at %d", o.Start.Life)})
-		e.lifeUnreached(h, r, host.ErrNotSent, now)
+		e.log(Event{What: "start met another life", Job: o.Start.Task.Job, Step: o.Start.Task.StepID.String(), Host: string(h.info.ID), Why: fmt.Sprintf("intended for the one that started at %d", o.Start.Life)})
+		e.handleUnreachedIncarnation(h, r, host.ErrNotSent, now)
 		return
 	case errors.Is(err, host.ErrNotSent):
-		e.lifeUnreached(h, r, err, now)
+		e.handleUnreachedIncarnation(h, r, err, now)
 		return
 	case err != nil:
 		h.unanswered(err, now)
-		e.doubt(h, r, now)
+		e.markUnacknowledged(h, r, now)
 		return
 	}
 	e.hearReply(h, reply.Clock, now)
@@ -75,20 +75,21 @@
 		}
 		return
 	}
-	e.refused(h, r, reply.Refused, now)
+	e.handleRefusal(h, r, reply.Refused, now)
 }
 
-// lifeUnreached handles a start that has not reached the life that was meant. A look tells
-// whether that is over; until then nothing more is started there.
-func (e *Engine) lifeUnreached(h *hostState, r *run, err error, now time.Time) {
+// handleUnreachedIncarnation handles a start order that has not reached the intended incarnation
+// of the host. A poll shows whether that incarnation has ended; until then nothing else is
+// started there.
+func (e *Engine) handleUnreachedIncarnation(h *hostState, r *run, err error, now time.Time) {
 	h.unanswered(err, now)
 	e.askAgain(h, now)
-	e.notStarted(h, r, now)
+	e.removeUnstarted(h, r, now)
 }
 
-// otherLife drops a host at whose address another one has answered, unless it was called at
-// an address that it had before.
-func (e *Engine) otherLife(h *hostState, called host.Info, now time.Time) {
+// handleOtherIncarnation drops a host at whose address another incarnation has answered. If the
+// call went to a former address of the host, the host is polled again instead.
+func (e *Engine) handleOtherIncarnation(h *hostState, called host.Info, now time.Time) {
 	if called.Addr != h.info.Addr {
 		e.askAgain(h, now)
 		return
@@ -96,8 +97,8 @@
 	e.hostGone(h, now, "another life answered")
 }
 
-// doubt notes a start without an answer. The host is asked at once what it runs.
-func (e *Engine) doubt(h *hostState, r *run, now time.Time) {
+// markUnacknowledged marks a start order as unacknowledged, and has the host polled at once.
+func (e *Engine) markUnacknowledged(h *hostState, r *run, now time.Time) {
 	if r == nil || r.state != runOrdered {
 		return
 	}
@@ -106,7 +107,8 @@
 	e.probe(h)
 }
 
-// askAgain has a host looked at that was not reached: it is chosen again once it answers.
+// askAgain has a host polled as soon as possible. A host that was not reached is eligible for
+// placement again once it answers.
 func (e *Engine) askAgain(h *hostState, now time.Time) {
 	if h.looking {
 		e.probe(h)
@@ -115,11 +117,11 @@
 	h.lookAt = now
 }
 
-// probe asks a host what it runs beside the look that may be waiting there.
+// probe has a host polled in addition to a poll that may be waiting there.
 func (e *Engine) probe(h *hostState) { h.probe = true }
 
-// notStarted takes a run that certainly never starts out of the books.
-func (e *Engine) notStarted(h *hostState, r *run, now time.Time) {
+// removeUnstarted removes a run that certainly never starts.
+func (e *Engine) removeUnstarted(h *hostState, r *run, now time.Time) {
 	if r == nil || r.state == runRunning {
 		return
 	}
@@ -127,8 +129,8 @@
 	e.released(r, now)
 }
 
-// refused handles a start that the host did not carry out.
-func (e *Engine) refused(h *hostState, r *run, why host.Refusal, now time.Time) {
+// handleRefusal handles a start order that the host has refused.
+func (e *Engine) handleRefusal(h *hostState, r *run, why host.Refusal, now time.Time) {
 	switch why {
 	case host.RefusedFenced:
 		e.fencedBy(h)
@@ -137,9 +139,9 @@
 			delete(r.group.advice.tickets, h)
 		}
 	case host.RefusedUnhealthy:
-		e.setAside(h, now, "said that it is not well")
+		e.setAside(h, now, "it reported itself unhealthy")
 	case host.RefusedFull:
-		e.probe(h) // its books are not ours
+		e.probe(h) // its runs differ from those recorded here
 		if r != nil {
 			h.noteFull(r.size, now)
 		}
@@ -147,10 +149,10 @@
 	if r != nil {
 		e.log(Event{What: "start refused", Job: r.Task.Job, Step: r.Task.StepID.String(), Host: string(h.info.ID), Why: string(why)})
 	}
-	e.notStarted(h, r, now)
+	e.removeUnstarted(h, r, now)
 }
 
-// planStops orders the end of runs that are not wanted.
+// planStops orders the requested stops, and repeats orders that had no effect.
 func (e *Engine) planStops(now time.Time) {
 	for r := range e.unwanted {
 		if r.on.gone || !r.on.claimed || r.stopping || !r.stopSent.IsZero() && now.Sub(r.stopSent) <= e.cfg.Tuning.StopRetry {
@@ -161,7 +163,7 @@
 	}
 }
 
-// Stopped takes in the outcome of a stop.
+// Stopped handles the outcome of a stop order.
 func (e *Engine) Stopped(o StopOrder, reply host.Reply, err error, now time.Time) {
 	e.now = now
 	h := e.hosts[o.To.ID]
@@ -174,7 +176,7 @@
 	}
 	switch {
 	case errors.Is(err, host.ErrOtherLife):
-		e.otherLife(h, o.To, now)
+		e.handleOtherIncarnation(h, o.To, now)
 	case err != nil:
 		h.unanswered(err, now)
 	case reply.Refused == host.RefusedFenced:
@@ -182,11 +184,11 @@
 	default:
 		e.hearReply(h, reply.Clock, now)
 		if r != nil && reply.Refused == "" && r.state != runStopping {
-			doubted := r.state == runDoubt
+			unacknowledged := r.state == runDoubt
 			r.state, r.known = runStopping, now
 			switch {
-			case doubted && h.looking:
-				e.probe(h) // the look that waits there does not end by a run that is not there
+			case unacknowledged && h.looking:
+				e.probe(h) // a poll waiting there is not answered by the end of a run that never began
 			case !h.looking:
 				h.lookAt = now
 			}
--- a/internal/engine/roster.go
+++ b/internal/engine/roster.go
@@ -8,16 +8,15 @@
 	"pulleyquay/internal/spec"
 )
 
-// The roster names the hosts to which this process may have given orders, so that
-// a next holder knows whom it has to hear before it starts tasks anew. Nothing is
-// started on a host before the store has it in the roster.
+// The roster lists the hosts to which this process may have given orders, so that the
+// next holder knows which hosts have to report before it starts tasks again. No run is
+// started on a host before the stored roster lists the host as open.
 //
-// A host that falls silent is closed there: the roster then lists what may run on
-// it, and nothing is started on it before it is stored as open again. A next
-// holder that does not hear such a host either has to wait for the tasks of that
-// list only, and not with everything.
+// An unresponsive host is closed in the roster: its entry then lists the runs that may be
+// on it, and nothing is started there until the entry is stored as open again. A next
+// holder that gets no report from a closed host delays only the listed tasks and not all.
 
-// roster is what is to be stored.
+// roster returns the roster that is to be stored.
 func (e *Engine) roster(now time.Time) record.Roster {
 	out := record.Roster{Shrunk: e.shrunk.share, Lost: e.losses.Names()}
 	for _, h := range e.sorted {
@@ -31,34 +30,34 @@
 	switch {
 	case h.claimed && h.shut:
 		r.Closed = true
-		for key, there := range h.runs {
-			r.Tasks = append(r.Tasks, rosterTask(key, !there.begun))
+		for key, tracked := range h.runs {
+			r.Tasks = append(r.Tasks, rosterTask(key, !tracked.begun))
 		}
 	case h.claimed || !h.inherited:
 		// open
 	case !now.Before(e.settleBy):
-		r.Closed = true // whatever former holders started there is over
+		r.Closed = true // the leases of earlier holders have expired there
 	case h.inheritedShut:
 		r.Closed = true
-		for _, may := range h.mayRun {
-			r.Tasks = append(r.Tasks, rosterTask(may.Run, may.unsure))
+		for _, p := range h.mayRun {
+			r.Tasks = append(r.Tasks, rosterTask(p.Run, p.unsure))
 		}
 	}
 	return r
 }
 
-func rosterTask(r host.Run, unsure bool) record.RosterTask {
+func rosterTask(r host.Run, unconfirmed bool) record.RosterTask {
 	t := r.Task
-	return record.RosterTask{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index, Run: r.No, Unsure: unsure}
+	return record.RosterTask{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index, Run: r.No, Unsure: unconfirmed}
 }
 
-// mayRun is a run that may be on a host, as a former holder has told.
+// mayRun is a run that may be on a host according to the roster of the previous holder.
 type mayRun struct {
 	host.Run
-	unsure bool // nobody knows that it was there
+	unsure bool // the host never confirmed that the run had begun
 }
 
-// shutSilent closes hosts that have been silent for a while.
+// shutSilent closes a host in the roster that has been unresponsive for SilentAfter.
 func (e *Engine) shutSilent(h *hostState, now time.Time) {
 	if h.shut || h.silent.IsZero() || now.Sub(h.silent) < e.cfg.Tuning.SilentAfter {
 		return
@@ -67,7 +66,8 @@
 	e.rosterBehind = true
 }
 
-// reopen lets a host that has answered again take work, once that is stored.
+// reopen marks a closed host that has answered again as open. It takes work once the
+// roster is stored.
 func (e *Engine) reopen(h *hostState) {
 	if h.shut {
 		h.shut = false
@@ -75,8 +75,8 @@
 	}
 }
 
-// inherit takes in the roster of the former holder.
-func (e *Engine) inherit(roster record.Roster, now time.Time) {
+// loadRoster loads the roster of the previous holder.
+func (e *Engine) loadRoster(roster record.Roster, now time.Time) {
 	e.shrunk = shrinking{roster.Shrunk, now}
 	e.losses.Inherit(roster.Lost, now)
 	for _, r := range roster.Hosts {
@@ -96,13 +96,14 @@
 	}
 }
 
-// isUnheard reports whether tasks may run on a host that nobody has heard of.
+// isUnheard reports whether runs of earlier holders may be on a host that has not
+// reported to this holder.
 func (e *Engine) isUnheard(h *hostState, now time.Time) bool {
 	return h.inherited && !h.claimed && !h.gone && now.Before(e.settleBy)
 }
 
-// resolve lets the tasks go that were held because they may run on a host: it has
-// shown what runs there, or nothing does any more.
+// resolve releases the tasks that are held back because they may run on a host: the
+// host has reported its runs, or nothing can run there any more.
 func (e *Engine) resolve(h *hostState, now time.Time) {
 	tasks := h.mayRun
 	h.mayRun = nil
@@ -112,18 +113,19 @@
 		}
 	}
 	if e.unsettled {
-		return // everything waits anyway
+		return // all tasks are held back until the reconciliation has ended
 	}
 	for _, r := range tasks {
 		if j := e.jobs[r.Task.Job]; j != nil {
 			if g := j.group(r.Task.Occurrence, r.Task.Step); g != nil {
-				e.settleGroup(g, now)
+				e.reconcileGroup(g, now)
 			}
 		}
 	}
 }
 
-// dropUnheard lets go of inherited hosts on which nothing can run any more.
+// dropUnheard releases the tasks of an inherited host that has not reported once every
+// lease there has expired, and forgets the host unless it is listed.
 func (e *Engine) dropUnheard(h *hostState, now time.Time) {
 	if !h.inherited || h.claimed || now.Before(e.settleBy) {
 		return
--- a/internal/engine/world_calls_test.go
+++ b/internal/engine/simulation_calls_test.go
@@ -10,25 +10,25 @@
 	"pulleyquay/internal/platform"
 )
 
-// Times of calls.
+// oneWay is how long a message takes, patience the time-out of a call.
 const (
 	oneWay   = time.Millisecond
 	patience = 500 * time.Millisecond
 )
 
-// start carries a start to a host, and tells the judge what is heard of it.
+// start delivers a start order to a host, and records order and reply with the fleet's checker.
 func (w *world) start(e *Engine, s StartOrder) {
 	w.fleet.Judge().Ordered(s.To.ID, s.Start.Run)
 	if w.onStart != nil {
 		w.onStart(s)
 	}
-	met := true // the life that is meant
+	sameLife := true // the intended incarnation was reached
 	arrive := func(h *hostsim.Host) host.Reply {
-		met = h.IsLife(s.Start.Life)
+		sameLife = h.IsLife(s.Start.Life)
 		return h.Start(e.cfg.Epoch, s.Start)
 	}
 	w.call(s.To, arrive, func(r host.Reply, err error) {
-		if err == nil && !met {
+		if err == nil && !sameLife {
 			err = host.ErrOtherLife
 		}
 		if err == nil && r.Refused == "" {
@@ -38,7 +38,7 @@
 	})
 }
 
-// call carries an order to a host and its answer back, through the faults.
+// call delivers an order to a host and the reply to the engine, subject to the faults.
 func (w *world) call(to host.Info, arrive func(*hostsim.Host) host.Reply, answer func(host.Reply, error)) {
 	e := w.engine
 	finish := func(reply host.Reply, err error) { w.tell(e, func() { answer(reply, err) }) }
@@ -54,7 +54,7 @@
 	case w.rnd.Float64() < w.faults.late:
 		life := h.Info().Life
 		w.after(2*time.Second+time.Duration(w.rnd.IntN(10000))*time.Millisecond, func() {
-			if h.Reachable() && h.Info().Life == life { // what a process has not done yet ends with it
+			if h.Reachable() && h.Info().Life == life { // a process that ends drops its pending calls
 				arrive(h)
 			}
 		})
@@ -84,19 +84,19 @@
 	})
 }
 
-// look carries a look to a host, which answers when an end is there or the wait
-// is over.
-func (w *world) look(e *Engine, o LookOrder) {
+// poll delivers a poll to a host, which answers when there is an end record or the wait
+// has elapsed.
+func (w *world) poll(e *Engine, o LookOrder) {
 	sent := w.now()
 	h := w.host(o.To.ID)
-	asked := o.Look
+	request := o.Look
 	if w.rnd.Float64() < w.faults.unsure {
-		asked.Seen = 0
+		request.Seen = 0
 	}
-	over := false
+	finished := false
 	finish := func(v host.View, err error) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			w.tell(e, func() {
 				w.fleet.Judge().Shown(o.To.ID, v.Running)
 				e.Viewed(o, sent, v, err, w.now())
@@ -109,7 +109,7 @@
 		return
 	}
 	w.after(o.Look.Wait+patience, fail)
-	w.after(w.underWay(w.faults.lateLooks), func() {
+	w.after(w.messageDelay(w.faults.lateLooks), func() {
 		if h.OtherLife() {
 			w.after(oneWay, func() { finish(host.View{}, host.ErrOtherLife) })
 			return
@@ -123,42 +123,42 @@
 		}
 		h.OnReset(func() { w.after(oneWay, func() { finish(host.View{}, host.ErrBroken) }) })
 		answerLost := w.rnd.Float64() < w.faults.lostAnswer
-		h.Look(e.cfg.Epoch, asked, func(v host.View) {
+		h.Look(e.cfg.Epoch, request, func(v host.View) {
 			if answerLost {
 				return
 			}
-			w.after(w.underWay(w.faults.lateViews), func() { finish(v, nil) })
+			w.after(w.messageDelay(w.faults.lateViews), func() { finish(v, nil) })
 		})
 	})
 }
 
-// underWay is how long a message takes, of which a share is late: some hundred milliseconds,
-// as when a packet was lost.
-func (w *world) underWay(late float64) time.Duration {
+// messageDelay returns how long a message takes. With probability late it takes 100 to 1000 ms,
+// as after a lost packet.
+func (w *world) messageDelay(late float64) time.Duration {
 	if late > 0 && w.rnd.Float64() < late {
 		return time.Duration(100+w.rnd.IntN(900)) * time.Millisecond
 	}
 	return oneWay
 }
 
-// adviceTakes is how long the policy service's answer is under way.
-const adviceTakes = 10 * time.Millisecond
+// policyReplyDelay is the default time from a query to the answer of the policy service.
+const policyReplyDelay = 10 * time.Millisecond
 
-func (w *world) ask(e *Engine, o AskOrder) {
+func (w *world) query(e *Engine, o AskOrder) {
 	a := advice.Answer{Valid: 1500 * time.Millisecond}
 	for _, id := range o.Hosts {
 		if w.good(o.Step, id) {
 			a.Good = append(a.Good, advice.Ticket{Host: id, Ticket: hostsim.TicketOf(o.Step, id)})
 		}
 	}
-	takes := adviceTakes
+	takes := policyReplyDelay
 	if w.advised != nil {
 		takes = w.advised(o)
 	}
 	w.after(takes, func() { w.tell(e, func() { e.Advised(o, a, nil, w.now()) }) })
 }
 
-// commitTakes is how long a batch is under way to the store, unless the world says more.
+// commitTakes is how long a batch takes to be stored, unless the simulation sets a longer time.
 const commitTakes = 6 * time.Millisecond
 
 func (w *world) commit(e *Engine) {
@@ -167,20 +167,20 @@
 		return
 	}
 	w.committing = true
-	w.carryToStore(e, b)
+	w.writeBatch(e, b)
 }
 
-// storeRetry is how often a write is tried again while the store is away.
+// storeRetry is the interval between attempts of a write while the store is unavailable.
 const storeRetry = 50 * time.Millisecond
 
-// carryToStore carries one batch to the store.
-func (w *world) carryToStore(e *Engine, b *Batch) {
+// writeBatch writes one batch to the store.
+func (w *world) writeBatch(e *Engine, b *Batch) {
 	w.after(max(commitTakes, w.commitTakes), func() {
 		if e != w.engine {
-			return // a deposed holder can write nothing
+			return // the store rejects writes of a deposed holder
 		}
 		if w.storeAway {
-			w.after(storeRetry, func() { w.carryToStore(e, b) })
+			w.after(storeRetry, func() { w.writeBatch(e, b) })
 			return
 		}
 		w.apply(slices.Concat(b.Groups...))
--- a/internal/engine/world_test.go
+++ b/internal/engine/simulation_test.go
@@ -22,8 +22,8 @@
 	"pulleyquay/internal/upkeep"
 )
 
-// world drives an engine in virtual time against simulated hosts, a policy
-// service and a store that behave as the platform's do, faults included.
+// world simulates a cell in virtual time: it drives an engine against simulated hosts, a
+// policy service and a store that behave as the platform's do, including their faults.
 type world struct {
 	t    testing.TB
 	rnd  *rand.Rand
@@ -34,73 +34,74 @@
 	engine *Engine
 	epoch  uint64
 	due    time.Time
-	// held lets the engine give no orders.
-	held        bool
+	// held is true while the engine may give no orders.
+	held bool
+	// commitTakes is how long a write to the store takes, if longer than the default.
 	commitTakes time.Duration
-	// committing is true while a batch is on its way to the store.
+	// committing is true while a batch is being written to the store.
 	committing bool
 
 	faults faults
 	bounds Bounds
-	// follows has the engine told of the platform's list of hosts as it changes; the
-	// store does not take writes while storeAway.
+	// follows makes the engine receive the platform's list of hosts periodically. While
+	// storeAway is set the store accepts no writes.
 	follows, storeAway bool
-	followed           time.Time
-	// entries are the hosts' entries in the store, lastAway when that was last away.
-	entries  map[host.ID]host.Info
-	lastAway time.Time
-	// members are those that can ask the policy service.
+	followedAt         time.Time
+	// entries are the hosts' entries in the store; lastUnavailable is when the store was last
+	// unavailable.
+	entries         map[host.ID]host.Info
+	lastUnavailable time.Time
+	// members are the names of the members that can query the policy service.
 	members []string
-	// queueOf names the queue of a job.
+	// queueOf returns the queue of a job.
 	queueOf func(id string) string
-	// good tells whether the policy service lets a step run on a host.
+	// good reports whether the policy service permits a step on a host.
 	good func(step spec.StepID, h host.ID) bool
-	// accountOf names the client account of a job, quotas are those of accounts.
+	// accountOf returns the client account of a job; quotas are the quotas of the accounts.
 	accountOf func(id string) string
 	quotas    map[string]fairshare.Quota
-	// advised is how long the policy service takes for an answer; nil stands for
-	// adviceTakes.
+	// advised returns how long the policy service takes to answer a query; if nil,
+	// policyReplyDelay.
 	advised func(o AskOrder) time.Duration
 
 	jobs map[string]*record.Job
-	// aged is how long ago jobs are said to have been accepted, or to have ended, as a holder
-	// takes over.
-	aged    time.Duration
-	watched time.Time
-	shown   map[string]record.State // the last state shown to a caller
-	ended   map[string]time.Time    // since when that has been a final one
-
-	// over is since when a serving task is over its target, longestOver for how long
-	// one has been on end.
+	// aged is the age of job records at a failover, since their acceptance or end.
+	aged      time.Duration
+	checkedAt time.Time
+	shown     map[string]record.State // the last state returned to a caller
+	ended     map[string]time.Time    // when a final state was first returned
+
+	// over holds since when a serving task has exceeded its target; longestOver is the longest
+	// time for which any has.
 	over map[host.Run]time.Time
-	// machines are those that can be taken down for their upkeep, begun those whose
-	// upkeep has begun.
+	// machines are the machines that can be taken down for maintenance; begun marks those whose
+	// maintenance has started.
 	machines []upkeep.Machine
 	begun    map[upkeep.MachineID]bool
 
 	longestOver time.Duration
-	// deciding is the real time that the engine's decisions took.
+	// deciding is the real time spent in the engine's decisions.
 	deciding time.Duration
-	// decided is told how long each decision took; it may be nil.
+	// decided, if not nil, is called with the real time of each decision.
 	decided func(took time.Duration)
-	// onStart is told of each start as it goes out; it may be nil.
+	// onStart, if not nil, is called with each start order.
 	onStart func(StartOrder)
-	// logs has the engines' events kept in logged.
+	// logs makes the events of the engines be kept in logged.
 	logs   bool
 	logged []loggedEvent
 }
 
-// faults of calls to hosts; shares between 0 and 1.
+// faults are the probabilities, between 0 and 1, of faults in calls to hosts.
 type faults struct {
 	lostRequest, lostAnswer, late float64
-	// unsure looks go over connections on which nobody has answered yet: they have nothing
-	// forgotten.
+	// unsure is that of a poll over a connection on which no incarnation has answered yet; such
+	// a poll acknowledges no end records.
 	unsure float64
-	// lateLooks come to their hosts late, lateViews back from them.
+	// lateLooks is that of a delayed poll, lateViews that of a delayed reply.
 	lateLooks, lateViews float64
 }
 
-// virtualTime is a clock that jumps from one event to the next.
+// virtualTime is a clock that advances from one scheduled event to the next.
 type virtualTime struct {
 	now  time.Time
 	list []event
@@ -137,10 +138,10 @@
 	heap.Push(v, event{v.now.Add(d), v.seq, do})
 }
 
-// hostsKeepIDs has hosts that crash in new worlds start again under the ids that they had.
+// hostsKeepIDs makes crashed hosts of new simulations restart under their former ids.
 var hostsKeepIDs bool
 
-// worldBegins is the time at which worlds begin.
+// worldBegins is the virtual time at which each simulation starts.
 var worldBegins = time.Unix(1_800_000_000, 0)
 
 func newWorld(t testing.TB, seed uint64) *world {
@@ -154,7 +155,7 @@
 	return w
 }
 
-// catalog is the configuration in force.
+// catalog returns the configuration in force.
 func (w *world) catalog() *catalog.Catalog {
 	c := &catalog.Catalog{Keyed: len(w.quotas) > 0}
 	for _, name := range slices.Sorted(maps.Keys(w.quotas)) {
@@ -164,7 +165,7 @@
 	return c
 }
 
-// setQuota changes what a client account may have running; the holder hears of it at once.
+// setQuota changes the quota of a client account, and passes it to the engine at once.
 func (w *world) setQuota(account string, q fairshare.Quota) {
 	w.quotas[account] = q
 	w.fleet.SetQuota(account, q)
@@ -173,10 +174,10 @@
 	}
 }
 
-// now is the present virtual time.
+// now returns the current virtual time.
 func (w *world) now() time.Time { return w.time.now }
 
-// after schedules something.
+// after schedules a call of do in d.
 func (w *world) after(d time.Duration, do func()) { w.time.AfterFunc(d, do) }
 
 // host returns a simulated host.
@@ -188,15 +189,15 @@
 	RoomNews: 4500 * time.Millisecond, FarFactor: 2, RestoreTakes: 100 * time.Millisecond, CheckpointEvery: time.Second,
 }
 
-// rightTerm is for how long the engine may give orders after it was surely the
-// holder; testSettle is when nothing that a former holder ordered can run any more.
+// authorityTerm is how long the engine may give orders after its authority was last
+// proven; testReconcile is the time after a failover when all earlier leases have expired.
 const (
-	rightTerm  = 3 * time.Second
-	testSettle = 9200 * time.Millisecond
+	authorityTerm = 3 * time.Second
+	testReconcile = 9200 * time.Millisecond
 )
 
-// takeOver makes a new engine from what the store holds; the former one hears of
-// nothing any more.
+// takeOver replaces the engine by one of the next epoch that loads the store; the previous
+// engine receives no more calls.
 func (w *world) takeOver() {
 	w.epoch++
 	w.engine = New(Config{
@@ -209,13 +210,13 @@
 	w.engine.SetMembers(w.members)
 	w.engine.SetCatalog(w.catalog(), w.now())
 	w.committing = false
-	var settleBy time.Time
+	var reconcileBy time.Time
 	if w.epoch > 1 {
-		settleBy = w.now().Add(testSettle)
+		reconcileBy = w.now().Add(testReconcile)
 	}
 	jobs, progress, roster := w.stored()
-	w.engine.SetUpkeep(settleBy, w.waves())
-	w.engine.Load(jobs, progress, roster, settleBy, w.now(), func(*record.Job) time.Duration { return w.aged })
+	w.engine.SetUpkeep(reconcileBy, w.waves())
+	w.engine.Load(jobs, progress, roster, reconcileBy, w.now(), func(*record.Job) time.Duration { return w.aged })
 	w.engine.SetHosts(w.listed(), w.now())
 	w.decide()
 }
@@ -223,7 +224,7 @@
 // loggedEvent is an event of an engine's log.
 type loggedEvent struct {
 	Event
-	at time.Duration // since the world began
+	at time.Duration // since the start of the simulation
 }
 
 func (w *world) log(ev Event) {
@@ -232,7 +233,7 @@
 	}
 }
 
-// stored reads the store as a next holder does.
+// stored reads the store as the next holder does.
 func (w *world) stored() (jobs []*record.Job, progress map[string]*record.Progress, roster record.Roster) {
 	progress = map[string]*record.Progress{}
 	must := func(err error) {
@@ -260,10 +261,10 @@
 	return jobs, progress, roster
 }
 
-// decide has the engine decide and carries out its orders.
+// decide calls Next on the engine and carries out its orders.
 func (w *world) decide() {
 	e := w.engine
-	e.SetProved(w.now().Add(rightTerm))
+	e.SetProved(w.now().Add(authorityTerm))
 	if w.held {
 		e.SetProved(w.now())
 	}
@@ -292,38 +293,38 @@
 	}
 	w.service(e, o)
 	for _, l := range o.Looks {
-		w.look(e, l)
+		w.poll(e, l)
 	}
 	for _, a := range o.Asks {
-		w.ask(e, a)
+		w.query(e, a)
 	}
 	if (o.Commit || o.CommitNow) && !w.committing {
 		w.commit(e)
 	}
 }
 
-// compareOrders puts orders that may go out in any order into one, so that the runs of a
-// seed are alike.
+// compareOrders sorts orders whose sequence the engine does not define, so that tests with the
+// same seed are reproducible.
 func compareOrders(a, b host.ID, x, y host.Run) int {
 	return cmp.Or(cmp.Compare(a, b), cmp.Compare(x.Task.String(), y.Task.String()), cmp.Compare(x.No, y.No))
 }
 
-// gatherFor is how long events are gathered before the engine decides.
-const gatherFor = time.Millisecond
+// decisionDelay is how long inputs are collected before the engine decides.
+const decisionDelay = time.Millisecond
 
-// tell runs something for the present engine and has it decide a moment later; a
-// deposed engine hears nothing.
+// tell calls do, which passes an input to engine e, and schedules a decision. It does nothing
+// if e was replaced at a failover.
 func (w *world) tell(e *Engine, do func()) {
 	if e != w.engine {
 		return
 	}
 	do()
-	if next := w.now().Add(gatherFor); next.Before(w.due) {
+	if next := w.now().Add(decisionDelay); next.Before(w.due) {
 		w.due = next
 	}
 }
 
-// submit stores a job and tells the engine.
+// submit stores a job and passes it to the engine.
 func (w *world) submit(id string, rules catalog.Rules, steps ...spec.Step) {
 	w.submitGraph(id, rules, spec.Graph{Steps: steps})
 }
@@ -344,7 +345,7 @@
 	w.tell(e, func() { e.Accept(rec, true, w.now(), w.now()) })
 }
 
-// run lets time pass.
+// run advances the virtual time by d.
 func (w *world) run(d time.Duration) {
 	end := w.now().Add(d)
 	for {
@@ -367,37 +368,37 @@
 		} else {
 			w.decide()
 		}
-		w.watch()
+		w.checkCallerStates()
 		w.followHosts()
 	}
 }
 
-// followEvery is how often the holder hears of changes in the list of hosts.
-const followEvery = 400 * time.Millisecond
+// followInterval is the interval at which the engine receives the list of hosts.
+const followInterval = 400 * time.Millisecond
 
 func (w *world) followHosts() {
 	if w.storeAway {
-		w.lastAway = w.now()
+		w.lastUnavailable = w.now()
 	}
-	if !w.follows || w.storeAway || w.now().Sub(w.followed) < followEvery {
+	if !w.follows || w.storeAway || w.now().Sub(w.followedAt) < followInterval {
 		return
 	}
-	w.followed = w.now()
+	w.followedAt = w.now()
 	w.tell(w.engine, func() { w.engine.SetHosts(w.listed(), w.now()) })
 }
 
-// heartbeat is how often hosts write their entries, besides when these change.
+// heartbeat is the interval at which hosts write their entries, besides at changes.
 const heartbeat = 1500 * time.Millisecond
 
-// listed is what the store holds of the hosts. What they could not write while it was away
-// comes with their next heartbeats.
+// listed returns the hosts' entries in the store. Changes that hosts could not write while the
+// store was unavailable are written with their next heartbeats.
 func (w *world) listed() []host.Info {
 	var out []host.Info
 	for i, info := range w.fleet.Listed() {
 		stored, there := w.entries[info.ID]
 		beat := int64((time.Duration(w.now().UnixNano()) + time.Duration(i)*heartbeat/7) / heartbeat)
 		info.Beat = stored.Beat
-		changed := !reflect.DeepEqual(info, stored) && w.now().Sub(w.lastAway) > heartbeat
+		changed := !reflect.DeepEqual(info, stored) && w.now().Sub(w.lastUnavailable) > heartbeat
 		if !there || !w.storeAway && (beat != stored.Beat || changed) {
 			info.Beat = beat
 			w.entries[info.ID] = info
@@ -407,12 +408,12 @@
 	return out
 }
 
-// watch checks, every few milliseconds, what callers are shown.
-func (w *world) watch() {
-	if w.now().Sub(w.watched) < 5*time.Millisecond {
+// checkCallerStates checks, every few milliseconds, the job states that callers would get.
+func (w *world) checkCallerStates() {
+	if w.now().Sub(w.checkedAt) < 5*time.Millisecond {
 		return
 	}
-	w.watched = w.now()
+	w.checkedAt = w.now()
 	w.watchTails()
 	for id := range w.jobs {
 		s, known := w.engine.State(id)
@@ -421,10 +422,10 @@
 			continue
 		}
 		if before.Final() {
-			w.fleet.Judge().Breach("job %s was shown as %s and is shown as %s", id, before, s)
+			w.fleet.Judge().Breach("job %s was reported as %s and is now reported as %s", id, before, s)
 		}
 		if s == record.StateCompleted && !w.fleet.Judge().JobDone(id) {
-			w.fleet.Judge().Breach("job %s is shown as completed and is not", id)
+			w.fleet.Judge().Breach("job %s is reported as completed but is not", id)
 		}
 		if s == record.StateFailed {
 			w.fleet.Judge().GaveUpFor(id, w.whyOf(id))
@@ -436,7 +437,7 @@
 	}
 }
 
-// whyOf is the reason for a job's end that the store holds.
+// whyOf returns the stored reason for the end of a job.
 func (w *world) whyOf(id string) string {
 	rec, err := record.DecodeJob(w.store[record.JobKey(0, id)])
 	if err != nil {
@@ -445,7 +446,7 @@
 	return rec.Why
 }
 
-// completed counts the jobs shown as completed.
+// completed returns the number of jobs reported as completed.
 func (w *world) completed() int {
 	n := 0
 	for _, shown := range w.shown {
@@ -456,16 +457,16 @@
 	return n
 }
 
-// check fails the test if any promise was broken.
+// check fails the test if any invariant was violated.
 func (w *world) check() {
 	w.t.Helper()
-	wrong := w.fleet.Judge().Wrong()
-	for _, s := range wrong[:min(len(wrong), 10)] {
+	violations := w.fleet.Judge().Wrong()
+	for _, s := range violations[:min(len(violations), 10)] {
 		w.t.Error(s)
 	}
 }
 
-// describe tells what the engine holds of a job, for a failed test.
+// describe formats the engine's state of a job for the message of a failed test.
 func (w *world) describe(id string) string {
 	var out strings.Builder
 	for _, g := range w.engine.jobs[id].groups {
--- a/internal/engine/takeover.go
+++ b/internal/engine/takeover.go
@@ -6,19 +6,19 @@
 	"pulleyquay/internal/record"
 )
 
-// Load takes in what the store keeps of the partition's jobs when this process
-// has claimed it. The tasks of live jobs may run on any host in the roster of the
-// former holder, so none is started before every such host has shown what it
-// runs, or until settleBy, when nothing that the former holder has ordered can
-// run any more. A first holder has no former one: its settleBy is zero.
+// Load adds the stored jobs of the partition when this process has acquired it. Tasks
+// of live jobs may run on any host in the roster of the previous holder, so none is
+// started before each of these hosts has reported its runs, or before settleBy, when
+// every lease of earlier holders has expired. settleBy is zero for the first holder of
+// the partition. age returns how long ago a job was accepted or, if it is over, ended.
 func (e *Engine) Load(jobs []*record.Job, progress map[string]*record.Progress, roster record.Roster, settleBy, now time.Time, age func(*record.Job) time.Duration) {
 	e.now = now
 	e.unsettled = !settleBy.IsZero()
 	e.settleBy = settleBy
-	e.inherit(roster, now)
+	e.loadRoster(roster, now)
 	for _, rec := range jobs {
 		j := e.addJob(rec, e.unsettled, now.Add(-age(rec)), now)
-		if j.account != nil && age(rec) < leftFor*settleBy.Sub(now) {
+		if j.account != nil && age(rec) < endedUsageFactor*settleBy.Sub(now) {
 			j.account.left = j.account.left.Add(rec.Left)
 			j.account.leftFillers = j.account.leftFillers.Add(rec.LeftFillers)
 		}
@@ -28,12 +28,12 @@
 	}
 }
 
-// leftFor is for how many times as long as a former holder's runs may last what a job had running
-// as it ended counts: its age is by times of day, which may jump.
-const leftFor = 2
+// endedUsageFactor bounds how long the resources that a job had in use when it ended count
+// against its account, as a multiple of the time for which runs of earlier holders may last.
+// It is above one because the age of a record is computed from wall-clock times, which may jump.
+const endedUsageFactor = 2
 
-// Accept takes in a job that was accepted. Fresh jobs have certainly not been
-// told to another holder.
+// Accept adds an accepted job. A fresh job is certainly not known to any other holder.
 func (e *Engine) Accept(rec *record.Job, fresh bool, accepted, now time.Time) {
 	if e.jobs[rec.ID] != nil {
 		return
@@ -41,9 +41,9 @@
 	e.addJob(rec, e.unsettled && !fresh, accepted, now)
 }
 
-// addJob makes the table of a job. The tasks of an unsure one may run on a host
-// that was not heard of yet.
-func (e *Engine) addJob(rec *record.Job, unsure bool, accepted, now time.Time) *job {
+// addJob adds the state of a job. If unconfirmed is set, its tasks may run on hosts that
+// have not reported yet.
+func (e *Engine) addJob(rec *record.Job, unconfirmed bool, accepted, now time.Time) *job {
 	j := newJob(rec, accepted)
 	j.account = e.accountOf(rec.Account)
 	e.jobs[rec.ID] = j
@@ -55,7 +55,7 @@
 	for _, g := range j.groups {
 		e.expect(g)
 		for i := range g.tasks {
-			if unsure || e.held[g.task(i)] > 0 {
+			if unconfirmed || e.held[g.task(i)] > 0 {
 				g.setState(i, taskUnsure)
 			}
 		}
@@ -64,7 +64,7 @@
 		}
 		e.refresh(g)
 	}
-	e.claimStrangers(j, now)
+	e.assignOrphans(j, now)
 	e.log(Event{What: "job known", Job: rec.ID, Why: rec.Queue, Age: now.Sub(accepted)})
 	return j
 }
@@ -96,31 +96,33 @@
 	}
 }
 
-// settle lets the tasks wait for their start that nobody has shown, once it is
-// known that none of them runs.
+// settle ends the reconciliation after a failover once every inherited host has reported
+// its runs, is closed in the roster, or can run nothing any more. Tasks that no host has
+// reported then wait for their start.
 func (e *Engine) settle(now time.Time) {
 	if !e.unsettled {
 		return
 	}
-	why := "every host has shown what it runs, or was known to be silent"
+	why := "every host has reported its runs or was closed as unresponsive"
 	for _, h := range e.sorted {
 		if e.isUnheard(h, now) && !h.inheritedShut {
 			return
 		}
 		if h.inherited && !h.claimed && !h.inheritedShut {
-			why = "leases are over on hosts not heard of, " + string(h.info.ID) + " among them"
+			why = "leases have expired on hosts that did not report, " + string(h.info.ID) + " among them"
 		}
 	}
 	e.unsettled = false
 	e.log(Event{What: "takeover settled", Why: why})
 	for _, j := range e.jobs {
 		for _, g := range j.groups {
-			e.settleGroup(g, now)
+			e.reconcileGroup(g, now)
 		}
 	}
 }
 
-func (e *Engine) settleGroup(g *group, now time.Time) {
+// reconcileGroup moves the unconfirmed tasks of a group that cannot run anywhere to waiting.
+func (e *Engine) reconcileGroup(g *group, now time.Time) {
 	held := false
 	for i := range g.tasks {
 		if g.tasks[i].state != taskUnsure {
@@ -135,7 +137,7 @@
 	if g.step.Gang && !held && g.waiting > 0 && g.waiting < g.left {
 		for i := range g.tasks {
 			if cur := g.tasks[i].cur; cur != nil {
-				e.unwant(cur, "its gang is not whole after the takeover") // a gang in part works at nothing
+				e.unwant(cur, "its gang is incomplete after the failover") // an incomplete gang makes no progress
 			}
 		}
 	}
@@ -145,8 +147,8 @@
 	e.refresh(g)
 }
 
-// Cancel ends a job at its caller's wish. The second value is false when the job
-// is not known.
+// Cancel ends a job as cancelled, unless it has ended already, and returns its state.
+// The second result is false when the job is not known.
 func (e *Engine) Cancel(id string, now time.Time) (record.State, bool) {
 	e.now = now
 	j := e.jobs[id]
@@ -159,8 +161,8 @@
 	return j.state, true
 }
 
-// State is the state of a job as far as it is stored. The second value is false
-// when the job is not known.
+// State returns the state of a job; a final state only once it is durable in the store.
+// The second result is false when the job is not known.
 func (e *Engine) State(id string) (record.State, bool) {
 	j := e.jobs[id]
 	switch {
@@ -174,7 +176,7 @@
 	return record.StateQueued, true
 }
 
-// Pending counts the jobs of a queue of which nothing has started.
+// Pending returns the number of live jobs of a queue of which no task has started.
 func (e *Engine) Pending(queue string) int {
 	n := 0
 	for _, j := range e.live {
@@ -185,11 +187,11 @@
 	return n
 }
 
-// Open reports whether a job is known, and may be read and cancelled for a client account.
+// Open reports whether a job is known and a client account may read and cancel it.
 func (e *Engine) Open(id, account string) bool {
 	j := e.jobs[id]
 	return j != nil && j.rec.Open(account)
 }
 
-// Knows reports whether a job is in the table.
+// Knows reports whether a job is known, live or recently ended.
 func (e *Engine) Knows(id string) bool { return e.jobs[id] != nil }
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -12,9 +12,9 @@
 	"pulleyquay/internal/spec"
 )
 
-// TestSilentHostsDoNotHoldATakeoverUp: after all power was lost nothing was started for
-// seconds, as one host of hundreds had been gone for long. Only what may run on hosts that
-// were silent has to wait.
+// TestSilentHostsDoNotHoldATakeoverUp: after a power loss of the whole cell, one host of
+// hundreds that had long been gone delayed every start for seconds. Only tasks that may run
+// on hosts that were unresponsive have to wait.
 func TestSilentHostsDoNotHoldATakeoverUp(t *testing.T) {
 	tests := map[string]func(w *world){
 		"gone from the list": func(w *world) {
@@ -23,19 +23,19 @@
 			w.engine.DropHost("h02", w.now())
 			w.run(12 * time.Second)
 		},
-		"dark, still in the list":    func(w *world) { w.host("h02").Crash(); w.run(3 * time.Second) },
-		"cut off, running on":        func(w *world) { w.host("h02").Cut(true); w.run(3 * time.Second) },
-		"dark in the next term, too": func(w *world) { w.host("h02").Cut(true); w.run(3 * time.Second); w.takeOver(); w.run(time.Second) },
+		"crashed, still listed":            func(w *world) { w.host("h02").Crash(); w.run(3 * time.Second) },
+		"disconnected, runs continue":      func(w *world) { w.host("h02").Cut(true); w.run(3 * time.Second) },
+		"disconnected, over two failovers": func(w *world) { w.host("h02").Cut(true); w.run(3 * time.Second); w.takeOver(); w.run(time.Second) },
 	}
-	for name, strike := range tests {
+	for name, injectFault := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := quietWorld(t, 4)
 			w.submit("wide", catalog.Rules{}, step(16, 14, 8, 60000))
 			w.run(time.Second)
-			strike(w)
+			injectFault(w)
 			w.submit("new", catalog.Rules{}, step(2, 4, 4, 300))
-			w.held = true // the former holder orders nothing any more
+			w.held = true // the previous holder gives no more orders
 			w.run(100 * time.Millisecond)
 			w.held = false
 			w.takeOver()
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestTasksOfAReplacedHostStartAgain: a host was cut off, closed in the roster with
-// what may run there, and answered the next holder with another life. Its tasks were
-// held for ever, as only hosts that were heard let theirs go.
+// TestTasksOfAReplacedHostStartAgain: a host was disconnected, closed in the roster
+// with its possible runs, and answered the next holder as a new incarnation. Its tasks
+// were held back forever, as only hosts that had reported released their tasks.
 func TestTasksOfAReplacedHostStartAgain(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		for _, tc := range []struct{ cut, after time.Duration }{
@@ -60,7 +60,7 @@
 			{3 * time.Second, 0},
 			{3 * time.Second, 2 * time.Second},
 		} {
-			t.Run(fmt.Sprint("gang ", gang, ", cut for ", tc.cut, ", reborn after ", tc.after), func(t *testing.T) {
+			t.Run(fmt.Sprint("gang ", gang, ", disconnected for ", tc.cut, ", restarted after ", tc.after), func(t *testing.T) {
 				is := is.New(t)
 				w := quietWorld(t, 5) // a gang needs four of them
 				s := step(4, 40, 8, 5000)
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestCheckpointsOutliveAHolder: what runs when all power is lost lapses; the next
-// holder goes on from the checkpoints that the hosts list.
+// TestCheckpointsOutliveAHolder: all hosts are disconnected until their leases have expired
+// and their runs have stopped; the next holder resumes from the checkpoints in the end records.
 func TestCheckpointsOutliveAHolder(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		t.Run(fmt.Sprint("gang ", gang), func(t *testing.T) {
@@ -117,11 +117,11 @@
 	}
 }
 
-// TestJobFoundAfterItsRuns: a job was handed in while the partition changed hands;
-// the former holder had started it, and the next one, which had read the records
-// just before, saw its runs first, had them stopped, and started it again when it
-// found the record, beside what was being stopped. Likewise with runs that had ended:
-// their host was told to forget them, as no job that was known needed them.
+// TestJobFoundAfterItsRuns: a job was submitted during a failover and started by the
+// previous holder. The next holder, which had read the records just before, saw its runs
+// first and stopped them; once it found the record, it started the job again beside the
+// runs that were still stopping. Likewise it told hosts to forget runs that had ended,
+// as no known job needed them.
 func TestJobFoundAfterItsRuns(t *testing.T) {
 	for _, after := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1200 * time.Millisecond, 4 * time.Second} {
 		for _, tc := range []struct {
@@ -151,17 +151,17 @@
 				w.run(20 * time.Second)
 				w.check()
 				is.Equal(w.shown["a"], record.StateCompleted)
-				if after < strangerFor || tc.works < strangerFor.Milliseconds() {
-					is.Equal(w.fleet.Judge().Starts(), 4) // nothing was thrown away
+				if after < orphanGracePeriod || tc.works < orphanGracePeriod.Milliseconds() {
+					is.Equal(w.fleet.Judge().Starts(), 4) // no task was started twice
 				}
 			})
 		}
 	}
 }
 
-// TestClaimsComeInTurns: a holder of thousands of hosts claims them some at a time,
-// all of them within a moment, also when many do not answer.
-func TestClaimsComeInTurns(t *testing.T) {
+// TestHostClaimsAreBounded: a holder claims a bounded number of hosts at the same time, and
+// soon has all that answer, also when many do not.
+func TestHostClaimsAreBounded(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.fleet.Add(700, "s", size(64, 128))
@@ -180,7 +180,7 @@
 		w.run(5 * time.Millisecond)
 		most = max(most, len(w.engine.claiming))
 	}
-	is.True(most > 0 && most <= mostClaiming)
+	is.True(most > 0 && most <= maxClaiming)
 	claimed := 0
 	for _, h := range w.engine.hosts {
 		if h.claimed {
@@ -194,12 +194,12 @@
 	is.Equal(len(w.engine.claiming) <= 140, true)
 }
 
-// TestAllPowerIsLost: every member and every host goes at the same moment, again and again,
-// also while hosts have crashed under tasks before. What was accepted is done, what was shown
-// stays, and no job is blamed for the power.
+// TestAllPowerIsLost: repeated power losses of every member and every host at once, after a
+// host has crashed under tasks. Accepted jobs are completed, states returned to callers stay
+// valid, and no job is held responsible for the power losses.
 func TestAllPowerIsLost(t *testing.T) {
-	for _, dark := range []time.Duration{0, 300 * time.Millisecond, 3 * time.Second} {
-		t.Run(dark.String(), func(t *testing.T) {
+	for _, outage := range []time.Duration{0, 300 * time.Millisecond, 3 * time.Second} {
+		t.Run(outage.String(), func(t *testing.T) {
 			is := is.New(t)
 			w := crashWorld(t, 31, 16)
 			w.bystanders(20 * time.Second)
@@ -216,8 +216,8 @@
 				for i := range 16 {
 					w.crashAt(i)
 				}
-				w.held = true // nobody is there
-				w.run(dark)
+				w.held = true // there is no holder
+				w.run(outage)
 				w.held = false
 				w.takeOver()
 			}
--- a/internal/engine/view.go
+++ b/internal/engine/view.go
@@ -8,8 +8,8 @@
 	"pulleyquay/internal/host"
 )
 
-// planLooks asks hosts what they run: all of them once after a claim, those in
-// use all the time, the others now and then.
+// planLooks orders the polls that are due: of every host once after the partition was
+// acquired, of hosts with runs continuously, and of idle hosts at longer intervals.
 func (e *Engine) planLooks(now time.Time) {
 	e.lookDue = time.Time{}
 	for _, h := range e.sorted {
@@ -26,34 +26,34 @@
 			continue
 		}
 		if !h.claimed {
-			if !h.listed && h.info.Addr == "" || len(e.claiming) >= mostClaiming {
-				continue // known by name only, from the former holder; or its turn comes
+			if !h.listed && h.info.Addr == "" || len(e.claiming) >= maxClaiming {
+				continue // only its name is known, from the roster, or enough others are being claimed
 			}
 			e.claiming[h.info.ID] = struct{}{}
 		}
-		e.look(h, now)
+		e.poll(h, now)
 	}
 }
 
-// lookBy has looks planned again at a time, or before.
+// lookBy schedules the next planning of polls for a time at the latest.
 func (e *Engine) lookBy(at time.Time) {
 	if e.lookDue.IsZero() || at.Before(e.lookDue) {
 		e.lookDue = at
 	}
 }
 
-// mostClaiming is how many hosts are claimed at the same time. Thousands at once
-// would keep a holder from answering heartbeats, and cost it the partition.
-const mostClaiming = 128
+// maxClaiming bounds how many hosts are claimed at the same time. Thousands at once
+// would keep the holder from answering heartbeats, so that it loses the partition.
+const maxClaiming = 128
 
-// look sends a look. While this process can prove that it is the holder the look
-// renews the host's lease.
-func (e *Engine) look(h *hostState, now time.Time) {
+// poll orders a poll of a host. The poll renews the host's lease while this process has
+// the authority for the partition.
+func (e *Engine) poll(h *hostState, now time.Time) {
 	l := host.Look{Seen: h.seen, Life: h.life}
 	if now.Before(e.proved) {
 		if h.knowsClock() && h.silent.IsZero() {
-			// A silent host is only asked: each renewal would put off the moment
-			// from which on nothing can run there.
+			// No renewal for an unresponsive host: each one would postpone the time after
+			// which nothing can run there.
 			l.Lease = h.deadline(now, e.cfg.Bounds.LeaseLimit)
 			h.leased = max(h.leased, l.Lease)
 		}
@@ -71,7 +71,7 @@
 	e.out.Looks = append(e.out.Looks, LookOrder{To: h.info, Look: l})
 }
 
-// Viewed takes in the outcome of a look that was sent at sent.
+// Viewed handles the outcome of a poll that was sent at sent.
 func (e *Engine) Viewed(o LookOrder, sent time.Time, v host.View, err error, now time.Time) {
 	e.now = now
 	id := o.To.ID
@@ -87,7 +87,7 @@
 	}
 	switch {
 	case errors.Is(err, host.ErrOtherLife):
-		e.otherLife(h, o.To, now)
+		e.handleOtherIncarnation(h, o.To, now)
 		return
 	case err != nil:
 		h.unanswered(err, now)
@@ -98,7 +98,7 @@
 			h.lookAt = now.Add(e.cfg.Tuning.LookRetry)
 		}
 		if errors.Is(err, host.ErrBroken) {
-			e.askAgain(h, now) // whether its machine still lets calls through
+			e.askAgain(h, now) // finds out whether its machine can still be reached
 		}
 		return
 	case v.Fenced:
@@ -122,12 +122,12 @@
 		h.claimed, h.tried = true, nil
 		e.rosterBehind = e.rosterBehind || !h.rostered
 		e.room++
-		// What the former holder leased may last this long.
+		// Leases that the previous holder granted may last this long.
 		h.leased = max(h.leased, v.Clock+host.Millis(e.cfg.Bounds.LeaseLimit.Milliseconds()))
 	}
-	kept := keeps(v, o.Look.Seen)
-	ended := e.takeEnds(h, v.Ended, now)
-	e.takeRunning(h, v.Running, drawnUp, now)
+	kept := relistsAcked(v, o.Look.Seen)
+	ended := e.processEnds(h, v.Ended, now)
+	e.processRunning(h, v.Running, drawnUp, now)
 	e.dropVanished(h, v, sent, now)
 	e.govern(h, now)
 	if first {
@@ -135,7 +135,7 @@
 		e.log(Event{What: "host claimed", Host: string(id)})
 	}
 	if !o.Probe {
-		h.lookAt = e.nextLook(h, first, ended, now)
+		h.lookAt = e.nextPoll(h, first, ended, now)
 		if kept && !h.kept {
 			h.lookAt = now
 		}
@@ -146,8 +146,8 @@
 	}
 }
 
-// fencedBy notes that a host was spoken to with a higher epoch: another process
-// has claimed the partition, and this one gives no order any more.
+// fencedBy records that a host has seen a higher epoch: another process has acquired the
+// partition, and this one gives no more orders.
 func (e *Engine) fencedBy(h *hostState) {
 	e.proved = time.Time{}
 	if !e.deposed {
@@ -156,13 +156,13 @@
 	}
 }
 
-// nextLook says when a host that has just answered is looked at again. While
-// ends wait to be stored the host would answer at once, so the next look waits
-// for the store; Stored moves it up.
-func (e *Engine) nextLook(h *hostState, first, ended bool, now time.Time) time.Time {
+// nextPoll returns when a host that has just answered is polled again. While end records
+// wait to be stored the host would answer every poll at once, so the next poll is delayed;
+// Stored moves it forward.
+func (e *Engine) nextPoll(h *hostState, first, ended bool, now time.Time) time.Time {
 	switch {
 	case first && len(h.runs) > 0:
-		return now // the first look could not renew, as the clock was not known
+		return now // the first poll renewed no lease, as the host's clock was not known
 	case ended || h.handled > h.seen:
 		return now.Add(e.cfg.Tuning.LookRetry)
 	case len(h.runs) > 0:
@@ -171,22 +171,22 @@
 	return now.Add(e.cfg.Tuning.LookRest)
 }
 
-// keeps reports whether a host still lists ends that it was to forget: the look had to go
-// over a connection on which it was not sure which life would answer.
-func keeps(v host.View, seen int64) bool {
+// relistsAcked reports whether a view lists end records that the poll should have acknowledged:
+// the poll was sent over a connection on which it was not certain which incarnation would answer.
+func relistsAcked(v host.View, seen int64) bool {
 	return len(v.Ended) > 0 && v.Ended[0].Number <= seen
 }
 
-// takeEnds handles the ends that are new.
-func (e *Engine) takeEnds(h *hostState, ends []host.End, now time.Time) bool {
+// processEnds processes the end records that are new, and reports whether there were any.
+func (e *Engine) processEnds(h *hostState, ends []host.End, now time.Time) bool {
 	before := h.handled
 	for _, end := range ends {
 		if end.Number <= h.handled {
-			e.noteSkipped(h, end)
+			e.logSkippedEnd(h, end)
 			continue
 		}
 		h.handled = end.Number
-		e.endOf(h, end, now)
+		e.processEnd(h, end, now)
 	}
 	if h.handled > before {
 		e.marks++
@@ -194,35 +194,35 @@
 	return h.handled > before
 }
 
-// noteSkipped tells the log of an end that counts as handled though its run is still in the
-// books.
-func (e *Engine) noteSkipped(h *hostState, end host.End) {
+// logSkippedEnd logs an end record that counts as processed by its number though its run is still
+// recorded.
+func (e *Engine) logSkippedEnd(h *hostState, end host.End) {
 	if h.runs[end.Run] == nil {
 		return
 	}
 	e.log(Event{
 		What: "end passed over", Job: end.Task.Job, Step: end.Task.StepID.String(), Host: string(h.info.ID),
-		Why: fmt.Sprintf("task %d, run %d, %s, number %d; ends are handled up to %d", end.Task.Index, end.No, end.How, end.Number, h.handled),
+		Why: fmt.Sprintf("task %d, run %d, %s, number %d; ends were processed up to %d", end.Task.Index, end.No, end.How, end.Number, h.handled),
 	})
 }
 
-// takeRunning brings the books up to date with what ran as the view was drawn up.
-func (e *Engine) takeRunning(h *hostState, rows []host.Running, drawnUp, now time.Time) {
+// processRunning updates the recorded runs from the running rows of a view produced at producedAt.
+func (e *Engine) processRunning(h *hostState, rows []host.Running, producedAt, now time.Time) {
 	for _, row := range rows {
 		r := h.runs[row.Run]
 		if r == nil {
-			r = e.adopt(h, row, now)
+			r = e.adoptRun(h, row, now)
 		}
 		if r.state == runOrdered || r.state == runDoubt {
-			e.runs(r, drawnUp, now)
+			e.runs(r, producedAt, now)
 		}
-		e.progress(r, row, now)
+		e.updateProgress(r, row, now)
 	}
 }
 
-// adopt books a run that is not in the books: one of the former holder's, or one
-// of ours whose start arrived after all. It is kept if its task lacks a run.
-func (e *Engine) adopt(h *hostState, row host.Running, now time.Time) *run {
+// adoptRun records a run that is not recorded yet: one of a previous holder, or one of this
+// holder whose start was given up but arrived late. It is kept if its task has no run.
+func (e *Engine) adoptRun(h *hostState, row host.Running, now time.Time) *run {
 	r := &run{Run: row.Run, state: runRunning, known: now, sent: now, progressAt: now, pace: paceUnknown, adopted: true, begun: true}
 	g := e.groupOf(row.Task)
 	if g == nil {
@@ -236,24 +236,24 @@
 		}
 		if r.group == nil {
 			if r.size.IsZero() {
-				r.size = h.info.Size // nobody knows what it takes
+				r.size = h.info.Size // its size is not known
 			}
 			h.add(r)
 			e.countStranger(r, 1)
-			return r // see strangers.go
+			return r // see orphans.go
 		}
 		h.add(r)
-		e.unwant(r, "its job is over")
+		e.unwant(r, "its job or step has ended")
 		return r
 	}
 	r.group, r.size, r.account = g, g.step.Booked(), g.job.account
 	h.add(r)
-	e.take(g, r)
+	e.makeCurrent(g, r)
 	return r
 }
 
-// progress takes in a row of a view.
-func (e *Engine) progress(r *run, row host.Running, now time.Time) {
+// updateProgress updates a run from its row in a view.
+func (e *Engine) updateProgress(r *run, row host.Running, now time.Time) {
 	if r.group != nil && r.group.step.LongRunning {
 		r.atWork(row.Percent, now)
 	} else {
@@ -265,10 +265,10 @@
 	}
 }
 
-// runs notes that a run is on its host, which has said so at shown.
+// runs records that a run is on its host, which reported it at shown.
 func (e *Engine) runs(r *run, shown, now time.Time) {
 	if r.suspect && !r.begun {
-		e.retried = true // a next holder is told that it was there
+		e.retried = true // the next holder has to know that the start was acknowledged
 		e.touch(r.group.job)
 	}
 	r.state, r.known, r.progressAt, r.begun = runRunning, now, now, true
--- a/internal/engine/watch.go
+++ b/internal/engine/watch.go
@@ -7,21 +7,21 @@
 	"pulleyquay/internal/pacing"
 )
 
-// watchEvery is how often the runs are looked through for some that stand still.
-const watchEvery = 250 * time.Millisecond
+// runCheckInterval is the interval between checks for stalled runs.
+const runCheckInterval = 250 * time.Millisecond
 
-// leftOver is how long after the end of a step runs of it may be listed: the ends
-// of a gang's members come from many hosts, one after the other.
-const leftOver = time.Second
+// doneStepGrace is how long runs of a step may remain after the step is done, before they are
+// stopped: the ends of the members of a gang arrive from many hosts, one after the other.
+const doneStepGrace = time.Second
 
-// watchRuns finds runs that make no progress, as their host stands still, and
-// runs of steps that are done.
+// watchRuns checks the runs on responsive hosts: it stops stalled runs and those of
+// steps that are done, and evicts runs from hosts that drain or are over capacity.
 func (e *Engine) watchRuns(now time.Time) {
-	if now.Sub(e.watchedAt) < watchEvery {
+	if now.Sub(e.watchedAt) < runCheckInterval {
 		return
 	}
 	e.watchedAt = now
-	e.forgetStrangers(now)
+	e.expireOrphanEnds(now)
 	for _, h := range e.sorted {
 		if !h.claimed || !h.silent.IsZero() {
 			continue
@@ -30,34 +30,34 @@
 			e.moveOff(h, now)
 		}
 		e.relieve(h, now)
-		e.stopStrangers(h, now)
+		e.stopOrphans(h, now)
 		for _, r := range h.runs {
 			e.prove(r, now)
-			if g := r.group; g != nil && !g.doneAt.IsZero() && now.Sub(g.doneAt) > leftOver {
+			if g := r.group; g != nil && !g.doneAt.IsZero() && now.Sub(g.doneAt) > doneStepGrace {
 				e.unwant(r, "its step is done")
-			} else if e.hangs(r) {
+			} else if e.isStalled(r) {
 				e.unwant(r, fmt.Sprintf("at %.0f%% for %v", r.percent, now.Sub(r.progressAt).Round(time.Millisecond)))
-				e.setAside(h, now, "a task stands still there")
+				e.setAside(h, now, "a run has stalled there")
 			}
 		}
 	}
 }
 
-// workDone is the percentage at which a run has no work left.
+// workDone is the percentage that a run reports once it has no work left.
 const workDone = 100
 
-// hangs reports whether a run has made no progress for too long, as its host,
-// which has answered since, shows it.
-func (e *Engine) hangs(r *run) bool {
+// isStalled reports whether a run has made no progress for too long, by the views of its host
+// since its last progress.
+func (e *Engine) isStalled(r *run) bool {
 	if r.unwanted || r.state != runRunning || r.group == nil || r.percent >= workDone {
-		return false // at 100% a gang's member waits for the others, and a long-running task is at work
+		return false // at 100% a gang member waits for the others, and a long-running task serves
 	}
-	stood := r.on.viewed.Sub(r.progressAt)
+	stalled := r.on.viewed.Sub(r.progressAt)
 	switch {
 	case r.group.step.LongRunning:
-		return stood > e.cfg.Tuning.StartupAtMost
+		return stalled > e.cfg.Tuning.StartupAtMost
 	case r.fills() && (r.pace != pacing.Full || r.group.step.Size.MilliCPU > r.on.free().MilliCPU):
-		return false // held back, or without processors to use
+		return false // the backfill task is throttled, or the host has too few free processors for it
 	}
-	return stood > e.cfg.Tuning.HangAfter
+	return stalled > e.cfg.Tuning.HangAfter
 }
