--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -50,8 +50,8 @@
 		header http.Header
 		want   string
 	}{
-		{"own word", http.Header{"Caller-Id": {"crew-7"}, "X-Forwarded-For": {"9.9.9.9"}}, "crew-7"},
-		{"as the balancer saw it", http.Header{"X-Forwarded-For": {"1.1.1.1, 2.2.2.2"}}, "2.2.2.2"},
+		{"Caller-Id header", http.Header{"Caller-Id": {"crew-7"}, "X-Forwarded-For": {"9.9.9.9"}}, "crew-7"},
+		{"address reported by the load balancer", http.Header{"X-Forwarded-For": {"1.1.1.1, 2.2.2.2"}}, "2.2.2.2"},
 		{"connection", nil, "192.0.2.1"},
 	}
 	for _, tc := range cases {
@@ -65,24 +65,24 @@
 	is := is.New(t)
 	in := http.Header{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Te": {"trailers"}, "X-Many": {"a", "b"}, "Etag": {`"e"`}}
 	is.Equal(endToEnd(in), http.Header{"X-Many": {"a", "b"}, "Etag": {`"e"`}})
-	is.Equal(len(in), 5) // not changed
+	is.Equal(len(in), 5) // not modified
 }
 
-// fixed is a cell of placers that each answer in a set way.
-type fixed struct {
-	fail  map[string]*result.Error
-	asked []string
-	last  requestmsg.Serve
-	hold  chan struct{} // when set, answers wait for it
+// fakeCell is a cell whose placers each reply in a fixed way.
+type fakeCell struct {
+	fail   map[string]*result.Error
+	called []string
+	last   requestmsg.Serve
+	block  chan struct{} // if set, replies wait until it is closed
 }
 
 // Call implements peer.Caller.
-func (f *fixed) Call(_ context.Context, addr string, _ peer.Kind, req, resp any) error {
-	if f.hold != nil {
-		<-f.hold
+func (f *fakeCell) Call(_ context.Context, addr string, _ peer.Kind, req, resp any) error {
+	if f.block != nil {
+		<-f.block
 		return nil
 	}
-	f.asked = append(f.asked, addr)
+	f.called = append(f.called, addr)
 	f.last = req.(requestmsg.Serve)
 	if err := f.fail[addr]; err != nil {
 		return err
@@ -92,7 +92,7 @@
 }
 
 // Table implements view.Source.
-func (f *fixed) Table() *view.Table {
+func (f *fakeCell) Table() *view.Table {
 	return &view.Table{
 		Members:    []view.Member{{Name: "b", Addr: "b", Zone: "other"}, {Name: "own", Addr: "own", Zone: "zone"}, {Name: "old", Addr: "old", Zone: "zone", Leaving: true}},
 		Partitions: []view.Partition{{ID: 0, Holder: "own", Addr: "own"}},
@@ -100,9 +100,9 @@
 }
 
 // Settings implements view.Source.
-func (f *fixed) Settings() *settings.Tree { return nil }
+func (f *fakeCell) Settings() *settings.Tree { return nil }
 
-func newTestHandler(f *fixed, limit int) *Handler {
+func newTestHandler(f *fakeCell, limit int) *Handler {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return NewHandler(Config{
@@ -112,7 +112,7 @@
 	})
 }
 
-func ask(h *Handler, method string, header ...string) *httptest.ResponseRecorder {
+func send(h *Handler, method string, header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, Prefix+"ledger/tickets", strings.NewReader("{}"))
 	for i := 0; i < len(header); i += 2 {
 		r.Header.Set(header[i], header[i+1])
@@ -122,53 +122,53 @@
 	return w
 }
 
-// A placer that lost an executor's answer and then had no executor left for the second
-// attempt says "no executor, ran: unknown". The entry took the code for a promise, asked
-// the next placer, and told the caller "ran: no".
-func TestWhoIsAskedAndWhatIsSaid(t *testing.T) {
+// A placer that lost an executor's answer and then had no executor left for the second attempt
+// replies "no executor, ran: unknown". The entry regarded the code alone as proof that the
+// request had not run, called the next placer, and reported "ran: no".
+func TestPlacersCalledAndOutcomeReported(t *testing.T) {
 	unreached := result.New(result.PeerNotReached, result.RanNo, "refused")
-	lost := result.New(result.PeerLost, result.RanUnknown, "cut")
-	moved := result.New(result.HomeMoved, result.RanUnknown, "").Later(homeRetry)
-	none := result.New(result.NoExecutor, result.RanNo, "").Later(homeRetry)
-	noneLeft := result.New(result.NoExecutor, result.RanUnknown, "").Later(homeRetry)
+	lost := result.New(result.PeerLost, result.RanUnknown, "connection lost")
+	moved := result.New(result.HomeMoved, result.RanUnknown, "").Later(homeRetryDelay)
+	none := result.New(result.NoExecutor, result.RanNo, "").Later(homeRetryDelay)
+	noneLeft := result.New(result.NoExecutor, result.RanUnknown, "").Later(homeRetryDelay)
 	key := uuid.Must(uuid.NewV7()).String()
 	cases := []struct {
 		name, method string
 		key          string
 		fail         map[string]*result.Error
-		asked        []string
+		called       []string
 		code         result.Code
 		ran          result.Ran
 	}{
-		{"own placer first", "POST", "", nil, []string{"own"}, 0, ""},
-		{"next when not reached", "POST", "", map[string]*result.Error{"own": unreached}, []string{"own", "b"}, 0, ""},
-		{"none reached", "POST", "", map[string]*result.Error{"own": unreached, "b": unreached, "old": unreached}, []string{"own", "b", "old"}, result.HomeNotReached, result.RanNo},
+		{"placer on the same host first", "POST", "", nil, []string{"own"}, 0, ""},
+		{"next placer if unreachable", "POST", "", map[string]*result.Error{"own": unreached}, []string{"own", "b"}, 0, ""},
+		{"all unreachable", "POST", "", map[string]*result.Error{"own": unreached, "b": unreached, "old": unreached}, []string{"own", "b", "old"}, result.HomeNotReached, result.RanNo},
 		{"lost, not idempotent", "POST", "", map[string]*result.Error{"own": lost}, []string{"own"}, result.HomeLost, result.RanUnknown},
 		{"lost, idempotent", "PUT", "", map[string]*result.Error{"own": lost}, []string{"own", "b"}, 0, ""},
-		{"no executor there", "POST", "", map[string]*result.Error{"own": none}, []string{"own", "b"}, 0, ""},
+		{"no executor at the first placer", "POST", "", map[string]*result.Error{"own": none}, []string{"own", "b"}, 0, ""},
 		{"no executor anywhere", "POST", "", map[string]*result.Error{"own": none, "b": none, "old": none}, []string{"own", "b", "old"}, result.NoExecutor, result.RanNo},
-		{"lost there, then no executor left", "PUT", "", map[string]*result.Error{"own": noneLeft, "b": none, "old": none}, []string{"own", "b", "old"}, result.NoExecutor, result.RanUnknown},
-		{"lost there, then not reached", "PUT", "", map[string]*result.Error{"own": noneLeft, "b": unreached, "old": unreached}, []string{"own", "b", "old"}, result.HomeNotReached, result.RanUnknown},
-		{"lost there, then answered", "PUT", "", map[string]*result.Error{"own": noneLeft}, []string{"own", "b"}, 0, ""},
-		{"lost there, not idempotent", "POST", "", map[string]*result.Error{"own": noneLeft}, []string{"own"}, result.NoExecutor, result.RanUnknown},
-		{"lost, then not reached", "PUT", "", map[string]*result.Error{"own": lost, "b": unreached, "old": unreached}, []string{"own", "b", "old"}, result.HomeNotReached, result.RanUnknown},
-		{"key: not reached may have run before", "POST", key, map[string]*result.Error{"own": unreached}, nil, result.HomeNotReached, result.RanUnknown},
-		{"key: refused by the link", "POST", key, map[string]*result.Error{"own": result.New(result.PeerVersion, result.RanNo, "").Later(homeRetry)}, []string{"own"}, result.PeerVersion, result.RanUnknown},
-		{"key: refused by the home", "POST", key, map[string]*result.Error{"own": result.New(result.QueueFull, result.RanNo, "").Later(homeRetry)}, []string{"own"}, result.QueueFull, result.RanNo},
+		{"executor lost, then no executor left", "PUT", "", map[string]*result.Error{"own": noneLeft, "b": none, "old": none}, []string{"own", "b", "old"}, result.NoExecutor, result.RanUnknown},
+		{"executor lost, then placers unreachable", "PUT", "", map[string]*result.Error{"own": noneLeft, "b": unreached, "old": unreached}, []string{"own", "b", "old"}, result.HomeNotReached, result.RanUnknown},
+		{"executor lost, then answered", "PUT", "", map[string]*result.Error{"own": noneLeft}, []string{"own", "b"}, 0, ""},
+		{"executor lost, not idempotent", "POST", "", map[string]*result.Error{"own": noneLeft}, []string{"own"}, result.NoExecutor, result.RanUnknown},
+		{"lost, then placers unreachable", "PUT", "", map[string]*result.Error{"own": lost, "b": unreached, "old": unreached}, []string{"own", "b", "old"}, result.HomeNotReached, result.RanUnknown},
+		{"key: unreachable, may have run before", "POST", key, map[string]*result.Error{"own": unreached}, nil, result.HomeNotReached, result.RanUnknown},
+		{"key: refused by the link", "POST", key, map[string]*result.Error{"own": result.New(result.PeerVersion, result.RanNo, "").Later(homeRetryDelay)}, []string{"own"}, result.PeerVersion, result.RanUnknown},
+		{"key: refused by the home", "POST", key, map[string]*result.Error{"own": result.New(result.QueueFull, result.RanNo, "").Later(homeRetryDelay)}, []string{"own"}, result.QueueFull, result.RanNo},
 		{"key: moved", "POST", key, map[string]*result.Error{"own": moved}, nil, result.HomeMoved, result.RanUnknown},
 		{"key: lost", "POST", key, map[string]*result.Error{"own": lost}, nil, result.HomeLost, result.RanUnknown},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			f := &fixed{fail: tc.fail}
+			f := &fakeCell{fail: tc.fail}
 			header := []string{}
 			if tc.key != "" {
 				header = []string{KeyHeader, tc.key}
 			}
-			got := ask(newTestHandler(f, 0), tc.method, header...)
-			if tc.asked != nil {
-				is.Equal(f.asked, tc.asked)
+			got := send(newTestHandler(f, 0), tc.method, header...)
+			if tc.called != nil {
+				is.Equal(f.called, tc.called)
 			}
 			if tc.code == 0 {
 				is.Equal(got.Body.String(), "answer\n")
@@ -185,58 +185,58 @@
 
 func TestHeadHasLengthAndNoBody(t *testing.T) {
 	is := is.New(t)
-	f := &fixed{}
-	got := ask(newTestHandler(f, 0), http.MethodHead)
+	f := &fakeCell{}
+	got := send(newTestHandler(f, 0), http.MethodHead)
 	is.Equal(got.Body.Len(), 0)
 	is.Equal(got.Header().Get("Content-Length"), "7")
 	is.Equal(f.last.Request.Header.Get("Host"), "example.com")
 }
 
-func TestOneServiceLeavesRoomForOthers(t *testing.T) {
+func TestServiceLimitLeavesCapacityForOthers(t *testing.T) {
 	is := is.New(t)
-	h := newTestHandler(&fixed{}, 8)
+	h := newTestHandler(&fakeCell{}, 8)
 	for range 6 {
-		is.True(h.loads.enter("storm"))
+		is.True(h.limiter.acquire("busy"))
 	}
-	is.True(!h.loads.enter("storm"))
-	is.True(h.loads.enter("ledger"))
-	got := ask(h, http.MethodGet)
+	is.True(!h.limiter.acquire("busy"))
+	is.True(h.limiter.acquire("ledger"))
+	got := send(h, http.MethodGet)
 	is.Equal(got.Code, http.StatusOK)
 	is.Equal(h.InFlight(), int64(7))
-	is.True(h.loads.enter("ledger"))
-	failure := problem.Read(ask(h, http.MethodPost).Code, ask(h, http.MethodPost).Body.Bytes())
+	is.True(h.limiter.acquire("ledger"))
+	failure := problem.Read(send(h, http.MethodPost).Code, send(h, http.MethodPost).Body.Bytes())
 	is.Equal(failure.Code, result.EntryFull)
 	is.Equal(failure.Ran, result.RanNo)
 }
 
 func TestBodiesInMemoryAreBounded(t *testing.T) {
 	is := is.New(t)
-	h := newTestHandler(&fixed{}, 0)
-	is.True(h.bodies.TryAcquire(DefaultMaxBodyMemory - 1)) // others' bodies
-	failure := problem.Read(http.StatusServiceUnavailable, ask(h, http.MethodPost).Body.Bytes())
+	h := newTestHandler(&fakeCell{}, 0)
+	is.True(h.bodies.TryAcquire(DefaultMaxBodyMemory - 1)) // bodies of other requests
+	failure := problem.Read(http.StatusServiceUnavailable, send(h, http.MethodPost).Body.Bytes())
 	is.Equal(failure.Code, result.EntryFull)
 	is.Equal(failure.Ran, result.RanNo)
 	h.bodies.Release(1)
-	is.Equal(ask(h, http.MethodPost).Code, http.StatusOK) // two bytes fit, and are given back
-	is.Equal(ask(h, http.MethodPost).Code, http.StatusOK)
+	is.Equal(send(h, http.MethodPost).Code, http.StatusOK) // two bytes fit, and are released
+	is.Equal(send(h, http.MethodPost).Code, http.StatusOK)
 }
 
-func TestLostRequestsAreAskedAgainWithinTheBudget(t *testing.T) {
+func TestLostRequestsAreRetriedWithinTheBudget(t *testing.T) {
 	is := is.New(t)
-	f := &fixed{fail: map[string]*result.Error{"own": result.New(result.PeerLost, result.RanUnknown, "cut")}}
+	f := &fakeCell{fail: map[string]*result.Error{"own": result.New(result.PeerLost, result.RanUnknown, "connection lost")}}
 	h := newTestHandler(f, 0)
 	const requests, burst = 500, 10
 	for range requests {
-		ask(h, http.MethodPut)
+		send(h, http.MethodPut)
 	}
-	again := len(f.asked) - requests
-	is.True(again >= burst)
-	is.True(again <= burst+requests*int(settings.Defaults().Request.RetryBudgetPercent)/100)
+	retries := len(f.called) - requests
+	is.True(retries >= burst)
+	is.True(retries <= burst+requests*int(settings.Defaults().Request.RetryBudgetPercent)/100)
 }
 
-// A retry of what ran may meet an entry that refuses it before its home is
-// asked: that must not say that the key did not run.
-func TestRefusalsBeforeTheHomeSayNothingOfAKey(t *testing.T) {
+// A retry of a request that has run may reach an entry that refuses it before calling its home.
+// Such a refusal must not state that the key did not run.
+func TestRefusalsBeforeTheHomeReportKeysAsUnknown(t *testing.T) {
 	key := uuid.Must(uuid.NewV7()).String()
 	cases := []struct {
 		name, path, body, timeout string
@@ -250,7 +250,7 @@
 	for _, tc := range cases {
 		for _, keyed := range []bool{false, true} {
 			is := is.New(t)
-			h := newTestHandler(&fixed{}, 0)
+			h := newTestHandler(&fakeCell{}, 0)
 			h.cfg.Settings = func(service string) (settings.Values, bool) { return settings.Defaults(), service == "ledger" }
 			r := httptest.NewRequest(http.MethodPost, tc.path, strings.NewReader(tc.body))
 			r.Header.Set(TimeoutHeader, tc.timeout)
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -1,7 +1,6 @@
-// Package entry is the callers' HTTP side of the request path. It checks a
-// request, finds its home, forwards it whole and writes the whole answer, or a
-// problem document that tells whether the request ran. It keeps nothing but
-// the requests in flight.
+// Package entry is the HTTP interface to callers on the request path. It checks a request,
+// determines its home, forwards the complete request, and writes the complete answer or a problem
+// document that states whether the request ran. Its only state is the requests in flight.
 package entry
 
 import (
@@ -21,50 +20,49 @@
 	"pulleyquay/internal/view"
 )
 
-// Prefix is the path under which services are reached:
-// /v1/services/{service}/{path...}.
+// Prefix is the path of the services: /v1/services/{service}/{path...}.
 const Prefix = "/v1/services/"
 
-// The request headers that callers may set. TimeoutHeader gives the deadline
-// in milliseconds from now.
+// Request headers that callers may set. TimeoutHeader gives the deadline in milliseconds from
+// now.
 const (
 	KeyHeader     = "Idempotency-Key"
 	CallerHeader  = "Caller-Id"
 	TimeoutHeader = dispatch.TimeoutHeader
 )
 
-// Config is what a Handler needs of the rest of the process.
+// Config contains the dependencies and limits of a Handler.
 type Config struct {
 	View  view.Source
 	Peers peer.Caller
-	// Settings returns a service's effective values; false: no such service.
+	// Settings returns a service's effective values, or false if there is no such service.
 	Settings func(service string) (settings.Values, bool)
 	// Zone is this process's availability zone.
 	Zone string
-	// Placer is the peer address of the placer on the same host; requests
-	// without a key go there first. Empty: any placer.
+	// Placer is the peer address of the placer on the same host, which is the first choice for
+	// requests without a key. Empty: no preference.
 	Placer string
-	// MaxInFlight bounds the requests in this process; one service may have
-	// three quarters of it. Zero is DefaultMaxInFlight.
+	// MaxInFlight bounds the requests in this process; one service may use three quarters of it.
+	// Zero is DefaultMaxInFlight.
 	MaxInFlight int
-	// MaxBodyMemory bounds the bytes of request bodies held at a time. Zero is
+	// MaxBodyMemory bounds the total size in bytes of the request bodies in memory. Zero is
 	// DefaultMaxBodyMemory.
 	MaxBodyMemory int64
 	Log           *logrus.Entry
 	Metrics       prometheus.Registerer
 }
 
-// DefaultMaxInFlight is the bound on requests in one entry process.
+// DefaultMaxInFlight is the default for Config.MaxInFlight.
 const DefaultMaxInFlight = 8192
 
-// DefaultMaxBodyMemory is the bound on request bodies in one entry process.
+// DefaultMaxBodyMemory is the default for Config.MaxBodyMemory, in bytes.
 const DefaultMaxBodyMemory = 128 << 20
 
 // Handler serves callers' requests.
 type Handler struct {
 	cfg     Config
 	metrics *metrics
-	loads   loads
+	limiter limiter
 	bodies  *semaphore.Weighted // bytes of request bodies
 }
 
@@ -78,16 +76,16 @@
 	}
 	return &Handler{
 		cfg: cfg, metrics: newMetrics(cfg.Metrics),
-		loads: loads{limit: int64(cfg.MaxInFlight)}, bodies: semaphore.NewWeighted(cfg.MaxBodyMemory),
+		limiter: limiter{limit: int64(cfg.MaxInFlight)}, bodies: semaphore.NewWeighted(cfg.MaxBodyMemory),
 	}
 }
 
-// ServeHTTP answers one caller.
+// ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	service, path, ok := splitPath(r.URL)
 	if !ok {
-		h.refuse(w, "", result.New(result.NotFound, ranBeforeHome(r), "expected %s{service}/{path}", Prefix))
+		h.refuse(w, "", result.New(result.NotFound, ranNotForwarded(r), "expected %s{service}/{path}", Prefix))
 		return
 	}
 	values, ok := h.cfg.Settings(service)
@@ -95,26 +93,26 @@
 		h.refuse(w, "", h.unknownService(r, service))
 		return
 	}
-	if !h.loads.enter(service) {
-		h.refuse(w, service, result.New(result.EntryFull, ranBeforeHome(r), "service %q", service).Later(time.Second))
+	if !h.limiter.acquire(service) {
+		h.refuse(w, service, result.New(result.EntryFull, ranNotForwarded(r), "service %q", service).Later(time.Second))
 		return
 	}
-	defer h.loads.leave(service)
-	room := bodyRoom(r, values.Request.MaxBodyBytes)
-	if !h.bodies.TryAcquire(room) {
-		h.refuse(w, service, result.New(result.EntryFull, ranBeforeHome(r), "%d bytes of body", room).Later(time.Second))
+	defer h.limiter.release(service)
+	bodyBytes := bodyMemory(r, values.Request.MaxBodyBytes)
+	if !h.bodies.TryAcquire(bodyBytes) {
+		h.refuse(w, service, result.New(result.EntryFull, ranNotForwarded(r), "%d bytes of body", bodyBytes).Later(time.Second))
 		return
 	}
-	defer h.bodies.Release(room)
+	defer h.bodies.Release(bodyBytes)
 	msg, err := parse(w, r, service, path, values.Request)
 	if err != nil {
-		if err.Code != result.BadKey { // no entry passes a bad key on
-			err.Ran = ranBeforeHome(r)
+		if err.Code != result.BadKey { // every entry refuses a bad key, so no earlier attempt can have run
+			err.Ran = ranNotForwarded(r)
 		}
 		h.refuse(w, service, err)
 		return
 	}
-	h.loads.of(service).budget.Earn(values.Request.RetryBudgetPercent)
+	h.limiter.forService(service).budget.Earn(values.Request.RetryBudgetPercent)
 	deadline := start.Add(msg.Timeout)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
@@ -127,13 +125,13 @@
 	writeAnswer(w, r.Method, answer)
 }
 
-// unknownService is the refusal of a service that the settings do not name, or
-// of any service while the settings are not known yet.
+// unknownService is the error for a service that is not in the settings, or for any service as
+// long as the settings are not available.
 func (h *Handler) unknownService(r *http.Request, service string) *result.Error {
 	if h.cfg.View.Settings() == nil {
-		return result.New(result.NotReady, ranBeforeHome(r), "no settings known yet").Later(homeRetry)
+		return result.New(result.NotReady, ranNotForwarded(r), "no settings known yet").Later(homeRetryDelay)
 	}
-	return result.New(result.UnknownService, ranBeforeHome(r), "service %q", service)
+	return result.New(result.UnknownService, ranNotForwarded(r), "service %q", service)
 }
 
 // refuse writes a problem document.
@@ -143,18 +141,17 @@
 	problem.Write(w, e)
 }
 
-// ranBeforeHome is what can be said of a request that was not passed on: with
-// a key, an earlier attempt through another entry, or under other settings, may
-// have run.
-func ranBeforeHome(r *http.Request) result.Ran {
+// ranNotForwarded returns whether a request that was not forwarded may have run: if it has a key,
+// an earlier attempt through another entry or under other settings may have.
+func ranNotForwarded(r *http.Request) result.Ran {
 	if r.Header.Get(KeyHeader) != "" {
 		return result.RanUnknown
 	}
 	return result.RanNo
 }
 
-// InFlight is the number of requests being served now.
-func (h *Handler) InFlight() int64 { return h.loads.total.Load() }
+// InFlight returns the number of requests that are being served.
+func (h *Handler) InFlight() int64 { return h.limiter.total.Load() }
 
-// Dump is the handler's state for /debug/state.
-func (h *Handler) Dump() any { return h.loads.dump() }
+// Dump returns the handler's state for /debug/state.
+func (h *Handler) Dump() any { return h.limiter.dump() }
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -8,15 +8,14 @@
 	"pulleyquay/internal/executor"
 )
 
-// hopByHop are the headers that belong to one connection (RFC 9110, section
-// 7.6.1), and the length, which each hop works out itself.
+// hopByHop are the headers that belong to one connection (RFC 9110, section 7.6.1), and the
+// content length, which each hop computes itself.
 var hopByHop = []string{
 	"Connection", "Content-Length", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns the headers that go to the other end. The given ones are
-// not changed.
+// endToEnd returns a copy of the headers without those that belong to one connection.
 func endToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
@@ -49,7 +48,7 @@
 	}
 	w.WriteHeader(a.Status)
 	if method != http.MethodHead {
-		// A failed write means that the caller has gone; nobody is left to tell.
+		// The write fails only if the caller has gone; the error cannot be reported to anyone.
 		_, _ = w.Write(a.Body)
 	}
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the entry's counters.
+// metrics are the counters of an entry.
 type metrics struct {
 	requests *prometheus.CounterVec
 }
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -18,8 +18,8 @@
 	"pulleyquay/internal/settings"
 )
 
-// splitPath takes the service and the path for the executor, with the query,
-// out of a URL. The path keeps the caller's escapes.
+// splitPath returns the service, and the path with the query for the executor. The path keeps the
+// caller's escapes.
 func splitPath(u *url.URL) (service, path string, ok bool) {
 	rest, ok := strings.CutPrefix(u.EscapedPath(), Prefix)
 	if !ok {
@@ -36,8 +36,8 @@
 	return service, path, true
 }
 
-// parse makes the message for the home out of a caller's request. What it
-// refuses was not passed on.
+// parse converts a caller's request to the message for the home. A request that it refuses has
+// not been forwarded.
 func parse(w http.ResponseWriter, r *http.Request, service, path string, limits settings.Request) (requestmsg.Serve, *result.Error) {
 	msg := requestmsg.Serve{Service: service, Caller: callerOf(r), Idempotent: idempotent(r.Method, limits)}
 	var err *result.Error
@@ -52,11 +52,11 @@
 		return msg, err
 	}
 	msg.Request = executor.Request{Method: r.Method, Path: path, Header: endToEnd(r.Header), Body: body}
-	msg.Request.Header["Host"] = []string{r.Host} // net/http keeps it apart
+	msg.Request.Header["Host"] = []string{r.Host} // net/http stores it separately
 	return msg, nil
 }
 
-// idempotent tells whether a method may be repeated (RFC 9110, section 9.2.2).
+// idempotent reports whether a method may be repeated (RFC 9110, section 9.2.2).
 func idempotent(method string, limits settings.Request) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
@@ -67,7 +67,7 @@
 	return false
 }
 
-// keyOf returns the request's key, or uuid.Nil when it has none.
+// keyOf returns the request's key, or uuid.Nil if it has none.
 func keyOf(r *http.Request) (uuid.UUID, *result.Error) {
 	values := r.Header.Values(KeyHeader)
 	if len(values) == 0 {
@@ -86,8 +86,8 @@
 	return key, nil
 }
 
-// timeoutOf returns the caller's deadline, or the service's default, capped by
-// the service's longest.
+// timeoutOf returns the caller's deadline or the service's default, limited to the service's
+// maximum.
 func timeoutOf(r *http.Request, limits settings.Request) (time.Duration, *result.Error) {
 	ms := limits.DefaultDeadlineMS
 	if text := r.Header.Get(TimeoutHeader); text != "" {
@@ -100,9 +100,9 @@
 	return time.Duration(min(ms, limits.MaxDeadlineMS)) * time.Millisecond, nil
 }
 
-// bodyRoom is the memory that a request's body may take: its length, or the
-// limit while the length is not known. One over the limit is not read.
-func bodyRoom(r *http.Request, limit int64) int64 {
+// bodyMemory returns the memory to reserve for a request's body: its length, or the limit if the
+// length is unknown. A body over the limit is not read and needs none.
+func bodyMemory(r *http.Request, limit int64) int64 {
 	switch {
 	case r.ContentLength > limit:
 		return 0
@@ -112,7 +112,7 @@
 	return limit
 }
 
-// readBody reads the whole body or refuses it.
+// readBody reads the complete body, or returns an error if it is too large or cannot be read.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *result.Error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
@@ -129,10 +129,10 @@
 	if errors.As(err, &over) {
 		return nil, tooLarge(limit)
 	}
-	return nil, result.New(result.CallerGone, ranBeforeHome(r), "body: %v", err)
+	return nil, result.New(result.CallerGone, ranNotForwarded(r), "body: %v", err)
 }
 
-// readAll reads to the end; a known length saves copies.
+// readAll reads to the end. A known length avoids copies.
 func readAll(r io.Reader, length int64) ([]byte, error) {
 	if length <= 0 {
 		return io.ReadAll(r)
@@ -146,8 +146,8 @@
 	return result.New(result.TooLarge, result.RanNo, "body over %d bytes", limit)
 }
 
-// callerOf identifies the caller for fair queues: the Caller-Id header, or the
-// address that the balancer saw, or the connection's.
+// callerOf identifies the caller for fair queueing: by the Caller-Id header, the address reported
+// by the load balancer, or the address of the connection.
 func callerOf(r *http.Request) string {
 	if id := r.Header.Get(CallerHeader); id != "" {
 		return id
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -17,86 +17,86 @@
 	"pulleyquay/internal/wait"
 )
 
-// route sends the request to its home and follows the home when it moves.
+// route sends the request to its home, and retries when the home changes.
 func (h *Handler) route(ctx context.Context, msg requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
 	if msg.Key == uuid.Nil {
-		return h.routeAny(ctx, msg, deadline)
+		return h.routeKeyless(ctx, msg, deadline)
 	}
 	return h.routeKeyed(ctx, msg, deadline)
 }
 
-// The entry asks again while a home changes, in a planned hand-over for the
-// most part: after pauses of up to firstPause, doubled up to longestPause.
-// A home that is moving is asked for longer than one that does not answer: a
-// hand-over under load takes up to a second, and it ends well.
+// The entry retries while a home changes, which usually is a planned handover: with delays of up
+// to minRetryDelay at first, doubled up to maxRetryDelay. A home that reports a move is retried
+// for longer than one that does not reply, because a handover under load takes up to a second and
+// normally succeeds.
 const (
 	keyedAttempts = 8
-	movedAttempts = 24 // some two seconds
-	firstPause    = 10 * time.Millisecond
-	longestPause  = 200 * time.Millisecond
+	movedAttempts = 24 // about two seconds
+	minRetryDelay = 10 * time.Millisecond
+	maxRetryDelay = 200 * time.Millisecond
 )
 
-// routeKeyed asks the key's home. Asking again is safe at any time: a home
-// dispatches a key once. What is refused here may have run by an attempt
-// through another entry, so that only the home may say that it did not.
+// routeKeyed sends the request to the key's home. Retries are always safe because a home
+// dispatches a key once. An attempt through another entry may have run, so only the home may
+// state that a key did not run.
 func (h *Handler) routeKeyed(ctx context.Context, msg requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
-	pause := firstPause
+	delay := minRetryDelay
 	for attempt := 1; ; attempt++ {
-		answer, err := h.askHome(ctx, &msg, deadline)
-		if err == nil || !homeChanges(err) {
+		answer, err := h.callHome(ctx, &msg, deadline)
+		if err == nil || !isRetryable(err) {
 			return answer, err
 		}
-		if attempt >= attemptsFor(err) || !wait.Jittered(ctx, pause) {
+		if attempt >= maxAttempts(err) || !wait.Jittered(ctx, delay) {
 			return executor.Answer{}, err
 		}
-		pause = min(2*pause, longestPause)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// attemptsFor is how often a home is asked that answers with err.
-func attemptsFor(err *result.Error) int {
+// maxAttempts returns the number of calls to a home that replies with err.
+func maxAttempts(err *result.Error) int {
 	if err.Code == result.HomeMoved {
 		return movedAttempts
 	}
 	return keyedAttempts
 }
 
-// askHome sends the request to the key's present home.
-func (h *Handler) askHome(ctx context.Context, msg *requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
+// callHome sends the request to the key's current home.
+func (h *Handler) callHome(ctx context.Context, msg *requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
 	table := h.cfg.View.Table()
 	if table == nil || len(table.Partitions) == 0 {
-		return executor.Answer{}, result.New(result.NotReady, result.RanUnknown, "no partitions known yet").Later(homeRetry)
+		return executor.Answer{}, result.New(result.NotReady, result.RanUnknown, "no partitions known yet").Later(homeRetryDelay)
 	}
 	msg.Partition = partition.OfKey(msg.Key.String(), len(table.Partitions))
-	home := find(table, msg.Partition)
+	home := findPartition(table, msg.Partition)
 	if home == nil || home.Addr == "" || home.Holder == "" {
 		return executor.Answer{}, result.New(result.HomeNotReached, result.RanUnknown,
-			"partition %d has no holder", msg.Partition).Later(homeRetry)
+			"partition %d has no holder", msg.Partition).Later(homeRetryDelay)
 	}
-	answer, err := h.ask(ctx, home.Addr, *msg, deadline)
+	answer, err := h.send(ctx, home.Addr, *msg, deadline)
 	if err == nil {
 		return answer, nil
 	}
 	switch err.Code {
 	case result.PeerNotReached:
-		err = result.New(result.HomeNotReached, result.RanUnknown, "%s: %s", home.Holder, err.Detail).Later(homeRetry)
+		err = result.New(result.HomeNotReached, result.RanUnknown, "%s: %s", home.Holder, err.Detail).Later(homeRetryDelay)
 	case result.PeerLost:
-		err = lostOrEnded(ctx, home.Holder, err)
+		err = lostError(ctx, home.Holder, err)
 	default:
 		err = withRan(err, ranByHome(err))
 	}
 	return executor.Answer{}, err
 }
 
-// withRan returns a copy: callers that joined one request share its error.
+// withRan returns a copy because callers that joined one request share its error.
 func withRan(err *result.Error, ran result.Ran) *result.Error {
 	c := *err
 	c.Ran = ran
 	return &c
 }
 
-// ranByHome is what a home's refusal says of a key. A refusal by the link or
-// the process, which do not know the key, says nothing of earlier attempts.
+// ranByHome returns what the refusal states about the key. A refusal by the link or the process,
+// which do not know the key, states nothing about earlier attempts.
 func ranByHome(err *result.Error) result.Ran {
 	if err.Ran == result.RanNo && (err.Code < result.UnknownService || err.Code > lastRequestCode) {
 		return result.RanUnknown
@@ -104,51 +104,51 @@
 	return err.Ran
 }
 
-// lastRequestCode ends the range of the codes that a home itself gives.
+// lastRequestCode is the end of the range of codes that the home itself returns.
 const lastRequestCode result.Code = 2999
 
-// homeRetry is when to come back to a request whose home is gone.
-const homeRetry = 2 * time.Second
+// homeRetryDelay is the Retry-After for a request whose home is not available.
+const homeRetryDelay = 2 * time.Second
 
-// homeChanges tells that asking again may find the home. The key makes it
-// safe even where the first attempt may have been dispatched.
-func homeChanges(err *result.Error) bool {
+// isRetryable reports whether a retry may reach the home. The key makes a retry safe even if the
+// first attempt may have been dispatched.
+func isRetryable(err *result.Error) bool {
 	switch err.Code {
 	case result.HomeMoved, result.HomeNotReached, result.HomeLost, result.NotReady:
 		return true
-	case result.UnknownService: // known here: the home lacks settings yet
+	case result.UnknownService: // the entry knows the service: the home has no settings yet
 		return true
 	}
 	return false
 }
 
-// anyAttempts is how many placers are asked for a request without a key.
-const anyAttempts = 3
+// maxPlacersTried is the maximum number of placers called for a request without a key.
+const maxPlacersTried = 3
 
-// routeAny asks the own placer, then others. A request that may have been
-// dispatched is asked again only when it is idempotent, within the budget.
-func (h *Handler) routeAny(ctx context.Context, msg requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
+// routeKeyless calls the placer on the same host first, then others. A request that may have been
+// dispatched is retried only if it is idempotent and the retry budget allows it.
+func (h *Handler) routeKeyless(ctx context.Context, msg requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
 	ran := result.RanNo
-	last := result.New(result.NotReady, result.RanNo, "no placer known yet").Later(homeRetry)
+	last := result.New(result.NotReady, result.RanNo, "no placer known yet").Later(homeRetryDelay)
 	for i, m := range h.candidates() {
-		if i == anyAttempts {
+		if i == maxPlacersTried {
 			break
 		}
-		answer, err := h.ask(ctx, m.Addr, msg, deadline)
+		answer, err := h.send(ctx, m.Addr, msg, deadline)
 		if err == nil {
 			return answer, nil
 		}
 		switch err.Code {
 		case result.PeerNotReached:
-			last = result.New(result.HomeNotReached, ran, "%s: %s", m.Name, err.Detail).Later(homeRetry)
+			last = result.New(result.HomeNotReached, ran, "%s: %s", m.Name, err.Detail).Later(homeRetryDelay)
 		case result.PeerLost:
 			ran = result.RanUnknown
-			last = lostOrEnded(ctx, m.Name, err)
+			last = lostError(ctx, m.Name, err)
 			if !h.mayRepeat(ctx, &msg) {
 				return executor.Answer{}, last
 			}
-		case result.NoExecutor: // this placer holds none and has not heard of others' yet
-			if err.Ran != result.RanNo { // or has none left after an attempt that may have run
+		case result.NoExecutor: // this placer has no executor and no information on those of other placers yet
+			if err.Ran != result.RanNo { // or no executor was left after an attempt that may have run
 				ran = result.RanUnknown
 			}
 			last = withRan(err, ran)
@@ -165,13 +165,14 @@
 	return executor.Answer{}, last
 }
 
-// mayRepeat reports whether a request that may have run is asked again.
+// mayRepeat reports whether a request that may have run may be sent again. It uses up one retry
+// of the budget.
 func (h *Handler) mayRepeat(ctx context.Context, msg *requestmsg.Serve) bool {
-	return msg.Idempotent && ctx.Err() == nil && h.loads.of(msg.Service).budget.Spend()
+	return msg.Idempotent && ctx.Err() == nil && h.limiter.forService(msg.Service).budget.Spend()
 }
 
-// candidates are the placers to ask, the one on the own host first, then the
-// own zone's, then others; leaving ones last.
+// candidates returns the placers in the order of preference: the one on the same host, the same
+// zone, other zones, and at last the leaving ones. The order within a group is random.
 func (h *Handler) candidates() []view.Member {
 	table := h.cfg.View.Table()
 	if table == nil {
@@ -201,14 +202,14 @@
 	return out
 }
 
-// answerMargin is kept from the deadline for the home's answer to come back:
-// the home alone knows that a request which waited to its deadline did not run.
-const answerMargin = 10 * time.Millisecond
+// responseMargin is the part of the deadline reserved for the home's reply: only the home can
+// tell that a request which waited until its deadline did not run.
+const responseMargin = 10 * time.Millisecond
 
-// ask sends the request to one placer.
-func (h *Handler) ask(ctx context.Context, addr string, msg requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
-	left := time.Until(deadline)
-	msg.Timeout = left - min(answerMargin, left/10)
+// send sends the request to one placer.
+func (h *Handler) send(ctx context.Context, addr string, msg requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
+	remaining := time.Until(deadline)
+	msg.Timeout = remaining - min(responseMargin, remaining/10)
 	var answer executor.Answer
 	if err := h.cfg.Peers.Call(ctx, addr, peer.KindServe, msg, &answer); err != nil {
 		return executor.Answer{}, result.From(err)
@@ -216,19 +217,19 @@
 	return answer, nil
 }
 
-// lostOrEnded tells a lost link from the end of the caller's own wait.
-func lostOrEnded(ctx context.Context, home string, err *result.Error) *result.Error {
+// lostError distinguishes a lost connection from the end of the caller's own wait.
+func lostError(ctx context.Context, home string, err *result.Error) *result.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return result.New(result.DeadlineRunning, result.RanUnknown, "%s did not answer in time", home)
 	case ctx.Err() != nil:
 		return result.New(result.CallerGone, result.RanUnknown, "the caller went away")
 	}
-	return result.New(result.HomeLost, result.RanUnknown, "%s: %s", home, err.Detail).Later(homeRetry)
+	return result.New(result.HomeLost, result.RanUnknown, "%s: %s", home, err.Detail).Later(homeRetryDelay)
 }
 
-// find returns the record of a partition.
-func find(t *view.Table, id int) *view.Partition {
+// findPartition returns the entry of a partition, or nil.
+func findPartition(t *view.Table, id int) *view.Partition {
 	if id < len(t.Partitions) && t.Partitions[id].ID == id {
 		return &t.Partitions[id]
 	}
--- a/internal/executor/exechttp/exechttp.go
+++ b/internal/executor/exechttp/exechttp.go
@@ -1,9 +1,8 @@
-// Package exechttp is the executor.Client over HTTP/1.1. Each request goes out
-// at most once, whatever its method and headers; see package httponce.
+// Package exechttp implements executor.Client over HTTP/1.1. Each request is sent at most once,
+// whatever its method and headers; see package httponce.
 //
-// An executor that wants nothing new says so with the header LeavingHeader on
-// any answer. "Connection: close" is no such signal: servers close connections
-// for many reasons.
+// An executor that accepts no new requests sets the header LeavingHeader on any answer.
+// "Connection: close" is not such a signal: servers close connections for many reasons.
 package exechttp
 
 import (
@@ -18,18 +17,18 @@
 	"pulleyquay/internal/httponce"
 )
 
-// LeavingHeader with the value LeavingValue on an answer is an executor's signal
-// that it is leaving. It is not passed on to callers.
+// LeavingHeader with the value LeavingValue in an answer signals that the executor is leaving. It
+// is not forwarded to callers.
 const (
 	LeavingHeader = "Pulleyquay-Leaving"
 	LeavingValue  = "1"
 )
 
-// errBadPath is the cause of a failure for a path that no request line can hold.
+// errBadPath is the cause of a failure for a path that is not valid in a request line.
 var errBadPath = errors.New("path must begin with / and have no spaces or control characters")
 
-// hopByHop headers belong to one connection and are not passed on (RFC 9110,
-// section 7.6.1), nor are those that Connection names.
+// hopByHop headers belong to one connection and are not forwarded (RFC 9110, section 7.6.1), nor
+// are those named by the Connection header.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -40,8 +39,8 @@
 	http *httponce.Client
 }
 
-// New returns a client that keeps connections to the executors it talks to;
-// opt.MaxConns bounds them for each address.
+// New returns a client that keeps connections to executors open; opt.MaxConns bounds the
+// connections per address.
 func New(opt httponce.Options) *Client {
 	return &Client{http: httponce.New(opt)}
 }
@@ -77,9 +76,9 @@
 	header := endToEnd(req.Header)
 	host := header.Get("Host")
 	header.Del("Host")
-	header.Del("Content-Length") // from the body
+	header.Del("Content-Length") // set from the body
 	if header.Get("User-Agent") == "" {
-		header["User-Agent"] = nil // or net/http adds its own
+		header["User-Agent"] = nil // otherwise net/http adds its own
 	}
 	u, err := target(addr, req.Path)
 	if err != nil {
@@ -115,7 +114,7 @@
 	return true
 }
 
-// endToEnd returns a copy of the header without what belongs to one connection.
+// endToEnd returns a copy of the header without the fields that belong to one connection.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
--- a/internal/executor/exechttp/exechttp_test.go
+++ b/internal/executor/exechttp/exechttp_test.go
@@ -35,7 +35,7 @@
 		client := exechttp.New(httponce.Options{})
 		t.Cleanup(client.Close)
 		return executortest.Target{Client: client, Addr: ln.Addr().String(), Executor: e, Judge: j,
-			NowhereAddr: strings.TrimPrefix(closed.URL, "http://")}
+			UnreachableAddr: strings.TrimPrefix(closed.URL, "http://")}
 	})
 }
 
--- a/internal/executor/execsim/execsim.go
+++ b/internal/executor/execsim/execsim.go
@@ -1,6 +1,6 @@
-// Package execsim is an in-memory model of executors for tests and the stand-in.
-// It refuses nothing: a judge.Judge records what each executor was asked to
-// carry and how often each Idempotency-Key was executed.
+// Package execsim simulates executors in memory, for tests and the stand-in. The executors accept
+// every request; a judge.Judge records the load on each executor and how often each
+// Idempotency-Key was executed.
 package execsim
 
 import (
@@ -16,14 +16,14 @@
 	"pulleyquay/internal/judge"
 )
 
-// The headers that the model reads and writes.
+// The headers that the simulated executors read and write.
 const (
-	// KeyHeader carries a request's key.
+	// KeyHeader contains a request's key.
 	KeyHeader = "Idempotency-Key"
-	// WorkHeader in a request is how long its execution takes, in milliseconds.
+	// WorkHeader in a request is the time its execution takes, in milliseconds.
 	WorkHeader = "Standin-Work-Ms"
-	// ExecutorHeader in an answer names the executor, PathHeader repeats the
-	// request's path; the body is that of the request.
+	// ExecutorHeader in an answer is the name of the executor, PathHeader the request's path. The
+	// body is that of the request.
 	ExecutorHeader = "Standin-Executor"
 	PathHeader     = "Standin-Path"
 )
@@ -35,23 +35,23 @@
 	ErrTooLarge    = executor.ErrAnswerTooLarge
 )
 
-// Faults are what is wrong with one executor. The zero value is a sound one.
+// Faults are the injected faults of one executor. The zero value has none.
 type Faults struct {
 	// Fail answers with status 500 after the execution.
 	Fail bool `json:"fail,omitempty"`
 	// Slow is added to the time of each execution.
 	Slow time.Duration `json:"slow_ns,omitempty"`
-	// Hang executes and never answers.
+	// Hang executes the request and never answers.
 	Hang bool `json:"hang,omitempty"`
-	// Truncate executes and answers half.
+	// Truncate executes the request and breaks the connection in the middle of the answer.
 	Truncate bool `json:"truncate,omitempty"`
-	// Leaving answers as usual, with the signal that it leaves.
+	// Leaving answers normally, with the signal that the executor is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 	// Unreachable refuses connections.
 	Unreachable bool `json:"unreachable,omitempty"`
 }
 
-// Executor is one executor. Its methods are safe for concurrent use.
+// Executor simulates one executor. Its methods are safe for concurrent use.
 type Executor struct {
 	name  string
 	judge *judge.Judge
@@ -60,8 +60,8 @@
 	faults Faults
 }
 
-// NewExecutor returns a sound executor; the judge holds it to the slots and
-// connections.
+// NewExecutor returns an executor without faults. The judge checks it against the numbers of
+// slots and connections.
 func NewExecutor(name string, slots, connections int, j *judge.Judge) *Executor {
 	j.Executor(name, slots, connections)
 	return &Executor{name: name, judge: j}
@@ -75,15 +75,15 @@
 	e.judge.Leaving(e.name, f.Leaving)
 }
 
-// Faults returns the executor's present faults.
+// Faults returns the executor's current faults.
 func (e *Executor) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// Execute runs one request to its end; an execution goes on when ctx ends
-// before it, as in a real executor. The error is ErrTruncated or ctx's.
+// Execute runs one request. The execution continues if ctx ends first, as in a real executor. The
+// error is ErrTruncated or that of ctx.
 func (e *Executor) Execute(ctx context.Context, req executor.Request) (executor.Answer, error) {
 	faults := e.Faults()
 	x := e.judge.Execute(e.name, req.Header.Get(KeyHeader), req.Method, req.Path, time.Now())
@@ -132,8 +132,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// Fleet is a set of executors reached by address; it is an executor.Client in
-// which each call is one connection.
+// Fleet is a set of executors by address. It is an executor.Client in which each call uses a
+// connection of its own.
 type Fleet struct {
 	Judge *judge.Judge
 
@@ -146,7 +146,7 @@
 	return &Fleet{Judge: j, executors: map[string]*Executor{}}
 }
 
-// Add makes an executor at the address.
+// Add creates an executor at the address.
 func (f *Fleet) Add(addr, name string, slots, connections int) *Executor {
 	e := NewExecutor(name, slots, connections, f.Judge)
 	f.mu.Lock()
@@ -162,7 +162,7 @@
 	return f.executors[addr]
 }
 
-// Do is executor.Client's.
+// Do implements executor.Client.
 func (f *Fleet) Do(ctx context.Context, addr string, req executor.Request, maxAnswer int64) (executor.Answer, error) {
 	e := f.Executor(addr)
 	if e == nil || e.Faults().Unreachable {
--- a/internal/executor/execsim/execsim_test.go
+++ b/internal/executor/execsim/execsim_test.go
@@ -20,7 +20,7 @@
 	executortest.Run(t, func(*testing.T) executortest.Target {
 		f := execsim.NewFleet(judge.New())
 		e := f.Add("a", "e", 8, 64)
-		return executortest.Target{Client: f, Addr: "a", Executor: e, Judge: f.Judge, NowhereAddr: "nowhere"}
+		return executortest.Target{Client: f, Addr: "a", Executor: e, Judge: f.Judge, UnreachableAddr: "nowhere"}
 	})
 }
 
@@ -29,7 +29,7 @@
 		_, _ = f.Do(context.Background(), "a", executor.Request{Method: method, Path: "/",
 			Header: http.Header{execsim.KeyHeader: {key}, execsim.WorkHeader: {"100"}}}, 100)
 	}
-	many := func(f *execsim.Fleet, n int) {
+	sendConcurrently := func(f *execsim.Fleet, n int) {
 		var wg sync.WaitGroup
 		for range n {
 			wg.Go(func() { send(f, "GET", "") })
@@ -38,7 +38,7 @@
 	}
 	leave := func(f *execsim.Fleet, after time.Duration) {
 		f.Executor("a").SetFaults(execsim.Faults{Leaving: true})
-		send(f, "GET", "") // its answer tells
+		send(f, "GET", "") // its answer has the leaving signal
 		time.Sleep(after)
 		send(f, "GET", "")
 	}
@@ -47,18 +47,18 @@
 		run  func(f *execsim.Fleet)
 		want judge.Rule
 	}{
-		{"as many as slots", func(f *execsim.Fleet) { many(f, 2) }, ""},
-		{"one more than slots", func(f *execsim.Fleet) { many(f, 3) }, judge.RuleSlots},
+		{"as many as slots", func(f *execsim.Fleet) { sendConcurrently(f, 2) }, ""},
+		{"one more than slots", func(f *execsim.Fleet) { sendConcurrently(f, 3) }, judge.RuleSlots},
 		{"one key once", func(f *execsim.Fleet) { send(f, "POST", "a"); send(f, "POST", "b") }, ""},
 		{"one key twice", func(f *execsim.Fleet) { send(f, "POST", "a"); send(f, "POST", "a") }, judge.RuleRanTwice},
 		{"idempotent twice", func(f *execsim.Fleet) { send(f, "PUT", "a"); send(f, "PUT", "a") }, ""},
-		{"leaving, in the grace", func(f *execsim.Fleet) { leave(f, 3*time.Second) }, ""},
-		{"leaving, nobody told", func(f *execsim.Fleet) {
+		{"leaving, within the grace period", func(f *execsim.Fleet) { leave(f, 3*time.Second) }, ""},
+		{"leaving, signal not sent", func(f *execsim.Fleet) {
 			f.Executor("a").SetFaults(execsim.Faults{Leaving: true})
 			time.Sleep(time.Minute)
 			send(f, "GET", "")
 		}, ""},
-		{"leaving, after the grace", func(f *execsim.Fleet) { leave(f, 3*time.Second+1) }, judge.RuleLeaving},
+		{"leaving, after the grace period", func(f *execsim.Fleet) { leave(f, 3*time.Second+1) }, judge.RuleLeaving},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/executor/execsim/server.go
+++ b/internal/executor/execsim/server.go
@@ -13,16 +13,16 @@
 	"pulleyquay/internal/executor/exechttp"
 )
 
-// maxBody bounds a request's body.
+// maxBody bounds a request's body, in bytes.
 const maxBody = 64 << 20
 
-// Server returns an HTTP server, not yet serving, that answers for the executor
-// and tells the judge of its connections.
+// Server returns an HTTP server for the executor, which is not serving yet and reports its
+// connections to the judge.
 func (e *Executor) Server() *http.Server {
 	return &http.Server{Handler: e, ConnState: e.connState(), ReadHeaderTimeout: time.Minute}
 }
 
-// connState counts a connection once when it opens and once when it closes.
+// connState reports each connection once when it opens and once when it closes.
 func (e *Executor) connState() func(net.Conn, http.ConnState) {
 	var mu sync.Mutex
 	open := map[net.Conn]bool{}
@@ -40,8 +40,8 @@
 	}
 }
 
-// ServeHTTP executes one request. An unreachable executor closes the connection
-// unread; a hanging one waits for the caller to go.
+// ServeHTTP executes one request. An unreachable executor closes the connection without reading
+// the request; a hanging one waits until the caller leaves.
 func (e *Executor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if e.Faults().Unreachable {
 		panic(http.ErrAbortHandler)
@@ -56,10 +56,10 @@
 	if err != nil && err != ErrTruncated {
 		panic(http.ErrAbortHandler)
 	}
-	write(w, answer, err == ErrTruncated)
+	writeAnswer(w, answer, err == ErrTruncated)
 }
 
-func write(w http.ResponseWriter, a executor.Answer, truncate bool) {
+func writeAnswer(w http.ResponseWriter, a executor.Answer, truncate bool) {
 	for name, values := range a.Header {
 		w.Header()[name] = values
 	}
--- a/internal/executor/executortest/executortest.go
+++ b/internal/executor/executortest/executortest.go
@@ -1,4 +1,4 @@
-// Package executortest is the contract test of executor.Client.
+// Package executortest contains the contract test of executor.Client.
 package executortest
 
 import (
@@ -15,19 +15,19 @@
 	"pulleyquay/internal/judge"
 )
 
-// Target is one modelled executor and the client under test.
+// Target is one simulated executor and the client under test.
 type Target struct {
 	Client   executor.Client
 	Addr     string
 	Executor *execsim.Executor
 	Judge    *judge.Judge
-	// NowhereAddr is an address at which nobody listens.
-	NowhereAddr string
+	// UnreachableAddr is an address without a listener.
+	UnreachableAddr string
 }
 
 const (
-	maxAnswer = 64
-	patience  = 50 * time.Millisecond
+	maxAnswer   = 64
+	callTimeout = 50 * time.Millisecond
 )
 
 // Run checks the contract; make returns a new target for each case.
@@ -40,15 +40,15 @@
 		name   string
 		faults execsim.Faults
 		req    executor.Request
-		status int  // of the answer; 0 for a failure
+		status int  // of the answer; 0: a failure
 		sent   bool // for a failure
 		runs   int  // executions of the key
 	}{
-		{"whole answer", execsim.Faults{}, post, 200, true, 1},
+		{"complete answer", execsim.Faults{}, post, 200, true, 1},
 		{"no body", execsim.Faults{}, executor.Request{Method: http.MethodGet, Path: "/", Header: post.Header}, 200, true, 1},
 		{"failing", execsim.Faults{Fail: true}, post, 500, true, 1},
 		{"leaving", execsim.Faults{Leaving: true}, post, 200, true, 1},
-		{"slow beyond patience", execsim.Faults{Slow: time.Minute}, post, 0, true, 1},
+		{"slower than the time-out", execsim.Faults{Slow: time.Minute}, post, 0, true, 1},
 		{"hanging", execsim.Faults{Hang: true}, post, 0, true, 1},
 		{"truncated", execsim.Faults{Truncate: true}, post, 0, true, 1},
 		{"answer too large", execsim.Faults{}, large, 0, true, 1},
@@ -58,7 +58,7 @@
 			is := is.New(t)
 			x := make(t)
 			x.Executor.SetFaults(c.faults)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 			defer cancel()
 			a, err := x.Client.Do(ctx, x.Addr, c.req, maxAnswer)
 			is.Equal(len(x.Judge.Executions("k")), c.runs)
@@ -75,13 +75,13 @@
 			}
 		})
 	}
-	t.Run("nobody there", func(t *testing.T) {
+	t.Run("no listener", func(t *testing.T) {
 		is := is.New(t)
 		x := make(t)
-		_, err := x.Client.Do(context.Background(), x.NowhereAddr, post, maxAnswer)
+		_, err := x.Client.Do(context.Background(), x.UnreachableAddr, post, maxAnswer)
 		is.True(!sentOf(is, err))
 	})
-	t.Run("given up before", func(t *testing.T) {
+	t.Run("cancelled before sending", func(t *testing.T) {
 		is := is.New(t)
 		x := make(t)
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/front/check.go
+++ b/internal/front/check.go
@@ -8,29 +8,29 @@
 	"pulleyquay/internal/spec"
 )
 
-// Bounds of a job.
+// Limits of a job.
 const (
 	maxCommandBytes = 4000
 	maxSteps        = 256
 	maxTasks        = 20000
-	maxTimes        = 10000
+	maxRepetitions  = 10000
 	maxAmount       = int64(1) << 40 // of any resource
 )
 
-// check refuses a job that contradicts itself.
-func check(g *spec.Graph) error {
+// validate refuses a job whose specification is inconsistent or out of bounds.
+func validate(g *spec.Graph) error {
 	if len(g.Command) > maxCommandBytes {
 		return refuse("spec", "%d bytes, at most %d", len(g.Command), maxCommandBytes)
 	}
 	if n := len(g.Steps); n == 0 || n > maxSteps {
 		return refuse("steps", "%d steps, 1 to %d", n, maxSteps)
 	}
-	if r := g.Repeat; r.Times < 0 || r.Times > maxTimes || r.EveryMillis < 0 || r.FirstUnixMilli < 0 {
+	if r := g.Repeat; r.Times < 0 || r.Times > maxRepetitions || r.EveryMillis < 0 || r.FirstUnixMilli < 0 {
 		return refuse("repetitions", "%d times each %d ms from %d", r.Times, r.EveryMillis, r.FirstUnixMilli)
 	}
 	tasks := 0
 	for i := range g.Steps {
-		if err := checkStep(&g.Steps[i], i); err != nil {
+		if err := validateStep(&g.Steps[i], i); err != nil {
 			return err
 		}
 		tasks += g.Steps[i].Count * g.Occurrences()
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func checkStep(s *spec.Step, i int) error {
+func validateStep(s *spec.Step, i int) error {
 	field := func(name string) string { return fmt.Sprintf("steps[%d].%s", i, name) }
 	if s.Count < 1 || s.Count > maxTasks {
 		return refuse(field("count"), "%d, 1 to %d", s.Count, maxTasks)
@@ -54,16 +54,16 @@
 	if s.MostPerHost < 0 || s.MayMiss < 0 {
 		return refuse(field("count"), "a bound below zero")
 	}
-	for _, before := range s.After {
-		if before < 0 || before >= i {
-			return refuse(field("after"), "step %d does not come before step %d", before, i)
+	for _, dep := range s.After {
+		if dep < 0 || dep >= i {
+			return refuse(field("after"), "step %d does not come before step %d", dep, i)
 		}
 	}
 	return nil
 }
 
-// checkQuota refuses a job that its account's quota could never let run, with the numbers:
-// one task of each step, and all members of a gang.
+// checkQuota refuses a job that can never run within its account's quota and reports the figures.
+// The quota has to hold one task of each step, and all members of a gang at once.
 func checkQuota(a *catalog.Account, g *spec.Graph) error {
 	if a == nil {
 		return nil
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,9 +1,9 @@
-// Package front answers callers: it stores the jobs that they hand in, tells the
-// holder of them, and asks the holder for their states.
+// Package front serves callers: it stores the jobs that they submit, notifies the holder of each
+// job's partition, and queries the holder for job states.
 //
-// A job is accepted when the store has its record, which is made only where none
-// is, so that a job handed in again through any process stays one job. The store
-// needs no holder for that, and neither does the caller's answer.
+// A job is accepted once its record is in the store. The record is created only if none exists,
+// so a job submitted again through any process stays one job. Neither the write nor the caller's
+// answer needs a holder.
 package front
 
 import (
@@ -26,142 +26,140 @@
 	"pulleyquay/internal/wait"
 )
 
-// Times of the front.
+// Time-outs and delays.
 const (
-	// holderPatience bounds one question to the holder.
-	holderPatience = 700 * time.Millisecond
-	// holderPause is the pause before the holder is asked again.
-	holderPause = 50 * time.Millisecond
-	// AnswerMargin is left of the caller's time for the answer to travel.
+	// holderTimeout bounds one call to the holder.
+	holderTimeout = 700 * time.Millisecond
+	// holderRetryDelay is the delay between two calls to the holder.
+	holderRetryDelay = 50 * time.Millisecond
+	// AnswerMargin is the part of the caller's deadline that is reserved for sending the answer.
 	AnswerMargin = 60 * time.Millisecond
-	// comeBackSoon is when callers are told to come back after a moment's trouble.
-	comeBackSoon = 500 * time.Millisecond
-	// DefaultPatience is how long a caller that does not say waits.
+	// briefRetryDelay is the Retry-After value for failures that are expected to be short.
+	briefRetryDelay = 500 * time.Millisecond
+	// DefaultPatience is the deadline of a caller that does not give one.
 	DefaultPatience = 3 * time.Second
 )
 
-// Front answers callers.
+// Front serves callers' requests for jobs.
 type Front struct {
 	Store  *resend.Sender
 	Get    func(ctx context.Context, key string) (platform.Record, bool, error)
 	Health *follow.Health
 	Peers  peer.Caller
 	View   *cell.View
-	// Self is the address of this process among its peers.
+	// Self is the peer address of this process.
 	Self       string
 	Partitions int
 	Log        *logrus.Entry
 	Metrics    *Metrics
 
-	teller teller
-	doubts doubts
+	notifier       notifier
+	unresolvedJobs unresolvedJobs
 }
 
-// partition is the one that a job belongs to.
+// partition returns the partition of a job: a hash of its id.
 func (f *Front) partition(id string) int {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(id)) // a hash takes everything
+	_, _ = h.Write([]byte(id)) // never fails
 	return int(h.Sum32() % uint32(f.Partitions))
 }
 
-// Submit accepts a job. It returns nil once the job is stored; handing in the
-// same job again returns nil as well. An error with RanNo promises that the job
-// was not accepted.
+// Submit accepts a job. It returns nil once the job is stored, and again nil when the same job is
+// submitted again. An error with RanNo guarantees that the job was not accepted.
 func (f *Front) Submit(ctx context.Context, by Caller, q *catalog.Queue, id string, g spec.Graph) error {
-	begun := time.Now()
-	made, err := f.submit(ctx, by, q, id, g)
-	f.Metrics.submit(begun, err)
-	f.logSubmit(by, q, id, made, err, begun)
+	start := time.Now()
+	origin, err := f.submit(ctx, by, q, id, g)
+	f.Metrics.submit(start, err)
+	f.logSubmit(by, q, id, origin, err, start)
 	return err
 }
 
-// logSubmit tells what became of a job that was handed in.
-func (f *Front) logSubmit(by Caller, q *catalog.Queue, id string, made made, err error, begun time.Time) {
+// logSubmit logs the outcome of a submission.
+func (f *Front) logSubmit(by Caller, q *catalog.Queue, id string, origin origin, err error, start time.Time) {
 	log := f.Log.WithFields(logrus.Fields{
-		"job": id, "queue": q.Name, "account": by.name(), "took_ms": time.Since(begun).Milliseconds(),
+		"job": id, "queue": q.Name, "account": by.accountName(), "took_ms": time.Since(start).Milliseconds(),
 		"store_silent_ms": max(f.Health.Silent(time.Now()), f.Health.Failing(time.Now())).Milliseconds(),
 	})
 	if err == nil {
-		log.WithField("why", made.String()).Info("job accepted")
+		log.WithField("why", origin.String()).Info("job accepted")
 		return
 	}
 	e := result.From(err)
 	log.WithFields(logrus.Fields{"code": e.Code, "ran": e.Ran, "why": e.Error()}).Info("job not accepted")
 }
 
-// submit checks a job, stores it and has its holder told.
-func (f *Front) submit(ctx context.Context, by Caller, q *catalog.Queue, id string, g spec.Graph) (made, error) {
-	if err := check(&g); err != nil {
+// submit validates a job, stores it and enqueues the notification of its holder.
+func (f *Front) submit(ctx context.Context, by Caller, q *catalog.Queue, id string, g spec.Graph) (origin, error) {
+	if err := validate(&g); err != nil {
 		return 0, err
 	}
 	if err := checkQuota(by.Account, &g); err != nil {
 		return 0, err
 	}
 	rec := record.Job{
-		ID: id, Account: by.name(), Queue: q.Name, Service: q.Service, Rules: q.Rules, Graph: g, AcceptedUnixMilli: time.Now().UnixMilli(),
+		ID: id, Account: by.accountName(), Queue: q.Name, Service: q.Service, Rules: q.Rules, Graph: g, AcceptedUnixMilli: time.Now().UnixMilli(),
 	}
-	begun := time.Now()
-	made, err := f.storeJob(ctx, rec)
+	start := time.Now()
+	origin, err := f.storeJob(ctx, rec)
 	if err != nil {
 		return 0, err
 	}
-	if made == stoodThere {
-		return made, f.checkOwner(ctx, by, id)
+	if origin == originExisting {
+		return origin, f.checkOwner(ctx, by, id)
 	}
-	f.teller.add(&rec, f.partition(id), made == madeHere, begun)
-	return made, nil
+	f.notifier.enqueue(&rec, f.partition(id), origin == originCreated, start)
+	return origin, nil
 }
 
-// checkOwner refuses a job handed in under the id of another account's job.
+// checkOwner refuses a job that is submitted under the id of another account's job.
 func (f *Front) checkOwner(ctx context.Context, by Caller, id string) error {
 	if by.Account == nil {
 		return nil
 	}
-	_, err := f.stored(ctx, by, id)
+	_, err := f.readJob(ctx, by, id)
 	switch result.CodeOf(err) {
 	case result.JobUnknown:
 		return result.New(result.JobNameTaken, result.RanNo, "job %s", id)
 	case result.HolderAway:
-		return f.unsettled()
+		return f.errOutcomeUnknown()
 	}
 	return err
 }
 
-// State returns the state of a job: from its holder, or from the store when the
-// holder does not know the job or is not reached.
+// State returns the state of a job. The source is the holder, or the store if the holder does not
+// know the job or cannot be reached.
 func (f *Front) State(ctx context.Context, by Caller, q *catalog.Queue, id string) (record.State, error) {
-	reply, err := f.askHolder(ctx, by, id, peer.KindState)
+	reply, err := f.queryHolder(ctx, by, id, peer.KindState)
 	answered := err == nil
 	if answered && reply.Known && (reply.Checked || by.Account == nil) {
 		return reply.State, nil
 	}
-	rec, err := f.stored(ctx, by, id)
+	rec, err := f.readJob(ctx, by, id)
 	if err != nil {
 		return "", err
 	}
 	if answered && reply.Known {
-		return reply.State, nil // of a version that knows no accounts
+		return reply.State, nil // the holder runs a version without accounts
 	}
 	if rec.Ended != "" {
 		return rec.Ended, nil
 	}
 	if answered {
-		// The holder itself has said that it does not know the job. One that has not
-		// answered may be behind, and being told again what it knows keeps it behind.
-		f.teller.add(rec, f.partition(id), false, time.Now())
+		// The holder replied that it does not know the job. A holder that did not reply may be
+		// overloaded, and a repeated notification would add to its load.
+		f.notifier.enqueue(rec, f.partition(id), false, time.Now())
 	}
 	return record.StateQueued, nil
 }
 
-// stored reads a job's record, or returns JobUnknown when there is none that is open to
-// the caller.
-func (f *Front) stored(ctx context.Context, by Caller, id string) (*record.Job, error) {
-	ctx, cancel := context.WithTimeout(ctx, holderPatience)
+// readJob reads a job's record. It returns JobUnknown if there is none that the caller may read.
+func (f *Front) readJob(ctx context.Context, by Caller, id string) (*record.Job, error) {
+	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
 	rec, ok, err := f.Get(ctx, record.JobKey(f.partition(id), id))
 	f.Health.Note(err == nil, time.Now())
 	if err != nil {
-		return nil, result.New(result.HolderAway, result.RanNo, "neither the holder nor the store answers: %v", err).Later(comeBackSoon)
+		return nil, result.New(result.HolderAway, result.RanNo, "neither the holder nor the store answers: %v", err).Later(briefRetryDelay)
 	}
 	if !ok {
 		return nil, result.New(result.JobUnknown, result.RanNo, "job %s", id)
@@ -170,19 +168,19 @@
 	if err != nil {
 		return nil, result.New(result.Internal, result.RanUnknown, "%v", err)
 	}
-	if !j.Open(by.name()) {
+	if !j.Open(by.accountName()) {
 		return nil, result.New(result.JobUnknown, result.RanNo, "job %s", id)
 	}
 	j.ID = id
 	return j, nil
 }
 
-// Cancel ends a job. It returns nil once that is stored, also when the job had
-// ended before.
+// Cancel ends a job. It returns nil once the cancellation is stored, also if the job had already
+// ended.
 func (f *Front) Cancel(ctx context.Context, by Caller, q *catalog.Queue, id string) error {
-	begun := time.Now()
+	start := time.Now()
 	err := f.cancel(ctx, by, id)
-	log := f.Log.WithFields(logrus.Fields{"job": id, "queue": q.Name, "took_ms": time.Since(begun).Milliseconds()})
+	log := f.Log.WithFields(logrus.Fields{"job": id, "queue": q.Name, "took_ms": time.Since(start).Milliseconds()})
 	if err != nil {
 		log.WithError(err).Info("cancellation not stored")
 		return err
@@ -193,29 +191,29 @@
 
 func (f *Front) cancel(ctx context.Context, by Caller, id string) error {
 	for {
-		reply, err := f.askHolder(ctx, by, id, peer.KindCancelJob)
+		reply, err := f.queryHolder(ctx, by, id, peer.KindCancelJob)
 		if err == nil && reply.Known {
 			return nil
 		}
 		if err == nil {
-			rec, err := f.stored(ctx, by, id)
+			rec, err := f.readJob(ctx, by, id)
 			if err != nil {
 				return err
 			}
 			if rec.Ended != "" {
 				return nil
 			}
-			if err := f.teller.tell(ctx, rec, f.partition(id), false, 0); err != nil {
-				f.Log.WithError(err).WithField("job", id).Debug("holder not told of a job to cancel")
+			if err := f.notifier.notify(ctx, rec, f.partition(id), false, 0); err != nil {
+				f.Log.WithError(err).WithField("job", id).Debug("failed to notify the holder of a job to be cancelled")
 			}
 		}
-		if !wait.For(ctx, holderPause) {
-			return result.New(result.HolderAway, result.RanUnknown, "the cancellation is not stored").Later(comeBackSoon)
+		if !wait.For(ctx, holderRetryDelay) {
+			return result.New(result.HolderAway, result.RanUnknown, "the cancellation is not stored").Later(briefRetryDelay)
 		}
 	}
 }
 
-// Pending counts the accepted jobs of a queue that have not begun.
+// Pending counts the accepted jobs of a queue that have not started.
 func (f *Front) Pending(ctx context.Context, q *catalog.Queue) (int, error) {
 	total := 0
 	for p := range f.Partitions {
@@ -228,25 +226,25 @@
 	return total, nil
 }
 
-// askHolder asks the holder of a job's partition about the job.
-func (f *Front) askHolder(ctx context.Context, by Caller, id string, kind peer.Kind) (holder.JobReply, error) {
+// queryHolder sends one request about a job to the holder of its partition.
+func (f *Front) queryHolder(ctx context.Context, by Caller, id string, kind peer.Kind) (holder.JobReply, error) {
 	var reply holder.JobReply
 	p := f.partition(id)
-	err := f.call(ctx, p, kind, holder.JobRequest{Partition: p, Job: id, Account: by.name()}, &reply)
+	err := f.call(ctx, p, kind, holder.JobRequest{Partition: p, Job: id, Account: by.accountName()}, &reply)
 	return reply, err
 }
 
-// call asks the holder of a partition, once.
+// call sends one request to the holder of a partition; it does not retry.
 func (f *Front) call(ctx context.Context, partition int, kind peer.Kind, req, reply any) error {
 	h, ok := f.View.Holder(partition)
 	if !ok {
 		return errNoHolder(partition)
 	}
-	ctx, cancel := context.WithTimeout(ctx, holderPatience)
+	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
 	return f.Peers.Call(ctx, h.Addr, kind, req, reply)
 }
 
 func errNoHolder(partition int) error {
-	return result.New(result.HolderAway, result.RanNo, "partition %d has no holder yet", partition).Later(comeBackSoon)
+	return result.New(result.HolderAway, result.RanNo, "partition %d has no holder yet", partition).Later(briefRetryDelay)
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -27,64 +27,65 @@
 	"pulleyquay/internal/spec"
 )
 
-// fakeHolder is the holder of the one partition, as peers see it.
+// fakeHolder is the holder of the only partition, and the peer that stores relayed jobs.
 type fakeHolder struct {
-	mu    sync.Mutex
-	away  bool
-	told  map[string]int
-	state record.State // of every job that it was told of
-	// front stores jobs for peers; nil where no peer is there.
-	front *Front
-	loses int // answers to calls to store that are lost
-	// owner is the account of each job that it was told of; a former version knows none.
-	owner     map[string]string
-	former    bool
-	cancelled []string
+	mu          sync.Mutex
+	unreachable bool
+	notified    map[string]int
+	state       record.State // of every job it was notified of
+	// front stores jobs for peers; nil if no peer is reachable.
+	front       *Front
+	lostReplies int // number of replies to StoreJob calls that are lost
+	// owner is the account of each job that the holder was notified of. With oldVersion set the
+	// holder ignores accounts.
+	owner      map[string]string
+	oldVersion bool
+	cancelled  []string
 }
 
 func (h *fakeHolder) Call(ctx context.Context, _ string, kind peer.Kind, req, resp any) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.away {
-		return result.New(result.PeerNotReached, result.RanNo, "away")
+	if h.unreachable {
+		return result.New(result.PeerNotReached, result.RanNo, "unreachable")
 	}
 	switch kind {
 	case peer.KindAccepted:
 		j := req.(holder.Accepted).Job
-		h.told[j.ID]++
+		h.notified[j.ID]++
 		h.owner[j.ID] = j.Account
 	case peer.KindState, peer.KindCancelJob:
 		q := req.(holder.JobRequest)
-		known := h.told[q.Job] > 0 && (h.former || h.owner[q.Job] == "" || h.owner[q.Job] == q.Account)
+		known := h.notified[q.Job] > 0 && (h.oldVersion || h.owner[q.Job] == "" || h.owner[q.Job] == q.Account)
 		if known && kind == peer.KindCancelJob {
 			h.cancelled = append(h.cancelled, q.Job)
 		}
-		*resp.(*holder.JobReply) = holder.JobReply{Known: known, State: h.state, Checked: known && !h.former}
+		*resp.(*holder.JobReply) = holder.JobReply{Known: known, State: h.state, Checked: known && !h.oldVersion}
 	case peer.KindStoreJob:
 		if h.front == nil {
-			return result.New(result.PeerNotReached, result.RanNo, "away")
+			return result.New(result.PeerNotReached, result.RanNo, "unreachable")
 		}
-		m, err := h.front.store(ctx, req.(StoreRequest).Job)
-		if h.loses > 0 {
-			h.loses--
+		m, err := h.front.storeForPeer(ctx, req.(StoreRequest).Job)
+		if h.lostReplies > 0 {
+			h.lostReplies--
 			return result.New(result.PeerLost, result.RanUnknown, "lost")
 		}
-		*resp.(*StoreReply) = StoreReply{There: m == stoodThere, Unsure: m == mayBeHere}
+		*resp.(*StoreReply) = StoreReply{Existed: m == originExisting, Uncertain: m == originUncertain}
 		return err
 	case peer.KindPending:
-		*resp.(*holder.PendingReply) = holder.PendingReply{Pending: len(h.told)}
+		*resp.(*holder.PendingReply) = holder.PendingReply{Pending: len(h.notified)}
 	}
 	return ctx.Err()
 }
 
-// bench is a front with a store that can be given faults.
-type bench struct {
+// fixture is a Front with a store into which faults can be injected.
+type fixture struct {
 	*Front
 	store  *memstore.Engine
 	holder *fakeHolder
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	store := memstore.New()
 	t.Cleanup(store.Close)
@@ -93,14 +94,14 @@
 	view.Learn(ledger.Holder{Epoch: 1, Name: "b", Addr: "b:1"})
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	h := &fakeHolder{told: map[string]int{}, owner: map[string]string{}, state: record.StateRunning}
+	h := &fakeHolder{notified: map[string]int{}, owner: map[string]string{}, state: record.StateRunning}
 	health := follow.NewHealth(nil)
 	f := &Front{
 		Store: resend.New(c, health), Get: c.Get, Health: health, Peers: h, View: view, Partitions: 1,
 		Log: log.WithField("test", t.Name()), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
 	f.Start()
-	return &bench{f, store, h}
+	return &fixture{f, store, h}
 }
 
 var (
@@ -109,56 +110,56 @@
 )
 
 // stored reports whether the job's record is in the store.
-func (b *bench) stored(t *testing.T, id string) bool {
+func (b *fixture) stored(t *testing.T, id string) bool {
 	t.Helper()
 	_, ok, err := b.store.Client("judge").Get(t.Context(), record.JobKey(0, id))
 	is.New(t).NoErr(err)
 	return ok
 }
 
-// TestSubmitTellsTheTruth: a job that is accepted is stored, one that was refused
-// as not run never is, whatever becomes of the calls.
-func TestSubmitTellsTheTruth(t *testing.T) {
+// TestSubmitOutcome: an accepted job is stored, and a job refused with RanNo is never stored, for
+// each fault of the calls to the store.
+func TestSubmitOutcome(t *testing.T) {
 	tests := map[string]struct {
-		faults memstore.Faults
-		heals  time.Duration // after which the faults end; zero for never
-		want   result.Code   // zero for accepted
-		ran    result.Ran
-		within time.Duration
+		faults        memstore.Faults
+		recoversAfter time.Duration // time until the faults end; zero: never
+		want          result.Code   // zero: accepted
+		ran           result.Ran
+		within        time.Duration
 	}{
-		"calm":                          {want: 0, within: 100 * time.Millisecond},
-		"first answer lost":             {faults: memstore.Faults{LoseAnswers: 1}, want: 0, within: time.Second},
-		"first request lost":            {faults: memstore.Faults{LoseRequests: 1}, want: 0, within: time.Second},
-		"slow":                          {faults: memstore.Faults{AnswerDelayMS: 240}, want: 0, within: time.Second},
-		"very slow":                     {faults: memstore.Faults{AnswerDelayMS: 800}, want: 0, within: 1200 * time.Millisecond},
-		"refuses for a moment":          {faults: memstore.Faults{Refuse: true}, heals: 200 * time.Millisecond, want: 0, within: time.Second},
-		"refuses":                       {faults: memstore.Faults{Refuse: true}, want: result.JobNotStored, ran: result.RanNo, within: 500 * time.Millisecond},
-		"silent":                        {faults: memstore.Faults{Hang: true}, want: result.JobStoreUnknown, ran: result.RanUnknown, within: 1300 * time.Millisecond},
-		"every answer comes too late":   {faults: memstore.Faults{AnswerDelayMS: 9000}, want: result.JobStoreUnknown, ran: result.RanUnknown, within: 1300 * time.Millisecond},
-		"silent for a moment":           {faults: memstore.Faults{Hang: true}, heals: 400 * time.Millisecond, want: 0, within: 800 * time.Millisecond},
-		"silent for 0.9 s":              {faults: memstore.Faults{Hang: true}, heals: 900 * time.Millisecond, want: 0, within: 1600 * time.Millisecond},
-		"silent, then back in due time": {faults: memstore.Faults{Hang: true}, heals: 2 * time.Second, want: result.JobStoreUnknown, ran: result.RanUnknown, within: 1300 * time.Millisecond},
+		"no faults":            {want: 0, within: 100 * time.Millisecond},
+		"first answer lost":    {faults: memstore.Faults{LoseAnswers: 1}, want: 0, within: time.Second},
+		"first request lost":   {faults: memstore.Faults{LoseRequests: 1}, want: 0, within: time.Second},
+		"slow":                 {faults: memstore.Faults{AnswerDelayMS: 240}, want: 0, within: time.Second},
+		"very slow":            {faults: memstore.Faults{AnswerDelayMS: 800}, want: 0, within: 1200 * time.Millisecond},
+		"refuses for 0.2 s":    {faults: memstore.Faults{Refuse: true}, recoversAfter: 200 * time.Millisecond, want: 0, within: time.Second},
+		"refuses":              {faults: memstore.Faults{Refuse: true}, want: result.JobNotStored, ran: result.RanNo, within: 500 * time.Millisecond},
+		"no answers":           {faults: memstore.Faults{Hang: true}, want: result.JobStoreUnknown, ran: result.RanUnknown, within: 1300 * time.Millisecond},
+		"all answers too late": {faults: memstore.Faults{AnswerDelayMS: 9000}, want: result.JobStoreUnknown, ran: result.RanUnknown, within: 1300 * time.Millisecond},
+		"no answers for 0.4 s": {faults: memstore.Faults{Hang: true}, recoversAfter: 400 * time.Millisecond, want: 0, within: 800 * time.Millisecond},
+		"no answers for 0.9 s": {faults: memstore.Faults{Hang: true}, recoversAfter: 900 * time.Millisecond, want: 0, within: 1600 * time.Millisecond},
+		"no answers for 2 s":   {faults: memstore.Faults{Hang: true}, recoversAfter: 2 * time.Second, want: result.JobStoreUnknown, ran: result.RanUnknown, within: 1300 * time.Millisecond},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t)
+				b := newFixture(t)
 				b.store.Client("a").SetFaults(tc.faults)
-				if tc.heals > 0 {
-					time.AfterFunc(tc.heals, func() { b.store.Client("a").SetFaults(memstore.Faults{}) })
+				if tc.recoversAfter > 0 {
+					time.AfterFunc(tc.recoversAfter, func() { b.store.Client("a").SetFaults(memstore.Faults{}) })
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 2940*time.Millisecond)
 				defer cancel()
-				begun := time.Now()
+				start := time.Now()
 				err := b.Submit(ctx, Caller{}, queue, "00000000000000aa", graph)
-				is.True(time.Since(begun) <= tc.within)
-				time.Sleep(20 * time.Second) // copies under way have arrived
+				is.True(time.Since(start) <= tc.within)
+				time.Sleep(20 * time.Second) // delayed copies of the calls have arrived
 				synctest.Wait()
 				if tc.want == 0 {
 					is.NoErr(err)
 					is.True(b.stored(t, "00000000000000aa"))
-					is.True(b.holder.told["00000000000000aa"] > 0) // its holder knows of it
+					is.True(b.holder.notified["00000000000000aa"] > 0) // its holder was notified
 					return
 				}
 				e := result.From(err)
@@ -173,13 +174,13 @@
 	}
 }
 
-// TestCallersInDoubtAreToldInTime replays the start of an outage. Jobs that were on
-// their way to the store when it fell silent were held until their callers had no time
-// left; told at once, the callers come back by themselves and it stays one job.
-func TestCallersInDoubtAreToldInTime(t *testing.T) {
+// TestUnknownOutcomeIsReportedEarly guards against holding callers until their deadline at the
+// start of an outage, when their jobs were already on the way to a store that stopped answering.
+// Callers that get the answer early retry by themselves, and the job stays one job.
+func TestUnknownOutcomeIsReportedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		b.store.Client("a").SetFaults(memstore.Faults{Hang: true})
 		time.AfterFunc(2500*time.Millisecond, func() {
 			b.store.Client("a").SetFaults(memstore.Faults{})
@@ -188,18 +189,18 @@
 		submit := func(id string) (*result.Error, time.Duration) {
 			ctx, cancel := context.WithTimeout(t.Context(), 2940*time.Millisecond)
 			defer cancel()
-			begun := time.Now()
+			start := time.Now()
 			if err := b.Submit(ctx, Caller{}, queue, id, graph); err != nil {
-				return result.From(err), time.Since(begun)
+				return result.From(err), time.Since(start)
 			}
-			return nil, time.Since(begun)
+			return nil, time.Since(start)
 		}
 		e, took := submit("00000000000000aa")
 		is.Equal(e.Ran, result.RanUnknown)
 		is.Equal(e.RetryAfter, admission.ComeBack)
 		is.True(took <= 1300*time.Millisecond)
 		time.Sleep(e.RetryAfter)
-		e, took = submit("00000000000000bb") // one that comes now is known to be impossible
+		e, took = submit("00000000000000bb") // not sent, so the outcome is certain
 		is.Equal(e.Ran, result.RanNo)
 		is.Equal(took, time.Duration(0))
 		time.Sleep(e.RetryAfter)
@@ -210,16 +211,16 @@
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
 		is.True(b.stored(t, "00000000000000aa"))
-		is.True(b.holder.told["00000000000000aa"] > 0)
+		is.True(b.holder.notified["00000000000000aa"] > 0)
 	})
 }
 
-// TestSlowStoreIsNotTakenForAway: a store that takes 1.5 s all at once is heard again
-// after the first calls were given up, as their answers are still listened to.
-func TestSlowStoreIsNotTakenForAway(t *testing.T) {
+// TestSlowStoreStaysAvailable: the latency of the store rises to 1.5 s at once. The first calls
+// are abandoned, but their late answers still count, so the store is considered available again.
+func TestSlowStoreStaysAvailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		for i := range 5 {
 			is.NoErr(b.Submit(t.Context(), Caller{}, queue, fmt.Sprintf("%016x", i), graph))
 		}
@@ -233,35 +234,35 @@
 	})
 }
 
-// TestRefusedAtOnceWhileTheStoreIsAway: what is known to be impossible does not
-// wait for the caller's deadline.
-func TestRefusedAtOnceWhileTheStoreIsAway(t *testing.T) {
+// TestRefusedAtOnceWhileTheStoreIsUnavailable: a job that cannot be stored is refused without
+// waiting for the caller's deadline.
+func TestRefusedAtOnceWhileTheStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		now := time.Now()
 		b.Health.Note(true, now.Add(-time.Minute))
 		b.Health.Note(false, now.Add(-time.Second))
 		b.store.Client("a").SetFaults(memstore.Faults{Hang: true})
-		begun := time.Now()
+		start := time.Now()
 		e := result.From(b.Submit(t.Context(), Caller{}, queue, "00000000000000aa", graph))
 		is.Equal(e.Code, result.JobNotStored)
 		is.Equal(e.Ran, result.RanNo)
 		is.True(e.RetryAfter > 0)
-		is.Equal(time.Since(begun), time.Duration(0))
+		is.Equal(time.Since(start), time.Duration(0))
 	})
 }
 
-func TestHandedInAgainItStaysOneJob(t *testing.T) {
+func TestResubmittedJobStaysOneJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		for range 3 {
 			is.NoErr(b.Submit(t.Context(), Caller{}, queue, "00000000000000aa", graph))
 			time.Sleep(time.Second)
 		}
 		synctest.Wait()
-		is.Equal(b.holder.told["00000000000000aa"], 1) // only the first made it
+		is.Equal(b.holder.notified["00000000000000aa"], 1) // only the first submission created the record
 	})
 }
 
@@ -278,16 +279,16 @@
 		"no steps":             {spec.Graph{}, "steps"},
 		"no tasks":             {step(func(s *spec.Step) { s.Count = 0 }), "steps[0].count"},
 		"negative size":        {step(func(s *spec.Step) { s.Size.MemoryMiB = -1 }), "steps[0].size"},
-		"after itself":         {step(func(s *spec.Step) { s.After = []int{0} }), "steps[0].after"},
+		"depends on itself":    {step(func(s *spec.Step) { s.After = []int{0} }), "steps[0].after"},
 		"negative budget":      {step(func(s *spec.Step) { s.MayMiss = -1 }), "steps[0].count"},
-		"too long a command":   {spec.Graph{Command: string(make([]byte, 4001)), Steps: graph.Steps}, "spec"},
+		"command too long":     {spec.Graph{Command: string(make([]byte, 4001)), Steps: graph.Steps}, "spec"},
 		"too many occurrences": {spec.Graph{Repeat: spec.Repeat{Times: 1 << 20}, Steps: graph.Steps}, "repetitions"},
 		"too many tasks":       {step(func(s *spec.Step) { s.Count = 1 << 20 }), "steps[0].count"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t)
+			b := newFixture(t)
 			e := result.From(b.Submit(t.Context(), Caller{}, queue, "00000000000000aa", tc.graph))
 			is.Equal(e.Code, result.JobBodyInvalid)
 			is.Equal(e.Field, tc.field)
@@ -297,12 +298,12 @@
 	}
 }
 
-// TestStates: a state comes from the holder, or from the store where the holder is
-// not reached; a job that nobody knows is said not to exist.
+// TestStates: the state comes from the holder, or from the store if the holder is not reachable.
+// A job that neither knows is reported as unknown.
 func TestStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		_, err := b.State(ctx, Caller{}, queue, "00000000000000aa")
@@ -313,26 +314,26 @@
 		s, err := b.State(ctx, Caller{}, queue, "00000000000000aa")
 		is.NoErr(err)
 		is.Equal(s, record.StateRunning)
-		b.holder.away = true
+		b.holder.unreachable = true
 		s, err = b.State(ctx, Caller{}, queue, "00000000000000aa")
 		is.NoErr(err)
-		is.Equal(s, record.StateQueued) // all that the store tells
+		is.Equal(s, record.StateQueued) // the store has no other state of a job that has not ended
 		b.store.Client("a").SetFaults(memstore.Faults{Refuse: true})
 		_, err = b.State(ctx, Caller{}, queue, "00000000000000aa")
 		is.Equal(result.CodeOf(err), result.HolderAway)
-		time.Sleep(2 * tellFor) // the holder is told no more
+		time.Sleep(2 * notifyPeriod) // notifications have stopped
 	})
 }
 
-// TestCancelWaitsForTheHolder: a cancellation is confirmed only once a holder has
-// stored it, and the caller is told when to come back when none does.
+// TestCancelWaitsForTheHolder: a cancellation is confirmed only after a holder has stored it. If
+// none does, the caller gets a Retry-After.
 func TestCancelWaitsForTheHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		is.NoErr(b.Submit(t.Context(), Caller{}, queue, "00000000000000aa", graph))
 		b.holder.mu.Lock()
-		b.holder.away = true
+		b.holder.unreachable = true
 		b.holder.mu.Unlock()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		e := result.From(b.Cancel(ctx, Caller{}, queue, "00000000000000aa"))
@@ -344,29 +345,29 @@
 		time.AfterFunc(time.Second, func() {
 			b.holder.mu.Lock()
 			defer b.holder.mu.Unlock()
-			b.holder.away = false
+			b.holder.unreachable = false
 		})
 		is.NoErr(b.Cancel(ctx, Caller{}, queue, "00000000000000aa"))
 		is.Equal(result.CodeOf(b.Cancel(ctx, Caller{}, queue, "00000000000000bb")), result.JobUnknown)
-		time.Sleep(2 * tellFor)
+		time.Sleep(2 * notifyPeriod)
 	})
 }
 
-// TestRelay: a process that the store turns away has its jobs stored by a peer, and
-// tells the truth when that fails as well.
+// TestRelay: a process that gets no answers from the store has its jobs stored by a peer, and
+// reports the correct outcome if that fails as well.
 func TestRelay(t *testing.T) {
 	tests := map[string]struct {
-		peer  func(b *bench) // what the peer is like
-		want  result.Code    // zero for accepted
-		ran   result.Ran
-		again bool // the job is stored already
+		peer        func(b *fixture) // sets up the peer
+		want        result.Code      // zero: accepted
+		ran         result.Ran
+		resubmitted bool // the job is already stored
 	}{
-		"the peer has the store":            {peer: func(*bench) {}},
-		"it was there":                      {peer: func(*bench) {}, again: true},
-		"one answer of the peer is lost":    {peer: func(b *bench) { b.holder.loses = 1 }},
-		"all answers of the peers are lost": {peer: func(b *bench) { b.holder.loses = 9 }, want: result.JobStoreUnknown, ran: result.RanUnknown},
-		"no peer is there":                  {peer: func(b *bench) { b.holder.front = nil }, want: result.JobNotStored, ran: result.RanNo},
-		"the peer has not the store either": {peer: func(b *bench) {
+		"the peer reaches the store":        {peer: func(*fixture) {}},
+		"the job is already stored":         {peer: func(*fixture) {}, resubmitted: true},
+		"one answer of the peer is lost":    {peer: func(b *fixture) { b.holder.lostReplies = 1 }},
+		"all answers of the peers are lost": {peer: func(b *fixture) { b.holder.lostReplies = 9 }, want: result.JobStoreUnknown, ran: result.RanUnknown},
+		"no peer is reachable":              {peer: func(b *fixture) { b.holder.front = nil }, want: result.JobNotStored, ran: result.RanNo},
+		"the peer does not reach the store": {peer: func(b *fixture) {
 			b.holder.front.Health.Note(true, time.Now().Add(-time.Minute))
 			b.holder.front.Health.Note(false, time.Now().Add(-time.Second))
 		}, want: result.JobNotStored, ran: result.RanNo},
@@ -375,11 +376,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b, other := newBench(t), newBench(t)
+				b, other := newFixture(t), newFixture(t)
 				other.Front.Store, other.Front.Get = resend.New(b.store.Client("b"), other.Health), b.store.Client("b").Get
 				b.holder.front = other.Front
 				b.View.Learn(ledger.Holder{Epoch: 2, Name: "c", Addr: "c:1"})
-				if tc.again {
+				if tc.resubmitted {
 					is.NoErr(b.Submit(t.Context(), Caller{}, queue, "00000000000000aa", graph))
 					time.Sleep(time.Second)
 				}
@@ -390,12 +391,12 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 				defer cancel()
 				err := b.Submit(ctx, Caller{}, queue, "00000000000000aa", graph)
-				time.Sleep(2 * tellFor)
+				time.Sleep(2 * notifyPeriod)
 				synctest.Wait()
 				if tc.want == 0 {
 					is.NoErr(err)
 					is.True(b.stored(t, "00000000000000aa"))
-					is.True(b.holder.told["00000000000000aa"] > 0)
+					is.True(b.holder.notified["00000000000000aa"] > 0)
 					return
 				}
 				e := result.From(err)
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -9,13 +9,13 @@
 	"pulleyquay/internal/result"
 )
 
-// Metrics are the counters and latencies of callers' requests.
+// Metrics counts callers' requests and measures the latency of submissions.
 type Metrics struct {
 	submits *prometheus.HistogramVec
 	refused *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates the metrics and registers them.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{submits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "pulleyquay_front_submit_seconds", Help: "Jobs handed in, until stored or refused, by result code (0: stored).",
@@ -28,13 +28,13 @@
 	return m
 }
 
-// Refused counts a call that was not served.
+// Refused counts a call that was not served, by result code.
 func (m *Metrics) Refused(c result.Code) { m.refused.WithLabelValues(strconv.Itoa(int(c))).Inc() }
 
-func (m *Metrics) submit(begun time.Time, err error) {
+func (m *Metrics) submit(start time.Time, err error) {
 	code := 0
 	if err != nil {
 		code = int(result.CodeOf(err))
 	}
-	m.submits.WithLabelValues(strconv.Itoa(code)).Observe(time.Since(begun).Seconds())
+	m.submits.WithLabelValues(strconv.Itoa(code)).Observe(time.Since(start).Seconds())
 }
--- a/internal/front/owner_test.go
+++ b/internal/front/owner_test.go
@@ -22,50 +22,50 @@
 	return Caller{Account: &catalog.Account{Name: name, Quota: q}}
 }
 
-// TestJobsOfOthersAreNotKnown: a job is read and cancelled with a key of its own account
-// only, whoever answers: the holder, a holder of the version before, or the store alone.
-// Others are told that there is no such job, so that they do not learn of it.
-func TestJobsOfOthersAreNotKnown(t *testing.T) {
+// TestJobsOfOtherAccountsAreUnknown: a job can be read and cancelled only with a key of its own
+// account, whether the holder, a holder of the previous version, or only the store answers. Other
+// accounts get JobUnknown, so that they do not learn that the job exists.
+func TestJobsOfOtherAccountsAreUnknown(t *testing.T) {
 	const id = "00000000000000aa"
 	crew, other, nobody := callerOf("crew", fairshare.Unlimited), callerOf("other", fairshare.Unlimited), Caller{}
-	cases := map[string]func(b *bench){
-		"the holder answers":              func(*bench) {},
-		"a holder of the version before":  func(b *bench) { b.holder.former = true },
-		"the holder is away":              func(b *bench) { b.holder.away = true },
-		"the holder knows nothing of it":  func(b *bench) { delete(b.holder.told, id) },
-		"it has ended, as the store says": func(b *bench) { b.holder.away = true; b.end(id, "crew") },
+	cases := map[string]func(b *fixture){
+		"the holder answers":               func(*fixture) {},
+		"a holder of the previous version": func(b *fixture) { b.holder.oldVersion = true },
+		"the holder is unreachable":        func(b *fixture) { b.holder.unreachable = true },
+		"the holder does not know the job": func(b *fixture) { delete(b.holder.notified, id) },
+		"the job has ended in the store":   func(b *fixture) { b.holder.unreachable = true; b.storeEnded(id, "crew") },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t)
+				b := newFixture(t)
 				is.NoErr(b.Submit(t.Context(), crew, queue, id, graph))
 				time.Sleep(time.Second)
 				synctest.Wait()
 				change(b)
 				for _, by := range []Caller{other, nobody} {
 					_, err := b.State(t.Context(), by, queue, id)
-					is.Equal(b.holder.former && by.Account == nil || result.CodeOf(err) == result.JobUnknown, true)
+					is.Equal(b.holder.oldVersion && by.Account == nil || result.CodeOf(err) == result.JobUnknown, true)
 				}
 				s, err := b.State(t.Context(), crew, queue, id)
 				is.NoErr(err)
 				is.True(s != "")
-				if !b.holder.former {
+				if !b.holder.oldVersion {
 					ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 					err = b.Cancel(ctx, other, queue, id)
 					cancel()
 					is.True(err != nil)
 					is.Equal(len(b.holder.cancelled), 0)
 				}
-				time.Sleep(2 * tellFor)
+				time.Sleep(2 * notifyPeriod)
 			})
 		})
 	}
 }
 
-// end has the store hold a job as one that has ended.
-func (b *bench) end(id, account string) {
+// storeEnded writes the record of an ended job to the store.
+func (b *fixture) storeEnded(id, account string) {
 	value, err := record.Encode(record.Job{ID: id, Ended: record.StateCompleted, Account: account})
 	if err != nil {
 		panic(err)
@@ -73,7 +73,8 @@
 	b.store.Put(platform.Write{Key: record.JobKey(0, id), Value: value})
 }
 
-// TestOwnersOfRecords: jobs of versions that knew no accounts, and of public queues, are open.
+// TestOwnersOfRecords: jobs written by versions without accounts, and jobs of public queues, are
+// open to all callers.
 func TestOwnersOfRecords(t *testing.T) {
 	is := is.New(t)
 	is.True((&record.Job{}).Open(""))
@@ -83,12 +84,12 @@
 	is.True(!(&record.Job{Account: "crew"}).Open(""))
 }
 
-// TestNamesAreTakenOnce: a job handed in under the id of another account's is refused, and
-// handed in again by its own it stays one.
-func TestNamesAreTakenOnce(t *testing.T) {
+// TestJobIDBelongsToOneAccount: a job submitted under the id of another account's job is refused.
+// Submitted again by its own account it stays one job.
+func TestJobIDBelongsToOneAccount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		const id = "00000000000000aa"
 		is.NoErr(b.Submit(t.Context(), callerOf("crew", fairshare.Unlimited), queue, id, graph))
 		is.NoErr(b.Submit(t.Context(), callerOf("crew", fairshare.Unlimited), queue, id, graph))
@@ -96,38 +97,38 @@
 		is.Equal(result.CodeOf(err), result.JobNameTaken)
 		is.Equal(result.From(err).Ran, result.RanNo)
 		b.store.Client("a").SetFaults(memstore.Faults{})
-		time.Sleep(2 * tellFor)
+		time.Sleep(2 * notifyPeriod)
 		synctest.Wait()
-		is.Equal(b.holder.told[id], 1)
+		is.Equal(b.holder.notified[id], 1)
 	})
 }
 
-// TestWhatAQuotaNeverHoldsIsRefusedAtOnce: it would wait for ever. The caller is told which
-// numbers do not fit, and nothing is stored.
-func TestWhatAQuotaNeverHoldsIsRefusedAtOnce(t *testing.T) {
+// TestJobOverQuotaIsRefusedAtOnce: a job that its quota can never hold would wait forever. The
+// refusal names the figures that do not fit, and nothing is stored.
+func TestJobOverQuotaIsRefusedAtOnce(t *testing.T) {
 	size := spec.Resources{MilliCPU: 1000, MemoryMiB: 10}
 	quota := fairshare.Quota{MilliCPU: 4000, MemoryMiB: -1, Accelerators: 0}
 	cases := map[string]struct {
-		step spec.Step
-		says string // empty where it is accepted
+		step   spec.Step
+		detail string // empty: accepted
 	}{
-		"a gang that fits":           {spec.Step{Count: 4, Size: size, Gang: true}, ""},
-		"a gang that is too wide":    {spec.Step{Count: 5, Size: size, Gang: true}, "milli_cpu: 5000 of 4000"},
-		"a step done bit by bit":     {spec.Step{Count: 500, Size: size}, ""},
-		"a task that is too large":   {spec.Step{Count: 1, Size: spec.Resources{MilliCPU: 4001}}, "milli_cpu: 4001 of 4000"},
-		"what it has nothing of":     {spec.Step{Count: 1, Size: spec.Resources{Accelerators: 1}}, "accelerators: 1 of 0"},
-		"what has no bound":          {spec.Step{Count: 1, Size: spec.Resources{MemoryMiB: 1 << 30}}, ""},
-		"a filler that is too large": {spec.Step{Count: 1, Filler: true, Size: spec.Resources{MilliCPU: 9000}}, "milli_cpu: 9000 of 4000"},
+		"a gang that fits":                  {spec.Step{Count: 4, Size: size, Gang: true}, ""},
+		"a gang that is too wide":           {spec.Step{Count: 5, Size: size, Gang: true}, "milli_cpu: 5000 of 4000"},
+		"a step that runs in parts":         {spec.Step{Count: 500, Size: size}, ""},
+		"a task that is too large":          {spec.Step{Count: 1, Size: spec.Resources{MilliCPU: 4001}}, "milli_cpu: 4001 of 4000"},
+		"a resource with quota zero":        {spec.Step{Count: 1, Size: spec.Resources{Accelerators: 1}}, "accelerators: 1 of 0"},
+		"an unlimited resource":             {spec.Step{Count: 1, Size: spec.Resources{MemoryMiB: 1 << 30}}, ""},
+		"a backfill task that is too large": {spec.Step{Count: 1, Filler: true, Size: spec.Resources{MilliCPU: 9000}}, "milli_cpu: 9000 of 4000"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t)
+				b := newFixture(t)
 				steps := []spec.Step{{Count: 1, Size: size}, tc.step}
 				err := b.Submit(t.Context(), callerOf("crew", quota), queue, "00000000000000aa", spec.Graph{Steps: steps})
 				time.Sleep(time.Second)
-				if tc.says == "" {
+				if tc.detail == "" {
 					is.NoErr(err)
 					return
 				}
@@ -135,7 +136,7 @@
 				is.Equal(e.Code, result.AccountQuotaSmall)
 				is.Equal(e.Ran, result.RanNo)
 				is.Equal(e.Field, "steps[1]")
-				is.True(strings.Contains(e.Detail, tc.says))
+				is.True(strings.Contains(e.Detail, tc.detail))
 				is.True(!b.stored(t, "00000000000000aa"))
 			})
 		})
--- a/internal/front/port.go
+++ b/internal/front/port.go
@@ -8,29 +8,31 @@
 	"pulleyquay/internal/spec"
 )
 
-// Caller is who asks: the client account of its key, or nobody's where a queue needs none.
+// Caller identifies the client account of a request's key. Account is nil on a queue that
+// requires no key.
 type Caller struct {
 	Account *catalog.Account
 }
 
-// name is that of the caller's account; empty for none.
-func (c Caller) name() string {
+// accountName returns the name of the caller's account, or "" if there is none.
+func (c Caller) accountName() string {
 	if c.Account == nil {
 		return ""
 	}
 	return c.Account.Name
 }
 
-// Jobs is what callers may ask of a queue. Errors are *result.Error.
+// Jobs is the interface to the jobs of a queue. Errors are *result.Error.
 type Jobs interface {
-	// Submit accepts a job; an error with RanNo promises that it was not accepted
-	// and never runs.
+	// Submit accepts a job. An error with RanNo guarantees that the job was not accepted and
+	// never runs.
 	Submit(ctx context.Context, by Caller, q *catalog.Queue, id string, g spec.Graph) error
-	// State tells of a job of the caller's account; others are not known to it.
+	// State returns the state of a job of the caller's account; jobs of other accounts are
+	// unknown.
 	State(ctx context.Context, by Caller, q *catalog.Queue, id string) (record.State, error)
-	// Cancel ends a job; a job that has ended stays as it ended.
+	// Cancel ends a job; a job that has already ended keeps its state.
 	Cancel(ctx context.Context, by Caller, q *catalog.Queue, id string) error
-	// Pending counts the accepted jobs of which nothing has started.
+	// Pending counts the accepted jobs of which no task has started.
 	Pending(ctx context.Context, q *catalog.Queue) (int, error)
 }
 
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -10,17 +10,17 @@
 	"pulleyquay/internal/result"
 )
 
-// The store may turn single processes away while it serves the others. A process
-// that it does not answer has its jobs stored by a peer. As a record is made only
-// where none is, it does no harm when two processes do.
+// The store may be unreachable for single processes while it serves the others. A process that
+// gets no answers from the store has its jobs stored by a peer. A record is created only if none
+// exists, so it does no harm if two processes store the same job.
 
-// Times of relaying.
+// Limits of relaying.
 const (
-	// relayPatience bounds the wait for one peer, which itself may have to ask the
-	// store more than once.
-	relayPatience = 800 * time.Millisecond
-	// mostRelays is how many peers are tried with a job.
-	mostRelays = 2
+	// relayTimeout bounds the call to one peer, which may itself have to send more than one
+	// request to the store.
+	relayTimeout = 800 * time.Millisecond
+	// maxRelayTargets is the maximum number of calls to peers for one job.
+	maxRelayTargets = 2
 )
 
 // StoreRequest asks a peer to store a job.
@@ -28,52 +28,52 @@
 	Job record.Job `cbor:"1,keyasint"`
 }
 
-// StoreReply tells who made the job's record.
+// StoreReply reports which call created the job's record.
 type StoreReply struct {
-	// There is true when the record stood there before, Unsure when an earlier copy
-	// of the same call may have made it.
-	There  bool `cbor:"1,keyasint,omitempty"`
-	Unsure bool `cbor:"2,keyasint,omitempty"`
+	// Existed is true if the record existed before the call. Uncertain is true if an earlier copy
+	// of the same call may have created it.
+	Existed   bool `cbor:"1,keyasint,omitempty"`
+	Uncertain bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Serve stores jobs for peers.
+// Serve registers the handler that stores jobs for peers.
 func (f *Front) Serve(mux *peer.Mux) {
 	peer.Handle(mux, peer.KindStoreJob, func(ctx context.Context, q StoreRequest) (StoreReply, error) {
-		m, err := f.store(ctx, q.Job)
-		return StoreReply{There: m == stoodThere, Unsure: m == mayBeHere}, err
+		m, err := f.storeForPeer(ctx, q.Job)
+		return StoreReply{Existed: m == originExisting, Uncertain: m == originUncertain}, err
 	})
 }
 
-// relay has a job stored by a peer.
-func (f *Front) relay(ctx context.Context, rec record.Job) (made, error) {
-	doubt := false
-	for _, addr := range f.relays(rec.ID) {
-		callCtx, cancel := context.WithTimeout(ctx, relayPatience)
+// storeViaPeer has a job stored by a peer.
+func (f *Front) storeViaPeer(ctx context.Context, rec record.Job) (origin, error) {
+	outcomeUnknown := false
+	for _, addr := range f.relayTargets(rec.ID) {
+		callCtx, cancel := context.WithTimeout(ctx, relayTimeout)
 		var reply StoreReply
 		err := f.Peers.Call(callCtx, addr, peer.KindStoreJob, StoreRequest{Job: rec}, &reply)
 		cancel()
 		switch {
-		case err == nil && reply.There && !doubt:
-			return stoodThere, nil
-		case err == nil && (reply.There || reply.Unsure):
-			return mayBeHere, nil
+		case err == nil && reply.Existed && !outcomeUnknown:
+			return originExisting, nil
+		case err == nil && (reply.Existed || reply.Uncertain):
+			return originUncertain, nil
 		case err == nil:
-			return madeHere, nil
+			return originCreated, nil
 		}
-		doubt = doubt || result.From(err).Ran != result.RanNo
+		outcomeUnknown = outcomeUnknown || result.From(err).Ran != result.RanNo
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	if doubt {
-		return 0, f.unsettled()
+	if outcomeUnknown {
+		return 0, f.errOutcomeUnknown()
 	}
-	return 0, f.storeAway()
+	return 0, f.errStoreUnavailable()
 }
 
-// relays are the peers to try, one after the other: the holder, which most likely
-// has the store, and another one.
-func (f *Front) relays(id string) []string {
+// relayTargets returns the peers to try in order: the holder, which is the most likely to reach
+// the store, and one other member.
+func (f *Front) relayTargets(id string) []string {
 	var out []string
 	if h, ok := f.View.Holder(f.partition(id)); ok && h.Addr != f.Self {
 		out = append(out, h.Addr)
@@ -81,7 +81,7 @@
 	members := f.View.Members(time.Now())
 	rand.Shuffle(len(members), func(a, b int) { members[a], members[b] = members[b], members[a] })
 	for _, m := range members {
-		if len(out) >= mostRelays {
+		if len(out) >= maxRelayTargets {
 			break
 		}
 		if m.Addr != f.Self && (len(out) == 0 || m.Addr != out[0]) {
@@ -89,7 +89,7 @@
 		}
 	}
 	if len(out) == 1 {
-		out = append(out, out[0]) // its answer may have been lost
+		out = append(out, out[0]) // retried because its reply may have been lost
 	}
 	return out
 }
--- a/internal/front/store.go
+++ b/internal/front/store.go
@@ -11,152 +11,154 @@
 	"pulleyquay/internal/result"
 )
 
-// made tells who made a job's record.
-type made int
+// origin states which call created a job's record.
+type origin int
 
 const (
-	stoodThere made = iota // it was there before this call
-	madeHere
-	mayBeHere // it is there, and an earlier copy of this call may have made it
+	originExisting origin = iota // the record existed before this call
+	originCreated
+	originUncertain // the record exists, and an earlier copy of this call may have created it
 )
 
-// String tells it for the log.
-func (m made) String() string {
+// String returns the text for the log.
+func (m origin) String() string {
 	switch m {
-	case madeHere:
+	case originCreated:
 		return "stored"
-	case mayBeHere:
+	case originUncertain:
 		return "stored, after an answer of the store was lost"
 	}
 	return "it was there before"
 }
 
-// stored is how an attempt to store a job ended.
-type stored struct {
-	made made
-	err  error
+// storeAttempt is the result of one attempt to store a job.
+type storeAttempt struct {
+	origin origin
+	err    error
 }
 
-// inDoubt reports whether the job may be stored, now or later, although the attempt
+// outcomeUnknown reports whether the job may be stored, now or later, although the attempt
 // failed.
-func (s stored) inDoubt() bool { return s.err != nil && result.From(s.err).Ran != result.RanNo }
+func (s storeAttempt) outcomeUnknown() bool {
+	return s.err != nil && result.From(s.err).Ran != result.RanNo
+}
 
-// storeJob stores a job, and remembers it for as long as it is in doubt: a caller that hands
-// it in again must not be told that it is not accepted.
-func (f *Front) storeJob(ctx context.Context, rec record.Job) (made, error) {
-	before := f.doubts.has(rec.ID, time.Now())
-	made, err := f.storeSomewhere(ctx, rec, before)
+// storeJob stores a job and keeps its id while the outcome is unknown: a caller that submits it
+// again must not get the answer that the job is not accepted.
+func (f *Front) storeJob(ctx context.Context, rec record.Job) (origin, error) {
+	before := f.unresolvedJobs.contains(rec.ID, time.Now())
+	origin, err := f.storeWithFallback(ctx, rec, before)
 	switch {
 	case err == nil:
-		f.doubts.settle(rec.ID)
-	case stored{err: err}.inDoubt():
-		f.doubts.note(rec.ID, time.Now())
+		f.unresolvedJobs.remove(rec.ID)
+	case storeAttempt{err: err}.outcomeUnknown():
+		f.unresolvedJobs.add(rec.ID, time.Now())
 	}
-	if err == nil && before && made == stoodThere {
-		return mayBeHere, nil
+	if err == nil && before && origin == originExisting {
+		return originUncertain, nil
 	}
-	return made, err
+	return origin, err
 }
 
-// storeSomewhere stores a job: with calls of this process's own, and by a peer while
-// the store does not answer this process. What is tried and what the caller is told in
-// the end is decided in package admission.
-func (f *Front) storeSomewhere(ctx context.Context, rec record.Job, inDoubt bool) (made, error) {
-	job := admission.Job{InDoubt: inDoubt}
-	var last stored
+// storeWithFallback stores a job with calls of this process, or through a peer while the store
+// does not answer this process. Package admission decides which steps are taken and which result
+// the caller gets.
+func (f *Front) storeWithFallback(ctx context.Context, rec record.Job, outcomeUnknown bool) (origin, error) {
+	job := admission.Job{InDoubt: outcomeUnknown}
+	var last storeAttempt
 	for {
-		switch step := admission.Next(job, f.outlook()); step {
+		switch step := admission.Next(job, f.storeStatus()); step {
 		case admission.Try:
-			last.made, last.err = f.storeHere(ctx, rec)
+			last.origin, last.err = f.storeDirectly(ctx, rec)
 			job.Tried = true
 		case admission.Relay:
-			last.made, last.err = f.relay(ctx, rec)
+			last.origin, last.err = f.storeViaPeer(ctx, rec)
 			job.Relayed = true
 			if job.InDoubt && last.err == nil {
-				last.made = mayBeHere // or this process's own attempt has made it
+				last.origin = originUncertain // the attempt of this process may have created it
 			}
 		case admission.Doubt:
-			return 0, f.unsettled()
+			return 0, f.errOutcomeUnknown()
 		default:
 			if last.err == nil {
-				last.err = f.storeAway()
+				last.err = f.errStoreUnavailable()
 			}
 			return 0, last.err
 		}
 		if last.err == nil || result.CodeOf(last.err) == result.StoreRefused {
-			return last.made, last.err
+			return last.origin, last.err
 		}
-		job.InDoubt = job.InDoubt || last.inDoubt()
+		job.InDoubt = job.InDoubt || last.outcomeUnknown()
 		if ctx.Err() != nil {
-			job.Tried, job.Relayed = true, true // there is no time left for more
+			job.Tried, job.Relayed = true, true // no time is left for another attempt
 		}
 	}
 }
 
-// outlook is what this process knows of the store now.
-func (f *Front) outlook() admission.Store {
+// storeStatus returns this process's current information on the store's availability.
+func (f *Front) storeStatus() admission.Store {
 	now := time.Now()
 	return admission.Store{Silent: f.Health.Silent(now), Failing: f.Health.Failing(now), Usual: f.Store.Usual()}
 }
 
-// away reports whether the store has not answered this process for so long that
-// jobs are not tried there.
-func (f *Front) away() bool { return f.outlook().Away() }
+// storeUnavailable reports whether the store has not answered this process for so long that no
+// jobs are sent to it.
+func (f *Front) storeUnavailable() bool { return f.storeStatus().Away() }
 
-// storeAway is the error of a job that was not sent to the store.
-func (f *Front) storeAway() error {
-	o := f.outlook()
+// errStoreUnavailable is the error for a job that was not sent to the store.
+func (f *Front) errStoreUnavailable() error {
+	o := f.storeStatus()
 	return result.New(result.JobNotStored, result.RanNo, "the store has not answered for %v",
 		max(o.Silent, o.Failing).Round(time.Millisecond)).Later(admission.ComeBack)
 }
 
-// store writes a job's record where none is, for a peer.
-func (f *Front) store(ctx context.Context, rec record.Job) (made, error) {
-	if f.away() {
-		return 0, f.storeAway()
+// storeForPeer creates a job's record for a peer, if none exists.
+func (f *Front) storeForPeer(ctx context.Context, rec record.Job) (origin, error) {
+	if f.storeUnavailable() {
+		return 0, f.errStoreUnavailable()
 	}
-	return f.storeHere(ctx, rec)
+	return f.storeDirectly(ctx, rec)
 }
 
-// storeHere writes a job's record with calls of this process's own, until the store
-// has answered, ctx ends, or the store counts as away.
-func (f *Front) storeHere(ctx context.Context, rec record.Job) (made, error) {
+// storeDirectly creates a job's record, if none exists, with calls of this process. It returns
+// when the store has answered, ctx ends, or the store is considered unavailable.
+func (f *Front) storeDirectly(ctx context.Context, rec record.Job) (origin, error) {
 	value, err := record.Encode(rec)
 	if err != nil {
 		return 0, result.New(result.Internal, result.RanNo, "%v", err)
 	}
 	key := record.JobKey(f.partition(rec.ID), rec.ID)
 	txn := platform.Txn{If: []platform.Condition{{Key: key}}, Then: []platform.Write{{Key: key, Value: value}}}
-	reply, err := f.Store.Commit(ctx, txn, f.giveUp(ctx))
+	reply, err := f.Store.Commit(ctx, txn, f.abortCondition(ctx))
 	switch {
 	case errors.Is(err, platform.ErrRefused):
 		return 0, result.New(result.StoreRefused, result.RanNo, "%v", err)
 	case errors.Is(err, platform.ErrUnavailable):
-		return 0, result.New(result.JobNotStored, result.RanNo, "%v", err).Later(comeBackSoon)
+		return 0, result.New(result.JobNotStored, result.RanNo, "%v", err).Later(briefRetryDelay)
 	case err != nil:
-		return 0, f.unsettled()
+		return 0, f.errOutcomeUnknown()
 	case reply.Applied:
-		return madeHere, nil
+		return originCreated, nil
 	case reply.Repeated:
-		return mayBeHere, nil
+		return originUncertain, nil
 	}
-	return stoodThere, nil
+	return originExisting, nil
 }
 
-// giveUp tells when a job that is being stored is given up: while it is certain that it
-// is not stored, when the store counts as away; in doubt, when the caller has waited
-// long enough as well.
-func (f *Front) giveUp(ctx context.Context) func(inDoubt bool) bool {
-	begun, patience := time.Now(), DefaultPatience
+// abortCondition returns the condition under which a write is abandoned. While it is certain that
+// the job is not stored, the write is abandoned as soon as the store is considered unavailable.
+// If the outcome is unknown, the caller must also have waited long enough.
+func (f *Front) abortCondition(ctx context.Context) func(outcomeUnknown bool) bool {
+	start, timeout := time.Now(), DefaultPatience
 	if end, ok := ctx.Deadline(); ok {
-		patience = end.Sub(begun)
+		timeout = end.Sub(start)
 	}
-	return func(inDoubt bool) bool {
-		return f.away() && (!inDoubt || time.Since(begun) >= admission.DoubtAfter(patience))
+	return func(outcomeUnknown bool) bool {
+		return f.storeUnavailable() && (!outcomeUnknown || time.Since(start) >= admission.DoubtAfter(timeout))
 	}
 }
 
-// unsettled is the error of a job that may be stored, now or later.
-func (f *Front) unsettled() error {
+// errOutcomeUnknown is the error for a job that may be stored, now or later.
+func (f *Front) errOutcomeUnknown() error {
 	return result.New(result.JobStoreUnknown, result.RanUnknown, "the store has not answered; handing the job in again tells").Later(admission.ComeBack)
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,10 +1,9 @@
-// Package host is the port to the hosts that run tasks: what a host is, the
-// calls it takes, and what a failed call promises.
+// Package host defines the interface to the hosts that run tasks: the data of a host, its calls,
+// and what a failed call guarantees.
 //
-// A host is the record of what runs on it. It keeps the highest epoch that it
-// was spoken to with and does nothing for a lower one. Everything that runs on
-// it shares one lease, counted on the host's own steady clock; when the lease
-// ends, everything on the host is killed.
+// A host is the authoritative record of what runs on it. It keeps the highest epoch that it has
+// received and rejects calls with a lower one. Everything that runs on a host shares one lease,
+// measured by the host's own monotonic clock; when the lease expires, the host kills everything.
 package host
 
 import (
@@ -16,24 +15,24 @@
 	"pulleyquay/internal/spec"
 )
 
-// ID names a host. One that crashed comes back under the same id or another one.
+// ID identifies a host. A host that crashed returns under the same id or another one.
 type ID string
 
-// Life tells the lives of one host apart: the Unix millisecond of its start, by the host's
-// own time of day. Zero is a life that is not known. Lives are compared for equality only,
-// as the time of day may jump.
+// Life identifies one incarnation of a host: the Unix millisecond of its start, by the host's own
+// wall clock. Zero is an unknown incarnation. Values are compared for equality only, because the
+// wall clock may jump.
 type Life int64
 
-// Millis is a reading of one host's own steady clock, in milliseconds. Readings
-// of different hosts can not be compared.
+// Millis is a reading of one host's own monotonic clock, in milliseconds. Readings of different
+// hosts cannot be compared.
 type Millis int64
 
-// Info is what a host says of itself.
+// Info is a host's description of itself.
 type Info struct {
 	ID   ID
 	Life Life
-	// Beat rises with each time that the host has said this; what it said may be as old as
-	// the last rise.
+	// Beat increases each time the host sends this description. The content may be as old as the
+	// last increase.
 	Beat    int64
 	Addr    string // host:port of its calls
 	Zone    string // availability zone
@@ -42,7 +41,7 @@
 	Kind, Rack string
 	Labels     []string
 	Size       spec.Resources
-	// Draining hosts get nothing new; they leave after Remaining at the earliest.
+	// Draining hosts get no new runs; they leave after Remaining at the earliest.
 	Draining  bool
 	Remaining time.Duration
 }
@@ -57,62 +56,64 @@
 	return false
 }
 
-// Run names one start of a task. Runs of a task rise; the members of a gang
+// Run identifies one start of a task. The run numbers of a task increase; the members of a gang
 // share theirs.
 type Run struct {
 	Task spec.StepTask
 	No   int
 }
 
-// Start orders a run.
+// Start is an order to start a run.
 type Start struct {
 	Run
-	// Life is the life of the host that is to begin it. Another one under the same id has its
-	// clock and its highest epoch begin anew, so neither keeps it from a start that comes late.
-	// Zero is a host that does not tell its lives apart.
+	// Life is the incarnation that has to start the run. Another incarnation under the same id
+	// starts with a new clock and without an epoch, so neither of them prevents it from carrying
+	// out a late start. Zero is for a host that does not report its incarnation.
 	Life    Life
 	Command string
-	// Deadline is by the host's clock: a start that arrives later is refused. It
-	// also makes the host's lease last at least as long.
+	// Deadline is a time on the host's clock: a start that arrives later is refused. A start also
+	// extends the host's lease to at least this time.
 	Deadline Millis
-	// Checkpoint continues an earlier run; empty begins anew.
+	// Checkpoint is that of an earlier run from which to continue; empty starts from the
+	// beginning.
 	Checkpoint string
-	// Ticket allows the step on the host where a policy asks for one.
+	// Ticket permits the step on the host if a policy requires it.
 	Ticket string
 }
 
-// Refusal is a reason for which a host did not carry out a start.
+// Refusal is the reason why a host did not carry out a start.
 type Refusal string
 
-// The reasons of a host. None of them starts anything.
+// The reasons of a host. In all of these cases nothing was started.
 const (
-	RefusedFenced    Refusal = "fenced"    // it was spoken to with a higher epoch
-	RefusedOld       Refusal = "old"       // a run as high was stopped or ended there
-	RefusedLate      Refusal = "late"      // it came after its deadline
-	RefusedFull      Refusal = "full"      // no room
-	RefusedTicket    Refusal = "ticket"    // the ticket is missing or has run out
-	RefusedUnhealthy Refusal = "unhealthy" // the host is not well
-	RefusedInvalid   Refusal = "invalid"   // the host can not understand it
+	RefusedFenced    Refusal = "fenced"    // it has received a higher epoch
+	RefusedOld       Refusal = "old"       // a run with this number or a higher one was stopped or has ended there
+	RefusedLate      Refusal = "late"      // it arrived after its deadline
+	RefusedFull      Refusal = "full"      // not enough free capacity
+	RefusedTicket    Refusal = "ticket"    // the ticket is missing or has expired
+	RefusedUnhealthy Refusal = "unhealthy" // the host is not healthy
+	RefusedInvalid   Refusal = "invalid"   // the host cannot interpret it
 )
 
-// Reply is the answer to a start, stop or pace.
+// Reply is the reply to a start, a stop or a throttle.
 type Reply struct {
-	// Clock is the host's clock when it answered; zero when it did not say.
+	// Clock is the host's clock at the time of the reply; zero if the host did not report it.
 	Clock Millis
-	// Refused is empty when the order was carried out.
+	// Refused is empty if the order was carried out.
 	Refused Refusal
 }
 
-// Look asks what runs on a host. With a Lease it also renews the host's lease.
+// Look requests a view of what runs on a host. With a Lease it also renews the host's lease.
 type Look struct {
-	// Seen forgets the ends up to this number. They are those of one life: another one
-	// under the same id has ends of its own with these numbers, and is not told.
+	// Seen acknowledges the end records up to this number. The numbers belong to one incarnation:
+	// another one under the same id has end records of its own with the same numbers, which must
+	// not be acknowledged.
 	Seen int64
 	Life Life
-	// Lease is until when, by the host's clock, everything there may run; zero
-	// renews nothing.
+	// Lease is the time, on the host's clock, until which everything on the host may run; zero
+	// does not renew the lease.
 	Lease Millis
-	// Wait is how long the host may hold the answer back for an end to report.
+	// Wait is how long the host may delay the reply until it has an end record to report.
 	Wait time.Duration
 }
 
@@ -120,28 +121,28 @@
 type Running struct {
 	Run
 	Checkpoint string
-	// Percent is how much of its work is done, or, for a long-running task, 100
-	// once it is at work.
+	// Percent is the progress of the run. For a long-running task it is 100 once the task is
+	// working.
 	Percent float64
-	// Gauge is a rough figure for the last half second: the tail of the response
-	// times in milliseconds of a serving task, the milli-cores in use of another.
+	// Gauge is an approximate value for the last half second: the tail latency in milliseconds
+	// for a serving task, the used milli-cores for another one.
 	Gauge float64
 }
 
-// How tells how a run ended.
+// How is the way in which a run ended.
 type How string
 
 // The ways in which a run ends.
 const (
 	EndDone    How = "done"
-	EndFailed  How = "failed"  // by its own fault or the host's
-	EndStopped How = "stopped" // by order
-	EndLapsed  How = "lapsed"  // its lease ended
+	EndFailed  How = "failed"  // caused by the run or by the host
+	EndStopped How = "stopped" // on request
+	EndLapsed  How = "lapsed"  // its lease expired
 	EndBroken  How = "broken"  // another member of the gang ended
 	EndAlone   How = "alone"   // it waited too long for the other members
 )
 
-// End is the end of a run. Numbers rise from 1 in each life of a host.
+// End is the end record of a run. Numbers increase from 1 in each incarnation of a host.
 type End struct {
 	Number int64
 	Run
@@ -149,40 +150,42 @@
 	Checkpoint string
 }
 
-// View is what a host shows: all that runs, and ends not yet forgotten (the
-// oldest few hundred of them).
+// View is the state that a host reports: all runs, and the end records that are not acknowledged
+// (the oldest few hundred of them).
 type View struct {
 	Clock   Millis
 	Life    Life
 	Running []Running
 	Ended   []End
-	// Fenced is true when the host was spoken to with a higher epoch; the rest is
-	// then empty.
+	// Fenced is true if the host has received a higher epoch; all other fields are then empty.
 	Fenced bool
 }
 
-// Errors of a call. After ErrNotSent and ErrOtherLife the call has had no effect
-// and never will; after ErrLost it may take effect, also seconds later.
+// Errors of a call. After ErrNotSent and ErrOtherIncarnation the call has had no effect and never
+// will; after ErrLost it may take effect, even seconds later.
 var (
-	ErrNotSent   = errors.New("host: not reached, nothing was sent")
-	ErrLost      = errors.New("host: sent, no answer")
-	ErrOtherLife = errors.New("host: another life of the host answered")
-	// ErrBroken is an ErrLost whose connection broke before the answer. The process at its
-	// other end was there until then; a host that is cut off or without power breaks none.
-	ErrBroken = fmt.Errorf("%w: the connection broke", ErrLost)
-	// ErrRefused is an ErrNotSent where the host's machine turned the call away, as its
-	// process is gone.
-	ErrRefused = fmt.Errorf("%w: turned away", ErrNotSent)
+	ErrNotSent   = errors.New("host: not reachable, nothing was sent")
+	ErrLost      = errors.New("host: request sent, no reply")
+	ErrOtherLife = errors.New("host: another incarnation of the host replied")
+	// ErrBroken is an ErrLost whose connection broke before the reply. The process at the other
+	// end existed until then; a host that is disconnected or without power does not break
+	// connections.
+	ErrBroken = fmt.Errorf("%w: connection broken", ErrLost)
+	// ErrRefused is an ErrNotSent for which the host's machine refused the connection, because
+	// the host's process is gone.
+	ErrRefused = fmt.Errorf("%w: connection refused", ErrNotSent)
 )
 
 // Client makes calls to hosts. Each call is sent at most once.
 type Client interface {
-	// Start never has another life than s.Life begin the run, unless that is zero.
+	// Start never lets an incarnation other than s.Incarnation start the run, unless that is
+	// zero.
 	Start(ctx context.Context, to Info, epoch uint64, s Start) (Reply, error)
 	Stop(ctx context.Context, to Info, epoch uint64, r Run) (Reply, error)
-	// Look never has another life than l.Life forget anything, unless that is zero. It may
-	// leave l.Seen out when it can not be sure; the host then lists the ends once more.
+	// Look never lets an incarnation other than l.Incarnation delete end records, unless that is
+	// zero. It may omit the acknowledgement if it is not certain of the incarnation; the host
+	// then reports the end records again.
 	Look(ctx context.Context, to Info, epoch uint64, l Look) (View, error)
-	// Pace lets a run work at a share of its speed, 0 to 100 percent.
+	// Pace throttles a run to a percentage of its speed, 0 to 100.
 	Pace(ctx context.Context, to Info, epoch uint64, r Run, percent int) (Reply, error)
 }
--- /dev/null
+++ b/internal/hostsim/checker_test.go
@@ -0,0 +1,274 @@
+package hostsim
+
+import (
+	"math"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+
+	"pulleyquay/internal/catalog"
+	"pulleyquay/internal/host"
+	"pulleyquay/internal/record"
+	"pulleyquay/internal/spec"
+)
+
+// testFleet is a fleet of eight hosts and a job whose tasks work for a second.
+type testFleet struct {
+	fleet *Fleet
+	hosts []*Host
+}
+
+func newTestFleet(change func(*spec.Step)) *testFleet {
+	tr := &testFleet{fleet: NewFleet(RealClock{})}
+	tr.hosts = tr.fleet.Add(8, "s", spec.Resources{MilliCPU: 64_000, MemoryMiB: 1 << 17})
+	step := spec.Step{Count: 3, Size: spec.Resources{MilliCPU: 1000, MemoryMiB: 1000}, EstimateMillis: 1000}
+	if change != nil {
+		change(&step)
+	}
+	tr.fleet.Know(&record.Job{ID: "job", Rules: catalog.Rules{Attempts: 2}, Graph: spec.Graph{Steps: []spec.Step{step}}})
+	return tr
+}
+
+func taskNo(i int) spec.StepTask { return spec.StepTask{StepID: spec.StepID{Job: "job"}, Index: i} }
+
+// start starts a run of a task on a host under an epoch.
+func (tr *testFleet) start(epoch uint64, on, task, no int) {
+	tr.hosts[on].Start(epoch, host.Start{Run: host.Run{Task: taskNo(task), No: no}, Deadline: math.MaxInt64 / 4})
+}
+
+// crashUnder starts a run of a task on a host and then crashes the host.
+func (tr *testFleet) crashUnder(on, task, no int) {
+	tr.start(1, on, task, no)
+	time.Sleep(time.Millisecond)
+	tr.hosts[on].Restart()
+}
+
+const reasonTask1 = "5212 job-crashes-hosts: task job/0/0/1: 2 hosts crashed under it: h00 under run 1, h01 under run 2"
+
+// TestFailedJobCheck: a job may be reported as failed only because of what its hosts recorded for
+// a single task.
+func TestFailedJobCheck(t *testing.T) {
+	gang := func(s *spec.Step) { s.Gang = true }
+	for name, tc := range map[string]struct {
+		change        func(*spec.Step)
+		setup         func(tr *testFleet)
+		why           string
+		wantViolation bool // the checker has to report the failed job as a violation
+	}{
+		"nothing has happened": {setup: func(*testFleet) {}, wantViolation: true},
+		"two hosts crashed under a task": {
+			setup: func(tr *testFleet) { tr.crashUnder(0, 1, 1); tr.crashUnder(1, 1, 2) }, why: reasonTask1,
+		},
+		"under another task than the named one": {
+			setup: func(tr *testFleet) { tr.crashUnder(0, 2, 1); tr.crashUnder(1, 2, 2); tr.crashUnder(2, 1, 1) }, why: reasonTask1, wantViolation: true,
+		},
+		"one host under each of two tasks": {
+			setup: func(tr *testFleet) { tr.crashUnder(0, 1, 1); tr.crashUnder(1, 2, 1) }, wantViolation: true,
+		},
+		"one host crashed with all tasks": {
+			setup: func(tr *testFleet) { tr.start(1, 0, 0, 1); tr.start(1, 0, 2, 1); tr.crashUnder(0, 1, 1) }, wantViolation: true,
+		},
+		"a run had ended before its host crashed": {
+			setup: func(tr *testFleet) {
+				tr.crashUnder(0, 1, 1)
+				tr.start(1, 1, 1, 2)
+				time.Sleep(2 * time.Second)
+				tr.hosts[1].Restart()
+			}, why: reasonTask1, wantViolation: true,
+		},
+		"hosts crashed while disconnected": {
+			setup: func(tr *testFleet) {
+				tr.hosts[0].Cut(true)
+				tr.hosts[1].Cut(true)
+				tr.crashUnder(0, 1, 1)
+				tr.crashUnder(1, 1, 2)
+			}, why: reasonTask1,
+		},
+		"hosts crashed for good": {
+			setup: func(tr *testFleet) {
+				for i := range 2 {
+					tr.start(1, i, 1, i+1)
+					tr.hosts[i].Crash()
+				}
+			}, why: reasonTask1,
+		},
+		"hosts left after a drain": {
+			setup: func(tr *testFleet) {
+				for i := range 2 {
+					tr.start(1, i, 1, i+1)
+					tr.hosts[i].Drain(0)
+					tr.hosts[i].Crash()
+				}
+			}, why: reasonTask1, wantViolation: true,
+		},
+		"hosts were decommissioned": {
+			setup: func(tr *testFleet) {
+				for i := range 2 {
+					tr.start(1, i, 1, i+1)
+					tr.hosts[i].TakeDown()
+				}
+			}, why: reasonTask1, wantViolation: true,
+		},
+		"a task has failed as often as it may": {
+			setup: func(tr *testFleet) { tr.failRuns(1, 2) },
+		},
+		"a task has failed once": {
+			setup: func(tr *testFleet) { tr.failRuns(1, 1) }, wantViolation: true,
+		},
+		"a task has failed once, and a host crashed under it": {
+			setup: func(tr *testFleet) { tr.failRuns(1, 1); tr.crashUnder(7, 1, 9) }, wantViolation: true,
+		},
+		"another task has failed than the named one": {
+			setup: func(tr *testFleet) { tr.failRuns(2, 2); tr.crashUnder(7, 1, 9) }, why: reasonTask1, wantViolation: true,
+		},
+		"two members of one run of a gang have failed": {
+			change: gang, setup: func(tr *testFleet) { tr.failGang(1) }, wantViolation: true,
+		},
+		"two runs of a gang have failed": {
+			change: gang, setup: func(tr *testFleet) { tr.failGang(1); tr.failGang(2) },
+		},
+		"a long-running task has failed twice": {
+			change: func(s *spec.Step) { s.LongRunning = true }, setup: func(tr *testFleet) { tr.failRuns(1, 2) }, wantViolation: true,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				tr := newTestFleet(tc.change)
+				tc.setup(tr)
+				before := len(tr.fleet.Judge().Wrong())
+				tr.fleet.Judge().GaveUpFor("job", tc.why)
+				is.New(t).Equal(len(tr.fleet.Judge().Wrong()) > before, tc.wantViolation)
+			})
+		})
+	}
+}
+
+// failRuns lets the given number of runs of a task be reported as failed, each on another host.
+func (tr *testFleet) failRuns(task, runs int) {
+	for i := range runs {
+		h := tr.hosts[i]
+		tr.start(1, i, task, i+1)
+		h.withLock(func() { h.end(h.runs[host.Run{Task: taskNo(task), No: i + 1}], host.EndFailed) })
+	}
+}
+
+// failGang lets two members of one run of the gang be reported as failed.
+func (tr *testFleet) failGang(no int) {
+	for i := range 3 {
+		tr.start(1, i, i, no)
+	}
+	for i := range 2 {
+		h := tr.hosts[i]
+		h.withLock(func() { h.end(h.runs[host.Run{Task: taskNo(i), No: no}], host.EndFailed) })
+	}
+}
+
+// TestCrashLimitCheck: after three hosts have crashed under a task that crashes its hosts, the
+// task is started at most twice more, whether or not anybody observed the crashes.
+func TestCrashLimitCheck(t *testing.T) {
+	crashTask1 := func(task spec.StepTask) time.Duration {
+		if task.Index == 1 {
+			return 10 * time.Millisecond
+		}
+		return 0
+	}
+	for name, tc := range map[string]struct {
+		change            func(*spec.Step)
+		setup             func(tr *testFleet)
+		starts            int
+		epoch, laterEpoch uint64 // of the first four starts, and of the others
+		wantViolation     bool
+	}{
+		"five starts":                      {starts: 5, epoch: 1, laterEpoch: 1},
+		"six starts":                       {starts: 6, epoch: 1, laterEpoch: 1, wantViolation: true},
+		"all hosts disconnected":           {starts: 6, epoch: 1, laterEpoch: 1, setup: func(tr *testFleet) { tr.disconnectAll() }, wantViolation: true},
+		"late orders of a previous holder": {starts: 6, epoch: 2, laterEpoch: 1, wantViolation: true},
+		"speculative copies":               {starts: 6, epoch: 1, laterEpoch: 1, change: speculative, wantViolation: true},
+		"late speculative copies":          {starts: 6, epoch: 2, laterEpoch: 1, change: speculative},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				tr := newTestFleet(tc.change)
+				tr.fleet.Crashes = crashTask1
+				if tc.setup != nil {
+					tc.setup(tr)
+				}
+				for i := range tc.starts {
+					epoch := tc.epoch
+					if i >= 4 {
+						epoch = tc.laterEpoch
+					}
+					tr.start(epoch, i, 1, i+1)
+					time.Sleep(100 * time.Millisecond)
+				}
+				is.New(t).Equal(strings.Contains(strings.Join(tr.fleet.Judge().Wrong(), "\n"), "BUDGET"), tc.wantViolation)
+				is.New(t).Equal(tr.fleet.Judge().HostsStruck(), tc.starts)
+			})
+		})
+	}
+}
+
+func speculative(s *spec.Step) { s.Speculative = true }
+
+func (tr *testFleet) disconnectAll() {
+	for _, h := range tr.hosts {
+		h.Cut(true)
+	}
+}
+
+// TestViolationListsStarts: the text of a violation states what became of each start.
+func TestViolationListsStarts(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		tr := newTestFleet(nil)
+		j := tr.fleet.Judge()
+		j.Ordered("h03", host.Run{Task: taskNo(1), No: 1})
+		j.Ordered("h00", host.Run{Task: taskNo(1), No: 2})
+		time.Sleep(time.Second)
+		tr.start(1, 0, 1, 2)
+		j.Answered("h00", host.Run{Task: taskNo(1), No: 2})
+		time.Sleep(100 * time.Millisecond)
+		tr.hosts[0].Cut(true)
+		tr.hosts[0].Restart()
+		j.GaveUpFor("job", reasonTask1)
+		text := strings.Join(j.Wrong(), "\n")
+		for _, part := range []string{
+			"LOST job job", "1 hosts have crashed under task job/0/0/1", "run 1 on h03/", "ordered at 0s, never arrived, its host is up",
+			"run 2 on h00/", "began at 1s, answered, host crashed at 1.1s, while disconnected",
+		} {
+			is.True(strings.Contains(text, part)) // the violation states it
+		}
+	})
+}
+
+// TestDisconnectionSurvivesRestart: a disconnected machine stays disconnected after a restart,
+// under the same id or another one, until it is connected again.
+func TestDisconnectionSurvivesRestart(t *testing.T) {
+	for name, keepsID := range map[string]bool{"same id": true, "new id": false} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				tr := newTestFleet(nil)
+				tr.fleet.KeepsID = keepsID
+				reset := false
+				tr.hosts[0].OnReset(func() { reset = true })
+				tr.hosts[0].Cut(true)
+				tr.hosts[0].Restart()
+				is.True(!reset && !tr.hosts[0].Refusing()) // nothing reaches the caller
+				time.Sleep(restartDelay + time.Millisecond)
+				next := tr.hosts[0]
+				if !keepsID {
+					next = tr.fleet.Host("h00.1")
+				}
+				is.True(next.Listed() && !next.Reachable())
+				is.True(!tr.hosts[0].OtherLife())
+				tr.hosts[0].Cut(false)
+				is.True(next.Reachable())
+				is.Equal(tr.hosts[0].OtherLife(), !keepsID)
+			})
+		})
+	}
+}
--- a/internal/hostsim/crash.go
+++ b/internal/hostsim/crash.go
@@ -13,54 +13,54 @@
 	"pulleyquay/internal/spec"
 )
 
-// Times of a host that crashes and starts again, as on the users' platform: the entry of
-// the life that ended stays in the list for three heartbeats of 1.5 s.
+// Times and limits for hosts that crash and start again, as on the users' platform: the entry of
+// the ended incarnation stays in the list for three heartbeats of 1.5 s.
 const (
-	backAfter    = 3 * time.Second
-	entryLasts   = 4500 * time.Millisecond
-	leastCrashes = 2 // under one task, for its job to be given up
-	mostCrashes  = 3 // under one task, before its starts count
-	mostStarts   = 3 // of a task under which so many hosts have crashed: that is one too many
+	restartDelay        = 3 * time.Second
+	entryLifetime       = 4500 * time.Millisecond
+	minCrashes          = 2 // under one task, until its job may be failed
+	maxCrashes          = 3 // under one task, before its starts are counted
+	maxStartsAfterLimit = 3 // of a task with maxCrashes crashes: this one is a violation
 )
 
-// crash ends the host's life as its process or machine ends; by is the run that caused it,
-// or nil.
+// crash ends the host's incarnation, as a failure of its process or machine does. by is the run
+// that caused it, or nil.
 func (h *Host) crash(by *run) {
 	if !h.up {
 		return
 	}
-	h.fleet.judge.crashed(by)
+	h.fleet.checker.recordCrash(by)
 	f := fateCrashed
 	if h.info.Draining && by == nil {
 		f = fateLeft
 	}
-	h.finishLife(f)
+	h.endIncarnation(f)
 }
 
-// finishLife ends the host's life, with all that runs on it.
-func (h *Host) finishLife(f fate) {
+// endIncarnation ends the host's incarnation and everything that runs on it.
+func (h *Host) endIncarnation(f fate) {
 	for _, r := range h.sorted() {
-		h.fleet.judge.ended(h, r, f)
+		h.fleet.checker.recordEnd(h, r, f)
 		if r.step.Gang {
 			h.breakGang(r)
 		}
 	}
 	h.up = false
 	h.runs = map[host.Run]*run{}
-	h.fleet.judge.lives[h.lifeName()] = lifeEnd{f, h.fleet.clock.Now()}
+	h.fleet.checker.incarnations[h.incarnationName()] = incarnationEnd{f, h.fleet.clock.Now()}
 }
 
-// Restart crashes the host; another life of it answers at its address some seconds later
-// and is listed: under a new id, or, where the fleet keeps ids, under the one that it had.
-// A host that is cut off stays so in its next life, and resets no connection.
-func (h *Host) Restart() { h.change(func() { h.restart(nil) }) }
+// Restart crashes the host. Some seconds later another incarnation answers at its address and is
+// listed: under a new id, or, if the fleet keeps ids, under the same id. A disconnected host
+// stays disconnected in its next incarnation, and resets no connections.
+func (h *Host) Restart() { h.withLock(func() { h.restart(nil) }) }
 
-// RestartDark is the same for a machine that loses power: nothing is reset, and nothing
-// turns calls away while it is off.
+// RestartDark is the same for a power loss: no connections are reset, and no calls are refused
+// while the machine is off.
 func (h *Host) RestartDark() {
-	h.change(func() {
+	h.withLock(func() {
 		if h.up {
-			h.resets = nil
+			h.resetCallbacks = nil
 			h.restart(nil)
 			h.refusing = false
 		}
@@ -73,71 +73,73 @@
 	}
 	h.crash(by)
 	h.refusing = true
-	if !h.link.cut {
-		for _, reset := range h.resets {
+	if !h.link.disconnected {
+		for _, reset := range h.resetCallbacks {
 			reset()
 		}
 	}
-	h.resets = nil
-	h.fleet.after(h.fleet.backAfter(), func() {
+	h.resetCallbacks = nil
+	h.fleet.after(h.fleet.restartDelay(), func() {
 		h.refusing = false
 		if h.fleet.KeepsID {
-			h.startAnew()
+			h.restartSameID()
 			return
 		}
-		h.reborn = true
-		h.fleet.add(h.nextLife()).link = h.link
+		h.replaced = true
+		h.fleet.add(h.nextIncarnation()).link = h.link
 	})
-	crashed := h.lives
-	h.fleet.after(entryLasts, func() {
-		if h.lives == crashed {
+	incarnation := h.incarnations
+	h.fleet.after(entryLifetime, func() {
+		if h.incarnations == incarnation {
 			h.listed = false
 		}
 	})
 }
 
-// startAnew begins the host's next life under the id that it had: it knows nothing of
-// before, and its clock and the numbers of its ends begin anew.
-func (h *Host) startAnew() {
-	h.lives++
+// restartSameID starts the host's next incarnation under the same id. It keeps no state; its
+// clock and the numbers of its end records start anew.
+func (h *Host) restartSameID() {
+	h.incarnations++
 	h.up, h.listed = true, true
 	h.info.Draining, h.info.Remaining = false, 0
-	h.born, h.rate = h.fleet.clock.Now(), 1
-	h.info.Life = host.Life(h.born.UnixMilli())
+	h.bootedAt, h.rate = h.fleet.clock.Now(), 1
+	h.info.Life = host.Life(h.bootedAt.UnixMilli())
 	h.epoch, h.lease, h.n = 0, 0, 0
-	h.over, h.ends, h.waiting = map[spec.StepTask]int{}, nil, nil
+	h.highestEnded, h.ends, h.waitingPolls = map[spec.StepTask]int{}, nil, nil
 }
 
-// backAfter is how long a host that crashed takes to start again.
-func (f *Fleet) backAfter() time.Duration {
+// restartDelay is how long a crashed host takes to start again.
+func (f *Fleet) restartDelay() time.Duration {
 	if f.BackAfter > 0 {
 		return f.BackAfter
 	}
-	return backAfter
+	return restartDelay
 }
 
-// nextLife is what the next life of the host says of itself.
-func (h *Host) nextLife() host.Info {
+// nextIncarnation returns the description of the host's next incarnation under a new id.
+func (h *Host) nextIncarnation() host.Info {
 	info := h.info
 	name, _, _ := strings.Cut(string(info.ID), ".")
-	h.fleet.lives++
-	info.ID = host.ID(fmt.Sprintf("%s.%d", name, h.fleet.lives))
+	h.fleet.incarnations++
+	info.ID = host.ID(fmt.Sprintf("%s.%d", name, h.fleet.incarnations))
 	info.Draining, info.Remaining = false, 0
 	return info
 }
 
-// Refusing reports whether the host's address turns calls away, as it is between two
-// lives and can be reached.
+// Refusing reports whether connections to the host's address are refused: the host is between two
+// incarnations and its machine is reachable.
 func (h *Host) Refusing() (refusing bool) {
-	h.change(func() { refusing = h.refusing && !h.link.cut })
+	h.withLock(func() { refusing = h.refusing && !h.link.disconnected })
 	return refusing
 }
 
-// OnReset has fn called when the host's process ends and its machine resets the
+// OnReset registers fn, which is called when the host's process ends and its machine resets the
 // connections. It is called with the fleet's lock held.
-func (h *Host) OnReset(fn func()) { h.change(func() { h.resets = append(h.resets, fn) }) }
+func (h *Host) OnReset(fn func()) {
+	h.withLock(func() { h.resetCallbacks = append(h.resetCallbacks, fn) })
+}
 
-// scheduleCrash lets a run crash its host, if its task does so.
+// scheduleCrash schedules the crash that a run causes, if its task crashes hosts.
 func (h *Host) scheduleCrash(r *run) {
 	if h.fleet.Crashes == nil {
 		return
@@ -148,63 +150,65 @@
 	}
 	h.fleet.after(after, func() {
 		if h.up && h.runs[r.Run] == r {
-			h.crashBy(r)
+			h.crashForRun(r)
 		}
 	})
 }
 
-// crashBy crashes the host by a run's doing.
-func (h *Host) crashBy(r *run) {
+// crashForRun crashes the host because of a run.
+func (h *Host) crashForRun(r *run) {
 	if !h.fleet.DarkCrashes {
 		h.restart(r)
 		return
 	}
-	h.resets = nil
+	h.resetCallbacks = nil
 	h.restart(r)
 	h.refusing = false
 }
 
-// crashed notes that a host has crashed, by a run's doing or by itself.
-func (j *Judge) crashed(by *run) {
-	j.lost++
+// recordCrash counts a crash of a host; by is the run that caused it, or nil.
+func (j *Judge) recordCrash(by *run) {
+	j.crashes++
 	if by != nil {
-		j.struck++
+		j.taskCrashes++
 	}
 }
 
-// GaveUpFor judges a job that is shown as failed: a task of it, or a gang, was listed as
-// failed as often as it may, or enough hosts have crashed under one task while a run of it
-// was there and had not ended. why is the reason that the job's record gives; where it is
-// that hosts crash under a task, it has to be the task that it names.
+// GaveUpFor checks a job that is reported as failed. A task of the job, or a gang, has to be
+// reported as failed as often as is allowed, or enough hosts have to have crashed while a run of
+// the same task was present and had not ended. why is the reason in the job's record; if it says
+// that hosts crash under a task, the task has to be the one it names.
 func (j *Judge) GaveUpFor(id, why string) {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
-	accused := j.tasksOf(id)
-	if crashesHosts(why) {
-		accused = slices.DeleteFunc(accused, func(t spec.StepTask) bool { return !names(why, t) })
+	suspects := j.tasksOf(id)
+	if isCrashLoop(why) {
+		suspects = slices.DeleteFunc(suspects, func(t spec.StepTask) bool { return !namesTask(why, t) })
 	}
 	most := spec.StepTask{StepID: spec.StepID{Job: id}}
-	for i, t := range accused {
-		if j.failedOut(t) || j.crashesUnder(t) >= leastCrashes {
+	for i, t := range suspects {
+		if j.attemptsExhausted(t) || j.crashesUnder(t) >= minCrashes {
 			return
 		}
 		if i == 0 || j.crashesUnder(t) > j.crashesUnder(most) {
 			most = t
 		}
 	}
-	j.wrongf("LOST job %s is shown as failed (%s), and %d hosts have crashed under task %v at the most; its starts: %s",
-		id, why, j.crashesUnder(most), most, j.tell(most))
+	j.violationf("LOST job %s is reported as failed (%s), but at most %d hosts have crashed under task %v; its starts: %s",
+		id, why, j.crashesUnder(most), most, j.describeStarts(most))
 }
 
-// crashesHosts reports whether the reason for a job's end is that hosts crashed under a task.
-func crashesHosts(why string) bool {
+// isCrashLoop reports whether the reason for a job's end is that hosts crashed under a task.
+func isCrashLoop(why string) bool {
 	return strings.HasPrefix(why, strconv.Itoa(int(result.JobCrashesHosts))+" ")
 }
 
-// names reports whether the reason for a job's end names a task.
-func names(why string, t spec.StepTask) bool { return strings.Contains(why, "task "+t.String()+":") }
+// namesTask reports whether the reason for a job's end names a task.
+func namesTask(why string, t spec.StepTask) bool {
+	return strings.Contains(why, "task "+t.String()+":")
+}
 
-// tasksOf lists the tasks of a job that hosts were told to start, in order.
+// tasksOf returns, in order, the tasks of a job that hosts were ordered to start.
 func (j *Judge) tasksOf(id string) (out []spec.StepTask) {
 	for t := range j.records {
 		if t.Job == id {
@@ -217,9 +221,9 @@
 	return out
 }
 
-// failedOut reports whether a task, or its gang, was listed as failed as often as it may. A
-// task that lasts may fail at any time.
-func (j *Judge) failedOut(t spec.StepTask) bool {
+// attemptsExhausted reports whether a task, or its gang, was reported as failed as often as is
+// allowed. It is false for a long-running task, which may fail at any time.
+func (j *Judge) attemptsExhausted(t spec.StepTask) bool {
 	rec := j.fleet.jobs[t.Job]
 	if rec == nil || rec.Graph.Steps[t.Step].LongRunning {
 		return false
@@ -230,33 +234,33 @@
 	return len(j.listed[t]) >= rec.Rules.Attempts
 }
 
-// startedAgain judges the start of a task that crashes hosts. Whether anybody heard of the
-// crashes, or of the start, makes no difference. Where copies may run, late orders of a
-// former holder are excused.
-func (j *Judge) startedAgain(r *run, epoch uint64) {
+// checkCrashLimit checks the start of a task that crashes hosts. It makes no difference whether
+// anybody has observed the crashes, or the start. Late orders of a previous holder are allowed
+// for speculative tasks.
+func (j *Judge) checkCrashLimit(r *run, epoch uint64) {
 	j.epoch = max(j.epoch, epoch)
 	if j.fleet.Crashes == nil || j.fleet.Crashes(r.Task) <= 0 || r.step.Speculative && epoch < j.epoch {
 		return
 	}
-	if j.crashesUnder(r.Task) < mostCrashes {
+	if j.crashesUnder(r.Task) < maxCrashes {
 		return
 	}
-	j.again[r.Task]++
-	if j.again[r.Task] == mostStarts {
-		j.wrongf("BUDGET %v: started %d times more after %d hosts had crashed under it; its starts: %s", r.Run, mostStarts, mostCrashes, j.tell(r.Task))
+	j.startsAfterLimit[r.Task]++
+	if j.startsAfterLimit[r.Task] == maxStartsAfterLimit {
+		j.violationf("BUDGET %v: started %d more times after %d hosts had crashed under its task; its starts: %s", r.Run, maxStartsAfterLimit, maxCrashes, j.describeStarts(r.Task))
 	}
 }
 
-// HostsCrashed is how many lives of hosts have ended in a crash.
+// HostsCrashed returns the number of incarnations of hosts that have ended in a crash.
 func (j *Judge) HostsCrashed() int {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
-	return j.lost
+	return j.crashes
 }
 
-// HostsStruck is how many of those ended by what a task did.
+// HostsStruck returns the number of crashes that were caused by a task.
 func (j *Judge) HostsStruck() int {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
-	return j.struck
+	return j.taskCrashes
 }
--- a/internal/hostsim/fleet.go
+++ b/internal/hostsim/fleet.go
@@ -1,7 +1,6 @@
-// Package hostsim simulates the users' hosts for tests and the development
-// stand-in: hosts keep the highest epoch, kill everything when their lease ends,
-// list ends until these are forgotten, and start whatever they are told to. What
-// runs is judged against the promises: see Judge.
+// Package hostsim simulates the users' hosts for tests and the development stand-in: hosts keep
+// the highest epoch, kill everything when their lease expires, report end records until these are
+// acknowledged, and carry out every start. Judge checks the invariants of what runs.
 package hostsim
 
 import (
@@ -15,14 +14,14 @@
 	"pulleyquay/internal/spec"
 )
 
-// Clock is the time that a fleet lives in: the real one, or a test's.
+// Clock is the time source of a fleet: real time, or that of a test.
 type Clock interface {
 	Now() time.Time
-	// AfterFunc calls fn when d has passed.
+	// AfterFunc calls fn after d.
 	AfterFunc(d time.Duration, fn func())
 }
 
-// RealClock is the process's own time.
+// RealClock is real time.
 type RealClock struct{}
 
 // Now implements Clock.
@@ -31,91 +30,90 @@
 // AfterFunc implements Clock.
 func (RealClock) AfterFunc(d time.Duration, fn func()) { time.AfterFunc(d, fn) }
 
-// Bounds are the platform's times for hosts.
+// Bounds are the time limits of the platform's hosts.
 type Bounds struct {
 	LeaseLimit, StopTakes, GangWait time.Duration
 }
 
-// DefaultBounds are those of the users' first sites.
+// DefaultBounds are the limits at the users' first sites.
 var DefaultBounds = Bounds{LeaseLimit: 6 * time.Second, StopTakes: 200 * time.Millisecond, GangWait: 3 * time.Second}
 
-// Fleet is a number of hosts. It is safe for concurrent use.
+// Fleet is a set of hosts. It is safe for concurrent use.
 type Fleet struct {
 	Bounds Bounds
-	// SpreadOfWork is by how much more the last member of a gang works than the
-	// first, as a share of the step's estimate a member. Set it before use.
+	// SpreadOfWork is the additional work of the last member of a gang relative to the first, as
+	// a fraction of the step's estimate per member. Set it before use.
 	SpreadOfWork float64
-	// Harm is by how much fillers of an image lengthen the tail of serving tasks on
-	// their host at full pace, as a share of the target. Set it before use.
+	// Harm is, for each image of backfill tasks, the increase in tail latency of the serving
+	// tasks on the same host at full speed, as a fraction of the target. Set it before use.
 	Harm map[string]float64
-	// Work is how long a task works on a host of usual speed; nil stands for its
+	// Work returns the run time of a task on a host of normal speed; nil uses the task's
 	// estimate. Set it before use.
 	Work func(spec.StepTask) time.Duration
 
-	// Crashes is after how long a task crashes the host that has started it; zero stands
-	// for never. Set it before use.
+	// Crashes returns the time after which a task crashes the host that has started it; zero
+	// means never. Set it before use.
 	Crashes func(spec.StepTask) time.Duration
-	// DarkCrashes has the machines of hosts go down that tasks crash: nothing is reset.
+	// DarkCrashes makes crashes caused by tasks power losses: no connections are reset.
 	DarkCrashes bool
 
-	// KeepsID has hosts that crashed start again under the id that they had, after BackAfter;
-	// zero stands for some seconds. Set both before use.
+	// KeepsID makes crashed hosts start again under the same id, after BackAfter; zero is some
+	// seconds. Set both before use.
 	KeepsID   bool
 	BackAfter time.Duration
 
-	// CarriesOver has hosts carry out starts that were sent to an earlier life under their
-	// ids. Set it before use.
+	// CarriesOver makes hosts carry out starts that were sent to an earlier incarnation under the
+	// same id. Set it before use.
 	CarriesOver bool
 
-	// Lifeless has hosts tell no life in their views.
+	// Lifeless makes hosts omit their incarnation in their views.
 	Lifeless bool
 
-	// Guards has hosts refuse what they have no room for. Set it before use.
+	// Guards makes hosts refuse starts for which they lack capacity. Set it before use.
 	Guards bool
 
-	clock Clock
-	judge *Judge
+	clock   Clock
+	checker *Judge
 
 	mu    sync.Mutex
 	hosts map[host.ID]*Host
 	jobs  map[string]*record.Job
-	// saved is how much of a task's work its last checkpoint holds.
+	// saved is the amount of a task's work in its last checkpoint.
 	saved map[spec.StepTask]time.Duration
-	// failNext runs of first tasks fail.
+	// failNext is the number of runs of first tasks that will fail.
 	failNext int
-	// lives counts the lives of hosts after their first.
-	lives int
-	// quotas are those of client accounts, the oldest first.
+	// incarnations counts the incarnations that were started under a new id.
+	incarnations int
+	// quotas are the current and former quotas of client accounts, oldest first.
 	quotas map[string][]grantedQuota
 }
 
 // NewFleet returns a fleet without hosts.
 func NewFleet(clock Clock) *Fleet {
 	f := &Fleet{Bounds: DefaultBounds, clock: clock, hosts: map[host.ID]*Host{}, jobs: map[string]*record.Job{}, saved: map[spec.StepTask]time.Duration{}}
-	f.judge = newJudge(f)
+	f.checker = newChecker(f)
 	return f
 }
 
-// Judge is the record of what ran and what was wrong.
-func (f *Fleet) Judge() *Judge { return f.judge }
+// Judge returns the checker of the fleet.
+func (f *Fleet) Judge() *Judge { return f.checker }
 
-// Know tells the hosts what a job is made of. Hosts are asked to start tasks of
-// jobs by name only.
+// Know gives the hosts the description of a job. Orders to start tasks contain only the job's id.
 func (f *Fleet) Know(j *record.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[j.ID] = j
 }
 
-// FailNext lets so many runs of first tasks fail.
+// FailNext makes the next n runs of first tasks fail.
 func (f *Fleet) FailNext(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failNext = n
 }
 
-// Add adds like hosts of a service, four to a rack, in three zones by turns. The
-// names go on where the last ones ended.
+// Add adds identical hosts of a service, four to a rack, in three zones by turns. The numbering
+// of names continues.
 func (f *Fleet) Add(n int, service string, size spec.Resources) []*Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,9 +134,9 @@
 	info.Life = host.Life(f.clock.Now().UnixMilli())
 	h := &Host{
 		fleet: f, info: info, link: &link{}, size: info.Size, up: true, listed: true, rate: 1,
-		// Hosts have been up for different times; the clocks differ.
-		born: f.clock.Now().Add(-time.Duration(1000+137*len(f.hosts)) * time.Second),
-		runs: map[host.Run]*run{}, over: map[spec.StepTask]int{},
+		// Hosts have been up for different times, so their clocks differ.
+		bootedAt: f.clock.Now().Add(-time.Duration(1000+137*len(f.hosts)) * time.Second),
+		runs:     map[host.Run]*run{}, highestEnded: map[spec.StepTask]int{},
 	}
 	f.hosts[info.ID] = h
 	return h
@@ -167,10 +165,10 @@
 	return out
 }
 
-// beatEvery is how often hosts say what they are.
-const beatEvery = 1500 * time.Millisecond
+// heartbeatInterval is the interval at which hosts send their descriptions.
+const heartbeatInterval = 1500 * time.Millisecond
 
-// Listed returns what the hosts in the platform's list say of themselves.
+// Listed returns the descriptions of the hosts in the platform's list.
 func (f *Fleet) Listed() []host.Info {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,14 +176,14 @@
 	for _, h := range f.sorted() {
 		if h.listed {
 			info := h.info
-			info.Beat = int64(f.clock.Now().Sub(f.judge.begun) / beatEvery)
+			info.Beat = int64(f.clock.Now().Sub(f.checker.startedAt) / heartbeatInterval)
 			out = append(out, info)
 		}
 	}
 	return out
 }
 
-// after runs fn under the fleet's lock when d has passed.
+// after runs fn under the fleet's lock after d.
 func (f *Fleet) after(d time.Duration, fn func()) {
 	f.clock.AfterFunc(d, func() {
 		f.mu.Lock()
@@ -194,7 +192,7 @@
 	})
 }
 
-// Job returns a job that the hosts were told of, or nil.
+// Job returns a job whose description the hosts have, or nil.
 func (f *Fleet) Job(id string) *record.Job {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/hostsim/host.go
+++ b/internal/hostsim/host.go
@@ -8,89 +8,89 @@
 	"pulleyquay/internal/spec"
 )
 
-// Host is a simulated host: one life of it, or, where the fleet keeps ids, all of them.
+// Host is a simulated host: one incarnation of it, or all of them if the fleet keeps ids.
 type Host struct {
-	fleet  *Fleet
-	info   host.Info
-	listed bool
-	size   spec.Resources // its room, of which info tells a little later
-	rooms  []room         // what that was before
-	up     bool
-	link   *link // to its machine
-	reborn bool  // another life answers at the address
-	// refusing hosts are between two lives: their address turns calls away.
-	refusing bool
-	lives    int // that it has had under its id, before this one
-	born     time.Time
-	rate     float64 // of its clock
-	slow     float64 // factor on run times; zero is one
-	fails    bool    // every task fails
-	stuck    bool    // no task makes progress
-
-	epoch uint64
-	lease host.Millis
-	runs  map[host.Run]*run
-	over  map[spec.StepTask]int // highest run that was stopped or ended here
-	ends  []host.End
-	n     int64
-	// resets are told when the process ends.
-	resets []func()
-	// waiting are looks that wait for an end.
-	waiting []func(host.View)
+	fleet            *Fleet
+	info             host.Info
+	listed           bool
+	size             spec.Resources   // its capacity; info.Size follows with a delay
+	formerCapacities []formerCapacity // its former capacities
+	up               bool
+	link             *link // to its machine
+	replaced         bool  // another incarnation answers at the address
+	// refusing hosts are between two incarnations: connections to their address are refused.
+	refusing     bool
+	incarnations int // earlier incarnations under the same id
+	bootedAt     time.Time
+	rate         float64 // of its clock
+	slow         float64 // factor on run times; zero is one
+	failTasks    bool    // every task fails
+	stalled      bool    // no task makes progress
+
+	epoch        uint64
+	lease        host.Millis
+	runs         map[host.Run]*run
+	highestEnded map[spec.StepTask]int // highest run that was stopped or ended here
+	ends         []host.End
+	n            int64
+	// resetCallbacks are called when the process ends.
+	resetCallbacks []func()
+	// waitingPolls are polls that wait for an end record.
+	waitingPolls []func(host.View)
 }
 
 // run is one start of a task on a host.
 type run struct {
 	host.Run
-	step    spec.Step
-	worked  time.Time     // when its work began
-	pace    int           // percent of its speed that it may work at
-	accrued time.Duration // work done before pacedAt
-	pacedAt time.Time
-	how     host.How // how it ends by itself
-	gen     int      // outdates scheduled ends
-	stops   bool
-	through bool // its work is done; a gang's member waits for the others
-	record  *startRecord
-}
-
-// link is how calls come to a machine, whichever life of a host runs on it.
-type link struct{ cut bool }
-
-// change alters a host under the fleet's lock.
-func (h *Host) change(fn func()) {
+	step          spec.Step
+	workStartedAt time.Time     // when its work began
+	speed         int           // in percent of full speed
+	accrued       time.Duration // work done before speedSetAt
+	speedSetAt    time.Time
+	how           host.How // how it ends by itself
+	gen           int      // invalidates scheduled ends
+	stopping      bool
+	finished      bool // its work is done; a gang's member waits for the others
+	record        *startRecord
+}
+
+// link is the network link of a machine, shared by all incarnations of a host on it.
+type link struct{ disconnected bool }
+
+// withLock runs fn under the fleet's lock.
+func (h *Host) withLock(fn func()) {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	fn()
 }
 
-// Info is what the host says of itself.
+// Info returns the host's description of itself.
 func (h *Host) Info() (info host.Info) {
-	h.change(func() { info = h.info })
+	h.withLock(func() { info = h.info })
 	return info
 }
 
-// Listed reports whether the host stands in the platform's list.
+// Listed reports whether the host is in the platform's list.
 func (h *Host) Listed() (listed bool) {
-	h.change(func() { listed = h.listed })
+	h.withLock(func() { listed = h.listed })
 	return listed
 }
 
 // Reachable reports whether calls reach the host.
 func (h *Host) Reachable() (ok bool) {
-	h.change(func() { ok = h.up && !h.link.cut })
+	h.withLock(func() { ok = h.up && !h.link.disconnected })
 	return ok
 }
 
-// Up reports whether the host's process runs, whether or not calls reach it.
+// Up reports whether the host's process is running, whether or not calls reach it.
 func (h *Host) Up() (up bool) {
-	h.change(func() { up = h.up })
+	h.withLock(func() { up = h.up })
 	return up
 }
 
-// Running names what runs on the host, in order.
+// Running returns the runs on the host, in order.
 func (h *Host) Running() (out []host.Run) {
-	h.change(func() {
+	h.withLock(func() {
 		for _, r := range h.sorted() {
 			out = append(out, r.Run)
 		}
@@ -98,75 +98,76 @@
 	return out
 }
 
-// SetAddr changes where the host is reached, before it is listed.
-func (h *Host) SetAddr(addr string) { h.change(func() { h.info.Addr = addr }) }
+// SetAddr changes the address of the host, before it is listed.
+func (h *Host) SetAddr(addr string) { h.withLock(func() { h.info.Addr = addr }) }
 
-// Cut lets no call reach the host, or any later life of its machine, any more, or again; it
-// runs on.
-func (h *Host) Cut(cut bool) { h.change(func() { h.link.cut = cut }) }
+// Cut disconnects the host and all later incarnations on its machine, or connects them again. The
+// host keeps running.
+func (h *Host) Cut(disconnected bool) { h.withLock(func() { h.link.disconnected = disconnected }) }
 
-// List puts the host into the platform's list, or takes it out.
-func (h *Host) List(listed bool) { h.change(func() { h.listed = listed }) }
+// List adds the host to the platform's list, or removes it.
+func (h *Host) List(listed bool) { h.withLock(func() { h.listed = listed }) }
 
-// Drain lets the host say that it will leave.
+// Drain makes the host report that it will leave.
 func (h *Host) Drain(remaining time.Duration) {
-	h.change(func() { h.info.Draining, h.info.Remaining = true, remaining })
+	h.withLock(func() { h.info.Draining, h.info.Remaining = true, remaining })
 }
 
-// SetRate lets the host's clock run faster or slower from now on.
+// SetRate changes the rate of the host's clock from now on.
 func (h *Host) SetRate(rate float64) {
-	h.change(func() {
-		shown := h.clock()
+	h.withLock(func() {
+		reported := h.clock()
 		h.rate = rate
-		h.born = h.fleet.clock.Now().Add(-time.Duration(float64(shown)/rate) * time.Millisecond)
+		h.bootedAt = h.fleet.clock.Now().Add(-time.Duration(float64(reported)/rate) * time.Millisecond)
 	})
 }
 
-// Slow lets tasks started from now on take so many times as long.
-func (h *Host) Slow(factor float64) { h.change(func() { h.slow = factor }) }
+// Slow multiplies the run time of tasks that start from now on.
+func (h *Host) Slow(factor float64) { h.withLock(func() { h.slow = factor }) }
 
-// Fail lets every task started from now on fail, or none.
-func (h *Host) Fail(fails bool) { h.change(func() { h.fails = fails }) }
+// Fail sets whether every task that starts from now on fails.
+func (h *Host) Fail(failTasks bool) { h.withLock(func() { h.failTasks = failTasks }) }
 
-// Stall lets no task make progress, or again those started from now on.
-func (h *Host) Stall(stuck bool) { h.change(func() { h.stuck = stuck }) }
+// Stall stops the progress of all tasks. Turned off again, it has an effect only on tasks that
+// start from now on.
+func (h *Host) Stall(stalled bool) { h.withLock(func() { h.stalled = stalled }) }
 
-// TakeDown ends the host for good by an order of the scheduler's.
+// TakeDown ends the host for good by an order of the scheduler.
 func (h *Host) TakeDown() {
-	h.change(func() {
+	h.withLock(func() {
 		for _, r := range h.sorted() {
-			h.fleet.judge.takenAway(h, r)
+			h.fleet.checker.checkDisruption(h, r)
 		}
 		h.listed = false
-		h.finishLife(fateLeft)
+		h.endIncarnation(fateLeft)
 	})
 }
 
 // Crash ends the host for good, with all that runs on it.
-func (h *Host) Crash() { h.change(func() { h.crash(nil) }) }
+func (h *Host) Crash() { h.withLock(func() { h.crash(nil) }) }
 
-// Reborn ends the host's life; from now on another one answers at its address.
+// Reborn ends the host's incarnation; from now on another one answers at its address.
 func (h *Host) Reborn() {
 	h.Crash()
-	h.change(func() {
-		h.link.cut = false
+	h.withLock(func() {
+		h.link.disconnected = false
 		if h.fleet.KeepsID {
-			h.startAnew()
+			h.restartSameID()
 			return
 		}
-		h.reborn = true
+		h.replaced = true
 	})
 }
 
-// OtherLife reports whether another life answers at the host's address.
+// OtherLife reports whether another incarnation answers at the host's address.
 func (h *Host) OtherLife() (other bool) {
-	h.change(func() { other = h.reborn && !h.link.cut })
+	h.withLock(func() { other = h.replaced && !h.link.disconnected })
 	return other
 }
 
-// breakGang ends the members of a run on other hosts, as one of them is gone.
+// breakGang ends the members of a run on other hosts, because one of them is gone.
 func (h *Host) breakGang(r *run) {
-	r.stops = true
+	r.stopping = true
 	for _, m := range h.members(r) {
 		if m.on != h {
 			m.on.end(m.run, host.EndBroken)
@@ -175,7 +176,7 @@
 }
 
 func (h *Host) clock() host.Millis {
-	return host.Millis(float64(h.fleet.clock.Now().Sub(h.born).Milliseconds()) * h.rate)
+	return host.Millis(float64(h.fleet.clock.Now().Sub(h.bootedAt).Milliseconds()) * h.rate)
 }
 
 // grant renews the host's lease.
@@ -186,7 +187,7 @@
 	h.fleet.after(wait, h.expire)
 }
 
-// expire kills everything when the lease is over.
+// expire kills everything if the lease has expired.
 func (h *Host) expire() {
 	if !h.up || h.clock() < h.lease {
 		return
--- a/internal/hostsim/quota.go
+++ b/internal/hostsim/quota.go
@@ -7,23 +7,23 @@
 	"pulleyquay/internal/spec"
 )
 
-// quotaTravels is for how long a quota counts after it was changed: configurations travel,
-// and orders that were given under it may be carried out late.
-const quotaTravels = 16 * time.Second
+// quotaGrace is how long a quota still counts after a change: the distribution of configurations
+// takes time, and orders given under the former quota may be carried out late.
+const quotaGrace = 16 * time.Second
 
-// grantedQuota is a quota, in force until another one is.
+// grantedQuota is a quota and the end of the time in which it applies.
 type grantedQuota struct {
 	fairshare.Quota
-	until time.Time // zero while it is in force
+	until time.Time // zero: applies now
 }
 
-// SetQuota sets what a client account may have running, from now on.
+// SetQuota sets the quota of a client account from now on.
 func (f *Fleet) SetQuota(account string, q fairshare.Quota) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	granted := f.quotas[account]
 	if n := len(granted); n > 0 {
-		granted[n-1].until = f.clock.Now().Add(quotaTravels)
+		granted[n-1].until = f.clock.Now().Add(quotaGrace)
 	}
 	if f.quotas == nil {
 		f.quotas = map[string][]grantedQuota{}
@@ -31,7 +31,8 @@
 	f.quotas[account] = append(granted, grantedQuota{Quota: q})
 }
 
-// RunningOf is what a client account has running on hosts that are up, heard of or not.
+// RunningOf returns the resources of a client account's runs on hosts that are up, whether or not
+// they are reachable.
 func (f *Fleet) RunningOf(account string) spec.Resources {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -52,8 +53,8 @@
 	return sum
 }
 
-// overQuota tells by how much a client account has more running than any quota allows that
-// may be in force; empty where it has not.
+// overQuota returns by how much a client account exceeds all of the quotas that may still apply,
+// or "" if it complies with one of them.
 func (f *Fleet) overQuota(account string) string {
 	if f.quotas[account] == nil {
 		return ""
--- a/internal/hostsim/records.go
+++ b/internal/hostsim/records.go
@@ -9,45 +9,46 @@
 	"pulleyquay/internal/spec"
 )
 
-// fate is how a start came to its end.
+// fate is the state of a start, or how its run ended.
 type fate string
 
-// The fates that are no end that a host lists.
+// The fates that are not reasons of an end record.
 const (
-	fateOrdered fate = ""                // the host has begun nothing
-	fateBegun   fate = "still there"     // no end yet
-	fateCrashed fate = "host crashed"    // while the run was there and had not ended
-	fateLeft    fate = "host left"       // as it had said, or as it was told to
-	fateRefused fate = "refused as "     // with the host's reason behind it
-	fateBehind       = ", while cut off" // added where nobody could see it
+	fateOrdered      fate = ""                     // the host has started nothing
+	fateRunning      fate = "still running"        // no end yet
+	fateCrashed      fate = "host crashed"         // while the run was present and had not ended
+	fateLeft         fate = "host left"            // after a drain, or by an order
+	fateRefused      fate = "refused as "          // followed by the host's reason
+	fateDisconnected      = ", while disconnected" // appended if nobody could observe it
 )
 
-// startRecord is what a host made of one start of a task.
+// startRecord records what became of one start of a task.
 type startRecord struct {
 	host.Run
-	life string // of the host, as of the order until the start arrives
-	// ordered is when the order went out, where that was told; begun and over are when the
-	// run began and when it was over.
-	ordered, begun, over time.Time
-	// answered and shown tell whether the sender heard the answer, or of the run in a view.
-	answered, shown bool
-	fate            fate
-	behind          bool // it ended while its host was cut off
+	incarnation string // of the host at the time of the order; updated when the start arrives
+	// ordered is when the order was sent, if that was recorded; startedAt and endedAt are when
+	// the run started and ended.
+	ordered, startedAt, endedAt time.Time
+	// answered and reported state whether the sender has received the reply, or a view that
+	// contains the run.
+	answered, reported bool
+	fate               fate
+	hostDisconnected   bool // it ended while its host was disconnected
 }
 
-// Ordered notes that a start goes out to a host, for the text of breaches.
+// Ordered records that a start is being sent to a host, for the text of violations.
 func (j *Judge) Ordered(to host.ID, r host.Run) {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
-	j.told = true
-	life := string(to)
+	j.ordersRecorded = true
+	incarnation := string(to)
 	if h := j.fleet.hosts[to]; h != nil {
-		life = h.lifeName()
+		incarnation = h.incarnationName()
 	}
-	j.add(&startRecord{Run: r, life: life, ordered: j.fleet.clock.Now()})
+	j.add(&startRecord{Run: r, incarnation: incarnation, ordered: j.fleet.clock.Now()})
 }
 
-// Answered notes that the sender of a start has heard the host's answer to it.
+// Answered records that the sender of a start has received the host's reply.
 func (j *Judge) Answered(by host.ID, r host.Run) {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
@@ -56,24 +57,24 @@
 	}
 }
 
-// Shown notes that a view which shows these runs as running was heard.
+// Shown records that a view with these runs was received.
 func (j *Judge) Shown(by host.ID, rows []host.Running) {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	for _, row := range rows {
 		if rec := j.lastOf(row.Run, by); rec != nil {
-			rec.shown = true
+			rec.reported = true
 		}
 	}
 }
 
 func (j *Judge) add(rec *startRecord) { j.records[rec.Task] = append(j.records[rec.Task], rec) }
 
-// lastOf is the last record of a run on any life of a host, or nil.
+// lastOf returns the last record of a run on any incarnation of a host, or nil.
 func (j *Judge) lastOf(r host.Run, on host.ID) *startRecord {
 	of := j.records[r.Task]
 	for i := len(of) - 1; i >= 0; i-- {
-		id, _, _ := strings.Cut(of[i].life, "/")
+		id, _, _ := strings.Cut(of[i].incarnation, "/")
 		if of[i].Run == r && id == string(on) {
 			return of[i]
 		}
@@ -81,105 +82,106 @@
 	return nil
 }
 
-// arrived is the record of a start that has come to a host: that of its order, if it was
-// told and nothing has come of it yet.
-func (j *Judge) arrived(h *Host, r host.Run) *startRecord {
+// recordArrival returns the record of a start that has arrived at a host: that of its order, if
+// the order was recorded and has no result yet, or a new one.
+func (j *Judge) recordArrival(h *Host, r host.Run) *startRecord {
 	rec := j.lastOf(r, h.info.ID)
 	if rec == nil || rec.fate != fateOrdered {
 		rec = &startRecord{Run: r}
 		j.add(rec)
 	}
-	rec.life = h.lifeName()
+	rec.incarnation = h.incarnationName()
 	return rec
 }
 
-// refused notes why a host did not carry out a start.
-func (j *Judge) refused(h *Host, r host.Run, why host.Refusal) {
-	rec := j.arrived(h, r)
-	rec.fate, rec.over = fateRefused+fate(why), j.fleet.clock.Now()
+// recordRefusal records why a host did not carry out a start.
+func (j *Judge) recordRefusal(h *Host, r host.Run, why host.Refusal) {
+	rec := j.recordArrival(h, r)
+	rec.fate, rec.endedAt = fateRefused+fate(why), j.fleet.clock.Now()
 }
 
-// lifeName names one life of a host.
-func (h *Host) lifeName() string { return fmt.Sprintf("%s/%d", h.info.ID, h.info.Life) }
+// incarnationName returns the name of one incarnation of a host.
+func (h *Host) incarnationName() string { return fmt.Sprintf("%s/%d", h.info.ID, h.info.Life) }
 
-// crashesUnder counts the lives of hosts that have crashed while a run of the task was
-// there and had not ended.
+// crashesUnder counts the incarnations of hosts that crashed while a run of the task was present
+// and had not ended.
 func (j *Judge) crashesUnder(t spec.StepTask) int {
-	lives := map[string]bool{}
+	incarnations := map[string]bool{}
 	for _, rec := range j.records[t] {
 		if rec.fate == fateCrashed {
-			lives[rec.life] = true
+			incarnations[rec.incarnation] = true
 		}
 	}
-	return len(lives)
+	return len(incarnations)
 }
 
-// tell lists what hosts made of each start of a task.
-func (j *Judge) tell(t spec.StepTask) string {
+// describeStarts lists what became of each start of a task.
+func (j *Judge) describeStarts(t spec.StepTask) string {
 	if len(j.records[t]) == 0 {
 		return "never started"
 	}
 	parts := make([]string, 0, len(j.records[t]))
 	for _, rec := range j.records[t] {
-		text := j.describe(rec)
+		text := j.describeStart(rec)
 		if rec.fate != fateCrashed {
-			text += j.describeLife(rec.life)
+			text += j.describeIncarnation(rec.incarnation)
 		}
 		parts = append(parts, text)
 	}
 	return strings.Join(parts, "; ")
 }
 
-func (j *Judge) describe(rec *startRecord) string {
+func (j *Judge) describeStart(rec *startRecord) string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "run %d on %s", rec.No, rec.life)
+	fmt.Fprintf(&out, "run %d on %s", rec.No, rec.incarnation)
 	if !rec.ordered.IsZero() {
-		fmt.Fprintf(&out, ", ordered at %v", rec.ordered.Sub(j.begun))
+		fmt.Fprintf(&out, ", ordered at %v", rec.ordered.Sub(j.startedAt))
 	}
 	switch {
 	case rec.fate == fateOrdered:
-		return out.String() + ", never came there"
-	case rec.begun.IsZero():
-		fmt.Fprintf(&out, ", %s at %v", rec.fate, rec.over.Sub(j.begun))
+		return out.String() + ", never arrived"
+	case rec.startedAt.IsZero():
+		fmt.Fprintf(&out, ", %s at %v", rec.fate, rec.endedAt.Sub(j.startedAt))
 		return out.String()
 	}
-	fmt.Fprintf(&out, ", began at %v", rec.begun.Sub(j.begun))
-	if j.told {
-		out.WriteString(heardOf(rec))
+	fmt.Fprintf(&out, ", began at %v", rec.startedAt.Sub(j.startedAt))
+	if j.ordersRecorded {
+		out.WriteString(replyState(rec))
 	}
-	if rec.fate == fateBegun {
-		return out.String() + ", " + string(fateBegun)
+	if rec.fate == fateRunning {
+		return out.String() + ", " + string(fateRunning)
 	}
-	fmt.Fprintf(&out, ", %s at %v", rec.fate, rec.over.Sub(j.begun))
-	if rec.behind {
-		out.WriteString(fateBehind)
+	fmt.Fprintf(&out, ", %s at %v", rec.fate, rec.endedAt.Sub(j.startedAt))
+	if rec.hostDisconnected {
+		out.WriteString(fateDisconnected)
 	}
 	return out.String()
 }
 
-// lifeEnd is how one life of a host was over.
-type lifeEnd struct {
+// incarnationEnd is how and when an incarnation of a host ended.
+type incarnationEnd struct {
 	fate fate
 	at   time.Time
 }
 
-// describeLife tells whether a life of a host is over, beside a run that did not end with it.
-func (j *Judge) describeLife(life string) string {
-	end, over := j.lives[life]
+// describeIncarnation states whether an incarnation of a host has ended, for a run that did not
+// end with it.
+func (j *Judge) describeIncarnation(incarnation string) string {
+	end, over := j.incarnations[incarnation]
 	if !over {
-		return ", its host lives"
+		return ", its host is up"
 	}
-	return fmt.Sprintf(", its %s at %v", end.fate, end.at.Sub(j.begun))
+	return fmt.Sprintf(", its %s at %v", end.fate, end.at.Sub(j.startedAt))
 }
 
-func heardOf(rec *startRecord) string {
+func replyState(rec *startRecord) string {
 	switch {
-	case rec.answered && rec.shown:
-		return ", answered and shown"
+	case rec.answered && rec.reported:
+		return ", answered and reported"
 	case rec.answered:
 		return ", answered"
-	case rec.shown:
-		return ", shown only"
+	case rec.reported:
+		return ", reported only"
 	}
-	return ", not heard of"
+	return ", not reported"
 }
--- a/internal/hostsim/work.go
+++ b/internal/hostsim/work.go
@@ -8,19 +8,19 @@
 	"pulleyquay/internal/host"
 )
 
-// member is a present run of a gang and its host.
+// member is a run of a gang that is present, and its host.
 type member struct {
 	*run
 	on *Host
 }
 
-// members are the present runs of a gang with the same number, on all hosts, in order: what
-// happens to them at one moment happens in the same order in every run of a test.
+// members returns the present runs of a gang with the same number on all hosts. They are ordered,
+// so that simultaneous events happen in the same order in every run of a test.
 func (h *Host) members(r *run) []member {
 	var out []member
 	for _, other := range h.fleet.hosts {
 		for _, m := range other.runs {
-			if other.up && m.Task.StepID == r.Task.StepID && m.No == r.No && !m.stops {
+			if other.up && m.Task.StepID == r.Task.StepID && m.No == r.No && !m.stopping {
 				out = append(out, member{m, other})
 			}
 		}
@@ -31,26 +31,26 @@
 	return out
 }
 
-// beginGang starts the work when all members are there; a member that waits too
-// long ends alone.
+// beginGang starts the work when all members are present. A member that waits too long ends with
+// EndAlone.
 func (h *Host) beginGang(r *run) {
 	all := h.members(r)
 	if len(all) == r.step.Count {
 		for _, m := range all {
-			m.on.work(m.run)
+			m.on.beginWork(m.run)
 		}
 		return
 	}
 	gen := r.gen
 	h.fleet.after(h.fleet.Bounds.GangWait, func() {
-		if h.runs[r.Run] == r && r.gen == gen && r.worked.IsZero() && h.up {
+		if h.runs[r.Run] == r && r.gen == gen && r.workStartedAt.IsZero() && h.up {
 			h.end(r, host.EndAlone)
 		}
 	})
 }
 
-// takes is how long a run works on this host.
-func (h *Host) takes(r *run) time.Duration {
+// runTime returns how long a run works on this host.
+func (h *Host) runTime(r *run) time.Duration {
 	took := float64(r.step.Estimate())
 	if h.fleet.Work != nil {
 		took = float64(h.fleet.Work(r.Task))
@@ -64,7 +64,7 @@
 	return time.Duration(took)
 }
 
-// Hopeless jobs are those whose every task fails; their ids begin so.
+// Hopeless is the prefix of the ids of jobs of which every task fails.
 const Hopeless = "hopeless"
 
 // failsNow reports whether a run that begins its work will fail.
@@ -73,14 +73,14 @@
 		h.fleet.failNext--
 		return true
 	}
-	return h.fails || len(r.Task.Job) >= len(Hopeless) && r.Task.Job[:len(Hopeless)] == Hopeless
+	return h.failTasks || len(r.Task.Job) >= len(Hopeless) && r.Task.Job[:len(Hopeless)] == Hopeless
 }
 
-// work begins the work of a run.
-func (h *Host) work(r *run) {
-	r.worked = h.fleet.clock.Now()
-	r.pacedAt, r.pace, r.how = r.worked, fullPace, host.EndDone
-	if h.stuck || r.step.LongRunning {
+// beginWork begins the work of a run.
+func (h *Host) beginWork(r *run) {
+	r.workStartedAt = h.fleet.clock.Now()
+	r.speedSetAt, r.speed, r.how = r.workStartedAt, fullSpeed, host.EndDone
+	if h.stalled || r.step.LongRunning {
 		r.gen++
 		return
 	}
@@ -90,44 +90,44 @@
 	h.scheduleEnd(r)
 }
 
-// fullPace is the pace of a run that nobody holds back.
-const fullPace = 100
+// fullSpeed is the speed of a run that is not throttled, in percent.
+const fullSpeed = 100
 
-// scheduleEnd ends a run when its work will be done at its present pace.
+// scheduleEnd schedules the end of a run for the time when its work is done at its current speed.
 func (h *Host) scheduleEnd(r *run) {
 	r.gen++
 	gen := r.gen
-	if r.pace == 0 {
+	if r.speed == 0 {
 		return
 	}
-	took := h.takes(r)
+	took := h.runTime(r)
 	if r.how == host.EndFailed {
 		took /= 2
 	}
-	h.fleet.after((took-r.accrued)*fullPace/time.Duration(r.pace), func() {
-		if h.runs[r.Run] != r || r.gen != gen || !h.up || h.stuck {
+	h.fleet.after((took-r.accrued)*fullSpeed/time.Duration(r.speed), func() {
+		if h.runs[r.Run] != r || r.gen != gen || !h.up || h.stalled {
 			return
 		}
-		r.through = true
-		if r.how == host.EndFailed || !r.step.Gang || h.gangThrough(r) {
+		r.finished = true
+		if r.how == host.EndFailed || !r.step.Gang || h.gangFinished(r) {
 			h.finish(r, r.how)
 		}
 	})
 }
 
-// workDone is how much a run has worked.
+// workDone returns the amount of work that a run has done.
 func (r *run) workDone(now time.Time) time.Duration {
-	if r.worked.IsZero() {
+	if r.workStartedAt.IsZero() {
 		return 0
 	}
-	return r.accrued + now.Sub(r.pacedAt)*time.Duration(r.pace)/fullPace
+	return r.accrued + now.Sub(r.speedSetAt)*time.Duration(r.speed)/fullSpeed
 }
 
-// gangThrough reports whether all members of a run have done their work.
-func (h *Host) gangThrough(r *run) bool {
+// gangFinished reports whether all members of a run have done their work.
+func (h *Host) gangFinished(r *run) bool {
 	all := h.members(r)
 	for _, m := range all {
-		if !m.through {
+		if !m.finished {
 			return false
 		}
 	}
@@ -150,10 +150,10 @@
 	}
 }
 
-// end takes a run away and lists its end.
+// end removes a run and adds its end record.
 func (h *Host) end(r *run, how host.How) {
 	delete(h.runs, r.Run)
-	h.over[r.Task] = max(h.over[r.Task], r.No)
+	h.highestEnded[r.Task] = max(h.highestEnded[r.Task], r.No)
 	h.n++
 	checkpoint := ""
 	if r.step.Checkpointing {
@@ -161,12 +161,12 @@
 		h.fleet.saved[r.Task] = r.workDone(h.fleet.clock.Now())
 	}
 	h.ends = append(h.ends, host.End{Number: h.n, Run: r.Run, How: how, Checkpoint: checkpoint})
-	h.fleet.judge.ended(h, r, fate(how))
+	h.fleet.checker.recordEnd(h, r, fate(how))
 	switch how {
 	case host.EndDone:
-		h.fleet.judge.done(r.Task)
+		h.fleet.checker.recordDone(r.Task)
 	case host.EndFailed:
-		h.fleet.judge.failedRun(r)
+		h.fleet.checker.recordFailure(r)
 	}
-	h.answerLooks()
+	h.answerPolls()
 }
--- a/internal/request/dump.go
+++ b/internal/request/dump.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Dump is the home's state for /debug/state.
+// Dump is the state of a Home for /debug/state.
 type Dump struct {
 	KeptAnswerBytes int64      `json:"kept_answer_bytes"`
 	Partitions      []PartDump `json:"partitions"`
 }
 
-// PartDump is one partition's keys.
+// PartDump is the state of one partition.
 type PartDump struct {
 	Partition int `json:"partition"`
-	// UnknownUntil: unknown keys minted up to then have an unknown outcome.
+	// UnknownUntil is the time up to which a key that is not in the table has an unknown outcome,
+	// by the time in the key.
 	UnknownUntil time.Time      `json:"unknown_until"`
 	Releasing    bool           `json:"releasing"`
 	InFlight     int            `json:"in_flight"`
 	Keys         map[string]int `json:"keys"`
 }
 
-// Dump returns the home's state.
+// Dump returns the state of all partitions.
 func (h *Home) Dump() any {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := Dump{KeptAnswerBytes: h.kept}
-	for id, p := range h.parts {
+	out := Dump{KeptAnswerBytes: h.answerBytes}
+	for id, p := range h.partitions {
 		d := PartDump{
 			Partition: id, UnknownUntil: p.unknownUntil, Releasing: p.releasing,
 			InFlight: len(p.flights), Keys: map[string]int{},
--- a/internal/request/flight.go
+++ b/internal/request/flight.go
@@ -10,16 +10,16 @@
 	"pulleyquay/internal/result"
 )
 
-// phase is how far a flight has come.
+// phase is the progress of a flight.
 type phase int
 
 const (
 	phaseWaiting   phase = iota // nothing was sent
 	phaseStarted                // a byte may have been sent
-	phaseCancelled              // nothing was sent and nothing will be
+	phaseCancelled              // nothing was sent, and nothing will be sent
 )
 
-// flight is one dispatch and the callers that wait for it.
+// flight is one dispatch, shared by the callers that wait for it.
 type flight struct {
 	cancel context.CancelFunc
 	// done is closed when answer and err are final.
@@ -27,37 +27,37 @@
 	answer executor.Answer
 	err    *result.Error
 
-	mu      sync.Mutex
-	phase   phase
-	waiters int
-	evicted bool // cancelled because the partition is handed over
+	mu         sync.Mutex
+	phase      phase
+	waiters    int
+	handedOver bool // cancelled because of a handover of the partition
 }
 
-// launch starts a flight with one waiter; landed runs before done is closed.
-func (h *Home) launch(work dispatch.Work, landed func(*flight)) *flight {
+// startFlight starts a flight with one waiter; onDone runs before done is closed.
+func (h *Home) startFlight(work dispatch.Work, onDone func(*flight)) *flight {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &flight{cancel: cancel, done: make(chan struct{}), waiters: 1}
-	work.Begin, work.Unsent = f.begin, f.unsent
+	work.Begin, work.Unsent = f.begin, f.undoBegin
 	go func() {
 		defer cancel()
 		answer, err := h.cfg.Dispatcher.Do(ctx, work)
 		f.answer = answer
-		f.err = f.final(err)
-		landed(f)
+		f.err = f.finalError(err)
+		onDone(f)
 		close(f.done)
 	}()
 	return f
 }
 
-// landedFlight is a flight that ended earlier.
-func landedFlight(answer executor.Answer) *flight {
+// completedFlight returns a flight that has already ended with an answer.
+func completedFlight(answer executor.Answer) *flight {
 	f := &flight{cancel: func() {}, done: make(chan struct{}), answer: answer, phase: phaseStarted, waiters: 1}
 	close(f.done)
 	return f
 }
 
-// begin is called right before the first byte may be sent. It reports false
-// when the flight was cancelled; then nothing may be sent.
+// begin is called immediately before the first byte may be sent. It returns false if the flight
+// was cancelled; then nothing may be sent.
 func (f *flight) begin() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,14 +68,14 @@
 	return true
 }
 
-// unsent takes back begin: nothing was sent and the request waits again.
-func (f *flight) unsent() {
+// undoBegin reverts begin: nothing was sent, and the request waits again.
+func (f *flight) undoBegin() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.phase = phaseWaiting
 }
 
-// join adds a waiter; it reports false when the flight was cancelled.
+// join adds a waiter. It returns false if the flight was cancelled.
 func (f *flight) join() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,8 +92,8 @@
 	return f.phase == phaseCancelled
 }
 
-// leave removes a waiter. The last one cancels what was not started; then it
-// reports true, which is the proof that nothing was sent.
+// leave removes a waiter. The last waiter cancels a request that has not been started; then leave
+// returns true, which guarantees that nothing was sent.
 func (f *flight) leave() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,7 +101,7 @@
 	if f.waiters > 0 {
 		return false
 	}
-	f.cancel() // ends the wait before another attempt, too
+	f.cancel() // also ends the wait for the next attempt
 	if f.phase != phaseWaiting {
 		return false
 	}
@@ -109,33 +109,33 @@
 	return true
 }
 
-// evict cancels a flight that was not started, for a hand-over.
-func (f *flight) evict() {
+// cancelForHandover cancels a flight that has not been started.
+func (f *flight) cancelForHandover() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.phase == phaseWaiting {
 		f.phase = phaseCancelled
-		f.evicted = true
+		f.handedOver = true
 		f.cancel()
 	}
 }
 
-// final is the error that waiters get for what Do returned.
-func (f *flight) final(err error) *result.Error {
+// finalError converts the error of Dispatcher.Do to the error that waiters get.
+func (f *flight) finalError(err error) *result.Error {
 	if err == nil {
 		return nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.evicted {
+	if f.handedOver {
 		return result.New(result.HomeMoved, result.RanNo, "the partition was handed over while the request waited").
-			Later(movedRetry)
+			Later(movedRetryDelay)
 	}
 	return result.From(err)
 }
 
-// wait returns the flight's outcome. When ctx ends first, a request that only
-// this caller waits for is cancelled; the answer says whether that was in time.
+// wait returns the flight's outcome. If ctx ends first and no other caller waits, the request is
+// cancelled; the returned error states whether it was cancelled before it was sent.
 func (f *flight) wait(ctx context.Context) (executor.Answer, error) {
 	select {
 	case <-f.done:
@@ -143,13 +143,13 @@
 	case <-ctx.Done():
 	}
 	if f.leave() {
-		return executor.Answer{}, ended(ctx, result.DeadlineQueued, result.RanNo)
+		return executor.Answer{}, waitError(ctx, result.DeadlineQueued, result.RanNo)
 	}
 	select {
 	case <-f.done:
 		return f.outcome()
 	default:
-		return executor.Answer{}, ended(ctx, result.DeadlineRunning, result.RanUnknown)
+		return executor.Answer{}, waitError(ctx, result.DeadlineRunning, result.RanUnknown)
 	}
 }
 
@@ -161,8 +161,8 @@
 	return f.answer, nil
 }
 
-// ended is the answer to a caller who stops waiting.
-func ended(ctx context.Context, late result.Code, ran result.Ran) *result.Error {
+// waitError is the error for a caller whose ctx has ended.
+func waitError(ctx context.Context, late result.Code, ran result.Ran) *result.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return result.New(late, ran, "no answer before the deadline")
 	}
