--- a/internal/request/home.go
+++ b/internal/request/home.go
@@ -1,6 +1,6 @@
-// Package request is the home of callers' requests. It gives a key at most one
-// dispatch, lets retries join the first attempt, and tells the truth about
-// what ran after a takeover.
+// Package request implements the home of a request: the placer that holds the partition of the
+// request's key. It dispatches a key at most once, lets retries join the first attempt, and
+// reports correctly after a failover whether a request may have run.
 package request
 
 import (
@@ -20,52 +20,53 @@
 	"pulleyquay/internal/settings"
 )
 
-// Dispatcher sends requests to executors; *dispatch.Dispatcher is one. Do
-// returns after the end of ctx only when the request had been sent by then.
+// Dispatcher sends requests to executors; *dispatch.Dispatcher implements it. The end of ctx
+// cancels a request that waits. Once the request has been sent, Do may return after the end of ctx.
 type Dispatcher interface {
 	Do(ctx context.Context, w dispatch.Work) (executor.Answer, error)
 }
 
-// Config is what a Home needs of the rest of the process.
+// Config contains the dependencies of a Home.
 type Config struct {
 	Right      hold.Right
 	Dispatcher Dispatcher
-	// Settings returns a service's effective values; false: no such service.
+	// Settings returns a service's effective values, or false if there is no such service.
 	Settings func(service string) (settings.Values, bool)
 	Log      *logrus.Entry
 	Metrics  prometheus.Registerer
 }
 
-// Home is the hold.Resident of request keys.
+// Home is the hold.Component for request keys.
 type Home struct {
 	cfg     Config
 	metrics *metrics
 
-	mu    sync.Mutex
-	parts map[int]*part
-	kept  int64 // bytes of kept answers in all partitions
+	mu          sync.Mutex
+	partitions  map[int]*partitionState
+	answerBytes int64 // size of the kept answers in all partitions
 }
 
-// part is one held partition's keys, by service.
-type part struct {
-	// unknownUntil: the outcome of unknown keys minted before is unknown.
+// partitionState contains the keys of one held partition, by service.
+type partitionState struct {
+	// unknownUntil is the time up to which a key that is not in the table has an unknown outcome,
+	// by the time in the key.
 	unknownUntil time.Time
 	releasing    bool
-	gone         bool // handed over or dropped: nothing more is kept
+	dropped      bool // handed over or dropped: no more answers are kept
 	services     map[string]*keyTable
 	flights      map[*flight]struct{}
 }
 
 // New returns a Home without partitions.
 func New(cfg Config) *Home {
-	return &Home{cfg: cfg, metrics: newMetrics(cfg.Metrics), parts: map[int]*part{}}
+	return &Home{cfg: cfg, metrics: newMetrics(cfg.Metrics), partitions: map[int]*partitionState{}}
 }
 
-// Serve answers peer.KindServe: one caller's request, with or without a key.
+// Serve handles peer.KindServe: one caller's request, with or without a key.
 func (h *Home) Serve(ctx context.Context, msg requestmsg.Serve) (executor.Answer, error) {
 	values, ok := h.cfg.Settings(msg.Service)
 	if !ok {
-		return executor.Answer{}, result.New(result.UnknownService, ranUnchecked(msg.Key), "service %q", msg.Service)
+		return executor.Answer{}, result.New(result.UnknownService, ranBeforeLookup(msg.Key), "service %q", msg.Service)
 	}
 	deadline := time.Now().Add(msg.Timeout)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -75,26 +76,26 @@
 		Idempotent: msg.Idempotent, Request: msg.Request,
 	}
 	if msg.Key == uuid.Nil {
-		f := h.launch(work, func(*flight) {})
+		f := h.startFlight(work, func(*flight) {})
 		return f.wait(ctx)
 	}
-	work.Idempotent = false // a key asks for at most one run, whatever the method
+	work.Idempotent = false // a request with a key runs at most once, whatever its method
 	return h.serveKeyed(ctx, msg, work, values)
 }
 
-// ranUnchecked is what can be said of a request whose key was not looked for.
-func ranUnchecked(key uuid.UUID) result.Ran {
+// ranBeforeLookup returns what is known of a request whose key has not been looked up.
+func ranBeforeLookup(key uuid.UUID) result.Ran {
 	if key == uuid.Nil {
 		return result.RanNo
 	}
 	return result.RanUnknown
 }
 
-// serveKeyed joins or starts the key's flight. A flight that ended because all
-// its earlier callers went away is no outcome for this one, who starts anew.
+// serveKeyed joins or starts the key's flight. A flight that was cancelled because all of its
+// earlier callers left is not an outcome for this caller; serveKeyed then starts a new flight.
 func (h *Home) serveKeyed(ctx context.Context, msg requestmsg.Serve, work dispatch.Work, values settings.Values) (executor.Answer, error) {
 	for {
-		f, err := h.joinOrLaunch(msg, work, values)
+		f, err := h.joinOrStart(msg, work, values)
 		if err != nil {
 			h.metrics.keyed.WithLabelValues(msg.Service, "refused").Inc()
 			return executor.Answer{}, err
@@ -107,28 +108,28 @@
 	}
 }
 
-// abandoned tells that a flight ended unsent for want of callers.
+// abandoned reports whether a flight was cancelled, unsent, because all of its callers left.
 func abandoned(e *result.Error) bool {
 	return e.Code == result.CallerGone && e.Ran == result.RanNo
 }
 
-// joinOrLaunch returns the flight of the key, started now if the key is new.
-func (h *Home) joinOrLaunch(msg requestmsg.Serve, work dispatch.Work, values settings.Values) (*flight, error) {
+// joinOrStart returns the flight of the key, and starts it if the key is new.
+func (h *Home) joinOrStart(msg requestmsg.Serve, work dispatch.Work, values settings.Values) (*flight, error) {
 	if _, err := h.cfg.Right.Check(msg.Partition); err != nil {
-		return nil, moved(msg.Partition, err.Error())
+		return nil, errHomeMoved(msg.Partition, err.Error())
 	}
 	now := time.Now()
-	print := fingerprint(msg.Request)
+	requestHash := fingerprint(msg.Request)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	p := h.parts[msg.Partition]
+	p := h.partitions[msg.Partition]
 	if p == nil {
-		return nil, moved(msg.Partition, "not acquired yet")
+		return nil, errHomeMoved(msg.Partition, "not acquired yet")
 	}
 	t := p.table(msg.Service)
 	h.expire(t, now)
 	if rec := t.find(msg.Key); rec != nil {
-		f, err := rec.join(print)
+		f, err := rec.join(requestHash)
 		if f != nil || err != nil {
 			h.metrics.keyed.WithLabelValues(msg.Service, "joined").Inc()
 			return f, err
@@ -136,32 +137,32 @@
 		t.remove(rec) // its flight was cancelled: nothing was sent
 	}
 	if p.releasing {
-		return nil, moved(msg.Partition, "being handed over")
+		return nil, errHomeMoved(msg.Partition, "being handed over")
 	}
-	if err := p.admit(t, msg.Key, values.Request, now); err != nil {
+	if err := p.checkNewKey(t, msg.Key, values.Request, now); err != nil {
 		return nil, err
 	}
 	h.metrics.keyed.WithLabelValues(msg.Service, "new").Inc()
-	rec := &record{key: msg.Key, print: print, forgetAt: now.Add(keyWindow(values.Request) + maxKeyAhead)}
+	rec := &record{key: msg.Key, requestHash: requestHash, expiresAt: now.Add(keyWindow(values.Request) + maxKeyAhead)}
 	t.add(rec)
-	rec.flight = h.launch(work, func(f *flight) { h.land(p, t, rec, f) })
+	rec.flight = h.startFlight(work, func(f *flight) { h.complete(p, t, rec, f) })
 	p.flights[rec.flight] = struct{}{}
 	return rec.flight, nil
 }
 
-// moved tells that another process is the key's home, or will be. Whether the
-// key ran is not known here.
-func moved(partition int, detail string) *result.Error {
+// errHomeMoved is the error if another process is the key's home, or will be. This process does
+// not know whether the request ran.
+func errHomeMoved(partition int, detail string) *result.Error {
 	return result.New(result.HomeMoved, result.RanUnknown, "partition %d: %s", partition, detail).
-		Later(movedRetry)
+		Later(movedRetryDelay)
 }
 
-// movedRetry is when to come back to a key whose home is changing.
-const movedRetry = time.Second
+// movedRetryDelay is the Retry-After for a key whose home is changing.
+const movedRetryDelay = time.Second
 
-// land records how a key's flight ended. A request that never left is
-// forgotten, so that the key can be used again.
-func (h *Home) land(p *part, t *keyTable, rec *record, f *flight) {
+// complete records the outcome of a key's flight. The key of a request that was never sent is
+// removed, so that it can be used again.
+func (h *Home) complete(p *partitionState, t *keyTable, rec *record, f *flight) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(p.flights, f)
@@ -171,27 +172,27 @@
 		return
 	}
 	rec.failure = f.err
-	if f.err != nil || p.gone {
+	if f.err != nil || p.dropped {
 		return
 	}
 	size := answerSize(f.answer)
-	if h.kept+size > keptAnswersLimit {
+	if h.answerBytes+size > keptAnswersLimit {
 		h.metrics.notKept.Inc()
 		return
 	}
-	h.kept += size
-	answer := f.answer // not a part of the flight, which can then be freed
+	h.answerBytes += size
+	answer := f.answer // a copy, so that the flight can be freed
 	rec.answer = &answer
 }
 
-// keptAnswersLimit bounds the answers kept for retries, in bytes a process.
+// keptAnswersLimit bounds the answers that a process keeps for retries, in bytes.
 const keptAnswersLimit = 64 << 20
 
-// expire forgets the keys whose window has passed.
+// expire removes the keys whose window has passed.
 func (h *Home) expire(t *keyTable, now time.Time) {
 	for _, rec := range t.expired(now) {
 		if rec.answer != nil {
-			h.kept -= answerSize(*rec.answer)
+			h.answerBytes -= answerSize(*rec.answer)
 		}
 	}
 }
--- a/internal/request/home_test.go
+++ b/internal/request/home_test.go
@@ -23,10 +23,10 @@
 	"pulleyquay/internal/settings"
 )
 
-// echo answers each request with its body and counts them.
+// echo answers each request with its body and counts the requests.
 type echo struct {
 	count int
-	hold  chan struct{} // when set, answers wait for it
+	hold  chan struct{} // if set, answers wait until it is closed
 }
 
 // Do implements Dispatcher.
@@ -41,15 +41,15 @@
 	return executor.Answer{Status: http.StatusOK, Body: w.Request.Body}, nil
 }
 
-// bench is a home with one fresh partition.
-type bench struct {
+// fixture is a Home with one new partition.
+type fixture struct {
 	*Home
 	echo   echo
 	values settings.Values
 }
 
-func newBench(t *testing.T, takeover hold.Takeover) *bench {
-	b := &bench{values: settings.Defaults()}
+func newFixture(t *testing.T, takeover hold.Takeover) *fixture {
+	b := &fixture{values: settings.Defaults()}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	b.Home = New(Config{
@@ -72,7 +72,7 @@
 	return id
 }
 
-func (b *bench) serve(key uuid.UUID, body string) (string, *result.Error) {
+func (b *fixture) serve(key uuid.UUID, body string) (string, *result.Error) {
 	answer, err := b.Serve(context.Background(), requestmsg.Serve{
 		Service: "ledger", Key: key, Timeout: time.Second, Request: executor.Request{Method: "POST", Body: []byte(body)},
 	})
@@ -85,7 +85,7 @@
 func TestKeysAreKeptForTheWindowAndNeverRunAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Takeover{Fresh: true})
 		key := keyAt(time.Now(), 1)
 		_, err := b.serve(key, "x")
 		is.Equal(err, nil)
@@ -93,7 +93,7 @@
 		body, err := b.serve(key, "x")
 		is.Equal(err, nil)
 		is.Equal(body, "x")
-		for range 100 { // forgotten or not, it is never dispatched again
+		for range 100 { // whether removed from the table or not, the key is never dispatched again
 			time.Sleep(100 * time.Millisecond)
 			_, err = b.serve(key, "x")
 		}
@@ -106,13 +106,13 @@
 func TestLongerWindowDoesNotReviveForgottenKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Takeover{Fresh: true})
 		b.values.Request.KeyWindowMS = 10000
 		key := keyAt(time.Now(), 1)
 		_, err := b.serve(key, "x")
 		is.Equal(err, nil)
 		time.Sleep(20 * time.Second)
-		_, err = b.serve(keyAt(time.Now(), 2), "x") // forgets the first
+		_, err = b.serve(keyAt(time.Now(), 2), "x") // removes the first key
 		is.Equal(err, nil)
 		b.values.Request.KeyWindowMS = 600000
 		_, err = b.serve(key, "x")
@@ -127,13 +127,13 @@
 		ran   result.Ran // empty: dispatched
 	}{
 		{maxKeyAhead, ""},
-		{maxKeyAhead + clockMargin, result.RanUnknown}, // another host's clock may have let it in
+		{maxKeyAhead + clockMargin, result.RanUnknown}, // a host whose clock is ahead may have accepted it
 		{maxKeyAhead + clockMargin + time.Millisecond, result.RanNo},
 	}
 	for _, tc := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t, hold.Takeover{Fresh: true})
+			b := newFixture(t, hold.Takeover{Fresh: true})
 			key := keyAt(time.Now().Add(tc.ahead), 1)
 			_, err := b.serve(key, "x")
 			if tc.ran == "" {
@@ -143,19 +143,19 @@
 			is.Equal(err.Code, result.KeyFromFuture)
 			is.Equal(err.Ran, tc.ran)
 			time.Sleep(err.RetryAfter)
-			_, err = b.serve(key, "x") // the same key, when told to come back
+			_, err = b.serve(key, "x") // the same key, after Retry-After
 			is.Equal(err, nil)
 			is.Equal(b.echo.count, 1)
 		})
 	}
 }
 
-func TestNewKeysAfterATakeover(t *testing.T) {
+func TestNewKeysAfterAFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, hold.Takeover{})
+		b := newFixture(t, hold.Takeover{})
 		_, err := b.serve(keyAt(time.Now().Add(maxKeyAhead), 1), "x")
-		is.Equal(err.Code, result.KeyOutcomeUnknown) // may have been let in by the old home
+		is.Equal(err.Code, result.KeyOutcomeUnknown) // the previous home may have accepted it
 		time.Sleep(maxKeyAhead + clockMargin + time.Millisecond)
 		_, err = b.serve(keyAt(time.Now(), 2), "x")
 		is.Equal(err, nil)
@@ -165,7 +165,7 @@
 func TestFullTableRefusesNewKeysAndKeepsOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Takeover{Fresh: true})
 		b.values.Request.KeyLimit = 3
 		for n := range byte(3) {
 			_, err := b.serve(keyAt(time.Now(), n), "x")
@@ -174,7 +174,7 @@
 		_, err := b.serve(keyAt(time.Now(), 3), "x")
 		is.Equal(err.Code, result.KeyTableFull)
 		is.Equal(err.Ran, result.RanNo)
-		is.True(err.RetryAfter > 9*time.Minute) // when the oldest is forgotten
+		is.True(err.RetryAfter > 9*time.Minute) // until the oldest key expires
 		body, err := b.serve(keyAt(time.Now(), 0), "x")
 		is.Equal(err, nil)
 		is.Equal(body, "x")
@@ -184,7 +184,7 @@
 func TestLargeAnswersAreNotKeptForEver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Takeover{Fresh: true})
 		large := string(make([]byte, 1<<20))
 		for n := range byte(keptAnswersLimit>>20 + 1) {
 			body, err := b.serve(keyAt(time.Now(), n), large)
@@ -197,14 +197,14 @@
 		time.Sleep(11 * time.Minute)
 		_, err = b.serve(keyAt(time.Now(), 0), "x")
 		is.Equal(err, nil)
-		is.True(b.kept < 1<<20) // the window frees the memory
+		is.True(b.answerBytes < 1<<20) // the memory is freed at the end of the window
 	})
 }
 
 func TestAnswersOfDroppedPartitionsTakeNoMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Takeover{Fresh: true})
 		b.echo.hold = make(chan struct{})
 		got := make(chan string, 1)
 		go func() {
@@ -214,21 +214,21 @@
 		synctest.Wait()
 		b.Drop(0)
 		close(b.echo.hold)
-		is.Equal(<-got, "answer") // its caller still gets it
-		is.Equal(b.kept, int64(0))
+		is.Equal(<-got, "answer") // its caller still gets the answer
+		is.Equal(b.answerBytes, int64(0))
 	})
 }
 
-func TestUnknownOutcomeOutlivesHandOvers(t *testing.T) {
+func TestUnknownOutcomeOutlivesHandovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		old := keyAt(time.Now(), 1)
 		time.Sleep(time.Second)
-		first := newBench(t, hold.Takeover{}) // its holder had died
+		first := newFixture(t, hold.Takeover{}) // acquired after the holder had failed
 		time.Sleep(10 * time.Second)
 		state, err := first.Release(t.Context(), 0)
 		is.NoErr(err)
-		second := newBench(t, hold.Takeover{SignedOff: true, State: state})
+		second := newFixture(t, hold.Takeover{SignedOff: true, State: state})
 		_, refusal := second.serve(old, "x")
 		is.Equal(refusal.Code, result.KeyOutcomeUnknown)
 		is.Equal(second.echo.count, 0)
@@ -238,16 +238,16 @@
 func TestCancelledFlightSendsNothing(t *testing.T) {
 	is := is.New(t)
 	f := &flight{cancel: func() {}, done: make(chan struct{}), waiters: 1}
-	is.True(f.leave())  // the proof that nothing was sent
-	is.True(!f.begin()) // holds
+	is.True(f.leave())  // guarantees that nothing was sent
+	is.True(!f.begin()) // and that nothing will be sent
 	is.True(!f.join())
 	f = &flight{cancel: func() {}, done: make(chan struct{}), waiters: 1}
 	is.True(f.begin())
-	is.True(!f.leave()) // too late for a proof
+	is.True(!f.leave()) // may have been sent
 }
 
-// TestHomeWithoutSettings: a home that has just started and lacks the settings
-// can not say that a key did not run.
+// TestHomeWithoutSettings: a home that has just started and has no settings yet cannot state that
+// a request with a key did not run.
 func TestHomeWithoutSettings(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -256,7 +256,7 @@
 	}{{"no key", uuid.Nil, result.RanNo}, {"key", uuid.Must(uuid.NewV7()), result.RanUnknown}} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t, hold.Takeover{})
+			b := newFixture(t, hold.Takeover{})
 			b.cfg.Settings = func(string) (settings.Values, bool) { return settings.Values{}, false }
 			_, err := b.Serve(context.Background(), requestmsg.Serve{Service: "ledger", Key: tc.key, Timeout: time.Second})
 			is.Equal(result.From(err).Code, result.UnknownService)
--- a/internal/request/metrics.go
+++ b/internal/request/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the home's counters.
+// metrics are the counters of a Home.
 type metrics struct {
 	keyed   *prometheus.CounterVec
 	notKept prometheus.Counter
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -12,34 +12,34 @@
 	"pulleyquay/internal/settings"
 )
 
-// maxKeyAhead is how far a key's time may be ahead of ours. After a takeover
-// no new key is dispatched for so long, which is why it is short; a caller
-// whose clock is further ahead is told when to send the same key again.
+// maxKeyAhead bounds how far the time in a key may be ahead of the local clock. No new key is
+// dispatched for this long after a failover, so the bound is short. A caller whose clock is
+// further ahead gets a Retry-After for the same key.
 const maxKeyAhead = 500 * time.Millisecond
 
-// clockMargin is how much the clocks of two entry hosts may differ.
+// clockMargin is the maximum difference between the clocks of two entry hosts.
 const clockMargin = 250 * time.Millisecond
 
-// record is what a home knows of one key. It is in flight, or done with an
-// answer, with a failure, or with neither when the answer was not kept.
+// record is the state of one key. The key is in flight, or done: with an answer, with a failure,
+// or with neither if the answer was not kept.
 type record struct {
-	key      uuid.UUID
-	print    uint64
-	forgetAt time.Time
-	flight   *flight          // while the request waits or runs
-	answer   *executor.Answer // the answer kept for retries
-	failure  *result.Error    // why it is not known what the request did
+	key         uuid.UUID
+	requestHash uint64
+	expiresAt   time.Time
+	flight      *flight          // set while the request waits or runs
+	answer      *executor.Answer // kept for retries
+	failure     *result.Error    // why the effect of the request is not known
 
 	older, newer *record // neighbours in the table, by arrival
 }
 
-// join returns the outcome of the key to a retry with the same request. Both
-// results are nil when the first attempt was cancelled before it was sent.
-func (r *record) join(print uint64) (*flight, error) {
+// join returns the outcome of the key for a retry of the same request. Both results are nil if
+// the first attempt was cancelled before it was sent.
+func (r *record) join(requestHash uint64) (*flight, error) {
 	switch {
 	case r.flight != nil && r.flight.isCancelled():
 		return nil, nil
-	case r.print != print:
+	case r.requestHash != requestHash:
 		return nil, result.New(result.KeyReused, result.RanUnknown, "this request did not run; the one that the key came with before may have")
 	case r.flight != nil:
 		if !r.flight.join() {
@@ -51,19 +51,20 @@
 	case r.answer == nil:
 		return nil, result.New(result.AnswerNotKept, result.RanYes, "too many large answers to keep")
 	}
-	return landedFlight(*r.answer), nil
+	return completedFlight(*r.answer), nil
 }
 
-// keyTable is the keys of one service in one partition, linked by arrival.
+// keyTable contains the keys of one service in one partition, linked in order of arrival.
 type keyTable struct {
 	records        map[uuid.UUID]*record
 	oldest, newest *record
-	// forgotten: keys minted up to then may have been known and forgotten.
-	forgotten time.Time
+	// expiredUntil is the latest time in an expired key: a key minted up to then may be one that
+	// was removed from the table.
+	expiredUntil time.Time
 }
 
-// table returns the service's keys.
-func (p *part) table(service string) *keyTable {
+// table returns the service's keys and creates the table if necessary.
+func (p *partitionState) table(service string) *keyTable {
 	t := p.services[service]
 	if t == nil {
 		t = &keyTable{records: map[uuid.UUID]*record{}}
@@ -74,7 +75,7 @@
 
 func (t *keyTable) find(key uuid.UUID) *record { return t.records[key] }
 
-// add remembers a new key.
+// add appends a new key.
 func (t *keyTable) add(rec *record) {
 	t.records[rec.key] = rec
 	rec.older = t.newest
@@ -86,7 +87,7 @@
 	t.newest = rec
 }
 
-// remove forgets a key; it does nothing when the record was replaced.
+// remove removes a key. It does nothing if the record has been replaced.
 func (t *keyTable) remove(rec *record) {
 	if t.records[rec.key] != rec {
 		return
@@ -105,31 +106,30 @@
 	rec.older, rec.newer = nil, nil
 }
 
-// expired forgets and returns the records whose window has passed. A request
-// still in flight is kept.
+// expired removes and returns the records whose window has passed. A request in flight is kept.
 func (t *keyTable) expired(now time.Time) []*record {
-	var gone []*record
-	for rec := t.oldest; rec != nil && rec.flight == nil && !now.Before(rec.forgetAt); rec = t.oldest {
+	var removed []*record
+	for rec := t.oldest; rec != nil && rec.flight == nil && !now.Before(rec.expiresAt); rec = t.oldest {
 		t.remove(rec)
-		if minted := mintedAt(rec.key); minted.After(t.forgotten) {
-			t.forgotten = minted
+		if minted := mintedAt(rec.key); minted.After(t.expiredUntil) {
+			t.expiredUntil = minted
 		}
-		gone = append(gone, rec)
+		removed = append(removed, rec)
 	}
-	return gone
+	return removed
 }
 
-// admit checks a key that is not in the table.
-func (p *part) admit(t *keyTable, key uuid.UUID, limits settings.Request, now time.Time) *result.Error {
+// checkNewKey checks a key that is not in the table.
+func (p *partitionState) checkNewKey(t *keyTable, key uuid.UUID, limits settings.Request, now time.Time) *result.Error {
 	if key.Version() != 7 {
 		return result.New(result.BadKey, result.RanNo, "version %d", key.Version())
 	}
 	minted := mintedAt(key)
 	if ahead := minted.Sub(now); ahead > maxKeyAhead {
-		return result.New(result.KeyFromFuture, ranOfFuture(ahead), "%s ahead of %s", ahead, now.UTC().Format(time.RFC3339Nano)).
+		return result.New(result.KeyFromFuture, ranOfFutureKey(ahead), "%s ahead of %s", ahead, now.UTC().Format(time.RFC3339Nano)).
 			Later(ahead - maxKeyAhead)
 	}
-	if !minted.After(now.Add(-keyWindow(limits))) || !minted.After(t.forgotten) {
+	if !minted.After(now.Add(-keyWindow(limits))) || !minted.After(t.expiredUntil) {
 		return result.New(result.KeyExpired, result.RanUnknown, "minted at %s", minted.UTC().Format(time.RFC3339Nano))
 	}
 	if !minted.After(p.unknownUntil) {
@@ -137,43 +137,43 @@
 			"minted before the home of its partition changed at %s", p.unknownUntil.UTC().Format(time.RFC3339Nano))
 	}
 	if int64(len(t.records)) >= limits.KeyLimit {
-		return result.New(result.KeyTableFull, result.RanNo, "%d keys", len(t.records)).Later(t.roomIn(now))
+		return result.New(result.KeyTableFull, result.RanNo, "%d keys", len(t.records)).Later(t.retryDelay(now))
 	}
 	return nil
 }
 
-// ranOfFuture: another host's clock may have let a key in that is ahead by
-// little more than allowed.
-func ranOfFuture(ahead time.Duration) result.Ran {
+// ranOfFutureKey returns whether a key from the future may have run: a host whose clock is ahead
+// may have accepted a key that is ahead by slightly more than allowed here.
+func ranOfFutureKey(ahead time.Duration) result.Ran {
 	if ahead > maxKeyAhead+clockMargin {
 		return result.RanNo
 	}
 	return result.RanUnknown
 }
 
-// minRoomIn keeps refused callers from coming back in the same instant.
-const minRoomIn = 100 * time.Millisecond
+// minRetryDelay keeps refused callers from retrying immediately.
+const minRetryDelay = 100 * time.Millisecond
 
-// roomIn is when the oldest key will be forgotten.
-func (t *keyTable) roomIn(now time.Time) time.Duration {
+// retryDelay returns the time until the oldest key expires, at least minRetryDelay.
+func (t *keyTable) retryDelay(now time.Time) time.Duration {
 	if t.oldest == nil {
-		return minRoomIn
+		return minRetryDelay
 	}
-	return max(t.oldest.forgetAt.Sub(now), minRoomIn)
+	return max(t.oldest.expiresAt.Sub(now), minRetryDelay)
 }
 
 func keyWindow(limits settings.Request) time.Duration {
 	return time.Duration(limits.KeyWindowMS) * time.Millisecond
 }
 
-// mintedAt is the time in a UUIDv7: its first 48 bits, in milliseconds.
+// mintedAt returns the time in a UUIDv7: its first 48 bits, in milliseconds.
 func mintedAt(key uuid.UUID) time.Time {
 	var b [8]byte
 	copy(b[2:], key[:6])
 	return time.UnixMilli(int64(binary.BigEndian.Uint64(b[:])))
 }
 
-// fingerprint tells two requests apart: method, path and body.
+// fingerprint is a hash of a request's method, path and body.
 func fingerprint(r executor.Request) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -185,10 +185,10 @@
 	return h.Sum64()
 }
 
-// headerOverhead is the memory of one header beside its text, in bytes.
+// headerOverhead is the memory of one header in addition to its text, in bytes.
 const headerOverhead = 64
 
-// answerSize is the memory of a kept answer in bytes, roughly.
+// answerSize estimates the memory of a kept answer in bytes.
 func answerSize(a executor.Answer) int64 {
 	n := len(a.Body)
 	for name, values := range a.Header {
--- a/internal/requesttest/cell_test.go
+++ b/internal/requesttest/cell_test.go
@@ -34,7 +34,7 @@
 	heartbeatEvery = 500 * time.Millisecond
 )
 
-// cell is a few placers and one entry, in process.
+// cell consists of a few placers and one entry in one process.
 type cell struct {
 	t         *testing.T
 	executors *requesttest.Executors
@@ -42,17 +42,18 @@
 	entry     *entry.Handler
 	stop      context.CancelFunc
 
-	mu     sync.Mutex
-	hosts  []platform.Host
-	values settings.Values
-	table  *view.Table
-	cut    map[string]chan struct{} // closed while the placer is unreachable
-	// lieFresh plants a fault: takeovers claim that nobody held the partition.
-	lieFresh bool
-	free     map[string]map[string]int // free slots by placer and service, as last told
+	mu           sync.Mutex
+	hosts        []platform.Host
+	values       settings.Values
+	table        *view.Table
+	disconnected map[string]chan struct{} // closed while the placer is unreachable
+	// claimNeverHeld injects a fault: failovers claim that no process has held the partition
+	// before.
+	claimNeverHeld bool
+	free           map[string]map[string]int // free slots by placer and service, as of the last heartbeat
 }
 
-// placer is one process that can hold partitions.
+// placer simulates a process that can hold partitions.
 type placer struct {
 	name       string
 	right      *requesttest.Right
@@ -66,10 +67,10 @@
 	return logrus.NewEntry(log)
 }
 
-// newCell starts placers that hold the partitions in turn, and the executors,
-// with settings changed by change.
+// newCell starts the executors and the placers, and assigns the partitions to the placers in
+// turn. change modifies the settings.
 func newCell(t *testing.T, placers, executors int, change ...func(*settings.Values)) *cell {
-	c := &cell{t: t, executors: &requesttest.Executors{Time: 10 * time.Millisecond}, values: settings.Defaults(), cut: map[string]chan struct{}{}}
+	c := &cell{t: t, executors: &requesttest.Executors{Time: 10 * time.Millisecond}, values: settings.Defaults(), disconnected: map[string]chan struct{}{}}
 	for _, fn := range change {
 		fn(&c.values)
 	}
@@ -87,7 +88,7 @@
 		c.placers = append(c.placers, p)
 		go p.dispatcher.Run(ctx)
 	}
-	c.deal()
+	c.assignPartitions()
 	go c.heartbeats(ctx)
 	c.entry = entry.NewHandler(entry.Config{
 		View: c, Peers: c.caller(local), Settings: c.settingsOf, Placer: "placer-0", Log: quiet(), Metrics: prometheus.NewRegistry(),
@@ -112,8 +113,8 @@
 	return p
 }
 
-// deal gives every partition to its first holder.
-func (c *cell) deal() {
+// assignPartitions gives every partition to its first holder.
+func (c *cell) assignPartitions() {
 	c.table = &view.Table{}
 	for _, p := range c.placers {
 		c.table.Members = append(c.table.Members, view.Member{Name: p.name, Addr: p.name})
@@ -133,8 +134,8 @@
 	}
 }
 
-// takeOver moves a partition without a hand-over: its holder is gone.
-func (c *cell) takeOver(id, to int) {
+// failOver moves a partition without a handover, as after a failure of its holder.
+func (c *cell) failOver(id, to int) {
 	c.mu.Lock()
 	old := c.holder(id)
 	table := *c.table
@@ -142,21 +143,21 @@
 	table.Partitions[id] = view.Partition{ID: id, Holder: c.placers[to].name, Addr: c.placers[to].name, Epoch: table.Partitions[id].Epoch + 1}
 	c.table = &table
 	c.mu.Unlock()
-	old.right.Lapse(id, true)
+	old.right.SetRevoked(id, true)
 	old.home.Drop(id)
 	old.dispatcher.Drop(id)
-	c.placers[to].right.Lapse(id, false)
+	c.placers[to].right.SetRevoked(id, false)
 	c.placers[to].acquire(c.t, hold.Takeover{
-		Grant: hold.Grant{Partition: id, Epoch: 2}, TakenAt: time.Now(), Fresh: c.lieFresh,
+		Grant: hold.Grant{Partition: id, Epoch: 2}, TakenAt: time.Now(), Fresh: c.claimNeverHeld,
 	})
 }
 
-// handOverLimit is how long a partition's requests in flight are waited for.
-const handOverLimit = 20 * time.Millisecond
+// handoverTimeout is how long a handover waits for the partition's requests in flight.
+const handoverTimeout = 20 * time.Millisecond
 
-// handOver moves a partition in order.
-func (c *cell) handOver(id, to int) {
-	ctx, cancel := context.WithTimeout(c.t.Context(), handOverLimit)
+// handover moves a partition with its state, as in a planned handover.
+func (c *cell) handover(id, to int) {
+	ctx, cancel := context.WithTimeout(c.t.Context(), handoverTimeout)
 	defer cancel()
 	c.mu.Lock()
 	old := c.holder(id)
@@ -169,9 +170,9 @@
 		}
 		states[i] = state
 	}
-	old.right.Lapse(id, true)
+	old.right.SetRevoked(id, true)
 	next := c.placers[to]
-	next.right.Lapse(id, false)
+	next.right.SetRevoked(id, false)
 	for i, r := range []hold.Resident{next.home, next.dispatcher} {
 		t := hold.Takeover{Grant: hold.Grant{Partition: id, Epoch: 2}, SignedOff: true, State: states[i], TakenAt: time.Now()}
 		if err := r.Acquire(c.t.Context(), t); err != nil {
@@ -186,7 +187,7 @@
 	c.table = &table
 }
 
-// holder returns a partition's placer. The caller holds the lock.
+// holder returns the placer that holds a partition. The caller holds the lock.
 func (c *cell) holder(id int) *placer {
 	for _, p := range c.placers {
 		if p.name == c.table.Partitions[id].Holder {
@@ -219,7 +220,7 @@
 	return c.values, service == "ledger"
 }
 
-// heartbeats passes on the placers' free slots, as heartbeats do.
+// heartbeats simulates heartbeats: it publishes the placers' free slots.
 func (c *cell) heartbeats(ctx context.Context) {
 	tick := time.NewTicker(heartbeatEvery)
 	defer tick.Stop()
@@ -251,7 +252,7 @@
 	return out
 }
 
-// reply is what a caller got.
+// reply is what the caller received.
 type reply struct {
 	status int
 	header http.Header
@@ -269,10 +270,10 @@
 	return reply{status: w.Code, header: w.Header(), body: w.Body.String()}
 }
 
-// newKey returns a key of the bubble's present time.
+// newKey returns a random key with the current time of the synctest bubble.
 func newKey() string { return keyOf(rand.Uint64()) }
 
-// keyOf returns the key of the present time that ends in n.
+// keyOf returns the key with the current time that ends in n.
 func keyOf(n uint64) string {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:], uint64(time.Now().UnixMilli())<<16|0x7000)
@@ -283,7 +284,7 @@
 // keyIn returns a key whose home is the given partition.
 func keyIn(id int) string { return keyInFrom(id, 0) }
 
-// keyInFrom returns such a key whose end is no smaller than n.
+// keyInFrom returns a key of the partition with an end of at least n.
 func keyInFrom(id int, n uint64) string {
 	for ; ; n++ {
 		if key := keyOf(n); partition.OfKey(key, partitions) == id {
--- a/internal/requesttest/faults_test.go
+++ b/internal/requesttest/faults_test.go
@@ -7,7 +7,7 @@
 	"pulleyquay/internal/requesttest"
 )
 
-// faultOnce plants a fault on the first request only.
+// faultOnce injects a fault into the first request only.
 func faultOnce(f requesttest.Fault) func(string, executor.Request) requesttest.Fault {
 	var used atomic.Bool
 	return func(string, executor.Request) requesttest.Fault {
@@ -18,7 +18,7 @@
 	}
 }
 
-// faultFor plants a fault on every request with the key.
+// faultFor injects a fault into every request with the key.
 func faultFor(key string, f requesttest.Fault) func(string, executor.Request) requesttest.Fault {
 	return func(_ string, req executor.Request) requesttest.Fault {
 		if req.Header.Get(requesttest.KeyHeader) == key {
--- a/internal/requesttest/overload_test.go
+++ b/internal/requesttest/overload_test.go
@@ -21,9 +21,9 @@
 	overloadLength    = 3 * time.Second
 )
 
-// cellGoodput sends keyed requests at a multiple of the cell's capacity and
-// returns how many were answered in a second. The executors are spread over
-// the placers as their names' hashes have it, and so unevenly.
+// cellGoodput sends requests with keys at a multiple of the cell's capacity and returns the
+// number of answers per second. The hashes of the executors' names determine their holders, so
+// the executors are distributed unevenly.
 func cellGoodput(t *testing.T, load float64) (perSecond float64) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, overloadPlacers, overloadExecutors)
@@ -61,11 +61,11 @@
 	is.True(cellGoodput(t, 3) >= 0.95*capacity)
 }
 
-// A home without executors of its own depends on another holder's room.
+// A home without executors of its own depends on the free slots of another holder.
 func TestHomeWithoutExecutorsRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newScene(t) // two slots of 200 ms at the other holder: ten requests a second
+		s := newScenario(t) // two slots of 200 ms at the other holder: ten requests per second
 		defer s.stop()
 		var mu sync.Mutex
 		answered, late := 0, 0
--- a/internal/requesttest/path_bench_test.go
+++ b/internal/requesttest/path_bench_test.go
@@ -33,9 +33,9 @@
 	"pulleyquay/internal/view"
 )
 
-const benchExecutors = 16 // 128 slots: nothing waits in these runs
+const benchExecutors = 16 // 128 slots: no request waits
 
-// loopback is one entry, one placer and executors, on real sockets.
+// loopback is one entry, one placer and executors connected by real sockets.
 type loopback struct {
 	entryURL  string
 	executors []string
@@ -66,7 +66,7 @@
 	return l
 }
 
-// newLoopbackPlacer starts a placer that holds all and returns its address.
+// newLoopbackPlacer starts a placer that holds all partitions, and returns its address.
 func newLoopbackPlacer(b *testing.B, hosts []platform.Host) string {
 	client := exechttp.New(httponce.Options{})
 	b.Cleanup(client.Close)
@@ -97,7 +97,7 @@
 	return addr
 }
 
-// fixedView is a cell of one placer.
+// fixedView is the view of a cell with one placer.
 type fixedView struct{ addr string }
 
 // Table implements view.Source.
@@ -123,8 +123,7 @@
 	_, _ = w.Write(body)
 }
 
-// BenchmarkPath measures requests through entry and home against direct calls
-// to the same executors in the same run.
+// BenchmarkPath compares requests through entry and home with direct calls to the same executors.
 func BenchmarkPath(b *testing.B) {
 	l := newLoopback(b)
 	for _, size := range []int{0, 1 << 10, 64 << 10} {
@@ -164,7 +163,7 @@
 	latencies := hdrhistogram.New(1, time.Minute.Nanoseconds(), 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	used := processorTime()
+	used := cpuTime()
 	b.ResetTimer()
 	for c := range concurrency {
 		wg.Go(func() {
@@ -182,11 +181,11 @@
 		b.ReportMetric(float64(latencies.ValueAtPercentile(q))/1000, name)
 	}
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "req/s")
-	b.ReportMetric(float64((processorTime()-used).Microseconds())/float64(b.N), "cpu-us/req")
+	b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(b.N), "cpu-us/req")
 }
 
-// processorTime is what this process has used, caller, executor and all.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time used by this process, which includes the caller and the executors.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
@@ -209,22 +208,22 @@
 	return time.Since(start)
 }
 
-// instant answers at once, without a socket.
-type instant struct{}
+// instantClient answers at once, without a socket.
+type instantClient struct{}
 
 // Do implements executor.Client.
-func (instant) Do(context.Context, string, executor.Request, int64) (executor.Answer, error) {
+func (instantClient) Do(context.Context, string, executor.Request, int64) (executor.Answer, error) {
 	return executor.Answer{Status: http.StatusOK}, nil
 }
 
-// newInstantHome is a home whose executors answer at once.
-func newInstantHome(b testing.TB) *request.Home {
+// newFakeHome returns a home whose executors answer at once.
+func newFakeHome(b testing.TB) *request.Home {
 	d := dispatch.New(dispatch.Config{
 		Hosts: func() []platform.Host {
 			return []platform.Host{{Name: "executor-0", Addr: "executor-0", Role: platform.RoleExecutor, Service: "ledger"}}
 		},
 		Settings: defaultValues, Remotes: func() []dispatch.Remote { return nil },
-		Right: &requesttest.Right{}, Client: instant{}, Partitions: 1, Log: quiet(), Metrics: prometheus.NewRegistry(),
+		Right: &requesttest.Right{}, Client: instantClient{}, Partitions: 1, Log: quiet(), Metrics: prometheus.NewRegistry(),
 	})
 	home := request.New(request.Config{
 		Right: &requesttest.Right{}, Dispatcher: d, Settings: defaultValues, Log: quiet(), Metrics: prometheus.NewRegistry(),
@@ -237,11 +236,11 @@
 	return home
 }
 
-// BenchmarkHome is the cost of one request in home and dispatcher.
+// BenchmarkHome measures one request in home and dispatcher.
 func BenchmarkHome(b *testing.B) {
 	for _, keyed := range []bool{false, true} {
 		b.Run(fmt.Sprintf("keyed=%t", keyed), func(b *testing.B) {
-			home := newInstantHome(b)
+			home := newFakeHome(b)
 			b.ReportAllocs()
 			for b.Loop() {
 				msg := requestmsg.Serve{Service: "ledger", Caller: "crew", Timeout: time.Second, Request: executor.Request{Method: "POST"}}
@@ -256,11 +255,11 @@
 	}
 }
 
-// BenchmarkKeyMemory reports the memory of one remembered key with an empty answer.
+// BenchmarkKeyMemory reports the memory of one stored key with an empty answer.
 func BenchmarkKeyMemory(b *testing.B) {
 	const keys = 200000
 	for b.Loop() {
-		home := newInstantHome(b)
+		home := newFakeHome(b)
 		before := heap()
 		for range keys {
 			msg := requestmsg.Serve{Service: "ledger", Timeout: time.Second, Key: uuid.Must(uuid.NewV7())}
--- a/internal/requesttest/property_test.go
+++ b/internal/requesttest/property_test.go
@@ -21,7 +21,7 @@
 	"pulleyquay/internal/settings"
 )
 
-// step is one drawn event of a plan.
+// step is one generated event of a plan.
 type step struct {
 	Kind    string
 	Pause   time.Duration // before the step
@@ -32,8 +32,8 @@
 	Fault   requesttest.Fault
 }
 
-// The kinds of steps. A send repeated with the same key is a retry.
-var stepKinds = []string{"send", "send", "send", "send", "burst", "burst", "gone", "take over", "hand over", "cut", "heal", "fault"}
+// The kinds of steps. A repeated send with the same key is a retry.
+var stepKinds = []string{"send", "send", "send", "send", "burst", "burst", "cancel", "fail over", "hand over", "disconnect", "reconnect", "fault"}
 
 const (
 	planKeys    = 4
@@ -56,24 +56,24 @@
 	}), 1, 40).Draw(rt, "plan")
 }
 
-// outcome is one reply and when it came.
+// outcome is one reply and the time of its arrival.
 type outcome struct {
 	path string
 	at   time.Time
 	reply
 }
 
-// play runs a plan and returns the first broken promise, or "".
-func play(t *testing.T, plan []step, lieFresh bool) (broken string) {
+// runPlan runs a plan and returns the first violation of an invariant, or "".
+func runPlan(t *testing.T, plan []step, claimNeverHeld bool) (violation string) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, planPlacers, 2, func(v *settings.Values) {
 			v.Executor.Slots, v.Request.QueueLimit, v.Request.MaxDeadlineMS = planSlots, 8, 3000
 			v.Request.RetryBudgetPercent = 100
 		})
 		defer c.stop()
-		c.lieFresh = lieFresh
+		c.claimNeverHeld = claimNeverHeld
 		c.executors.Time = 25 * time.Millisecond
-		p := &player{cell: c}
+		p := &planRunner{cell: c}
 		c.executors.FaultOf = p.fault
 		for i := range planKeys {
 			p.keys = append(p.keys, keyIn(2*i))
@@ -83,42 +83,42 @@
 			p.apply(s)
 		}
 		for _, placer := range c.placers {
-			c.cutOff(placer.name, false)
+			c.setDisconnected(placer.name, false)
 		}
 		p.wg.Wait()
 		time.Sleep(4 * time.Second) // the longest dispatch has ended
-		broken = p.check()
+		violation = p.check()
 	})
-	return broken
+	return violation
 }
 
-// player applies steps and keeps the outcomes.
-type player struct {
+// planRunner applies steps and collects the outcomes.
+type planRunner struct {
 	cell *cell
 	keys []string
 	wg   sync.WaitGroup
-	// moving marks the partitions that are being handed over.
-	moving [partitions]atomic.Bool
+	// inHandover marks the partitions that are being handed over.
+	inHandover [partitions]atomic.Bool
 
-	sent int // requests of bursts
+	sent int // number of requests sent in bursts
 
-	mu       sync.Mutex
-	next     []requesttest.Fault
-	outcomes []outcome
+	mu            sync.Mutex
+	pendingFaults []requesttest.Fault
+	outcomes      []outcome
 }
 
-func (p *player) fault(string, executor.Request) requesttest.Fault {
+func (p *planRunner) fault(string, executor.Request) requesttest.Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.next) == 0 {
+	if len(p.pendingFaults) == 0 {
 		return requesttest.NoFault
 	}
-	f := p.next[0]
-	p.next = p.next[1:]
+	f := p.pendingFaults[0]
+	p.pendingFaults = p.pendingFaults[1:]
 	return f
 }
 
-func (p *player) apply(s step) {
+func (p *planRunner) apply(s step) {
 	switch s.Kind {
 	case "send":
 		p.send(context.Background(), "/"+p.keys[s.Key], s.Timeout, entry.KeyHeader, p.keys[s.Key])
@@ -127,41 +127,41 @@
 			p.sent++
 			p.send(context.Background(), fmt.Sprintf("/burst-%d", p.sent), s.Timeout)
 		}
-	case "gone":
+	case "cancel":
 		ctx, cancel := context.WithTimeout(context.Background(), s.Timeout/2)
 		p.wg.Go(func() { <-ctx.Done(); cancel() })
 		p.send(ctx, "/"+p.keys[s.Key], s.Timeout, entry.KeyHeader, p.keys[s.Key])
-	case "take over":
-		if !p.moving[s.Part].Load() {
-			p.cell.takeOver(s.Part, s.Placer)
+	case "fail over":
+		if !p.inHandover[s.Part].Load() {
+			p.cell.failOver(s.Part, s.Placer)
 		}
 	case "hand over":
-		p.handOver(s.Part, s.Placer)
-	case "cut":
-		p.cell.cutOff(p.cell.placers[s.Placer].name, true)
-	case "heal":
-		p.cell.cutOff(p.cell.placers[s.Placer].name, false)
+		p.handover(s.Part, s.Placer)
+	case "disconnect":
+		p.cell.setDisconnected(p.cell.placers[s.Placer].name, true)
+	case "reconnect":
+		p.cell.setDisconnected(p.cell.placers[s.Placer].name, false)
 	case "fault":
 		p.mu.Lock()
-		p.next = append(p.next, s.Fault)
+		p.pendingFaults = append(p.pendingFaults, s.Fault)
 		p.mu.Unlock()
 	}
 }
 
-// handOver runs beside the next steps; a partition makes one move at a time.
-func (p *player) handOver(id, to int) {
-	if p.moving[id].Swap(true) {
+// handover runs concurrently with the next steps. A partition has at most one handover at a time.
+func (p *planRunner) handover(id, to int) {
+	if p.inHandover[id].Swap(true) {
 		return
 	}
 	p.wg.Go(func() {
-		defer p.moving[id].Store(false)
-		p.cell.handOver(id, to)
+		defer p.inHandover[id].Store(false)
+		p.cell.handover(id, to)
 	})
 	synctest.Wait()
 }
 
-// send makes one request, whose path tells it from all others.
-func (p *player) send(ctx context.Context, path string, timeout time.Duration, header ...string) {
+// send sends one request, identified by its path.
+func (p *planRunner) send(ctx context.Context, path string, timeout time.Duration, header ...string) {
 	header = append(header, entry.TimeoutHeader, strconv.FormatInt(timeout.Milliseconds(), 10))
 	p.wg.Go(func() {
 		got := p.cell.do(ctx, http.MethodPost, path, "{}", header...)
@@ -171,8 +171,8 @@
 	})
 }
 
-// check compares what callers were told with what executors ran.
-func (p *player) check() string {
+// check compares the replies to callers with what the executors ran.
+func (p *planRunner) check() string {
 	ran := map[string]time.Time{}
 	for _, r := range p.cell.executors.Runs() {
 		if _, twice := ran[r.Path]; twice {
@@ -184,7 +184,7 @@
 		at, did := ran[o.path]
 		if o.header.Get("Content-Type") != "application/problem+json" {
 			if !did {
-				return fmt.Sprintf("%s was answered and did not run", o.path)
+				return fmt.Sprintf("%s was answered but did not run", o.path)
 			}
 			if o.body != o.path {
 				return fmt.Sprintf("%s got the answer %q", o.path, o.body)
@@ -203,7 +203,7 @@
 	return ""
 }
 
-func (p *player) peaks() map[string]int {
+func (p *planRunner) peaks() map[string]int {
 	peaks := map[string]int{}
 	for _, h := range p.cell.hostList() {
 		peaks[h.Name] = p.cell.executors.Peak(h.Addr)
@@ -211,24 +211,24 @@
 	return peaks
 }
 
-func TestNoInterleavingBreaksThePromises(t *testing.T) {
+func TestInvariantsHoldForAllInterleavings(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawPlan(rt)
-		if broken := play(t, plan, false); broken != "" {
-			rt.Fatalf("%s", broken)
+		if violation := runPlan(t, plan, false); violation != "" {
+			rt.Fatalf("%s", violation)
 		}
 	})
 }
 
-// A takeover that claims to be fresh is the planted fault: the checks above
-// have to see the second run.
-func TestPlantedFaultIsCaught(t *testing.T) {
+// The injected fault is a failover which claims that no process has held the partition before.
+// The check has to detect the second run.
+func TestInjectedFaultIsDetected(t *testing.T) {
 	is := is.New(t)
 	plan := []step{
 		{Kind: "send", Key: 0, Timeout: time.Second},
-		{Kind: "take over", Part: 0, Placer: 1, Pause: 700 * time.Millisecond},
+		{Kind: "fail over", Part: 0, Placer: 1, Pause: 700 * time.Millisecond},
 		{Kind: "send", Key: 0, Timeout: time.Second},
 	}
-	is.Equal(play(t, plan, false), "")
-	is.True(play(t, plan, true) != "")
+	is.Equal(runPlan(t, plan, false), "")
+	is.True(runPlan(t, plan, true) != "")
 }
--- a/internal/requesttest/requesttest.go
+++ b/internal/requesttest/requesttest.go
@@ -1,5 +1,5 @@
-// Package requesttest has fakes for tests of the request path: a right that
-// can lapse, and executors that record what they ran. All of them work inside
+// Package requesttest contains fakes for tests of the request path: an authorizer whose authority
+// can be revoked, and executors that record what they ran. All of them work inside
 // testing/synctest bubbles.
 package requesttest
 
@@ -16,36 +16,36 @@
 	"pulleyquay/internal/result"
 )
 
-// Right is a hold.Right whose partitions are set by the test.
+// Right is a hold.Authorizer whose partitions are set by the test.
 type Right struct {
-	mu     sync.Mutex
-	lapsed map[int]bool
+	mu      sync.Mutex
+	revoked map[int]bool
 }
 
-// Lapse takes the right to a partition away, or gives it back.
-func (r *Right) Lapse(partition int, lapsed bool) {
+// SetRevoked revokes the authority for a partition, or grants it again.
+func (r *Right) SetRevoked(partition int, revoked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lapsed == nil {
-		r.lapsed = map[int]bool{}
+	if r.revoked == nil {
+		r.revoked = map[int]bool{}
 	}
-	r.lapsed[partition] = lapsed
+	r.revoked[partition] = revoked
 }
 
-// Check implements hold.Right.
+// Check implements hold.Authorizer.
 func (r *Right) Check(partition int) (hold.Grant, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lapsed[partition] {
-		return hold.Grant{}, result.New(result.HomeMoved, result.RanNo, "right lapsed")
+	if r.revoked[partition] {
+		return hold.Grant{}, result.New(result.HomeMoved, result.RanNo, "authority revoked")
 	}
 	return hold.Grant{Partition: partition, Epoch: 1, Until: time.Now().Add(time.Second)}, nil
 }
 
-// Held implements hold.Right.
+// Held implements hold.Authorizer.
 func (r *Right) Held() []int { return nil }
 
-// Fault is what an executor does to one request.
+// Fault is a fault of an executor for one request.
 type Fault int
 
 // The faults of an executor.
@@ -61,9 +61,9 @@
 	Hang
 	// Fail runs the request and answers with status 500.
 	Fail
-	// Truncate runs the request and breaks the connection in the answer.
+	// Truncate runs the request and breaks the connection in the middle of the answer.
 	Truncate
-	// Oversize runs the request and answers more than allowed.
+	// Oversize runs the request and answers more than the limit.
 	Oversize
 	// Leave runs the request and signals that the executor is leaving.
 	Leave
@@ -71,20 +71,19 @@
 
 // Run is one request that an executor has run.
 type Run struct {
-	At   time.Time // when it began
+	At   time.Time // start time
 	Addr string
 	Key  string
 	Path string
 }
 
-// Executors is an executor.Client whose executors take a set time and keep a
-// record of what they ran.
+// Executors is an executor.Client whose executors take a fixed time and record what they ran.
 type Executors struct {
-	// Time is how long a request takes.
+	// Time is the execution time of a request.
 	Time time.Duration
-	// TimeOf, when set, is how long a request takes at an executor.
+	// TimeOf, if set, returns the execution time of a request at an executor.
 	TimeOf func(addr string) time.Duration
-	// FaultOf decides what happens to a request; nil means no fault.
+	// FaultOf returns the fault of a request; nil means no faults.
 	FaultOf func(addr string, req executor.Request) Fault
 
 	mu   sync.Mutex
@@ -93,15 +92,15 @@
 	peak map[string]int
 }
 
-// The headers that executors see: the key by which runs are recorded, and what
-// is left of the deadline in milliseconds.
+// The headers that executors read: the key by which runs are recorded, and the remaining time
+// until the deadline in milliseconds.
 const (
 	KeyHeader     = "Idempotency-Key"
 	TimeoutHeader = "Request-Timeout-Ms"
 )
 
 // errFake is the cause in every Failure of the fakes.
-var errFake = errors.New("planted fault")
+var errFake = errors.New("injected fault")
 
 // Do implements executor.Client.
 func (x *Executors) Do(ctx context.Context, addr string, req executor.Request, _ int64) (executor.Answer, error) {
@@ -112,20 +111,20 @@
 	if fault == Refuse {
 		return executor.Answer{}, &executor.Failure{Err: errFake}
 	}
-	x.enter(addr)
+	x.begin(addr)
 	switch fault {
 	case CutBefore:
-		x.leave(addr)
+		x.finish(addr)
 		return executor.Answer{}, &executor.Failure{Sent: true, Err: errFake}
 	case Hang:
 		<-ctx.Done()
-		x.leave(addr)
+		x.finish(addr)
 		return executor.Answer{}, &executor.Failure{Sent: true, Err: ctx.Err()}
 	}
 	x.record(Run{At: time.Now(), Addr: addr, Key: req.Header.Get(KeyHeader), Path: req.Path})
 	ended := make(chan struct{})
-	time.AfterFunc(x.takes(addr, req, fault), func() {
-		x.leave(addr)
+	time.AfterFunc(x.executionTime(addr, req, fault), func() {
+		x.finish(addr)
 		close(ended)
 	})
 	if fault == CutAfter {
@@ -145,20 +144,20 @@
 	return answerTo(req, fault), nil
 }
 
-// takes is how long an executor works on a request. Cut off, it gives up at
-// the deadline that it was told.
-func (x *Executors) takes(addr string, req executor.Request, fault Fault) time.Duration {
-	took := x.Time
+// executionTime returns the execution time of a request. After CutAfter the executor stops at the
+// deadline in the request.
+func (x *Executors) executionTime(addr string, req executor.Request, fault Fault) time.Duration {
+	duration := x.Time
 	if x.TimeOf != nil {
-		took = x.TimeOf(addr)
+		duration = x.TimeOf(addr)
 	}
 	if ms, err := strconv.ParseInt(req.Header.Get(TimeoutHeader), 10, 64); err == nil && fault == CutAfter {
-		took = min(took, time.Duration(ms)*time.Millisecond)
+		duration = min(duration, time.Duration(ms)*time.Millisecond)
 	}
-	return took
+	return duration
 }
 
-// answerTo echoes the path, so that a test sees whose answer it got.
+// answerTo echoes the path, so that a test can check whose answer it received.
 func answerTo(req executor.Request, fault Fault) executor.Answer {
 	status := http.StatusOK
 	if fault == Fail {
@@ -167,7 +166,7 @@
 	return executor.Answer{Status: status, Body: []byte(req.Path), Leaving: fault == Leave}
 }
 
-func (x *Executors) enter(addr string) {
+func (x *Executors) begin(addr string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.busy == nil {
@@ -177,7 +176,7 @@
 	x.peak[addr] = max(x.peak[addr], x.busy[addr])
 }
 
-func (x *Executors) leave(addr string) {
+func (x *Executors) finish(addr string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.busy[addr]--
@@ -189,14 +188,14 @@
 	x.runs = append(x.runs, r)
 }
 
-// Runs returns what was run so far.
+// Runs returns the requests that were run so far.
 func (x *Executors) Runs() []Run {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return append([]Run(nil), x.runs...)
 }
 
-// Peak returns the most requests that an executor had at once.
+// Peak returns the maximum number of concurrent requests at an executor.
 func (x *Executors) Peak(addr string) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/requesttest/serve_test.go
+++ b/internal/requesttest/serve_test.go
@@ -16,10 +16,10 @@
 	"pulleyquay/internal/result"
 )
 
-// failure reads a problem document.
+// failure decodes a problem document.
 func (r reply) failure() *result.Error { return problem.Read(r.status, []byte(r.body)) }
 
-func TestAnswerComesBackWhole(t *testing.T) {
+func TestAnswerIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, 3, 6)
@@ -67,13 +67,13 @@
 		}
 		wg.Wait()
 		for _, h := range c.hostList() {
-			is.Equal(c.executors.Peak(h.Addr), 8) // all slots used, none twice
+			is.Equal(c.executors.Peak(h.Addr), 8) // all slots used, and none by two requests at once
 		}
 		is.Equal(len(c.executors.Runs()), 300)
 	})
 }
 
-func TestTakeoverTellsTheTruth(t *testing.T) {
+func TestFailoverReportsOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, 3, 6)
@@ -81,7 +81,7 @@
 		key := keyIn(0)
 		is.Equal(c.do(t.Context(), http.MethodPost, "/tickets", "", entry.KeyHeader, key).status, http.StatusOK)
 		time.Sleep(5 * time.Second)
-		c.takeOver(0, 1)
+		c.failOver(0, 1)
 		got := c.do(t.Context(), http.MethodPost, "/tickets", "", entry.KeyHeader, key).failure()
 		is.Equal(got.Code, result.KeyOutcomeUnknown)
 		is.Equal(got.Ran, result.RanUnknown)
@@ -91,14 +91,14 @@
 	})
 }
 
-func TestHandOverKeepsKeys(t *testing.T) {
+func TestHandoverKeepsKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, 3, 6)
 		defer c.stop()
 		key := keyIn(0)
 		is.Equal(c.do(t.Context(), http.MethodPost, "/tickets", "", entry.KeyHeader, key).status, http.StatusOK)
-		c.handOver(0, 1)
+		c.handover(0, 1)
 		got := c.do(t.Context(), http.MethodPost, "/tickets", "", entry.KeyHeader, key)
 		is.Equal(got.body, "/tickets")
 		is.Equal(len(c.executors.Runs()), 1)
--- a/internal/requesttest/stop_test.go
+++ b/internal/requesttest/stop_test.go
@@ -14,7 +14,7 @@
 	"pulleyquay/internal/view"
 )
 
-// setLeaving marks a placer in the table, as its planned stop does first.
+// setLeaving marks a placer as leaving in the table, which is the first step of a planned stop.
 func (c *cell) setLeaving(i int, leaving bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -24,7 +24,7 @@
 	c.table = &table
 }
 
-// heldBy lists the partitions of a placer.
+// heldBy returns the partitions that a placer holds.
 func (c *cell) heldBy(i int) []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,24 +37,24 @@
 	return out
 }
 
-// stopAndReplace stops a placer in order and lets another take its place.
+// stopAndReplace performs a planned stop of a placer and starts a replacement.
 func (c *cell) stopAndReplace(i int) {
 	c.setLeaving(i, true)
 	parts := c.heldBy(i)
 	for n, id := range parts {
-		c.handOver(id, (i+1+n%(len(c.placers)-1))%len(c.placers))
+		c.handover(id, (i+1+n%(len(c.placers)-1))%len(c.placers))
 	}
-	time.Sleep(time.Second) // requests without a key that it still queues are passed on
-	c.cutOff(c.placers[i].name, true)
+	time.Sleep(time.Second) // queued requests without a key are passed on
+	c.setDisconnected(c.placers[i].name, true)
 	time.Sleep(time.Second)
-	c.cutOff(c.placers[i].name, false)
+	c.setDisconnected(c.placers[i].name, false)
 	c.setLeaving(i, false)
 	for _, id := range parts {
-		c.handOver(id, i)
+		c.handover(id, i)
 	}
 }
 
-func TestRollingPlannedStopCutsNothingOff(t *testing.T) {
+func TestRollingPlannedStopRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, 3, 6)
