--- a/internal/entry/handover_test.go
+++ b/internal/entry/handover_test.go
@@ -33,9 +33,9 @@
 // does not end, the caller gets an error before the deadline.
 func TestSlowHandover(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		takes time.Duration
-		code  result.Code
+		name     string
+		duration time.Duration
+		code     result.Code
 	}{
 		{"one second", time.Second, 0},
 		{"never ends", time.Hour, result.HomeMoved},
@@ -43,7 +43,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				home := &slowHandover{until: time.Now().Add(tc.takes)}
+				home := &slowHandover{until: time.Now().Add(tc.duration)}
 				h := newTestHandler(&home.fakeCell, 0)
 				h.cfg.Peers = home
 				start := time.Now()
--- a/internal/hostsim/calls.go
+++ b/internal/hostsim/calls.go
@@ -187,7 +187,7 @@
 	}
 	done, incarnation := false, h.incarnations
 	once := func(v host.View) {
-		if !done && h.up && !h.link.disconnected && h.incarnations == incarnation { // an incarnation that is gone does not answer
+		if !done && h.up && !h.link.disconnected && h.incarnations == incarnation { // an ended incarnation does not answer
 			done = true
 			answer(v)
 		}
--- a/internal/hostsim/capacity.go
+++ b/internal/hostsim/capacity.go
@@ -32,13 +32,13 @@
 
 // largestCapacity returns the largest capacity against which a start may be checked now.
 func (h *Host) largestCapacity() spec.Resources {
-	most := h.size
+	largest := h.size
 	for _, r := range h.formerCapacities {
 		if h.fleet.clock.Now().Sub(r.until) < capacityGrace {
-			most = most.Max(r.size)
+			largest = largest.Max(r.size)
 		}
 	}
-	return most
+	return largest
 }
 
 // allocated returns the sum of the resources of the runs on the host.
--- a/internal/hostsim/checker.go
+++ b/internal/hostsim/checker.go
@@ -10,7 +10,7 @@
 
 // Judge records what happens on the hosts and checks the invariants: no host over its capacity,
 // no task on two hosts at once or again after its completion was acknowledged, no step before the
-// steps it depends on, no more starts than the allowed failures. It is guarded by the fleet's
+// steps it depends on, no start beyond the limit on failures. It is guarded by the fleet's
 // lock.
 type Judge struct {
 	fleet     *Fleet
@@ -129,7 +129,7 @@
 			j.violationf("ORDER %v starts before step %d is done", r.Task, before)
 		}
 	}
-	if most := j.fleet.jobs[r.Task.Job].Rules.Attempts; len(j.failed[r.Task]) >= most && !r.step.LongRunning {
+	if maxAttempts := j.fleet.jobs[r.Task.Job].Rules.Attempts; len(j.failed[r.Task]) >= maxAttempts && !r.step.LongRunning {
 		j.violationf("BUDGET %v starts after %d failures", r.Run, len(j.failed[r.Task]))
 	}
 	j.checkCrashLimit(r, epoch)
@@ -144,16 +144,16 @@
 	if r.step.MayMiss == 0 || r.stopping {
 		return
 	}
-	away := r.step.Count - 1
+	absent := r.step.Count - 1
 	for _, other := range j.fleet.hosts {
 		for _, o := range other.runs {
 			if other.up && o != r && o.Task.StepID == r.Task.StepID && !o.stopping {
-				away--
+				absent--
 			}
 		}
 	}
-	if away >= r.step.MayMiss {
-		j.violationf("AVAIL %v is stopped on %s while %d others of its step are absent", r.Run, h.info.ID, away)
+	if absent >= r.step.MayMiss {
+		j.violationf("AVAIL %v is stopped on %s while %d others of its step are absent", r.Run, h.info.ID, absent)
 	}
 }
 
--- a/internal/hostsim/crash.go
+++ b/internal/hostsim/crash.go
@@ -185,17 +185,17 @@
 	if isCrashLoop(why) {
 		suspects = slices.DeleteFunc(suspects, func(t spec.StepTask) bool { return !namesTask(why, t) })
 	}
-	most := spec.StepTask{StepID: spec.StepID{Job: id}}
+	worst := spec.StepTask{StepID: spec.StepID{Job: id}}
 	for i, t := range suspects {
 		if j.attemptsExhausted(t) || j.crashesUnder(t) >= minCrashes {
 			return
 		}
-		if i == 0 || j.crashesUnder(t) > j.crashesUnder(most) {
-			most = t
+		if i == 0 || j.crashesUnder(t) > j.crashesUnder(worst) {
+			worst = t
 		}
 	}
 	j.violationf("LOST job %s is reported as failed (%s), but at most %d hosts have crashed under task %v; its starts: %s",
-		id, why, j.crashesUnder(most), most, j.describeStarts(most))
+		id, why, j.crashesUnder(worst), worst, j.describeStarts(worst))
 }
 
 // isCrashLoop reports whether the reason for a job's end is that hosts crashed under a task.
--- a/internal/request/dump.go
+++ b/internal/request/dump.go
@@ -7,12 +7,12 @@
 
 // Dump is the state of a Home for /debug/state.
 type Dump struct {
-	KeptAnswerBytes int64      `json:"kept_answer_bytes"`
-	Partitions      []PartDump `json:"partitions"`
+	KeptAnswerBytes int64           `json:"kept_answer_bytes"`
+	Partitions      []PartitionDump `json:"partitions"`
 }
 
-// PartDump is the state of one partition.
-type PartDump struct {
+// PartitionDump is the state of one partition.
+type PartitionDump struct {
 	Partition int `json:"partition"`
 	// UnknownUntil is the time up to which a key that is not in the table has an unknown outcome,
 	// by the time in the key.
@@ -28,7 +28,7 @@
 	defer h.mu.Unlock()
 	out := Dump{KeptAnswerBytes: h.answerBytes}
 	for id, p := range h.partitions {
-		d := PartDump{
+		d := PartitionDump{
 			Partition: id, UnknownUntil: p.unknownUntil, Releasing: p.releasing,
 			InFlight: len(p.flights), Keys: map[string]int{},
 		}
