--- a/internal/request/home_test.go
+++ b/internal/request/home_test.go
@@ -48,7 +48,7 @@
 	values settings.Values
 }
 
-func newFixture(t *testing.T, takeover hold.Takeover) *fixture {
+func newFixture(t *testing.T, acquisition hold.Takeover) *fixture {
 	b := &fixture{values: settings.Defaults()}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -57,8 +57,8 @@
 		Settings: func(string) (settings.Values, bool) { return b.values, true },
 		Log:      logrus.NewEntry(log), Metrics: prometheus.NewRegistry(),
 	})
-	takeover.TakenAt = time.Now()
-	if err := b.Acquire(t.Context(), takeover); err != nil {
+	acquisition.TakenAt = time.Now()
+	if err := b.Acquire(t.Context(), acquisition); err != nil {
 		t.Fatal(err)
 	}
 	return b
--- a/internal/requesttest/cell_test.go
+++ b/internal/requesttest/cell_test.go
@@ -126,9 +126,9 @@
 	}
 }
 
-func (p *placer) acquire(t *testing.T, takeover hold.Takeover) {
+func (p *placer) acquire(t *testing.T, acquisition hold.Takeover) {
 	for _, r := range []hold.Resident{p.home, p.dispatcher} {
-		if err := r.Acquire(t.Context(), takeover); err != nil {
+		if err := r.Acquire(t.Context(), acquisition); err != nil {
 			t.Fatal(err)
 		}
 	}
