--- a/internal/result/codes_daemon.go
+++ b/internal/result/codes_daemon.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// Codes of a daemon's start and of its own settings file (7000 to 7099). They
-// end the start with exit status 2.
+// Codes of a daemon's start and of its own configuration file (7000 to 7099). A daemon that fails to start with one of
+// them exits with status 2.
 const (
 	ConfigUnreadable    Code = 7000
 	ConfigUnknownName   Code = 7001
--- a/internal/result/codes_fleet.go
+++ b/internal/result/codes_fleet.go
@@ -2,11 +2,11 @@
 
 import "net/http"
 
-// Codes of the holder's side of the workers (4000 to 4099).
+// Codes that a holder returns for workers and gangs (4000 to 4099).
 const (
-	// GangUnknown: the holder holds no room for the gang, or no longer.
+	// GangUnknown means that the holder has no capacity reserved for the gang, or no longer has.
 	GangUnknown Code = 4001
-	// HolderBehind: the holder's table does not yet show its own claim.
+	// HolderBehind means that the holder's table doesn't contain the holder's own claim yet.
 	HolderBehind Code = 4002
 )
 
--- a/internal/result/codes_general.go
+++ b/internal/result/codes_general.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Codes that any part may return (1000 to 1099).
+// Codes that any package may return (1000 to 1099).
 const (
 	Internal       Code = 1000
 	BadInput       Code = 1001
--- a/internal/result/codes_hold.go
+++ b/internal/result/codes_hold.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Codes of members, partitions and the right to act (3000 to 3099).
+// Codes of members, partitions and the authority to act for a partition (3000 to 3099).
 const (
 	NotHolder      Code = 3000
 	RightLapsed    Code = 3001
--- a/internal/result/codes_job.go
+++ b/internal/result/codes_job.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Codes of jobs and their homes (5000 to 5099).
+// Codes of jobs and of their home partitions (5000 to 5099).
 const (
 	JobIDReused       Code = 5000
 	JobNeverFits      Code = 5001
--- a/internal/result/codes_request.go
+++ b/internal/result/codes_request.go
@@ -30,9 +30,9 @@
 	HomeLost           Code = 2032
 )
 
-// statusClientGone is the customary status in logs for a caller who closed
-// the connection; no caller ever sees it.
-const statusClientGone = 499
+// statusClientClosedRequest is the status conventionally logged for a caller that closed the connection; no caller receives
+// it.
+const statusClientClosedRequest = 499
 
 func init() {
 	register(
@@ -53,7 +53,7 @@
 		Info{EntryFull, "entry-full", http.StatusServiceUnavailable, "this entry host serves as many requests as it can"},
 		Info{DeadlineQueued, "deadline-queued", http.StatusGatewayTimeout, "the deadline passed before dispatch"},
 		Info{DeadlineRunning, "deadline-running", http.StatusGatewayTimeout, "the deadline passed after dispatch"},
-		Info{CallerGone, "caller-gone", statusClientGone, "the caller went away"},
+		Info{CallerGone, "caller-gone", statusClientClosedRequest, "the caller went away"},
 		Info{ExecutorNotReached, "executor-not-reached", http.StatusBadGateway, "no byte was sent to an executor"},
 		Info{ExecutorLost, "executor-lost", http.StatusBadGateway, "sent to an executor, no whole answer came back"},
 		Info{AnswerTooLarge, "answer-too-large", http.StatusBadGateway, "the executor's answer is over the limit in settings"},
--- a/internal/result/codes_sched.go
+++ b/internal/result/codes_sched.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Codes of the scheduler's books and choices (5100 to 5199).
+// Codes of the scheduler's recorded state and of its placement decisions (5100 to 5199).
 const (
 	WorkerUnknown Code = 5100
 	WorkerFull    Code = 5101
@@ -10,7 +10,7 @@
 	RunBooked     Code = 5103
 	RunUnknown    Code = 5104
 	NeverFits     Code = 5105
-	NoRoom        Code = 5106
+	NoCapacity    Code = 5106
 	QuotaExceeded Code = 5107
 	QuotaUnset    Code = 5108
 	JobFaulty     Code = 5109
@@ -24,7 +24,7 @@
 		Info{RunBooked, "run-booked", http.StatusConflict, "the run is in the books already"},
 		Info{RunUnknown, "run-unknown", http.StatusNotFound, "the run is not in the books"},
 		Info{NeverFits, "never-fits", http.StatusUnprocessableEntity, "no worker could hold the task even if empty"},
-		Info{NoRoom, "no-room", http.StatusServiceUnavailable, "no worker has room for the task now"},
+		Info{NoCapacity, "no-room", http.StatusServiceUnavailable, "no worker has room for the task now"},
 		Info{QuotaExceeded, "quota-exceeded", http.StatusTooManyRequests, "the team's quota is in use"},
 		Info{QuotaUnset, "quota-too-small", http.StatusUnprocessableEntity, "the team's whole quota is smaller than the job needs at once"},
 		Info{JobFaulty, "job-faulty", http.StatusUnprocessableEntity, "the job failed on different workers and is stopped"},
--- a/internal/result/codes_settings.go
+++ b/internal/result/codes_settings.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// Codes of the settings tree (6000 to 6099). Here ran: no promises that the
-// change is not and will not be in force.
+// Codes of the settings tree (6000 to 6099). For these, ran: no guarantees that the change has not taken effect and
+// never will.
 const (
 	SettingsUnknownBranch   Code = 6000
 	SettingsUnknownName     Code = 6001
@@ -11,7 +11,7 @@
 	SettingsOutOfRange      Code = 6003
 	SettingsContradiction   Code = 6004
 	SettingsBadPath         Code = 6005
-	SettingsClash           Code = 6006
+	SettingsConflict        Code = 6006
 	SettingsBaseTooOld      Code = 6007
 	SettingsBaseAhead       Code = 6008
 	SettingsChangeIDReused  Code = 6009
@@ -19,12 +19,12 @@
 	SettingsOutcomeUnknown  Code = 6011
 	SettingsNoSuchRevision  Code = 6012
 	SettingsTooLarge        Code = 6013
-	SettingsDamaged         Code = 6014
+	SettingsCorrupt         Code = 6014
 	SettingsBranchInUse     Code = 6015
 	SettingsStoreBehind     Code = 6016
 	SettingsContention      Code = 6017
 	SettingsNothingToChange Code = 6018
-	SettingsGivenTwice      Code = 6019
+	SettingsDuplicate       Code = 6019
 )
 
 func init() {
@@ -35,7 +35,7 @@
 		Info{SettingsOutOfRange, "settings-out-of-range", http.StatusBadRequest, "the value is outside the setting's range"},
 		Info{SettingsContradiction, "settings-contradiction", http.StatusUnprocessableEntity, "two settings of one branch contradict each other"},
 		Info{SettingsBadPath, "settings-bad-path", http.StatusBadRequest, "the path of a branch is malformed"},
-		Info{SettingsClash, "settings-clash", http.StatusConflict, "another change touched the same branches first"},
+		Info{SettingsConflict, "settings-clash", http.StatusConflict, "another change touched the same branches first"},
 		Info{SettingsBaseTooOld, "settings-base-too-old", http.StatusConflict, "the change is against a revision no longer kept"},
 		Info{SettingsBaseAhead, "settings-base-ahead", http.StatusConflict, "the change is against a revision that does not exist yet"},
 		Info{SettingsChangeIDReused, "settings-change-id-reused", http.StatusConflict, "the change id belongs to a different change"},
@@ -43,11 +43,11 @@
 		Info{SettingsOutcomeUnknown, "settings-outcome-unknown", http.StatusServiceUnavailable, "the change may or may not be accepted; ask again with its id"},
 		Info{SettingsNoSuchRevision, "settings-no-such-revision", http.StatusNotFound, "the history does not hold this revision"},
 		Info{SettingsTooLarge, "settings-too-large", http.StatusRequestEntityTooLarge, "the change or the tree is over a limit"},
-		Info{SettingsDamaged, "settings-damaged", http.StatusInternalServerError, "a stored branch is missing or does not match its hash"},
+		Info{SettingsCorrupt, "settings-damaged", http.StatusInternalServerError, "a stored branch is missing or does not match its hash"},
 		Info{SettingsBranchInUse, "settings-branch-in-use", http.StatusConflict, "a branch with children can not be removed"},
 		Info{SettingsStoreBehind, "settings-store-behind", http.StatusServiceUnavailable, "the store holds an older revision than the one in force"},
 		Info{SettingsContention, "settings-contention", http.StatusServiceUnavailable, "too many other changes at the same moment"},
 		Info{SettingsNothingToChange, "settings-nothing-to-change", http.StatusBadRequest, "the change names no branch"},
-		Info{SettingsGivenTwice, "settings-given-twice", http.StatusBadRequest, "a branch or setting is given twice"},
+		Info{SettingsDuplicate, "settings-given-twice", http.StatusBadRequest, "a branch or setting is given twice"},
 	)
 }
--- a/internal/result/markdown.go
+++ b/internal/result/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// codesPreface stands above the table in docs/RESULT-CODES.md.
+// codesPreface is the text before the table in docs/RESULT-CODES.md.
 const codesPreface = `# Result codes
 
 Every refusal or failure that leaves a process has one of these numbers. Callers
@@ -21,7 +21,7 @@
 | ---: | --- | ---: | --- |
 `
 
-// Markdown returns docs/RESULT-CODES.md: every registered code in a table.
+// Markdown returns the content of docs/RESULT-CODES.md: a table of every registered code.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString(codesPreface)
--- a/internal/result/markdown_test.go
+++ b/internal/result/markdown_test.go
@@ -7,7 +7,7 @@
 	"pulleyquay/internal/result"
 )
 
-// The page lists every registered code exactly; `make codes` writes it anew.
+// The page must match the registered codes exactly; `make codes` regenerates it.
 func TestPageListsEveryCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/RESULT-CODES.md")
 	if err != nil {
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,8 +1,8 @@
-// Package result holds the numbered result codes of pulleyquay and the one
-// error type that carries them between processes and to callers.
+// Package result defines the numbered result codes of pulleyquay and the error type that carries them between
+// processes and to callers.
 //
-// Every refusal or failure that leaves a process is a *Error. Codes are grouped
-// by thousands, one file a group; docs/RESULT-CODES.md lists all of them.
+// Every refusal or failure that a process returns to another one is an *Error. Codes are grouped by number, one file
+// for each group; docs/RESULT-CODES.md lists all of them.
 package result
 
 import (
@@ -12,22 +12,21 @@
 	"time"
 )
 
-// Code numbers one way in which a request, job, change or start can end.
-// Numbers are never reused.
+// Code is the number of one way in which a request, job, change or start can end. Numbers are never reused.
 type Code int
 
-// Ran says whether the work asked for was executed. RanNo is a promise: not a
-// byte of the request can have reached an executor or a worker.
+// Ran says whether the requested work was executed. RanNo is a guarantee: not a byte of the request can have reached an
+// executor or a worker.
 type Ran string
 
-// The three answers to "did it run".
+// The values of Ran.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// Info is the fixed part of a code: what the table in the docs shows.
+// Info is the description of a code, as listed in docs/RESULT-CODES.md.
 type Info struct {
 	Code   Code
 	Name   string // stable identifier in kebab-case
@@ -37,8 +36,8 @@
 
 var table = map[Code]Info{}
 
-// register adds codes to the table. It panics on a number used twice, which is
-// a mistake in the program and shows at its first start.
+// register adds codes to the table. It panics on a duplicate number, which is a programming error and is found at the
+// first start of the program.
 func register(infos ...Info) {
 	for _, i := range infos {
 		if _, dup := table[i.Code]; dup {
@@ -48,7 +47,7 @@
 	}
 }
 
-// Lookup returns the fixed part of a code; ok is false for an unknown one.
+// Lookup returns the description of a code; ok is false for an unknown code.
 func Lookup(c Code) (info Info, ok bool) {
 	info, ok = table[c]
 	return info, ok
@@ -64,41 +63,40 @@
 	return out
 }
 
-// Error is a numbered failure. It is a CBOR value on peer links and the source
-// of the RFC 9457 problem document that callers get.
+// Error is a failure with a result code. It is encoded as CBOR on peer links, and as an RFC 9457 problem document for
+// callers.
 type Error struct {
 	Code Code `cbor:"1,keyasint" json:"code"`
-	// Detail is the reason of this occurrence, for a person to act on.
+	// Detail explains this occurrence to an operator or caller.
 	Detail string `cbor:"2,keyasint,omitempty" json:"detail,omitempty"`
-	// Ran is the promise about execution; the zero value counts as unknown.
+	// Ran says whether the work was executed; the zero value counts as unknown.
 	Ran Ran `cbor:"3,keyasint,omitempty" json:"ran,omitempty"`
-	// RetryAfter is when to come back; zero when a retry makes no sense.
+	// RetryAfter is the delay before a retry; zero when a retry is pointless.
 	RetryAfter time.Duration `cbor:"4,keyasint,omitempty" json:"retry_after,omitempty"`
 	// Field is the path of the offending field, for refused input.
 	Field string `cbor:"5,keyasint,omitempty" json:"field,omitempty"`
 }
 
-// New returns an error of the given code. The detail is formatted as by
-// fmt.Sprintf.
+// New returns an error of the given code. The detail is formatted as by fmt.Sprintf.
 func New(c Code, ran Ran, format string, args ...any) *Error {
 	return &Error{Code: c, Ran: ran, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Later returns a copy of e that tells the caller when to come back.
+// Later returns a copy of e with the delay before a retry.
 func (e *Error) Later(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// At returns a copy of e that names the offending field.
+// At returns a copy of e with the path of the offending field.
 func (e *Error) At(field string) *Error {
 	c := *e
 	c.Field = field
 	return &c
 }
 
-// Error gives the number, the name and the detail.
+// Error returns the number, the name, the field if any, and the detail.
 func (e *Error) Error() string {
 	name := "unregistered"
 	if i, ok := Lookup(e.Code); ok {
@@ -110,7 +108,7 @@
 	return fmt.Sprintf("%d %s: %s", e.Code, name, e.Detail)
 }
 
-// Is makes errors.Is match on the code alone.
+// Is makes errors.Is compare only the codes.
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 	return ok && t.Code == e.Code
@@ -125,8 +123,7 @@
 	return Internal
 }
 
-// From returns err as a *Error. An error without a code becomes Internal with
-// unknown execution.
+// From returns err as an *Error. An error without a code becomes an Internal error with unknown execution.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/settings/bench_test.go
+++ b/internal/settings/bench_test.go
@@ -10,10 +10,10 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// sizes are the numbers of branches whose slope is measured.
+// sizes are the branch counts at which each benchmark runs.
 var sizes = []int{100, 1000, 10000}
 
-// fileOf makes a tree of n branches, 100 to a parent, each with two overrides.
+// fileOf returns, in the file format, a tree of n branches with 100 children per parent and two overrides each.
 func fileOf(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"/":{}`)
@@ -55,23 +55,22 @@
 	})
 }
 
-// BenchmarkMemory reports the bytes that a tree in force keeps for a branch,
-// and the bytes that the store keeps.
+// BenchmarkMemory reports the heap bytes of a parsed tree and its stored bytes, both per branch.
 func BenchmarkMemory(b *testing.B) {
 	perSize(b, func(b *testing.B, n int) {
 		file := fileOf(n)
-		var kept, stored float64
+		var heapBytes, stored float64
 		for b.Loop() {
 			before := heap()
 			tree, err := Parse(file)
 			if err != nil {
 				b.Fatal(err)
 			}
-			kept = float64(heap()-before) / float64(n)
-			stored = float64(tree.top().bytes) / float64(n)
+			heapBytes = float64(heap()-before) / float64(n)
+			stored = float64(tree.rootNode().bytes) / float64(n)
 			runtime.KeepAlive(tree)
 		}
-		b.ReportMetric(kept, "heapB/branch")
+		b.ReportMetric(heapBytes, "heapB/branch")
 		b.ReportMetric(stored, "storedB/branch")
 	})
 }
@@ -83,44 +82,44 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkApply is what one accepted change of one branch costs a process that
-// gets it from its watch.
+// BenchmarkApply measures how long a process takes to apply an accepted change of one branch that it received
+// from its watch.
 func BenchmarkApply(b *testing.B) {
 	perSize(b, func(b *testing.B, n int) {
 		tree := treeOf(b, n)
-		book := newBook()
-		book.install(Head{Revision: 1, Root: tree.RootHash()}, 0, tree.top())
+		replica := newReplica()
+		replica.activateLocked(Head{Revision: 1, Root: tree.RootHash()}, 0, tree.rootNode())
 		path := fmt.Sprintf("/g%d/t%d", (n-1)/100, n-1)
 		b.ReportAllocs()
 		for b.Loop() {
 			b.StopTimer()
-			s := book.state()
+			s := replica.snapshot()
 			o, err := ParseOverrides(fmt.Appendf(nil, `{"task":{"priority":%d}}`, s.tree.Revision%1000))
 			if err != nil {
 				b.Fatal(err)
 			}
-			root, fresh, err := s.tree.edited([]Edit{{Path: path, Overrides: &o}})
+			root, fresh, err := s.tree.applyEdits([]Edit{{Path: path, Overrides: &o}})
 			if err != nil {
 				b.Fatal(err)
 			}
 			for _, node := range fresh {
-				book.keep(node.hash, node.encode())
+				replica.addToPool(node.hash, node.encode())
 			}
 			b.StartTimer()
-			if missing, err := book.apply(Head{Revision: s.tree.Revision + 1, Root: root.hash}, 0, nil); err != nil || len(missing) > 0 {
+			if missing, err := replica.apply(Head{Revision: s.tree.Revision + 1, Root: root.hash}, 0, nil); err != nil || len(missing) > 0 {
 				b.Fatal(err, missing)
 			}
 		}
 	})
 }
 
-// BenchmarkChange is a whole change of one branch at a placer, with a store in
-// memory: checks, hashes, one transaction. It reports store calls and bytes.
+// BenchmarkChange measures a complete change of one branch at a placer with an in-memory store: validation,
+// hashing and one transaction. It reports store calls and bytes written.
 func BenchmarkChange(b *testing.B) {
 	perSize(b, func(b *testing.B, n int) {
 		engine := memstore.New()
 		store := &countingStore{Client: engine.Client("bench")}
-		k := NewKeeper(KeeperConfig{Store: store, Log: quiet()})
+		k := NewKeeper(KeeperConfig{Store: store, Log: discardLog()})
 		ctx := context.Background()
 		if _, err := k.refresh(ctx); err != nil {
 			b.Fatal(err)
@@ -143,14 +142,14 @@
 	})
 }
 
-// BenchmarkLoad is a first change that makes all branches.
+// BenchmarkLoad measures a first change that creates all branches.
 func BenchmarkLoad(b *testing.B) {
 	perSize(b, func(b *testing.B, n int) {
 		file := string(fileOf(n))
 		var calls int64
 		for b.Loop() {
 			store := &countingStore{Client: memstore.New().Client("bench")}
-			k := NewKeeper(KeeperConfig{Store: store, Log: quiet()})
+			k := NewKeeper(KeeperConfig{Store: store, Log: discardLog()})
 			if _, err := k.Change(context.Background(), edit(0, file)); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/settings/calls_test.go
+++ b/internal/settings/calls_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestCallsToTheStore holds the store calls of a placer that does nothing but
-// follow: some 20 reads a minute, and none more for a change.
+// TestCallsToTheStore limits the store calls of a placer that only follows the head: about 20 reads a minute, and
+// no additional ones when a change is made.
 func TestCallsToTheStore(t *testing.T) {
 	inBubble(t, 2, 2, func(is *is.I, c *cell) {
 		store := &countingStore{Client: c.client(1)}
@@ -21,7 +21,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		atRest := store.calls.Load()
-		is.Equal(atRest, int64(time.Minute/headCheck))
+		is.Equal(atRest, int64(time.Minute/headPollInterval))
 
 		store.calls.Store(0)
 		for i := range 20 {
--- a/internal/settings/learn_test.go
+++ b/internal/settings/catchup_test.go
@@ -12,53 +12,53 @@
 	"pgregory.net/rapid"
 )
 
-// An asker that has a recent tree gets the rewritten path only.
+// A requester that has a recent tree is sent only the branches that changed since.
 func TestAnswerHoldsTheDifference(t *testing.T) {
 	inBubble(t, 1, 0, func(is *is.I, c *cell) {
-		k := c.keepers[0]
+		k := c.managers[0]
 		_, err := c.change(0, largeChange())
 		is.NoErr(err)
-		had := k.Current()
+		previous := k.Current()
 		_, err = c.change(0, `{"/b7":{"task":{"surge":5}}}`)
 		is.NoErr(err)
 
-		root := had.RootHash()
-		is.Equal(len(k.book.answer(Ask{Have: 1, Root: root[:]}).Branches), 2) // the root and /b7
+		root := previous.RootHash()
+		is.Equal(len(k.replica.reply(FetchRequest{Have: 1, Root: root[:]}).Branches), 2) // the root and /b7
 		all := len(k.Current().Paths())
-		is.Equal(len(k.book.answer(Ask{Have: 1}).Branches), all)                         // its root not told
-		is.Equal(len(k.book.answer(Ask{Have: 1, Root: make([]byte, 32)}).Branches), all) // another root
-		is.Equal(len(k.book.answer(Ask{Have: -1, HeadOnly: true}).Branches), 0)
-		is.Equal(len(k.book.answer(Ask{Have: 2}).Head), 0) // nothing newer
+		is.Equal(len(k.replica.reply(FetchRequest{Have: 1}).Branches), all)                         // without the root's hash
+		is.Equal(len(k.replica.reply(FetchRequest{Have: 1, Root: make([]byte, 32)}).Branches), all) // another root
+		is.Equal(len(k.replica.reply(FetchRequest{Have: -1, HeadOnly: true}).Branches), 0)
+		is.Equal(len(k.replica.reply(FetchRequest{Have: 2}).Head), 0) // nothing newer
 
 		for i := range int64(recentTrees) {
 			_, err = c.change(0, fmt.Sprintf(`{"/b7":{"task":{"surge":%d}}}`, i))
 			is.NoErr(err)
 		}
-		is.Equal(len(k.book.answer(Ask{Have: 1, Root: root[:]}).Branches), all) // too old
+		is.Equal(len(k.replica.reply(FetchRequest{Have: 1, Root: root[:]}).Branches), all) // too old
 	})
 }
 
-// An entry catches up over any number of revisions.
+// An entry must catch up from any number of revisions behind.
 func TestFollowerCatchesUp(t *testing.T) {
 	inBubble(t, 2, 1, func(is *is.I, c *cell) {
 		for _, behind := range []int{1, recentTrees - 1, recentTrees + 3} {
 			mux0, mux1 := c.muxOf(0), c.muxOf(1)
-			c.links.cut(addrOf(0))
-			c.links.cut(addrOf(1))
+			c.network.disconnect(placerAddr(0))
+			c.network.disconnect(placerAddr(1))
 			time.Sleep(3 * time.Second)
 			for i := range behind {
 				_, err := c.change(0, fmt.Sprintf(`{"/n%d-%d":{}}`, behind, i))
 				is.NoErr(err)
 			}
-			c.links.connect(addrOf(0), mux0)
-			c.links.connect(addrOf(1), mux1)
-			time.Sleep(everywhere)
+			c.network.connect(placerAddr(0), mux0)
+			c.network.connect(placerAddr(1), mux1)
+			time.Sleep(propagationLimit)
 			is.Equal(c.behind(c.head().Revision), nil)
 		}
 	})
 }
 
-// drawEdits draws changes of single settings in a small tree.
+// drawEdits draws edits that set individual settings in a small tree.
 func drawEdits(t *rapid.T) []Edit {
 	paths := []string{"/a", "/a/x", "/a/x/y", "/b", "/b/z", Root}
 	var out []Edit
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Effective values, kept incrementally over changes and sharing, are what the
-// overrides from the root down give; and equal trees have equal hashes.
+// Effective values, which are maintained incrementally across changes and shared between trees, must equal the
+// overrides applied from the root down. Equal trees must have equal hashes.
 func TestEffectiveIsTheSumOfOverrides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := mustParse(t, `{"/a":{},"/a/x":{},"/a/x/y":{},"/b":{},"/b/z":{}}`)
@@ -111,7 +111,7 @@
 		}
 		again, err := Empty().Edited(edits, 1, "")
 		if err != nil || again.RootHash() != tree.RootHash() {
-			t.Fatalf("made again: %v, another hash", err)
+			t.Fatalf("rebuilt tree: error %v, or a different root hash", err)
 		}
 	})
 }
--- a/internal/settings/cell_test.go
+++ b/internal/settings/cell_test.go
@@ -19,31 +19,31 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-func quiet() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
 }
 
-// switchboard is a peer.Caller whose links can be cut.
-type switchboard struct {
+// fakeNetwork is a peer.Caller whose members can be disconnected.
+type fakeNetwork struct {
 	mu    sync.Mutex
 	muxes peer.Local
 }
 
-func (s *switchboard) connect(addr string, mux *peer.Mux) {
+func (s *fakeNetwork) connect(addr string, mux *peer.Mux) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.muxes[addr] = mux
 }
 
-func (s *switchboard) cut(addr string) {
+func (s *fakeNetwork) disconnect(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.muxes, addr)
 }
 
-func (s *switchboard) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
+func (s *fakeNetwork) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
 	s.mu.Lock()
 	one := peer.Local{}
 	if mux, ok := s.muxes[addr]; ok {
@@ -53,61 +53,60 @@
 	return one.Call(ctx, addr, kind, req, resp)
 }
 
-// cell is a store, placers that keep its settings and entries that follow the
-// placers, in a synctest bubble.
+// cell is a store, placers that replicate its settings and entries that follow the placers, in a synctest bubble.
 type cell struct {
 	engine    *memstore.Engine
-	links     *switchboard
-	keepers   []*Keeper
+	network   *fakeNetwork
+	managers  []*Keeper
 	stops     []context.CancelFunc
 	followers []*Follower
 	cancel    context.CancelFunc
 	ctx       context.Context
 
 	mu sync.Mutex
-	// processes counts those ever started.
+	// processes is the number of processes ever started.
 	processes int
-	// applied are the revisions that each process put in force, in order.
+	// applied lists the revisions that each process applied, in order.
 	applied map[string][]int64
 }
 
-func addrOf(i int) string { return fmt.Sprintf("placer-%d", i) }
+func placerAddr(i int) string { return fmt.Sprintf("placer-%d", i) }
 
 func newCell(placers, entries int) *cell {
-	c := &cell{engine: memstore.New(), links: &switchboard{muxes: peer.Local{}}, applied: map[string][]int64{}}
+	c := &cell{engine: memstore.New(), network: &fakeNetwork{muxes: peer.Local{}}, applied: map[string][]int64{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.keepers, c.stops = make([]*Keeper, placers), make([]context.CancelFunc, placers)
+	c.managers, c.stops = make([]*Keeper, placers), make([]context.CancelFunc, placers)
 	for i := range placers {
 		c.start(i)
 	}
 	for i := range entries {
-		c.follow(i)
+		c.startFollower(i)
 	}
 	return c
 }
 
-// client is placer i's way to the store.
-func (c *cell) client(i int) *memstore.Client { return c.engine.Client(addrOf(i)) }
+// client returns placer i's store client.
+func (c *cell) client(i int) *memstore.Client { return c.engine.Client(placerAddr(i)) }
 
-// start begins or replaces placer i with a process that knows nothing.
+// start starts or replaces placer i with a process that has no settings.
 func (c *cell) start(i int) { c.startWith(i, c.client(i)) }
 
 func (c *cell) startWith(i int, store platform.Store) {
 	c.kill(i)
 	ctx, cancel := context.WithCancel(c.ctx)
-	k := NewKeeper(KeeperConfig{Store: store, Caller: c.links, Log: quiet(),
+	k := NewKeeper(KeeperConfig{Store: store, Caller: c.network, Log: discardLog(),
 		Peers: func() []string { return c.addrs(i) }, Applied: c.appliedRevisions})
-	c.record(k.OnApply, addrOf(i))
+	c.recordApplied(k.OnApply, placerAddr(i))
 	mux := peer.NewMux()
 	k.Serve(mux)
-	c.keepers[i], c.stops[i] = k, cancel
-	c.links.connect(addrOf(i), mux)
+	c.managers[i], c.stops[i] = k, cancel
+	c.network.connect(placerAddr(i), mux)
 	go k.Run(ctx)
 }
 
-// record keeps what a process puts in force. Processes of one name are told
-// apart: a killed one may still end what it had begun.
-func (c *cell) record(onApply func(func(*Tree)), name string) {
+// recordApplied records the revisions that a process applies. Successive processes of one placer are recorded
+// separately, since a stopped one may still complete an operation that was in progress.
+func (c *cell) recordApplied(onApply func(func(*Tree)), name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.processes++
@@ -121,82 +120,82 @@
 
 func processName(name string, number int) string { return fmt.Sprintf("%s (process %d)", name, number) }
 
-// lastProcess returns what placer 1 has put in force, if it was started last.
+// lastProcess returns the revisions that placer 1 applied, provided that placer 1 was the last process started.
 func (c *cell) lastProcess() []int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.applied[processName(addrOf(1), c.processes)]
+	return c.applied[processName(placerAddr(1), c.processes)]
 }
 
-// follow adds entry i, nearest to placer i.
-func (c *cell) follow(i int) {
+// startFollower adds entry i, whose nearest placer is placer i.
+func (c *cell) startFollower(i int) {
 	name := fmt.Sprintf("entry-%d", i)
-	f := NewFollower(name, c.links, func() []string { return append([]string{addrOf(i)}, c.addrs(i)...) }, quiet())
-	c.record(f.OnApply, name)
+	f := NewFollower(name, c.network, func() []string { return append([]string{placerAddr(i)}, c.addrs(i)...) }, discardLog())
+	c.recordApplied(f.OnApply, name)
 	c.followers = append(c.followers, f)
 	go f.Run(c.ctx)
 }
 
-// kill ends placer i; its peers no longer reach it.
+// kill stops placer i and makes it unreachable for its peers.
 func (c *cell) kill(i int) {
 	if c.stops[i] != nil {
 		c.stops[i]()
 		c.stops[i] = nil
 	}
-	c.links.cut(addrOf(i))
+	c.network.disconnect(placerAddr(i))
 }
 
-// addrs are the placers' addresses without i's.
+// addrs returns the placers' addresses without placer i's.
 func (c *cell) addrs(i int) []string {
 	var out []string
-	for j := range c.keepers {
+	for j := range c.managers {
 		if j != i {
-			out = append(out, addrOf(j))
+			out = append(out, placerAddr(j))
 		}
 	}
 	return out
 }
 
-// appliedRevisions stands for what heartbeats report.
+// appliedRevisions stands in for the revisions that heartbeats report.
 func (c *cell) appliedRevisions() map[string]int64 {
 	out := map[string]int64{}
-	for i, k := range c.keepers {
+	for i, k := range c.managers {
 		if c.stops[i] != nil {
-			out[addrOf(i)] = k.AppliedRevision()
+			out[placerAddr(i)] = k.AppliedRevision()
 		}
 	}
 	return out
 }
 
-// heartbeat lets every live placer hear of every other's revision once.
+// heartbeat passes each live placer's revision to every other live placer once.
 func (c *cell) heartbeat() {
-	for i, k := range c.keepers {
-		for j, other := range c.keepers {
+	for i, k := range c.managers {
+		for j, other := range c.managers {
 			if i != j && c.stops[i] != nil && c.stops[j] != nil {
-				k.Hear(other.Revision())
+				k.ObserveRevision(other.Revision())
 			}
 		}
 	}
 }
 
-// behind names the processes that do not have the revision in force.
+// behind names the processes whose active revision isn't the given one.
 func (c *cell) behind(revision int64) []string {
 	var out []string
-	for i, k := range c.keepers {
-		if c.stops[i] != nil && k.book.revision() != revision {
-			out = append(out, fmt.Sprintf("%s at %d", addrOf(i), k.book.revision()))
+	for i, k := range c.managers {
+		if c.stops[i] != nil && k.replica.revision() != revision {
+			out = append(out, fmt.Sprintf("%s at %d", placerAddr(i), k.replica.revision()))
 		}
 	}
 	for i, f := range c.followers {
-		if f.book.revision() != revision {
-			out = append(out, fmt.Sprintf("entry-%d at %d", i, f.book.revision()))
+		if f.replica.revision() != revision {
+			out = append(out, fmt.Sprintf("entry-%d at %d", i, f.replica.revision()))
 		}
 	}
 	return out
 }
 
-// wentDown names the processes that ever put a lower or equal revision in force.
-func (c *cell) wentDown() []string {
+// regressed names the processes that ever applied a revision not higher than their previous one.
+func (c *cell) regressed() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
@@ -210,7 +209,7 @@
 	return out
 }
 
-// head is the stored head, read past all faults.
+// head returns the stored head, read through a client without faults.
 func (c *cell) head() Head {
 	records, _, err := c.engine.Client("observer").List(context.Background(), headKey)
 	if err != nil || len(records) == 0 {
@@ -234,15 +233,16 @@
 	return Change{ID: newID(), First: true, Base: base, By: "test", Branches: []byte(branches)}
 }
 
-// change makes a change through placer i against its present revision.
+// change makes a change through placer i against its active revision.
 func (c *cell) change(i int, branches string) (Accepted, error) {
-	return c.keepers[i].Change(c.ctx, edit(c.keepers[i].book.revision(), branches))
+	return c.managers[i].Change(c.ctx, edit(c.managers[i].replica.revision(), branches))
 }
 
-// settle is how long a cell gets to learn its first revision.
+// settle is the time that a cell is given to learn its first revision.
 const settle = 2 * time.Second
 
-// inBubble runs fn in a bubble with a cell whose processes are up to date.
+// inBubble runs fn in a synctest bubble with a cell whose processes are up to date. It fails if any process ever
+// applied a lower revision than before.
 func inBubble(t *testing.T, placers, entries int, fn func(is *is.I, c *cell)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -252,18 +252,18 @@
 		synctest.Wait()
 		is := is.New(t)
 		fn(is, c)
-		is.Equal(c.wentDown(), nil) // no process ever went back
+		is.Equal(c.regressed(), nil) // no process ever applied a lower revision
 	})
 }
 
-// muxOf returns a mux that answers for placer i, to connect it again.
+// muxOf returns a new mux with placer i's handlers, to reconnect it.
 func (c *cell) muxOf(i int) *peer.Mux {
 	mux := peer.NewMux()
-	c.keepers[i].Serve(mux)
+	c.managers[i].Serve(mux)
 	return mux
 }
 
-// countingStore counts calls and written bytes.
+// countingStore counts store calls and written bytes.
 type countingStore struct {
 	*memstore.Client
 	calls, bytes atomic.Int64
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -18,23 +18,22 @@
 )
 
 const (
-	// changeTimeout bounds the work on one change, besides its wait.
+	// changeTimeout bounds the work on one change, without the wait for other members to apply it.
 	changeTimeout = 8 * time.Second
-	// maxClashes is how often a change is tried again because other changes
-	// came first.
-	maxClashes = 32
-	// storeDownRetry is when to come back after a refusal for the store's sake.
-	storeDownRetry = 2 * time.Second
+	// maxConflicts is how often a change is retried because another change was swapped first.
+	maxConflicts = 32
+	// storeDownRetryAfter is the Retry-After of a refusal caused by the store.
+	storeDownRetryAfter = 2 * time.Second
 )
 
-// prepared is a change that was read and found well formed.
+// prepared is a parsed, well-formed change.
 type prepared struct {
 	Change
 	edits  []Edit
 	digest Hash
 }
 
-// prepare reads a change.
+// prepare parses a change and computes the digest that distinguishes it from others with the same id.
 func prepare(c Change) (prepared, error) {
 	p := prepared{Change: c}
 	if _, err := uuid.Parse(c.ID); err != nil {
@@ -57,10 +56,9 @@
 	return p, nil
 }
 
-// Change makes an operator's change: it is checked whole against the head and
-// accepted by one compare-and-swap, or refused with the reason. An error with
-// ran: unknown (SettingsOutcomeUnknown) is settled by sending the change again
-// with the same id.
+// Change makes an operator's change: it validates the change as a whole against the head and accepts it by one
+// compare-and-swap, or returns the reason for the refusal. After an error with ran: unknown
+// (SettingsOutcomeUnknown), sending the change again with the same id determines the outcome.
 func (k *Keeper) Change(ctx context.Context, c Change) (Accepted, error) {
 	accepted, err := k.change(ctx, c)
 	if err != nil {
@@ -69,7 +67,7 @@
 	}
 	k.counters.changes.WithLabelValues("0").Inc()
 	if c.WaitMillis > 0 {
-		accepted.NotApplied = k.await(ctx, accepted.Revision, time.Duration(c.WaitMillis)*time.Millisecond)
+		accepted.NotApplied = k.waitApplied(ctx, accepted.Revision, time.Duration(c.WaitMillis)*time.Millisecond)
 	}
 	return accepted, nil
 }
@@ -85,30 +83,30 @@
 	return a.run(ctx)
 }
 
-// attempt carries one change to its end.
+// attempt is the processing of one change until it is accepted or refused.
 type attempt struct {
 	k *Keeper
 	p prepared
-	// uncertain is true while a swap was sent whose outcome is not known. Such
-	// a swap can still take effect as long as the head has not moved.
+	// uncertain is true while the outcome of a swap that was sent is unknown. Such a swap can still take effect as
+	// long as the head has not moved.
 	uncertain bool
 }
 
-// run tries until the change is accepted, refused, or its time is up.
+// run retries until the change is accepted or refused, or ctx ends.
 func (a *attempt) run(ctx context.Context) (Accepted, error) {
-	pause, clashPause := newPause(), newClashPause()
-	for clashes := 0; clashes < maxClashes; {
-		err := a.locate(ctx)
+	retryBackoff, conflictBackoff := newRetryBackoff(), newConflictBackoff()
+	for conflicts := 0; conflicts < maxConflicts; {
+		err := a.syncHistory(ctx)
 		if err == nil {
 			var accepted Accepted
 			var moved bool
-			accepted, moved, err = a.try(ctx)
+			accepted, moved, err = a.tryOnce(ctx)
 			if err == nil && !moved {
 				return accepted, nil
 			}
 			if err == nil {
-				clashes++
-				wait.For(ctx, clashPause.NextBackOff())
+				conflicts++
+				wait.For(ctx, conflictBackoff.NextBackOff())
 				continue
 			}
 		}
@@ -116,20 +114,20 @@
 			return Accepted{}, err
 		}
 		if !a.uncertain {
-			return Accepted{}, a.undecided(result.New(result.SettingsStoreDown, result.RanNo, "%v", err).Later(storeDownRetry))
+			return Accepted{}, a.withUncertainOutcome(result.New(result.SettingsStoreDown, result.RanNo, "%v", err).Later(storeDownRetryAfter))
 		}
-		wait.For(ctx, pause.NextBackOff())
+		wait.For(ctx, retryBackoff.NextBackOff())
 		if ctx.Err() != nil {
 			return Accepted{}, result.New(result.SettingsOutcomeUnknown, result.RanUnknown,
-				"sent to the store, which then gave no answer (%v); repeat the change with id %s", err, a.p.ID).Later(storeDownRetry)
+				"sent to the store, which then gave no answer (%v); repeat the change with id %s", err, a.p.ID).Later(storeDownRetryAfter)
 		}
 	}
-	return Accepted{}, a.undecided(result.New(result.SettingsContention, result.RanNo, "%d other changes came first", maxClashes).Later(storeDownRetry))
+	return Accepted{}, a.withUncertainOutcome(result.New(result.SettingsContention, result.RanNo, "%d other changes came first", maxConflicts).Later(storeDownRetryAfter))
 }
 
-// undecided returns a refusal that says nothing of earlier sendings of the same
-// change: unless this is the first, the change may be in force already.
-func (a *attempt) undecided(e *result.Error) error {
+// withUncertainOutcome returns a refusal that doesn't cover earlier submissions of the same change: unless this
+// submission is the first, the change may already have been accepted.
+func (a *attempt) withUncertainOutcome(e *result.Error) error {
 	if a.p.First && !a.uncertain {
 		return e
 	}
@@ -138,7 +136,7 @@
 	return &unknown
 }
 
-// storeError marks a failed call to the store, as against a refusal.
+// storeError marks a failed call to the store, as opposed to a refusal.
 type storeError struct{ err error }
 
 func (e *storeError) Error() string { return e.err.Error() }
@@ -149,19 +147,18 @@
 	return errors.As(err, &s)
 }
 
-// locate makes sure that the head's record and the history since the change's
-// base are known.
-func (a *attempt) locate(ctx context.Context) error {
+// syncHistory makes sure that the head's record and the history since the change's base are in memory.
+func (a *attempt) syncHistory(ctx context.Context) error {
 	k := a.k
-	s := k.book.state()
-	if a.uncertain || s.tree == nil || s.tree.Revision < max(s.heard, a.p.Base) || (s.mod == 0 && s.tree.Revision > 0) {
+	s := k.replica.snapshot()
+	if a.uncertain || s.tree == nil || s.tree.Revision < max(s.highestKnown, a.p.Base) || (s.mod == 0 && s.tree.Revision > 0) {
 		if _, err := k.refresh(ctx); err != nil {
 			return &storeError{err}
 		}
-		s = k.book.state()
+		s = k.replica.snapshot()
 	}
-	from := max(a.p.Base+1, s.tree.Revision-HistoryKept+1)
-	if _, ok := k.book.span(from, s.tree.Revision); ok {
+	from := max(a.p.Base+1, s.tree.Revision-HistoryLimit+1)
+	if _, ok := k.replica.historyRange(from, s.tree.Revision); ok {
 		return nil
 	}
 	if err := k.loadHistory(ctx); err != nil {
@@ -170,20 +167,20 @@
 	return nil
 }
 
-// try decides on the change against the head and swaps it. moved is true when
-// another change came first.
-func (a *attempt) try(ctx context.Context) (accepted Accepted, moved bool, err error) {
+// tryOnce evaluates the change against the head and swaps the head. moved is true when another change was swapped
+// first.
+func (a *attempt) tryOnce(ctx context.Context) (accepted Accepted, moved bool, err error) {
 	k := a.k
-	s := k.book.state()
-	if done, ok, err := a.known(s); ok || err != nil {
+	s := k.replica.snapshot()
+	if done, ok, err := a.findAccepted(s); ok || err != nil {
 		return done, false, err
 	}
-	head, root, fresh, err := a.decide(ctx, s)
-	if errors.Is(err, errGap) {
+	head, root, fresh, err := a.evaluate(ctx, s)
+	if errors.Is(err, errHistoryGap) {
 		return Accepted{}, true, nil
 	}
 	if err != nil {
-		moved, err = a.refuse(ctx, s, err)
+		moved, err = a.confirmRefusal(ctx, s, err)
 		return Accepted{}, moved, err
 	}
 	swap, err := k.swapTxn(ctx, s, head, fresh)
@@ -196,25 +193,25 @@
 		return Accepted{}, false, &storeError{err}
 	}
 	if !reply.Applied {
-		return Accepted{}, true, k.absorbFound(ctx, s, reply)
+		return Accepted{}, true, k.applyFoundHead(ctx, s, reply)
 	}
-	k.installOwn(head, reply.Revision, root)
+	k.activateOwn(head, reply.Revision, root)
 	return Accepted{Revision: head.Revision, ChangeID: a.p.ID}, false, nil
 }
 
-// decide works out the head that the change makes of s, or why it is refused.
-func (a *attempt) decide(ctx context.Context, s state) (Head, *node, []*node, error) {
-	if err := a.admissible(s); err != nil {
+// evaluate returns the head that results from applying the change to s, or the reason for refusing the change.
+func (a *attempt) evaluate(ctx context.Context, s snapshot) (Head, *node, []*node, error) {
+	if err := a.checkBase(s); err != nil {
 		return Head{}, nil, nil, err
 	}
-	return a.next(ctx, s)
+	return a.newHead(ctx, s)
 }
 
-// refuse returns the refusal once the store has confirmed that s is the present
-// head: against an older one a change can be refused that has been accepted
-// since. Another placer's swap of the same change that is still on its way can
-// then not take effect either: it was decided as here, or its head is gone.
-func (a *attempt) refuse(ctx context.Context, s state, refusal error) (moved bool, err error) {
+// confirmRefusal returns the refusal once the store has confirmed that s is the current head: evaluated against an
+// older head, a change could be refused that has been accepted since. After the confirmation, a swap of the same
+// change that another placer has in flight can't take effect either: it is based on this head, against which the
+// change is refused, or on an earlier one, so that its condition fails.
+func (a *attempt) confirmRefusal(ctx context.Context, s snapshot, refusal error) (moved bool, err error) {
 	if isStoreError(refusal) {
 		return false, refusal
 	}
@@ -225,12 +222,12 @@
 	if reply.Applied {
 		return false, refusal
 	}
-	return true, a.k.absorbFound(ctx, s, reply)
+	return true, a.k.applyFoundHead(ctx, s, reply)
 }
 
-// known tells whether the change has already been accepted.
-func (a *attempt) known(s state) (Accepted, bool, error) {
-	h, ok := a.k.book.byChangeID(a.p.ID)
+// findAccepted reports whether the change has already been accepted. It refuses a different change with the same id.
+func (a *attempt) findAccepted(s snapshot) (Accepted, bool, error) {
+	h, ok := a.k.replica.byChangeID(a.p.ID)
 	if !ok {
 		return Accepted{}, false, nil
 	}
@@ -241,48 +238,47 @@
 	return Accepted{Revision: h.Revision, ChangeID: a.p.ID, Repeated: !a.uncertain}, true, nil
 }
 
-// admissible refuses a change whose base does not fit the head or whose
-// branches were touched since.
-func (a *attempt) admissible(s state) error {
-	base, now := a.p.Base, s.tree.Revision
+// checkBase refuses a change whose base is ahead of the head or no longer in the history, or whose branches were
+// changed since that base.
+func (a *attempt) checkBase(s snapshot) error {
+	base, head := a.p.Base, s.tree.Revision
 	switch {
-	case base > now:
-		return result.New(result.SettingsBaseAhead, result.RanNo, "against revision %d, the head is %d", base, now).At("revision")
-	case base < now-HistoryKept:
-		return a.undecided(result.New(result.SettingsBaseTooOld, result.RanNo, "against revision %d, the head is %d and %d are kept", base, now, HistoryKept).At("revision"))
+	case base > head:
+		return result.New(result.SettingsBaseAhead, result.RanNo, "against revision %d, the head is %d", base, head).At("revision")
+	case base < head-HistoryLimit:
+		return a.withUncertainOutcome(result.New(result.SettingsBaseTooOld, result.RanNo, "against revision %d, the head is %d and %d are kept", base, head, HistoryLimit).At("revision"))
 	}
-	since, whole := a.k.book.span(base+1, now)
-	if !whole {
-		return errGap
+	since, complete := a.k.replica.historyRange(base+1, head)
+	if !complete {
+		return errHistoryGap
 	}
 	for _, h := range since {
 		if a.p.Rollback {
-			return clash(h, Root)
+			return conflictError(h, Root)
 		}
 		for _, e := range a.p.edits {
 			if h.touches(e.Path) {
-				return clash(h, e.Path)
+				return conflictError(h, e.Path)
 			}
 		}
 	}
 	return nil
 }
 
-// errGap tells that the head went on while the history was read, or that the
-// store's answer was stale.
-var errGap = errors.New("settings: history not read up to the head")
+// errHistoryGap is returned when the head moved while the history was read, or when the store's answer was stale.
+var errHistoryGap = errors.New("settings: history not read up to the head")
 
-func clash(h Head, path string) error {
+func conflictError(h Head, path string) error {
 	by := h.By
 	if by == "" {
 		by = "an unnamed operator"
 	}
-	return result.New(result.SettingsClash, result.RanNo,
+	return result.New(result.SettingsConflict, result.RanNo,
 		"revision %d by %s touched %s; read it again and decide anew", h.Revision, by, path).At(path)
 }
 
-// next works out the head that the change makes.
-func (a *attempt) next(ctx context.Context, s state) (Head, *node, []*node, error) {
+// newHead returns the head that results from the change, with its root and the nodes that are new.
+func (a *attempt) newHead(ctx context.Context, s snapshot) (Head, *node, []*node, error) {
 	h := Head{
 		Revision: s.tree.Revision + 1, ChangeID: a.p.ID, Digest: a.p.digest,
 		By: a.p.By, Note: a.p.Note, At: a.k.cfg.Now().UTC(),
@@ -295,12 +291,12 @@
 		h.Root, h.Wide, h.RolledBackTo = root.hash, true, a.p.RollbackTo
 		return h, root, nil, nil
 	}
-	root, fresh, err := s.tree.edited(a.p.edits)
+	root, fresh, err := s.tree.applyEdits(a.p.edits)
 	if err != nil {
 		return h, nil, nil, err
 	}
 	h.Root = root.hash
-	h.Wide = len(a.p.edits) > pathsListed
+	h.Wide = len(a.p.edits) > maxListedPaths
 	if !h.Wide {
 		for _, e := range a.p.edits {
 			h.Paths = append(h.Paths, e.Path)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -20,8 +20,8 @@
 	return v
 }
 
-// check tells the first fault in a branch's effective values. The error's field
-// is the branch's path, a colon and the setting's name.
+// check returns the first rule that a branch's effective values violate. The error's field is the branch's path, a
+// colon and the setting's name.
 func check(path string, values *Values) error {
 	err := rules.Struct(values)
 	var faults validator.ValidationErrors
@@ -30,11 +30,11 @@
 	}
 	first := faults[0]
 	name := strings.TrimPrefix(first.Namespace(), reflect.TypeFor[Values]().Name()+".")
-	return faultError(first, name).At(path + ":" + name)
+	return violationError(first, name).At(path + ":" + name)
 }
 
-// faultError words one broken rule.
-func faultError(fault validator.FieldError, name string) *result.Error {
+// violationError returns the error for one violated rule.
+func violationError(fault validator.FieldError, name string) *result.Error {
 	group, _, _ := strings.Cut(name, ".")
 	switch fault.Tag() {
 	case "ltefield", "gtefield":
@@ -43,7 +43,7 @@
 			bound = "at least"
 		}
 		return result.New(result.SettingsContradiction, result.RanNo, "%v, but must be %s %s.%s of the same branch",
-			fault.Value(), bound, group, nameOfGoField(fault.Param()))
+			fault.Value(), bound, group, jsonNameOfField(fault.Param()))
 	case "oneof":
 		return result.New(result.SettingsOutOfRange, result.RanNo, "%q, but must be one of: %s", fault.Value(), fault.Param())
 	default:
@@ -52,8 +52,8 @@
 	}
 }
 
-// nameOfGoField gives the JSON name of a Go field that a rule refers to.
-func nameOfGoField(goName string) string {
+// jsonNameOfField returns the JSON name of a Go field that a rule refers to.
+func jsonNameOfField(goName string) string {
 	groups := reflect.TypeFor[Values]()
 	for g := range groups.NumField() {
 		if leaf, ok := groups.Field(g).Type.FieldByName(goName); ok {
--- a/internal/settings/collect.go
+++ b/internal/settings/collect.go
@@ -11,24 +11,24 @@
 	"pulleyquay/internal/wait"
 )
 
-// shards is the number of parts in which the stored branches are listed, by the
-// first digit of their hash, so that one answer stays small.
+// shards is the number of reads in which the stored branches are listed, by the first digit of their hash, so that
+// each answer stays small.
 const shards = 16
 
-// ErrMoved tells that the head moved during a collection, which then deleted
-// nothing more. It may be tried again later.
-var ErrMoved = errors.New("settings: the head moved during the collection")
+// ErrHeadMoved is returned when the head moved during a collection, which then deleted nothing further. The
+// collection can be retried later.
+var ErrHeadMoved = errors.New("settings: the head moved during the collection")
 
-// collectEvery is the pause between two collections; one costs some 18 reads.
-const collectEvery = 10 * time.Minute
+// collectInterval is the pause between two collections; each costs about 18 reads.
+const collectInterval = 10 * time.Minute
 
-// collectRegularly collects while this member is the one to do so.
-func (k *Keeper) collectRegularly(ctx context.Context) {
+// runCollector collects every collectInterval while Collector selects this member.
+func (k *Keeper) runCollector(ctx context.Context) {
 	if k.cfg.Collector == nil {
 		return
 	}
 	for {
-		wait.For(ctx, collectEvery)
+		wait.For(ctx, collectInterval)
 		if ctx.Err() != nil {
 			return
 		}
@@ -43,22 +43,19 @@
 	}
 }
 
-// Collect deletes stored branches that neither the head nor a kept revision
-// names, and returns how many. Only one member needs to call it, now and then;
-// several at a time do no harm.
+// Collect deletes stored branches that neither the head nor a revision of the history references, and returns how
+// many. One member needs to call it occasionally; concurrent calls are safe.
 //
-// It can not race with a change in progress. Every deletion is conditional on
-// the head for which it was worked out: a change that was swapped meanwhile
-// makes it fail, and a change that is swapped later has its branches in the
-// swap itself. Branches that were written ahead of a large change's swap may be
-// deleted; the deletion then also writes settings/collected, on which that swap
-// is conditional, so that it fails and the branches are written again.
+// It can't race with a change in progress. Every deletion is conditional on the head for which it was computed: a
+// change swapped in the meantime makes the deletion fail, and a change swapped later contains its branches in the
+// swap itself. Branches written ahead of a large change's swap may be deleted; the deletion then also writes
+// settings/collected, on which that swap is conditional, so that the swap fails and the branches are written again.
 func (k *Keeper) Collect(ctx context.Context) (int, error) {
 	heads, _, err := k.list(ctx, headKey)
 	if err != nil || len(heads) == 0 {
 		return 0, err
 	}
-	roots, err := k.keptRoots(ctx, heads[0])
+	roots, err := k.retainedRoots(ctx, heads[0])
 	if err != nil {
 		return 0, err
 	}
@@ -74,15 +71,15 @@
 	return k.sweep(ctx, heads[0], stored)
 }
 
-// storedBranch is a branch as the collection sees it.
+// storedBranch is a stored branch with its mark.
 type storedBranch struct {
 	children []Hash
 	mod      platform.Revision
 	reached  bool
 }
 
-// keptRoots returns the roots of the head and of all kept revisions.
-func (k *Keeper) keptRoots(ctx context.Context, head platform.Record) ([]Hash, error) {
+// retainedRoots returns the roots of the head and of all revisions in the history.
+func (k *Keeper) retainedRoots(ctx context.Context, head platform.Record) ([]Hash, error) {
 	last, err := decodeHead(head.Value)
 	if err != nil {
 		return nil, err
@@ -96,12 +93,12 @@
 	for _, r := range records {
 		h, ok := historyOf(r)
 		if !ok {
-			return nil, fmt.Errorf("settings: %s can not be read", r.Key)
+			return nil, fmt.Errorf("settings: %s can not be decoded", r.Key)
 		}
 		listed[h.Revision] = true
 		roots = append(roots, h.Root)
 	}
-	for r := max(1, last.Revision-HistoryKept+1); r <= last.Revision; r++ {
+	for r := max(1, last.Revision-HistoryLimit+1); r <= last.Revision; r++ {
 		if !listed[r] {
 			return nil, fmt.Errorf("settings: revision %d was not listed", r) // a stale answer
 		}
@@ -135,16 +132,16 @@
 	return nil
 }
 
-// mark reaches every branch below the roots. A branch that lacks means that the
-// listing is not to be trusted; then nothing may be deleted.
+// mark marks every branch that is reachable from the hashes. A missing branch means that the listing was incomplete
+// or stale; then nothing may be deleted.
 func mark(stored map[Hash]storedBranch, hashes []Hash) error {
 	for _, hash := range hashes {
 		b, ok := stored[hash]
 		if !ok {
 			if hash == emptyRoot.hash {
-				continue // never needs to be stored
+				continue // built in, need not be stored
 			}
-			return fmt.Errorf("settings: branch %s is named and was not listed", hash)
+			return fmt.Errorf("settings: branch %s is referenced but was not listed", hash)
 		}
 		if b.reached {
 			continue
@@ -158,7 +155,7 @@
 	return nil
 }
 
-// sweep deletes what was not reached.
+// sweep deletes the branches that were not marked and returns how many were deleted.
 func (k *Keeper) sweep(ctx context.Context, head platform.Record, stored map[Hash]storedBranch) (int, error) {
 	var writes []platform.Write
 	for hash, b := range stored {
@@ -180,7 +177,7 @@
 			return deleted, err
 		}
 		if !reply.Applied {
-			return deleted, ErrMoved
+			return deleted, ErrHeadMoved
 		}
 		deleted += len(part)
 	}
--- a/internal/settings/collect_test.go
+++ b/internal/settings/collect_test.go
@@ -23,8 +23,7 @@
 	return len(records)
 }
 
-// fill makes revisions until the history is full, each with a branch content
-// of its own.
+// fill makes the given number of revisions, each with different branch content.
 func (c *cell) fill(is *is.I, revisions int) {
 	for i := range revisions {
 		_, err := c.change(0, fmt.Sprintf(`{"/a":{"request":{"queue_limit":%d}}}`, i))
@@ -35,21 +34,21 @@
 
 func TestCollectKeepsWhatIsNamed(t *testing.T) {
 	inBubble(t, 2, 0, func(is *is.I, c *cell) {
-		c.fill(is, HistoryKept+20)
+		c.fill(is, HistoryLimit+20)
 		before := c.stored()
-		n, err := c.keepers[1].Collect(c.ctx)
+		n, err := c.managers[1].Collect(c.ctx)
 		is.NoErr(err)
-		is.Equal(n, 2*20) // the root and /a of each revision no longer kept
+		is.Equal(n, 2*20) // the root and /a of each revision that left the history
 		is.Equal(c.stored(), before-n)
-		n, err = c.keepers[0].Collect(c.ctx)
+		n, err = c.managers[0].Collect(c.ctx)
 		is.NoErr(err)
 		is.Equal(n, 0)
 
-		// Every kept revision can still be restored by a process that has none.
+		// A newly started process can still restore every revision in the history.
 		c.start(1)
 		time.Sleep(time.Second)
-		oldest := c.head().Revision - HistoryKept + 1
-		_, err = c.keepers[1].Change(c.ctx, Change{ID: newID(), Base: c.head().Revision, Rollback: true, RollbackTo: oldest})
+		oldest := c.head().Revision - HistoryLimit + 1
+		_, err = c.managers[1].Change(c.ctx, Change{ID: newID(), Base: c.head().Revision, Rollback: true, RollbackTo: oldest})
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		is.Equal(c.behind(c.head().Revision), nil)
@@ -65,13 +64,13 @@
 	return "{" + strings.Join(parts, ",") + "}"
 }
 
-// hooked runs a function before its next commits that move the head.
-type hooked struct {
+// headCommitHook runs a function before each commit that moves the head.
+type headCommitHook struct {
 	platform.Store
 	before func()
 }
 
-func (h *hooked) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (h *headCommitHook) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	for _, w := range txn.Then {
 		if w.Key == headKey && h.before != nil {
 			h.before()
@@ -80,19 +79,19 @@
 	return h.Store.Commit(ctx, txn)
 }
 
-// A collection between the writing ahead of a large change and its swap would
-// delete branches that the swap is about to name.
+// A collection that runs between the write-ahead of a large change and its swap deletes branches that the swap
+// references. The swap must then fail, and the retry must write the branches again.
 func TestCollectRacesWithALargeChange(t *testing.T) {
 	inBubble(t, 2, 1, func(is *is.I, c *cell) {
 		_, err := c.change(0, `{"/a":{}}`)
 		is.NoErr(err)
 		collected := 0
-		store := &hooked{Store: c.client(0)}
+		store := &headCommitHook{Store: c.client(0)}
 		store.before = func() {
 			if collected > 0 {
 				return
 			}
-			collected, err = c.keepers[1].Collect(c.ctx)
+			collected, err = c.managers[1].Collect(c.ctx)
 			is.NoErr(err)
 		}
 		c.startWith(0, store)
@@ -100,17 +99,17 @@
 		got, err := c.change(0, largeChange())
 		is.NoErr(err)
 		is.Equal(got.Revision, int64(2))
-		is.True(collected >= 3*txnWrites) // it did delete them
+		is.True(collected >= 3*txnWrites) // the written-ahead branches were deleted
 		c.start(1)
-		time.Sleep(everywhere)
-		is.Equal(c.behind(2), nil)                                  // and all of them are there again
-		is.Equal(c.stored(), len(c.keepers[1].Current().Paths())+1) // besides the old root
+		time.Sleep(propagationLimit)
+		is.Equal(c.behind(2), nil)                                   // the branches were written again
+		is.Equal(c.stored(), len(c.managers[1].Current().Paths())+1) // besides the old root
 	})
 }
 
-func TestCollectGivesUpWhenTheHeadMoves(t *testing.T) {
+func TestCollectStopsWhenTheHeadMoves(t *testing.T) {
 	inBubble(t, 2, 0, func(is *is.I, c *cell) {
-		c.fill(is, HistoryKept+20)
+		c.fill(is, HistoryLimit+20)
 		before := c.stored()
 		moved := false
 		store := &collectHook{Store: c.client(1), before: func() {
@@ -122,8 +121,8 @@
 		}}
 		c.startWith(1, store)
 		time.Sleep(time.Second)
-		n, err := c.keepers[1].Collect(c.ctx)
-		is.True(errors.Is(err, ErrMoved))
+		n, err := c.managers[1].Collect(c.ctx)
+		is.True(errors.Is(err, ErrHeadMoved))
 		is.Equal(n, 0)
 		is.Equal(c.stored(), before+2) // the new root and /b
 	})
@@ -144,28 +143,28 @@
 	return h.Store.Commit(ctx, txn)
 }
 
-// A stale list of the history must not make newer revisions unreferenced.
+// A stale list of the history must not make branches of newer revisions count as unreferenced.
 func TestCollectOnStaleAnswers(t *testing.T) {
 	inBubble(t, 2, 0, func(is *is.I, c *cell) {
 		c.fill(is, 5)
 		c.client(1).SetFaults(memstore.Faults{StaleReads: true})
 		c.fill(is, 5)
 		before := c.stored()
-		_, err := c.keepers[1].Collect(c.ctx)
-		is.NoErr(err) // nothing to delete as of then
+		_, err := c.managers[1].Collect(c.ctx)
+		is.NoErr(err) // nothing to delete at the stale revision
 		is.Equal(c.stored(), before)
 
 		// The head is fresh, the history and the branches are stale.
 		fresh := &freshHead{Store: c.client(1), observer: c.engine.Client("observer")}
 		c.startWith(1, fresh)
 		time.Sleep(time.Second)
-		_, err = c.keepers[1].Collect(c.ctx)
+		_, err = c.managers[1].Collect(c.ctx)
 		is.True(err != nil)
 		is.Equal(c.stored(), before)
 	})
 }
 
-// freshHead reads the head past the faults.
+// freshHead reads the head through a client without faults.
 type freshHead struct {
 	platform.Store
 	observer platform.Store
--- a/internal/settings/counters.go
+++ b/internal/settings/counters.go
@@ -4,13 +4,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// counters are the metrics of one Keeper.
+// counters are the metrics of one Manager.
 type counters struct {
 	reads, writes, watches, behind, learned prometheus.Counter
 	changes                                 *prometheus.CounterVec
 }
 
-func newCounters(reg prometheus.Registerer, b *book) *counters {
+func newCounters(reg prometheus.Registerer, r *replica) *counters {
 	counter := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Name: "pulleyquay_settings_" + name, Help: help})
 	}
@@ -26,7 +26,7 @@
 	}
 	revision := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "pulleyquay_settings_revision", Help: "Settings revision in force; -1 before the first.",
-	}, func() float64 { return float64(b.revision()) })
+	}, func() float64 { return float64(r.revision()) })
 	if reg != nil {
 		reg.MustRegister(c.reads, c.writes, c.watches, c.behind, c.learned, c.changes, revision)
 	}
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// docRow is how a setting's row in docs/SETTINGS.md begins; its meaning follows.
+// docRow returns the start of a setting's row in docs/SETTINGS.md; the setting's description follows it.
 func docRow(f Field) string {
 	unit, rule := f.Unit, f.Rule
 	if unit == "" {
@@ -19,7 +19,7 @@
 	return fmt.Sprintf("| `%s` | %s | %v | %s | ", f.Name, unit, f.Default(), rule)
 }
 
-// The page lists every setting with its unit, default and rule, and no other.
+// The page must list exactly the existing settings, each with its unit, default and rule.
 func TestPageListsEverySetting(t *testing.T) {
 	data, err := os.ReadFile("../../docs/SETTINGS.md")
 	if err != nil {
--- a/internal/settings/dump.go
+++ b/internal/settings/dump.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// Dump is what a process's state dump shows of its settings.
+// Dump is the settings section of a process's state dump.
 type Dump struct {
-	// Revision is the one in force, -1 before the first; Heard the highest that
-	// any process is known to have had.
-	Revision int64  `json:"revision"`
-	Heard    int64  `json:"heard"`
-	Root     string `json:"root,omitempty"`
-	ChangeID string `json:"change_id,omitempty"`
-	Branches int    `json:"branches"`
-	Bytes    int    `json:"stored_bytes"`
-	// StoreRevision is the store's revision of the head, 0 if learned elsewhere.
+	// Revision is the active one, -1 before the first; HighestKnown is the highest that any process is known to
+	// have applied.
+	Revision     int64  `json:"revision"`
+	HighestKnown int64  `json:"heard"`
+	Root         string `json:"root,omitempty"`
+	ChangeID     string `json:"change_id,omitempty"`
+	Branches     int    `json:"branches"`
+	Bytes        int    `json:"stored_bytes"`
+	// StoreRevision is the store's revision of the head, 0 when the head came from a peer.
 	StoreRevision int64 `json:"store_revision,omitempty"`
-	// HistoryInMemory is the number of kept revisions that need no read.
+	// HistoryInMemory is the number of history entries in memory, which need no store read.
 	HistoryInMemory int    `json:"history_in_memory,omitempty"`
 	Lacks           string `json:"lacks,omitempty"`
-	// Followers are the entries that poll this placer, with their revisions.
+	// Followers maps the entries that poll this placer to their revisions.
 	Followers map[string]int64 `json:"followers,omitempty"`
 }
 
-// Dump returns the state of the Keeper for /debug/state.
+// Dump returns the state of the Manager for /debug/state.
 func (k *Keeper) Dump() any {
-	d := k.book.dump()
+	d := k.replica.dump()
 	d.Followers = k.followers.live(time.Now())
 	return d
 }
 
 // Dump returns the state of the Follower for /debug/state.
-func (f *Follower) Dump() any { return f.book.dump() }
+func (f *Follower) Dump() any { return f.replica.dump() }
 
-func (b *book) dump() Dump {
-	s := b.state()
-	d := Dump{Revision: b.revision(), Heard: s.heard, StoreRevision: int64(s.mod)}
-	if err := b.ready(); err != nil {
+func (r *replica) dump() Dump {
+	s := r.snapshot()
+	d := Dump{Revision: r.revision(), HighestKnown: s.highestKnown, StoreRevision: int64(s.mod)}
+	if err := r.ready(); err != nil {
 		d.Lacks = err.Error()
 	}
 	if s.tree == nil {
 		return d
 	}
-	d.Root, d.ChangeID, d.Bytes = s.tree.RootHash().String(), s.tree.ChangeID, s.tree.top().bytes
-	s.tree.top().each(Root, func(string, *node) { d.Branches++ })
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	d.HistoryInMemory = len(b.history)
+	d.Root, d.ChangeID, d.Bytes = s.tree.RootHash().String(), s.tree.ChangeID, s.tree.rootNode().bytes
+	s.tree.rootNode().each(Root, func(string, *node) { d.Branches++ })
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	d.HistoryInMemory = len(r.history)
 	return d
 }
 
-// live returns the revisions of the entries that poll this placer.
+// live returns the active revision of each entry that polls this placer.
 func (f *followers) live(now time.Time) map[string]int64 {
-	f.lowest(0, now) // forgets those that went away
+	f.lowestRevision(0, now) // removes the entries that stopped polling
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := make(map[string]int64, len(f.seen))
--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -17,13 +17,13 @@
 	Overrides *Overrides `json:"overrides"`
 }
 
-// editNode is a trie of the edits of one change.
+// editNode is a node of the trie of one change's edits.
 type editNode struct {
 	edit     *Edit
 	children map[string]*editNode
 }
 
-// editTrie orders edits by path and refuses malformed and repeated ones.
+// editTrie builds the trie of the edits and refuses malformed and repeated paths.
 func editTrie(edits []Edit) (*editNode, error) {
 	if len(edits) == 0 {
 		return nil, result.New(result.SettingsNothingToChange, result.RanNo, "no branch is named")
@@ -57,15 +57,15 @@
 	return top, nil
 }
 
-// rewrite carries one change through a tree.
+// rewrite applies one change to a tree.
 type rewrite struct {
-	// fresh are the nodes that the old tree does not have at the same path.
+	// fresh lists the nodes that the old tree does not have at the same path.
 	fresh []*node
 }
 
-// edited returns the root that the edits make of t and the nodes that are new.
-// The whole of every branch whose effective values change is checked.
-func (t *Tree) edited(edits []Edit) (root *node, fresh []*node, err error) {
+// applyEdits returns the root that results from applying the edits to t, and the nodes that are new. It validates
+// all effective values of every branch whose effective values change.
+func (t *Tree) applyEdits(edits []Edit) (root *node, fresh []*node, err error) {
 	trie, err := editTrie(edits)
 	if err != nil {
 		return nil, nil, err
@@ -74,7 +74,7 @@
 		return nil, nil, result.New(result.SettingsBranchInUse, result.RanNo, "the root stays").At(Root)
 	}
 	var w rewrite
-	root, err = w.branch(Root, t.top(), trie, &builtIn)
+	root, err = w.branch(Root, t.rootNode(), trie, &builtIn)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -84,8 +84,7 @@
 	return root, w.fresh, nil
 }
 
-// branch rewrites one edited branch; old is nil for a new one. It returns nil
-// for a removed one.
+// branch rewrites one edited branch; old is nil for a new branch. It returns nil for a removed branch.
 func (w *rewrite) branch(path string, old *node, e *editNode, inherited *Values) (*node, error) {
 	var overrides Overrides
 	switch {
@@ -125,11 +124,11 @@
 			if e.children[l.name] != nil {
 				continue
 			}
-			kept, err := inherit(child(path, l.name), l.node, effective)
+			unedited, err := inherit(child(path, l.name), l.node, effective)
 			if err != nil {
 				return nil, err
 			}
-			out = append(out, link{l.name, kept})
+			out = append(out, link{l.name, unedited})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.children)) {
@@ -148,8 +147,8 @@
 	return out, nil
 }
 
-// inherit returns an unedited branch under new inherited values: itself where
-// they are the same, else a checked copy of everything below.
+// inherit returns an unedited branch under new inherited values: the branch itself if the values are equal, else a
+// validated copy of the branch and its descendants.
 func inherit(path string, n *node, inherited *Values) (*node, error) {
 	if n.inherited == inherited || *n.inherited == *inherited {
 		return n, nil
@@ -171,7 +170,7 @@
 	return copied, nil
 }
 
-// checkBranch checks effective values unless they are the parent's own.
+// checkBranch validates a branch's effective values unless they are identical to its parent's.
 func checkBranch(path string, inherited, effective *Values) error {
 	if inherited == effective && path != Root {
 		return nil
@@ -179,8 +178,8 @@
 	return check(path, effective)
 }
 
-// ParseBranches reads the file format: an object of branch paths, each with its
-// override object, or null for a branch to remove. A repeated path is refused.
+// ParseBranches parses the file format: an object that maps branch paths to override objects, or to null to remove
+// the branch. It refuses a repeated path.
 func ParseBranches(data []byte) ([]Edit, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	var edits []Edit
@@ -193,7 +192,7 @@
 		if string(raw) != "null" {
 			o, err := ParseOverrides(raw)
 			if err != nil {
-				return inBranch(path, err)
+				return addBranchPath(path, err)
 			}
 			edit.Overrides = &o
 		}
@@ -201,7 +200,7 @@
 		return nil
 	})
 	if err == nil {
-		err = atEnd(d)
+		err = expectEOF(d)
 	}
 	if err != nil {
 		return nil, asInputError(err)
@@ -209,8 +208,8 @@
 	return edits, nil
 }
 
-// inBranch puts the branch's path before the field of a refused override.
-func inBranch(path string, err error) error {
+// addBranchPath prefixes the error's field with the branch's path.
+func addBranchPath(path string, err error) error {
 	e := result.From(err)
 	if e.Field == "" {
 		return e.At(path)
@@ -218,8 +217,7 @@
 	return e.At(path + ":" + e.Field)
 }
 
-// Parse makes a tree of the file format, checked whole, as revision 1. The root
-// need not be named.
+// Parse parses the file format into a validated tree of revision 1. The root may be omitted.
 func Parse(data []byte) (*Tree, error) {
 	edits, err := ParseBranches(data)
 	if err != nil {
@@ -228,9 +226,9 @@
 	return Empty().Edited(edits, 1, "")
 }
 
-// Edited returns the tree that the edits make of t, checked whole.
+// Edited returns the validated tree that results from applying the edits to t.
 func (t *Tree) Edited(edits []Edit, revision int64, changeID string) (*Tree, error) {
-	root, _, err := t.edited(edits)
+	root, _, err := t.applyEdits(edits)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -9,7 +9,7 @@
 type Field struct {
 	// Name is group.setting, as in request.queue_limit.
 	Name string
-	// Unit is what a number counts; empty for flags and words.
+	// Unit is the unit of a number; empty for booleans and strings.
 	Unit string
 	// Rule is the validation rule of the effective value.
 	Rule string
@@ -19,19 +19,19 @@
 	id    uint16
 }
 
-// fields lists every setting in the order of Values; fieldByName finds one.
-var fields, fieldByName = leaves()
+// fields lists every setting in the order of Values; fieldByName indexes them by Name.
+var fields, fieldByName = buildFields()
 
 // Fields returns every setting in the order of Values.
 func Fields() []Field { return append([]Field(nil), fields...) }
 
-// Default returns the built-in value as JSON shows it.
+// Default returns the built-in value as an int64, a bool or a string.
 func (f Field) Default() any {
 	v := Defaults()
 	return f.get(&v)
 }
 
-func leaves() ([]Field, map[string]*Field) {
+func buildFields() ([]Field, map[string]*Field) {
 	var list []Field
 	groups := reflect.TypeFor[Values]()
 	for g := range groups.NumField() {
@@ -57,7 +57,7 @@
 	return name
 }
 
-// units maps the ending of a setting's name to the unit of its number.
+// units maps the suffix of a setting's name to its unit.
 var units = []struct{ suffix, unit string }{
 	{"_ms", "milliseconds"}, {"_bytes", "bytes"}, {"_percent", "percent"},
 	{"_mib", "MiB"}, {"milli_cpu", "thousandths of a core"},
@@ -80,7 +80,7 @@
 	return reflect.ValueOf(v).Elem().FieldByIndex(f.index).Interface()
 }
 
-// set stores an override's value in v.
+// set assigns an override's value to the setting in v.
 func (f *Field) set(v *Values, o override) {
 	leaf := reflect.ValueOf(v).Elem().FieldByIndex(f.index)
 	switch f.kind {
--- a/internal/settings/follower.go
+++ b/internal/settings/follower.go
@@ -10,62 +10,60 @@
 	"pulleyquay/internal/wait"
 )
 
-// pollWait is how long a placer may hold back the answer to a poll.
+// pollWait is how long a placer may delay the reply to a poll while there is nothing newer.
 const pollWait = time.Second
 
-// Follower keeps an entry on the newest settings by polling placers. It talks
-// to no store, so it goes on learning in an outage.
+// Follower keeps an entry's settings up to date by polling placers. It doesn't use the store, so a store outage
+// doesn't interrupt it.
 type Follower struct {
-	// name is reported to the placers, which count its revision as theirs.
-	name   string
-	caller peer.Caller
-	addrs  func() []string
-	log    logrus.FieldLogger
-	book   *book
+	// name is reported to the polled placer, which includes this follower's revision in its AppliedRevision.
+	name    string
+	caller  peer.Caller
+	addrs   func() []string
+	log     logrus.FieldLogger
+	replica *replica
 }
 
-// NewFollower returns a Follower that knows nothing yet. addrs gives the
-// placers' addresses, the nearest first.
+// NewFollower returns a Follower without settings. addrs returns the placers' addresses, nearest first.
 func NewFollower(name string, caller peer.Caller, addrs func() []string, log logrus.FieldLogger) *Follower {
-	return &Follower{name: name, caller: caller, addrs: addrs, log: log, book: newBook()}
+	return &Follower{name: name, caller: caller, addrs: addrs, log: log, replica: newReplica()}
 }
 
-// Current returns the tree in force, or nil before the first is learned.
-func (f *Follower) Current() *Tree { return f.book.current.Load() }
+// Current returns the active tree, or nil before the first one was received.
+func (f *Follower) Current() *Tree { return f.replica.current.Load() }
 
-// Ready tells what the process lacks to act on settings; nil when nothing.
-func (f *Follower) Ready() error { return f.book.ready() }
+// Ready returns why the process can't act on settings yet, or nil.
+func (f *Follower) Ready() error { return f.replica.ready() }
 
-// OnApply registers a function that is called with each tree put in force, in
-// order. Call it before Run; fn must not block.
-func (f *Follower) OnApply(fn func(*Tree)) { f.book.onApply = append(f.book.onApply, fn) }
+// OnApply registers a function that is called with each tree that becomes active, in order. Call it before Run; fn
+// must not block.
+func (f *Follower) OnApply(fn func(*Tree)) { f.replica.onApply = append(f.replica.onApply, fn) }
 
-// Run polls until ctx ends. It stays with the first placer that answers; when
-// another process is known to be ahead of that one, it asks the others.
+// Run polls until ctx ends. It polls the first placer that answers; when a higher revision than that placer's is
+// known to exist, it polls the others as well.
 func (f *Follower) Run(ctx context.Context) {
-	pause := newPause()
+	retryBackoff := newRetryBackoff()
 	for ctx.Err() == nil {
-		if f.round(ctx) {
-			pause.Reset()
+		if f.pollOnce(ctx) {
+			retryBackoff.Reset()
 			continue
 		}
-		wait.For(ctx, pause.NextBackOff())
+		wait.For(ctx, retryBackoff.NextBackOff())
 	}
 }
 
-// round polls the placers in turn until one answers and nothing lacks. It
-// reports whether that was so.
-func (f *Follower) round(ctx context.Context) bool {
+// pollOnce polls the placers in turn until one answers and the follower is ready. It reports whether that happened.
+func (f *Follower) pollOnce(ctx context.Context) bool {
 	addrs := f.addrs()
 	if f.Current() == nil {
-		addrs = f.book.survey(ctx, f.caller, addrs)
+		addrs = f.replica.rankByRevision(ctx, f.caller, addrs)
 	}
 	for _, addr := range addrs {
-		ask := Ask{Follower: f.name}
+		req := FetchRequest{Follower: f.name}
 		if f.Ready() == nil {
-			ask.WaitMillis = pollWait.Milliseconds()
+			req.WaitMillis = pollWait.Milliseconds()
 		}
-		if err := f.book.learn(ctx, f.caller, addr, ask); err != nil {
+		if err := f.replica.fetchFrom(ctx, f.caller, addr, req); err != nil {
 			f.log.WithError(err).WithField("placer", addr).Debug("settings: placer did not answer")
 			continue
 		}
--- a/internal/settings/head.go
+++ b/internal/settings/head.go
@@ -15,41 +15,40 @@
 	headKey       = storePrefix + "head"
 	branchPrefix  = storePrefix + "branch/"
 	historyPrefix = storePrefix + "history/"
-	// collectedKey is written by every collection of unreferenced branches; a
-	// change that wrote branches ahead of its swap is conditional on it.
+	// collectedKey is written by every collection of unreferenced branches. The swap of a change that wrote branches
+	// ahead is conditional on it.
 	collectedKey = storePrefix + "collected"
 )
 
 const (
-	// HistoryKept is the number of revisions that can be rolled back to and
-	// that a change may lag behind the head.
-	HistoryKept = 128
-	// pathsListed bounds the branches that a head lists as touched.
-	pathsListed = 64
+	// HistoryLimit is the number of revisions in the history: how many can be rolled back to, and how far the base
+	// of a change may lag behind the head.
+	HistoryLimit = 128
+	// maxListedPaths bounds the number of changed branches that a head lists.
+	maxListedPaths = 64
 )
 
-// Head is one accepted revision: the record under settings/head, and for each
-// kept revision the one under settings/history.
+// Head is one accepted revision: the record under settings/head, and each record under settings/history.
 type Head struct {
 	Revision int64  `json:"revision"`
 	Root     Hash   `json:"root"`
 	ChangeID string `json:"change_id"`
-	// Digest tells a repeated change from another one with the same id.
+	// Digest distinguishes a repeated change from a different change with the same id.
 	Digest Hash   `json:"digest"`
 	By     string `json:"by,omitempty"`
 	Note   string `json:"note,omitempty"`
-	// At is when the placer that made the revision did so, by its wall clock.
+	// At is when the revision was made, by the wall clock of the placer that made it.
 	At time.Time `json:"at"`
-	// Paths are the branches that the change touched, unless Wide.
+	// Paths lists the branches that the change modified, unless Wide.
 	Paths []string `json:"paths,omitempty"`
-	// Wide is true for a change that touched more branches than are listed; it
-	// counts as touching all.
+	// Wide is true for a change of more branches than are listed, and for a rollback; it conflicts with every
+	// other change.
 	Wide bool `json:"wide,omitempty"`
 	// RolledBackTo is the revision whose tree a rollback restored.
 	RolledBackTo int64 `json:"rolled_back_to,omitempty"`
 }
 
-// touches reports whether the change touched the branch.
+// touches reports whether the change modified the branch.
 func (h Head) touches(path string) bool {
 	return h.Wide || slices.Contains(h.Paths, path)
 }
@@ -65,7 +64,7 @@
 func decodeHead(data []byte) (Head, error) {
 	var h Head
 	if err := json.Unmarshal(data, &h); err != nil {
-		return h, result.New(result.SettingsDamaged, result.RanNo, "head: %v", err)
+		return h, result.New(result.SettingsCorrupt, result.RanNo, "head: %v", err)
 	}
 	return h, nil
 }
--- a/internal/settings/history.go
+++ b/internal/settings/history.go
@@ -7,7 +7,7 @@
 	"pulleyquay/internal/result"
 )
 
-// loadHistory reads the kept revisions from the store.
+// loadHistory reads the history from the store into memory.
 func (k *Keeper) loadHistory(ctx context.Context) error {
 	records, _, err := k.list(ctx, historyPrefix)
 	if err != nil {
@@ -19,47 +19,47 @@
 			heads = append(heads, h)
 		}
 	}
-	k.book.recordAll(heads)
+	k.replica.addHistory(heads)
 	return nil
 }
 
-// History returns the kept revisions, newest first. While the store is down it
-// is what this process has seen itself.
+// History returns the retained revisions, newest first. If some of them aren't in memory and the store can't be
+// read, it fails with SettingsStoreDown.
 func (k *Keeper) History(ctx context.Context) ([]Head, error) {
-	s := k.book.state()
+	s := k.replica.snapshot()
 	if s.tree == nil {
 		return nil, result.New(result.NotReady, result.RanNo, "no settings learned yet")
 	}
-	from := s.tree.Revision - HistoryKept + 1
-	heads, whole := k.book.span(from, s.tree.Revision)
-	if !whole {
+	from := s.tree.Revision - HistoryLimit + 1
+	heads, complete := k.replica.historyRange(from, s.tree.Revision)
+	if !complete {
 		if err := k.loadHistory(ctx); err != nil {
-			return nil, result.New(result.SettingsStoreDown, result.RanNo, "%v", err).Later(storeDownRetry)
+			return nil, result.New(result.SettingsStoreDown, result.RanNo, "%v", err).Later(storeDownRetryAfter)
 		}
-		heads = k.book.kept(from, s.tree.Revision)
+		heads = k.replica.cachedHistory(from, s.tree.Revision)
 	}
 	slices.Reverse(heads)
 	return heads, nil
 }
 
-// kept returns the entries from..to that are in memory, in ascending order.
-func (b *book) kept(from, to int64) []Head {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// cachedHistory returns the entries from..to that are in memory, in ascending order.
+func (r *replica) cachedHistory(from, to int64) []Head {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []Head
-	for r := max(from, 1); r <= to; r++ {
-		if h, ok := b.history[r]; ok {
+	for rev := max(from, 1); rev <= to; rev++ {
+		if h, ok := r.history[rev]; ok {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// byChangeID finds the revision that a change made.
-func (b *book) byChangeID(id string) (Head, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, h := range b.history {
+// byChangeID returns the head that the change made, if it is in memory.
+func (r *replica) byChangeID(id string) (Head, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, h := range r.history {
 		if h.ChangeID == id {
 			return h, true
 		}
@@ -67,27 +67,27 @@
 	return Head{}, false
 }
 
-// treeAt returns the root branch of a kept revision.
+// treeAt returns the root node of a revision in the history, reading from the store what isn't in memory.
 func (k *Keeper) treeAt(ctx context.Context, revision int64) (*node, error) {
 	if revision == 0 {
 		return emptyRoot, nil
 	}
-	s := k.book.state()
-	heads := k.book.kept(revision, revision)
+	s := k.replica.snapshot()
+	heads := k.replica.cachedHistory(revision, revision)
 	if len(heads) == 0 {
 		if err := k.loadHistory(ctx); err != nil {
 			return nil, &storeError{err}
 		}
-		heads = k.book.kept(revision, revision)
+		heads = k.replica.cachedHistory(revision, revision)
 	}
 	if len(heads) == 0 {
 		return nil, result.New(result.SettingsNoSuchRevision, result.RanNo,
-			"revision %d is not among the last %d", revision, HistoryKept).At("revision")
+			"revision %d is not among the last %d", revision, HistoryLimit).At("revision")
 	}
 	pool := map[Hash][]byte{emptyRoot.hash: emptyRoot.encode()}
 	for {
 		l := linker{pools: []map[Hash][]byte{pool}}
-		root := l.link(heads[0].Root, s.tree.top(), &builtIn)
+		root := l.link(heads[0].Root, s.tree.rootNode(), &builtIn)
 		if l.err != nil || root != nil {
 			return root, l.err
 		}
--- a/internal/settings/linker.go
+++ b/internal/settings/linker.go
@@ -1,14 +1,13 @@
 package settings
 
-// linker builds the nodes of a root from stored forms, sharing with the node
-// that was at the same place before.
+// linker builds the nodes below a root from stored forms. It shares unchanged nodes with the previous tree.
 type linker struct {
 	pools   []map[Hash][]byte
 	missing []Hash
 	err     error
 }
 
-// link returns the node of the hash; nil when it or one below it is missing.
+// link returns the node of the hash, or nil when the node or one of its descendants is missing.
 func (l *linker) link(hash Hash, before *node, inherited *Values) *node {
 	if before != nil && before.hash == hash && (before.inherited == inherited || *before.inherited == *inherited) {
 		return before
@@ -32,7 +31,7 @@
 	return n
 }
 
-// content finds a branch's content and stored size in the old tree or the pools.
+// content returns a branch's content and stored size from the previous tree or the pools.
 func (l *linker) content(hash Hash, before *node) (c content, size int, ok bool) {
 	if before != nil && before.hash == hash {
 		c = content{Overrides: before.overrides, Children: map[string]Hash{}}
--- /dev/null
+++ b/internal/settings/manager.go
@@ -0,0 +1,306 @@
+package settings
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"github.com/cenkalti/backoff/v5"
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/sirupsen/logrus"
+
+	"pulleyquay/internal/peer"
+	"pulleyquay/internal/platform"
+	"pulleyquay/internal/wait"
+)
+
+const (
+	// retryInitial and retryMax bound the jittered pause between two attempts to reach the store. With this maximum,
+	// every member is on the head within 4 s after the store is available again.
+	retryInitial = 50 * time.Millisecond
+	retryMax     = time.Second
+	// callTimeout bounds one call to the store, except for a watch.
+	callTimeout = 2 * time.Second
+	// bulkFetchThreshold is the number of missing branches from which all branches are listed in one call, instead
+	// of one call for each missing branch.
+	bulkFetchThreshold = 16
+	// headPollInterval is how often each member reads the head in addition to the watch, which can stop delivering
+	// without ending.
+	headPollInterval = 3 * time.Second
+)
+
+// KeeperConfig holds the dependencies of a Manager. Store and Log are required.
+type KeeperConfig struct {
+	Store platform.Store
+	// Caller and Peers are used to fetch a revision that the store doesn't deliver. Peers returns the addresses of
+	// other placers, which may be outdated.
+	Caller peer.Caller
+	Peers  func() []string
+	// Known returns the Revision of every live member as heartbeats report it. When the watch lags behind one of
+	// them, the revision is fetched from peers. It may be nil if ObserveRevision is called for each heartbeat.
+	Known func() map[string]int64
+	// Applied returns the AppliedRevision of each live member, including this one, for changes with a wait.
+	Applied func() map[string]int64
+	// Collector reports whether this member is the one that collects unreferenced branches. It is called every
+	// collectInterval; nil disables collection.
+	Collector func() bool
+	Log       logrus.FieldLogger
+	Metrics   prometheus.Registerer
+	// Now is the wall clock for the history's timestamps; time.Now if nil.
+	Now func() time.Time
+}
+
+// Manager keeps a placer's settings up to date and makes operators' changes.
+type Keeper struct {
+	cfg       KeeperConfig
+	replica   *replica
+	followers *followers
+	counters  *counters
+}
+
+// NewKeeper returns a Manager without settings; Run loads them.
+func NewKeeper(cfg KeeperConfig) *Keeper {
+	if cfg.Now == nil {
+		cfg.Now = time.Now
+	}
+	if cfg.Peers == nil {
+		cfg.Peers = func() []string { return nil }
+	}
+	if cfg.Known == nil {
+		cfg.Known = func() map[string]int64 { return nil }
+	}
+	if cfg.Applied == nil {
+		cfg.Applied = func() map[string]int64 { return nil }
+	}
+	k := &Keeper{cfg: cfg, replica: newReplica(), followers: newFollowers()}
+	k.counters = newCounters(cfg.Metrics, k.replica)
+	return k
+}
+
+// Current returns the active tree, or nil before the first one was loaded.
+func (k *Keeper) Current() *Tree { return k.replica.current.Load() }
+
+// Ready returns why the process can't act on settings yet, or nil.
+func (k *Keeper) Ready() error { return k.replica.ready() }
+
+// OnApply registers a function that is called with each tree that becomes active, in order. Call it before Run; fn
+// must not block.
+func (k *Keeper) OnApply(fn func(*Tree)) { k.replica.onApply = append(k.replica.onApply, fn) }
+
+// ObserveRevision records that the revision is active in another process, as that process's heartbeat reports. If
+// the watch lags behind it, the revision is fetched from peers.
+func (k *Keeper) ObserveRevision(revision int64) { k.replica.observe(revision) }
+
+// Revision returns the active revision, -1 before the first.
+func (k *Keeper) Revision() int64 { return k.replica.revision() }
+
+// AppliedRevision returns the lowest of the revisions active in this process and in the entries that poll it. A
+// change with a wait waits for this value. It must not be passed to ObserveRevision: a lagging entry would hide
+// from other placers a revision that this one has.
+func (k *Keeper) AppliedRevision() int64 {
+	return k.followers.lowestRevision(k.replica.revision(), time.Now())
+}
+
+// Run loads the settings and follows the head until ctx ends.
+func (k *Keeper) Run(ctx context.Context) {
+	var parts sync.WaitGroup
+	parts.Go(func() { k.catchUpLoop(ctx) })
+	parts.Go(func() { k.runCollector(ctx) })
+	k.followHead(ctx)
+	parts.Wait()
+}
+
+// followHead reads the head and watches for changes, repeatedly until ctx ends.
+func (k *Keeper) followHead(ctx context.Context) {
+	retryBackoff := newRetryBackoff()
+	for ctx.Err() == nil {
+		before := k.replica.revision()
+		rev, err := k.refresh(ctx)
+		if err == nil {
+			err = k.watch(ctx, rev)
+		}
+		if ctx.Err() != nil {
+			return
+		}
+		k.cfg.Log.WithError(err).Debug("settings: watch ended")
+		if k.replica.revision() > before {
+			retryBackoff.Reset()
+		}
+		wait.For(ctx, retryBackoff.NextBackOff())
+	}
+}
+
+// errSilent ends a watch that did not deliver a head which a read returned.
+var errSilent = errors.New("settings: the watch is silent")
+
+// watch processes the changes after rev until the watch ends or pollHead finds it silent.
+func (k *Keeper) watch(ctx context.Context, rev platform.Revision) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		k.pollHead(ctx, cancel)
+	}()
+	err := k.cfg.Store.Watch(ctx, storePrefix, rev, func(b platform.Batch) { k.processBatch(ctx, b) })
+	k.counters.watches.Inc()
+	cancel(nil)
+	<-done
+	return err
+}
+
+// pollHead reads the head periodically. When a read returns a revision that the watch has not delivered, pollHead
+// cancels the watch, so that it is restarted.
+func (k *Keeper) pollHead(ctx context.Context, cancelWatch context.CancelCauseFunc) {
+	for {
+		wait.For(ctx, headPollInterval)
+		if ctx.Err() != nil {
+			return
+		}
+		before := k.replica.revision()
+		_, err := k.refresh(ctx)
+		if err == nil && k.replica.revision() > before {
+			cancelWatch(errSilent)
+			return
+		}
+	}
+}
+
+// refresh reads the head from the store and activates it. It returns the store's revision from which to watch.
+func (k *Keeper) refresh(ctx context.Context) (platform.Revision, error) {
+	records, rev, err := k.list(ctx, headKey)
+	if err == nil && k.Current() == nil {
+		records, err = k.verifyHead(ctx, records)
+	}
+	if err != nil {
+		return 0, err
+	}
+	if len(records) == 0 {
+		return rev, k.applyHead(ctx, Head{Root: emptyRoot.hash}, 0)
+	}
+	return rev, k.applyRecord(ctx, records[0])
+}
+
+// verifyHead checks by a transaction without writes that the head that was read isn't stale, and returns the current
+// one. Only a starting process needs it: later, a stale head is recognized because it is lower than the active one.
+func (k *Keeper) verifyHead(ctx context.Context, records []platform.Record) ([]platform.Record, error) {
+	present := platform.Condition{Key: headKey}
+	if len(records) > 0 {
+		present.ModRevision = records[0].ModRevision
+	}
+	reply, err := k.commit(ctx, platform.Txn{If: []platform.Condition{present}})
+	if err != nil || reply.Applied {
+		return records, err
+	}
+	return reply.Found, nil
+}
+
+// list is one read with callTimeout.
+func (k *Keeper) list(ctx context.Context, prefix string) ([]platform.Record, platform.Revision, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	k.counters.reads.Inc()
+	return k.cfg.Store.List(ctx, prefix)
+}
+
+// processBatch processes one batch of a watch. It processes branches before the head, since a head's branches are
+// usually in the same batch.
+func (k *Keeper) processBatch(ctx context.Context, b platform.Batch) {
+	var head *platform.Record
+	for i := range b.Changes {
+		c := &b.Changes[i]
+		switch {
+		case c.Deleted:
+		case c.Key == headKey:
+			head = &c.Record
+		default:
+			k.cacheRecord(c.Record)
+		}
+	}
+	if head == nil {
+		return
+	}
+	if err := k.applyRecord(ctx, *head); err != nil {
+		k.cfg.Log.WithError(err).Warn("settings: head not applied yet")
+	}
+}
+
+// cacheRecord stores a watched branch or history entry in the replica.
+func (k *Keeper) cacheRecord(r platform.Record) {
+	if hash, ok := hashOfKey(r.Key); ok {
+		k.replica.addToPool(hash, r.Value)
+		return
+	}
+	if h, ok := historyOf(r); ok {
+		k.replica.addHistory([]Head{h})
+	}
+}
+
+// applyRecord activates the head in a record.
+func (k *Keeper) applyRecord(ctx context.Context, r platform.Record) error {
+	h, err := decodeHead(r.Value)
+	if err != nil {
+		return err
+	}
+	return k.applyHead(ctx, h, r.ModRevision)
+}
+
+// applyHead activates a head after fetching its missing branches.
+func (k *Keeper) applyHead(ctx context.Context, h Head, mod platform.Revision) error {
+	if h.Revision < k.replica.revision() {
+		k.counters.behind.Inc()
+		return nil
+	}
+	k.replica.observe(h.Revision)
+	pool := map[Hash][]byte{emptyRoot.hash: emptyRoot.encode()}
+	for {
+		missing, err := k.replica.apply(h, mod, pool)
+		if err != nil || len(missing) == 0 {
+			return err
+		}
+		if err := k.fetch(ctx, missing, pool); err != nil {
+			return err
+		}
+	}
+}
+
+// fetch reads the missing branches from the store into pool.
+func (k *Keeper) fetch(ctx context.Context, missing []Hash, pool map[Hash][]byte) error {
+	if len(missing) >= bulkFetchThreshold {
+		records, _, err := k.list(ctx, branchPrefix)
+		if err != nil {
+			return err
+		}
+		for _, r := range records {
+			if hash, ok := hashOfKey(r.Key); ok {
+				pool[hash] = r.Value
+			}
+		}
+		return checkAllFound(missing, pool)
+	}
+	for _, hash := range missing {
+		records, _, err := k.list(ctx, branchKey(hash))
+		if err != nil {
+			return err
+		}
+		if len(records) > 0 {
+			pool[hash] = records[0].Value
+		}
+	}
+	return checkAllFound(missing, pool)
+}
+
+// newRetryBackoff returns the jittered backoff between attempts to reach the store or a placer.
+func newRetryBackoff() *backoff.ExponentialBackOff {
+	b := backoff.NewExponentialBackOff()
+	b.InitialInterval, b.MaxInterval = retryInitial, retryMax
+	return b
+}
+
+// newConflictBackoff returns the jittered backoff after a swap that failed because of another change.
+func newConflictBackoff() *backoff.ExponentialBackOff {
+	b := backoff.NewExponentialBackOff()
+	b.InitialInterval, b.MaxInterval = 2*time.Millisecond, 50*time.Millisecond
+	return b
+}
--- a/internal/settings/keeper_test.go
+++ b/internal/settings/manager_test.go
@@ -12,8 +12,8 @@
 	"pulleyquay/internal/result"
 )
 
-// everywhere is how soon a change must be in force in every process.
-const everywhere = 4 * time.Second
+// propagationLimit is the time within which a change must be active in every process.
+const propagationLimit = 4 * time.Second
 
 func TestChangeIsInForceEverywhere(t *testing.T) {
 	inBubble(t, 4, 4, func(is *is.I, c *cell) {
@@ -21,35 +21,34 @@
 		is.NoErr(err)
 		is.Equal(got.Revision, int64(1))
 		synctest.Wait()
-		is.Equal(c.behind(1), nil) // at once, without any time passing
+		is.Equal(c.behind(1), nil) // at once: the fake clock has not advanced
 		v, err := c.followers[3].Current().Effective("/a")
 		is.NoErr(err)
 		is.Equal(v.Executor.Slots, int64(3))
 	})
 }
 
-// TestFaultsOfNews is the table of what may keep news of a change from a
-// process. In each case all are on the head within 4 s of the fault's end, or
-// during it where there is another way.
-func TestFaultsOfNews(t *testing.T) {
+// TestPropagationUnderFaults lists the faults that can prevent a process from receiving a change. In each case all
+// processes must be on the head within 4 s after the fault ends, or during the fault where another path exists.
+func TestPropagationUnderFaults(t *testing.T) {
 	cases := []struct {
 		name string
-		// fault strikes placer 1 before placer 0 makes a change.
+		// fault is injected at placer 1 before placer 0 makes a change.
 		fault func(c *cell)
-		// heals is true when the fault must end before the news can come.
-		heals bool
+		// needsRecovery is true when the change can't arrive before the fault ends.
+		needsRecovery bool
 	}{
 		{"slow watch", func(c *cell) { c.client(1).SetFaults(memstore.Faults{WatchDelayMS: 60000}) }, false},
 		{"dropped watch", func(c *cell) { c.client(1).SetFaults(memstore.Faults{BreakWatches: true}) }, false},
 		{"silent store", func(c *cell) { c.client(1).SetFaults(memstore.Faults{Hang: true}) }, false},
-		{"cut from the store", func(c *cell) { c.client(1).SetFaults(memstore.Faults{Refuse: true}) }, false},
+		{"disconnected from the store", func(c *cell) { c.client(1).SetFaults(memstore.Faults{Refuse: true}) }, false},
 		{"stale reads and slow watch", func(c *cell) {
 			c.client(1).SetFaults(memstore.Faults{StaleReads: true, WatchDelayMS: 60000})
 		}, false},
-		{"cut from the store and from peers", func(c *cell) {
+		{"disconnected from the store and from peers", func(c *cell) {
 			c.client(1).SetFaults(memstore.Faults{Refuse: true})
-			c.links.cut(addrOf(0))
-			c.links.cut(addrOf(2))
+			c.network.disconnect(placerAddr(0))
+			c.network.disconnect(placerAddr(2))
 		}, true},
 	}
 	for _, tc := range cases {
@@ -59,12 +58,12 @@
 				_, err := c.change(0, `{"/a":{}}`)
 				is.NoErr(err)
 				c.heartbeat()
-				time.Sleep(everywhere)
-				if tc.heals {
+				time.Sleep(propagationLimit)
+				if tc.needsRecovery {
 					is.Equal(c.behind(1), []string{"placer-1 at 0"})
-					is.True(c.keepers[1].Ready() != nil) // it knows that it lacks it
+					is.True(c.managers[1].Ready() != nil) // a higher revision is known
 					c.client(1).SetFaults(memstore.Faults{})
-					time.Sleep(everywhere)
+					time.Sleep(propagationLimit)
 				}
 				is.Equal(c.behind(1), nil)
 			})
@@ -75,16 +74,16 @@
 func TestSilentWatchWithoutPeers(t *testing.T) {
 	inBubble(t, 1, 0, func(is *is.I, c *cell) {
 		c.client(0).SetFaults(memstore.Faults{WatchDelayMS: 60000})
-		other := NewKeeper(KeeperConfig{Store: c.engine.Client("other"), Log: quiet()})
+		other := NewKeeper(KeeperConfig{Store: c.engine.Client("other"), Log: discardLog()})
 		_, err := other.Change(c.ctx, edit(0, `{"/a":{}}`))
 		is.NoErr(err)
-		time.Sleep(everywhere)
-		is.Equal(c.behind(1), nil) // found by the head check
+		time.Sleep(propagationLimit)
+		is.Equal(c.behind(1), nil) // found by pollHead
 	})
 }
 
-// TestFaultsOfTheSwap is the table of what may happen to the one write.
-func TestFaultsOfTheSwap(t *testing.T) {
+// TestSwapUnderFaults lists the faults that can affect the swap of the head.
+func TestSwapUnderFaults(t *testing.T) {
 	cases := []struct {
 		name     string
 		fault    memstore.Faults
@@ -98,7 +97,7 @@
 		{"each answer lost", memstore.Faults{LoseAnswers: memstore.All}, 0, "", 1},
 		{"each request lost", memstore.Faults{LoseRequests: memstore.All}, result.SettingsOutcomeUnknown, result.RanUnknown, 0},
 		{"slow request", memstore.Faults{RequestDelayMS: 300}, 0, "", 1},
-		{"arrives after the caller gave up", memstore.Faults{RequestDelayMS: 2500}, result.SettingsOutcomeUnknown, result.RanUnknown, 1},
+		{"arrives after the caller's timeout", memstore.Faults{RequestDelayMS: 2500}, result.SettingsOutcomeUnknown, result.RanUnknown, 1},
 		{"store refuses", memstore.Faults{Refuse: true}, result.SettingsStoreDown, result.RanNo, 0},
 		{"store silent", memstore.Faults{Hang: true}, result.SettingsOutcomeUnknown, result.RanUnknown, 0},
 	}
@@ -107,7 +106,7 @@
 			inBubble(t, 2, 0, func(is *is.I, c *cell) {
 				c.client(0).SetFaults(tc.fault)
 				change := edit(0, `{"/a":{}}`)
-				got, err := c.keepers[0].Change(c.ctx, change)
+				got, err := c.managers[0].Change(c.ctx, change)
 				if tc.code == 0 {
 					is.NoErr(err)
 					is.Equal(got.ChangeID, change.ID)
@@ -121,13 +120,12 @@
 				c.client(0).SetFaults(memstore.Faults{})
 				is.Equal(c.head().Revision, tc.accepted)
 
-				// Repeating it with its id settles it through any placer, and it
-				// is made once only.
-				again, err := c.keepers[1].Change(c.ctx, change)
+				// Repeating the change with its id through any placer determines the outcome, and the change is made only once.
+				again, err := c.managers[1].Change(c.ctx, change)
 				is.NoErr(err)
 				is.Equal(again.Revision, int64(1))
 				is.Equal(again.Repeated, tc.accepted == 1)
-				time.Sleep(everywhere)
+				time.Sleep(propagationLimit)
 				is.Equal(c.head().Revision, int64(1))
 				is.Equal(c.behind(1), nil)
 			})
@@ -135,20 +133,20 @@
 	}
 }
 
-// A change whose swap took effect without an answer is told from a later one
-// that was swapped over it.
+// The answer to a change's swap is lost and another change is swapped afterwards. The first change must still be
+// recognized as accepted.
 func TestLostAnswerUnderALaterChange(t *testing.T) {
 	inBubble(t, 2, 0, func(is *is.I, c *cell) {
-		c.client(0).SetFaults(memstore.Faults{AnswerDelayMS: 5000}) // longer than a call may take
+		c.client(0).SetFaults(memstore.Faults{AnswerDelayMS: 5000}) // longer than callTimeout
 		done := make(chan Accepted, 1)
 		change := edit(0, `{"/a":{}}`)
 		go func() {
-			got, err := c.keepers[0].Change(c.ctx, change)
+			got, err := c.managers[0].Change(c.ctx, change)
 			is.NoErr(err)
 			done <- got
 		}()
 		time.Sleep(time.Second)
-		later, err := c.keepers[1].Change(c.ctx, edit(1, `{"/b":{}}`))
+		later, err := c.managers[1].Change(c.ctx, edit(1, `{"/b":{}}`))
 		is.NoErr(err)
 		is.Equal(later.Revision, int64(2))
 		c.client(0).SetFaults(memstore.Faults{})
@@ -168,7 +166,7 @@
 	})
 }
 
-// TestRaces is the table of two operators who looked at the same revision.
+// TestRaces lists pairs of changes that two operators make against the same revision.
 func TestRaces(t *testing.T) {
 	const start = `{"/a":{},"/a/x":{},"/b":{}}`
 	cases := []struct {
@@ -177,18 +175,18 @@
 		code          result.Code // of the second; 0: accepted
 	}{
 		{"other branches", `{"/a":{"executor":{"slots":3}}}`, `{"/b":{"executor":{"slots":4}}}`, 0},
-		{"same branch", `{"/a":{"executor":{"slots":3}}}`, `{"/a":{"executor":{"slots":4}}}`, result.SettingsClash},
-		{"one branch of several", `{"/a":{},"/b":{}}`, `{"/b":{},"/a/x":{}}`, result.SettingsClash},
-		{"valid apart, wrong together", `{"/a":{"request":{"max_deadline_ms":3000}}}`,
+		{"same branch", `{"/a":{"executor":{"slots":3}}}`, `{"/a":{"executor":{"slots":4}}}`, result.SettingsConflict},
+		{"one branch of several", `{"/a":{},"/b":{}}`, `{"/b":{},"/a/x":{}}`, result.SettingsConflict},
+		{"valid individually, invalid together", `{"/a":{"request":{"max_deadline_ms":3000}}}`,
 			`{"/a/x":{"request":{"default_deadline_ms":4000}}}`, result.SettingsContradiction},
-		{"valid apart, wrong together, other order", `{"/a/x":{"request":{"default_deadline_ms":4000}}}`,
+		{"valid individually, invalid together, other order", `{"/a/x":{"request":{"default_deadline_ms":4000}}}`,
 			`{"/a":{"request":{"max_deadline_ms":3000}}}`, result.SettingsContradiction},
-		{"slots over connections together", `{"/a":{"executor":{"connections":10}}}`, `{"/a/x":{"executor":{"slots":11}}}`, result.SettingsContradiction},
-		{"parent removed", `{"/a":null,"/a/x":null}`, `{"/a/x":{}}`, result.SettingsClash},
+		{"slots above connections in combination", `{"/a":{"executor":{"connections":10}}}`, `{"/a/x":{"executor":{"slots":11}}}`, result.SettingsContradiction},
+		{"parent removed", `{"/a":null,"/a/x":null}`, `{"/a/x":{}}`, result.SettingsConflict},
 		{"child of a removed parent", `{"/a":null,"/a/x":null}`, `{"/a/y":{}}`, result.SettingsUnknownBranch},
 		{"removed under a new child", `{"/a/y":{}}`, `{"/a":null,"/a/x":null}`, result.SettingsBranchInUse},
-		{"both create", `{"/c":{}}`, `{"/c":{}}`, result.SettingsClash},
-		{"both remove", `{"/b":null}`, `{"/b":null}`, result.SettingsClash},
+		{"both create", `{"/c":{}}`, `{"/c":{}}`, result.SettingsConflict},
+		{"both remove", `{"/b":null}`, `{"/b":null}`, result.SettingsConflict},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -197,9 +195,9 @@
 				is.NoErr(err)
 				synctest.Wait()
 				first, second := edit(1, tc.first), edit(1, tc.second)
-				_, err = c.keepers[0].Change(c.ctx, first)
+				_, err = c.managers[0].Change(c.ctx, first)
 				is.NoErr(err)
-				_, err = c.keepers[1].Change(c.ctx, second)
+				_, err = c.managers[1].Change(c.ctx, second)
 				if tc.code == 0 {
 					is.NoErr(err)
 					is.Equal(c.head().Revision, int64(3))
@@ -214,8 +212,8 @@
 	}
 }
 
-// Eight operators race through different placers. Every change that is told to
-// be accepted is in the history once, and the head is a valid tree.
+// Eight operators make concurrent changes through different placers. Every change that was reported as accepted must
+// be in the history exactly once, and the head must be a valid tree.
 func TestEightOperatorsRace(t *testing.T) {
 	inBubble(t, 4, 0, func(is *is.I, c *cell) {
 		_, err := c.change(0, `{"/a":{},"/a/x":{},"/b":{}}`)
@@ -229,7 +227,7 @@
 		for i := range 8 {
 			change := edit(1, branches[i%len(branches)])
 			go func() {
-				_, err := c.keepers[i%4].Change(c.ctx, change)
+				_, err := c.managers[i%4].Change(c.ctx, change)
 				if err != nil {
 					is.Equal(result.From(err).Ran, result.RanNo)
 					change.ID = ""
@@ -244,7 +242,7 @@
 			}
 		}
 		synctest.Wait()
-		heads, err := c.keepers[0].History(c.ctx)
+		heads, err := c.managers[0].History(c.ctx)
 		is.NoErr(err)
 		is.Equal(len(heads), 1+len(accepted))
 		for _, h := range heads[:len(accepted)] {
@@ -252,58 +250,58 @@
 		}
 		is.True(len(accepted) >= 2)
 		is.Equal(c.behind(c.head().Revision), nil)
-		c.keepers[0].Current().top().each(Root, func(path string, n *node) { is.NoErr(check(path, n.effective)) })
+		c.managers[0].Current().rootNode().each(Root, func(path string, n *node) { is.NoErr(check(path, n.effective)) })
 	})
 }
 
-// A placer that lags must not refuse a change for what has changed since.
+// A placer that lags must not refuse a change because of a state that is no longer current.
 func TestRefusalIsDecidedAgainstThePresentHead(t *testing.T) {
 	inBubble(t, 2, 0, func(is *is.I, c *cell) {
 		c.client(1).SetFaults(memstore.Faults{WatchDelayMS: 60000})
 		_, err := c.change(0, `{"/a":{}}`)
 		is.NoErr(err)
-		got, err := c.keepers[1].Change(c.ctx, edit(0, `{"/a/x":{}}`)) // knows no /a yet
+		got, err := c.managers[1].Change(c.ctx, edit(0, `{"/a/x":{}}`)) // has not received /a yet
 		is.NoErr(err)
 		is.Equal(got.Revision, int64(2))
 	})
 }
 
-// A head learned from a peer can jump over revisions whose entries the process
-// has not seen; they could have touched the same branches.
-func TestGapInTheHistoryIsNotTakenForPeace(t *testing.T) {
+// A head received from a peer can skip revisions whose history entries the process does not have. Those revisions
+// may have changed the same branches, so the change must not be accepted without them.
+func TestHistoryGapIsNotTreatedAsNoConflict(t *testing.T) {
 	inBubble(t, 1, 0, func(is *is.I, c *cell) {
-		k := c.keepers[0]
-		_, err := k.book.apply(Head{Revision: 3, Root: emptyRoot.hash}, 0, nil)
+		k := c.managers[0]
+		_, err := k.replica.apply(Head{Revision: 3, Root: emptyRoot.hash}, 0, nil)
 		is.NoErr(err)
 		p, err := prepare(edit(1, `{"/":{}}`))
 		is.NoErr(err)
 		a := attempt{k: k, p: p}
-		is.Equal(a.admissible(k.book.state()), errGap)
+		is.Equal(a.checkBase(k.replica.snapshot()), errHistoryGap)
 	})
 }
 
 func TestBaseAndIDAreChecked(t *testing.T) {
 	inBubble(t, 1, 0, func(is *is.I, c *cell) {
 		change := edit(0, `{"/a":{}}`)
-		_, err := c.keepers[0].Change(c.ctx, change)
+		_, err := c.managers[0].Change(c.ctx, change)
 		is.NoErr(err)
 		other := edit(1, `{"/b":{}}`)
 		other.ID = change.ID
-		_, err = c.keepers[0].Change(c.ctx, other)
+		_, err = c.managers[0].Change(c.ctx, other)
 		is.Equal(result.CodeOf(err), result.SettingsChangeIDReused)
-		_, err = c.keepers[0].Change(c.ctx, edit(7, `{"/b":{}}`))
+		_, err = c.managers[0].Change(c.ctx, edit(7, `{"/b":{}}`))
 		is.Equal(result.CodeOf(err), result.SettingsBaseAhead)
-		_, err = c.keepers[0].Change(c.ctx, Change{ID: "x"})
+		_, err = c.managers[0].Change(c.ctx, Change{ID: "x"})
 		is.Equal(result.CodeOf(err), result.BadInput)
-		for i := range int64(HistoryKept) {
+		for i := range int64(HistoryLimit) {
 			_, err = c.change(0, fmt.Sprintf(`{"/c%d":{}}`, i))
 			is.NoErr(err)
 		}
-		_, err = c.keepers[0].Change(c.ctx, edit(0, `{"/b":{}}`))
+		_, err = c.managers[0].Change(c.ctx, edit(0, `{"/b":{}}`))
 		is.Equal(result.CodeOf(err), result.SettingsBaseTooOld)
-		heads, err := c.keepers[0].History(c.ctx)
+		heads, err := c.managers[0].History(c.ctx)
 		is.NoErr(err)
-		is.Equal(len(heads), HistoryKept)
+		is.Equal(len(heads), HistoryLimit)
 	})
 }
 
@@ -312,35 +310,35 @@
 		change := edit(0, `{"/a":{}}`)
 		change.WaitMillis = 5000
 		begin := time.Now()
-		got, err := c.keepers[0].Change(c.ctx, change)
+		got, err := c.managers[0].Change(c.ctx, change)
 		is.NoErr(err)
 		is.Equal(got.NotApplied, nil)
 		is.True(time.Since(begin) < time.Second)
 
 		c.client(2).SetFaults(memstore.Faults{Refuse: true})
-		c.links.cut(addrOf(0))
-		c.links.cut(addrOf(1))
+		c.network.disconnect(placerAddr(0))
+		c.network.disconnect(placerAddr(1))
 		change = edit(1, `{"/b":{}}`)
 		change.WaitMillis = 5000
-		got, err = c.keepers[1].Change(c.ctx, change)
+		got, err = c.managers[1].Change(c.ctx, change)
 		is.NoErr(err)
 		is.Equal(got.NotApplied, []string{"placer-2"})
 	})
 }
 
-func TestDumpTellsWhatLacks(t *testing.T) {
+func TestDumpReportsWhatIsMissing(t *testing.T) {
 	inBubble(t, 1, 1, func(is *is.I, c *cell) {
 		_, err := c.change(0, `{"/a":{}}`)
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		d, ok := c.keepers[0].Dump().(Dump)
+		d, ok := c.managers[0].Dump().(Dump)
 		is.True(ok)
 		is.Equal(d.Revision, int64(1))
 		is.Equal(d.Branches, 2)
 		is.Equal(d.Followers, map[string]int64{"entry-0": 1})
 		is.Equal(d.Lacks, "")
-		c.keepers[0].Hear(5)
-		d, ok = c.keepers[0].Dump().(Dump)
+		c.managers[0].ObserveRevision(5)
+		d, ok = c.managers[0].Dump().(Dump)
 		is.True(ok)
 		is.True(d.Lacks != "")
 	})
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -11,54 +11,54 @@
 	"pulleyquay/internal/result"
 )
 
-// Hash is the SHA-256 of a branch's stored content and so its address.
+// Hash is the SHA-256 of a branch's stored content, and the branch's address in the store.
 type Hash [sha256.Size]byte
 
-// String gives the hash in lower-case hexadecimal, as in store keys.
+// String returns the hash in lower-case hexadecimal, as in store keys.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// MarshalText writes the hash as String does.
+// MarshalText returns the hash in the form of String.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText parses the form of String.
 func (h *Hash) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
 	if err != nil || len(raw) != len(h) {
-		return result.New(result.SettingsDamaged, result.RanNo, "%q is no hash", text)
+		return result.New(result.SettingsCorrupt, result.RanNo, "%q is no hash", text)
 	}
 	copy(h[:], raw)
 	return nil
 }
 
-// content is what the store holds of one branch: a node of a Merkle tree. The
-// content of a branch fixes everything below it.
+// content is the stored form of one branch: a node of a Merkle tree. A branch's content determines all of its
+// descendants.
 type content struct {
 	Overrides Overrides       `json:"overrides"`
 	Children  map[string]Hash `json:"children,omitempty"`
 }
 
-// decodeContent reads stored bytes and proves that they belong to the hash.
+// decodeContent decodes stored bytes after verifying that they match the hash.
 func decodeContent(hash Hash, data []byte) (content, error) {
 	var c content
 	if sha256.Sum256(data) != hash {
-		return c, result.New(result.SettingsDamaged, result.RanNo, "branch %s does not match its hash", hash)
+		return c, result.New(result.SettingsCorrupt, result.RanNo, "branch %s does not match its hash", hash)
 	}
 	if err := json.Unmarshal(data, &c); err != nil {
-		return c, result.New(result.SettingsDamaged, result.RanNo, "branch %s: %v (written by a newer version?)", hash, err)
+		return c, result.New(result.SettingsCorrupt, result.RanNo, "branch %s: %v (written by a newer version?)", hash, err)
 	}
 	return c, nil
 }
 
-// node is one branch in memory. Nodes are immutable and shared by the trees of
-// successive revisions where neither they nor their parents changed.
+// node is one branch in memory. Nodes are immutable. Trees of successive revisions share the nodes that are unchanged
+// and whose inherited values are unchanged.
 type node struct {
 	hash      Hash
 	overrides Overrides
-	children  []link // in the order of names
-	// inherited are the parent's effective values; effective is the same
-	// pointer where the branch overrides nothing.
+	children  []link // sorted by name
+	// inherited points to the parent's effective values; effective is the same pointer if the branch overrides
+	// nothing.
 	inherited, effective *Values
-	// bytes is the stored size of this branch and all below it.
+	// bytes is the stored size of this branch and its descendants.
 	bytes int
 }
 
@@ -68,7 +68,7 @@
 	node *node
 }
 
-// newNode makes a node from checked parts and works out its hash.
+// newNode returns a node of validated parts, with its hash computed.
 func newNode(o Overrides, children []link, inherited, effective *Values) *node {
 	n := hashedNode(Hash{}, o, children, inherited, effective)
 	data := n.encode()
@@ -77,8 +77,7 @@
 	return n
 }
 
-// hashedNode makes a node whose hash is known. Its own stored size is still to
-// be added to bytes.
+// hashedNode returns a node whose hash is known. The caller must add the node's own stored size to bytes.
 func hashedNode(hash Hash, o Overrides, children []link, inherited, effective *Values) *node {
 	n := &node{hash: hash, overrides: o, children: children, inherited: inherited, effective: effective}
 	for _, l := range children {
@@ -87,7 +86,7 @@
 	return n
 }
 
-// encode gives the stored form; equal nodes give equal bytes.
+// encode returns the stored form; equal nodes have equal stored forms.
 func (n *node) encode() []byte {
 	c := content{Overrides: n.overrides}
 	if len(n.children) > 0 {
@@ -103,7 +102,7 @@
 	return data
 }
 
-// child finds a child by name; nil when there is none.
+// child returns the child of that name, or nil.
 func (n *node) child(name string) *node {
 	if n == nil {
 		return nil
@@ -115,7 +114,7 @@
 	return n.children[i].node
 }
 
-// each calls fn for n and everything below it, parents first, in path order.
+// each calls fn for n and all of its descendants, parents first, in path order.
 func (n *node) each(path string, fn func(path string, n *node)) {
 	fn(path, n)
 	for _, l := range n.children {
--- a/internal/settings/outage_test.go
+++ b/internal/settings/outage_test.go
@@ -21,65 +21,64 @@
 		time.Sleep(time.Second)
 		c.engine.SetFaults(memstore.Faults{Refuse: true})
 		c.start(1)
-		time.Sleep(everywhere)
-		is.Equal(c.behind(1), nil) // learned from peers
-		is.NoErr(c.keepers[1].Ready())
+		time.Sleep(propagationLimit)
+		is.Equal(c.behind(1), nil) // fetched from peers
+		is.NoErr(c.managers[1].Ready())
 
 		_, err = c.change(1, `{"/b":{}}`)
 		is.Equal(result.CodeOf(err), result.SettingsStoreDown)
 		c.engine.SetFaults(memstore.Faults{})
-		_, err = c.change(1, `{"/b":{}}`) // it never read the head's record itself
+		_, err = c.change(1, `{"/b":{}}`) // placer 1 had not read the head's record from the store before
 		is.NoErr(err)
 	})
 }
 
-// A process that starts on a stale read must not put the old head in force.
+// A process whose first read is stale must not apply the old head.
 func TestStartOnAStaleRead(t *testing.T) {
 	inBubble(t, 2, 0, func(is *is.I, c *cell) {
 		_, err := c.change(0, `{"/a":{}}`)
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		c.client(1).SetFaults(memstore.Faults{StaleReads: true}) // as of revision 1
+		c.client(1).SetFaults(memstore.Faults{StaleReads: true}) // reads return revision 1
 		_, err = c.change(0, `{"/b":{}}`)
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		is.Equal(c.behind(2), nil)
 		c.start(1)
 		synctest.Wait()
-		time.Sleep(everywhere)
+		time.Sleep(propagationLimit)
 		is.Equal(c.behind(2), nil)
 		is.Equal(c.lastProcess(), []int64{2}) // never revision 1 in between
 	})
 }
 
-// A process that starts in an outage and is told of a revision that no peer can
-// give is not ready: with the older one its settings would go back.
+// A process that starts in an outage and learns of a revision that no peer can provide isn't ready: with the older
+// one its settings would revert.
 func TestStartInAnOutageBehindWhatWasInForce(t *testing.T) {
 	inBubble(t, 3, 0, func(is *is.I, c *cell) {
 		c.client(1).SetFaults(memstore.Faults{Refuse: true})
 		c.client(2).SetFaults(memstore.Faults{Refuse: true})
 		_, err := c.change(0, `{"/a":{}}`)
 		is.NoErr(err)
-		c.heartbeat() // placers 1 and 2 hear of revision 1
-		c.kill(0)     // and lose the only process that has it
+		c.heartbeat() // placers 1 and 2 observe revision 1
+		c.kill(0)     // and the only process that has it stops
 		c.engine.SetFaults(memstore.Faults{Refuse: true})
 		c.start(0)
-		time.Sleep(everywhere)
-		is.Equal(result.CodeOf(c.keepers[0].Ready()), result.NotReady)
-		is.True(c.keepers[0].Current() == nil) // it does not begin with revision 0
-		is.True(c.keepers[1].Ready() != nil)
+		time.Sleep(propagationLimit)
+		is.Equal(result.CodeOf(c.managers[0].Ready()), result.NotReady)
+		is.True(c.managers[0].Current() == nil) // it does not apply revision 0
+		is.True(c.managers[1].Ready() != nil)
 
 		c.engine.SetFaults(memstore.Faults{})
 		c.client(1).SetFaults(memstore.Faults{})
 		c.client(2).SetFaults(memstore.Faults{})
-		time.Sleep(everywhere)
+		time.Sleep(propagationLimit)
 		is.Equal(c.behind(1), nil)
-		is.NoErr(c.keepers[0].Ready())
+		is.NoErr(c.managers[0].Ready())
 	})
 }
 
-// An outage in the middle of a change: some heard of it, others did not. All
-// have it before the store is back.
+// An outage begins when only some processes have received a change. All must receive it before the outage ends.
 func TestOutageInTheMiddleOfAChange(t *testing.T) {
 	inBubble(t, 4, 2, func(is *is.I, c *cell) {
 		c.client(2).SetFaults(memstore.Faults{WatchDelayMS: 60000})
@@ -88,39 +87,39 @@
 		is.NoErr(err)
 		c.engine.SetFaults(memstore.Faults{Hang: true})
 		c.heartbeat()
-		time.Sleep(everywhere)
+		time.Sleep(propagationLimit)
 		is.Equal(c.behind(1), nil)
 	})
 }
 
-// An entry learns of a revision through a placer that is behind: it asks the
-// others, and it never goes back when the one that is ahead dies.
+// An entry learns from a placer that lags that a higher revision exists. It must fetch it from another placer, and
+// keep it when that placer stops.
 func TestFollowerNeverGoesBack(t *testing.T) {
 	inBubble(t, 2, 1, func(is *is.I, c *cell) {
 		c.client(0).SetFaults(memstore.Faults{Hang: true})
 		_, err := c.change(1, `{"/a":{}}`)
 		is.NoErr(err)
-		c.keepers[0].Hear(1)
-		c.links.cut(addrOf(1)) // placer 0 can not ask placer 1, the entry neither
-		time.Sleep(everywhere)
+		c.managers[0].ObserveRevision(1)
+		c.network.disconnect(placerAddr(1)) // neither placer 0 nor the entry reaches placer 1
+		time.Sleep(propagationLimit)
 		f := c.followers[0]
 		is.Equal(f.Current().Revision, int64(0))
-		is.True(f.Ready() != nil) // it knows that it lacks revision 1
+		is.True(f.Ready() != nil) // revision 1 is known to exist
 		mux := c.muxOf(1)
-		c.links.connect(addrOf(1), mux)
-		time.Sleep(everywhere)
+		c.network.connect(placerAddr(1), mux)
+		time.Sleep(propagationLimit)
 		is.Equal(f.Current().Revision, int64(1))
 		c.kill(1)
-		c.start(0) // a placer that knows nothing and reaches no store
-		time.Sleep(everywhere)
+		c.start(0) // a placer without settings that does not reach the store
+		time.Sleep(propagationLimit)
 		is.Equal(f.Current().Revision, int64(1))
 	})
 }
 
-// shuffled delivers the batches of a watch out of order and twice.
-type shuffled struct{ platform.Store }
+// shuffledWatch delivers the batches of a watch out of order, and some of them twice.
+type shuffledWatch struct{ platform.Store }
 
-func (s shuffled) Watch(ctx context.Context, prefix string, after platform.Revision, fn func(platform.Batch)) error {
+func (s shuffledWatch) Watch(ctx context.Context, prefix string, after platform.Revision, fn func(platform.Batch)) error {
 	var held []platform.Batch
 	return s.Store.Watch(ctx, prefix, after, func(b platform.Batch) {
 		held = append(held, b)
@@ -136,19 +135,19 @@
 
 func TestWatchAnswersOutOfOrder(t *testing.T) {
 	inBubble(t, 2, 0, func(is *is.I, c *cell) {
-		c.startWith(1, shuffled{c.client(1)})
+		c.startWith(1, shuffledWatch{c.client(1)})
 		time.Sleep(time.Second)
 		for i := range int64(7) {
 			_, err := c.change(0, fmt.Sprintf(`{"/a%d":{}}`, i))
 			is.NoErr(err)
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(everywhere)
+		time.Sleep(propagationLimit)
 		is.Equal(c.behind(7), nil)
 	})
 }
 
-func TestStoreThatWentBackIsNotFollowed(t *testing.T) {
+func TestOlderStoreHeadIsNotApplied(t *testing.T) {
 	inBubble(t, 1, 0, func(is *is.I, c *cell) {
 		for i := range int64(3) {
 			_, err := c.change(0, fmt.Sprintf(`{"/a%d":{}}`, i))
@@ -159,8 +158,8 @@
 		observer := c.engine.Client("observer")
 		_, err := observer.Commit(c.ctx, platform.Txn{Then: []platform.Write{{Key: headKey, Value: old.encode()}}})
 		is.NoErr(err)
-		time.Sleep(everywhere)
-		is.Equal(c.keepers[0].Current().Revision, int64(3))
+		time.Sleep(propagationLimit)
+		is.Equal(c.managers[0].Current().Revision, int64(3))
 		_, err = c.change(0, `{"/b":{}}`)
 		is.Equal(result.CodeOf(err), result.SettingsStoreBehind)
 	})
@@ -171,13 +170,13 @@
 		_, err := c.change(0, `{"/a":{}}`)
 		is.NoErr(err)
 		c.kill(1)
-		root := c.keepers[0].Current().RootHash()
+		root := c.managers[0].Current().RootHash()
 		_, err = c.engine.Client("observer").Commit(c.ctx, platform.Txn{Then: []platform.Write{{Key: branchKey(root), Value: []byte(`{"overrides":{}}`)}}})
 		is.NoErr(err)
 		c.start(1)
-		time.Sleep(everywhere)
-		is.Equal(c.behind(1), nil) // the store's branch is refused, a peer's is taken
-		is.True(c.keepers[1].Current().Has("/a"))
+		time.Sleep(propagationLimit)
+		is.Equal(c.behind(1), nil) // the store's branch is refused and fetched from a peer instead
+		is.True(c.managers[1].Current().Has("/a"))
 	})
 }
 
@@ -185,31 +184,31 @@
 	inBubble(t, 2, 1, func(is *is.I, c *cell) {
 		_, err := c.change(0, `{"/a":{"executor":{"slots":3}},"/b":{}}`)
 		is.NoErr(err)
-		before := c.keepers[0].Current().RootHash()
+		before := c.managers[0].Current().RootHash()
 		_, err = c.change(0, `{"/a":{"executor":{"slots":4}},"/b":null}`)
 		is.NoErr(err)
 		time.Sleep(time.Second)
 
 		back := Change{ID: newID(), Base: 1, Rollback: true, RollbackTo: 1}
-		_, err = c.keepers[1].Change(c.ctx, back)
-		is.Equal(result.CodeOf(err), result.SettingsClash) // against an older revision
+		_, err = c.managers[1].Change(c.ctx, back)
+		is.Equal(result.CodeOf(err), result.SettingsConflict) // against an older revision
 		back.Base = 2
-		got, err := c.keepers[1].Change(c.ctx, back)
+		got, err := c.managers[1].Change(c.ctx, back)
 		is.NoErr(err)
 		is.Equal(got.Revision, int64(3))
 		time.Sleep(time.Second)
 		is.Equal(c.behind(3), nil)
 		is.Equal(c.followers[0].Current().RootHash(), before)
-		is.True(c.keepers[0].Current().Has("/b"))
+		is.True(c.managers[0].Current().Has("/b"))
 
-		again, err := c.keepers[0].Change(c.ctx, back)
+		again, err := c.managers[0].Change(c.ctx, back)
 		is.NoErr(err)
 		is.True(again.Repeated)
-		_, err = c.keepers[0].Change(c.ctx, Change{ID: newID(), Base: 3, Rollback: true, RollbackTo: 9})
+		_, err = c.managers[0].Change(c.ctx, Change{ID: newID(), Base: 3, Rollback: true, RollbackTo: 9})
 		is.Equal(result.CodeOf(err), result.SettingsNoSuchRevision)
-		got, err = c.keepers[0].Change(c.ctx, Change{ID: newID(), Base: 3, Rollback: true, RollbackTo: 0})
+		got, err = c.managers[0].Change(c.ctx, Change{ID: newID(), Base: 3, Rollback: true, RollbackTo: 0})
 		is.NoErr(err)
 		is.Equal(got.Revision, int64(4))
-		is.Equal(c.keepers[0].Current().Paths(), []string{Root})
+		is.Equal(c.managers[0].Current().Paths(), []string{Root})
 	})
 }
--- a/internal/settings/overrides.go
+++ b/internal/settings/overrides.go
@@ -12,27 +12,26 @@
 	"pulleyquay/internal/result"
 )
 
-// Overrides are the settings that a branch sets itself; all others come from
-// its parent. The zero value overrides nothing. Overrides are immutable.
+// Overrides are the settings that a branch sets itself; it inherits all others from its parent. The zero value
+// overrides nothing. Overrides are immutable.
 type Overrides struct {
-	list []override // in the order of fields
+	list []override // sorted by the order of fields
 }
 
-// override is one setting with its value: number for integers and flags, text
-// for words.
+// override is one setting with its value: number for integers and booleans, text for strings.
 type override struct {
 	field  uint16
 	number int64
 	text   string
 }
 
-// Len is the number of settings overridden.
+// Len returns the number of overridden settings.
 func (o Overrides) Len() int { return len(o.list) }
 
 // Equal reports whether both override the same settings with the same values.
 func (o Overrides) Equal(other Overrides) bool { return slices.Equal(o.list, other.list) }
 
-// Apply returns v with the overrides in force.
+// Apply returns v with the overrides applied.
 func (o Overrides) Apply(v Values) Values {
 	for _, item := range o.list {
 		fields[item.field].set(&v, item)
@@ -40,9 +39,8 @@
 	return v
 }
 
-// ParseOverrides reads a branch's override object. It refuses an unknown or
-// repeated name and a value of the wrong type; ranges depend on the whole
-// branch and are checked with the tree. The error names the field.
+// ParseOverrides parses a branch's override object. It refuses an unknown or repeated name and a value of the wrong
+// type. Ranges depend on all values of the branch and are validated with the tree. The error names the field.
 func ParseOverrides(data []byte) (Overrides, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
@@ -61,7 +59,7 @@
 		})
 	})
 	if err == nil {
-		err = atEnd(d)
+		err = expectEOF(d)
 	}
 	if err != nil {
 		return Overrides{}, asInputError(err)
@@ -70,8 +68,8 @@
 	return out, nil
 }
 
-// eachMember reads one JSON object and calls fn after each name in it, which
-// has to read the value. A name given twice is refused; field is the object's.
+// eachMember decodes one JSON object and calls fn for each name in it; fn has to decode the value. It refuses a
+// repeated name. field is the object's own field name, for errors.
 func eachMember(d *json.Decoder, field string, fn func(name string) error) error {
 	open, err := d.Token()
 	if err != nil {
@@ -88,7 +86,7 @@
 		}
 		name := token.(string) // the decoder yields only strings for names
 		if seen[name] {
-			return result.New(result.SettingsGivenTwice, result.RanNo, "given twice").At(join(field, name))
+			return result.New(result.SettingsDuplicate, result.RanNo, "given twice").At(joinName(field, name))
 		}
 		seen[name] = true
 		if err := fn(name); err != nil {
@@ -99,7 +97,7 @@
 	return err
 }
 
-func join(group, name string) string {
+func joinName(group, name string) string {
 	if group == "" {
 		return name
 	}
@@ -110,7 +108,7 @@
 	return slices.ContainsFunc(fields, func(f Field) bool { return strings.HasPrefix(f.Name, name+".") })
 }
 
-// parseOverride reads one value for the named setting.
+// parseOverride decodes one value of the named setting.
 func parseOverride(d *json.Decoder, name string) (override, error) {
 	f, ok := fieldByName[name]
 	if !ok {
@@ -141,11 +139,11 @@
 			return item, nil
 		}
 	}
-	return override{}, result.New(result.SettingsWrongType, result.RanNo, "%s is wanted, not %s", f.wanted(), shown(value)).At(name)
+	return override{}, result.New(result.SettingsWrongType, result.RanNo, "%s is wanted, not %s", f.expectedType(), asJSON(value)).At(name)
 }
 
-// shown gives a refused value as JSON.
-func shown(value any) string {
+// asJSON returns a refused value as JSON, for the error text.
+func asJSON(value any) string {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return "this value"
@@ -153,8 +151,8 @@
 	return string(text)
 }
 
-// wanted describes the values a setting takes.
-func (f *Field) wanted() string {
+// expectedType describes the values that a setting accepts, for error texts.
+func (f *Field) expectedType() string {
 	switch f.kind {
 	case reflect.Bool:
 		return "true or false"
@@ -171,14 +169,14 @@
 	return result.New(result.SettingsUnknownName, result.RanNo, "no setting is called %s", name).At(name)
 }
 
-func atEnd(d *json.Decoder) error {
+func expectEOF(d *json.Decoder) error {
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return result.New(result.BadInput, result.RanNo, "something follows the object")
 	}
 	return nil
 }
 
-// asInputError gives a decoder's error its code.
+// asInputError converts a decoder's error to a BadInput error; other errors keep their code.
 func asInputError(err error) error {
 	var e *result.Error
 	if errors.As(err, &e) {
@@ -187,7 +185,7 @@
 	return result.New(result.BadInput, result.RanNo, "not valid JSON: %v", err)
 }
 
-// MarshalJSON writes the override object; equal overrides give equal bytes.
+// MarshalJSON encodes the override object; equal overrides have equal encodings.
 func (o Overrides) MarshalJSON() ([]byte, error) {
 	groups := map[string]map[string]any{}
 	for _, item := range o.list {
@@ -201,7 +199,7 @@
 	return json.Marshal(groups)
 }
 
-// UnmarshalJSON reads an override object as ParseOverrides does.
+// UnmarshalJSON decodes an override object with the checks of ParseOverrides.
 func (o *Overrides) UnmarshalJSON(data []byte) error {
 	parsed, err := ParseOverrides(data)
 	if err != nil {
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -7,24 +7,24 @@
 	"pulleyquay/internal/result"
 )
 
-// Root is the path of the branch that all others inherit from.
+// Root is the path of the branch from which all others inherit.
 const Root = "/"
 
-// Limits of the tree's shape.
+// Limits of the tree's shape and size.
 const (
 	// MaxDepth is the greatest number of segments in a path.
 	MaxDepth = 8
-	// MaxChildren bounds the children of one branch, and so the size of the
-	// stored value that a change below it rewrites (about 90 kB).
+	// MaxChildren bounds the children of one branch, and thereby the size of the stored value that each change of a
+	// descendant rewrites (about 90 kB).
 	MaxChildren = 1000
-	// MaxTreeBytes bounds the stored size of all branches together, so that a
-	// process can learn the tree from a peer in one message.
+	// MaxTreeBytes bounds the total stored size of all branches, so that a process can fetch the tree from a peer in
+	// one message.
 	MaxTreeBytes = 8 << 20
 	// MaxEdits bounds the branches of one change.
 	MaxEdits = 20000
 )
 
-// segmentForm leaves out the dot, which joins segments in the names of services.
+// segmentForm excludes the dot, which separates the segments in a service's name.
 var segmentForm = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]{0,62}$`)
 
 // split returns the segments of a path; the root has none.
--- a/internal/settings/random_test.go
+++ b/internal/settings/random_test.go
@@ -15,10 +15,10 @@
 	"pulleyquay/internal/result"
 )
 
-// The randomised test draws a plan first and then runs it in a bubble, so that
-// a failing plan can be shrunk, and kept as a case.
+// The randomised test draws a plan first and then runs it in a synctest bubble, so that a failing plan can be shrunk
+// and kept as a regression case.
 
-// planStep is one step of a plan; what its numbers mean depends on the kind.
+// planStep is one step of a plan; the meaning of its numbers depends on the kind.
 type planStep struct {
 	Kind   string
 	Who, N int
@@ -27,30 +27,30 @@
 
 // The kinds of steps.
 const (
-	stepChange    = "change"    // placer Who, branches and faults of N
-	stepRace      = "race"      // a change through each placer at once
-	stepRollback  = "rollback"  // placer Who, N revisions back
-	stepFault     = "fault"     // strikes placer Who's client with fault N
-	stepOutage    = "outage"    // strikes all clients with fault N
-	stepHeal      = "heal"      // ends all faults of the store
-	stepRestart   = "restart"   // placer Who is replaced
-	stepCut       = "cut"       // placer Who is cut from its peers, or connected
-	stepHeartbeat = "heartbeat" // every live placer hears of every other
-	stepCollect   = "collect"   // placer Who collects
-	stepRepeat    = "repeat"    // unsettled changes are sent again through Who
+	stepChange     = "change"    // placer Who, branches and faults of N
+	stepRace       = "race"      // concurrent changes, one through each placer
+	stepRollback   = "rollback"  // placer Who, N revisions back
+	stepFault      = "fault"     // injects fault N into placer Who's client
+	stepOutage     = "outage"    // injects fault N into all clients
+	stepHeal       = "heal"      // ends all faults of the store
+	stepRestart    = "restart"   // placer Who is replaced
+	stepDisconnect = "cut"       // placer Who is disconnected from its peers, or reconnected
+	stepHeartbeat  = "heartbeat" // every live placer observes every other's revision
+	stepCollect    = "collect"   // placer Who collects
+	stepRepeat     = "repeat"    // changes with unknown outcome are sent again through Who
 )
 
 var stepKinds = []string{stepChange, stepChange, stepChange, stepRace, stepRollback, stepFault, stepFault, stepOutage,
-	stepHeal, stepHeal, stepRestart, stepCut, stepHeartbeat, stepHeartbeat, stepCollect, stepRepeat}
+	stepHeal, stepHeal, stepRestart, stepDisconnect, stepHeartbeat, stepHeartbeat, stepCollect, stepRepeat}
 
-// planFaults are the faults that steps choose from.
+// planFaults are the faults that steps select by index.
 var planFaults = []memstore.Faults{
 	{Refuse: true}, {Hang: true}, {LoseAnswers: 1}, {LoseAnswers: memstore.All}, {LoseRequests: 1}, {StaleReads: true},
 	{BreakWatches: true}, {WatchDelayMS: 30000}, {RequestDelayMS: 2500}, {RequestDelayMS: 100, AnswerDelayMS: 100},
 	{AnswerDelayMS: 3000}, {StaleReads: true, WatchDelayMS: 1000},
 }
 
-// planBranches are changes that are valid apart, and some wrong together.
+// planBranches are changes that are valid individually; some are invalid in combination.
 var planBranches = []string{
 	`{"/a":{"request":{"max_deadline_ms":3000}}}`, `{"/a/x":{"request":{"default_deadline_ms":4000}}}`,
 	`{"/a":{"executor":{"connections":10}}}`, `{"/a/x":{"executor":{"slots":11}}}`,
@@ -71,18 +71,18 @@
 	}), 1, 40).Draw(t, "plan")
 }
 
-// run carries out a plan and keeps what the processes were told.
+// run executes a plan and records the changes, their outcomes and any violations.
 type run struct {
 	c *cell
-	// sent are all changes by id; told is what became of each.
-	sent   map[string]Change
-	told   map[string]outcome
-	faults []string
+	// sent holds all changes by id, outcomes the outcome of each.
+	sent       map[string]Change
+	outcomes   map[string]outcome
+	violations []string
 
 	mu sync.Mutex
-	// made are the revisions seen in force anywhere.
-	made map[int64]*Tree
-	wg   sync.WaitGroup
+	// observed holds every revision that was active in any placer.
+	observed map[int64]*Tree
+	wg       sync.WaitGroup
 }
 
 // outcome is the answer to a change.
@@ -91,45 +91,45 @@
 	ran      result.Ran
 }
 
-func (r *run) fault(format string, args ...any) {
+func (r *run) violation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// watchTrees checks each tree that a placer puts in force.
-func (r *run) watchTrees(i int) {
-	r.c.keepers[i].book.mu.Lock()
-	defer r.c.keepers[i].book.mu.Unlock()
-	k := r.c.keepers[i]
+// checkTrees validates each tree that a placer applies.
+func (r *run) checkTrees(i int) {
+	r.c.managers[i].replica.mu.Lock()
+	defer r.c.managers[i].replica.mu.Unlock()
+	k := r.c.managers[i]
 	seen := func(t *Tree) {
 		r.mu.Lock()
-		before := r.made[t.Revision]
-		r.made[t.Revision] = t
+		before := r.observed[t.Revision]
+		r.observed[t.Revision] = t
 		r.mu.Unlock()
 		if before != nil && (before.ChangeID != t.ChangeID || before.RootHash() != t.RootHash()) {
-			r.fault("two trees of revision %d", t.Revision)
+			r.violation("two trees of revision %d", t.Revision)
 		}
-		t.top().each(Root, func(path string, n *node) {
+		t.rootNode().each(Root, func(path string, n *node) {
 			if err := check(path, n.effective); err != nil {
-				r.fault("revision %d: %v", t.Revision, err)
+				r.violation("revision %d: %v", t.Revision, err)
 			}
 		})
 	}
-	k.book.onApply = append(k.book.onApply, seen)
+	k.replica.onApply = append(k.replica.onApply, seen)
 	if t := k.Current(); t != nil {
 		r.mu.Lock()
-		r.made[t.Revision] = t
+		r.observed[t.Revision] = t
 		r.mu.Unlock()
 	}
 }
 
-// send makes a change in the background and keeps what it came to.
+// send makes a change in the background and records its outcome.
 func (r *run) send(i int, change Change) {
 	r.mu.Lock()
 	r.sent[change.ID] = change
 	r.mu.Unlock()
-	k := r.c.keepers[i]
+	k := r.c.managers[i]
 	r.wg.Go(func() {
 		got, err := k.Change(context.Background(), change)
 		o := outcome{accepted: got.Revision}
@@ -138,24 +138,24 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if before := r.told[change.ID]; before.accepted == 0 || err == nil {
+		if before := r.outcomes[change.ID]; before.accepted == 0 || err == nil {
 			if before.accepted != 0 && before.accepted != o.accepted {
-				r.faults = append(r.faults, fmt.Sprintf("change accepted as %d and as %d", before.accepted, o.accepted))
+				r.violations = append(r.violations, fmt.Sprintf("change accepted as revision %d and as revision %d", before.accepted, o.accepted))
 			}
-			r.told[change.ID] = o
+			r.outcomes[change.ID] = o
 		}
 	})
 }
 
 func (r *run) step(s planStep) {
-	c, k := r.c, r.c.keepers[s.Who]
+	c, k := r.c, r.c.managers[s.Who]
 	base := max(0, k.Revision()-int64(s.N%3))
 	switch s.Kind {
 	case stepChange:
 		r.send(s.Who, edit(base, planBranches[s.N%len(planBranches)]))
 	case stepRace:
 		for i := range planPlacers {
-			r.send(i, edit(max(0, c.keepers[i].Revision()), planBranches[(s.N+5*i)%len(planBranches)]))
+			r.send(i, edit(max(0, c.managers[i].Revision()), planBranches[(s.N+5*i)%len(planBranches)]))
 		}
 	case stepRollback:
 		r.send(s.Who, Change{ID: newID(), First: true, Base: max(0, k.Revision()), Rollback: true, RollbackTo: max(0, k.Revision()-int64(s.N%5))})
@@ -167,16 +167,16 @@
 		r.heal()
 	case stepRestart:
 		r.restart(s.Who)
-	case stepCut:
+	case stepDisconnect:
 		if s.N%2 == 0 {
-			c.links.cut(addrOf(s.Who))
+			c.network.disconnect(placerAddr(s.Who))
 		} else {
-			c.links.connect(addrOf(s.Who), c.muxOf(s.Who))
+			c.network.connect(placerAddr(s.Who), c.muxOf(s.Who))
 		}
 	case stepHeartbeat:
 		c.heartbeat()
 	case stepCollect:
-		_, _ = k.Collect(c.ctx) // it may fail; what it deletes is checked at the end
+		_, _ = k.Collect(c.ctx) // it may fail; checkReplay verifies that nothing referenced was deleted
 	case stepRepeat:
 		r.repeat(s.Who)
 	}
@@ -191,28 +191,28 @@
 	}
 }
 
-// restart replaces a placer. When its successor reaches the store, stale reads
-// or not, it must have no settings or no less than were in force before.
+// restart replaces a placer. If its next incarnation reaches the store, even with stale reads, it must have no
+// settings or a revision not lower than the one that was active before.
 func (r *run) restart(i int) {
 	c := r.c
-	floor := c.keepers[i].Revision()
-	mine, all := c.client(i).Faults(), c.engine.Faults()
-	mine.StaleReads, all.StaleReads = false, false
-	mine.WatchDelayMS, all.WatchDelayMS = 0, 0
-	reached := mine == memstore.Faults{} && all == memstore.Faults{}
+	floor := c.managers[i].Revision()
+	placerFaults, storeFaults := c.client(i).Faults(), c.engine.Faults()
+	placerFaults.StaleReads, storeFaults.StaleReads = false, false
+	placerFaults.WatchDelayMS, storeFaults.WatchDelayMS = 0, 0
+	storeReachable := placerFaults == memstore.Faults{} && storeFaults == memstore.Faults{}
 	c.start(i)
-	r.watchTrees(i)
+	r.checkTrees(i)
 	synctest.Wait()
-	if now := c.keepers[i].Revision(); reached && now >= 0 && now < floor {
-		r.fault("placer %d had revision %d and began again with %d", i, floor, now)
+	if now := c.managers[i].Revision(); storeReachable && now >= 0 && now < floor {
+		r.violation("placer %d had revision %d and restarted with %d", i, floor, now)
 	}
 }
 
-// repeat sends every change whose outcome is unknown again.
+// repeat resends every change whose outcome is unknown.
 func (r *run) repeat(i int) {
 	r.mu.Lock()
 	var again []Change
-	for id, o := range r.told {
+	for id, o := range r.outcomes {
 		if o.accepted == 0 && o.ran != result.RanNo {
 			again = append(again, r.sent[id])
 		}
@@ -225,90 +225,89 @@
 	}
 }
 
-// settle ends all faults and lets everything come to rest.
+// settle ends all faults, resends changes with unknown outcome and waits until the cell is idle.
 func (r *run) settle() {
 	r.heal()
 	for i := range planPlacers {
-		r.c.links.connect(addrOf(i), r.c.muxOf(i))
+		r.c.network.connect(placerAddr(i), r.c.muxOf(i))
 	}
 	r.wg.Wait()
 	r.repeat(0)
 	r.wg.Wait()
 	r.c.heartbeat()
-	time.Sleep(everywhere)
+	time.Sleep(propagationLimit)
 	synctest.Wait()
 }
 
-// judge checks what must hold at the end.
-func (r *run) judge() {
+// checkFinalState checks the invariants that must hold at the end.
+func (r *run) checkFinalState() {
 	c := r.c
-	if down := c.wentDown(); down != nil {
-		r.fault("went back: %v", down)
+	if down := c.regressed(); down != nil {
+		r.violation("a lower revision was applied: %v", down)
 	}
 	if behind := c.behind(c.head().Revision); behind != nil {
-		r.fault("not on the head %d: %v", c.head().Revision, behind)
+		r.violation("not on head %d: %v", c.head().Revision, behind)
 	}
-	heads, err := c.keepers[0].History(c.ctx)
+	heads, err := c.managers[0].History(c.ctx)
 	if err != nil {
-		r.fault("history: %v", err)
+		r.violation("history: %v", err)
 		return
 	}
 	slices.Reverse(heads)
-	r.judgeOutcomes(heads)
-	r.judgeReplay(heads)
+	r.checkOutcomes(heads)
+	r.checkReplay(heads)
 }
 
-// judgeOutcomes compares what operators were told with the history.
-func (r *run) judgeOutcomes(heads []Head) {
+// checkOutcomes compares the outcomes reported to operators with the history.
+func (r *run) checkOutcomes(heads []Head) {
 	revisionOf := map[string]int64{}
 	for _, h := range heads {
 		if other, twice := revisionOf[h.ChangeID]; twice {
-			r.fault("one change is revisions %d and %d", other, h.Revision)
+			r.violation("one change made revisions %d and %d", other, h.Revision)
 		}
 		revisionOf[h.ChangeID] = h.Revision
 	}
-	for id, o := range r.told {
+	for id, o := range r.outcomes {
 		made := revisionOf[id]
 		switch {
 		case o.accepted != 0 && made != o.accepted:
-			r.fault("change accepted as %d is revision %d", o.accepted, made)
+			r.violation("change accepted as revision %d is revision %d in the history", o.accepted, made)
 		case o.accepted == 0 && o.ran == result.RanNo && made != 0:
-			r.fault("change refused with ran: no is revision %d", made)
+			r.violation("change refused with ran: no made revision %d", made)
 		case o.accepted == 0 && o.ran != result.RanNo:
-			r.fault("change still unknown at the end")
+			r.violation("outcome of a change still unknown at the end")
 		}
 	}
 }
 
-// judgeReplay makes every change of the history again, in order, on an empty
-// tree: each accepted revision must hold exactly what its changes say, and each
-// must still be restorable from the store.
-func (r *run) judgeReplay(heads []Head) {
+// checkReplay applies every change of the history again, in order, to an empty tree. Each accepted revision must be
+// exactly the result of its changes, and must still be restorable from the store.
+func (r *run) checkReplay(heads []Head) {
 	trees := map[int64]*Tree{0: Empty()}
-	fresh := NewKeeper(KeeperConfig{Store: r.c.engine.Client("fresh"), Log: quiet()})
+	fresh := NewKeeper(KeeperConfig{Store: r.c.engine.Client("fresh"), Log: discardLog()})
 	if _, err := fresh.refresh(r.c.ctx); err != nil {
-		r.fault("fresh process: %v", err)
+		r.violation("fresh process: %v", err)
 		return
 	}
 	for i, h := range heads {
 		if h.Revision != int64(i)+1 {
-			r.fault("revision %d is at place %d of the history", h.Revision, i+1)
+			r.violation("revision %d is at position %d of the history", h.Revision, i+1)
 			return
 		}
 		tree, err := r.replay(h, trees)
 		if err != nil {
-			r.fault("revision %d made again: %v", h.Revision, err)
+			r.violation("replay of revision %d: %v", h.Revision, err)
 			return
 		}
 		trees[h.Revision] = tree
 		if tree.RootHash() != h.Root {
-			r.fault("revision %d is not what its change says", h.Revision)
+			r.violation("revision %d is not the result of its change", h.Revision)
 		}
-		if seen := r.made[h.Revision]; seen != nil && seen.RootHash() != h.Root {
-			r.fault("revision %d was in force with another tree", h.Revision)
+		if seen := r.observed[h.Revision]; seen != nil && seen.RootHash() != h.Root {
+			r.violation("revision %d was active with a different tree", h.Revision)
 		}
 		if _, err := fresh.treeAt(r.c.ctx, h.Revision); err != nil {
-			r.fault("revision %d can not be restored: %v", h.Revision, err)
+			r.violation("revision %d can not be restored from the store: %v", h.Revision, err)
 		}
 	}
 }
@@ -317,7 +316,7 @@
 	change := r.sent[h.ChangeID]
 	if change.Rollback {
 		back := trees[change.RollbackTo]
-		return &Tree{Revision: h.Revision, root: back.top()}, nil
+		return &Tree{Revision: h.Revision, root: back.rootNode()}, nil
 	}
 	edits, err := ParseBranches(change.Branches)
 	if err != nil {
@@ -326,28 +325,27 @@
 	return trees[h.Revision-1].Edited(edits, h.Revision, h.ChangeID)
 }
 
-// carryOut runs a plan in a bubble and returns the faults that it showed.
-func carryOut(t *testing.T, plan []planStep) (faults []string) {
+// runPlan runs a plan in a synctest bubble and returns the violations found.
+func runPlan(t *testing.T, plan []planStep) (violations []string) {
 	synctest.Test(t, func(*testing.T) {
-		r := &run{c: newCell(planPlacers, 1), sent: map[string]Change{}, told: map[string]outcome{}, made: map[int64]*Tree{}}
+		r := &run{c: newCell(planPlacers, 1), sent: map[string]Change{}, outcomes: map[string]outcome{}, observed: map[int64]*Tree{}}
 		defer r.c.end()
 		for i := range planPlacers {
-			r.watchTrees(i)
+			r.checkTrees(i)
 		}
 		time.Sleep(settle)
 		for _, s := range plan {
 			r.step(s)
 		}
 		r.settle()
-		r.judge()
+		r.checkFinalState()
 		r.wg.Wait()
-		faults = r.faults
+		violations = r.violations
 	})
-	return faults
+	return violations
 }
 
-// TestPlansThatFailed keeps the plans that once showed a fault, as they were
-// shrunk.
+// TestPlansThatFailed runs shrunk plans that violated an invariant in the past.
 func TestPlansThatFailed(t *testing.T) {
 	cases := []struct {
 		name string
@@ -363,8 +361,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if faults := carryOut(t, c.plan); len(faults) > 0 {
-				t.Fatal(faults)
+			if violations := runPlan(t, c.plan); len(violations) > 0 {
+				t.Fatal(violations)
 			}
 		})
 	}
@@ -373,8 +371,8 @@
 func TestAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawPlan(rt)
-		if faults := carryOut(t, plan); len(faults) > 0 {
-			rt.Fatalf("%v", faults)
+		if violations := runPlan(t, plan); len(violations) > 0 {
+			rt.Fatalf("%v", violations)
 		}
 	})
 }
--- a/internal/settings/record.go
+++ b/internal/settings/record.go
@@ -7,7 +7,7 @@
 	"pulleyquay/internal/result"
 )
 
-// hashOfKey reads the hash in a branch's key.
+// hashOfKey returns the hash in a branch's key; ok is false for other keys.
 func hashOfKey(key string) (Hash, bool) {
 	var h Hash
 	text, ok := strings.CutPrefix(key, branchPrefix)
@@ -17,7 +17,7 @@
 	return h, h.UnmarshalText([]byte(text)) == nil
 }
 
-// historyOf reads a history entry.
+// historyOf decodes a history entry; it returns false for other records.
 func historyOf(r platform.Record) (Head, bool) {
 	if !strings.HasPrefix(r.Key, historyPrefix) {
 		return Head{}, false
@@ -26,12 +26,12 @@
 	return h, err == nil
 }
 
-// allFound refuses when a missing branch is not in the pool: a head must never
-// name a branch that the store does not hold.
-func allFound(missing []Hash, pool map[Hash][]byte) error {
+// checkAllFound returns SettingsCorrupt when a missing branch isn't in the pool: a head must never reference a branch
+// that the store doesn't have.
+func checkAllFound(missing []Hash, pool map[Hash][]byte) error {
 	for _, hash := range missing {
 		if pool[hash] == nil {
-			return result.New(result.SettingsDamaged, result.RanNo, "branch %s is not in the store", hash)
+			return result.New(result.SettingsCorrupt, result.RanNo, "branch %s is not in the store", hash)
 		}
 	}
 	return nil
--- a/internal/settings/remote.go
+++ b/internal/settings/remote.go
@@ -9,15 +9,15 @@
 	"pulleyquay/internal/result"
 )
 
-// Remote makes operators' changes through any placer. A change is idempotent
-// by its id, so one that got no answer is sent again to another placer.
+// Remote makes operators' changes through any placer. A change is idempotent by its id, so an unanswered one is sent
+// again to another placer.
 type Remote struct {
 	Caller peer.Caller
 	Addrs  func() []string
 }
 
-// Change sends the change to the placers in turn until one decides. When none
-// does, the error says whether the change can have been made.
+// Change sends the change to the placers in turn until one accepts or refuses it. When none does, the error's Ran
+// says whether the change may have been made.
 func (r Remote) Change(ctx context.Context, c Change) (Accepted, error) {
 	var accepted Accepted
 	unknown := false
@@ -29,36 +29,36 @@
 		return err
 	})
 	e := result.From(err)
-	if err == nil || !unknown || e.Ran != result.RanNo || !slices.Contains(undecided, e.Code) {
+	if err == nil || !unknown || e.Ran != result.RanNo || !slices.Contains(retryableCodes, e.Code) {
 		return accepted, err
 	}
 	return accepted, result.New(result.SettingsOutcomeUnknown, result.RanUnknown, "a placer got the change and gave no answer; then: %v", e)
 }
 
-// History returns the kept revisions, newest first.
+// History returns the revisions in the history, newest first.
 func (r Remote) History(ctx context.Context) ([]Head, error) {
-	var answer HistoryAnswer
+	var reply HistoryReply
 	err := r.each(ctx, func(addr string) error {
-		return r.Caller.Call(ctx, addr, peer.KindSettingsHistory, AskHistory{}, &answer)
+		return r.Caller.Call(ctx, addr, peer.KindSettingsHistory, HistoryRequest{}, &reply)
 	})
 	if err != nil {
 		return nil, err
 	}
 	var heads []Head
-	err = json.Unmarshal(answer.Heads, &heads)
+	err = json.Unmarshal(reply.Heads, &heads)
 	return heads, err
 }
 
-// undecided are the codes after which another placer may know better.
-var undecided = []result.Code{result.PeerNotReached, result.PeerLost, result.Stopping, result.NotReady,
+// retryableCodes are the codes after which the call is retried at another placer.
+var retryableCodes = []result.Code{result.PeerNotReached, result.PeerLost, result.Stopping, result.NotReady,
 	result.SettingsStoreDown, result.SettingsOutcomeUnknown}
 
-// each calls the placers in turn until one decides.
+// each calls the placers in turn until one succeeds or fails with a code that isn't retryable.
 func (r Remote) each(ctx context.Context, call func(addr string) error) error {
 	var last error = result.New(result.NotReady, result.RanNo, "no placer is known")
 	for _, addr := range r.Addrs() {
 		last = call(addr)
-		if last == nil || ctx.Err() != nil || !slices.Contains(undecided, result.CodeOf(last)) {
+		if last == nil || ctx.Err() != nil || !slices.Contains(retryableCodes, result.CodeOf(last)) {
 			return last
 		}
 	}
--- a/internal/settings/remote_test.go
+++ b/internal/settings/remote_test.go
@@ -12,14 +12,14 @@
 	"pulleyquay/internal/result"
 )
 
-// scripted answers each placer's calls with a fixed error, nil accepts.
-type scripted struct {
+// scriptedCaller answers each placer's calls with a fixed error; nil accepts the change.
+type scriptedCaller struct {
 	errs map[string]error
-	// first are the First flags that each placer was sent.
+	// first holds the First flag that each placer was sent.
 	first map[string]bool
 }
 
-func (s *scripted) Call(_ context.Context, addr string, _ peer.Kind, req, resp any) error {
+func (s *scriptedCaller) Call(_ context.Context, addr string, _ peer.Kind, req, resp any) error {
 	s.first[addr] = req.(Change).First
 	if err := s.errs[addr]; err != nil {
 		return err
@@ -28,12 +28,12 @@
 	return nil
 }
 
-// TestRemote is the table of what the first two placers may answer.
+// TestRemote lists the combinations of answers of two placers.
 func TestRemote(t *testing.T) {
 	notReached := result.New(result.PeerNotReached, result.RanNo, "x")
 	lost := result.New(result.PeerLost, result.RanUnknown, "x")
 	down := result.New(result.SettingsStoreDown, result.RanNo, "x")
-	clashed := result.New(result.SettingsClash, result.RanNo, "x")
+	conflict := result.New(result.SettingsConflict, result.RanNo, "x")
 	cases := []struct {
 		name     string
 		a, b     error
@@ -42,20 +42,20 @@
 		asksB    bool
 		firstAtB bool
 	}{
-		{"accepted", nil, clashed, 0, "", false, false},
+		{"accepted", nil, conflict, 0, "", false, false},
 		{"not reached, then accepted", notReached, nil, 0, "", true, true},
 		{"lost, then accepted", lost, nil, 0, "", true, false},
 		{"store down, then accepted", down, nil, 0, "", true, true},
-		{"refused", clashed, nil, result.SettingsClash, result.RanNo, false, false},
+		{"refused", conflict, nil, result.SettingsConflict, result.RanNo, false, false},
 		{"store down at both", down, down, result.SettingsStoreDown, result.RanNo, true, true},
 		{"lost, then not reached", lost, notReached, result.SettingsOutcomeUnknown, result.RanUnknown, true, false},
-		{"lost, then refused against the head", lost, clashed, result.SettingsClash, result.RanNo, true, false},
+		{"lost, then refused against the head", lost, conflict, result.SettingsConflict, result.RanNo, true, false},
 		{"not reached, then lost", notReached, lost, result.PeerLost, result.RanUnknown, true, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			s := &scripted{errs: map[string]error{"a": tc.a, "b": tc.b}, first: map[string]bool{}}
+			s := &scriptedCaller{errs: map[string]error{"a": tc.a, "b": tc.b}, first: map[string]bool{}}
 			r := Remote{Caller: s, Addrs: func() []string { return []string{"a", "b"} }}
 			_, err := r.Change(context.Background(), edit(0, `{"/a":{}}`))
 			if tc.code == 0 {
@@ -79,10 +79,10 @@
 	is.Equal(result.From(err).Ran, result.RanNo)
 }
 
-// A change and the history through the peer messages, with a placer that dies.
+// A change and the history are requested through the peer messages while a placer stops.
 func TestRemoteThroughTheCell(t *testing.T) {
 	inBubble(t, 2, 0, func(is *is.I, c *cell) {
-		r := Remote{Caller: c.links, Addrs: func() []string { return c.addrs(-1) }}
+		r := Remote{Caller: c.network, Addrs: func() []string { return c.addrs(-1) }}
 		got, err := r.Change(c.ctx, edit(0, `{"/a":{}}`))
 		is.NoErr(err)
 		is.Equal(got.Revision, int64(1))
--- a/internal/settings/serve.go
+++ b/internal/settings/serve.go
@@ -9,75 +9,75 @@
 	"pulleyquay/internal/peer"
 )
 
-// maxWait bounds how long an answer to Ask is held back.
+// maxWait bounds how long the reply to a FetchRequest is delayed.
 const maxWait = time.Second
 
 // Serve registers the handlers of KindSettings, KindSettingsChange and
 // KindSettingsHistory.
 func (k *Keeper) Serve(mux *peer.Mux) {
-	peer.Handle(mux, peer.KindSettings, k.ask)
+	peer.Handle(mux, peer.KindSettings, k.query)
 	peer.Handle(mux, peer.KindSettingsChange, k.Change)
-	peer.Handle(mux, peer.KindSettingsHistory, func(ctx context.Context, _ AskHistory) (HistoryAnswer, error) {
+	peer.Handle(mux, peer.KindSettingsHistory, func(ctx context.Context, _ HistoryRequest) (HistoryReply, error) {
 		heads, err := k.History(ctx)
 		if err != nil {
-			return HistoryAnswer{}, err
+			return HistoryReply{}, err
 		}
 		data, err := json.Marshal(heads)
-		return HistoryAnswer{Heads: data}, err
+		return HistoryReply{Heads: data}, err
 	})
 }
 
-// ask answers at once when there is something newer, else after the wait.
-func (k *Keeper) ask(ctx context.Context, ask Ask) (Answer, error) {
-	k.book.hear(ask.Have)
-	if ask.Follower != "" && ask.WaitMillis > 0 { // one that does not wait asks around
-		k.followers.note(ask.Follower, ask.Have, time.Now())
+// query replies at once when a newer tree is active, else when one becomes active or the wait ends.
+func (k *Keeper) query(ctx context.Context, query FetchRequest) (FetchReply, error) {
+	k.replica.observe(query.Have)
+	if query.Follower != "" && query.WaitMillis > 0 { // a follower that does not wait is querying all placers
+		k.followers.recordPoll(query.Follower, query.Have, time.Now())
 	}
-	timeout := time.NewTimer(min(maxWait, time.Duration(ask.WaitMillis)*time.Millisecond))
+	timeout := time.NewTimer(min(maxWait, time.Duration(query.WaitMillis)*time.Millisecond))
 	defer timeout.Stop()
 	for {
-		changed := k.book.waiter()
-		if answer := k.book.answer(ask); len(answer.Head) > 0 {
-			return answer, nil
+		changed := k.replica.changeSignal()
+		if reply := k.replica.reply(query); len(reply.Head) > 0 {
+			return reply, nil
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			return k.book.answer(ask), nil
+			return k.replica.reply(query), nil
 		case <-ctx.Done():
-			return Answer{}, ctx.Err()
+			return FetchReply{}, ctx.Err()
 		}
 	}
 }
 
-// followerTerm is how long an entry counts as following after its last poll.
-const followerTerm = 3 * time.Second
+// followerTTL is how long an entry counts as a follower after its last poll.
+const followerTTL = 3 * time.Second
 
-// followers remembers the revision in force at each entry that polls here.
+// followers holds the active revision of each entry that polls this placer.
 type followers struct {
 	mu   sync.Mutex
-	seen map[string]followed
+	seen map[string]followerState
 }
 
-type followed struct {
+type followerState struct {
 	revision int64
 	at       time.Time
 }
 
-func newFollowers() *followers { return &followers{seen: map[string]followed{}} }
+func newFollowers() *followers { return &followers{seen: map[string]followerState{}} }
 
-func (f *followers) note(name string, revision int64, now time.Time) {
+func (f *followers) recordPoll(name string, revision int64, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen[name] = followed{revision, now}
+	f.seen[name] = followerState{revision, now}
 }
 
-// lowest returns the lowest of own and the live followers' revisions.
-func (f *followers) lowest(own int64, now time.Time) int64 {
+// lowestRevision returns the lowest of own and the live followers' revisions, and removes expired followers.
+func (f *followers) lowestRevision(own int64, now time.Time) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, s := range f.seen {
-		if now.Sub(s.at) > followerTerm {
+		if now.Sub(s.at) > followerTTL {
 			delete(f.seen, name)
 			continue
 		}
--- a/internal/settings/service.go
+++ b/internal/settings/service.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// ServiceBranch returns the branch that governs a service. A service is named
-// after its branch with dots for slashes: lakeshore.ledger is governed by
-// /lakeshore/ledger and so inherits from /lakeshore. Branch names hold no dots.
+// ServiceBranch returns the branch that governs a service. A service's name is its branch's path with dots for
+// slashes: lakeshore.ledger is governed by /lakeshore/ledger, which inherits from /lakeshore. Branch names contain
+// no dots.
 func ServiceBranch(service string) string {
 	return "/" + strings.ReplaceAll(service, ".", "/")
 }
--- a/internal/settings/swap.go
+++ b/internal/settings/swap.go
@@ -10,22 +10,21 @@
 	"pulleyquay/internal/wait"
 )
 
-// Limits of one transaction. A change with more branches writes them ahead in
-// several and swaps the head last.
+// Limits of one transaction. A change with more branches writes them ahead in several transactions and swaps the head
+// last.
 const (
 	txnWrites = 64
 	txnBytes  = 512 << 10
 )
 
-// swapTxn returns the transaction that moves the head. Branches that are new go
-// into it; when they are too many, they are written ahead, and the swap is
-// conditional on no collection since, which might have taken them for
-// unreferenced ones.
-func (k *Keeper) swapTxn(ctx context.Context, s state, h Head, fresh []*node) (platform.Txn, error) {
+// swapTxn returns the transaction that moves the head. It contains the new branches. When they exceed the limits,
+// swapTxn writes them ahead, and the transaction is conditional on no collection since, which could have deleted
+// them as unreferenced.
+func (k *Keeper) swapTxn(ctx context.Context, s snapshot, h Head, fresh []*node) (platform.Txn, error) {
 	writes := branchWrites(fresh)
 	for _, w := range writes[:min(len(writes), txnWrites)] {
 		if hash, ok := hashOfKey(w.Key); ok {
-			k.book.keep(hash, w.Value) // in case the answer is lost
+			k.replica.addToPool(hash, w.Value) // needed to apply the head if the answer is lost
 		}
 	}
 	txn := platform.Txn{If: []platform.Condition{{Key: headKey, ModRevision: s.mod}}}
@@ -42,13 +41,13 @@
 	txn.Then = append(writes,
 		platform.Write{Key: headKey, Value: encoded},
 		platform.Write{Key: historyKey(h.Revision), Value: encoded})
-	if old := h.Revision - HistoryKept; old > 0 {
+	if old := h.Revision - HistoryLimit; old > 0 {
 		txn.Then = append(txn.Then, platform.Write{Key: historyKey(old), Delete: true})
 	}
 	return txn, nil
 }
 
-// branchWrites gives the puts of the nodes, each hash once.
+// branchWrites returns one write for each distinct node.
 func branchWrites(fresh []*node) []platform.Write {
 	out := make([]platform.Write, 0, len(fresh))
 	seen := make(map[Hash]bool, len(fresh))
@@ -61,7 +60,7 @@
 	return out
 }
 
-// chunk cuts writes into transactions within the limits.
+// chunk splits writes into parts within the limits of one transaction.
 func chunk(writes []platform.Write) [][]platform.Write {
 	var out [][]platform.Write
 	start, size := 0, 0
@@ -75,8 +74,8 @@
 	return append(out, writes[start:])
 }
 
-// writeAhead stores branches that no head names yet and returns the condition
-// under which they are certainly still there.
+// writeAhead stores branches that no head references yet. It returns the condition that guarantees that they have
+// not been collected.
 func (k *Keeper) writeAhead(ctx context.Context, chunks [][]platform.Write) (platform.Condition, error) {
 	guard := platform.Condition{Key: collectedKey}
 	records, _, err := k.list(ctx, collectedKey)
@@ -94,7 +93,7 @@
 	return guard, nil
 }
 
-// commit is one bounded transaction.
+// commit is one transaction with callTimeout.
 func (k *Keeper) commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -102,14 +101,14 @@
 	return k.cfg.Store.Commit(ctx, txn)
 }
 
-// absorbFound puts in force the head that a lost swap met.
-func (k *Keeper) absorbFound(ctx context.Context, s state, reply platform.TxnReply) error {
+// applyFoundHead activates the head that was found by a failed swap.
+func (k *Keeper) applyFoundHead(ctx context.Context, s snapshot, reply platform.TxnReply) error {
 	i := slices.IndexFunc(reply.Found, func(r platform.Record) bool { return r.Key == headKey })
 	if i < 0 {
 		if s.mod != 0 {
 			return storeBehind(s, 0)
 		}
-		return nil // lost to a collection
+		return nil // the swap failed because of a collection
 	}
 	h, err := decodeHead(reply.Found[i].Value)
 	if err != nil {
@@ -118,34 +117,34 @@
 	if h.Revision < s.tree.Revision {
 		return storeBehind(s, h.Revision)
 	}
-	k.book.recordAll([]Head{h}) // tells a change of our own even without its branches
+	k.replica.addHistory([]Head{h}) // recognizes an own change even if its branches are missing
 	if err := k.applyRecord(ctx, reply.Found[i]); err != nil {
 		return &storeError{err}
 	}
 	return nil
 }
 
-func storeBehind(s state, found int64) error {
+func storeBehind(s snapshot, found int64) error {
 	return result.New(result.SettingsStoreBehind, result.RanNo,
 		"revision %d is in force, the store holds %d: was it restored from a copy?", s.tree.Revision, found)
 }
 
-// installOwn puts the revision in force that this process has just made.
-func (k *Keeper) installOwn(h Head, mod platform.Revision, root *node) {
-	b := k.book
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if h.Revision > b.revision() {
-		b.install(h, mod, root)
+// activateOwn activates the revision that this process has just made.
+func (k *Keeper) activateOwn(h Head, mod platform.Revision, root *node) {
+	r := k.replica
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if h.Revision > r.revision() {
+		r.activateLocked(h, mod, root)
 	}
 }
 
-// waitStep is the pause between two looks at the members' applied revisions.
-const waitStep = 20 * time.Millisecond
+// appliedPollInterval is the interval at which the members' applied revisions are read.
+const appliedPollInterval = 20 * time.Millisecond
 
-// await waits until every member has the revision in force, and returns those
-// that have not when the time is up.
-func (k *Keeper) await(ctx context.Context, revision int64, limit time.Duration) []string {
+// waitApplied waits until every member has applied the revision, and returns the members that have not when the limit
+// is reached.
+func (k *Keeper) waitApplied(ctx context.Context, revision int64, limit time.Duration) []string {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
@@ -159,6 +158,6 @@
 			slices.Sort(behind)
 			return behind
 		}
-		wait.For(ctx, waitStep)
+		wait.For(ctx, appliedPollInterval)
 	}
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -6,12 +6,12 @@
 	"pulleyquay/internal/result"
 )
 
-// Tree is one immutable revision of the settings tree. Effective values are
-// worked out once, when the tree is made; a lookup walks the path.
+// Tree is one immutable revision of the settings tree. Effective values are computed when the tree is built; a lookup
+// only walks the path.
 type Tree struct {
-	// Revision is the head's revision; it grows with each accepted change.
+	// Revision is the head's revision; it increases by one with each accepted change.
 	Revision int64
-	// ChangeID names the change that made this revision.
+	// ChangeID identifies the change that made this revision.
 	ChangeID string
 
 	root *node
@@ -25,19 +25,18 @@
 // Empty returns revision 0: a root that overrides nothing.
 func Empty() *Tree { return &Tree{root: emptyRoot} }
 
-// RootHash is the address of the tree's root branch.
-func (t *Tree) RootHash() Hash { return t.top().hash }
+// RootHash returns the address of the tree's root branch.
+func (t *Tree) RootHash() Hash { return t.rootNode().hash }
 
-func (t *Tree) top() *node {
+func (t *Tree) rootNode() *node {
 	if t == nil || t.root == nil {
 		return emptyRoot
 	}
 	return t.root
 }
 
-// Effective returns the settings in force for a branch. A branch that the tree
-// does not name is refused, also below one that it names: a misspelt path must
-// not silently run under its parent's settings.
+// Effective returns the effective settings of a branch. It refuses a branch that the tree doesn't contain, even if
+// the tree contains its parent: a misspelt path must not silently get its parent's settings.
 func (t *Tree) Effective(path string) (Values, error) {
 	n, err := t.find(path)
 	if err != nil {
@@ -46,7 +45,7 @@
 	return *n.effective, nil
 }
 
-// Branch returns what the branch itself overrides.
+// Branch returns the branch's own overrides.
 func (t *Tree) Branch(path string) (Overrides, error) {
 	n, err := t.find(path)
 	if err != nil {
@@ -55,7 +54,7 @@
 	return n.overrides, nil
 }
 
-// Has reports whether the tree names the branch.
+// Has reports whether the tree contains the branch.
 func (t *Tree) Has(path string) bool {
 	_, err := t.find(path)
 	return err == nil
@@ -64,20 +63,20 @@
 // Paths lists every branch, parents before children, in path order.
 func (t *Tree) Paths() []string {
 	var out []string
-	t.top().each(Root, func(path string, _ *node) { out = append(out, path) })
+	t.rootNode().each(Root, func(path string, _ *node) { out = append(out, path) })
 	return out
 }
 
-// Branches returns the overrides of every branch by path: the file format.
+// Branches returns the overrides of every branch by path, as in the file format.
 func (t *Tree) Branches() map[string]Overrides {
 	out := map[string]Overrides{}
-	t.top().each(Root, func(path string, n *node) { out[path] = n.overrides })
+	t.rootNode().each(Root, func(path string, n *node) { out[path] = n.overrides })
 	return out
 }
 
-// find walks to a branch.
+// find returns the node at the path.
 func (t *Tree) find(path string) (*node, error) {
-	n := t.top()
+	n := t.rootNode()
 	if path == Root {
 		return n, nil
 	}
@@ -97,7 +96,7 @@
 		"no branch %s in revision %d", path, t.Revision).At(path)
 }
 
-// Explained is one effective setting and where it comes from.
+// Explained is one effective setting with its origin.
 type Explained struct {
 	Name  string `json:"name"`
 	Value any    `json:"value"`
@@ -120,7 +119,7 @@
 		return nil, err
 	}
 	from := make([]string, len(fields))
-	at, here := t.top(), Root
+	at, here := t.rootNode(), Root
 	for i := 0; ; i++ {
 		for _, item := range at.overrides.list {
 			from[item.field] = here
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -9,7 +9,7 @@
 	"pulleyquay/internal/result"
 )
 
-// fataler is a *testing.T or a *rapid.T.
+// fataler is implemented by *testing.T and *rapid.T.
 type fataler interface {
 	Helper()
 	Fatal(args ...any)
@@ -38,14 +38,14 @@
 		{"null value", `{"/a":{"request":{"queue_limit":null}}}`, result.SettingsWrongType, "/a:request.queue_limit"},
 		{"flag for a number", `{"/a":{"request":{"queue_limit":true}}}`, result.SettingsWrongType, "/a:request.queue_limit"},
 		{"number for a word", `{"/a":{"placement":{"policy":1}}}`, result.SettingsWrongType, "/a:placement.policy"},
-		{"given twice", `{"/a":{"request":{"queue_limit":1,"queue_limit":2}}}`, result.SettingsGivenTwice, "/a:request.queue_limit"},
-		{"group twice", `{"/a":{"request":{},"request":{}}}`, result.SettingsGivenTwice, "/a:request"},
+		{"given twice", `{"/a":{"request":{"queue_limit":1,"queue_limit":2}}}`, result.SettingsDuplicate, "/a:request.queue_limit"},
+		{"group twice", `{"/a":{"request":{},"request":{}}}`, result.SettingsDuplicate, "/a:request"},
 		{"not an object", `{"/a":[]}`, result.SettingsWrongType, "/a"},
 		{"out of range", `{"/a":{"executor":{"slots":0}}}`, result.SettingsOutOfRange, "/a:executor.slots"},
 		{"no such policy", `{"/a":{"placement":{"policy":"best"}}}`, result.SettingsOutOfRange, "/a:placement.policy"},
 		{"default over max", `{"/a":{"request":{"default_deadline_ms":40000}}}`, result.SettingsContradiction, "/a:request.default_deadline_ms"},
 		{"slots over connections", `{"/a":{"executor":{"slots":65}}}`, result.SettingsContradiction, "/a:executor.slots"},
-		{"keys forgotten too soon", `{"/a":{"request":{"key_window_ms":2000}}}`, result.SettingsContradiction, "/a:request.key_window_ms"},
+		{"key window below maximum deadline", `{"/a":{"request":{"key_window_ms":2000}}}`, result.SettingsContradiction, "/a:request.key_window_ms"},
 		{"below an inherited bound", `{"/a":{"request":{"max_deadline_ms":3000}},"/a/b":{"request":{"default_deadline_ms":4000}}}`,
 			result.SettingsContradiction, "/a/b:request.default_deadline_ms"},
 		{"dot", `{"/a.b":{}}`, result.SettingsBadPath, "/a.b"},
@@ -54,12 +54,12 @@
 		{"empty segment", `{"/a//b":{}}`, result.SettingsBadPath, "/a//b"},
 		{"upper case", `{"/A":{}}`, result.SettingsBadPath, "/A"},
 		{"too deep", `{"/a/a/a/a/a/a/a/a/a":{}}`, result.SettingsBadPath, "/a/a/a/a/a/a/a/a/a"},
-		{"path twice", `{"/a":{},"/a":{}}`, result.SettingsGivenTwice, "/a"},
+		{"path twice", `{"/a":{},"/a":{}}`, result.SettingsDuplicate, "/a"},
 		{"nothing", `{}`, result.SettingsNothingToChange, ""},
-		{"removing what is not", `{"/a":null}`, result.SettingsUnknownBranch, "/a"},
+		{"removing an unknown branch", `{"/a":null}`, result.SettingsUnknownBranch, "/a"},
 		{"removing the root", `{"/":null}`, result.SettingsBranchInUse, "/"},
 		{"something after", `{"/a":{}} x`, result.BadInput, ""},
-		{"half", `{"/a":{`, result.BadInput, ""},
+		{"truncated", `{"/a":{`, result.BadInput, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -123,5 +123,5 @@
 	is.Equal(ledger.Placement.Policy, PolicyWaiting)
 	maps, err := tree.Effective("/regie/reconciliations/trend-maps")
 	is.NoErr(err)
-	is.Equal(maps.Placement.Policy, PolicyPacking) // unlike policies in one cell
+	is.Equal(maps.Placement.Policy, PolicyPacking) // different policies in one cell
 }
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -1,12 +1,11 @@
-// Package settings is the operators' tree of inherited settings: immutable,
-// content-addressed branches under one head that moves by compare-and-swap.
+// Package settings implements the operators' tree of inherited settings: immutable, content-addressed branches under
+// one head, which is moved by compare-and-swap.
 package settings
 
 import "pulleyquay/internal/fairshare"
 
-// Values are the effective settings of a branch, after inheritance. Each has
-// its unit in its name. The JSON names are also the names in a branch's
-// overrides, grouped by the objects below.
+// Values are the effective settings of a branch, after inheritance. Each setting's name includes its unit. The JSON
+// names are also the names in a branch's overrides, grouped by the objects below.
 type Values struct {
 	Request   Request   `json:"request"`
 	Executor  Executor  `json:"executor"`
@@ -34,7 +33,7 @@
 	Connections int64 `json:"connections" validate:"min=1,max=65536"`
 }
 
-// Placement governs where tasks of a branch go.
+// Placement governs where the tasks of a branch are placed.
 type Placement struct {
 	Policy      string `json:"policy" validate:"oneof=packing waiting"` // PolicyPacking or PolicyWaiting
 	SpreadZones bool   `json:"spread_zones"`
@@ -47,29 +46,29 @@
 	PolicyWaiting = "waiting"
 )
 
-// Quota bounds what a team's jobs may hold at once.
+// Quota bounds the resources that a team's jobs may use at once.
 type Quota = fairshare.Quota
 
 // Task governs the tasks of a branch's jobs.
 type Task struct {
 	MaxAttempts int64 `json:"max_attempts" validate:"min=1,max=100"`
-	// Priority: higher is more urgent; preemption only takes lower ones.
+	// Priority is higher for more urgent tasks; only tasks of lower priority are preempted.
 	Priority    int64 `json:"priority" validate:"min=-1000,max=1000"`
 	MinReplicas int64 `json:"min_replicas" validate:"min=0,max=100000"`
 	Surge       int64 `json:"surge" validate:"min=0,max=1000"`
-	// GangLoss says what follows when a task of a running gang is lost.
+	// GangLoss is the action taken when a task of a running gang is lost.
 	GangLoss string `json:"gang_loss" validate:"oneof=restart replace fail"`
 }
 
-// The rules for a lost task of a running gang: stop all and start all that is
-// left together, start only the lost one again, or end the job.
+// The actions for a lost task of a running gang: stop all tasks and start all unfinished ones together, restart only
+// the lost task, or end the job.
 const (
 	GangRestart = "restart"
 	GangReplace = "replace"
 	GangFail    = "fail"
 )
 
-// Defaults are the values of the root where it overrides nothing.
+// Defaults returns the values of a root that overrides nothing.
 func Defaults() Values {
 	return Values{
 		Request: Request{
