--- a/internal/catalog/account.go
+++ b/internal/catalog/account.go
@@ -7,28 +7,29 @@
 	"pulleyquay/internal/fairshare"
 )
 
-// KeyDigest is the SHA-256 digest of a key. Keys themselves are kept nowhere, so that
-// none can get into a dump, a log or a message between processes.
+// KeyDigest is the SHA-256 digest of a key. Keys themselves aren't stored, so that none can appear in a dump, a log or
+// a message between processes.
 type KeyDigest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// String hides the digest from logs as well.
+// String keeps the digest out of logs as well.
 func (KeyDigest) String() string { return "(hidden)" }
 
-// Account is a client account: whose jobs they are, and what these may take.
+// Account is a client account, which owns jobs and keys and has a quota.
 type Account struct {
 	Name string `cbor:"1,keyasint"`
-	// Keys are the digests of the keys that its callers carry.
+	// Keys holds the digests of the keys with which its callers authenticate.
 	Keys []KeyDigest `cbor:"2,keyasint,omitempty"`
-	// Weight is its share when all is full; no order of work goes by it yet.
+	// Weight is the account's share when capacity is exhausted; scheduling doesn't use it yet.
 	Weight float64 `cbor:"3,keyasint,omitempty"`
-	// Quota is what its jobs may have running at once, over all hosts.
+	// Quota bounds the resources of the account's running jobs, over all hosts.
 	Quota fairshare.Quota `cbor:"4,keyasint"`
 }
 
-// indexAccounts prepares the lookups of accounts.
+// indexAccounts builds the indexes of accounts by name and by key. A key that several accounts have belongs to the
+// first of them.
 func (c *Catalog) indexAccounts() {
 	c.accounts = map[string]*Account{}
 	c.keys = map[KeyDigest]*Account{}
@@ -51,8 +52,8 @@
 	return c.accounts[name]
 }
 
-// AccountOf returns the account that a key belongs to, or nil when the key is not in
-// force. How long it takes tells nothing of a key: it is its digest that is looked up.
+// AccountOf returns the account that a key belongs to, or nil when the key isn't valid. Its duration reveals nothing
+// about a key, since it looks up the key's digest.
 func (c *Catalog) AccountOf(key string) *Account {
 	if c == nil || key == "" {
 		return nil
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds what operators say of queues and services: one
-// immutable, versioned Catalog, and a Keeper that follows the newest.
+// Package catalog holds the operators' configuration of queues, services and accounts: an immutable, versioned Catalog,
+// and a Watcher that follows the newest version.
 package catalog
 
 import (
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Catalog is one version of the configuration. Versions only rise.
+// Catalog is one version of the configuration. The active version never decreases.
 type Catalog struct {
 	Version  int64     `cbor:"1,keyasint"`
 	Queues   []Queue   `cbor:"2,keyasint"`
 	Services []Service `cbor:"3,keyasint"`
 	Limits   Limits    `cbor:"4,keyasint"`
-	// Keyed is true where calls need a key of one of the Accounts.
+	// Keyed is true if calls need a key of one of the Accounts.
 	Keyed    bool      `cbor:"5,keyasint,omitempty"`
 	Accounts []Account `cbor:"6,keyasint,omitempty"`
-	// Form is that of the process that read the configuration; see CurrentForm.
+	// Form is the CurrentForm of the process that decoded the configuration.
 	Form int `cbor:"7,keyasint,omitempty"`
 
 	byHost   map[string][]*Queue // longest prefix first
@@ -26,65 +26,66 @@
 	keys     map[KeyDigest]*Account
 }
 
-// CurrentForm rises whenever catalogs hold more than before. A peer of a version before
-// leaves out what it does not know, so that its catalogs are not taken over.
+// CurrentForm is the format version of catalogs. It is increased whenever fields are added. A peer that runs an older
+// program version omits the fields that it doesn't know, so catalogs of a lower format version aren't accepted from
+// peers.
 const CurrentForm = 1
 
-// Queue is where callers hand jobs in, with the rules for its jobs.
+// Queue is an address to which callers submit jobs, with the rules for these jobs.
 type Queue struct {
 	Name string `cbor:"1,keyasint"`
-	// Host and Prefix select the queue: the longest prefix of the path wins.
+	// Host and Prefix select the queue: the longest matching prefix of the path takes precedence.
 	Host   string `cbor:"2,keyasint"`
 	Prefix string `cbor:"3,keyasint"`
-	// Service names the hosts that run the queue's tasks.
+	// Service names the pool of hosts that run the queue's tasks.
 	Service string `cbor:"4,keyasint"`
 	Rules   Rules  `cbor:"5,keyasint"`
-	// TimeoutMillis bounds the answer to one call.
+	// TimeoutMillis bounds the response time of one call.
 	TimeoutMillis int64 `cbor:"6,keyasint"`
-	// Public queues need no key.
+	// Public queues don't require a key.
 	Public bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Rules govern the jobs of a queue. A job keeps those it was accepted under.
+// Rules govern the jobs of a queue. A job keeps the rules under which it was accepted.
 type Rules struct {
-	// Priority 0 comes first and may preempt others.
+	// Priority 0 is the highest and may preempt other priorities.
 	Priority int `cbor:"1,keyasint,omitempty"`
-	// Attempts is how often a task may fail before its job does.
+	// Attempts is how often a task may fail before its job fails.
 	Attempts int `cbor:"2,keyasint"`
-	// Stretch times a job's longest chain of work, plus TargetMillis, is the time
-	// in which it is to complete.
+	// Stretch and TargetMillis define a job's target completion time: Stretch times its critical path, plus
+	// TargetMillis.
 	Stretch      float64 `cbor:"3,keyasint,omitempty"`
 	TargetMillis int64   `cbor:"4,keyasint,omitempty"`
-	// Advice is set where a policy service decides which hosts may run a step.
+	// Advice is set if a policy service decides which hosts may run a step.
 	Advice *Advice `cbor:"5,keyasint,omitempty"`
 }
 
-// Advice is what a question to the policy service costs and yields.
+// Advice describes the duration of a policy query and the validity of the ticket that the policy service returns.
 type Advice struct {
-	// DecideMillis and PerHostMillis make up the time of an answer.
+	// DecideMillis is the fixed part of a query's duration, PerHostMillis the part for each host.
 	DecideMillis  float64 `cbor:"1,keyasint"`
 	PerHostMillis float64 `cbor:"2,keyasint"`
 	// ValidMillis is how long a ticket can be used.
 	ValidMillis int64 `cbor:"3,keyasint"`
 }
 
-// Took is how long the policy service works on a question about n hosts.
+// Took returns how long the policy service takes for a query about n hosts.
 func (a *Advice) Took(n int) time.Duration {
 	ms := a.DecideMillis + float64(n)*a.PerHostMillis
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Valid is how long a ticket can be used.
+// Valid returns how long a ticket can be used.
 func (a *Advice) Valid() time.Duration { return time.Duration(a.ValidMillis) * time.Millisecond }
 
 // Service is a pool of hosts.
 type Service struct {
 	Name       string `cbor:"1,keyasint"`
 	HealthPath string `cbor:"2,keyasint,omitempty"`
-	// GuardsCapacity hosts refuse what does not fit; others start whatever they
-	// are told to.
+	// GuardsCapacity is true if the hosts refuse tasks that don't fit; other hosts start every task they are ordered
+	// to start.
 	GuardsCapacity bool `cbor:"3,keyasint,omitempty"`
-	// Standby pools are switched off.
+	// Standby is true if the pool's hosts are switched off.
 	Standby bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -96,7 +97,7 @@
 	IdleTimeoutMillis   int64 `cbor:"4,keyasint"`
 }
 
-// Index prepares the lookups; call it once, before the catalog is shared.
+// Index builds the lookup indexes. Call it once, before the catalog is shared.
 func (c *Catalog) Index() {
 	c.byHost = map[string][]*Queue{}
 	c.services = map[string]*Service{}
@@ -113,8 +114,8 @@
 	c.indexAccounts()
 }
 
-// Route returns the queue for a call and the rest of the path behind the
-// queue's prefix, or nil when no queue matches.
+// Route returns the queue for a call and the remainder of the path after the queue's prefix, or nil when no queue
+// matches.
 func (c *Catalog) Route(host, path string) (q *Queue, rest string) {
 	if c == nil {
 		return nil, ""
@@ -135,7 +136,7 @@
 	return c.services[name]
 }
 
-// Serves reports whether any queue sends its jobs to the service.
+// Serves reports whether any queue runs its tasks on the service.
 func (c *Catalog) Serves(service string) bool {
 	if c == nil {
 		return false
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -47,10 +47,10 @@
 	}
 	var none *Catalog
 	q, _ := none.Route("h", "/a/1")
-	is.New(t).True(q == nil) // nothing is known yet
+	is.New(t).True(q == nil) // no catalog is active yet
 }
 
-// peers answers with the catalog of another member.
+// peers is a peer.Caller that answers with the catalog of another member.
 type peers struct{ newest *Catalog }
 
 func (p *peers) Call(_ context.Context, _ string, _ peer.Kind, req, resp any) error {
@@ -96,8 +96,8 @@
 	store.Put(platform.Write{Key: key, Value: []byte(value)})
 }
 
-// TestVersionsOnlyRise: through outages, lost history, unreadable versions and
-// peers that are ahead or behind, what is in force never goes back.
+// TestVersionsOnlyRise checks that the active version never decreases, despite outages, compacted history, invalid
+// versions, and peers that are ahead or behind.
 func TestVersionsOnlyRise(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -111,7 +111,7 @@
 		is.Equal(k.Version(), int64(3))
 		is.Equal(len(k.Lacks()), 0)
 
-		put(store, "nonsense") // it can not be read: the one before stays
+		put(store, "nonsense") // it can not be decoded: the previous version stays active
 		time.Sleep(time.Second)
 		is.Equal(k.Version(), int64(3))
 
@@ -120,7 +120,7 @@
 		time.Sleep(time.Second)
 		is.Equal(k.Version(), int64(3))
 		p.newest = &Catalog{Version: 7, Form: CurrentForm}
-		k.Behind("b:1") // a heartbeat has told of a newer one
+		k.Behind("b:1") // a heartbeat has reported a newer version
 		time.Sleep(time.Second)
 		is.Equal(k.Version(), int64(7))
 
@@ -137,7 +137,7 @@
 	})
 }
 
-// keyedVersion decodes "version key key": one client account with these keys.
+// keyedVersion decodes "version key key" to a catalog with one client account that has these keys.
 func keyedVersion(rec platform.Record) (*Catalog, error) {
 	words := strings.Fields(string(rec.Value))
 	v, err := strconv.ParseInt(words[0], 10, 64)
@@ -153,32 +153,32 @@
 	return c, nil
 }
 
-// TestKeysComeAndGo: a key that was taken away stays so, and one that was added is in force,
-// within the bound of settings (4 s), while the member is cut from the store, from its peers,
-// from both, or starts anew; and no older version comes back by either way.
-func TestKeysComeAndGo(t *testing.T) {
+// TestKeyChangesSurviveOutages checks that a removed key becomes invalid and an added key valid within the propagation
+// bound of settings (4 s), while the member is disconnected from the store, from its peers or from both, or
+// restarts; and that an older version never becomes active again, be it from the store or from a peer.
+func TestKeyChangesSurviveOutages(t *testing.T) {
 	const bound = 4 * time.Second
 	before, after := "3 old kept", "7 new kept"
-	refuses, sound := memstore.Faults{Refuse: true}, memstore.Faults{}
+	refusing, healthy := memstore.Faults{Refuse: true}, memstore.Faults{}
 	newest, _ := keyedVersion(platform.Record{Value: []byte(after)})
-	former, _ := keyedVersion(platform.Record{Value: []byte(before)})
-	unread := &Catalog{Version: 9, Keyed: false} // as a version before this one passes it on
+	previous, _ := keyedVersion(platform.Record{Value: []byte(before)})
+	incomplete := &Catalog{Version: 9, Keyed: false} // as a peer of an older program version forwards it
 	cases := map[string]struct {
 		faults  memstore.Faults
-		newest  *Catalog // that peers have
-		learns  bool
+		newest  *Catalog // the peers' catalog
+		gets    bool
 		restart bool
 	}{
-		"in touch":                           {faults: sound, learns: true},
-		"cut from the store":                 {faults: refuses, newest: newest, learns: true},
-		"cut from the store, peers behind":   {faults: refuses, newest: former},
-		"cut from both":                      {faults: refuses},
-		"a peer of the version before":       {faults: refuses, newest: unread},
-		"in touch, a peer behind":            {faults: sound, newest: former, learns: true},
-		"starts anew":                        {faults: sound, learns: true, restart: true},
-		"starts anew, cut from the store":    {faults: refuses, newest: newest, learns: true, restart: true},
-		"starts anew, peers behind":          {faults: sound, newest: former, learns: true, restart: true},
-		"starts anew, of the version before": {faults: sound, newest: unread, learns: true, restart: true},
+		"connected":                                 {faults: healthy, gets: true},
+		"disconnected from the store":               {faults: refusing, newest: newest, gets: true},
+		"disconnected from the store, peers behind": {faults: refusing, newest: previous},
+		"disconnected from both":                    {faults: refusing},
+		"peer of an older program version":          {faults: refusing, newest: incomplete},
+		"connected, peer behind":                    {faults: healthy, newest: previous, gets: true},
+		"restart":                                   {faults: healthy, gets: true, restart: true},
+		"restart, disconnected from the store":      {faults: refusing, newest: newest, gets: true, restart: true},
+		"restart, peers behind":                     {faults: healthy, newest: previous, gets: true, restart: true},
+		"restart, peer of an older program version": {faults: healthy, newest: incomplete, gets: true, restart: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -203,11 +203,11 @@
 					time.Sleep(bound / 4)
 				}
 				c := k.Current()
-				is.Equal(c.AccountOf("new") != nil, tc.learns)
-				is.Equal(c.AccountOf("old") == nil, tc.learns || c == nil)
-				is.True(c == nil || c.AccountOf("kept") != nil) // also one that was refused nothing meanwhile
-				store.Client("a").SetFaults(sound)
-				p.newest = former
+				is.Equal(c.AccountOf("new") != nil, tc.gets)
+				is.Equal(c.AccountOf("old") == nil, tc.gets || c == nil)
+				is.True(c == nil || c.AccountOf("kept") != nil) // an unchanged key stays valid in both versions
+				store.Client("a").SetFaults(healthy)
+				p.newest = previous
 				time.Sleep(2 * bound)
 				k.Behind("b:1")
 				time.Sleep(time.Second)
--- a/internal/catalog/watcher.go
+++ b/internal/catalog/watcher.go
@@ -15,44 +15,43 @@
 )
 
 const (
-	// watchWait is how long the store holds the question for a newer version.
-	watchWait = 25 * time.Second
-	// fetchPatience bounds the fetching of a catalog from a peer.
-	fetchPatience = time.Second
+	// longPollTimeout is how long the store may delay the reply to a poll for a newer version.
+	longPollTimeout = 25 * time.Second
+	// fetchTimeout bounds the call that fetches a catalog from a peer.
+	fetchTimeout = time.Second
 )
 
-// Keeper follows the newest catalog: in the store, and, where that does not
-// answer, at peers. What is in force only moves to higher versions.
+// Watcher follows the newest catalog in the store and, if the store doesn't answer, at peers. The active version
+// never decreases.
 type Keeper struct {
 	Store  platform.Poller
 	Health *follow.Health
 	Peers  peer.Caller
 	Log    *logrus.Entry
-	// Key is where the operators write; Decode reads what they wrote.
+	// Key is the store key that operators write; Decode decodes its record.
 	Key    string
 	Decode func(platform.Record) (*Catalog, error)
 
-	current  atomic.Pointer[Catalog]
-	fetching atomic.Bool
-	mu       sync.Mutex // one at a time moves current
-	changed  []func(*Catalog)
+	current   atomic.Pointer[Catalog]
+	fetching  atomic.Bool
+	mu        sync.Mutex // serializes updates of current
+	listeners []func(*Catalog)
 }
 
-// Request asks for a catalog newer than a version.
+// Request requests a catalog newer than version Newer.
 type Request struct {
 	Newer int64 `cbor:"1,keyasint"`
 }
 
-// Reply holds a newer catalog, or none.
+// Reply holds a newer catalog, or nil if the peer has none.
 type Reply struct {
 	Catalog *Catalog `cbor:"1,keyasint,omitempty"`
 }
 
-// OnChange adds a function that is told of each newer catalog. Call it before
-// Start.
-func (k *Keeper) OnChange(fn func(*Catalog)) { k.changed = append(k.changed, fn) }
+// OnChange registers a function that is called with each newer catalog, in order. Call it before Start.
+func (k *Keeper) OnChange(fn func(*Catalog)) { k.listeners = append(k.listeners, fn) }
 
-// Start registers the message kind and follows until ctx ends.
+// Start registers the message handler and follows the store's catalog in the background until ctx ends.
 func (k *Keeper) Start(ctx context.Context, mux *peer.Mux) {
 	peer.Handle(mux, peer.KindCatalog, func(_ context.Context, q Request) (Reply, error) {
 		if c := k.Current(); c != nil && c.Version > q.Newer {
@@ -61,25 +60,25 @@
 		return Reply{}, nil
 	})
 	f := follow.Follower{
-		Store: k.Store, Health: k.Health, Prefix: k.Key, Wait: watchWait,
+		Store: k.Store, Health: k.Health, Prefix: k.Key, Wait: longPollTimeout,
 		List: func(records []platform.Record) {
 			for _, rec := range records {
-				k.take(rec)
+				k.processRecord(rec)
 			}
 		},
 		Change: func(c platform.Change) {
 			if !c.Deleted {
-				k.take(c.Record)
+				k.processRecord(c.Record)
 			}
 		},
 	}
 	go f.Run(ctx)
 }
 
-// Current returns the catalog in force, or nil when none is known yet.
+// Current returns the active catalog, or nil before the first.
 func (k *Keeper) Current() *Catalog { return k.current.Load() }
 
-// Version is that of the catalog in force; -1 when none is known yet.
+// Version returns the version of the active catalog, -1 before the first.
 func (k *Keeper) Version() int64 {
 	if c := k.Current(); c != nil {
 		return c.Version
@@ -87,7 +86,7 @@
 	return -1
 }
 
-// Lacks says what keeps the catalog from being ready.
+// Lacks returns the reasons why the catalog isn't ready; none once a catalog is active.
 func (k *Keeper) Lacks() []string {
 	if k.Current() == nil {
 		return []string{"catalog: no configuration has been read yet"}
@@ -95,19 +94,19 @@
 	return nil
 }
 
-func (k *Keeper) take(rec platform.Record) {
+func (k *Keeper) processRecord(rec platform.Record) {
 	if rec.Key != k.Key {
 		return
 	}
 	c, err := k.Decode(rec)
 	if err != nil {
-		k.Log.WithError(err).WithField("code", result.ConfigValue).Error("configuration can not be read; the one before stays in force")
+		k.Log.WithError(err).WithField("code", result.ConfigValue).Error("configuration can not be decoded; the previous one stays in force")
 		return
 	}
 	k.apply(c, "store")
 }
 
-// apply puts a catalog in force if it is newer.
+// apply activates a catalog if it is newer than the active one.
 func (k *Keeper) apply(c *Catalog, from string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -116,26 +115,26 @@
 	}
 	k.current.Store(c)
 	k.Log.WithFields(logrus.Fields{"version": c.Version, "queues": len(c.Queues), "from": from}).Info("configuration in force")
-	for _, fn := range k.changed {
+	for _, fn := range k.listeners {
 		fn(c)
 	}
 }
 
-// Behind fetches a newer catalog from a peer that has one.
+// Behind fetches a newer catalog from a peer in the background. It does nothing while another fetch is in progress.
 func (k *Keeper) Behind(addr string) {
 	if !k.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer k.fetching.Store(false)
-		ctx, cancel := context.WithTimeout(context.Background(), fetchPatience)
+		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 		defer cancel()
 		var reply Reply
 		if err := k.Peers.Call(ctx, addr, peer.KindCatalog, Request{Newer: k.Version()}, &reply); err != nil || reply.Catalog == nil {
-			return // the next heartbeat tells again
+			return // the next heartbeat triggers another fetch
 		}
 		if reply.Catalog.Form < CurrentForm {
-			return // a version before this one has read it, and left out what it does not know
+			return // decoded by an older program version, which omitted fields that it doesn't know
 		}
 		reply.Catalog.Index()
 		k.apply(reply.Catalog, addr)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,5 @@
-// Package config reads the daemons' own settings files: JSON, checked strictly.
-// An unknown name, a value without its unit, a value out of range or a
-// contradiction is refused with the path of the field.
+// Package config reads the daemons' own configuration files: JSON with strict validation. An unknown name, a duration
+// without a unit, a value out of range or a contradiction is refused with the path of the field.
 package config
 
 import (
@@ -19,10 +18,10 @@
 	"pulleyquay/internal/result"
 )
 
-// Duration is a length of time written with its unit, such as "3s" or "500ms".
+// Duration is a duration that is encoded with its unit, such as "3s" or "500ms".
 type Duration time.Duration
 
-// UnmarshalJSON refuses a bare number, whose unit would be a guess.
+// UnmarshalJSON refuses a number without a unit, since the unit would be ambiguous.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var s string
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -36,18 +35,18 @@
 	return nil
 }
 
-// MarshalJSON writes the form that UnmarshalJSON reads.
+// MarshalJSON encodes d in the form that UnmarshalJSON accepts.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Std returns d as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Checker is a settings type with rules across its fields. Check returns a
-// *result.Error that names the field.
+// Checker is implemented by configuration types with rules across several fields. Check returns a *result.Error that
+// names the field.
 type Checker interface{ Check() error }
 
-// Load reads the file at path into into, which holds the defaults, and checks
-// it. Every error is a *result.Error with a code of the 7000s.
+// Load decodes the file at path into into, which holds the defaults, and validates it. Every error is a *result.Error
+// with a code from 7000 to 7099.
 func Load(path string, into any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -56,7 +55,7 @@
 	return Parse(data, into)
 }
 
-// Parse is Load on bytes.
+// Parse is like Load but takes the file's content.
 func Parse(data []byte, into any) error {
 	var raw any
 	if err := decodeOne(data, &raw); err != nil {
@@ -77,7 +76,7 @@
 	return nil
 }
 
-// decodeOne decodes exactly one JSON value.
+// decodeOne decodes one JSON value and refuses data after it.
 func decodeOne(data []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	if err := dec.Decode(into); err != nil {
@@ -97,12 +96,11 @@
 	return result.New(result.ConfigValue, result.RanNo, "%v", err)
 }
 
-// unmarshaler is implemented by types that read their own form, such as Duration.
+// unmarshaler is implemented by types that decode themselves, such as Duration.
 var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
 
-// checkNames walks the file beside the type and refuses names the type lacks,
-// and values that a type with a form of its own does not read: the decoder
-// would not say where they stand.
+// checkNames compares the file with the type and refuses unknown names, and values that a type with its own
+// UnmarshalJSON doesn't accept. The JSON decoder's errors for these don't contain the path.
 func checkNames(raw any, t reflect.Type, path string) error {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -1,5 +1,5 @@
-// Package operatorapi serves the operators' settings interface over HTTP. It
-// reads from the tree in force in its process and sends changes to the placers.
+// Package operatorapi serves the operators' settings API over HTTP. It answers reads from the active tree of its
+// process and sends changes to the placers.
 package operatorapi
 
 import (
@@ -23,7 +23,7 @@
 // maxWait bounds how long a change waits for the members to apply it.
 const maxWait = 10 * time.Second
 
-// Changer makes changes; settings.Remote is the one in use.
+// Changer makes changes to the settings; settings.Remote implements it.
 type Changer interface {
 	Change(ctx context.Context, c settings.Change) (settings.Accepted, error)
 	History(ctx context.Context) ([]settings.Head, error)
@@ -31,7 +31,7 @@
 
 // API serves /v1/settings.
 type API struct {
-	// Current gives the tree in force, nil before the first is learned.
+	// Current returns the active tree, nil before the first was received.
 	Current func() *settings.Tree
 	Changer Changer
 }
@@ -47,10 +47,10 @@
 	mux.Handle("POST /v1/settings/rollback", handler(a.rollback))
 }
 
-// handler is an HTTP handler that returns what it answers.
+// handler is an HTTP handler that returns the response body, or an error.
 type handler func(r *http.Request) (any, error)
 
-// ServeHTTP writes the answer as JSON, or the error as a problem document.
+// ServeHTTP writes the response as JSON, or the error as a problem document.
 func (h handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
 	answer, err := h(r)
@@ -65,42 +65,42 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
-	_, _ = w.Write(body) // a caller that went away needs no answer
+	_, _ = w.Write(body) // fails only if the caller has disconnected
 }
 
-// Branch answers GET /v1/settings.
+// Branch is the response of GET /v1/settings.
 type Branch struct {
 	Revision  int64              `json:"revision"`
 	Path      string             `json:"path"`
 	Overrides settings.Overrides `json:"overrides"`
 }
 
-// Effective answers GET /v1/settings/effective.
+// Effective is the response of GET /v1/settings/effective.
 type Effective struct {
 	Revision int64           `json:"revision"`
 	Path     string          `json:"path"`
 	Values   settings.Values `json:"values"`
 }
 
-// Explanation answers GET /v1/settings/explain.
+// Explanation is the response of GET /v1/settings/explain.
 type Explanation struct {
 	Revision int64                `json:"revision"`
 	Path     string               `json:"path"`
 	Settings []settings.Explained `json:"settings"`
 }
 
-// Tree answers GET /v1/settings/tree: every branch.
+// Tree is the response of GET /v1/settings/tree: every branch with its overrides.
 type Tree struct {
 	Revision int64                         `json:"revision"`
 	Branches map[string]settings.Overrides `json:"branches"`
 }
 
-// History answers GET /v1/settings/history, newest first.
+// History is the response of GET /v1/settings/history, newest revision first.
 type History struct {
 	Revisions []settings.Head `json:"revisions"`
 }
 
-// current returns the tree and the path that the request names.
+// current returns the active tree and the path that the request names, the root if it names none.
 func (a API) current(r *http.Request) (*settings.Tree, string, error) {
 	tree := a.Current()
 	if tree == nil {
@@ -153,18 +153,18 @@
 	return History{heads}, err
 }
 
-// Intent is what the body of every change says besides the change itself.
+// Intent is the part that the bodies of all kinds of changes have in common.
 type Intent struct {
-	// Revision is the one that the operator looked at.
+	// Revision is the one that the operator read before making the change.
 	Revision *int64 `json:"revision"`
-	// ChangeID is a UUIDv7; the entry makes one when it is empty.
+	// ChangeID is a UUIDv7; the entry generates one when it is empty.
 	ChangeID string `json:"change_id,omitempty"`
-	// First says that no change with this id was ever sent before. Without it,
-	// a refusal for the store's sake can not promise ran: no.
+	// First is true if no change with this id was ever sent before. Without it, a refusal caused by the store can't
+	// guarantee ran: no.
 	First bool   `json:"first,omitempty"`
 	By    string `json:"by,omitempty"`
 	Note  string `json:"note,omitempty"`
-	// WaitMillis waits for every member to apply the change.
+	// WaitMillis is how long to wait for every member to apply the change.
 	WaitMillis int64 `json:"wait_ms,omitempty"`
 }
 
@@ -204,7 +204,7 @@
 	return a.send(r, req.Intent, settings.Change{Rollback: true, RollbackTo: *req.To})
 }
 
-// send completes the change with the operator's intent and makes it.
+// send validates the intent, completes the change with it and makes the change.
 func (a API) send(r *http.Request, intent Intent, c settings.Change) (any, error) {
 	if intent.Revision == nil {
 		return nil, missing("revision")
@@ -228,7 +228,7 @@
 	return result.New(result.BadInput, result.RanNo, "missing").At(field)
 }
 
-// readBody decodes a strictly checked JSON body.
+// readBody decodes a JSON body and refuses unknown fields and data after the object.
 func readBody(r *http.Request, into any) error {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -17,7 +17,7 @@
 // typePrefix starts the URN of every problem type; the code's name follows.
 const typePrefix = "urn:pulleyquay:problem:"
 
-// Document is the body of a failed answer.
+// Document is the body of an error response.
 type Document struct {
 	// Type is a stable URN that ends in the code's name.
 	Type   string `json:"type"`
@@ -26,17 +26,15 @@
 	Detail string `json:"detail,omitempty"`
 	// Code is the number in docs/RESULT-CODES.md.
 	Code result.Code `json:"code"`
-	// Ran says whether the work asked for was executed: no, yes or unknown.
+	// Ran says whether the requested work was executed: no, yes or unknown.
 	Ran result.Ran `json:"ran"`
 	// Field is the path of the offending field, for refused input.
 	Field string `json:"field,omitempty"`
-	// RetryAfterSeconds repeats the Retry-After header; absent when a retry
-	// makes no sense.
+	// RetryAfterSeconds repeats the Retry-After header; absent when a retry is pointless.
 	RetryAfterSeconds int64 `json:"retry_after_seconds,omitempty"`
 }
 
-// Of returns the problem document of e. A missing Ran counts as unknown, a code
-// that is not registered as an internal failure's status.
+// Of returns the problem document of e. A missing Ran counts as unknown; a code that isn't registered gets status 500.
 func Of(e *result.Error) Document {
 	info, ok := result.Lookup(e.Code)
 	if !ok {
@@ -52,8 +50,7 @@
 	}
 }
 
-// Write answers with the problem document of e, and with Retry-After when e
-// says when to come back.
+// Write responds with the problem document of e, and with a Retry-After header if e has RetryAfter.
 func Write(w http.ResponseWriter, e *result.Error) {
 	doc := Of(e)
 	body, err := json.Marshal(doc)
@@ -69,11 +66,11 @@
 		h.Set("Retry-After", strconv.FormatInt(doc.RetryAfterSeconds, 10))
 	}
 	w.WriteHeader(doc.Status)
-	_, _ = w.Write(body) // a caller that went away needs no answer
+	_, _ = w.Write(body) // fails only if the caller has disconnected
 }
 
-// Read decodes a problem document into the error that it was written from. A
-// body that is none becomes an error with unknown execution.
+// Read decodes a problem document into the error from which it was written. Any other body becomes an Internal error
+// with unknown execution.
 func Read(status int, body []byte) *result.Error {
 	var doc Document
 	if err := json.Unmarshal(body, &doc); err != nil || doc.Code == 0 {
@@ -89,7 +86,7 @@
 	}
 }
 
-// retrySeconds rounds up to whole seconds, at least one; zero stays zero.
+// retrySeconds rounds a positive duration up to whole seconds; other durations give zero.
 func retrySeconds(d time.Duration) int64 {
 	if d <= 0 {
 		return 0
--- a/internal/problem/problem_test.go
+++ b/internal/problem/problem_test.go
@@ -46,5 +46,5 @@
 	is := is.New(t)
 	e := problem.Read(502, []byte("<html>"))
 	is.Equal(e.Code, result.Internal)
-	is.Equal(e.Ran, result.RanUnknown) // nothing is known of what it ran
+	is.Equal(e.Ran, result.RanUnknown) // the response doesn't say whether the work was executed
 }
