--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,87 +1,89 @@
-// Package admission decides what becomes of a job that a caller hands in, from what
-// this process knows of the store at that moment: whether the store is tried, whether a
-// peer is tried in its place, what a caller whose job is in doubt is told, and when
-// those that are refused are to come back.
+// Package admission decides how to handle a submitted job, based on the state of the
+// store as observed by this process: whether to write the job to the store, whether to
+// relay it to a peer instead, when to return "outcome unknown" to the caller, and when
+// refused callers should retry.
 //
-// The load that it answers: the store falls silent, for all processes or for one, and
-// callers go on handing jobs in. A job that was sent to the store before its silence
-// is known may be stored, now or later, and nobody can say. Held until its caller's
-// time is up, it leaves the caller none to try again; told in time, the caller comes
-// back by itself, with the same id, and it stays one job. Jobs that come later are
-// known to be impossible and are refused at once.
+// It is designed for store outages, for all processes or for a single one, during which
+// callers continue to submit jobs. A job that was sent to the store before the outage
+// was detected may be stored, now or later; its outcome is unknown. If the caller is
+// kept waiting until its deadline, it has no time left to retry. If the reply comes
+// earlier, the caller retries with the same id, so that the job is stored only once.
+// Jobs submitted after the outage was detected cannot be stored and are refused at once.
 package admission
 
 import "time"
 
-// Times of the store.
 const (
-	// SilentAfter is for how long calls to the store go unanswered, and nothing else is
-	// answered either, before it counts as away: long enough that a store that is only slow
-	// is not given up, and a small part of the time that callers have.
-	SilentAfter = 500 * time.Millisecond
-	// FailingAfter is the same for calls that the store refuses, which are repeated for
-	// so long.
-	FailingAfter = 300 * time.Millisecond
-	// ComeBack is when a refused caller is to come back: soon enough that it can try more
-	// than once before it gives up, and those refused together are spread over as long.
+	// UnresponsiveThreshold is how long calls to the store have to go unanswered, with no other
+	// call answered meanwhile, before the store counts as unavailable: long enough that a
+	// slow store still counts as available, and a small part of the callers' time-out.
+	UnresponsiveThreshold = 500 * time.Millisecond
+	// FailingThreshold is the same threshold for calls that the store refuses. They are
+	// retried for that long.
+	FailingThreshold = 300 * time.Millisecond
+	// ComeBack is the delay after which a refused caller should retry: short enough for
+	// several retries within the caller's time-out. Callers refused at the same time
+	// spread their retries over an interval of the same length.
 	ComeBack = time.Second
 )
 
-// DoubtShare is which part of its time a caller is held at the most while its job is in
-// doubt: outages and slow answers shorter than that cost it nothing, and after it more
-// than half of its time is left to come back in.
-const DoubtShare = 0.4
+// MaxUnknownShare is the largest fraction of its time-out that a caller waits while the
+// outcome of its job is unknown: shorter outages and slow replies cause no error, and
+// more than half of the time-out is left for retries.
+const MaxUnknownShare = 0.4
 
-// DoubtAfter is for how long a caller that waits for so long is held in doubt.
-func DoubtAfter(patience time.Duration) time.Duration {
-	return time.Duration(DoubtShare * float64(patience))
+// DoubtAfter returns how long a caller with this time-out waits while the outcome of
+// its job is unknown.
+func DoubtAfter(callerTimeout time.Duration) time.Duration {
+	return time.Duration(MaxUnknownShare * float64(callerTimeout))
 }
 
-// Store is what a process knows of the store.
+// Store is the state of the store as observed by this process.
 type Store struct {
-	// Silent is since how long calls wait, none of them answered; zero when none does.
+	// Silent is how long pending calls have waited with none answered; zero when no call
+	// is pending.
 	Silent time.Duration
-	// Failing is since how long calls have been refused or given up.
+	// Failing is how long calls have been refused or abandoned.
 	Failing time.Duration
-	// Usual is what an answer usually takes at the most.
+	// Usual is the upper end of the store's usual response times.
 	Usual time.Duration
 }
 
-// Away reports whether the store has not answered for so long that jobs are not sent
-// to it, and those that were sent are in doubt.
+// Away reports whether the store counts as unavailable: jobs are no longer sent to it,
+// and the outcome of those already sent is unknown.
 func (s Store) Away() bool {
-	return s.Silent > max(SilentAfter, s.Usual) || s.Failing > FailingAfter
+	return s.Silent > max(UnresponsiveThreshold, s.Usual) || s.Failing > FailingThreshold
 }
 
-// Step is what to do next with a job.
+// Step is the next action for a submitted job.
 type Step int
 
-// The steps.
 const (
 	// Try sends the job to the store.
 	Try Step = iota
-	// Relay gives the job to a peer, which may reach the store.
+	// Relay sends the job to a peer, which may reach the store.
 	Relay
-	// Refuse tells the caller that the job was not accepted, and when to come back.
+	// Refuse replies that the job was not accepted, and when to retry.
 	Refuse
-	// Doubt tells the caller that the job may be accepted; handing it in again tells.
+	// Doubt replies that the job may have been accepted; submitting it again returns its
+	// outcome.
 	Doubt
 )
 
-// String names the step for the log.
+// String returns the name used in the log.
 func (s Step) String() string {
 	return [...]string{"try", "relay", "refuse", "doubt"}[s]
 }
 
-// Job is how far a job has come.
+// Job is the progress of a submitted job.
 type Job struct {
 	// Tried jobs were sent to the store by this process, Relayed ones to peers.
 	Tried, Relayed bool
-	// InDoubt jobs may be stored, now or later, by a call that was not answered.
+	// InDoubt is true if an unanswered call may have stored the job or may still store it.
 	InDoubt bool
 }
 
-// Next decides what to do with a job that is not stored as far as is known.
+// Next returns the next action for a job that is not known to be stored.
 func Next(j Job, s Store) Step {
 	switch {
 	case !j.Tried && !s.Away():
--- a/internal/advice/lanes.go
+++ b/internal/advice/lanes.go
@@ -5,103 +5,108 @@
 	"time"
 )
 
-// Lanes spreads questions over the members that can ask. Each member is a lane:
-// its questions are answered one after the other, each in a time that is known
-// beforehand. Long questions keep off some lanes, so that short ones never wait
-// behind them.
+// Lanes distributes policy queries over the members that can send them. Each member has
+// a query slot: its queue at the policy service, which answers the member's queries one
+// after the other, each in a duration known in advance. Some query slots take no long
+// queries, so that short queries never wait behind long ones.
 type Lanes struct {
-	lanes []*lane // by name
+	slots []*querySlot // sorted by name
 }
 
-// lane is one member's queue at the service.
-type lane struct {
+// querySlot is one member's queue of queries at the policy service.
+type querySlot struct {
 	name string
-	// busyUntil is when the questions asked so far are answered.
-	busyUntil time.Time
-	asked     int
-	// fails counts failures in a row; after one, at failedAt, the lane is left alone
-	// until restsUntil.
-	fails                int
-	failedAt, restsUntil time.Time
+	// busyUntil is the expected time of the reply to the last query of the queue.
+	busyUntil   time.Time
+	outstanding int
+	// failures counts consecutive failures; after the last one, at failedAt, the query slot
+	// is not used until backoffUntil.
+	failures               int
+	failedAt, backoffUntil time.Time
 }
 
-// Limits of what is asked through one lane.
+// Limits of one query slot.
 const (
-	// mostWaiting bounds the questions of one lane that are not answered; the
-	// service itself refuses at 32.
-	mostWaiting = 8
-	// short and long divide questions by the time of their answer.
-	short = 20 * time.Millisecond
-	long  = 200 * time.Millisecond
-	// shortBacklog and longBacklog are how far ahead a lane may be booked.
+	// maxOutstanding bounds the unanswered queries of one query slot; the policy service
+	// itself refuses queries from 32 on.
+	maxOutstanding = 8
+	// shortQuery and longQuery separate short, medium and long queries by their duration.
+	shortQuery = 20 * time.Millisecond
+	longQuery  = 200 * time.Millisecond
+	// shortBacklog, mediumBacklog and longBacklog are the largest backlogs at which a query
+	// slot takes another short, medium or long query.
 	shortBacklog  = 100 * time.Millisecond
 	mediumBacklog = 400 * time.Millisecond
 	longBacklog   = 900 * time.Millisecond
-	// firstRest is how long a lane is left alone after a failure; it doubles with
-	// each in a row, up to doublings times.
-	firstRest = 300 * time.Millisecond
-	doublings = 5
+	// initialBackoff is how long a query slot is not used after a failure; it doubles with
+	// each consecutive failure, up to maxDoublings times.
+	initialBackoff = 300 * time.Millisecond
+	maxDoublings   = 5
 )
 
-// NewLanes returns no lanes.
+// NewLanes returns an empty set of query slots; SetMembers adds them.
 func NewLanes() *Lanes { return &Lanes{} }
 
-// SetMembers names the members; what is known of those that stay is kept.
+// SetMembers replaces the set of members. Members that stay keep their state.
 func (l *Lanes) SetMembers(names []string) {
-	old := map[string]*lane{}
-	for _, x := range l.lanes {
+	old := map[string]*querySlot{}
+	for _, x := range l.slots {
 		old[x.name] = x
 	}
-	l.lanes = l.lanes[:0]
+	l.slots = l.slots[:0]
 	sorted := append([]string(nil), names...)
 	sort.Strings(sorted)
 	for _, name := range sorted {
 		x := old[name]
 		if x == nil {
-			x = &lane{name: name}
+			x = &querySlot{name: name}
 		}
-		l.lanes = append(l.lanes, x)
+		l.slots = append(l.slots, x)
 	}
 }
 
-// Book takes the lane that will answer a question of that length first. It
-// reports false when all lanes it may use are booked too far ahead.
-func (l *Lanes) Book(took time.Duration, now time.Time) (name string, answered time.Time, ok bool) {
-	best := l.best(took, now)
-	if best == nil {
+// Book adds a query of the given duration to the query slot that will answer it first.
+// It returns the member's name and the expected time of the reply, or false if the
+// backlogs of all query slots that the query may use are too long.
+func (l *Lanes) Book(duration time.Duration, now time.Time) (name string, answered time.Time, ok bool) {
+	slot := l.leastLoaded(duration, now)
+	if slot == nil {
 		return "", time.Time{}, false
 	}
-	if best.busyUntil.Before(now) {
-		best.busyUntil = now
+	if slot.busyUntil.Before(now) {
+		slot.busyUntil = now
 	}
-	best.busyUntil = best.busyUntil.Add(took)
-	best.asked++
-	return best.name, best.busyUntil, true
+	slot.busyUntil = slot.busyUntil.Add(duration)
+	slot.outstanding++
+	return slot.name, slot.busyUntil, true
 }
 
-// Open reports whether Book would find a lane.
-func (l *Lanes) Open(took time.Duration, now time.Time) bool { return l.best(took, now) != nil }
+// Open reports whether Book would succeed.
+func (l *Lanes) Open(duration time.Duration, now time.Time) bool {
+	return l.leastLoaded(duration, now) != nil
+}
 
-// Idle reports whether half of the lanes for a question of that length have
-// nothing to answer.
-func (l *Lanes) Idle(took time.Duration, now time.Time) bool {
-	lanes, _ := l.open(took, now)
+// Idle reports whether at least half of the query slots for a query of the given duration
+// have no outstanding queries.
+func (l *Lanes) Idle(duration time.Duration, now time.Time) bool {
+	slots, _ := l.eligible(duration, now)
 	idle := 0
-	for _, x := range lanes {
-		if x.asked == 0 {
+	for _, x := range slots {
+		if x.outstanding == 0 {
 			idle++
 		}
 	}
-	return 2*idle >= len(lanes) && idle > 0
+	return 2*idle >= len(slots) && idle > 0
 }
 
-// best is the least booked lane for a question of that length, or nil.
-func (l *Lanes) best(took time.Duration, now time.Time) *lane {
-	lanes, backlog := l.open(took, now)
-	var best *lane
-	for _, x := range lanes {
-		if x.asked >= mostWaiting || x.fails > 0 && x.asked > 0 {
-			continue // a lane that has failed is tried with one question
+// leastLoaded returns the query slot with the shortest backlog for a query of the given
+// duration, or nil if none may take the query now.
+func (l *Lanes) leastLoaded(duration time.Duration, now time.Time) *querySlot {
+	slots, backlog := l.eligible(duration, now)
+	var best *querySlot
+	for _, x := range slots {
+		if x.outstanding >= maxOutstanding || x.failures > 0 && x.outstanding > 0 {
+			continue // after a failure a query slot gets one query at a time
 		}
 		if best == nil || x.busyUntil.Before(best.busyUntil) {
 			best = x
@@ -113,66 +118,66 @@
 	return best
 }
 
-// Shares of the lanes: the first seventh is for short questions alone, those up to
-// a third for medium ones as well, the others for long ones.
+// Division of the query slots: the first seventh serves short queries only, the slots up
+// to the first third serve medium queries too, and the others serve long queries.
 const (
-	shortShare  = 7
-	mediumShare = 3
+	shortDivisor  = 7
+	mediumDivisor = 3
 )
 
-// open returns the lanes for questions of a length and how far ahead they may be
-// booked. With few lanes all are shared.
-func (l *Lanes) open(took time.Duration, now time.Time) ([]*lane, time.Duration) {
-	lanes := l.usable(now)
-	n := len(lanes)
-	if n < mediumShare {
-		return lanes, longBacklog
+// eligible returns the query slots for queries of the given duration, and their largest
+// permitted backlog. Queries of all durations share the slots if there are few.
+func (l *Lanes) eligible(duration time.Duration, now time.Time) ([]*querySlot, time.Duration) {
+	slots := l.usable(now)
+	n := len(slots)
+	if n < mediumDivisor {
+		return slots, longBacklog
 	}
-	forShort := max(n/shortShare, 1)
-	forMedium := max(n/mediumShare, forShort)
+	shortOnly := max(n/shortDivisor, 1)
+	shortOrMedium := max(n/mediumDivisor, shortOnly)
 	switch {
-	case took <= short:
-		return lanes[:forMedium], shortBacklog
-	case took < long:
-		return lanes[forShort : forMedium+1], mediumBacklog
+	case duration <= shortQuery:
+		return slots[:shortOrMedium], shortBacklog
+	case duration < longQuery:
+		return slots[shortOnly : shortOrMedium+1], mediumBacklog
 	}
-	return lanes[forMedium:], longBacklog
+	return slots[shortOrMedium:], longBacklog
 }
 
-// usable returns the lanes that work, and after them those that have failed and are
-// to be tried again.
-func (l *Lanes) usable(now time.Time) []*lane {
-	work := make([]*lane, 0, len(l.lanes))
-	var failed []*lane
-	for _, x := range l.lanes {
+// usable returns the query slots without failures, followed by those whose back-off after
+// a failure has ended.
+func (l *Lanes) usable(now time.Time) []*querySlot {
+	working := make([]*querySlot, 0, len(l.slots))
+	var failed []*querySlot
+	for _, x := range l.slots {
 		switch {
-		case x.fails == 0:
-			work = append(work, x)
-		case !now.Before(x.restsUntil):
+		case x.failures == 0:
+			working = append(working, x)
+		case !now.Before(x.backoffUntil):
 			failed = append(failed, x)
 		}
 	}
-	return append(work, failed...)
+	return append(working, failed...)
 }
 
-// Answered frees a lane's place at now, after an answer to a question asked at asked,
-// or after its failure. What was asked before the lane failed last says nothing new.
+// Answered records at now the reply to a query sent at asked, or its failure. A failure
+// of a query that was sent before the query slot's last failure is ignored.
 func (l *Lanes) Answered(name string, failed bool, asked, now time.Time) {
-	for _, x := range l.lanes {
+	for _, x := range l.slots {
 		if x.name != name {
 			continue
 		}
-		x.asked = max(x.asked-1, 0)
-		if x.asked == 0 && x.busyUntil.After(now) {
+		x.outstanding = max(x.outstanding-1, 0)
+		if x.outstanding == 0 && x.busyUntil.After(now) {
 			x.busyUntil = now
 		}
 		switch {
 		case !failed:
-			x.fails = 0
-		case x.fails == 0 || !asked.Before(x.failedAt):
-			x.restsUntil = now.Add(firstRest << min(x.fails, doublings))
+			x.failures = 0
+		case x.failures == 0 || !asked.Before(x.failedAt):
+			x.backoffUntil = now.Add(initialBackoff << min(x.failures, maxDoublings))
 			x.failedAt = now
-			x.fails++
+			x.failures++
 		}
 	}
 }
--- a/internal/advice/lanes_test.go
+++ b/internal/advice/lanes_test.go
@@ -9,15 +9,15 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func seven() *Lanes {
+func newSevenSlots() *Lanes {
 	l := NewLanes()
 	l.SetMembers([]string{"a", "b", "c", "d", "e", "f", "g"})
 	return l
 }
 
-// TestShortQuestionsNeverWaitBehindLongOnes books as many long questions as the
-// lanes take; a short one is then still answered at once.
-func TestShortQuestionsNeverWaitBehindLongOnes(t *testing.T) {
+// TestShortQueriesNeverWaitBehindLongOnes fills the query slots with long queries and
+// checks that a short query is still answered without a wait.
+func TestShortQueriesNeverWaitBehindLongOnes(t *testing.T) {
 	is := is.New(t)
 	for members := 2; members <= 9; members++ {
 		l := NewLanes()
@@ -28,7 +28,7 @@
 			}
 		}
 		if members < 3 {
-			continue // two lanes are shared by all
+			continue // queries of all durations share two query slots
 		}
 		_, answered, ok := l.Book(8*time.Millisecond, start)
 		is.True(ok)
@@ -36,55 +36,56 @@
 	}
 }
 
-func TestOneMemberAsksEverything(t *testing.T) {
+func TestOneMemberSendsAllQueries(t *testing.T) {
 	is := is.New(t)
 	l := NewLanes()
 	l.SetMembers([]string{"a"})
-	for _, took := range []time.Duration{5 * time.Millisecond, 60 * time.Millisecond, 700 * time.Millisecond} {
-		name, _, ok := l.Book(took, start)
+	for _, duration := range []time.Duration{5 * time.Millisecond, 60 * time.Millisecond, 700 * time.Millisecond} {
+		name, _, ok := l.Book(duration, start)
 		is.True(ok)
 		is.Equal(name, "a")
 	}
 	_, _, ok := NewLanes().Book(time.Millisecond, start)
-	is.True(!ok) // nobody can ask
+	is.True(!ok) // there is no member to send the query
 }
 
-func TestLeastBookedLaneIsTaken(t *testing.T) {
+func TestLeastLoadedQuerySlotIsChosen(t *testing.T) {
 	is := is.New(t)
-	l := seven()
+	l := newSevenSlots()
 	first, _, _ := l.Book(700*time.Millisecond, start)
 	second, _, _ := l.Book(700*time.Millisecond, start)
 	is.True(first != second)
-	l.Answered(first, false, start, start.Add(100*time.Millisecond)) // sooner than worked out
+	l.Answered(first, false, start, start.Add(100*time.Millisecond)) // earlier than estimated
 	third, answered, _ := l.Book(700*time.Millisecond, start.Add(100*time.Millisecond))
 	is.True(third != second)
 	is.Equal(answered, start.Add(800*time.Millisecond))
 }
 
-// TestFailedLaneIsLeftAlone: a member that was gone for good stayed among those
-// asked, and every question about a large gang was lost there.
-func TestFailedLaneIsLeftAlone(t *testing.T) {
+// TestFailedQuerySlotIsAvoided guards against the use of a member that has ended for good:
+// every policy query about a large gang that was sent through it failed.
+func TestFailedQuerySlotIsAvoided(t *testing.T) {
 	is := is.New(t)
-	l := seven()
+	l := newSevenSlots()
 	now := start
-	lost := 0
+	failures := 0
 	for range 40 {
 		name, _, ok := l.Book(700*time.Millisecond, now)
 		is.True(ok)
 		failed := name == "g"
 		if failed {
-			lost++
+			failures++
 		}
-		asked := now
+		sent := now
 		now = now.Add(time.Second)
-		l.Answered(name, failed, asked, now)
+		l.Answered(name, failed, sent, now)
 	}
-	is.True(lost > 0)
-	is.True(lost <= 8)
+	is.True(failures > 0)
+	is.True(failures <= 8)
 }
 
-// TestFailuresOfOneEventCountOnce: when connections fell silent, eight questions of a
-// lane failed at the same moment, and the lane was left alone for ten seconds.
+// TestFailuresOfOneEventCountOnce guards against an excessive back-off: with silent
+// connections, eight queries of a query slot fail at the same time, and if each of them
+// doubles the back-off, the query slot is not used for ten seconds.
 func TestFailuresOfOneEventCountOnce(t *testing.T) {
 	is := is.New(t)
 	l := NewLanes()
@@ -97,25 +98,25 @@
 	for range 8 {
 		l.Answered("a", true, start, failed)
 	}
-	_, _, ok := l.Book(8*time.Millisecond, failed.Add(firstRest-1))
+	_, _, ok := l.Book(8*time.Millisecond, failed.Add(initialBackoff-1))
 	is.True(!ok)
-	_, _, ok = l.Book(8*time.Millisecond, failed.Add(firstRest))
+	_, _, ok = l.Book(8*time.Millisecond, failed.Add(initialBackoff))
 	is.True(ok)
-	l.Answered("a", true, failed.Add(firstRest), failed.Add(2*firstRest)) // failed again
-	_, _, ok = l.Book(8*time.Millisecond, failed.Add(3*firstRest))
+	l.Answered("a", true, failed.Add(initialBackoff), failed.Add(2*initialBackoff)) // failed again
+	_, _, ok = l.Book(8*time.Millisecond, failed.Add(3*initialBackoff))
 	is.True(!ok)
 }
 
-// TestFailedLanesAreStoodInFor: the lanes that short questions may use were all
-// left alone, while others had nothing to do.
-func TestFailedLanesAreStoodInFor(t *testing.T) {
+// TestOtherQuerySlotsReplaceFailedOnes guards against short queries not being sent because
+// all query slots for short queries have failed, while other query slots are idle.
+func TestOtherQuerySlotsReplaceFailedOnes(t *testing.T) {
 	is := is.New(t)
-	l := seven()
+	l := newSevenSlots()
 	for _, name := range []string{"a", "b"} {
 		l.Answered(name, true, start, start)
 	}
-	for _, took := range []time.Duration{8 * time.Millisecond, 60 * time.Millisecond, 700 * time.Millisecond} {
-		name, _, ok := l.Book(took, start)
+	for _, duration := range []time.Duration{8 * time.Millisecond, 60 * time.Millisecond, 700 * time.Millisecond} {
+		name, _, ok := l.Book(duration, start)
 		is.True(ok)
 		is.True(name != "a" && name != "b")
 	}
@@ -124,6 +125,6 @@
 	}
 	_, _, ok := l.Book(8*time.Millisecond, start)
 	is.True(!ok)
-	_, _, ok = l.Book(8*time.Millisecond, start.Add(firstRest))
-	is.True(ok) // one is tried again
+	_, _, ok = l.Book(8*time.Millisecond, start.Add(initialBackoff))
+	is.True(ok) // one query slot is tried again
 }
--- a/internal/advice/port.go
+++ b/internal/advice/port.go
@@ -1,6 +1,6 @@
-// Package advice decides whom to ask the policy service about a step, when, and
-// about which hosts. The service answers one question at a time for each process
-// that asks, so questions are a resource to schedule like any other.
+// Package advice schedules queries to the policy service, which decides on which hosts a
+// step may run. The service answers one query at a time for each process, so the queries
+// of a cell are distributed over its members.
 package advice
 
 import (
@@ -12,24 +12,25 @@
 	"pulleyquay/internal/spec"
 )
 
-// Ticket allows a step on one host for a limited time.
+// Ticket is the permission to run a step on one host for a limited time.
 type Ticket struct {
 	Host   host.ID `cbor:"1,keyasint"`
 	Ticket string  `cbor:"2,keyasint"`
 }
 
-// Answer lists the hosts, of those asked about, that may run the step.
+// Answer is the reply to a policy query: the tickets of those queried hosts that may run
+// the step, and for how long the tickets are valid.
 type Answer struct {
 	Good  []Ticket      `cbor:"1,keyasint"`
 	Valid time.Duration `cbor:"2,keyasint"`
 }
 
-// ErrBusy: too many questions wait already; this one was not taken.
+// ErrBusy is returned if the query was refused because too many are waiting.
 var ErrBusy = errors.New("advice: too many questions wait")
 
-// Service is the port to the policy service.
+// Service is a client of the policy service.
 type Service interface {
-	// Advise asks which of the hosts may run the step. The answer takes as long
-	// as the queue's settings say, after those that wait already.
+	// Advise queries which of the hosts may run the step. The reply takes the time given in
+	// the queue's settings, once the queries that wait already have been answered.
 	Advise(ctx context.Context, step spec.StepID, hosts []host.ID) (Answer, error)
 }
