--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -8,91 +8,91 @@
 	"github.com/matryer/is"
 )
 
-// plant is a host in virtual time: serving tasks whose tail grows with the share
-// that fillers have, seen through a window of half a second, with noise.
-type plant struct {
+// hostModel is a host in virtual time: the tail of its serving tasks grows with the share of
+// the backfill tasks, and is observed over a window of half a second, with noise.
+type hostModel struct {
 	rnd *rand.Rand
-	// alone is the ratio of tail to target without fillers, harm what a filler at
-	// full speed adds to it, each at a moment.
-	alone, harm func(t time.Duration) float64
-	noise       float64
-	// lostEvery drops each n-th figure; zero drops none.
-	lostEvery int
+	// baseline is the ratio of tail to target without backfill tasks, and interference the
+	// ratio that a backfill task at full speed adds, each at a time.
+	baseline, interference func(t time.Duration) float64
+	noise                  float64
+	// dropEvery drops each n-th figure; zero drops none.
+	dropEvery int
 }
 
-// outcome is what a policy did to both sides.
-type outcome struct {
-	worked   float64       // share of full speed that fillers had, over the time
-	over     time.Duration // time over the target that fillers were the cause of
-	longest  time.Duration // the longest such time on end
-	decision int           // changes of the share
+// result is the effect of a policy on backfill tasks and on serving tasks.
+type result struct {
+	backfillSpeed float64       // mean speed of the backfill tasks, as a share of full speed
+	overTarget    time.Duration // time over the target because of backfill tasks
+	longestOver   time.Duration // longest uninterrupted time of this kind
+	changes       int           // changes of the share
 }
 
-// Times of the plant.
+// Times of the host model.
 const (
-	tick     = 50 * time.Millisecond
-	acts     = 100 * time.Millisecond // from an order to its effect
-	window   = 500 * time.Millisecond // that a figure covers
-	observed = 450 * time.Millisecond // between two figures
+	tick           = 50 * time.Millisecond
+	effectDelay    = 100 * time.Millisecond // from an order to its effect
+	window         = 500 * time.Millisecond // period that a figure covers
+	figureInterval = 450 * time.Millisecond // interval between two figures
 )
 
-// decider is a policy under test.
-type decider interface {
+// throttler is a throttle or a simple policy to compare it with.
+type throttler interface {
 	Observe(ratio float64, used int, now time.Time) bool
 	Share() int
 }
 
-func (p plant) play(d decider, length time.Duration) outcome {
+func (m hostModel) run(throttle throttler, length time.Duration) result {
 	start := time.Unix(1_800_000_000, 0)
-	var out outcome
-	var seen []float64
-	share, next := float64(d.Share()), observed
+	var out result
+	var samples []float64
+	share, next := float64(throttle.Share()), figureInterval
 	pending := map[time.Duration]float64{}
-	onEnd, figures := time.Duration(0), 0
+	currentOver, figures := time.Duration(0), 0
 	for t := time.Duration(0); t < length; t += tick {
 		if s, ok := pending[t]; ok {
 			share = s
 		}
-		alone := p.alone(t)
-		ratio := alone + p.harm(t)*share/Full
-		out.worked += share / Full * tick.Seconds()
-		if ratio > 1 && alone <= 1 {
-			out.over += tick
-			onEnd += tick
-			out.longest = max(out.longest, onEnd)
+		baseline := m.baseline(t)
+		ratio := baseline + m.interference(t)*share/Full
+		out.backfillSpeed += share / Full * tick.Seconds()
+		if ratio > 1 && baseline <= 1 {
+			out.overTarget += tick
+			currentOver += tick
+			out.longestOver = max(out.longestOver, currentOver)
 		} else {
-			onEnd = 0
+			currentOver = 0
 		}
-		seen = append(seen, ratio)
-		if n := int(window / tick); len(seen) > n {
-			seen = seen[1:]
+		samples = append(samples, ratio)
+		if n := int(window / tick); len(samples) > n {
+			samples = samples[1:]
 		}
 		if t < next {
 			continue
 		}
-		next += observed
+		next += figureInterval
 		figures++
-		if p.lostEvery > 0 && figures%p.lostEvery == 0 {
+		if m.dropEvery > 0 && figures%m.dropEvery == 0 {
 			continue
 		}
 		mean := 0.0
-		for _, v := range seen {
-			mean += v / float64(len(seen))
+		for _, v := range samples {
+			mean += v / float64(len(samples))
 		}
-		mean *= 1 + p.noise*(2*p.rnd.Float64()-1)
-		if d.Observe(mean, int(share), start.Add(t)) {
-			out.decision++
-			pending[t+acts] = float64(d.Share())
+		mean *= 1 + m.noise*(2*m.rnd.Float64()-1)
+		if throttle.Observe(mean, int(share), start.Add(t)) {
+			out.changes++
+			pending[t+effectDelay] = float64(throttle.Share())
 		}
 	}
-	out.worked /= length.Seconds()
+	out.backfillSpeed /= length.Seconds()
 	return out
 }
 
-func always(v float64) func(time.Duration) float64 { return func(time.Duration) float64 { return v } }
+func constant(v float64) func(time.Duration) float64 { return func(time.Duration) float64 { return v } }
 
-// steps changes between two values every so often.
-func steps(a, b float64, every time.Duration) func(time.Duration) float64 {
+// squareWave alternates between two values, each for the duration every.
+func squareWave(a, b float64, every time.Duration) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		if (t/every)%2 == 0 {
 			return a
@@ -101,72 +101,72 @@
 	}
 }
 
-// harmful is for how long on end the platform lets a target be missed because of
-// fillers; see harm-ms in the users' first sites.
-const harmful = 4 * time.Second
+// maxInterference is the longest uninterrupted time over the target because of backfill
+// tasks that the platform tolerates (its setting harm-ms).
+const maxInterference = 4 * time.Second
 
 func TestGovernor(t *testing.T) {
 	tests := map[string]struct {
-		plant plant
-		// least is how much of their speed fillers must get, most how long on end
-		// targets may be missed because of them.
-		least float64
-		most  time.Duration
+		model hostModel
+		// minSpeed is the mean speed that backfill tasks must get, and maxOver the longest
+		// uninterrupted time over the target because of them.
+		minSpeed float64
+		maxOver  time.Duration
 	}{
-		"harmless fillers keep their speed": {plant{alone: always(0.4), harm: always(0.1)}, 0.99, 0},
-		"harmful fillers":                   {plant{alone: always(0.5), harm: always(1.0)}, 0.25, harmful / 2},
-		"very harmful fillers":              {plant{alone: always(0.5), harm: always(6)}, 0, harmful / 2},
-		"no share is small enough":          {plant{alone: always(0.95), harm: always(2)}, 0, harmful / 2},
-		"harm comes and goes":               {plant{alone: always(0.5), harm: steps(0, 2, 5*time.Second)}, 0.25, harmful / 2},
-		"load of the serving tasks swings":  {plant{alone: steps(0.3, 0.8, 7*time.Second), harm: always(0.8)}, 0.18, harmful / 2},
-		"noise":                             {plant{alone: always(0.5), harm: always(1.0), noise: 0.25}, 0.15, harmful / 2},
-		"every second figure is lost":       {plant{alone: always(0.5), harm: steps(0, 2, 5*time.Second), lostEvery: 2}, 0.15, harmful * 3 / 4},
+		"no interference":               {hostModel{baseline: constant(0.4), interference: constant(0.1)}, 0.99, 0},
+		"interference":                  {hostModel{baseline: constant(0.5), interference: constant(1.0)}, 0.25, maxInterference / 2},
+		"strong interference":           {hostModel{baseline: constant(0.5), interference: constant(6)}, 0, maxInterference / 2},
+		"no share is small enough":      {hostModel{baseline: constant(0.95), interference: constant(2)}, 0, maxInterference / 2},
+		"intermittent interference":     {hostModel{baseline: constant(0.5), interference: squareWave(0, 2, 5*time.Second)}, 0.25, maxInterference / 2},
+		"varying load of serving tasks": {hostModel{baseline: squareWave(0.3, 0.8, 7*time.Second), interference: constant(0.8)}, 0.18, maxInterference / 2},
+		"noise":                         {hostModel{baseline: constant(0.5), interference: constant(1.0), noise: 0.25}, 0.15, maxInterference / 2},
+		"every second figure lost":      {hostModel{baseline: constant(0.5), interference: squareWave(0, 2, 5*time.Second), dropEvery: 2}, 0.15, maxInterference * 3 / 4},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(10) {
-				p := tc.plant
-				p.rnd = rand.New(rand.NewPCG(seed, 1))
-				out := p.play(NewGovernor(DefaultPolicy(), Full), time.Minute)
-				if out.worked < tc.least {
-					t.Errorf("seed %d: fillers worked at %.2f, want %.2f", seed, out.worked, tc.least)
+				model := tc.model
+				model.rnd = rand.New(rand.NewPCG(seed, 1))
+				out := model.run(NewGovernor(DefaultPolicy(), Full), time.Minute)
+				if out.backfillSpeed < tc.minSpeed {
+					t.Errorf("seed %d: backfill tasks ran at %.2f of full speed, want %.2f", seed, out.backfillSpeed, tc.minSpeed)
 				}
-				is.True(out.longest <= tc.most) // harm on end
+				is.True(out.longestOver <= tc.maxOver) // interference does not last too long
 			}
 		})
 	}
 }
 
-func TestOverloadWithoutFillersKeepsThemStill(t *testing.T) {
+func TestOverloadWithoutBackfillKeepsItPaused(t *testing.T) {
 	is := is.New(t)
-	g := NewGovernor(DefaultPolicy(), Full)
+	throttle := NewGovernor(DefaultPolicy(), Full)
 	now := time.Unix(1_800_000_000, 0)
 	for range 40 {
-		now = now.Add(observed)
-		g.Observe(1.5, g.Share(), now)
+		now = now.Add(figureInterval)
+		throttle.Observe(1.5, throttle.Share(), now)
 	}
-	is.Equal(g.Share(), 0)
-	is.True(g.Idle(now)) // the serving tasks have gone
-	is.Equal(g.Share(), Full)
-	is.True(!g.Idle(now))
+	is.Equal(throttle.Share(), 0)
+	is.True(throttle.Idle(now)) // no serving tasks are left
+	is.Equal(throttle.Share(), Full)
+	is.True(!throttle.Idle(now))
 }
 
-func TestBeginsWithWhatWasLearned(t *testing.T) {
+func TestInitialShareIsClamped(t *testing.T) {
 	is := is.New(t)
 	is.Equal(NewGovernor(DefaultPolicy(), 30).Share(), 30)
 	is.Equal(NewGovernor(DefaultPolicy(), -5).Share(), 0)
 	is.Equal(NewGovernor(DefaultPolicy(), 500).Share(), Full)
 }
 
-// fixed is the plain rule of a share that never changes.
+// fixed is the simple policy of a constant share.
 type fixed int
 
 func (f fixed) Observe(float64, int, time.Time) bool { return false }
 func (f fixed) Share() int                           { return int(f) }
 
-// stopper is the plain rule that stops fillers at once and lets them go on when
-// the tail is short again.
+// stopper is the simple policy that pauses backfill tasks while the tail is too long and
+// resumes them at full speed when it is short again.
 type stopper struct{ share int }
 
 func (s *stopper) Share() int { return s.share }
@@ -181,35 +181,35 @@
 	return s.share != before
 }
 
-// BenchmarkPolicies compares the governor with the plain rules on a mix of loads:
-// how much fillers work, and for how long targets are missed because of them.
+// BenchmarkPolicies compares the throttle with the simple policies on a mix of loads: the
+// speed of backfill tasks, and the time over the targets because of them.
 func BenchmarkPolicies(b *testing.B) {
-	deciders := map[string]func() decider{
-		"governor": func() decider { return NewGovernor(DefaultPolicy(), Full) },
-		"fixed-30": func() decider { return fixed(30) },
-		"stop":     func() decider { return &stopper{Full} },
+	throttlers := map[string]func() throttler{
+		"governor": func() throttler { return NewGovernor(DefaultPolicy(), Full) },
+		"fixed-30": func() throttler { return fixed(30) },
+		"stop":     func() throttler { return &stopper{Full} },
 	}
-	for name, fresh := range deciders {
+	for name, newThrottler := range throttlers {
 		b.Run(name, func(b *testing.B) {
-			var worked, over, longest float64
+			var backfillSpeed, overTarget, longestOver float64
 			n := 0.0
 			for range b.N {
 				for seed := range uint64(20) {
 					rnd := rand.New(rand.NewPCG(seed, 2))
-					p := plant{
-						rnd: rnd, noise: 0.2, alone: steps(0.2+0.3*rnd.Float64(), 0.4+0.4*rnd.Float64(), 9*time.Second),
-						harm: steps(rnd.Float64(), 3*rnd.Float64(), 6*time.Second),
+					model := hostModel{
+						rnd: rnd, noise: 0.2, baseline: squareWave(0.2+0.3*rnd.Float64(), 0.4+0.4*rnd.Float64(), 9*time.Second),
+						interference: squareWave(rnd.Float64(), 3*rnd.Float64(), 6*time.Second),
 					}
-					out := p.play(fresh(), time.Minute)
-					worked += out.worked
-					over += out.over.Seconds() / 60
-					longest = max(longest, out.longest.Seconds())
+					out := model.run(newThrottler(), time.Minute)
+					backfillSpeed += out.backfillSpeed
+					overTarget += out.overTarget.Seconds() / 60
+					longestOver = max(longestOver, out.longestOver.Seconds())
 					n++
 				}
 			}
-			b.ReportMetric(worked/n, "worked")
-			b.ReportMetric(over/n, "over")
-			b.ReportMetric(longest, "longest-s")
+			b.ReportMetric(backfillSpeed/n, "worked")
+			b.ReportMetric(overTarget/n, "over")
+			b.ReportMetric(longestOver, "longest-s")
 		})
 	}
 }
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -7,7 +7,7 @@
 	rendezvous "github.com/dgryski/go-rendezvous"
 )
 
-// DefaultCount is the number of partitions unless the settings say otherwise.
+// DefaultCount is the number of partitions if the settings do not override it.
 const DefaultCount = 64
 
 // OfKey returns the home partition of a request key.
@@ -26,9 +26,9 @@
 	return int(xxhash.Sum64String(space+name) % uint64(count))
 }
 
-// Owner returns which of the members should hold the partition, by rendezvous
-// hashing, or "" when there are none. A member that joins or leaves moves only
-// the partitions that become or were its own.
+// Owner returns the member that should hold the partition, by rendezvous hashing, or "" if
+// there are no members. When a member joins or leaves, only the partitions that it acquires
+// or gives up change their owner.
 func Owner(id int, members []string) string {
 	if len(members) == 0 {
 		return ""
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// names returns n names made by the format.
+// names returns the names from the format for the numbers 1 to n.
 func names(format string, n int) []string {
 	out := make([]string, n)
 	for i := range out {
@@ -27,14 +27,14 @@
 	return out
 }
 
-func TestJoinAndLeaveMoveOnlyWhatTheyMust(t *testing.T) {
+func TestJoinAndLeaveMoveOnlyOwnPartitions(t *testing.T) {
 	is := is.New(t)
 	for n := 2; n <= 9; n++ {
 		all := members(n)
 		before, after := owners(all[:n-1]), owners(all)
 		for p, o := range after {
 			if o != before[p] {
-				is.Equal(o, all[n-1]) // moved to the newcomer only
+				is.Equal(o, all[n-1]) // partitions move only to the member that joined
 			}
 		}
 	}
@@ -48,39 +48,39 @@
 	is.Equal(Owner(1, nil), "")
 }
 
-// BenchmarkBalance reports how unevenly partitions spread over 100 cells with
-// other names: the mean over cells of the largest and the smallest share of one
-// member over the mean share.
+// BenchmarkBalance reports how unevenly partitions are distributed over members: the largest
+// and the smallest share of a member over the mean share, averaged over 100 cells whose
+// members have different names.
 func BenchmarkBalance(b *testing.B) {
 	const cells = 100
 	for _, count := range []int{DefaultCount, 256} {
 		for _, n := range []int{6, 7, 16} {
 			b.Run(fmt.Sprintf("partitions=%d/members=%d", count, n), func(b *testing.B) {
-				var most, least float64
+				var largest, smallest float64
 				for range b.N {
-					most, least = 0, 0
+					largest, smallest = 0, 0
 					for cell := range cells {
 						m, l := spread(count, names(fmt.Sprintf("cell-%d-host-%%d", cell), n))
-						most += float64(m*n) / float64(count*cells)
-						least += float64(l*n) / float64(count*cells)
+						largest += float64(m*n) / float64(count*cells)
+						smallest += float64(l*n) / float64(count*cells)
 					}
 				}
-				b.ReportMetric(most, "most/mean")
-				b.ReportMetric(least, "least/mean")
+				b.ReportMetric(largest, "most/mean")
+				b.ReportMetric(smallest, "least/mean")
 			})
 		}
 	}
 }
 
-// spread returns the largest and the smallest number of partitions of a member.
-func spread(count int, names []string) (most, least int) {
+// spread returns the largest and the smallest number of partitions held by a member.
+func spread(count int, names []string) (largest, smallest int) {
 	held := map[string]int{}
 	for p := range count {
 		held[Owner(p, names)]++
 	}
-	least = count
+	smallest = count
 	for _, name := range names {
-		most, least = max(most, held[name]), min(least, held[name])
+		largest, smallest = max(largest, held[name]), min(smallest, held[name])
 	}
-	return most, least
+	return largest, smallest
 }
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,17 +1,17 @@
-// Package retrybudget lets retries be a set share of all requests, so that a
-// fault is never amplified.
+// Package retrybudget limits retries to a configured share of all requests, so that
+// retries do not amplify the load caused by a fault.
 package retrybudget
 
 import "sync"
 
 const (
-	// retryCost is one retry in hundredths of a request.
+	// retryCost is the cost of one retry, in hundredths of a retry.
 	retryCost = 100
 	// maxBudget bounds the burst: ten retries.
 	maxBudget = 10 * retryCost
 )
 
-// Budget is one service's budget. It is safe for concurrent use.
+// Budget is the retry budget of one service. It is safe for concurrent use.
 type Budget struct {
 	mu         sync.Mutex
 	hundredths int64
@@ -20,14 +20,14 @@
 // New returns a full budget: a burst of ten retries.
 func New() *Budget { return &Budget{hundredths: maxBudget} }
 
-// Earn adds one request's share, in per cent of a retry.
+// Earn credits the budget for one request, with the given percentage of a retry.
 func (b *Budget) Earn(percent int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hundredths = min(b.hundredths+percent, maxBudget)
 }
 
-// Spend takes one retry from the budget if it is there.
+// Spend withdraws one retry from the budget. It reports whether the budget sufficed.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/upkeep/planner.go
+++ b/internal/upkeep/planner.go
@@ -8,133 +8,130 @@
 	"pulleyquay/internal/host"
 )
 
-// Times of a planner.
 const (
-	// listEvery is how often the machines are listed while a wave is under way; each
-	// listing is priced.
-	listEvery = 1500 * time.Millisecond
-	// retryAfter is the pause before a machine is ordered down again after an answer
-	// that was lost, or that said it is busy.
-	retryAfter = time.Second
-	// patience is for how long a host is waited for to become empty before what
-	// still runs there is ended with it. Work that is thrown away costs more than a
-	// wave that is late.
-	patience = 30 * time.Second
-	// longestDown is after how long a machine that is up with the same host is taken
-	// to have had its upkeep before: its order was a repetition.
-	longestDown = 6 * time.Second
-	// missingLists is in how many lists on end a machine has to be missing before it
-	// is taken to have left.
-	missingLists = 2
+	// listInterval is how often the machines are listed while a rollout is active; each
+	// listing is charged for.
+	listInterval = 1500 * time.Millisecond
+	// retryDelay is the pause before an order is repeated whose reply was lost or said that
+	// the machine is busy.
+	retryDelay = time.Second
+	// drainTimeout is how long a host may drain before the runs that are left on it may be
+	// terminated with it. It is long, as lost work costs more than a late rollout.
+	drainTimeout = 30 * time.Second
+	// maxDowntime is the time after which a machine that is still up with the same host is
+	// considered to have had its maintenance before that host came up: the order was a
+	// repetition.
+	maxDowntime = 6 * time.Second
+	// maxMissingLists is the number of consecutive lists without a machine after which the
+	// machine is considered removed from the platform.
+	maxMissingLists = 2
 )
 
-// Cell is what a planner can ask and do about hosts.
+// Cell gives a planner control of the hosts of a cell.
 type Cell interface {
-	// Empty keeps new work from a host and moves work off it; it reports whether
-	// nothing runs there any more.
+	// Empty cordons a host and evicts its runs; it reports whether the host is drained.
 	Empty(h host.ID) bool
-	// MayEnd reports whether what still runs on a host may be ended with it.
+	// MayEnd reports whether the runs that are left on a host may be terminated with it.
 	MayEnd(h host.ID) bool
-	// Keep lets a host take work again.
+	// Keep uncordons a host.
 	Keep(h host.ID)
-	// Load is how much runs on a host; the least loaded goes first.
+	// Load is a measure of the work on a host; the least loaded host is drained first.
 	Load(h host.ID) int
 }
 
-// phase is where a machine stands in its wave.
+// phase is the state of a machine in its rollout.
 type phase uint8
 
 const (
 	waiting  phase = iota
-	emptying       // its host gets nothing new
-	ordered        // the order was sent; it may be down
-	down           // its upkeep has begun
-	done           // it is up again after its upkeep
-	gone           // it has left the platform, or the wave
+	draining       // its host is cordoned and being drained
+	ordered        // the order was sent; the machine may be down
+	down           // its maintenance has started
+	done           // it is up again after its maintenance
+	removed        // it is no longer part of the platform or of the rollout
 )
 
-// member is one machine of a wave.
-type member struct {
+// target is one machine of a rollout.
+type target struct {
 	id    MachineID
 	phase phase
-	// since is when the phase began; host the life that is to end.
+	// since is when the phase began; host is the incarnation that the maintenance ends.
 	since time.Time
 	host  host.ID
-	// asking is true while an order is under way; notBefore delays the next.
-	asking    bool
-	notBefore time.Time
-	missing   int // lists on end that lacked it
+	// orderPending is true until an order is answered; notBefore delays the next order.
+	orderPending bool
+	notBefore    time.Time
+	missing      int // consecutive lists without the machine
 }
 
-// wave is a wave with what has come of it.
-type wave struct {
+// rolloutState is a requested rollout with its progress.
+type rolloutState struct {
 	Wave
-	members   []*member
+	targets   []*target
 	completed bool
-	// changed is true while the stored progress is behind.
-	changed bool
+	// unsaved is true if the stored progress is out of date.
+	unsaved bool
 }
 
 // Order takes a machine down.
 type Order struct {
 	Machine MachineID
 	Wave    int64
-	Host    host.ID // the life that ends
+	Host    host.ID // the incarnation that the maintenance ends
 }
 
-// Progress is what has to be kept of a wave.
+// Progress is the stored progress of a rollout.
 type Progress struct {
 	Wave      int64       `cbor:"1,keyasint"`
 	Begun     []MachineID `cbor:"2,keyasint"`
 	Completed bool        `cbor:"3,keyasint"`
 }
 
-// Planner plans the waves of a cell. It is pure: times are passed in, and what it
-// wants done is returned. Calls must not overlap.
+// Planner plans the rollouts of a cell. It reads no clock and sends nothing: times are
+// passed in, and orders are returned. It is not safe for concurrent use.
 type Planner struct {
-	// from is when the first order may be given: no earlier holder can give one any
-	// more.
-	from     time.Time
-	waves    map[int64]*wave
-	stored   map[int64]Progress
-	machines map[MachineID]Machine
-	listed   time.Time // when the present list was asked for
-	listing  bool
-	listAt   time.Time
+	// from is when the first order may be given: by then, no previous holder can give orders.
+	from        time.Time
+	rollouts    map[int64]*rolloutState
+	stored      map[int64]Progress
+	machines    map[MachineID]Machine
+	listed      time.Time // when the current list was requested
+	listPending bool
+	nextListAt  time.Time
 }
 
-// NewPlanner returns a planner that gives no order before from. Stored is what
-// former holders have kept.
+// NewPlanner returns a planner that gives no order before from. Stored is the progress
+// saved by previous holders.
 func NewPlanner(from time.Time, stored []Progress) *Planner {
-	p := &Planner{from: from, waves: map[int64]*wave{}, stored: map[int64]Progress{}, machines: map[MachineID]Machine{}}
+	p := &Planner{from: from, rollouts: map[int64]*rolloutState{}, stored: map[int64]Progress{}, machines: map[MachineID]Machine{}}
 	for _, s := range stored {
 		p.stored[s.Wave] = s
 	}
 	return p
 }
 
-// SetWave takes in a wave that an operator has asked for.
+// SetWave adds a rollout that an operator has requested.
 func (p *Planner) SetWave(w Wave) {
-	if p.waves[w.ID] != nil {
-		return // a wave does not change
+	if p.rollouts[w.ID] != nil {
+		return // a rollout does not change
 	}
 	w.AtOnce = max(w.AtOnce, 1)
-	kept := p.stored[w.ID]
-	next := &wave{Wave: w, completed: kept.Completed, changed: !kept.Completed}
+	saved := p.stored[w.ID]
+	added := &rolloutState{Wave: w, completed: saved.Completed, unsaved: !saved.Completed}
 	for _, id := range w.Machines {
-		m := &member{id: id}
-		if slices.Contains(kept.Begun, id) {
+		m := &target{id: id}
+		if slices.Contains(saved.Begun, id) {
 			m.phase = down
 		}
-		next.members = append(next.members, m)
+		added.targets = append(added.targets, m)
 	}
-	p.waves[w.ID] = next
+	p.rollouts[w.ID] = added
 }
 
-// Listed takes in the machines as the platform listed them, asked for at asked.
+// Listed replaces the list of machines by one that was requested at asked.
 func (p *Planner) Listed(machines []Machine, err error, asked, now time.Time) {
-	p.listing = false
-	p.listAt = now.Add(listEvery)
+	p.listPending = false
+	p.nextListAt = now.Add(listInterval)
 	if err != nil {
 		return
 	}
@@ -143,9 +140,9 @@
 		p.machines[m.ID] = m
 	}
 	p.listed = asked
-	for _, w := range p.waves {
-		for _, m := range w.members {
-			if _, there := p.machines[m.id]; there {
+	for _, w := range p.rollouts {
+		for _, m := range w.targets {
+			if _, found := p.machines[m.id]; found {
 				m.missing = 0
 			} else {
 				m.missing++
@@ -154,9 +151,9 @@
 	}
 }
 
-// Active reports whether any wave is not completed.
+// Active reports whether any rollout is not completed.
 func (p *Planner) Active() bool {
-	for _, w := range p.waves {
+	for _, w := range p.rollouts {
 		if !w.completed {
 			return true
 		}
@@ -170,24 +167,24 @@
 	if !p.Active() || now.Before(p.from) {
 		return nil, false
 	}
-	if !p.listing && !now.Before(p.listAt) {
-		p.listing, list = true, true
+	if !p.listPending && !now.Before(p.nextListAt) {
+		p.listPending, list = true, true
 	}
 	if p.listed.Before(p.from) || p.listed.IsZero() {
-		return nil, list // what was seen before may have been changed by a former holder
+		return nil, list // the list may predate orders of a previous holder
 	}
-	for _, w := range p.inOrder() {
-		p.settle(w, cell, now)
+	for _, w := range p.activeRollouts() {
+		p.reconcile(w, cell, now)
 		orders = append(orders, p.advance(w, cell, now)...)
-		w.complete()
+		w.updateCompleted()
 	}
 	return orders, list
 }
 
-// inOrder are the waves that are under way, the first asked for first.
-func (p *Planner) inOrder() []*wave {
-	var out []*wave
-	for _, w := range p.waves {
+// activeRollouts returns the rollouts that are not completed, sorted by ID.
+func (p *Planner) activeRollouts() []*rolloutState {
+	var out []*rolloutState
+	for _, w := range p.rollouts {
 		if !w.completed {
 			out = append(out, w)
 		}
@@ -196,130 +193,130 @@
 	return out
 }
 
-// settle takes in what the list of machines says of a wave's members.
-func (p *Planner) settle(w *wave, cell Cell, now time.Time) {
-	for _, m := range w.members {
+// reconcile updates the machines of a rollout from the last list of machines.
+func (p *Planner) reconcile(w *rolloutState, cell Cell, now time.Time) {
+	for _, m := range w.targets {
 		listed := p.machines[m.id]
-		back := listed.Up && (listed.Host != m.host || now.Sub(m.since) > longestDown)
+		back := listed.Up && (listed.Host != m.host || now.Sub(m.since) > maxDowntime)
 		switch {
-		case m.phase == done || m.phase == gone:
-		case m.missing >= missingLists && !m.asking:
-			m.leave(cell)
+		case m.phase == done || m.phase == removed:
+		case m.missing >= maxMissingLists && !m.orderPending:
+			m.remove(cell)
 		case m.phase == down && back && m.since.Before(p.listed):
 			m.phase = done
 		}
 	}
 }
 
-// leave takes a member out of its wave.
-func (m *member) leave(cell Cell) {
-	if m.phase == emptying {
+// remove takes a machine out of its rollout.
+func (m *target) remove(cell Cell) {
+	if m.phase == draining {
 		cell.Keep(m.host)
 	}
-	m.phase = gone
+	m.phase = removed
 }
 
-// advance moves a wave's members on.
-func (p *Planner) advance(w *wave, cell Cell, now time.Time) []Order {
+// advance starts drains and returns the orders that are due for a rollout's machines.
+func (p *Planner) advance(w *rolloutState, cell Cell, now time.Time) []Order {
 	var orders []Order
-	for _, m := range w.members {
-		if m.phase == emptying && p.machines[m.id].Host != m.host {
-			m.phase = waiting // another life has come up there
+	for _, m := range w.targets {
+		if m.phase == draining && p.machines[m.id].Host != m.host {
+			m.phase = waiting // another incarnation runs on the machine
 		}
-		if m.phase != emptying && m.phase != ordered || m.asking || now.Before(m.notBefore) {
+		if m.phase != draining && m.phase != ordered || m.orderPending || now.Before(m.notBefore) {
 			continue
 		}
-		if m.phase == emptying && !p.ready(m, cell, now) {
+		if m.phase == draining && !p.mayTakeDown(m, cell, now) {
 			continue
 		}
-		if m.phase == emptying {
+		if m.phase == draining {
 			m.phase, m.since = ordered, now
 		}
-		m.asking = true
+		m.orderPending = true
 		orders = append(orders, Order{Machine: m.id, Wave: w.ID, Host: m.host})
 	}
-	p.begin(w, cell, now)
+	p.startDrains(w, cell, now)
 	return orders
 }
 
-// ready reports whether a member's host may go down now.
-func (p *Planner) ready(m *member, cell Cell, now time.Time) bool {
-	return cell.Empty(m.host) || now.Sub(m.since) > patience && cell.MayEnd(m.host)
+// mayTakeDown reports whether a machine may be taken down now.
+func (p *Planner) mayTakeDown(m *target, cell Cell, now time.Time) bool {
+	return cell.Empty(m.host) || now.Sub(m.since) > drainTimeout && cell.MayEnd(m.host)
 }
 
-// begin empties the hosts of as many more members as may be down at once, the
-// least loaded first.
-func (p *Planner) begin(w *wave, cell Cell, now time.Time) {
-	busy := 0
-	var next []*member
-	for _, m := range w.members {
+// startDrains begins to drain hosts, the least loaded first, up to the rollout's limit of
+// machines that may be unavailable at once.
+func (p *Planner) startDrains(w *rolloutState, cell Cell, now time.Time) {
+	unavailable := 0
+	var candidates []*target
+	for _, m := range w.targets {
 		switch {
-		case m.phase == emptying || m.phase == ordered || m.phase == down:
-			busy++
+		case m.phase == draining || m.phase == ordered || m.phase == down:
+			unavailable++
 		case m.phase == waiting && p.machines[m.id].InUpkeep:
-			busy++ // taken down by an order of a former holder that was not kept
+			unavailable++ // taken down by an order of a previous holder that was not saved
 		case m.phase == waiting && p.machines[m.id].Up && !now.Before(m.notBefore):
-			next = append(next, m)
+			candidates = append(candidates, m)
 		}
 	}
-	sort.SliceStable(next, func(a, b int) bool {
-		return cell.Load(p.machines[next[a].id].Host) < cell.Load(p.machines[next[b].id].Host)
+	sort.SliceStable(candidates, func(a, b int) bool {
+		return cell.Load(p.machines[candidates[a].id].Host) < cell.Load(p.machines[candidates[b].id].Host)
 	})
-	for _, m := range next[:max(min(len(next), w.AtOnce-busy), 0)] {
-		m.phase, m.since, m.host = emptying, now, p.machines[m.id].Host
+	for _, m := range candidates[:max(min(len(candidates), w.AtOnce-unavailable), 0)] {
+		m.phase, m.since, m.host = draining, now, p.machines[m.id].Host
 		cell.Empty(m.host)
 	}
 }
 
-// complete ends a wave when every member is up again or has left.
-func (w *wave) complete() {
-	for _, m := range w.members {
-		if m.phase != done && m.phase != gone {
+// updateCompleted completes a rollout when every machine is up again or was removed.
+func (w *rolloutState) updateCompleted() {
+	for _, m := range w.targets {
+		if m.phase != done && m.phase != removed {
 			return
 		}
 	}
-	w.completed, w.changed = true, true
+	w.completed, w.unsaved = true, true
 }
 
-// Answered takes in the outcome of an order. That the upkeep has begun says
-// nothing about the host that was meant: it may have begun, and ended, before that
+// Answered records the outcome of an order. An outcome "begun" does not tell whether the
+// order's host was affected: the maintenance may have started, and ended, before that
 // host came up.
 func (p *Planner) Answered(o Order, out Outcome, err error, cell Cell, now time.Time) {
-	w := p.waves[o.Wave]
+	w := p.rollouts[o.Wave]
 	if w == nil {
 		return
 	}
-	i := slices.IndexFunc(w.members, func(m *member) bool { return m.id == o.Machine })
+	i := slices.IndexFunc(w.targets, func(m *target) bool { return m.id == o.Machine })
 	if i < 0 {
 		return
 	}
-	m := w.members[i]
-	m.asking, m.notBefore = false, now.Add(retryAfter)
+	m := w.targets[i]
+	m.orderPending, m.notBefore = false, now.Add(retryDelay)
 	switch {
-	case err != nil: // asked again: it may be down, so it counts
+	case err != nil: // the order is repeated; until then the machine counts as unavailable
 	case out == Begun:
-		m.phase, m.since, w.changed = down, now, true
+		m.phase, m.since, w.unsaved = down, now, true
 		cell.Keep(m.host)
 	case out == NotInWave:
-		m.phase = emptying
-		m.leave(cell)
+		m.phase = draining
+		m.remove(cell)
 	case out == Busy:
 		cell.Keep(m.host)
 		m.phase = waiting
 	}
 }
 
-// Changed returns what has to be stored of the waves since the last call. The
-// caller keeps it until it is stored.
+// Changed returns the progress that has changed since the last call. The caller retains it
+// until it is stored.
 func (p *Planner) Changed() []Progress {
 	var out []Progress
-	for _, w := range p.waves {
-		if !w.changed {
+	for _, w := range p.rollouts {
+		if !w.unsaved {
 			continue
 		}
-		w.changed = false
+		w.unsaved = false
 		s := Progress{Wave: w.ID, Completed: w.completed}
-		for _, m := range w.members {
+		for _, m := range w.targets {
 			if m.phase == down || m.phase == done {
 				s.Begun = append(s.Begun, m.id)
 			}
@@ -330,10 +327,10 @@
 	return out
 }
 
-// Behind reports whether Changed has something to return.
+// Behind reports whether any progress has changed since the last call of Changed.
 func (p *Planner) Behind() bool {
-	for _, w := range p.waves {
-		if w.changed {
+	for _, w := range p.rollouts {
+		if w.unsaved {
 			return true
 		}
 	}
--- a/internal/upkeep/port.go
+++ b/internal/upkeep/port.go
@@ -1,9 +1,9 @@
-// Package upkeep plans the upkeep of machines that operators ask for in waves:
-// which machine is emptied and goes down when, never more of a wave at once than
-// its operator allows, and when a wave is completed.
+// Package upkeep plans the maintenance of machines, which operators request as rollouts:
+// when each machine is drained and taken down, within the operator's limit of machines
+// that may be unavailable at once, and when a rollout is completed.
 //
-// A machine is what a host's life runs on. Its upkeep ends that life; a new host
-// comes up on the same machine afterwards.
+// Each incarnation of a host runs on a machine. The maintenance of the machine ends that
+// incarnation; a new host comes up on the same machine afterwards.
 package upkeep
 
 import (
@@ -14,43 +14,42 @@
 	"pulleyquay/internal/host"
 )
 
-// MachineID names a machine; it outlives the hosts that run on it.
+// MachineID identifies a machine. It is the same for all hosts that run on the machine.
 type MachineID string
 
-// Machine is one machine as the platform lists it.
+// Machine is an entry of the platform's list of machines.
 type Machine struct {
 	ID MachineID
-	// Up is true while a host runs on it; a machine that is not may be on its way
-	// to another pool, down for upkeep, or broken.
+	// Up is true while a host runs on the machine. A machine that is not up may be moving to
+	// another pool, down for maintenance, or broken.
 	Up bool
-	// InUpkeep is true while it is down for upkeep.
+	// InUpkeep is true while the machine is down for maintenance.
 	InUpkeep bool
-	// Host is the present life on it.
+	// Host is the current incarnation of the host on the machine.
 	Host host.ID
 }
 
-// Wave asks for the upkeep of some machines.
+// Wave is an operator's request for the maintenance of a set of machines, a rollout.
 type Wave struct {
 	ID       int64
 	Machines []MachineID
-	// Within is the time in which the operator wants the wave completed.
+	// Within is the time within which the operator wants the rollout completed.
 	Within time.Duration
-	// AtOnce is how many of the machines may be down for it at a time.
+	// AtOnce is the largest number of machines that may be unavailable for it at a time.
 	AtOnce int
 }
 
-// Outcome is the platform's answer to an order.
+// Outcome is the platform's reply to an order.
 type Outcome int
 
-// The answers to an order.
 const (
-	Begun     Outcome = iota // the upkeep has begun, now or before
-	Busy                     // the machine is not up, or leaving; ask again later
-	NotInWave                // the machine is no longer of that wave, or no longer there
-	Fenced                   // an order with a higher epoch came before
+	Begun     Outcome = iota // the maintenance has started, now or before
+	Busy                     // the machine is not up, or leaving; retry later
+	NotInWave                // the machine is no longer part of the rollout or of the platform
+	Fenced                   // an order with a higher epoch was received before
 )
 
-// String names the outcome.
+// String returns the name used in the log.
 func (o Outcome) String() string {
 	switch o {
 	case Begun:
@@ -65,14 +64,14 @@
 	return "unknown"
 }
 
-// ErrUnsure: the order may have been carried out, or may still be. It can be
-// repeated, as an upkeep that has begun does not begin again.
+// ErrUnsure means that the order may have been carried out or may still be. The order can
+// be repeated, as maintenance that has started is not started again.
 var ErrUnsure = errors.New("upkeep: outcome unknown")
 
-// Service is the platform's service for machines.
+// Service is a client of the platform's service for machines.
 type Service interface {
 	// Machines lists all machines.
 	Machines(ctx context.Context) ([]Machine, error)
-	// Begin takes a machine down for its upkeep. Everything on it ends at once.
+	// Begin takes a machine down for its maintenance. Everything on it is terminated at once.
 	Begin(ctx context.Context, m MachineID, wave int64, holder string, epoch uint64) (Outcome, error)
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Jittered waits for a random part of longest, so that many who began together
-// do not go on together. It reports false when ctx ended first.
-func Jittered(ctx context.Context, longest time.Duration) bool {
-	return For(ctx, rand.N(longest))
+// Jittered waits for a random duration below limit, so that callers that start at the same
+// time do not continue at the same time. It reports false when ctx ended first.
+func Jittered(ctx context.Context, limit time.Duration) bool {
+	return For(ctx, rand.N(limit))
 }
