--- a/internal/advice/lanes.go
+++ b/internal/advice/lanes.go
@@ -17,8 +17,8 @@
 type querySlot struct {
 	name string
 	// busyUntil is the expected time of the reply to the last query of the queue.
-	busyUntil   time.Time
-	outstanding int
+	busyUntil time.Time
+	sent      int // queries sent and not yet answered
 	// failures counts consecutive failures; after the last one, at failedAt, the query slot
 	// is not used until backoffUntil.
 	failures               int
@@ -69,16 +69,16 @@
 // It returns the member's name and the expected time of the reply, or false if the
 // backlogs of all query slots that the query may use are too long.
 func (l *Lanes) Book(duration time.Duration, now time.Time) (name string, answered time.Time, ok bool) {
-	slot := l.leastLoaded(duration, now)
-	if slot == nil {
+	leastLoaded := l.leastLoaded(duration, now)
+	if leastLoaded == nil {
 		return "", time.Time{}, false
 	}
-	if slot.busyUntil.Before(now) {
-		slot.busyUntil = now
+	if leastLoaded.busyUntil.Before(now) {
+		leastLoaded.busyUntil = now
 	}
-	slot.busyUntil = slot.busyUntil.Add(duration)
-	slot.outstanding++
-	return slot.name, slot.busyUntil, true
+	leastLoaded.busyUntil = leastLoaded.busyUntil.Add(duration)
+	leastLoaded.sent++
+	return leastLoaded.name, leastLoaded.busyUntil, true
 }
 
 // Open reports whether Book would succeed.
@@ -92,7 +92,7 @@
 	slots, _ := l.eligible(duration, now)
 	idle := 0
 	for _, x := range slots {
-		if x.outstanding == 0 {
+		if x.sent == 0 {
 			idle++
 		}
 	}
@@ -103,19 +103,19 @@
 // duration, or nil if none may take the query now.
 func (l *Lanes) leastLoaded(duration time.Duration, now time.Time) *querySlot {
 	slots, backlog := l.eligible(duration, now)
-	var best *querySlot
+	var leastLoaded *querySlot
 	for _, x := range slots {
-		if x.outstanding >= maxOutstanding || x.failures > 0 && x.outstanding > 0 {
+		if x.sent >= maxOutstanding || x.failures > 0 && x.sent > 0 {
 			continue // after a failure a query slot gets one query at a time
 		}
-		if best == nil || x.busyUntil.Before(best.busyUntil) {
-			best = x
+		if leastLoaded == nil || x.busyUntil.Before(leastLoaded.busyUntil) {
+			leastLoaded = x
 		}
 	}
-	if best == nil || best.busyUntil.Sub(now) > backlog {
+	if leastLoaded == nil || leastLoaded.busyUntil.Sub(now) > backlog {
 		return nil
 	}
-	return best
+	return leastLoaded
 }
 
 // Division of the query slots: the first seventh serves short queries only, the slots up
@@ -160,21 +160,21 @@
 	return append(working, failed...)
 }
 
-// Answered records at now the reply to a query sent at asked, or its failure. A failure
+// Answered records at now the reply to a query sent at sent, or its failure. A failure
 // of a query that was sent before the query slot's last failure is ignored.
-func (l *Lanes) Answered(name string, failed bool, asked, now time.Time) {
+func (l *Lanes) Answered(name string, failed bool, sent, now time.Time) {
 	for _, x := range l.slots {
 		if x.name != name {
 			continue
 		}
-		x.outstanding = max(x.outstanding-1, 0)
-		if x.outstanding == 0 && x.busyUntil.After(now) {
+		x.sent = max(x.sent-1, 0)
+		if x.sent == 0 && x.busyUntil.After(now) {
 			x.busyUntil = now
 		}
 		switch {
 		case !failed:
 			x.failures = 0
-		case x.failures == 0 || !asked.Before(x.failedAt):
+		case x.failures == 0 || !sent.Before(x.failedAt):
 			x.backoffUntil = now.Add(initialBackoff << min(x.failures, maxDoublings))
 			x.failedAt = now
 			x.failures++
--- a/internal/heartbeat/service.go
+++ b/internal/heartbeat/service.go
@@ -14,240 +14,243 @@
 	"pulleyquay/internal/view"
 )
 
-// Host is the placer that a Service beats for.
+// Host is the placer on whose behalf a Service sends and answers heartbeats.
 type Host interface {
-	// Status is what to say of this process now.
+	// Status returns the current status of this process.
 	Status() Status
-	// Asks returns the promises to ask for with the next beats.
+	// Asks returns the promises to request with the next heartbeats.
 	Asks() []Ask
-	// Urgent is true while a promise that is asked for is about to run out or
-	// missing; beats then follow each other faster.
+	// Urgent is true while a requested promise is missing or about to expire; heartbeats are
+	// then sent at shorter intervals.
 	Urgent() bool
-	// OnAsk decides whether to promise.
-	OnAsk(ask Ask) bool
-	// OnReply takes in an answer to a beat that was sent at sent.
+	// OnAsk decides whether to grant a promise.
+	OnAsk(promise Ask) bool
+	// OnReply processes the reply to a heartbeat that was sent at sent.
 	OnReply(sent time.Time, reply Reply)
-	// Targets lists the addresses to beat to.
+	// Targets returns the addresses to send heartbeats to.
 	Targets() []string
 	// Table returns the table for a process that has none, or nil.
 	Table() *view.Table
-	// WantTable is true while this process has no table of its own.
+	// WantTable is true while this process has no table.
 	WantTable() bool
 }
 
-// urgentRate is how many times faster beats follow while promises are missing.
+// urgentRate is the factor by which the heartbeat interval is shortened while promises are
+// missing.
 const urgentRate = 5
 
 // Service sends and answers heartbeats.
 type Service struct {
 	peers    peer.Caller
-	host     Host
+	placer   Host
 	interval time.Duration
 
-	mu       sync.Mutex
-	provided map[string]func() any
-	heard    map[string]*Heard // by member name
-	pending  map[string]bool   // addresses with a beat on its way
+	mu        sync.Mutex
+	providers map[string]func() any
+	contacts  map[string]*Heard // by member name
+	inFlight  map[string]bool   // addresses with an unanswered heartbeat
 
 	sent   prometheus.Counter
 	failed prometheus.Counter
 	bytes  prometheus.Counter
 }
 
-// Heard is what was last heard of a member.
+// Heard is the last status received from a member.
 type Heard struct {
 	Status Status    `json:"status"`
 	At     time.Time `json:"at"`
 	extras map[string]cbor.RawMessage
-	// beatAt is when the extras came, which only beats carry.
-	beatAt time.Time
+	// extrasAt is when the extras were received. Only heartbeats contain extras, replies don't.
+	extrasAt time.Time
 }
 
-// New registers the heartbeat's handler in the mux.
-func New(peers peer.Caller, mux *peer.Mux, host Host, interval time.Duration, reg prometheus.Registerer) *Service {
+// New returns a service, and registers its handler for heartbeats in the mux and its metrics
+// in reg.
+func New(peers peer.Caller, mux *peer.Mux, placer Host, interval time.Duration, reg prometheus.Registerer) *Service {
 	s := &Service{
-		peers: peers, host: host, interval: interval,
-		provided: map[string]func() any{}, heard: map[string]*Heard{}, pending: map[string]bool{},
+		peers: peers, placer: placer, interval: interval,
+		providers: map[string]func() any{}, contacts: map[string]*Heard{}, inFlight: map[string]bool{},
 		sent:   prometheus.NewCounter(prometheus.CounterOpts{Name: "pulleyquay_heartbeats_sent_total", Help: "Heartbeats sent to other placers."}),
 		failed: prometheus.NewCounter(prometheus.CounterOpts{Name: "pulleyquay_heartbeats_failed_total", Help: "Heartbeats without an answer."}),
 		bytes:  prometheus.NewCounter(prometheus.CounterOpts{Name: "pulleyquay_heartbeat_extra_bytes_total", Help: "Bytes of extra values in the heartbeats built."}),
 	}
 	reg.MustRegister(s.sent, s.failed, s.bytes)
-	peer.Handle(mux, peer.KindHeartbeat, s.answer)
+	peer.Handle(mux, peer.KindHeartbeat, s.handle)
 	return s
 }
 
-// Provide adds a value to every heartbeat; fn is called for each round.
+// Provide adds a value to every heartbeat. The function fn is called once in each round.
 func (s *Service) Provide(name string, fn func() any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.provided[name] = fn
+	s.providers[name] = fn
 }
 
-// Extra decodes what a member last provided under the name and returns its age.
+// Extra decodes the last value received from a member under the name and returns its age.
 func (s *Service) Extra(member, name string, into any) (age time.Duration, ok bool) {
 	s.mu.Lock()
-	h := s.heard[member]
-	if h == nil || h.extras[name] == nil {
+	contact := s.contacts[member]
+	if contact == nil || contact.extras[name] == nil {
 		s.mu.Unlock()
 		return 0, false
 	}
-	raw, at := h.extras[name], h.beatAt
+	encoded, at := contact.extras[name], contact.extrasAt
 	s.mu.Unlock()
-	if err := cbor.Unmarshal(raw, into); err != nil {
+	if err := cbor.Unmarshal(encoded, into); err != nil {
 		return 0, false
 	}
 	return uptime.Since(at), true
 }
 
-// Heard returns what was last heard of a member.
+// Heard returns the last status received from a member, and whether there is one.
 func (s *Service) Heard(member string) (Heard, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.heard[member]
-	if h == nil {
+	contact := s.contacts[member]
+	if contact == nil {
 		return Heard{}, false
 	}
-	return *h, true
+	return *contact, true
 }
 
-// All returns what was last heard of every member.
+// All returns the last status received from each member, by member name.
 func (s *Service) All() map[string]Heard {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]Heard, len(s.heard))
-	for name, h := range s.heard {
-		out[name] = *h
+	out := make(map[string]Heard, len(s.contacts))
+	for name, contact := range s.contacts {
+		out[name] = *contact
 	}
 	return out
 }
 
-// Forget drops the members that gone reports.
+// Forget removes the members for which gone returns true.
 func (s *Service) Forget(gone func(Heard) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, h := range s.heard {
-		if gone(*h) {
-			delete(s.heard, name)
+	for name, contact := range s.contacts {
+		if gone(*contact) {
+			delete(s.contacts, name)
 		}
 	}
 }
 
-// Run beats until ctx ends, each round a little off the interval so that
-// members do not fall into step.
+// Run sends heartbeats until ctx ends. The interval is jittered, so that the members do not
+// synchronize.
 func (s *Service) Run(ctx context.Context) {
-	var beats sync.WaitGroup
-	defer beats.Wait()
+	var calls sync.WaitGroup
+	defer calls.Wait()
 	for {
-		s.round(ctx, &beats)
-		pause := s.interval - s.interval/10 + rand.N(s.interval/5+1)
-		if s.host.Urgent() {
-			pause /= urgentRate
+		s.sendRound(ctx, &calls)
+		delay := s.interval - s.interval/10 + rand.N(s.interval/5+1)
+		if s.placer.Urgent() {
+			delay /= urgentRate
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// round sends one beat to every target that has answered the one before.
-func (s *Service) round(ctx context.Context, beats *sync.WaitGroup) {
-	beat := Beat{Status: s.host.Status(), Extras: s.extras(), Asks: s.host.Asks(), WantTable: s.host.WantTable()}
-	for _, addr := range s.host.Targets() {
-		if !s.begin(addr) {
+// sendRound sends one heartbeat to every target without an unanswered heartbeat.
+func (s *Service) sendRound(ctx context.Context, calls *sync.WaitGroup) {
+	heartbeat := Beat{Status: s.placer.Status(), Extras: s.extras(), Asks: s.placer.Asks(), WantTable: s.placer.WantTable()}
+	for _, addr := range s.placer.Targets() {
+		if !s.startCall(addr) {
 			continue
 		}
-		beats.Add(1)
+		calls.Add(1)
 		go func() {
-			defer beats.Done()
-			defer s.end(addr)
-			s.send(ctx, addr, beat)
+			defer calls.Done()
+			defer s.endCall(addr)
+			s.send(ctx, addr, heartbeat)
 		}()
 	}
 }
 
-func (s *Service) send(ctx context.Context, addr string, beat Beat) {
+func (s *Service) send(ctx context.Context, addr string, heartbeat Beat) {
 	ctx, cancel := context.WithTimeout(ctx, 2*s.interval)
 	defer cancel()
 	s.sent.Inc()
 	sent := uptime.Now()
 	var reply Reply
-	if err := s.peers.Call(ctx, addr, peer.KindHeartbeat, beat, &reply); err != nil {
+	if err := s.peers.Call(ctx, addr, peer.KindHeartbeat, heartbeat, &reply); err != nil {
 		s.failed.Inc()
 		return
 	}
-	s.note(reply.Status, nil)
-	s.host.OnReply(sent, reply)
+	s.record(reply.Status, nil)
+	s.placer.OnReply(sent, reply)
 }
 
-func (s *Service) answer(_ context.Context, beat Beat) (Reply, error) {
-	s.note(beat.Status, beat.Extras)
+func (s *Service) handle(_ context.Context, heartbeat Beat) (Reply, error) {
+	s.record(heartbeat.Status, heartbeat.Extras)
 	reply := Reply{}
-	for _, ask := range beat.Asks {
-		if s.host.OnAsk(ask) {
-			reply.Promised = append(reply.Promised, ask)
+	for _, promise := range heartbeat.Asks {
+		if s.placer.OnAsk(promise) {
+			reply.Promised = append(reply.Promised, promise)
 		}
 	}
-	if beat.WantTable {
-		reply.Table = s.host.Table()
+	if heartbeat.WantTable {
+		reply.Table = s.placer.Table()
 	}
-	reply.Status = s.host.Status()
+	reply.Status = s.placer.Status()
 	return reply, nil
 }
 
-// note remembers what was heard. A process of an earlier incarnation does not
-// replace what a later one of the same name has said.
-func (s *Service) note(status Status, extras map[string]cbor.RawMessage) {
+// record stores a received status. The status of an earlier incarnation does not replace the
+// status of a later incarnation of the same name.
+func (s *Service) record(status Status, extras map[string]cbor.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.heard[status.Member.Name]
-	if h == nil || h.Status.Member.Incarnation != status.Member.Incarnation {
-		if h != nil && h.Status.Member.Incarnation > status.Member.Incarnation {
+	contact := s.contacts[status.Member.Name]
+	if contact == nil || contact.Status.Member.Incarnation != status.Member.Incarnation {
+		if contact != nil && contact.Status.Member.Incarnation > status.Member.Incarnation {
 			return
 		}
-		h = &Heard{}
-		s.heard[status.Member.Name] = h
+		contact = &Heard{}
+		s.contacts[status.Member.Name] = contact
 	}
-	h.Status, h.At = status, uptime.Now()
+	contact.Status, contact.At = status, uptime.Now()
 	if extras != nil {
-		h.extras, h.beatAt = extras, h.At
+		contact.extras, contact.extrasAt = extras, contact.At
 	}
 }
 
 // extras encodes the provided values.
 func (s *Service) extras() map[string]cbor.RawMessage {
 	s.mu.Lock()
-	provided := make(map[string]func() any, len(s.provided))
-	for name, fn := range s.provided {
-		provided[name] = fn
+	providers := make(map[string]func() any, len(s.providers))
+	for name, fn := range s.providers {
+		providers[name] = fn
 	}
 	s.mu.Unlock()
-	out := make(map[string]cbor.RawMessage, len(provided))
-	for name, fn := range provided {
-		raw, err := cbor.Marshal(fn())
+	out := make(map[string]cbor.RawMessage, len(providers))
+	for name, fn := range providers {
+		encoded, err := cbor.Marshal(fn())
 		if err != nil {
 			continue
 		}
-		s.bytes.Add(float64(len(raw)))
-		out[name] = raw
+		s.bytes.Add(float64(len(encoded)))
+		out[name] = encoded
 	}
 	return out
 }
 
-func (s *Service) begin(addr string) bool {
+// startCall marks a heartbeat to addr as sent. It returns false if one is unanswered.
+func (s *Service) startCall(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pending[addr] {
+	if s.inFlight[addr] {
 		return false
 	}
-	s.pending[addr] = true
+	s.inFlight[addr] = true
 	return true
 }
 
-func (s *Service) end(addr string) {
+func (s *Service) endCall(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.pending, addr)
+	delete(s.inFlight, addr)
 }
--- a/internal/heartbeat/service_test.go
+++ b/internal/heartbeat/service_test.go
@@ -14,63 +14,63 @@
 	"pulleyquay/internal/view"
 )
 
-// fakeHost beats to fixed targets and grants every ask.
-type fakeHost struct {
-	status  Status
-	targets []string
-	asks    []Ask
-	mu      sync.Mutex
-	got     []Reply
+// fakePlacer sends heartbeats to fixed targets and grants every promise.
+type fakePlacer struct {
+	status    Status
+	targets   []string
+	requested []Ask
+	mu        sync.Mutex
+	received  []Reply
 }
 
-func (f *fakeHost) OnReply(_ time.Time, r Reply) {
+func (f *fakePlacer) OnReply(_ time.Time, r Reply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.got = append(f.got, r)
+	f.received = append(f.received, r)
 }
 
-func (f *fakeHost) replies() []Reply {
+func (f *fakePlacer) replies() []Reply {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.got)
+	return slices.Clone(f.received)
 }
 
-func (f *fakeHost) Status() Status     { return f.status }
-func (f *fakeHost) Asks() []Ask        { return f.asks }
-func (f *fakeHost) Urgent() bool       { return false }
-func (f *fakeHost) OnAsk(Ask) bool     { return true }
-func (f *fakeHost) Targets() []string  { return f.targets }
-func (f *fakeHost) Table() *view.Table { return &view.Table{Revision: 7} }
-func (f *fakeHost) WantTable() bool    { return len(f.replies()) == 0 }
+func (f *fakePlacer) Status() Status     { return f.status }
+func (f *fakePlacer) Asks() []Ask        { return f.requested }
+func (f *fakePlacer) Urgent() bool       { return false }
+func (f *fakePlacer) OnAsk(Ask) bool     { return true }
+func (f *fakePlacer) Targets() []string  { return f.targets }
+func (f *fakePlacer) Table() *view.Table { return &view.Table{Revision: 7} }
+func (f *fakePlacer) WantTable() bool    { return len(f.replies()) == 0 }
 
-func hostNamed(name, incarnation string, targets ...string) *fakeHost {
-	return &fakeHost{status: Status{Member: view.Member{Name: name, Incarnation: incarnation}}, targets: targets}
+func newFakePlacer(name, incarnation string, targets ...string) *fakePlacer {
+	return &fakePlacer{status: Status{Member: view.Member{Name: name, Incarnation: incarnation}}, targets: targets}
 }
 
-func TestBeatsCarryStatusValuesAsksAndTable(t *testing.T) {
+func TestHeartbeatsCarryStatusExtrasPromisesAndTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := peer.Local{"a": peer.NewMux(), "b": peer.NewMux()}
-		a, b := hostNamed("a", "1", "b"), hostNamed("b", "1")
-		a.asks = []Ask{{Session: 3, For: time.Second}}
-		from := New(net, net["a"], a, time.Second, prometheus.NewRegistry())
-		to := New(net, net["b"], b, time.Second, prometheus.NewRegistry())
-		from.Provide("room", func() any { return 42 })
-		go from.Run(t.Context())
+		a, b := newFakePlacer("a", "1", "b"), newFakePlacer("b", "1")
+		a.requested = []Ask{{Session: 3, For: time.Second}}
+		sender := New(net, net["a"], a, time.Second, prometheus.NewRegistry())
+		receiver := New(net, net["b"], b, time.Second, prometheus.NewRegistry())
+		sender.Provide("room", func() any { return 42 })
+		go sender.Run(t.Context())
 		time.Sleep(100 * time.Millisecond)
 
-		var room int
-		age, ok := to.Extra("a", "room", &room)
+		var capacity int
+		age, ok := receiver.Extra("a", "room", &capacity)
 		is.True(ok)
-		is.Equal(room, 42)
+		is.Equal(capacity, 42)
 		is.Equal(age, 100*time.Millisecond)
-		_, ok = to.Extra("a", "other", &room)
+		_, ok = receiver.Extra("a", "other", &capacity)
 		is.True(!ok)
-		is.Equal(a.replies()[0].Promised, a.asks)
-		is.Equal(a.replies()[0].Table.Revision, int64(7)) // wanted by the first beat only
-		heard, ok := from.Heard("b")
+		is.Equal(a.replies()[0].Promised, a.requested)
+		is.Equal(a.replies()[0].Table.Revision, int64(7)) // requested by the first heartbeat only
+		contact, ok := sender.Heard("b")
 		is.True(ok)
-		is.Equal(heard.Status.Member.Name, "b")
+		is.Equal(contact.Status.Member.Name, "b")
 
 		time.Sleep(2 * time.Second)
 		is.True(len(a.replies()) >= 2)
@@ -80,15 +80,15 @@
 
 func TestEarlierIncarnationDoesNotReplaceALater(t *testing.T) {
 	is := is.New(t)
-	s := New(peer.Local{}, peer.NewMux(), hostNamed("a", "1"), time.Second, prometheus.NewRegistry())
+	s := New(peer.Local{}, peer.NewMux(), newFakePlacer("a", "1"), time.Second, prometheus.NewRegistry())
 	for _, incarnation := range []string{"2", "1"} {
-		s.note(Status{Member: view.Member{Name: "b", Incarnation: incarnation}}, nil)
+		s.record(Status{Member: view.Member{Name: "b", Incarnation: incarnation}}, nil)
 	}
-	heard, _ := s.Heard("b")
-	is.Equal(heard.Status.Member.Incarnation, "2")
-	s.note(Status{Member: view.Member{Name: "b", Incarnation: "3"}}, nil)
-	heard, _ = s.Heard("b")
-	is.Equal(heard.Status.Member.Incarnation, "3")
+	contact, _ := s.Heard("b")
+	is.Equal(contact.Status.Member.Incarnation, "2")
+	s.record(Status{Member: view.Member{Name: "b", Incarnation: "3"}}, nil)
+	contact, _ = s.Heard("b")
+	is.Equal(contact.Status.Member.Incarnation, "3")
 	s.Forget(func(h Heard) bool { return h.Status.Member.Name == "b" })
 	is.Equal(len(s.All()), 0)
 }
--- a/internal/member/keys.go
+++ b/internal/member/keys.go
@@ -1,6 +1,6 @@
-// Package member keeps this process's membership of the cell: a key in the
-// store under a lease, and the electorate that may keep it in its right while
-// the store is down.
+// Package member maintains this process's membership of the cell: a key in the store under
+// a lease, and the voter set whose promises may extend its authority while the store is
+// unavailable.
 package member
 
 import (
@@ -13,31 +13,31 @@
 	"pulleyquay/internal/view"
 )
 
-// Prefix is where members stand in the store: members/<name> holds a
-// view.Member under a lease, members/<name>/<incarnation> a Charter without.
+// Prefix is the prefix of the store keys of members: members/<name> holds a view.Member under
+// a lease, and members/<name>/<incarnation> a voter record without a lease.
 const Prefix = "members/"
 
-// Key is the key of a member.
+// Key returns the store key of a member.
 func Key(name string) string { return Prefix + name }
 
-// CharterKey is the key of an incarnation's charter.
+// CharterKey returns the store key of an incarnation's voter record.
 func CharterKey(name, incarnation string) string {
 	return Prefix + name + "/" + incarnation
 }
 
-// Charter is what a member's incarnation has fixed in the store for the time of
-// an outage.
+// Charter is the voter record of a member's incarnation. It defines in the store which voters
+// may extend the incarnation's authority during a store outage.
 type Charter struct {
 	right.Electorate
-	// Lease is the store lease of the session's member key. It settles an
-	// attempt to join whose answer was lost.
+	// Lease is the store lease of the session's member key. It identifies the attempt to join
+	// that succeeded, if the reply to an attempt was lost.
 	Lease platform.LeaseID `json:"lease"`
 }
 
-// Entry is a decoded record under Prefix: a member or a charter.
+// Entry is a decoded record under Prefix: a member or a voter record.
 type Entry struct {
 	Name        string
-	Incarnation string // only of a charter
+	Incarnation string // empty for a member
 	Member      *view.Member
 	Charter     *Charter
 	Revision    platform.Revision
@@ -45,13 +45,13 @@
 
 // Decode reads one record under Prefix. Value may be nil for a deleted key.
 func Decode(rec platform.Record) (Entry, error) {
-	name, incarnation, isCharter := strings.Cut(strings.TrimPrefix(rec.Key, Prefix), "/")
+	name, incarnation, isVoterRecord := strings.Cut(strings.TrimPrefix(rec.Key, Prefix), "/")
 	entry := Entry{Name: name, Incarnation: incarnation, Revision: rec.ModRevision}
 	if rec.Value == nil {
 		return entry, nil
 	}
 	var err error
-	if isCharter {
+	if isVoterRecord {
 		entry.Charter = &Charter{}
 		err = json.Unmarshal(rec.Value, entry.Charter)
 	} else {
@@ -64,14 +64,14 @@
 	return entry, nil
 }
 
-// IsCharter reports whether the entry's key is that of a charter.
+// IsCharter reports whether the entry's key is the key of a voter record.
 func (e Entry) IsCharter() bool { return e.Incarnation != "" }
 
-// mustJSON encodes values of this package's own types, which always succeeds.
+// mustJSON encodes values of this package's types, which can't fail.
 func mustJSON(v any) []byte {
-	b, err := json.Marshal(v)
+	encoded, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("member: encode %T: %v", v, err))
 	}
-	return b
+	return encoded
 }
--- a/internal/member/session.go
+++ b/internal/member/session.go
@@ -18,109 +18,110 @@
 
 // States of this process's membership.
 const (
-	StateOutside = "outside" // never joined, or a later process has the name
+	StateOutside = "outside" // has not joined, or another process has the name
 	StateJoined  = "joined"
-	StateLost    = "lost" // the store lease ended; the right may live on promises
+	StateLost    = "lost" // the store lease has ended; promises may still extend the authority
 	StateLeaving = "leaving"
 	StateLeft    = "left"
 )
 
 const (
-	eventJoin  = "join"
-	eventLose  = "lose"
-	eventLeave = "leave"
-	eventGo    = "go"
+	eventJoin      = "join"
+	eventLeaseLost = "lose"
+	eventLeave     = "leave"
+	eventLeft      = "go"
 )
 
 // Session is this process's membership. One goroutine calls Join, Renew,
-// SetVoters and Leave; the other methods may be called by any.
+// SetVoters and Leave; the other methods are safe for concurrent use.
 type Session struct {
 	store platform.Store
 	times right.Times
 
-	mu         sync.Mutex
-	self       view.Member
-	holder     *right.Holder
-	machine    *fsm.FSM
-	lease      platform.LeaseID
-	granted    map[platform.LeaseID]time.Time // when each grant was sent
-	memberMod  platform.Revision
-	charterMod platform.Revision
-	session    uint64
-	renewed    time.Time // when the last successful renewal was sent
-	failing    bool      // the last call to the store got no answer
+	mu             sync.Mutex
+	self           view.Member
+	authority      *right.Holder
+	states         *fsm.FSM
+	lease          platform.LeaseID
+	grantSent      map[platform.LeaseID]time.Time // when the request for each lease was sent
+	memberMod      platform.Revision
+	voterRecordMod platform.Revision
+	session        uint64
+	lastRenewal    time.Time // when the last successful renewal was sent
+	storeFailing   bool      // the last call to the store was not answered
 }
 
-// NewSession returns a membership that has not joined.
+// NewSession returns a session of a process that has not joined.
 func NewSession(store platform.Store, self view.Member, times right.Times) *Session {
 	return &Session{
-		store: store, times: times, self: self, holder: right.NewHolder(times),
-		granted: map[platform.LeaseID]time.Time{},
-		machine: fsm.NewFSM(StateOutside, fsm.Events{
+		store: store, times: times, self: self, authority: right.NewHolder(times),
+		grantSent: map[platform.LeaseID]time.Time{},
+		states: fsm.NewFSM(StateOutside, fsm.Events{
 			{Name: eventJoin, Src: []string{StateOutside, StateLost, StateJoined}, Dst: StateJoined},
-			{Name: eventLose, Src: []string{StateJoined, StateLeaving}, Dst: StateLost},
+			{Name: eventLeaseLost, Src: []string{StateJoined, StateLeaving}, Dst: StateLost},
 			{Name: eventLeave, Src: []string{StateJoined, StateLost, StateOutside}, Dst: StateLeaving},
-			{Name: eventGo, Src: []string{StateLeaving, StateLost, StateOutside, StateJoined}, Dst: StateLeft},
+			{Name: eventLeft, Src: []string{StateLeaving, StateLost, StateOutside, StateJoined}, Dst: StateLeft},
 		}, fsm.Callbacks{}),
 	}
 }
 
-// Join creates the member key under a new lease and a new session. It returns
-// NameTaken while another process has the name. After an unknown outcome it
-// may be called again: it first reads what became of the earlier attempt.
+// Join creates the member key under a new lease and a new session. It returns NameTaken while
+// another process has the name. After an unknown outcome it may be called again: it first
+// reads the outcome of the previous attempt from the store.
 func (s *Session) Join(ctx context.Context, voters []right.Voter) error {
-	done, err := s.settle(ctx)
-	if done || err != nil {
+	joined, err := s.resolveJoin(ctx)
+	if joined || err != nil {
 		return err
 	}
 	sent := uptime.Now()
 	lease, err := s.store.Grant(ctx, int64(s.times.Term/time.Second))
-	s.note(err)
+	s.recordStoreResult(err)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.granted[lease] = sent
-	charter := Charter{Electorate: right.Electorate{Session: s.session + 1, Voters: voters}, Lease: lease}
-	if old := s.holder.Electorate(); old.Session > 0 {
-		// The electorate changes only under a living session.
-		charter.Voters = old.Voters
+	s.grantSent[lease] = sent
+	voterRecord := Charter{Electorate: right.Electorate{Session: s.session + 1, Voters: voters}, Lease: lease}
+	if current := s.authority.Electorate(); current.Session > 0 {
+		// The voter set changes only under an active session.
+		voterRecord.Voters = current.Voters
 	}
-	txn := s.joinTxn(charter)
+	txn := s.joinTxn(voterRecord)
 	s.mu.Unlock()
 	reply, err := s.store.Commit(ctx, txn)
-	s.note(err)
+	s.recordStoreResult(err)
 	if err != nil {
 		return err
 	}
 	if !reply.Applied {
-		_, err := s.settle(ctx)
+		_, err := s.resolveJoin(ctx)
 		return err
 	}
-	s.joined(charter, reply.Revision, reply.Revision)
+	s.recordJoin(voterRecord, reply.Revision, reply.Revision)
 	return nil
 }
 
-func (s *Session) joinTxn(charter Charter) platform.Txn {
-	key, charterKey := Key(s.self.Name), CharterKey(s.self.Name, s.self.Incarnation)
+func (s *Session) joinTxn(voterRecord Charter) platform.Txn {
+	key, voterRecordKey := Key(s.self.Name), CharterKey(s.self.Name, s.self.Incarnation)
 	return platform.Txn{
-		If: []platform.Condition{{Key: key}, {Key: charterKey, ModRevision: s.charterMod}},
+		If: []platform.Condition{{Key: key}, {Key: voterRecordKey, ModRevision: s.voterRecordMod}},
 		Then: []platform.Write{
-			{Key: key, Value: mustJSON(s.self), Lease: charter.Lease},
-			{Key: charterKey, Value: mustJSON(charter)},
+			{Key: key, Value: mustJSON(s.self), Lease: voterRecord.Lease},
+			{Key: voterRecordKey, Value: mustJSON(voterRecord)},
 		},
 	}
 }
 
-// settle reads the own keys. It reports done when they show a living session of
-// this incarnation, and NameTaken when another process has the name.
-func (s *Session) settle(ctx context.Context) (done bool, err error) {
+// resolveJoin determines the outcome of a previous attempt to join from this process's keys.
+// It returns true if they show an active session of this incarnation, and NameTaken if
+// another process has the name.
+func (s *Session) resolveJoin(ctx context.Context) (joined bool, err error) {
 	records, _, err := s.store.List(ctx, Key(s.self.Name))
-	s.note(err)
+	s.recordStoreResult(err)
 	if err != nil {
 		return false, err
 	}
-	var member, charter Entry
+	var member, voterRecord Entry
 	for _, rec := range records {
 		entry, err := Decode(rec)
 		if err != nil {
@@ -131,73 +132,72 @@
 		case !entry.IsCharter():
 			member = entry
 		case entry.Incarnation == s.self.Incarnation:
-			charter = entry
+			voterRecord = entry
 		}
 	}
 	s.mu.Lock()
-	s.charterMod = charter.Revision
-	if charter.Charter != nil {
-		s.session = charter.Charter.Session
+	s.voterRecordMod = voterRecord.Revision
+	if voterRecord.Charter != nil {
+		s.session = voterRecord.Charter.Session
 	}
 	s.mu.Unlock()
 	if member.Member == nil {
 		return false, nil
 	}
-	if member.Member.Incarnation != s.self.Incarnation || charter.Charter == nil {
+	if member.Member.Incarnation != s.self.Incarnation || voterRecord.Charter == nil {
 		return false, result.New(result.NameTaken, result.RanNo, "member %s lives as %s at %s",
 			s.self.Name, member.Member.Incarnation, member.Member.Addr)
 	}
-	s.joined(*charter.Charter, member.Revision, charter.Revision)
+	s.recordJoin(*voterRecord.Charter, member.Revision, voterRecord.Revision)
 	return true, nil
 }
 
-func (s *Session) joined(charter Charter, memberMod, charterMod platform.Revision) {
+func (s *Session) recordJoin(voterRecord Charter, memberMod, voterRecordMod platform.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.memberMod, s.charterMod = memberMod, charterMod
-	s.lease, s.session = charter.Lease, charter.Session
-	if s.holder.Session() != charter.Session {
-		s.holder.Created(s.granted[charter.Lease], charter.Electorate)
-		s.renewed = s.granted[charter.Lease]
+	s.memberMod, s.voterRecordMod = memberMod, voterRecordMod
+	s.lease, s.session = voterRecord.Lease, voterRecord.Session
+	if s.authority.Session() != voterRecord.Session {
+		s.authority.Created(s.grantSent[voterRecord.Lease], voterRecord.Electorate)
+		s.lastRenewal = s.grantSent[voterRecord.Lease]
 	}
-	clear(s.granted)
-	s.event(eventJoin)
+	clear(s.grantSent)
+	s.transition(eventJoin)
 }
 
-// Renew starts the lease's term anew. It returns ErrLeaseGone when the session
-// is over; Join then begins the next.
+// Renew extends the lease by a full term. It returns ErrLeaseGone if the session has ended;
+// Join then begins the next one.
 func (s *Session) Renew(ctx context.Context) error {
 	s.mu.Lock()
 	lease := s.lease
 	s.mu.Unlock()
 	sent := uptime.Now()
 	err := s.store.KeepAlive(ctx, lease)
-	s.note(err)
+	s.recordStoreResult(err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case err == nil:
-		s.holder.Renewed(sent)
-		s.renewed = sent
+		s.authority.Renewed(sent)
+		s.lastRenewal = sent
 	case errors.Is(err, platform.ErrLeaseGone):
-		s.event(eventLose)
+		s.transition(eventLeaseLost)
 	}
 	return err
 }
 
-// SetVoters changes the electorate to the given voters when it differs and may
-// be changed now.
+// SetVoters changes the voter set to the given voters, if it differs and may be changed now.
 func (s *Session) SetVoters(ctx context.Context, voters []right.Voter) error {
 	s.mu.Lock()
-	present := s.holder.Electorate()
-	if s.machine.Current() != StateJoined || slices.Equal(present.Voters, voters) || !s.holder.MayChange(uptime.Now()) {
+	current := s.authority.Electorate()
+	if s.states.Current() != StateJoined || slices.Equal(current.Voters, voters) || !s.authority.MayChange(uptime.Now()) {
 		s.mu.Unlock()
 		return nil
 	}
-	next := right.Electorate{Session: present.Session, Voters: voters}
-	s.holder.Changing(next)
+	next := right.Electorate{Session: current.Session, Voters: voters}
+	s.authority.Changing(next)
 	txn := platform.Txn{
-		If: s.livingConditions(),
+		If: s.sessionConditions(),
 		Then: []platform.Write{{
 			Key:   CharterKey(s.self.Name, s.self.Incarnation),
 			Value: mustJSON(Charter{Electorate: next, Lease: s.lease}),
@@ -205,47 +205,47 @@
 	}
 	s.mu.Unlock()
 	reply, err := s.store.Commit(ctx, txn)
-	s.note(err)
+	s.recordStoreResult(err)
 	if err != nil || !reply.Applied {
-		return s.settleVoters(ctx)
+		return s.resolveVoterChange(ctx)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.charterMod = reply.Revision
-	s.holder.Settled(next)
+	s.voterRecordMod = reply.Revision
+	s.authority.Settled(next)
 	return nil
 }
 
-// SettleVoters ends the doubt about a change of electorate whose answer was
-// lost; without doubt it does nothing.
+// SettleVoters determines the outcome of a voter set change whose reply was lost. It does
+// nothing if no change is pending.
 func (s *Session) SettleVoters(ctx context.Context) error {
 	s.mu.Lock()
-	open := s.holder.Open()
+	open := s.authority.Open()
 	s.mu.Unlock()
 	if !open {
 		return nil
 	}
-	return s.settleVoters(ctx)
+	return s.resolveVoterChange(ctx)
 }
 
-func (s *Session) settleVoters(ctx context.Context) error {
+func (s *Session) resolveVoterChange(ctx context.Context) error {
 	key := CharterKey(s.self.Name, s.self.Incarnation)
-	// Writing the charter anew with its old value decides the race with a
-	// delayed change: one of the two fails its condition.
+	// Rewriting the voter record with its previous value decides the race with a delayed
+	// change: one of the two transactions fails its conditions.
 	s.mu.Lock()
-	present := Charter{Electorate: s.holder.Electorate(), Lease: s.lease}
-	txn := platform.Txn{If: s.livingConditions(), Then: []platform.Write{{Key: key, Value: mustJSON(present)}}}
+	current := Charter{Electorate: s.authority.Electorate(), Lease: s.lease}
+	txn := platform.Txn{If: s.sessionConditions(), Then: []platform.Write{{Key: key, Value: mustJSON(current)}}}
 	s.mu.Unlock()
 	reply, err := s.store.Commit(ctx, txn)
-	s.note(err)
+	s.recordStoreResult(err)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if reply.Applied {
-		s.charterMod = reply.Revision
-		s.holder.Settled(present.Electorate)
+		s.voterRecordMod = reply.Revision
+		s.authority.Settled(current.Electorate)
 		return nil
 	}
 	for _, rec := range reply.Found {
@@ -253,30 +253,32 @@
 		if err != nil || entry.Charter == nil || entry.Incarnation != s.self.Incarnation {
 			continue
 		}
-		s.charterMod = entry.Revision
-		s.holder.Settled(entry.Charter.Electorate)
+		s.voterRecordMod = entry.Revision
+		s.authority.Settled(entry.Charter.Electorate)
 	}
 	return nil
 }
 
-// livingConditions hold while the session's keys are as this process wrote them.
-func (s *Session) livingConditions() []platform.Condition {
+// sessionConditions returns conditions that hold while the session's keys are as this process
+// wrote them.
+func (s *Session) sessionConditions() []platform.Condition {
 	return []platform.Condition{
 		{Key: Key(s.self.Name), ModRevision: s.memberMod},
-		{Key: CharterKey(s.self.Name, s.self.Incarnation), ModRevision: s.charterMod},
+		{Key: CharterKey(s.self.Name, s.self.Incarnation), ModRevision: s.voterRecordMod},
 	}
 }
 
-// note remembers whether the store answers.
-func (s *Session) note(err error) {
+// recordStoreResult records whether a call to the store was answered.
+func (s *Session) recordStoreResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failing = err != nil && !errors.Is(err, platform.ErrLeaseGone)
+	s.storeFailing = err != nil && !errors.Is(err, platform.ErrLeaseGone)
 }
 
-// event moves the state machine. An event that does not fit the state leaves it.
-func (s *Session) event(name string) {
-	if s.machine.Can(name) {
-		_ = s.machine.Event(context.Background(), name)
+// transition applies an event to the state machine. An event that is not defined for the
+// current state is ignored.
+func (s *Session) transition(name string) {
+	if s.states.Can(name) {
+		_ = s.states.Event(context.Background(), name)
 	}
 }
--- a/internal/member/session_test.go
+++ b/internal/member/session_test.go
@@ -17,24 +17,24 @@
 
 var testTimes = right.Times{Term: 3 * time.Second, Margin: 10, OutageLimit: time.Minute}
 
-// fixture is a session on a store of its own.
+// fixture is a session with an in-memory store.
 type fixture struct {
 	engine  *memstore.Engine
 	client  *memstore.Client
-	commits *commitLoser
+	commits *commitFaults
 	self    view.Member
 	*Session
 }
 
-// commitLoser loses the answers of the next commits.
-type commitLoser struct {
+// commitFaults is a store client that drops the replies to the next commits.
+type commitFaults struct {
 	*memstore.Client
-	lose int
+	loseReplies int
 }
 
-func (c *commitLoser) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
-	if c.lose > 0 {
-		c.lose--
+func (c *commitFaults) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+	if c.loseReplies > 0 {
+		c.loseReplies--
 		c.SetFaults(memstore.Faults{LoseAnswers: 1})
 	}
 	return c.Client.Commit(ctx, txn)
@@ -42,7 +42,7 @@
 
 func newFixture(engine *memstore.Engine, name, incarnation string) *fixture {
 	f := &fixture{engine: engine, client: engine.Client(incarnation), self: view.Member{Name: name, Incarnation: incarnation, Addr: name}}
-	f.commits = &commitLoser{Client: f.client}
+	f.commits = &commitFaults{Client: f.client}
 	f.Session = NewSession(f.commits, f.self, testTimes)
 	return f
 }
@@ -51,14 +51,14 @@
 	return right.Voter{Name: f.self.Name, Incarnation: f.self.Incarnation, Addr: f.self.Addr}
 }
 
-// until is the right of the present session.
+// until returns the end of the authority in the current session, and the session.
 func (f *fixture) until() (until time.Time, session uint64) {
 	f.Right(func(h *right.Holder) { until, session = h.Until(time.Now(), h.Session()), h.Session() })
 	return until, session
 }
 
-// again calls fn until it succeeds, as the renewal loop does.
-func again(ctx context.Context, is *is.I, fn func(context.Context) error) {
+// retry calls fn until it succeeds, as the renewal loop does.
+func retry(ctx context.Context, is *is.I, fn func(context.Context) error) {
 	is.Helper()
 	for range 10 {
 		callCtx, cancel := context.WithTimeout(ctx, testTimes.Term/2)
@@ -77,19 +77,19 @@
 	tests := []struct {
 		name    string
 		faults  memstore.Faults // while joining
-		commits int             // answers to commits lost while joining
-		change  memstore.Faults // while changing the electorate
-		expire  bool            // the lease ends in between
+		commits int             // replies to commits lost while joining
+		change  memstore.Faults // while changing the voter set
+		expire  bool            // the lease expires between the two
 		session uint64
 	}{
 		{"healthy", memstore.Faults{}, 0, memstore.Faults{}, false, 1},
-		{"answer to the grant lost", memstore.Faults{LoseAnswers: 1}, 0, memstore.Faults{}, false, 1},
-		{"answer to the join lost", memstore.Faults{}, 1, memstore.Faults{}, false, 1},
+		{"reply to the grant lost", memstore.Faults{LoseAnswers: 1}, 0, memstore.Faults{}, false, 1},
+		{"reply to the join lost", memstore.Faults{}, 1, memstore.Faults{}, false, 1},
 		{"requests lost", memstore.Faults{LoseRequests: 3}, 0, memstore.Faults{}, false, 1},
-		{"answer to the change lost", memstore.Faults{}, 0, memstore.Faults{LoseAnswers: 1}, false, 1},
-		{"answers to change and settling lost", memstore.Faults{}, 0, memstore.Faults{LoseAnswers: 2}, false, 1},
-		{"change never arrives", memstore.Faults{}, 0, memstore.Faults{LoseRequests: 1}, false, 1},
-		{"lease ended", memstore.Faults{}, 0, memstore.Faults{LoseAnswers: 1}, true, 2},
+		{"reply to the change lost", memstore.Faults{}, 0, memstore.Faults{LoseAnswers: 1}, false, 1},
+		{"replies to the change and its resolution lost", memstore.Faults{}, 0, memstore.Faults{LoseAnswers: 2}, false, 1},
+		{"request of the change lost", memstore.Faults{}, 0, memstore.Faults{LoseRequests: 1}, false, 1},
+		{"lease expired", memstore.Faults{}, 0, memstore.Faults{LoseAnswers: 1}, true, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -99,15 +99,15 @@
 				defer engine.Close()
 				f := newFixture(engine, "a", "1")
 				f.client.SetFaults(tt.faults)
-				f.commits.lose = tt.commits
+				f.commits.loseReplies = tt.commits
 				voters := []right.Voter{f.voter()}
-				again(t.Context(), is, func(ctx context.Context) error { return f.Join(ctx, voters) })
+				retry(t.Context(), is, func(ctx context.Context) error { return f.Join(ctx, voters) })
 				f.client.SetFaults(memstore.Faults{})
 				if tt.expire {
 					time.Sleep(2 * testTimes.Term)
 					is.True(f.Renew(t.Context()) != nil)
 					is.Equal(f.State(), StateLost)
-					again(t.Context(), is, func(ctx context.Context) error { return f.Join(ctx, voters) })
+					retry(t.Context(), is, func(ctx context.Context) error { return f.Join(ctx, voters) })
 				}
 				is.NoErr(f.Renew(t.Context()))
 				until, session := f.until()
@@ -116,24 +116,24 @@
 
 				f.client.SetFaults(tt.change)
 				voters = append(voters, other)
-				again(t.Context(), is, func(ctx context.Context) error {
+				retry(t.Context(), is, func(ctx context.Context) error {
 					if err := f.SettleVoters(ctx); err != nil {
 						return err
 					}
 					return f.SetVoters(ctx, voters)
 				})
-				again(t.Context(), is, func(ctx context.Context) error { return f.SettleVoters(ctx) })
+				retry(t.Context(), is, func(ctx context.Context) error { return f.SettleVoters(ctx) })
 				f.client.SetFaults(memstore.Faults{})
-				again(t.Context(), is, func(ctx context.Context) error { return f.SetVoters(ctx, voters) })
-				is.Equal(f.charter(t, is).Voters, voters)
-				f.Right(func(h *right.Holder) { is.Equal(h.Electorate(), f.charter(t, is).Electorate) })
+				retry(t.Context(), is, func(ctx context.Context) error { return f.SetVoters(ctx, voters) })
+				is.Equal(f.voterRecord(t, is).Voters, voters)
+				f.Right(func(h *right.Holder) { is.Equal(h.Electorate(), f.voterRecord(t, is).Electorate) })
 			})
 		})
 	}
 }
 
-// charter reads the session's charter from the store.
-func (f *fixture) charter(t *testing.T, is *is.I) Charter {
+// voterRecord reads the session's voter record from the store.
+func (f *fixture) voterRecord(t *testing.T, is *is.I) Charter {
 	records, _, err := f.engine.Client("reader").List(t.Context(), CharterKey(f.self.Name, f.self.Incarnation))
 	is.NoErr(err)
 	is.Equal(len(records), 1)
@@ -142,7 +142,7 @@
 	return *entry.Charter
 }
 
-func TestNameBelongsToTheLivingProcess(t *testing.T) {
+func TestNameBelongsToTheActiveProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engine := memstore.New()
@@ -157,7 +157,7 @@
 	})
 }
 
-func TestLeavingIsShownAndLeaveTakesTheKeysAway(t *testing.T) {
+func TestSetLeavingIsStoredAndLeaveDeletesTheKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engine := memstore.New()
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -9,18 +9,18 @@
 	"pulleyquay/internal/view"
 )
 
-// SetLeaving writes to the member key that the process hands over and leaves.
+// SetLeaving marks the member as leaving in its store key: it hands over its partitions.
 func (s *Session) SetLeaving(ctx context.Context) error {
 	s.mu.Lock()
 	s.self.Leaving = true
-	s.event(eventLeave)
+	s.transition(eventLeave)
 	txn := platform.Txn{
-		If:   s.livingConditions()[:1],
+		If:   s.sessionConditions()[:1],
 		Then: []platform.Write{{Key: Key(s.self.Name), Value: mustJSON(s.self), Lease: s.lease}},
 	}
 	s.mu.Unlock()
 	reply, err := s.store.Commit(ctx, txn)
-	s.note(err)
+	s.recordStoreResult(err)
 	if err != nil {
 		return err
 	}
@@ -32,11 +32,11 @@
 	return nil
 }
 
-// Leave ends the membership: the keys go, and the lease with them.
+// Leave ends the membership: it deletes the keys and revokes the lease.
 func (s *Session) Leave(ctx context.Context) error {
 	s.mu.Lock()
-	s.event(eventGo)
-	conditions, lease := s.livingConditions(), s.lease
+	s.transition(eventLeft)
+	conditions, lease := s.sessionConditions(), s.lease
 	s.mu.Unlock()
 	if lease == 0 {
 		return nil
@@ -51,38 +51,39 @@
 	return s.store.Revoke(ctx, lease)
 }
 
-// Self returns the member as it stands or would stand in the store.
+// Self returns the member as it is, or would be, recorded in the store.
 func (s *Session) Self() view.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.self
 }
 
-// State returns the membership's state.
+// State returns the state of the membership, one of the State constants.
 func (s *Session) State() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.machine.Current()
+	return s.states.Current()
 }
 
-// Right runs fn with the holder of the right, under the session's lock.
+// Right calls fn with the authority of this process, under the session's lock.
 func (s *Session) Right(fn func(*right.Holder)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fn(s.holder)
+	fn(s.authority)
 }
 
-// Condition holds while the member key is as this process last wrote it.
+// Condition returns a condition that holds while the member key is as this process last wrote
+// it.
 func (s *Session) Condition() platform.Condition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return platform.Condition{Key: Key(s.self.Name), ModRevision: s.memberMod}
 }
 
-// Renewed returns when the last successful renewal was sent, and whether the
-// last call to the store got an answer.
-func (s *Session) Renewed() (at time.Time, answers bool) {
+// Renewed returns when the last successful renewal was sent, and whether the last call to the
+// store was answered.
+func (s *Session) Renewed() (at time.Time, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.renewed, !s.failing
+	return s.lastRenewal, !s.storeFailing
 }
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -107,7 +107,7 @@
 
 func TestGovernor(t *testing.T) {
 	tests := map[string]struct {
-		model hostModel
+		hostModel hostModel
 		// minSpeed is the mean speed that backfill tasks must get, and maxOver the longest
 		// uninterrupted time over the target because of them.
 		minSpeed float64
@@ -126,7 +126,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(10) {
-				model := tc.model
+				model := tc.hostModel
 				model.rnd = rand.New(rand.NewPCG(seed, 1))
 				out := model.run(NewGovernor(DefaultPolicy(), Full), time.Minute)
 				if out.backfillSpeed < tc.minSpeed {
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -5,7 +5,7 @@
 import "sync"
 
 const (
-	// retryCost is the cost of one retry, in hundredths of a retry.
+	// retryCost is one retry in the unit of the budget, a hundredth of a retry.
 	retryCost = 100
 	// maxBudget bounds the burst: ten retries.
 	maxBudget = 10 * retryCost
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -17,6 +17,6 @@
 			retries++
 		}
 	}
-	is.Equal(retries, 10+requests*percent/100-1) // the initial burst plus 10 % of the requests, less the retry not fully credited
+	is.Equal(retries, 10+requests*percent/100-1) // burst plus 10 %, less one retry not fully credited
 	is.True(!b.Spend())
 }
