--- a/internal/member/session.go
+++ b/internal/member/session.go
@@ -18,11 +18,11 @@
 
 // States of this process's membership.
 const (
-	StateOutside = "outside" // has not joined, or another process has the name
-	StateJoined  = "joined"
-	StateLost    = "lost" // the store lease has ended; promises may still extend the authority
-	StateLeaving = "leaving"
-	StateLeft    = "left"
+	StateOutside   = "outside" // has not joined, or another process has the name
+	StateJoined    = "joined"
+	StateLeaseLost = "lost" // the store lease has ended; promises may still extend the authority
+	StateLeaving   = "leaving"
+	StateLeft      = "left"
 )
 
 const (
@@ -57,10 +57,10 @@
 		store: store, times: times, self: self, authority: right.NewHolder(times),
 		grantSent: map[platform.LeaseID]time.Time{},
 		states: fsm.NewFSM(StateOutside, fsm.Events{
-			{Name: eventJoin, Src: []string{StateOutside, StateLost, StateJoined}, Dst: StateJoined},
-			{Name: eventLeaseLost, Src: []string{StateJoined, StateLeaving}, Dst: StateLost},
-			{Name: eventLeave, Src: []string{StateJoined, StateLost, StateOutside}, Dst: StateLeaving},
-			{Name: eventLeft, Src: []string{StateLeaving, StateLost, StateOutside, StateJoined}, Dst: StateLeft},
+			{Name: eventJoin, Src: []string{StateOutside, StateLeaseLost, StateJoined}, Dst: StateJoined},
+			{Name: eventLeaseLost, Src: []string{StateJoined, StateLeaving}, Dst: StateLeaseLost},
+			{Name: eventLeave, Src: []string{StateJoined, StateLeaseLost, StateOutside}, Dst: StateLeaving},
+			{Name: eventLeft, Src: []string{StateLeaving, StateLeaseLost, StateOutside, StateJoined}, Dst: StateLeft},
 		}, fsm.Callbacks{}),
 	}
 }
@@ -207,7 +207,7 @@
 	reply, err := s.store.Commit(ctx, txn)
 	s.recordStoreResult(err)
 	if err != nil || !reply.Applied {
-		return s.resolveVoterChange(ctx)
+		return s.rewriteVoterRecord(ctx)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,10 +225,11 @@
 	if !open {
 		return nil
 	}
-	return s.resolveVoterChange(ctx)
+	return s.rewriteVoterRecord(ctx)
 }
 
-func (s *Session) resolveVoterChange(ctx context.Context) error {
+// rewriteVoterRecord rewrites the voter record to determine which voter set the store holds.
+func (s *Session) rewriteVoterRecord(ctx context.Context) error {
 	key := CharterKey(s.self.Name, s.self.Incarnation)
 	// Rewriting the voter record with its previous value decides the race with a delayed
 	// change: one of the two transactions fails its conditions.
--- a/internal/member/session_test.go
+++ b/internal/member/session_test.go
@@ -106,7 +106,7 @@
 				if tt.expire {
 					time.Sleep(2 * testTimes.Term)
 					is.True(f.Renew(t.Context()) != nil)
-					is.Equal(f.State(), StateLost)
+					is.Equal(f.State(), StateLeaseLost)
 					retry(t.Context(), is, func(ctx context.Context) error { return f.Join(ctx, voters) })
 				}
 				is.NoErr(f.Renew(t.Context()))
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -21,32 +21,32 @@
 	CutAbove float64
 	// RaiseBelow is the ratio below which the share is raised.
 	RaiseBelow float64
-	// CutTo is the largest factor of a reduction; where the tail is far too long, the factor
-	// is CutFar divided by the ratio. A second consecutive reduction has half of that
+	// MaxCutFactor is the largest factor of a reduction; where the tail is far too long, the
+	// factor is FarCutFactor divided by the ratio. A second consecutive reduction has half of that
 	// factor, a third one a third.
-	CutTo, CutFar float64
-	// LeastShare is the share, in percent, below which all backfill tasks are paused.
-	LeastShare int
-	// QuickStep and SlowStep are the increments of the share, in percent: QuickStep up to the
+	MaxCutFactor, FarCutFactor float64
+	// MinShare is the share, in percent, below which all backfill tasks are paused.
+	MinShare int
+	// FastStep and SlowStep are the increments of the share, in percent: FastStep up to the
 	// safe share, SlowStep beyond.
-	QuickStep, SlowStep int
+	FastStep, SlowStep int
 	// Near is the safe share, as a fraction of the share at which the tail was last too long.
 	Near float64
-	// Settle is the time until a change is visible in the figures: until the host has applied
+	// SettlingTime is the time until a change is visible in the figures: until the host has applied
 	// it, plus the period that a figure covers.
-	Settle time.Duration
-	// RaiseEvery is the minimum interval between two increments up to the safe share, and
-	// ProbeEvery the one beyond it.
-	RaiseEvery, ProbeEvery time.Duration
+	SettlingTime time.Duration
+	// RaiseInterval is the minimum interval between two increments up to the safe share, and
+	// ProbeInterval the one beyond it.
+	RaiseInterval, ProbeInterval time.Duration
 }
 
-// DefaultPolicy returns the values in use. The settling time is the platform's 100 ms until a
+// DefaultPolicy returns the values in use. SettlingTime is the platform's 100 ms until a
 // changed speed takes effect, the 500 ms that a figure covers, and a round trip. The other
 // values come from BenchmarkPolicies.
 func DefaultPolicy() Policy {
 	return Policy{
-		CutAbove: 0.9, RaiseBelow: 0.75, CutTo: 0.4, CutFar: 0.5, LeastShare: 4, QuickStep: 20, SlowStep: 5, Near: 0.8,
-		Settle: 650 * time.Millisecond, RaiseEvery: 700 * time.Millisecond, ProbeEvery: 3 * time.Second,
+		CutAbove: 0.9, RaiseBelow: 0.75, MaxCutFactor: 0.4, FarCutFactor: 0.5, MinShare: 4, FastStep: 20, SlowStep: 5, Near: 0.8,
+		SettlingTime: 650 * time.Millisecond, RaiseInterval: 700 * time.Millisecond, ProbeInterval: 3 * time.Second,
 	}
 }
 
@@ -76,7 +76,7 @@
 // host's processors that backfill tasks may use, less than the share if they request less.
 // It reports whether the share has changed.
 func (t *Governor) Observe(ratio float64, used int, now time.Time) bool {
-	if !t.changed.IsZero() && now.Sub(t.changed) < t.params.Settle {
+	if !t.changed.IsZero() && now.Sub(t.changed) < t.params.SettlingTime {
 		return false
 	}
 	switch {
@@ -95,8 +95,8 @@
 		t.excessiveShare = used
 	}
 	t.consecutiveCuts++
-	t.share = int(float64(used) * min(t.params.CutTo, t.params.CutFar/ratio) / float64(t.consecutiveCuts))
-	if t.share < t.params.LeastShare {
+	t.share = int(float64(used) * min(t.params.MaxCutFactor, t.params.FarCutFactor/ratio) / float64(t.consecutiveCuts))
+	if t.share < t.params.MinShare {
 		t.share = 0
 	}
 	t.changed = now
@@ -104,9 +104,9 @@
 
 func (t *Governor) raise(now time.Time) bool {
 	safeShare := int(float64(t.excessiveShare) * t.params.Near)
-	interval, step, limit := t.params.RaiseEvery, t.params.QuickStep, min(safeShare, Full)
+	interval, step, limit := t.params.RaiseInterval, t.params.FastStep, min(safeShare, Full)
 	if t.share >= safeShare {
-		interval, step, limit = t.params.ProbeEvery, t.params.SlowStep, Full
+		interval, step, limit = t.params.ProbeInterval, t.params.SlowStep, Full
 	}
 	if now.Sub(t.changed) < interval {
 		return false
@@ -115,7 +115,7 @@
 		t.excessiveShare = Full + 1 // the tail was not too long at that share this time
 	}
 	t.consecutiveCuts = 0
-	t.share = min(t.share+step, max(limit, t.params.LeastShare))
+	t.share = min(t.share+step, max(limit, t.params.MinShare))
 	t.changed = now
 	return true
 }
