--- a/internal/advice/lanes.go
+++ b/internal/advice/lanes.go
@@ -81,7 +81,7 @@
 	return leastLoaded.name, leastLoaded.busyUntil, true
 }
 
-// Open reports whether Book would succeed.
+// Open reports whether a query slot may take a query of the given duration now.
 func (l *Lanes) Open(duration time.Duration, now time.Time) bool {
 	return l.leastLoaded(duration, now) != nil
 }
--- a/internal/heartbeat/message.go
+++ b/internal/heartbeat/message.go
@@ -21,8 +21,8 @@
 	// StoreAge is how long ago the sender sent its last successful renewal;
 	// negative when there was none.
 	StoreAge time.Duration `cbor:"4,keyasint" json:"store_age"`
-	// Deputy is the delegate that renews the sender's task leases if the sender fails during a
-	// store outage.
+	// Deputy names the member that renews the sender's task leases if the sender fails during
+	// a store outage.
 	Deputy string `cbor:"5,keyasint,omitempty" json:"deputy,omitempty"`
 }
 
@@ -34,7 +34,7 @@
 	For     time.Duration `cbor:"3,keyasint"`
 }
 
-// Beat is the request of a heartbeat.
+// Beat is the message that a placer sends to each other placer.
 type Beat struct {
 	Status Status                     `cbor:"1,keyasint"`
 	Extras map[string]cbor.RawMessage `cbor:"2,keyasint,omitempty"`
--- a/internal/heartbeat/service.go
+++ b/internal/heartbeat/service.go
@@ -14,7 +14,7 @@
 	"pulleyquay/internal/view"
 )
 
-// Host is the placer on whose behalf a Service sends and answers heartbeats.
+// Host is the process on whose behalf a Service sends and answers heartbeats.
 type Host interface {
 	// Status returns the current status of this process.
 	Status() Status
--- a/internal/member/keys.go
+++ b/internal/member/keys.go
@@ -25,8 +25,8 @@
 	return Prefix + name + "/" + incarnation
 }
 
-// Charter is the voter record of a member's incarnation. It defines in the store which voters
-// may extend the incarnation's authority during a store outage.
+// Charter records the voter set of a member's incarnation: during a store outage, the voters'
+// promises may extend the incarnation's authority.
 type Charter struct {
 	right.Electorate
 	// Lease is the store lease of the session's member key. It identifies the attempt to join
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Governor throttles the backfill tasks of one host.
+// Governor limits the speed of the backfill tasks of one host.
 type Governor struct {
 	params          Policy
 	share           int
@@ -120,8 +120,8 @@
 	return true
 }
 
-// Idle lifts the limit, as no serving task is on the host, and reports whether the share has
-// changed.
+// Idle sets the share to Full, for a host without serving tasks, and reports whether the share
+// has changed.
 func (t *Governor) Idle(now time.Time) bool {
 	if t.share == Full {
 		return false
--- a/internal/upkeep/planner.go
+++ b/internal/upkeep/planner.go
@@ -33,7 +33,7 @@
 	Empty(h host.ID) bool
 	// MayEnd reports whether the runs that are left on a host may be terminated with it.
 	MayEnd(h host.ID) bool
-	// Keep uncordons a host.
+	// Keep makes a cordoned host schedulable again.
 	Keep(h host.ID)
 	// Load is a measure of the work on a host; the least loaded host is drained first.
 	Load(h host.ID) int
@@ -128,7 +128,8 @@
 	p.rollouts[w.ID] = added
 }
 
-// Listed replaces the list of machines by one that was requested at asked.
+// Listed replaces the list of machines by one that was requested at asked. After an error the
+// previous list stays in use.
 func (p *Planner) Listed(machines []Machine, err error, asked, now time.Time) {
 	p.listPending = false
 	p.nextListAt = now.Add(listInterval)
@@ -327,7 +328,7 @@
 	return out
 }
 
-// Behind reports whether any progress has changed since the last call of Changed.
+// Behind reports whether any progress has changed since it was last returned.
 func (p *Planner) Behind() bool {
 	for _, w := range p.rollouts {
 		if w.unsaved {
--- a/internal/upkeep/port.go
+++ b/internal/upkeep/port.go
@@ -29,7 +29,7 @@
 	Host host.ID
 }
 
-// Wave is an operator's request for the maintenance of a set of machines, a rollout.
+// Wave is an operator's request for the maintenance of a set of machines.
 type Wave struct {
 	ID       int64
 	Machines []MachineID
