--- a/internal/platform/budget/budget.go
+++ b/internal/platform/budget/budget.go
@@ -1,7 +1,7 @@
-// Package budget keeps one process within its share of the calls that the
-// platform's store takes, and counts them. Reads and writes are limited apart;
-// lease renewals never wait, because a process that loses its lease loses its
-// partitions; what they use up is taken from the other writes.
+// Package budget limits one process to its share of the call rate of the platform's store, and
+// counts the calls. Reads and writes have separate limits. Lease renewals never wait, because a
+// process that loses its lease loses its partitions; their tokens are taken from the rate of the
+// other writes.
 package budget
 
 import (
@@ -15,18 +15,19 @@
 	"pulleyquay/internal/result"
 )
 
-// DefaultTimeout bounds a call, waiting included, whose context has no end.
+// DefaultTimeout is the time limit of a call whose context has no deadline, including the wait
+// for the rate limiter.
 const DefaultTimeout = 5 * time.Second
 
-// Options set up a Store. Zero fields take their defaults.
+// Options configure a Store. Zero fields take their defaults.
 type Options struct {
 	Limits  Limits
 	Timeout time.Duration
-	// Registry gets the counters.
+	// Registry is where the metrics are registered.
 	Registry prometheus.Registerer
 }
 
-// Store is a platform.Store that limits and counts the calls to another one.
+// Store wraps a platform.Store, and limits and counts the calls to it.
 type Store struct {
 	inner   platform.Store
 	timeout time.Duration
@@ -38,7 +39,7 @@
 
 var _ platform.Store = (*Store)(nil)
 
-// New wraps a store. It fails when the registry already has the counters.
+// New wraps a store. It fails if the metrics are already registered.
 func New(inner platform.Store, o Options) (*Store, error) {
 	if o.Limits == (Limits{}) {
 		o.Limits = DefaultLimits()
@@ -63,19 +64,19 @@
 	}, nil
 }
 
-// Share tells among how many processes the limits are shared.
+// Share sets the number of processes among which the limits are divided.
 func (s *Store) Share(processes int) {
 	s.reads.share(processes)
 	s.writes.share(processes)
 }
 
-// shareEvery is how often Follow looks at the number of processes.
-const shareEvery = time.Second
+// shareInterval is how often Follow reads the number of processes.
+const shareInterval = time.Second
 
-// Follow keeps the share up to date until ctx ends. The share stays as it is
-// while processes returns zero, which stands for unknown.
+// Follow updates the share until ctx ends. The share does not change while processes returns 0,
+// which means unknown.
 func (s *Store) Follow(ctx context.Context, processes func() int) {
-	ticker := time.NewTicker(shareEvery)
+	ticker := time.NewTicker(shareInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if n := processes(); n > 0 {
@@ -88,19 +89,19 @@
 	}
 }
 
-// Dump is the state shown by /debug/state.
+// Dump is the state that /debug/state shows.
 type Dump struct {
-	// Calls are counts by kind and result, "commit ok".
+	// Calls are counts by kind and result, such as "commit ok".
 	Calls           map[string]int64 `json:"calls"`
 	Watches         int              `json:"watches"`
 	WritesPerSecond float64          `json:"writes_per_second"`
 	ReadsPerSecond  float64          `json:"reads_per_second"`
-	// Reached is when the store last answered.
+	// Reached is the time of the store's last reply.
 	Reached     time.Time `json:"reached"`
 	LastFailure string    `json:"last_failure,omitempty"`
 }
 
-// Dump returns the counts and the present limits.
+// Dump returns the counters and the current limits.
 func (s *Store) Dump() any {
 	s.metrics.mu.Lock()
 	defer s.metrics.mu.Unlock()
@@ -118,29 +119,29 @@
 	}
 }
 
-// limited makes one call when it is its turn, and counts it.
+// limited waits for the rate limiter, makes one call and counts it.
 func limited[T any](ctx context.Context, s *Store, call string, c class, fn func(context.Context) (T, error)) (T, error) {
-	var none T
+	var zero T
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	if err := s.limiter(c).wait(ctx, c); err != nil {
 		s.metrics.done(call, outcomeOf(err), -1, err)
-		return none, err
+		return zero, err
 	}
-	s.metrics.waited.WithLabelValues(string(c)).Observe(time.Since(began).Seconds())
-	return counted(ctx, s, call, fn)
+	s.metrics.waited.WithLabelValues(string(c)).Observe(time.Since(start).Seconds())
+	return callAndCount(ctx, s, call, fn)
 }
 
-// counted makes one call and counts it.
-func counted[T any](ctx context.Context, s *Store, call string, fn func(context.Context) (T, error)) (T, error) {
-	began := time.Now()
+// callAndCount makes one call and counts it.
+func callAndCount[T any](ctx context.Context, s *Store, call string, fn func(context.Context) (T, error)) (T, error) {
+	start := time.Now()
 	value, err := fn(ctx)
-	s.metrics.done(call, outcomeOfReply(value, err), time.Since(began), err)
+	s.metrics.done(call, outcomeOfReply(value, err), time.Since(start), err)
 	return value, err
 }
 
-// outcomeOfReply is outcomeOf that tells a transaction in conflict apart.
+// outcomeOfReply is outcomeOf, with a separate result for a transaction whose conditions failed.
 func outcomeOfReply(value any, err error) string {
 	if reply, ok := value.(platform.TxnReply); ok && err == nil && !reply.Applied {
 		return resultConflict
@@ -156,7 +157,7 @@
 	return s.writes
 }
 
-// listing is the answer to List.
+// listing is the result of List.
 type listing struct {
 	records  []platform.Record
 	revision platform.Revision
@@ -185,12 +186,12 @@
 	})
 }
 
-// KeepAlive implements platform.Store. It does not wait for its turn.
+// KeepAlive implements platform.Store. It does not wait for the rate limiter.
 func (s *Store) KeepAlive(ctx context.Context, id platform.LeaseID) error {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	s.writes.charge()
-	_, err := counted(ctx, s, callKeepAlive, func(ctx context.Context) (struct{}, error) {
+	_, err := callAndCount(ctx, s, callKeepAlive, func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, s.inner.KeepAlive(ctx, id)
 	})
 	return err
@@ -204,8 +205,8 @@
 	return err
 }
 
-// Watch implements platform.Store. Opening it waits for its turn as a read; one
-// watch too many is refused.
+// Watch implements platform.Store. Opening a watch waits for the rate limiter as a read does; a
+// watch beyond the limit is refused.
 func (s *Store) Watch(ctx context.Context, prefix string, after platform.Revision, fn func(platform.Batch)) error {
 	select {
 	case s.watches <- struct{}{}:
--- a/internal/platform/budget/budget_test.go
+++ b/internal/platform/budget/budget_test.go
@@ -37,27 +37,27 @@
 
 func calls(s *budget.Store) map[string]int64 { return s.Dump().(budget.Dump).Calls }
 
-func TestWritesAndReadsAreLimitedApart(t *testing.T) {
+func TestWritesAndReadsAreLimitedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		_, s := newStore(t, budget.Options{Limits: budget.Limits{WritesPerSecond: 20, ReadsPerSecond: 100, Watches: 1}})
-		s.Share(2) // 10 writes and 50 reads a second, as much again at once
-		began := time.Now()
+		s.Share(2) // 10 writes and 50 reads per second, and a burst of one second's calls
+		start := time.Now()
 		for range 30 {
 			_, err := s.Commit(t.Context(), put)
 			is.NoErr(err)
 		}
-		is.Equal(time.Since(began).Round(time.Millisecond), 2*time.Second)
-		began = time.Now()
+		is.Equal(time.Since(start).Round(time.Millisecond), 2*time.Second)
+		start = time.Now()
 		for range 100 {
 			_, _, err := s.List(t.Context(), "k")
 			is.NoErr(err)
 		}
-		is.Equal(time.Since(began).Round(time.Millisecond), time.Second)
+		is.Equal(time.Since(start).Round(time.Millisecond), time.Second)
 	})
 }
 
-func TestRenewalsGoBeforeEverythingElse(t *testing.T) {
+func TestRenewalsNeverWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		_, s := newStore(t, budget.Options{
@@ -66,7 +66,7 @@
 		id, err := s.Grant(t.Context(), 60)
 		is.NoErr(err)
 		ended := make(chan time.Time, 100)
-		began := time.Now()
+		start := time.Now()
 		for range 100 {
 			go func() {
 				_, _ = s.Commit(t.Context(), put)
@@ -77,17 +77,17 @@
 		for range 10 {
 			is.NoErr(s.KeepAlive(t.Context(), id))
 		}
-		is.Equal(time.Since(began), time.Duration(0)) // no renewal has waited
-		_, err = s.Commit(t.Context(), put)           // after the others, and after what renewals used
+		is.Equal(time.Since(start), time.Duration(0)) // no renewal waited
+		_, err = s.Commit(t.Context(), put)           // delayed by the other writes and by the renewals
 		is.NoErr(err)
-		is.Equal(time.Since(began).Round(100*time.Millisecond), 10200*time.Millisecond)
+		is.Equal(time.Since(start).Round(100*time.Millisecond), 10200*time.Millisecond)
 		for range 100 {
 			<-ended
 		}
 	})
 }
 
-func TestCallThatCannotHaveItsTurnIsRefusedAtOnce(t *testing.T) {
+func TestCallBeyondDeadlineIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		_, s := newStore(t, budget.Options{Limits: budget.Limits{WritesPerSecond: 1, ReadsPerSecond: 1, Watches: 1}})
@@ -95,10 +95,10 @@
 		is.NoErr(err)
 		ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		defer cancel()
-		began := time.Now()
+		start := time.Now()
 		_, err = s.Commit(ctx, put)
-		is.Equal(time.Since(began), time.Duration(0))
-		is.True(errors.Is(err, platform.ErrUnavailable)) // nothing was sent
+		is.Equal(time.Since(start), time.Duration(0))
+		is.True(errors.Is(err, platform.ErrUnavailable)) // the call was not sent
 		is.Equal(platform.Failure(err).Code, result.StoreBudget)
 		is.Equal(calls(s), map[string]int64{"commit ok": 1, "commit budget": 1})
 	})
@@ -137,15 +137,15 @@
 	})
 }
 
-// TestGivenUpCalls tells calls that their caller cancelled from those that the
-// store or the budget failed.
-func TestGivenUpCalls(t *testing.T) {
+// TestCancelledCalls checks that calls cancelled by their caller are counted separately from
+// calls that failed by the store or the budget.
+func TestCancelledCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engine, s := newStore(t, budget.Options{Limits: budget.Limits{WritesPerSecond: 1, ReadsPerSecond: 1, Watches: 1}})
 		engine.SetFaults(memstore.Faults{Hang: true})
 		ctx, cancel := context.WithCancel(t.Context())
-		for range 2 { // one under way, one that waits for its turn
+		for range 2 { // one in flight, one waiting for the rate limiter
 			go func() { _, _ = s.Commit(ctx, put) }()
 			synctest.Wait()
 		}
--- a/internal/platform/budget/limits.go
+++ b/internal/platform/budget/limits.go
@@ -11,21 +11,21 @@
 	"pulleyquay/internal/result"
 )
 
-// Limits are the calls that all processes of the project may make together.
+// Limits are the call rates of all processes of the cell together.
 type Limits struct {
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// Watches bounds the waiting watches of one process; each is a call.
+	// Watches is the maximum number of open watches of one process.
 	Watches int
 }
 
-// DefaultLimits keep below what the platform's service takes: several hundred
-// writes and two thousand reads a second.
+// DefaultLimits stay below the capacity of the platform's service: several hundred writes and
+// two thousand reads per second.
 func DefaultLimits() Limits {
 	return Limits{WritesPerSecond: 300, ReadsPerSecond: 1500, Watches: 16}
 }
 
-// class is a kind of call with a limit of its own.
+// class is a kind of call with its own rate limit.
 type class string
 
 const (
@@ -33,29 +33,29 @@
 	classWrite class = "write"
 )
 
-// limiter bounds the rate of one class of calls.
+// limiter limits the rate of one class of calls.
 type limiter struct {
 	rate *rate.Limiter
-	all  float64 // of all processes together, calls a second
+	all  float64 // calls per second of all processes together
 }
 
-// newLimiter returns a limiter for a process that shares with no other yet.
+// newLimiter returns a limiter with the whole rate, until share is called.
 func newLimiter(all float64) *limiter {
 	return &limiter{rate: rate.NewLimiter(rate.Limit(all), burst(all)), all: all}
 }
 
-// burst is what a process may call at once after a quiet time: a second's worth.
+// burst is how many calls a process may make at once after an idle period: those of one second.
 func burst(perSecond float64) int { return max(1, int(perSecond)) }
 
 // share sets the rate to an equal share among the processes.
 func (l *limiter) share(processes int) {
-	mine := l.all / float64(max(1, processes))
-	l.rate.SetLimit(rate.Limit(mine))
-	l.rate.SetBurst(burst(mine))
+	perProcess := l.all / float64(max(1, processes))
+	l.rate.SetLimit(rate.Limit(perProcess))
+	l.rate.SetBurst(burst(perProcess))
 }
 
-// wait takes a place, and waits for it. It fails at once when ctx would end
-// before its turn.
+// wait takes a token and waits until it is available. It fails at once if ctx would end before
+// then.
 func (l *limiter) wait(ctx context.Context, c class) error {
 	if err := l.rate.Wait(ctx); err != nil {
 		if ctx.Err() != nil {
@@ -67,5 +67,5 @@
 	return nil
 }
 
-// charge takes a place without waiting for it: those who wait, wait longer.
+// charge takes a token without waiting for it, which delays the waiting calls.
 func (l *limiter) charge() { l.rate.Reserve() }
--- a/internal/platform/budget/metrics.go
+++ b/internal/platform/budget/metrics.go
@@ -12,7 +12,7 @@
 	"pulleyquay/internal/result"
 )
 
-// The kinds of call.
+// Kinds of calls; values of the metric label "call".
 const (
 	callList      = "list"
 	callCommit    = "commit"
@@ -22,7 +22,7 @@
 	callRevoke    = "revoke"
 )
 
-// The results of a call.
+// Results of calls; values of the metric label "result".
 const (
 	resultOK          = "ok"
 	resultConflict    = "conflict" // a condition of the transaction did not hold
@@ -32,10 +32,10 @@
 	resultCompacted   = "compacted"
 	resultRefused     = "refused"
 	resultBudget      = "budget"
-	resultEnded       = "ended" // given up by its caller
+	resultEnded       = "ended" // cancelled by the caller
 )
 
-// metrics are the counters of one process's calls.
+// metrics are the metrics of one process's calls.
 type metrics struct {
 	calls    *prometheus.CounterVec
 	seconds  *prometheus.HistogramVec
@@ -47,10 +47,10 @@
 	lastFail string
 }
 
-// latencyBuckets reach from the service's usual milliseconds to an outage.
+// latencyBuckets cover the service's usual latency of milliseconds up to an outage.
 var latencyBuckets = []float64{.001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10}
 
-// newMetrics makes the counters and registers them.
+// newMetrics creates and registers the metrics.
 func newMetrics(registry prometheus.Registerer) (*metrics, error) {
 	m := &metrics{
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -77,7 +77,7 @@
 	return m, nil
 }
 
-// done counts the end of one call. A negative duration is not recorded.
+// done counts a finished call. A negative duration is not observed.
 func (m *metrics) done(call, outcome string, took time.Duration, err error) {
 	m.calls.WithLabelValues(call, outcome).Inc()
 	if took >= 0 {
@@ -94,8 +94,8 @@
 	}
 }
 
-// outcomeOf names the result that an error stands for. What its caller gave up
-// says nothing about the store, unless the caller's time was up.
+// outcomeOf returns the result that an error means. A call cancelled by its caller says nothing
+// about the store; a call whose deadline passed does.
 func outcomeOf(err error) string {
 	switch {
 	case errors.Is(err, context.Canceled):
--- a/internal/platform/confirm/confirm_test.go
+++ b/internal/platform/confirm/confirm_test.go
@@ -34,10 +34,10 @@
 	return platform.Txn{Then: []platform.Write{{Key: "k", Value: []byte(value)}}}
 }
 
-// value is what is stored under k by the engine's own account.
+// value returns the value of k, read by a client without faults.
 func value(is *is.I, e *memstore.Engine) string {
 	is.Helper()
-	records, _, err := e.Client("judge").List(context.Background(), "k")
+	records, _, err := e.Client("observer").List(context.Background(), "k")
 	is.NoErr(err)
 	if len(records) == 0 {
 		return ""
@@ -45,26 +45,26 @@
 	return string(records[0].Value)
 }
 
-// TestSettling strikes one commit with a fault that ends after a while.
-func TestSettling(t *testing.T) {
-	const lastsFor = 3 * time.Second
+// TestResolvesLostReplies injects a fault into one commit that ends after a while.
+func TestResolvesLostReplies(t *testing.T) {
+	const faultDuration = 3 * time.Second
 	tests := map[string]struct {
 		fault    memstore.Faults
 		deadline time.Duration
 		want     error
-		value    string // in the end
+		value    string // once all calls have ended
 	}{
 		"healthy":                       {memstore.Faults{}, 20 * time.Second, nil, "new"},
 		"refused":                       {memstore.Faults{Refuse: true}, 20 * time.Second, platform.ErrUnavailable, "old"},
-		"answer lost":                   {memstore.Faults{LoseAnswers: 1}, 20 * time.Second, nil, "new"},
-		"answers lost":                  {memstore.Faults{LoseAnswers: 4}, 20 * time.Second, nil, "new"},
+		"reply lost":                    {memstore.Faults{LoseAnswers: 1}, 20 * time.Second, nil, "new"},
+		"replies lost":                  {memstore.Faults{LoseAnswers: 4}, 20 * time.Second, nil, "new"},
 		"request lost":                  {memstore.Faults{LoseRequests: 1}, 20 * time.Second, platform.ErrUnavailable, "old"},
-		"request and answer lost":       {memstore.Faults{LoseRequests: 1, LoseAnswers: 1}, 20 * time.Second, platform.ErrUnavailable, "old"},
+		"request and reply lost":        {memstore.Faults{LoseRequests: 1, LoseAnswers: 1}, 20 * time.Second, platform.ErrUnavailable, "old"},
 		"hangs":                         {memstore.Faults{Hang: true}, 20 * time.Second, platform.ErrUnavailable, "old"},
-		"answer late":                   {memstore.Faults{AnswerDelayMS: 2500}, 20 * time.Second, nil, "new"},
+		"reply late":                    {memstore.Faults{AnswerDelayMS: 2500}, 20 * time.Second, nil, "new"},
 		"request late":                  {memstore.Faults{RequestDelayMS: 2500}, 20 * time.Second, nil, "new"},
 		"hangs beyond deadline":         {memstore.Faults{Hang: true}, 2 * time.Second, platform.ErrUnknownOutcome, "old"},
-		"answers lost beyond deadline":  {memstore.Faults{LoseAnswers: memstore.All}, 2 * time.Second, platform.ErrUnknownOutcome, "new"},
+		"replies lost beyond deadline":  {memstore.Faults{LoseAnswers: memstore.All}, 2 * time.Second, platform.ErrUnknownOutcome, "new"},
 		"request late, beyond deadline": {memstore.Faults{RequestDelayMS: 2500}, 2 * time.Second, platform.ErrUnknownOutcome, "new"},
 	}
 	for name, test := range tests {
@@ -75,41 +75,41 @@
 				_, err := s.Commit(t.Context(), put("old"))
 				is.NoErr(err)
 				engine.Client("a").SetFaults(test.fault)
-				time.AfterFunc(lastsFor, func() { engine.Client("a").SetFaults(memstore.Faults{}) })
+				time.AfterFunc(faultDuration, func() { engine.Client("a").SetFaults(memstore.Faults{}) })
 				ctx, cancel := context.WithTimeout(t.Context(), test.deadline)
 				defer cancel()
 				reply, err := s.Commit(ctx, put("new"))
 				is.True(errors.Is(err, test.want))
 				is.Equal(reply.Applied, err == nil)
-				time.Sleep(time.Minute) // whatever is late has arrived
+				time.Sleep(time.Minute) // all delayed calls have arrived
 				is.Equal(value(is, engine), test.value)
 				again, err := s.Commit(t.Context(), put("next"))
-				is.NoErr(err) // and the store goes on
+				is.NoErr(err) // the store remains usable
 				is.True(again.Applied)
 			})
 		})
 	}
 }
 
-// counting counts the commits that are sent.
-type counting struct {
+// countingStore counts the commits that are sent.
+type countingStore struct {
 	platform.Store
 	commits int
 }
 
-func (c *counting) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (c *countingStore) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	c.commits++
 	return c.Store.Commit(ctx, txn)
 }
 
-// TestSlowStoreIsWaitedFor has every answer take longer than the least time for
-// it: one call has to do.
-func TestSlowStoreIsWaitedFor(t *testing.T) {
+// TestSlowStoreNeedsOneCall: with a store whose every reply takes longer than the minimum wait, a
+// commit takes one call.
+func TestSlowStoreNeedsOneCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engine := memstore.New()
 		defer engine.Close()
-		inner := &counting{Store: engine.Client("a")}
+		inner := &countingStore{Store: engine.Client("a")}
 		s, err := confirm.New(inner, confirm.Options{})
 		is.NoErr(err)
 		_, err = s.Commit(t.Context(), put("old"))
@@ -123,8 +123,8 @@
 	})
 }
 
-// TestOverwrittenSince loses an answer, and another process overwrites the key
-// before the outcome is settled: reading the key back would say "not applied".
+// TestOverwrittenSince: a reply is lost, and another process overwrites the key before the outcome
+// is resolved. Reading the key back would yield "not applied".
 func TestOverwrittenSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -144,7 +144,7 @@
 	})
 }
 
-// TestMarkersLeaseEnds rests longer than the markers' lease.
+// TestMarkersLeaseEnds pauses longer than the term of the markers' lease between commits.
 func TestMarkersLeaseEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -155,33 +155,33 @@
 			time.Sleep(time.Minute)
 		}
 		is.Equal(value(is, engine), "two")
-		records, _, err := engine.Client("judge").List(t.Context(), confirm.Prefix)
+		records, _, err := engine.Client("observer").List(t.Context(), confirm.Prefix)
 		is.NoErr(err)
-		is.Equal(len(records), 0) // nothing is left behind
+		is.Equal(len(records), 0) // the markers are deleted with their lease
 	})
 }
 
-// paused is a store whose commits take effect, after which the process stands
-// still for a while and finds its connections broken.
-type paused struct{ platform.Store }
+// pausingStore is a store whose commits are applied, after which the process is suspended for a
+// minute and finds its connections closed.
+type pausingStore struct{ platform.Store }
 
-func (p paused) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (p pausingStore) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	reply, err := p.Store.Commit(ctx, txn)
-	if err == nil && len(txn.Then) > 1 { // more than a marker
+	if err == nil && len(txn.Then) > 1 { // not a fence, which writes only the marker
 		time.Sleep(time.Minute)
 		return platform.TxnReply{}, platform.ErrUnknownOutcome
 	}
 	return reply, err
 }
 
-// TestPausedBeyondTheMarkersLease loses the marker along with its lease: the
-// commit took effect, and nothing shows it any more.
+// TestPausedBeyondTheMarkersLease: the marker is lost with its lease, so that nothing shows any more
+// that the commit was applied.
 func TestPausedBeyondTheMarkersLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engine := memstore.New()
 		defer engine.Close()
-		s, err := confirm.New(paused{engine.Client("a")}, confirm.Options{LeaseSeconds: 3})
+		s, err := confirm.New(pausingStore{engine.Client("a")}, confirm.Options{LeaseSeconds: 3})
 		is.NoErr(err)
 		_, err = s.Commit(t.Context(), put("new"))
 		is.True(errors.Is(err, platform.ErrUnknownOutcome))
@@ -189,7 +189,7 @@
 	})
 }
 
-// TestLeaseOfTheCaller keeps the caller's lost lease apart from the markers'.
+// TestLeaseOfTheCaller checks that a lost lease of the caller is told apart from the markers' lease.
 func TestLeaseOfTheCaller(t *testing.T) {
 	is := is.New(t)
 	engine, s := newStore(t, confirm.Options{})
@@ -201,16 +201,16 @@
 	is.Equal(value(is, engine), "v")
 }
 
-// renewalsLost is a store whose renewals are never answered.
+// renewalsLost is a store whose renewals get no reply.
 type renewalsLost struct{ platform.Store }
 
 func (renewalsLost) KeepAlive(context.Context, platform.LeaseID) error {
 	return platform.ErrUnknownOutcome
 }
 
-// TestLeaseInDoubt loses the markers' lease, and the answer to the question
-// which lease it was. A caller whose own lease may live is not told that it is
-// gone: a member would give up its partitions.
+// TestLeaseInDoubt: the markers' lease is lost, and so is the reply that would show which lease it
+// was. A caller whose own lease may be valid must not be told that it is gone: a member would
+// give up its partitions.
 func TestLeaseInDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -220,18 +220,18 @@
 		is.NoErr(err)
 		_, err = s.Commit(t.Context(), put("old"))
 		is.NoErr(err)
-		is.NoErr(engine.Client("judge").Revoke(t.Context(), 1)) // the markers'
+		is.NoErr(engine.Client("observer").Revoke(t.Context(), 1)) // the markers' lease
 		own, err := s.Grant(t.Context(), 3600)
 		is.NoErr(err)
 		txn := put("leased")
 		txn.Then[0].Lease = own
 		_, err = s.Commit(t.Context(), txn)
-		is.True(errors.Is(err, platform.ErrUnavailable)) // no effect; the next try has another lease
+		is.True(errors.Is(err, platform.ErrUnavailable)) // no effect; the next attempt uses another lease
 		_, err = s.Commit(t.Context(), txn)
 		is.NoErr(err)
-		is.NoErr(engine.Client("judge").Revoke(t.Context(), 3))
+		is.NoErr(engine.Client("observer").Revoke(t.Context(), 3))
 		_, err = s.Commit(t.Context(), put("not leased"))
-		is.NoErr(err) // it can only have been the markers' lease
+		is.NoErr(err) // only the markers' lease can be gone
 		is.Equal(value(is, engine), "not leased")
 	})
 }
--- a/internal/platform/confirm/marker.go
+++ b/internal/platform/confirm/marker.go
@@ -13,17 +13,17 @@
 	"pulleyquay/internal/platform"
 )
 
-// errMarkerLost means that a marker is not as this process left it.
+// errMarkerLost means that a marker is not in the state in which this process left it.
 var errMarkerLost = errors.New("confirm: marker lost")
 
-// marker is a key that one commit at a time uses.
+// marker is a key that is written by one commit at a time.
 type marker struct {
 	key      string
-	revision platform.Revision // of its last write; zero before the first
+	revision platform.Revision // of its last write; 0 before the first write
 	lease    platform.LeaseID
 }
 
-// mark adds the marker's condition and write to a transaction.
+// mark returns the transaction with the marker's condition and write added.
 func (m *marker) mark(txn platform.Txn, token string) platform.Txn {
 	return platform.Txn{
 		If:   append(slices.Clone(txn.If), platform.Condition{Key: m.key, ModRevision: m.revision}),
@@ -31,7 +31,7 @@
 	}
 }
 
-// markers hands out markers; there are as many as there were commits at once.
+// markers is the pool of markers; it has as many as there were concurrent commits.
 type markers struct {
 	store  platform.Store
 	prefix string
@@ -39,12 +39,12 @@
 
 	mu      sync.Mutex
 	free    []*marker
-	made    int
+	created int
 	lease   platform.LeaseID
-	renewed time.Time // before the last renewal was sent
+	renewed time.Time // time just before the last renewal was sent
 }
 
-// newMarkers returns an empty pool with a prefix that no other process has.
+// newMarkers returns an empty pool with a key prefix that is unique to this process.
 func newMarkers(store platform.Store, ttlSeconds int64) *markers {
 	return &markers{
 		store:  store,
@@ -53,11 +53,11 @@
 	}
 }
 
-// take returns a marker for the use of one commit.
+// take returns a marker for one commit.
 func (p *markers) take(ctx context.Context) (*marker, error) {
-	ctx, cancel := context.WithTimeout(ctx, leaseTime)
+	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	lease, err := p.fresh(ctx)
+	lease, err := p.validLease(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -68,11 +68,11 @@
 		p.free = p.free[:n-1]
 		return m, nil
 	}
-	p.made++
-	return &marker{key: fmt.Sprintf("%s%d", p.prefix, p.made), lease: lease}, nil
+	p.created++
+	return &marker{key: fmt.Sprintf("%s%d", p.prefix, p.created), lease: lease}, nil
 }
 
-// put takes a marker back whose revision is known.
+// put returns a marker whose revision is known to the pool.
 func (p *markers) put(m *marker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// forget drops a lease that is gone with all its markers.
+// forget discards a lease that is gone, and all its markers.
 func (p *markers) forget(lease platform.LeaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,12 +90,13 @@
 	}
 }
 
-// leaseTime bounds the calls that keep the markers' lease before a commit.
-const leaseTime = 5 * time.Second
+// leaseTimeout is the time limit of the calls that renew or grant the markers' lease before a
+// commit.
+const leaseTimeout = 5 * time.Second
 
-// fresh returns a lease with most of its term left. It renews after a third of
-// the term, and goes on without success until two thirds have passed.
-func (p *markers) fresh(ctx context.Context) (platform.LeaseID, error) {
+// validLease returns a lease with most of its term left. It renews the lease after a third of the
+// term, and continues to use it without a successful renewal until two thirds have passed.
+func (p *markers) validLease(ctx context.Context) (platform.LeaseID, error) {
 	p.mu.Lock()
 	lease, age := p.lease, time.Since(p.renewed)
 	p.mu.Unlock()
@@ -103,11 +104,11 @@
 		return lease, nil
 	}
 	if lease != 0 {
-		began := time.Now()
+		sentAt := time.Now()
 		err := p.store.KeepAlive(ctx, lease)
 		switch {
 		case err == nil:
-			p.renewedAt(lease, began)
+			p.renewedAt(lease, sentAt)
 			return lease, nil
 		case !errors.Is(err, platform.ErrLeaseGone) && age < 2*p.ttl/3:
 			return lease, nil
@@ -117,7 +118,7 @@
 	return p.grant(ctx)
 }
 
-// renewedAt notes a renewal.
+// renewedAt records a renewal.
 func (p *markers) renewedAt(lease platform.LeaseID, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,10 +127,10 @@
 	}
 }
 
-// grant gets the lease for the markers. Of two at the same moment the later one
-// stays unused and ends by itself.
+// grant requests the lease for the markers. Of two concurrent grants the later one remains unused
+// and expires.
 func (p *markers) grant(ctx context.Context) (platform.LeaseID, error) {
-	began := time.Now()
+	sentAt := time.Now()
 	lease, err := p.store.Grant(ctx, int64(p.ttl/time.Second))
 	if err != nil {
 		return 0, err
@@ -137,7 +138,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lease == 0 {
-		p.lease, p.renewed, p.free = lease, began, nil
+		p.lease, p.renewed, p.free = lease, sentAt, nil
 	}
 	return p.lease, nil
 }
--- a/internal/platform/confirm/property_test.go
+++ b/internal/platform/confirm/property_test.go
@@ -16,13 +16,13 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// step is one thing that happens at a time: new faults of a client, or a commit.
+// step is one event at a time: new faults of a client, or a commit.
 type step struct {
 	at       time.Duration
 	client   int
 	faults   *memstore.Faults
 	deadline time.Duration
-	blind    bool // without a condition on the key that all fight for
+	blind    bool // without a condition on the contended key
 }
 
 const clients = 3
@@ -52,22 +52,22 @@
 	return steps
 }
 
-// answer is what a commit told its caller.
-type answer struct {
+// answer is the result of a commit as returned to its caller.
+type result struct {
 	reply platform.TxnReply
 	err   error
 }
 
-// run carries out the steps and compares every answer with what is in the store
-// long after everything late has arrived. It returns what does not agree.
-func run(steps []step, wrap func(platform.Store) platform.Store) (wrong []string) {
+// run executes the steps and compares every result with the contents of the store long after all
+// delayed calls have arrived. It returns the mismatches.
+func run(steps []step, wrap func(platform.Store) platform.Store) (mismatches []string) {
 	engine := memstore.New()
 	defer engine.Close()
 	stores := make([]platform.Store, clients)
 	for i := range stores {
 		stores[i] = wrap(engine.Client(fmt.Sprint(i)))
 	}
-	answers := make([]*answer, len(steps))
+	results := make([]*result, len(steps))
 	began := time.Now()
 	var wg sync.WaitGroup
 	for i, s := range steps {
@@ -76,32 +76,32 @@
 			engine.Client(fmt.Sprint(s.client)).SetFaults(*s.faults)
 			continue
 		}
-		answers[i] = &answer{}
-		present, _, _ := engine.Client("judge").List(context.Background(), "k")
-		wg.Go(func() { *answers[i] = commit(stores[s.client], i, s, present) })
+		results[i] = &result{}
+		present, _, _ := engine.Client("observer").List(context.Background(), "k")
+		wg.Go(func() { *results[i] = commit(stores[s.client], i, s, present) })
 	}
 	wg.Wait()
 	time.Sleep(time.Minute)
-	there := map[string]bool{}
-	records, _, _ := engine.Client("judge").List(context.Background(), "u/")
+	found := map[string]bool{}
+	records, _, _ := engine.Client("observer").List(context.Background(), "u/")
 	for _, r := range records {
-		there[r.Key] = true
+		found[r.Key] = true
 	}
-	for i, a := range answers {
-		if a != nil && !a.agrees(there[own(i)]) {
-			wrong = append(wrong, fmt.Sprintf("step %d: applied=%t, told %+v %v", i, there[own(i)], a.reply, a.err))
+	for i, a := range results {
+		if a != nil && !a.agrees(found[ownKey(i)]) {
+			mismatches = append(mismatches, fmt.Sprintf("step %d: applied=%t, returned %+v %v", i, found[ownKey(i)], a.reply, a.err))
 		}
 	}
-	return wrong
+	return mismatches
 }
 
-// own is a key that only the commit of step i writes, once.
-func own(i int) string { return fmt.Sprintf("u/%d", i) }
+// ownKey is a key that only the commit of step i writes, once.
+func ownKey(i int) string { return fmt.Sprintf("u/%d", i) }
 
-func commit(s platform.Store, i int, st step, present []platform.Record) answer {
+func commit(s platform.Store, i int, st step, present []platform.Record) result {
 	ctx, cancel := context.WithTimeout(context.Background(), st.deadline)
 	defer cancel()
-	txn := platform.Txn{Then: []platform.Write{{Key: own(i)}, {Key: "k", Value: []byte(own(i))}}}
+	txn := platform.Txn{Then: []platform.Write{{Key: ownKey(i)}, {Key: "k", Value: []byte(ownKey(i))}}}
 	if !st.blind {
 		txn.If = []platform.Condition{{Key: "k"}}
 		for _, r := range present {
@@ -109,11 +109,11 @@
 		}
 	}
 	reply, err := s.Commit(ctx, txn)
-	return answer{reply, err}
+	return result{reply, err}
 }
 
-// agrees reports whether an answer is true.
-func (a *answer) agrees(applied bool) bool {
+// agrees reports whether a result is correct.
+func (a *result) agrees(applied bool) bool {
 	switch {
 	case a.err == nil:
 		return a.reply.Applied == applied
@@ -132,23 +132,23 @@
 	return s
 }
 
-// TestAnswersAreTrue draws faults and commits of several processes.
-func TestAnswersAreTrue(t *testing.T) {
+// TestResultsAreCorrect draws faults and commits of several processes.
+func TestResultsAreCorrect(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := drawSteps(rt)
-		var wrong []string
-		synctest.Test(t, func(*testing.T) { wrong = run(steps, confirmed) })
-		if len(wrong) > 0 {
-			rt.Fatalf("%v", wrong)
+		var mismatches []string
+		synctest.Test(t, func(*testing.T) { mismatches = run(steps, confirmed) })
+		if len(mismatches) > 0 {
+			rt.Fatalf("%v", mismatches)
 		}
 	})
 }
 
-// hasty settles by reading the key back, without a fence: what the marker is
-// there to avoid.
-type hasty struct{ platform.Store }
+// readBack resolves an unknown outcome by reading the key back without a fence, which is the
+// mistake that the marker avoids.
+type readBack struct{ platform.Store }
 
-func (h hasty) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (h readBack) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	reply, err := h.Store.Commit(ctx, txn)
 	if !errors.Is(err, platform.ErrUnknownOutcome) {
 		return reply, err
@@ -160,9 +160,9 @@
 	return platform.TxnReply{}, platform.ErrUnavailable
 }
 
-// TestFaultOfReadingBackIsSeen shows that the property tells a wrong way of
-// settling: a late request, and a key overwritten since.
-func TestFaultOfReadingBackIsSeen(t *testing.T) {
+// TestReadBackIsDetected checks that the property detects a wrong resolution: with a late request,
+// and with a key that was overwritten since.
+func TestReadBackIsDetected(t *testing.T) {
 	late := []step{
 		{client: 0, faults: &memstore.Faults{RequestDelayMS: 3000}},
 		{client: 0, deadline: time.Second, blind: true},
@@ -176,11 +176,11 @@
 	for name, steps := range map[string][]step{"late": late, "overwritten": overwritten} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if len(run(steps, func(s platform.Store) platform.Store { return hasty{s} })) == 0 {
-					t.Error("not seen")
+				if len(run(steps, func(s platform.Store) platform.Store { return readBack{s} })) == 0 {
+					t.Error("mismatch not detected")
 				}
-				if wrong := run(steps, confirmed); len(wrong) > 0 {
-					t.Error(wrong)
+				if mismatches := run(steps, confirmed); len(mismatches) > 0 {
+					t.Error(mismatches)
 				}
 			})
 		})
--- a/internal/platform/failure.go
+++ b/internal/platform/failure.go
@@ -6,9 +6,9 @@
 	"pulleyquay/internal/result"
 )
 
-// Failure turns an error of a Store into a numbered one for a reply. Only
-// ErrUnavailable promises that nothing took effect; an error of no known kind
-// leaves the outcome unknown. It returns nil for a nil error.
+// Failure converts an error of a Store into a result with a code for a reply. Only
+// ErrUnavailable guarantees that nothing took effect; after an error of no known kind the
+// outcome is unknown. It returns nil for a nil error.
 func Failure(err error) *result.Error {
 	var coded *result.Error
 	switch {
--- a/internal/platform/groupcommit/group.go
+++ b/internal/platform/groupcommit/group.go
@@ -3,26 +3,26 @@
 import "pulleyquay/internal/platform"
 
 const (
-	// maxOps is how many conditions or writes a group may have: one less than
-	// the store takes, so that a wrapped store can add one of its own.
+	// maxOps is the maximum number of conditions or writes of a group: one less than the store's
+	// limit, so that a wrapped store can add one of its own.
 	maxOps = platform.MaxTxnOps - 1
-	// maxBytes bounds the values of a group. The published service takes
-	// requests of a megabyte and a half.
+	// maxBytes is the maximum total size of a group's values. The published service accepts
+	// requests of 1.5 MB.
 	maxBytes = platform.MaxValueBytes
 )
 
-// forming is a group to which transactions are added while they fit.
+// forming is a group that is being filled with transactions.
 type forming struct {
-	group    []*waiter
-	expected map[string]platform.Revision // by condition
-	written  map[string]struct{}
-	bytes    int
+	group       []*waiter
+	expected    map[string]platform.Revision // revisions in the conditions, by key
+	writtenKeys map[string]struct{}
+	bytes       int
 }
 
-// split takes from the queue the first transaction and all that fit with it,
-// and returns the others in their order.
+// split returns the first transaction of the queue with all that fit into a group with it, and
+// the remaining transactions in their order.
 func split(queue []*waiter) (group, rest []*waiter) {
-	f := forming{expected: map[string]platform.Revision{}, written: map[string]struct{}{}}
+	f := forming{expected: map[string]platform.Revision{}, writtenKeys: map[string]struct{}{}}
 	for _, w := range queue {
 		if len(f.group) > 0 && !f.fits(w.txn) {
 			rest = append(rest, w)
@@ -33,21 +33,21 @@
 	return f.group, rest
 }
 
-// fits reports whether a transaction can join without changing what any of the
-// group means: it shares no written key with them, agrees on conditions, and
-// leaves the group within the limits.
+// fits reports whether a transaction can join the group without changing the effect of any
+// member: it shares no written key with the group, its conditions agree with the group's, and
+// the group stays within the limits.
 func (f *forming) fits(txn platform.Txn) bool {
 	for _, c := range txn.If {
 		if revision, ok := f.expected[c.Key]; ok && revision != c.ModRevision {
 			return false
 		}
-		if _, ok := f.written[c.Key]; ok {
+		if _, ok := f.writtenKeys[c.Key]; ok {
 			return false
 		}
 	}
 	bytes := f.bytes
 	for _, w := range txn.Then {
-		if _, ok := f.written[w.Key]; ok {
+		if _, ok := f.writtenKeys[w.Key]; ok {
 			return false
 		}
 		if _, ok := f.expected[w.Key]; ok {
@@ -56,23 +56,23 @@
 		bytes += len(w.Value)
 	}
 	return bytes <= maxBytes &&
-		len(f.expected)+len(txn.If) <= maxOps && len(f.written)+len(txn.Then) <= maxOps
+		len(f.expected)+len(txn.If) <= maxOps && len(f.writtenKeys)+len(txn.Then) <= maxOps
 }
 
-// add puts a transaction into the group.
+// add adds a transaction to the group.
 func (f *forming) add(w *waiter) {
 	f.group = append(f.group, w)
 	for _, c := range w.txn.If {
 		f.expected[c.Key] = c.ModRevision
 	}
 	for _, write := range w.txn.Then {
-		f.written[write.Key] = struct{}{}
+		f.writtenKeys[write.Key] = struct{}{}
 		f.bytes += len(write.Value)
 	}
 }
 
-// merge makes one transaction of a group. Conditions that several of them share
-// stand once.
+// merge combines a group into one transaction. A condition that several members share is
+// included once.
 func merge(group []*waiter) platform.Txn {
 	if len(group) == 1 {
 		return group[0].txn
@@ -81,7 +81,7 @@
 	seen := map[string]struct{}{}
 	for _, w := range group {
 		for _, c := range w.txn.If {
-			if _, twice := seen[c.Key]; twice {
+			if _, included := seen[c.Key]; included {
 				continue
 			}
 			seen[c.Key] = struct{}{}
--- a/internal/platform/groupcommit/groupcommit.go
+++ b/internal/platform/groupcommit/groupcommit.go
@@ -1,6 +1,6 @@
-// Package groupcommit puts many small transactions of one process into few
-// calls to the store. Each caller gets the answer to its own transaction: one
-// whose conditions fail does not fail the others of its group.
+// Package groupcommit combines the small transactions of one process into few calls to the store.
+// Each caller gets the result of its own transaction: one whose conditions fail does not fail the
+// other transactions of its group.
 package groupcommit
 
 import (
@@ -17,26 +17,26 @@
 
 // Defaults of Options.
 const (
-	// DefaultLinger is how long the first transaction waits for others.
+	// DefaultLinger is how long the first transaction of a group waits for others.
 	DefaultLinger = 2 * time.Millisecond
-	// DefaultMaxInFlight is how many groups may be under way. While all are,
-	// later transactions gather.
+	// DefaultMaxInFlight is the maximum number of groups in flight. While it is reached, further
+	// transactions are queued.
 	DefaultMaxInFlight = 2
-	// DefaultCommitTime bounds the commit of a group, settling included.
+	// DefaultCommitTime is the time limit of a group's commit, including the resolution of an
+	// unknown outcome.
 	DefaultCommitTime = 5 * time.Second
 )
 
-// Options set up a Store. Zero fields take their defaults; a negative Linger is
-// none.
+// Options configure a Store. Zero fields take their defaults; a negative Linger means none.
 type Options struct {
 	Linger      time.Duration
 	MaxInFlight int
 	CommitTime  time.Duration
-	// Registry gets the counters.
+	// Registry is where the counters are registered.
 	Registry prometheus.Registerer
 }
 
-// withDefaults fills in what is zero.
+// withDefaults returns the options with zero fields replaced.
 func (o Options) withDefaults() Options {
 	if o.Linger == 0 {
 		o.Linger = DefaultLinger
@@ -53,8 +53,8 @@
 	return o
 }
 
-// Store is a platform.Store that groups commits. Everything else goes to the
-// wrapped store as it is.
+// Store is a platform.Store that groups commits. All other calls go to the wrapped store
+// unchanged.
 type Store struct {
 	platform.Store
 	options Options
@@ -69,20 +69,20 @@
 
 var _ platform.Store = (*Store)(nil)
 
-// waiter is one transaction whose caller waits.
+// waiter is one transaction with its waiting caller.
 type waiter struct {
 	txn   platform.Txn
-	until time.Time    // when the caller gives up
-	done  chan outcome // has room for the one answer
+	until time.Time    // deadline of the caller
+	done  chan outcome // buffered for the one result
 }
 
-// outcome is the answer to one transaction.
+// outcome is the result of one transaction.
 type outcome struct {
 	reply platform.TxnReply
 	err   error
 }
 
-// New wraps a store. It fails when the registry already has the counters.
+// New wraps a store. It fails if the counters are already registered.
 func New(inner platform.Store, o Options) (*Store, error) {
 	o = o.withDefaults()
 	s := &Store{
@@ -103,9 +103,8 @@
 	return s, nil
 }
 
-// Commit applies a transaction, together with others. A caller that gives up
-// gets ErrUnavailable while its transaction was not sent, else
-// ErrUnknownOutcome.
+// Commit applies a transaction together with others. If ctx ends first, the error is
+// ErrUnavailable if the transaction was not sent, else ErrUnknownOutcome.
 func (s *Store) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	if err := txn.Check(); err != nil {
 		return platform.TxnReply{}, err
@@ -120,21 +119,21 @@
 	case o := <-w.done:
 		return o.reply, o.err
 	case <-ctx.Done():
-		return s.giveUp(ctx, w)
+		return s.cancel(ctx, w)
 	}
 }
 
-// until is when the caller of ctx gives up; one without a deadline waits for a
-// group to be sent and for its commit.
+// until returns the deadline of ctx. Without one, the caller waits for its group to be sent and
+// committed.
 func (s *Store) until(ctx context.Context) time.Time {
 	if deadline, ok := ctx.Deadline(); ok {
 		return deadline
 	}
-	const ample = time.Hour // cut to the time for a commit when the group is sent
+	const ample = time.Hour // limited to CommitTime when the group is sent
 	return time.Now().Add(ample)
 }
 
-// enqueue adds a transaction and sees to it that a group forms.
+// enqueue adds a transaction to the queue and schedules a group for it.
 func (s *Store) enqueue(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,8 +141,8 @@
 	s.schedule()
 }
 
-// schedule starts the forming of the next group, unless one is forming already
-// or as many as may be are under way. The lock is held.
+// schedule starts the timer of the next group, unless it is running already or MaxInFlight groups
+// are in flight. The lock is held.
 func (s *Store) schedule() {
 	if s.lingering || s.inFlight >= s.options.MaxInFlight || len(s.queue) == 0 {
 		return
@@ -152,13 +151,13 @@
 	time.AfterFunc(s.options.Linger, s.send)
 }
 
-// send commits the next group and answers its waiters.
+// send commits the next group and delivers the results to its waiters.
 func (s *Store) send() {
 	s.mu.Lock()
 	s.lingering = false
 	var group []*waiter
 	group, s.queue = split(s.queue)
-	if len(group) == 0 { // all have given up
+	if len(group) == 0 { // all callers have cancelled
 		s.mu.Unlock()
 		return
 	}
@@ -176,8 +175,7 @@
 	s.schedule()
 }
 
-// deadline is when the last of the group's callers gives up, at most the time
-// for a commit from now.
+// deadline returns the latest deadline of the group's callers, at most CommitTime from now.
 func (s *Store) deadline(group []*waiter) time.Time {
 	var latest time.Time
 	for _, w := range group {
@@ -185,16 +183,16 @@
 			latest = w.until
 		}
 	}
-	if most := time.Now().Add(s.options.CommitTime); latest.After(most) {
-		return most
+	if limit := time.Now().Add(s.options.CommitTime); latest.After(limit) {
+		return limit
 	}
 	return latest
 }
 
-// giveUp takes back a transaction that was not sent.
-func (s *Store) giveUp(ctx context.Context, w *waiter) (platform.TxnReply, error) {
+// cancel removes a transaction that was not sent from the queue.
+func (s *Store) cancel(ctx context.Context, w *waiter) (platform.TxnReply, error) {
 	select {
-	case o := <-w.done: // answered at the same moment
+	case o := <-w.done: // the result arrived at the same moment
 		return o.reply, o.err
 	default:
 	}
@@ -209,16 +207,16 @@
 	return platform.TxnReply{}, fmt.Errorf("%w: %w", platform.ErrUnknownOutcome, ctx.Err())
 }
 
-// commitGroup commits a group until each of its transactions is answered.
+// commitGroup commits a group until each of its transactions has a result.
 func (s *Store) commitGroup(ctx context.Context, group []*waiter) {
 	for len(group) > 0 {
 		s.calls.Inc()
 		reply, err := s.Store.Commit(ctx, merge(group))
 		switch {
 		case err == nil && !reply.Applied:
-			group = s.answerRefused(ctx, group, reply)
+			group = s.completeRefused(ctx, group, reply)
 			continue
-		case err != nil && len(group) > 1 && ownFault(err):
+		case err != nil && len(group) > 1 && rejectedByContent(err):
 			half := len(group) / 2
 			s.commitGroup(ctx, group[:half])
 			group = group[half:]
@@ -231,30 +229,30 @@
 	}
 }
 
-// ownFault reports whether a commit failed for what is in it, without effect.
-func ownFault(err error) bool {
+// rejectedByContent reports whether a commit was refused because of its content, without effect.
+func rejectedByContent(err error) bool {
 	return errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrLeaseGone)
 }
 
-// answerRefused answers the transactions whose conditions failed, and returns
-// the others to be tried again.
-func (s *Store) answerRefused(ctx context.Context, group []*waiter, reply platform.TxnReply) []*waiter {
-	present := make(map[string]platform.Record, len(reply.Found))
+// completeRefused delivers results to the transactions whose conditions failed, and returns the
+// others to be tried again.
+func (s *Store) completeRefused(ctx context.Context, group []*waiter, reply platform.TxnReply) []*waiter {
+	current := make(map[string]platform.Record, len(reply.Found))
 	for _, r := range reply.Found {
-		present[r.Key] = r
+		current[r.Key] = r
 	}
 	var rest []*waiter
 	for _, w := range group {
-		if holds(w.txn.If, present) {
+		if holds(w.txn.If, current) {
 			rest = append(rest, w)
 			continue
 		}
-		w.done <- outcome{reply: platform.TxnReply{Revision: reply.Revision, Found: found(w.txn.If, present)}}
+		w.done <- outcome{reply: platform.TxnReply{Revision: reply.Revision, Found: found(w.txn.If, current)}}
 	}
 	if len(rest) < len(group) {
 		return rest
 	}
-	// The store's answer does not say whose conditions failed: ask for each.
+	// The reply does not show whose conditions failed: commit each transaction separately.
 	for _, w := range group {
 		s.calls.Inc()
 		reply, err := s.Store.Commit(ctx, w.txn)
@@ -263,21 +261,21 @@
 	return nil
 }
 
-// holds reports whether all conditions are met by the present records.
-func holds(conditions []platform.Condition, present map[string]platform.Record) bool {
+// holds reports whether all conditions hold for the current records.
+func holds(conditions []platform.Condition, current map[string]platform.Record) bool {
 	for _, c := range conditions {
-		if present[c.Key].ModRevision != c.ModRevision {
+		if current[c.Key].ModRevision != c.ModRevision {
 			return false
 		}
 	}
 	return true
 }
 
-// found returns the present records of the keys in the conditions.
-func found(conditions []platform.Condition, present map[string]platform.Record) []platform.Record {
+// found returns the current records of the keys in the conditions.
+func found(conditions []platform.Condition, current map[string]platform.Record) []platform.Record {
 	var out []platform.Record
 	for _, c := range conditions {
-		if r, ok := present[c.Key]; ok {
+		if r, ok := current[c.Key]; ok {
 			out = append(out, r)
 		}
 	}
--- a/internal/platform/groupcommit/groupcommit_test.go
+++ b/internal/platform/groupcommit/groupcommit_test.go
@@ -21,21 +21,21 @@
 	"pulleyquay/internal/platform/platformtest"
 )
 
-// counting counts the commits that reach the store.
-type counting struct {
+// countingStore counts the commits that reach the store.
+type countingStore struct {
 	platform.Store
 	commits atomic.Int64
 }
 
-func (c *counting) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (c *countingStore) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	c.commits.Add(1)
 	return c.Store.Commit(ctx, txn)
 }
 
-func newStore(t testing.TB) (*memstore.Engine, *counting, *groupcommit.Store) {
+func newStore(t testing.TB) (*memstore.Engine, *countingStore, *groupcommit.Store) {
 	engine := memstore.New()
 	t.Cleanup(engine.Close)
-	inner := &counting{Store: engine.Client("a")}
+	inner := &countingStore{Store: engine.Client("a")}
 	s, err := groupcommit.New(inner, groupcommit.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -58,11 +58,11 @@
 	return platform.Condition{Key: key, ModRevision: r}
 }
 
-// together commits all transactions at the same moment and returns the answers,
-// in short, and the number of calls that it took.
-func together(t *testing.T, txns ...platform.Txn) ([]string, int64) {
+// commitTogether commits all transactions at the same moment and returns the results in short form
+// and the number of calls to the store.
+func commitTogether(t *testing.T, txns ...platform.Txn) ([]string, int64) {
 	engine, inner, s := newStore(t)
-	_, err := engine.Client("judge").Commit(t.Context(), put("there")) // at revision 2
+	_, err := engine.Client("observer").Commit(t.Context(), put("there")) // at revision 2
 	is.New(t).NoErr(err)
 	answers := make([]string, len(txns))
 	var wg sync.WaitGroup
@@ -113,7 +113,7 @@
 		calls   int64
 	}{
 		"alone":                     {[]platform.Txn{put("a")}, []string{"applied"}, 1},
-		"strangers":                 {[]platform.Txn{put("a"), put("b"), put("c", at("c", 0))}, []string{"applied", "applied", "applied"}, 1},
+		"independent":               {[]platform.Txn{put("a"), put("b"), put("c", at("c", 0))}, []string{"applied", "applied", "applied"}, 1},
 		"one condition for all":     {many, allApplied, 3},
 		"one fails":                 {[]platform.Txn{put("a"), put("b", at("there", 9)), put("c")}, []string{"applied", "refused there@2", "applied"}, 2},
 		"two fail":                  {[]platform.Txn{put("a", at("x", 9)), put("b", at("there", 0)), put("c")}, []string{"refused", "refused there@2", "applied"}, 2},
@@ -130,7 +130,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				answers, calls := together(t, test.txns...)
+				answers, calls := commitTogether(t, test.txns...)
 				is.Equal(answers, test.answers)
 				is.Equal(calls, test.calls)
 			})
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestGivingUp ends a caller's context before its group is sent, and after.
-func TestGivingUp(t *testing.T) {
+// TestCancelledCallers cancels a caller's context before its group is sent, and after.
+func TestCancelledCallers(t *testing.T) {
 	tests := map[string]struct {
 		after time.Duration
 		want  error
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestSlowStoreGathers has as many groups under way as may be, and
-// then sees the gathered rest go as one.
+// TestSlowStoreGathers keeps the maximum number of groups in flight and checks that the
+// transactions queued meanwhile are sent as one group.
 func TestSlowStoreGathers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -186,11 +186,10 @@
 	})
 }
 
-// TestAnswersAreTrue draws transactions of concurrent callers over few keys and
-// faults below, with settling in between, and compares each answer with the
-// store: a key that only this transaction writes is there if, and only if, the
-// answer says so.
-func TestAnswersAreTrue(t *testing.T) {
+// TestResultsAreCorrect draws transactions of concurrent callers over few keys, and faults of the
+// store below package confirm, and compares each result with the store: a key that only this
+// transaction writes must exist if and only if the result is "applied".
+func TestResultsAreCorrect(t *testing.T) {
 	type drawn struct {
 		key, expect int
 		pause       int64
@@ -207,7 +206,7 @@
 			}
 			return d
 		}), 1, 60).Draw(rt, "plan")
-		var wrong string
+		var mismatches string
 		synctest.Test(t, func(t *testing.T) {
 			engine := memstore.New()
 			defer engine.Close()
@@ -233,15 +232,15 @@
 			engine.Client("a").SetFaults(memstore.Faults{})
 			time.Sleep(time.Minute)
 			for i, answer := range answers {
-				records, _, err := engine.Client("judge").List(t.Context(), fmt.Sprintf("own/%d", i))
-				there := err == nil && len(records) > 0 && records[0].Key == fmt.Sprintf("own/%d", i)
-				if answer != "unknown" && there != (answer == "applied") {
-					wrong += fmt.Sprintf("%d: %s, there=%t; ", i, answer, there)
+				records, _, err := engine.Client("observer").List(t.Context(), fmt.Sprintf("own/%d", i))
+				found := err == nil && len(records) > 0 && records[0].Key == fmt.Sprintf("own/%d", i)
+				if answer != "unknown" && found != (answer == "applied") {
+					mismatches += fmt.Sprintf("%d: %s, there=%t; ", i, answer, found)
 				}
 			}
 		})
-		if wrong != "" {
-			rt.Fatal(wrong)
+		if mismatches != "" {
+			rt.Fatal(mismatches)
 		}
 	})
 }
@@ -254,8 +253,8 @@
 	is.New(t).True(err != nil)
 }
 
-// BenchmarkCallsSaved commits small records from 64 callers at a store that
-// answers after 2 ms, and reports how many calls reach it a record.
+// BenchmarkCallsSaved commits small records from 64 callers to a store that replies after 2 ms, and
+// reports the number of calls to the store per record.
 func BenchmarkCallsSaved(b *testing.B) {
 	engine, inner, s := newStore(b)
 	engine.SetFaults(memstore.Faults{AnswerDelayMS: 2})
--- a/internal/platform/hostcache/hostcache.go
+++ b/internal/platform/hostcache/hostcache.go
@@ -1,6 +1,5 @@
-// Package hostcache keeps the last list of hosts that the platform gave. The
-// list lags and the platform has outages, so the last one stays in use until a
-// newer one comes.
+// Package hostcache caches the platform's host list. The list lags and the platform has outages,
+// so the last list remains in use until a newer one is read.
 package hostcache
 
 import (
@@ -16,11 +15,11 @@
 	"pulleyquay/internal/platform"
 )
 
-// jitter is the part of the interval by which each wait varies, so that the
-// processes of a cell do not ask at the same moment.
+// jitter is the fraction of the interval by which each wait varies, so that the processes of a
+// cell do not poll at the same moment.
 const jitter = 0.2
 
-// Cache polls a host list.
+// Cache polls a host list and keeps its last version.
 type Cache struct {
 	list     platform.HostList
 	interval time.Duration
@@ -30,7 +29,7 @@
 	polls    *prometheus.CounterVec
 }
 
-// New returns a cache that asks list every interval once Run is called.
+// New returns a cache that polls list at the given interval once Run is called.
 func New(list platform.HostList, interval time.Duration, reg prometheus.Registerer, log *logrus.Entry) *Cache {
 	return &Cache{
 		list: list, interval: interval, log: log,
@@ -40,7 +39,7 @@
 	}
 }
 
-// Hosts returns the last list, nil before the first. Callers must not change it.
+// Hosts returns the last list, or nil before the first one. Callers must not modify it.
 func (c *Cache) Hosts() []platform.Host {
 	if h := c.hosts.Load(); h != nil {
 		return *h
@@ -48,7 +47,7 @@
 	return nil
 }
 
-// Lacks says that no list has come yet.
+// Lacks reports the reason for which the process is not ready: no list has been read yet.
 func (c *Cache) Lacks() []string {
 	if c.hosts.Load() == nil {
 		return []string{"host list: the platform has not answered"}
@@ -74,23 +73,23 @@
 	hosts, err := c.list.Hosts(ctx)
 	if err != nil {
 		c.polls.WithLabelValues("failed").Inc()
-		c.note(true, err)
+		c.recordPoll(true, err)
 		return
 	}
 	c.polls.WithLabelValues("ok").Inc()
 	c.hosts.Store(&hosts)
-	c.note(false, nil)
+	c.recordPoll(false, nil)
 }
 
-// note logs only when polling turns from good to bad or back.
-func (c *Cache) note(failing bool, err error) {
+// recordPoll logs only when polling starts to fail or succeeds again.
+func (c *Cache) recordPoll(failing bool, err error) {
 	if failing == c.failing {
 		return
 	}
 	c.failing = failing
 	if failing {
-		c.log.WithError(err).Warn("host list not reached, keeping the last one")
+		c.log.WithError(err).Warn("host list poll failed; using the last list")
 		return
 	}
-	c.log.Info("host list reached again")
+	c.log.Info("host list poll succeeded again")
 }
--- a/internal/platform/hosthttp/client.go
+++ b/internal/platform/hosthttp/client.go
@@ -1,4 +1,4 @@
-// Package hosthttp reads the platform's list of hosts as JSON over HTTP.
+// Package hosthttp reads the platform's host list as JSON over HTTP.
 package hosthttp
 
 import (
@@ -16,9 +16,9 @@
 )
 
 const (
-	// Path is where the list is read.
+	// Path is the path of the list.
 	Path = "/v1/hosts"
-	// DefaultTimeout bounds one read.
+	// DefaultTimeout is the time limit of one read.
 	DefaultTimeout = 3 * time.Second
 	// maxReply bounds the list, in bytes.
 	maxReply = 16 << 20
@@ -29,8 +29,8 @@
 	Hosts []platform.Host `json:"hosts"`
 }
 
-// Client implements platform.HostList. It asks for the list only if it has
-// changed, where the platform tells that by an ETag.
+// Client implements platform.HostList. Where the platform sends an ETag, the list is transferred
+// only if it has changed.
 type Client struct {
 	url  string
 	http *http.Client
@@ -39,7 +39,7 @@
 	last version
 }
 
-// version is a list with the ETag that the platform gave it, or without one.
+// version is a list with its ETag; the ETag may be empty.
 type version struct {
 	etag  string
 	hosts []platform.Host
@@ -47,7 +47,7 @@
 
 var _ platform.HostList = (*Client)(nil)
 
-// New returns a client of the list at base, host:port or with http://.
+// New returns a client of the list at base: host:port, optionally with http://.
 func New(base string) *Client {
 	if !strings.Contains(base, "://") {
 		base = "http://" + base
@@ -58,17 +58,16 @@
 	}
 }
 
-// Hosts implements platform.HostList. A list that is cut short, or in which an
-// entry lacks its name or address or has an unknown role, is refused whole with
-// result.HostListMalformed.
+// Hosts implements platform.HostList. A truncated list, or one with an entry that lacks its name
+// or address or has an unknown role, is refused as a whole with result.HostListMalformed.
 func (c *Client) Hosts(ctx context.Context) ([]platform.Host, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
 		return nil, unavailable(err)
 	}
-	known := c.known()
-	if known.etag != "" {
-		request.Header.Set("If-None-Match", known.etag)
+	lastVersion := c.lastVersion()
+	if lastVersion.etag != "" {
+		request.Header.Set("If-None-Match", lastVersion.etag)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -76,15 +75,15 @@
 	}
 	defer response.Body.Close()
 	switch {
-	case response.StatusCode == http.StatusNotModified && known.etag != "":
-		return slices.Clone(known.hosts), nil
+	case response.StatusCode == http.StatusNotModified && lastVersion.etag != "":
+		return slices.Clone(lastVersion.hosts), nil
 	case response.StatusCode != http.StatusOK:
 		return nil, result.New(result.HostListUnavailable, result.RanNo, "status %d", response.StatusCode)
 	}
 	return c.read(response)
 }
 
-// read takes in a new list.
+// read decodes a new list and stores it with its ETag.
 func (c *Client) read(response *http.Response) ([]platform.Host, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
 	if err != nil {
@@ -100,15 +99,14 @@
 	return hosts, nil
 }
 
-// known returns the last list that was read.
-func (c *Client) known() version {
+// lastVersion returns the last list that was read.
+func (c *Client) lastVersion() version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.last
 }
 
-// decode reads and checks the list. Names that are not known here are left to
-// the platform to add.
+// decode decodes and checks the list. Unknown fields are ignored, as the platform may add some.
 func decode(body []byte) ([]platform.Host, error) {
 	var reply Reply
 	if err := json.Unmarshal(body, &reply); err != nil {
@@ -125,7 +123,7 @@
 	return reply.Hosts, nil
 }
 
-// unavailable is the error of a list that was not read.
+// unavailable returns the error of a list that could not be read.
 func unavailable(err error) error {
 	return result.New(result.HostListUnavailable, result.RanNo, "%v", err)
 }
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -5,21 +5,20 @@
 	"unicode/utf8"
 )
 
-// Limits of the platform's store. A call beyond them fails with ErrRefused.
+// Limits of the platform's store. A call that exceeds them fails with ErrRefused.
 const (
-	// MaxValueBytes bounds one value.
+	// MaxValueBytes is the maximum size of one value.
 	MaxValueBytes = 1 << 20
-	// MaxTxnOps bounds the conditions, and apart from them the writes, of one
-	// transaction.
+	// MaxTxnOps is the maximum number of conditions in one transaction, and separately of writes.
 	MaxTxnOps = 128
 )
 
-// ErrRefused: the store will never accept the call as it is, and it did not
-// take effect. It is also an ErrUnavailable.
+// ErrRefused means that the store never accepts the call in this form and that the call did not
+// take effect. It wraps ErrUnavailable.
 var ErrRefused = fmt.Errorf("%w: refused", ErrUnavailable)
 
-// Check returns an ErrRefused when the transaction is beyond the limits or
-// writes a key twice, which the store does not allow.
+// Check returns ErrRefused if the transaction exceeds the limits or writes a key twice, which
+// the store does not allow.
 func (t Txn) Check() error {
 	if len(t.If) > MaxTxnOps || len(t.Then) > MaxTxnOps {
 		return fmt.Errorf("%w: %d conditions and %d writes, at most %d each", ErrRefused, len(t.If), len(t.Then), MaxTxnOps)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the port to what the platform gives: the key-value
-// service and the lagging list of hosts. Implementations live in subpackages
-// and pass the contract tests of platformtest.
+// Package platform defines the interfaces to the platform's services: the key-value store and
+// the lagging host list. The implementations are in subpackages and pass the contract tests of
+// package platformtest.
 package platform
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Revision orders changes in the store. Every accepted write makes it grow.
+// Revision orders changes in the store. Every applied write increases it.
 type Revision int64
 
-// LeaseID names a lease in the store; zero is no lease.
+// LeaseID identifies a lease in the store; 0 means no lease.
 type LeaseID int64
 
 // Record is one key with its value.
@@ -35,23 +35,24 @@
 	Key    string
 	Value  []byte
 	Delete bool
-	// Lease deletes the key when the lease ends; zero keeps it for ever.
+	// Lease is the lease that the key is attached to: the key is deleted when the lease ends.
+	// A key with lease 0 is permanent.
 	Lease LeaseID
 }
 
-// Txn is a set of conditions and the writes to apply when all hold.
+// Txn is a set of conditions and the writes to apply if all conditions hold.
 type Txn struct {
 	If   []Condition
 	Then []Write
 }
 
-// TxnReply tells what became of a transaction.
+// TxnReply is the result of a transaction.
 type TxnReply struct {
-	// Applied is true when every condition held and the writes are in force.
+	// Applied is true if every condition held and the writes were applied.
 	Applied bool
 	// Revision is the store's revision after the transaction.
 	Revision Revision
-	// Found holds the present records of the keys in If when Applied is false.
+	// Found holds the current records of the keys in If, if Applied is false.
 	Found []Record
 }
 
@@ -62,55 +63,56 @@
 	Deleted bool
 }
 
-// Batch is what a watch delivers at a time, in revision order.
+// Batch is a set of changes delivered together by a watch, in revision order.
 type Batch struct {
 	Changes []Change
-	// Revision is the revision up to which the watcher has now seen everything.
+	// Revision is the revision up to which the watcher has received all changes.
 	Revision Revision
 }
 
-// Errors of a store. Every other error counts as ErrUnknownOutcome for writes.
+// Errors of a store. For a write, every other error counts as ErrUnknownOutcome.
 var (
-	// ErrUnavailable: the call certainly did not take effect.
+	// ErrUnavailable means that the call certainly did not and will not take effect.
 	ErrUnavailable = errors.New("platform: store not reached")
-	// ErrUnknownOutcome: the call may or may not have taken effect.
+	// ErrUnknownOutcome means that the call may have taken effect, or may still do so.
 	ErrUnknownOutcome = errors.New("platform: outcome unknown")
-	// ErrLeaseGone: the lease has ended or never was.
+	// ErrLeaseGone means that the lease has ended or never existed.
 	ErrLeaseGone = errors.New("platform: lease gone")
-	// ErrCompacted: a watch asked for changes the store no longer holds; list again.
+	// ErrCompacted means that the store no longer has the changes that a watch requested; the
+	// client has to list again.
 	ErrCompacted = errors.New("platform: revision compacted")
 )
 
-// Store is the platform's key-value service. Each method is one call against
-// the platform's budget; a waiting Watch is one call.
+// Store is the platform's key-value service. Each method is one call against the platform's
+// rate limits; an open Watch counts as one call.
 type Store interface {
-	// Get returns the records under the prefix in key order and the store's
-	// revision at that moment. A full key is its own prefix.
+	// List returns the records under the prefix in key order and the store's revision at that
+	// moment. To read one key, pass the whole key as the prefix.
 	List(ctx context.Context, prefix string) ([]Record, Revision, error)
 	// Commit applies a transaction atomically. Keys are UTF-8 text.
 	Commit(ctx context.Context, txn Txn) (TxnReply, error)
-	// Watch sends every change under the prefix after the given revision to
-	// fn, in order, until ctx ends or the watch breaks; it returns the reason.
+	// Watch passes every change under the prefix after the given revision to fn, in order, until
+	// ctx ends or the watch fails; it returns the reason.
 	Watch(ctx context.Context, prefix string, after Revision, fn func(Batch)) error
-	// Grant makes a lease of ttlSeconds, counted from its arrival at the store.
+	// Grant creates a lease of ttlSeconds, counted from the arrival of the call at the store.
 	Grant(ctx context.Context, ttlSeconds int64) (LeaseID, error)
-	// KeepAlive starts the lease's term anew. ErrLeaseGone is final.
+	// KeepAlive restarts the lease's term. ErrLeaseGone is permanent.
 	KeepAlive(ctx context.Context, id LeaseID) error
 	// Revoke ends the lease at once and deletes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
 }
 
-// Role is what a listed host does.
+// Role is the kind of a host in the host list.
 type Role string
 
-// The roles in the host list.
+// Roles of hosts in the host list.
 const (
 	RoleWorker   Role = "worker"
 	RoleExecutor Role = "executor"
 )
 
-// Host is one entry of the host list. The list lags: it is a hint, never proof
-// that a host is up or down.
+// Host is one entry of the host list. The list lags: it does not prove that a host is up or
+// down.
 type Host struct {
 	Name string `json:"name"`
 	Role Role   `json:"role"`
@@ -118,28 +120,26 @@
 	Addr string `json:"addr"`
 	Rack string `json:"rack"`
 	Zone string `json:"zone"`
-	// Service is the service an executor answers for.
+	// Service is the service whose requests an executor answers.
 	Service string `json:"service,omitempty"`
-	// Leaving hosts get nothing new.
+	// Leaving is true for a host that must not get new work.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// HostList is the platform's list of hosts.
+// HostList provides the platform's list of hosts.
 type HostList interface {
-	// Hosts returns the whole list as last known to the platform.
+	// Hosts returns the whole list in the platform's most recent version.
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// Poller is a Store whose changes can also be asked for call by call. Every
-// method is one call.
+// Poller is a Store whose changes can also be read with long polls. Every method is one call.
 type Poller interface {
 	Store
 	// Get returns the record of one key; ok is false when there is none.
 	Get(ctx context.Context, key string) (rec Record, ok bool, err error)
-	// ListStale is List at a fraction of the price; the answer may be seconds old.
+	// ListStale is List at a fraction of its cost; the result may be seconds old.
 	ListStale(ctx context.Context, prefix string) ([]Record, Revision, error)
-	// Changes returns the changes under the prefix after a revision as soon as
-	// there is one, or an empty batch after the wait. It fails with ErrCompacted
-	// when the store no longer holds them.
+	// Changes returns the changes under the prefix after a revision as soon as there is one, or an
+	// empty batch after the wait. It fails with ErrCompacted if the store no longer has the changes.
 	Changes(ctx context.Context, prefix string, after Revision, wait time.Duration) (Batch, error)
 }
