--- a/internal/platform/etcdhttp/client.go
+++ b/internal/platform/etcdhttp/client.go
@@ -1,8 +1,8 @@
-// Package etcdhttp is a client of the platform's key-value service over the
-// published etcd v3 JSON gateway: plain JSON over HTTP/1.1.
+// Package etcdhttp is a client of the platform's key-value service over the published etcd v3
+// JSON gateway: JSON over HTTP/1.1.
 //
-// A write is sent at most once. It fails with platform.ErrUnavailable only when
-// certainly no byte of it was sent; the next endpoint is then tried.
+// A write is sent at most once. It fails with platform.ErrUnavailable only if it is certain that
+// no byte of it was sent; in that case the next endpoint is tried.
 package etcdhttp
 
 import (
@@ -28,25 +28,24 @@
 	DefaultIdleTimeout = 30 * time.Second
 )
 
-// maxReply bounds the body of a reply that is read whole, in bytes.
-const maxReply = 64 << 20
+// maxReplyBytes is the maximum size of a reply's body, except for the streams of watches.
+const maxReplyBytes = 64 << 20
 
-// Options tell how to reach the service. Zero durations take the defaults.
+// Options configure a Client. Zero durations take the defaults.
 type Options struct {
-	// Endpoints are the service's addresses, host:port or http://host:port.
+	// Endpoints are the service's addresses: host:port or http://host:port.
 	Endpoints []string
-	// Name is sent as the user agent, so that operators of the service can
-	// tell the callers apart.
+	// Name is sent as the user agent, so that the operators of the service can identify callers.
 	Name string
-	// Timeout bounds each call other than a watch.
+	// Timeout is the time limit of each call except a watch.
 	Timeout time.Duration
-	// DialTimeout bounds the setting up of a connection.
+	// DialTimeout is the time limit for opening a connection.
 	DialTimeout time.Duration
-	// IdleTimeout closes connections that were not used for so long.
+	// IdleTimeout is how long an unused connection stays open.
 	IdleTimeout time.Duration
 }
 
-// withDefaults fills in what is zero.
+// withDefaults returns the options with zero fields replaced.
 func (o Options) withDefaults() Options {
 	if o.Timeout == 0 {
 		o.Timeout = DefaultTimeout
@@ -65,15 +64,15 @@
 	options   Options
 	endpoints []string      // host:port
 	current   atomic.Int64  // index of the endpoint to try first
-	cluster   atomic.Uint64 // of the first reply; zero before
+	cluster   atomic.Uint64 // cluster ID of the first reply; 0 before
 	calls     *httponce.Client
-	streams   *http.Client // of watches, which change nothing
+	streams   *http.Client // for watches, which are reads and may be repeated
 }
 
 var _ platform.Store = (*Client)(nil)
 
-// New returns a client; it makes no call yet. It fails without endpoints, and
-// for endpoints that are not of the form in Options.
+// New returns a client without making a call. It fails without endpoints, and for endpoints that
+// do not have the form described in Options.
 func New(o Options) (*Client, error) {
 	if len(o.Endpoints) == 0 {
 		return nil, errors.New("etcdhttp: no endpoints")
@@ -104,7 +103,7 @@
 	c.streams.CloseIdleConnections()
 }
 
-// request returns the request of a call at an endpoint, without its body.
+// request returns the HTTP request of a call to an endpoint, without its body.
 func (c *Client) request(addr, path string) *http.Request {
 	return &http.Request{
 		Method: http.MethodPost,
@@ -121,18 +120,18 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", platform.ErrUnavailable, err)
 	}
-	return c.tryEach(func(addr string) error {
-		answer, err := c.calls.Do(ctx, addr, c.request(addr, path), body, maxReply)
+	return c.tryEndpoints(func(addr string) error {
+		response, err := c.calls.Do(ctx, addr, c.request(addr, path), body, maxReplyBytes)
 		if err != nil {
-			return c.failed(err)
+			return c.connectionError(err)
 		}
-		return c.decode(answer, reply)
+		return c.decode(response, reply)
 	})
 }
 
-// tryEach calls fn with one endpoint after the other while no byte was sent. It
-// begins with the endpoint that served last.
-func (c *Client) tryEach(fn func(addr string) error) error {
+// tryEndpoints calls fn with the endpoints in turn for as long as no byte was sent. It starts with
+// the endpoint that served the last call.
+func (c *Client) tryEndpoints(fn func(addr string) error) error {
 	first := c.current.Load()
 	var err error
 	for i := range len(c.endpoints) {
@@ -142,7 +141,7 @@
 			continue
 		}
 		if errors.Is(err, errSent) {
-			at = (at + 1) % len(c.endpoints) // the next call tries another one
+			at = (at + 1) % len(c.endpoints) // the next call starts with another endpoint
 		}
 		c.current.CompareAndSwap(first, int64(at))
 		return err
@@ -150,30 +149,30 @@
 	return err
 }
 
-// The two ways in which a call gets no reply.
+// Errors of a call without a reply.
 var (
 	errNotSent = fmt.Errorf("%w: nothing sent", platform.ErrUnavailable)
 	errSent    = fmt.Errorf("%w: sent and not answered", platform.ErrUnknownOutcome)
 )
 
-// failed turns a failure of the connection into an error of the store. Idle
-// connections may be as dead as the one that failed, so they are closed.
-func (c *Client) failed(err error) error {
-	var failure *httponce.Failure
-	if errors.As(err, &failure) && !failure.Sent {
+// connectionError converts a connection failure into an error of the store. It closes the idle
+// connections, as they may be as dead as the one that failed.
+func (c *Client) connectionError(err error) error {
+	var callFailure *httponce.Failure
+	if errors.As(err, &callFailure) && !callFailure.Sent {
 		return fmt.Errorf("%w: %w", errNotSent, err)
 	}
 	c.calls.Close()
 	return fmt.Errorf("%w: %w", errSent, err)
 }
 
-// decode reads a whole reply. One without a header is none of the service's,
-// even when it is JSON with status 200.
-func (c *Client) decode(answer httponce.Answer, reply headed) error {
-	if answer.Status != http.StatusOK {
-		return refusal(answer.Status, answer.Body)
+// decode decodes a whole reply. A reply without a header is not the service's, even if it is JSON
+// with status 200.
+func (c *Client) decode(response httponce.Answer, reply headed) error {
+	if response.Status != http.StatusOK {
+		return refusal(response.Status, response.Body)
 	}
-	if err := json.Unmarshal(answer.Body, reply); err != nil {
+	if err := json.Unmarshal(response.Body, reply); err != nil {
 		return fmt.Errorf("%w: malformed reply: %w", errSent, err)
 	}
 	if m, ok := reply.(*KeepAliveMessage); ok && m.Error != nil {
@@ -182,21 +181,20 @@
 	return c.checkHeader(reply.header())
 }
 
-// checkHeader refuses the reply of another store than the one that answered
-// first: revisions of the two can not be compared, and what was accepted by the
-// first may be unknown to the other.
+// checkHeader rejects a reply from a store other than the one that replied first: their revisions
+// can not be compared, and writes accepted by the first may be unknown to the other.
 func (c *Client) checkHeader(h Header) error {
 	if h.Revision <= 0 {
 		return fmt.Errorf("%w: reply without a revision", errSent)
 	}
 	c.cluster.CompareAndSwap(0, h.ClusterID)
-	if known := c.cluster.Load(); known != h.ClusterID {
-		return fmt.Errorf("%w: reply of cluster %x, it was %x before", errSent, h.ClusterID, known)
+	if first := c.cluster.Load(); first != h.ClusterID {
+		return fmt.Errorf("%w: reply of cluster %x, it was %x before", errSent, h.ClusterID, first)
 	}
 	return nil
 }
 
-// refusal is the error that a response with another status than 200 stands for.
+// refusal returns the error for a response with a status other than 200.
 func refusal(status int, body []byte) error {
 	var reply ErrorReply
 	if err := json.Unmarshal(body, &reply); err != nil {
@@ -205,11 +203,11 @@
 	return reply.failure()
 }
 
-// leaseNotFound is how the service names a lease that has ended.
+// leaseNotFound is the service's message for a lease that has ended.
 const leaseNotFound = "requested lease not found"
 
-// failure is the error that a refusal stands for. Only a refusal that names its
-// reason is certain: a service in trouble may refuse what it then applies.
+// failure returns the error for a refusal. The outcome is certain only if the refusal states its
+// reason: a failing service may refuse a call that it then applies.
 func (r ErrorReply) failure() error {
 	switch {
 	case r.Code == CodeNotFound && strings.Contains(r.Message, leaseNotFound):
--- a/internal/platform/etcdhttp/client_test.go
+++ b/internal/platform/etcdhttp/client_test.go
@@ -18,7 +18,7 @@
 	"pulleyquay/internal/platform/etcdhttp"
 )
 
-// service is a server that answers its n-th request, from 1 on, as told.
+// service is a server whose n-th response, from 1 on, is produced by a function.
 type service struct {
 	*httptest.Server
 	requests atomic.Int64
@@ -34,7 +34,7 @@
 	return s
 }
 
-// closedAddr is an address that refuses connections.
+// closedAddr returns an address that refuses connections.
 func closedAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -53,31 +53,31 @@
 
 func ok(w http.ResponseWriter) { _, _ = io.WriteString(w, applied) }
 
-// sever closes the connection without an answer.
-func sever() { panic(http.ErrAbortHandler) }
+// closeConnection closes the connection without a response.
+func closeConnection() { panic(http.ErrAbortHandler) }
 
-// TestCommitIsNeverRepeated breaks the n-th call in every way after which a
-// client might send again, on a fresh connection and on a reused one.
+// TestCommitIsNeverRepeated fails a call in every way after which a client might send it again, on
+// a new connection and on a reused one.
 func TestCommitIsNeverRepeated(t *testing.T) {
 	other := serve(t, func(_ int64, w http.ResponseWriter, _ *http.Request) { ok(w) })
-	breaks := map[string]func(w http.ResponseWriter){
-		"no answer":       func(http.ResponseWriter) { sever() },
-		"half a header":   func(w http.ResponseWriter) { raw(w, "HTTP/1.1 200 O") },
-		"half a body":     func(w http.ResponseWriter) { raw(w, "HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n{\"header\":{") },
-		"no JSON":         func(w http.ResponseWriter) { _, _ = io.WriteString(w, "<html>") },
-		"redirect":        func(w http.ResponseWriter) { w.Header().Set("Location", other.URL); w.WriteHeader(307) },
-		"retry later":     func(w http.ResponseWriter) { w.Header().Set("Retry-After", "0"); w.WriteHeader(503) },
-		"unavailable":     func(w http.ResponseWriter) { refusal(w, 503, `{"code":14,"message":"etcdserver: request timed out"}`) },
-		"misdirected":     func(w http.ResponseWriter) { w.WriteHeader(421) },
-		"request timeout": func(w http.ResponseWriter) { raw(w, "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n\r\n") },
+	failures := map[string]func(w http.ResponseWriter){
+		"no response":      func(http.ResponseWriter) { closeConnection() },
+		"truncated header": func(w http.ResponseWriter) { raw(w, "HTTP/1.1 200 O") },
+		"truncated body":   func(w http.ResponseWriter) { raw(w, "HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n{\"header\":{") },
+		"not JSON":         func(w http.ResponseWriter) { _, _ = io.WriteString(w, "<html>") },
+		"redirect":         func(w http.ResponseWriter) { w.Header().Set("Location", other.URL); w.WriteHeader(307) },
+		"retry later":      func(w http.ResponseWriter) { w.Header().Set("Retry-After", "0"); w.WriteHeader(503) },
+		"unavailable":      func(w http.ResponseWriter) { refusal(w, 503, `{"code":14,"message":"etcdserver: request timed out"}`) },
+		"misdirected":      func(w http.ResponseWriter) { w.WriteHeader(421) },
+		"request timeout":  func(w http.ResponseWriter) { raw(w, "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n\r\n") },
 	}
-	for name, breakIt := range breaks {
+	for name, fail := range failures {
 		for _, good := range []int64{0, 1, 3} {
 			t.Run(name, func(t *testing.T) {
 				is := is.New(t)
 				s := serve(t, func(n int64, w http.ResponseWriter, _ *http.Request) {
 					if n > good {
-						breakIt(w)
+						fail(w)
 						return
 					}
 					ok(w)
@@ -91,7 +91,7 @@
 				_, err := c.Commit(t.Context(), platform.Txn{})
 				is.True(errors.Is(err, platform.ErrUnknownOutcome))
 				is.Equal(s.requests.Load(), good+1)     // sent once
-				is.Equal(other.requests.Load(), before) // and nowhere else
+				is.Equal(other.requests.Load(), before) // and to no other endpoint
 			})
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestUnreachedEndpointIsPassedOver(t *testing.T) {
+func TestUnreachableEndpointIsSkipped(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, func(_ int64, w http.ResponseWriter, _ *http.Request) { ok(w) })
 	c := newClient(t, closedAddr(t), s.URL)
@@ -170,7 +170,7 @@
 		case err == nil:
 			is.Equal(sent, int64(1))
 		case errors.Is(err, platform.ErrUnavailable):
-			is.Equal(sent, int64(0)) // the promise: nothing was sent
+			is.Equal(sent, int64(0)) // ErrUnavailable: the call was not sent
 		default:
 			is.True(errors.Is(err, platform.ErrUnknownOutcome))
 			is.True(sent <= 1)
@@ -186,27 +186,27 @@
 	is.New(t).True(err != nil)
 }
 
-func TestEndpointsThatAreNone(t *testing.T) {
+func TestMalformedEndpoints(t *testing.T) {
 	for _, endpoint := range []string{"", "host", "https://host:1", "http://host:1/path:2"} {
 		_, err := etcdhttp.New(etcdhttp.Options{Endpoints: []string{endpoint}})
 		is.New(t).True(err != nil)
 	}
 }
 
-// TestDeadConnections has several connections die unnoticed, as when a host or
-// a middlebox vanishes. One call may be lost to that, and no further one.
+// TestDeadConnections: several connections die without being closed, as when a host or a middlebox
+// fails. At most one call may be lost because of it.
 func TestDeadConnections(t *testing.T) {
 	is := is.New(t)
 	const conns = 8
 	var open sync.WaitGroup
 	open.Add(conns)
 	var dead atomic.Bool
-	var old sync.Map // addresses of the connections that die
+	var old sync.Map // client addresses of the dead connections
 	s := serve(t, func(n int64, w http.ResponseWriter, r *http.Request) {
 		if n <= conns {
 			old.Store(r.RemoteAddr, true)
 			open.Done()
-			open.Wait() // all at once, each on a connection of its own
+			open.Wait() // concurrently, so that each call has its own connection
 		}
 		if _, isOld := old.Load(r.RemoteAddr); isOld && dead.Load() {
 			<-r.Context().Done()
@@ -229,8 +229,8 @@
 	}
 }
 
-// TestForeignReplies answers every call with JSON that is none of the service's,
-// or not that of the same store. None of it may be taken for an answer.
+// TestForeignReplies checks that JSON which is not a reply of the service, or is that of another
+// cluster, is not accepted as a reply to any call.
 func TestForeignReplies(t *testing.T) {
 	const lease = platform.LeaseID(5)
 	replies := map[string]string{
@@ -257,7 +257,7 @@
 	for name, reply := range replies {
 		for kind, call := range calls {
 			if name == "another lease" && kind != "keepalive" {
-				continue // a good reply to the others
+				continue // a valid reply to the other calls
 			}
 			t.Run(name+"/"+kind, func(t *testing.T) {
 				is := is.New(t)
@@ -277,7 +277,7 @@
 	}
 }
 
-// TestForeignEvents sends events that no watch of revision 5 may deliver.
+// TestForeignEvents sends events that a watch after revision 5 must not deliver.
 func TestForeignEvents(t *testing.T) {
 	good := `{"kv":{"key":"aw==","mod_revision":"6"}}`
 	for name, events := range map[string]string{
@@ -296,7 +296,7 @@
 			var got []platform.Batch
 			err := newClient(t, s.URL).Watch(t.Context(), "k", 5, func(b platform.Batch) { got = append(got, b) })
 			is.True(errors.Is(err, platform.ErrUnavailable))
-			is.Equal(len(got), 1) // the good one
+			is.Equal(len(got), 1) // the valid one
 			is.Equal(got[0].Revision, platform.Revision(6))
 		})
 	}
--- a/internal/platform/etcdhttp/store.go
+++ b/internal/platform/etcdhttp/store.go
@@ -10,23 +10,23 @@
 // List implements platform.Store.
 func (c *Client) List(ctx context.Context, prefix string) ([]platform.Record, platform.Revision, error) {
 	var reply RangeReply
-	key, end := span(prefix)
+	key, end := keyRange(prefix)
 	if err := c.call(ctx, PathRange, RangeRequest{Key: key, RangeEnd: end}, &reply); err != nil {
 		return nil, 0, noEffect(err)
 	}
 	return records(reply.KVs), reply.Header.Revision, nil
 }
 
-// span returns the range of keys with the prefix. The service has no empty key;
-// a zero byte is the first one.
-func span(prefix string) (key, end []byte) {
+// keyRange returns the range of the keys with the prefix. The service has no empty key; a zero
+// byte is the first one.
+func keyRange(prefix string) (key, end []byte) {
 	if prefix == "" {
 		return []byte{0}, []byte{0}
 	}
 	return []byte(prefix), PrefixEnd([]byte(prefix))
 }
 
-// records turns the wire's records into the port's.
+// records converts wire records into those of package platform.
 func records(kvs []KeyValue) []platform.Record {
 	if len(kvs) == 0 {
 		return nil
@@ -38,7 +38,7 @@
 	return out
 }
 
-// record turns one wire record into the port's, whose value is never nil.
+// record converts a wire record into one of package platform, whose value is never nil.
 func (kv KeyValue) record() platform.Record {
 	if kv.Value == nil {
 		kv.Value = []byte{}
@@ -61,7 +61,7 @@
 	return out, nil
 }
 
-// encodeTxn turns a transaction into the wire's form.
+// encodeTxn converts a transaction to its wire format.
 func encodeTxn(txn platform.Txn) TxnRequest {
 	var out TxnRequest
 	for _, c := range txn.If {
--- a/internal/platform/etcdhttp/watch.go
+++ b/internal/platform/etcdhttp/watch.go
@@ -12,54 +12,54 @@
 	"pulleyquay/internal/platform"
 )
 
-// maxRefusal bounds the body of a refused watch, in bytes.
-const maxRefusal = 64 << 10
+// maxRefusalBytes is the maximum size of a refused watch's body.
+const maxRefusalBytes = 64 << 10
 
 // Watch implements platform.Store.
 func (c *Client) Watch(ctx context.Context, prefix string, after platform.Revision, fn func(platform.Batch)) error {
-	key, end := span(prefix)
+	key, end := keyRange(prefix)
 	create := WatchCreate{Key: key, RangeEnd: end, StartRevision: after + 1}
 	body, err := json.Marshal(WatchRequest{Create: create})
 	if err != nil {
 		return fmt.Errorf("%w: %w", platform.ErrUnavailable, err)
 	}
-	err = c.tryEach(func(addr string) error {
+	err = c.tryEndpoints(func(addr string) error {
 		stream, err := c.open(ctx, addr, body)
 		if err != nil {
 			return err
 		}
 		defer stream.Close()
-		return c.follow(stream, after, fn)
+		return c.deliver(stream, after, fn)
 	})
 	return ended(ctx, noEffect(err))
 }
 
-// open opens a watch's stream at one endpoint.
+// open opens the stream of a watch at one endpoint.
 func (c *Client) open(ctx context.Context, addr string, body []byte) (io.ReadCloser, error) {
 	request := c.request(addr, PathWatch).WithContext(ctx)
 	request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 	response, err := c.streams.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errNotSent, err) // the next endpoint may do
+		return nil, fmt.Errorf("%w: %w", errNotSent, err) // a watch has no effect, so the next endpoint may be tried
 	}
 	if response.StatusCode == http.StatusOK {
 		return response.Body, nil
 	}
 	defer response.Body.Close()
-	reason, err := io.ReadAll(io.LimitReader(response.Body, maxRefusal))
+	reason, err := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errSent, err)
 	}
 	return nil, refusal(response.StatusCode, reason)
 }
 
-// follow hands over the changes of a stream until it ends.
-func (c *Client) follow(stream io.Reader, after platform.Revision, fn func(platform.Batch)) error {
+// deliver passes the changes of a stream to fn until the stream ends.
+func (c *Client) deliver(stream io.Reader, after platform.Revision, fn func(platform.Batch)) error {
 	decoder := json.NewDecoder(stream)
 	for {
 		var m WatchMessage
 		if err := decoder.Decode(&m); err != nil {
-			return broken(err)
+			return streamError(err)
 		}
 		if err := m.failure(); err != nil {
 			return err
@@ -78,8 +78,8 @@
 	}
 }
 
-// noEffect is the error of a failed read. It had no effect, sent or not. The
-// call's own time limit counts as the caller's.
+// noEffect returns the error of a failed read, which has no effect whether it was sent or not. The
+// call's own timeout is treated like the caller's.
 func noEffect(err error) error {
 	for _, ended := range []error{context.Canceled, context.DeadlineExceeded} {
 		if errors.Is(err, ended) {
@@ -92,7 +92,7 @@
 	return err
 }
 
-// ended prefers the end of ctx to the failure that it brought about.
+// ended returns the error of ctx, if there is one, instead of the failure that it caused.
 func ended(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -100,15 +100,15 @@
 	return err
 }
 
-// broken is the error of a watch whose stream ended.
-func broken(err error) error {
+// streamError returns the error of a watch whose stream ended.
+func streamError(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return fmt.Errorf("%w: watch broke: %w", errSent, err)
 }
 
-// failure is the error for which a message ends the watch, or nil.
+// failure returns the error with which a message ends the watch, or nil.
 func (m WatchMessage) failure() error {
 	switch {
 	case m.Error != nil:
@@ -122,9 +122,8 @@
 	}
 }
 
-// batch returns the changes that a message carries, all of them after the given
-// revision and in order. The header's revision may be ahead of what has been
-// sent, so the last event's counts.
+// batch returns the changes in a message, all of them after the given revision and in order. The
+// batch's revision is that of the last event, as the header's may be ahead of the events sent.
 func (m WatchMessage) batch(after platform.Revision) (platform.Batch, error) {
 	batch := platform.Batch{Revision: after}
 	for _, e := range m.Result.Events {
--- a/internal/platform/etcdhttp/wire.go
+++ b/internal/platform/etcdhttp/wire.go
@@ -2,10 +2,9 @@
 
 import "pulleyquay/internal/platform"
 
-// The messages of the published etcd v3 JSON gateway that are used here, and no
-// others. 64-bit integers are strings and byte strings are base64, as the
-// gateway's JSON has them; absent fields have their zero value. The stand-in's
-// handler uses the same types.
+// These are the messages of the published etcd v3 JSON gateway that the client uses. As in the
+// gateway's JSON, 64-bit integers are strings and byte strings are base64; absent fields have
+// their zero value. The simulated store's handler uses the same types.
 
 // Paths of the calls.
 const (
@@ -26,13 +25,12 @@
 
 // Header is part of every reply.
 type Header struct {
-	// ClusterID tells one store from another, also from the same one after it
-	// was set up anew.
+	// ClusterID identifies a store; a store that was set up anew has another ID.
 	ClusterID uint64            `json:"cluster_id,string,omitempty"`
 	Revision  platform.Revision `json:"revision,string,omitempty"`
 }
 
-// headed is a reply with its header.
+// headed is a reply that has a header.
 type headed interface{ header() Header }
 
 func (r *RangeReply) header() Header       { return r.Header }
@@ -47,14 +45,14 @@
 	ModRevision platform.Revision `json:"mod_revision,string,omitempty"`
 }
 
-// RangeRequest asks for the keys from Key up to, not including, RangeEnd.
-// Without RangeEnd it asks for one key.
+// RangeRequest reads the keys from Key up to, but not including, RangeEnd. Without RangeEnd it
+// reads one key.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// RangeReply answers a RangeRequest in key order.
+// RangeReply is the reply to a RangeRequest, in key order.
 type RangeReply struct {
 	Header Header     `json:"header"`
 	KVs    []KeyValue `json:"kvs,omitempty"`
@@ -68,7 +66,7 @@
 	ModRevision platform.Revision `json:"mod_revision,string"`
 }
 
-// The only comparison in use: the key's last revision is equal.
+// The only comparison that is used: the key's last revision equals ModRevision.
 const (
 	CompareEqual = "EQUAL"
 	CompareMod   = "MOD"
@@ -86,26 +84,26 @@
 	Key []byte `json:"key"`
 }
 
-// RequestOp is one step of a transaction; exactly one field is set.
+// RequestOp is one operation of a transaction; exactly one field is set.
 type RequestOp struct {
 	Range  *RangeRequest  `json:"request_range,omitempty"`
 	Put    *PutRequest    `json:"request_put,omitempty"`
 	Delete *DeleteRequest `json:"request_delete_range,omitempty"`
 }
 
-// TxnRequest carries out Success when every Compare holds, else Failure.
+// TxnRequest executes Success if every Compare holds, else Failure.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
 	Failure []RequestOp `json:"failure,omitempty"`
 }
 
-// ResponseOp answers one step of a transaction.
+// ResponseOp is the result of one operation of a transaction.
 type ResponseOp struct {
 	Range *RangeReply `json:"response_range,omitempty"`
 }
 
-// TxnReply answers a TxnRequest.
+// TxnReply is the reply to a TxnRequest.
 type TxnReply struct {
 	Header    Header       `json:"header"`
 	Succeeded bool         `json:"succeeded,omitempty"`
@@ -117,7 +115,7 @@
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate asks for all events from StartRevision on.
+// WatchCreate requests all events from StartRevision on.
 type WatchCreate struct {
 	Key           []byte            `json:"key"`
 	RangeEnd      []byte            `json:"range_end,omitempty"`
@@ -130,7 +128,7 @@
 	Error  *ErrorReply `json:"error,omitempty"`
 }
 
-// WatchReply carries events, or tells that the watch is open or over.
+// WatchReply carries events, or reports that the watch was opened or has ended.
 type WatchReply struct {
 	Header          Header            `json:"header"`
 	Created         bool              `json:"created,omitempty"`
@@ -140,7 +138,7 @@
 	Events          []Event           `json:"events,omitempty"`
 }
 
-// EventDelete is the type of an event that deleted a key; a put has none.
+// EventDelete is the type of an event that deleted a key; the event of a put has no type.
 const EventDelete = "DELETE"
 
 // Event is one change of a key.
@@ -149,25 +147,25 @@
 	KV   KeyValue `json:"kv"`
 }
 
-// GrantRequest asks for a lease. The store picks the ID.
+// GrantRequest requests a lease. The store assigns the ID.
 type GrantRequest struct {
 	TTL int64 `json:"TTL,string"` // seconds
 }
 
-// LeaseRequest names a lease to keep alive or to revoke.
+// LeaseRequest identifies a lease to renew or to revoke.
 type LeaseRequest struct {
 	ID platform.LeaseID `json:"ID,string"`
 }
 
-// LeaseReply answers a grant, and a keepalive inside KeepAliveMessage. A TTL of
-// zero says that the lease is gone.
+// LeaseReply is the reply to a grant, and to a renewal within KeepAliveMessage. A TTL of 0 means
+// that the lease is gone.
 type LeaseReply struct {
 	Header Header           `json:"header"`
 	ID     platform.LeaseID `json:"ID,string,omitempty"`
 	TTL    int64            `json:"TTL,string,omitempty"`
 }
 
-// KeepAliveMessage is the one line of a keepalive's stream.
+// KeepAliveMessage is the only line of a renewal's stream.
 type KeepAliveMessage struct {
 	Result LeaseReply  `json:"result"`
 	Error  *ErrorReply `json:"error,omitempty"`
@@ -179,8 +177,8 @@
 	Message string `json:"message"`
 }
 
-// PrefixEnd returns the first key after all keys with the prefix; a zero byte
-// stands for the end of the store.
+// PrefixEnd returns the first key after all keys with the prefix; a zero byte means the end of the
+// store.
 func PrefixEnd(prefix []byte) []byte {
 	end := append([]byte(nil), prefix...)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/internal/platform/follow/follow.go
+++ b/internal/platform/follow/follow.go
@@ -9,55 +9,54 @@
 	"pulleyquay/internal/wait"
 )
 
-// Pauses after a call that failed.
+// Intervals and limits of a follower.
 const (
-	firstPause   = 50 * time.Millisecond
-	longestPause = 800 * time.Millisecond
-	// listPatience bounds the wait for a whole list.
-	listPatience = 2 * time.Second
-	// fullBatch is from how many changes on an answer is taken to be one of several:
-	// the platform's hold some 500.
+	minPause = 50 * time.Millisecond // after a failed call; doubles up to maxPause
+	maxPause = 800 * time.Millisecond
+	// listTimeout is the time limit of a list.
+	listTimeout = 2 * time.Second
+	// fullBatch is the number of changes from which a reply is taken to be one of several: the
+	// platform's replies hold about 500.
 	fullBatch = 250
-	// changesSlack is how much longer than the wait that was asked for an answer
-	// may take.
+	// changesSlack is how much longer than the requested wait a reply may take.
 	changesSlack = time.Second
 )
 
-// Follower lists a prefix, then asks for its changes, for ever.
+// Follower lists a prefix and then polls for its changes.
 type Follower struct {
 	Store  platform.Poller
 	Health *Health
 	Prefix string
-	// Wait is how long the store holds a question back for a change.
+	// Wait is how long the store holds a poll open for a change.
 	Wait time.Duration
-	// After is a revision from which on to follow; zero begins with a list.
+	// After is the revision after which to follow; 0 starts with a list.
 	After platform.Revision
-	// Rest is the pause between two questions: changes in between come together.
+	// Rest is the pause between two polls, so that the changes in between are returned together.
 	Rest time.Duration
-	// List takes in everything, at the start and whenever changes may have been
-	// missed; Change takes in one change.
+	// List is called with all records, at the start and whenever changes may have been missed; Change
+	// is called with one change.
 	List   func([]platform.Record)
 	Change func(platform.Change)
 }
 
-// Run follows until ctx ends.
+// Run follows the prefix until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := firstPause
+	pause := minPause
 	for ctx.Err() == nil {
 		if f.follow(ctx) {
-			pause = firstPause
+			pause = minPause
 		}
 		select {
 		case <-ctx.Done():
 		case <-f.Health.Restored():
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxPause)
 	}
 }
 
-// follow lists and then follows the changes until a call fails. It reports
-// whether the list was read.
+// follow lists the prefix and then follows the changes until a call fails. It reports whether the
+// list was read.
 func (f *Follower) follow(ctx context.Context) bool {
 	at := f.After
 	if f.After = 0; at == 0 {
@@ -79,7 +78,7 @@
 		}
 		at = batch.Revision
 		if len(batch.Changes) >= fullBatch {
-			continue // there is more: a rest would let it pile up
+			continue // more changes are pending: a pause would let the backlog grow
 		}
 		if !wait.For(ctx, f.Rest) {
 			return true
@@ -88,7 +87,7 @@
 }
 
 func (f *Follower) list(ctx context.Context) (platform.Revision, error) {
-	listCtx, cancel := context.WithTimeout(ctx, listPatience)
+	listCtx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	records, at, err := f.Store.List(listCtx, f.Prefix)
 	f.note(ctx, err)
@@ -98,34 +97,33 @@
 	return at, err
 }
 
-// errRenewed is why a question is asked again.
+// errRenewed is the cause for repeating a poll.
 var errRenewed = errors.New("open connections may have fallen silent")
 
-// errRestored is why everything is listed again.
+// errRestored is the cause for listing again.
 var errRestored = errors.New("the store answers again")
 
-// changes asks once. The question is given up when the store has answered others
-// after an outage, or connections have fallen silent: it may hang on one that
-// nothing comes from any more.
+// changes makes one poll. The poll is cancelled when the store has replied to other calls after an
+// outage, or when connections have become silent: its own connection may deliver nothing any more.
 func (f *Follower) changes(ctx context.Context, after platform.Revision) (platform.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.Wait+changesSlack)
 	defer cancel()
-	ctx, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
+	ctx, cancelPoll := context.WithCancelCause(ctx)
+	defer cancelPoll(nil)
 	restored, renewed := f.Health.Restored(), f.Health.Renewed()
 	go func() {
 		select {
 		case <-restored:
-			giveUp(errRestored)
+			cancelPoll(errRestored)
 		case <-renewed:
-			giveUp(errRenewed)
+			cancelPoll(errRenewed)
 		case <-ctx.Done():
 		}
 	}()
 	batch, err := f.Store.Changes(ctx, f.Prefix, after, f.Wait)
 	if err == nil || errors.Is(err, platform.ErrCompacted) {
-		// A question that was cut says nothing: the store cuts those that wait. The
-		// list that follows tells whether it answers.
+		// A failed poll is not recorded, as the store closes polls that wait. The list that follows
+		// shows whether the store replies.
 		f.Health.Note(true, time.Now())
 	} else if cause := context.Cause(ctx); errors.Is(cause, errRenewed) {
 		err = cause
@@ -133,7 +131,7 @@
 	return batch, err
 }
 
-// note tells the health how a call ended, unless it was given up.
+// note records the outcome of a call, unless the caller cancelled it.
 func (f *Follower) note(ctx context.Context, err error) {
 	if ctx.Err() == nil || err == nil {
 		f.Health.Note(err == nil, time.Now())
--- a/internal/platform/follow/follow_test.go
+++ b/internal/platform/follow/follow_test.go
@@ -13,23 +13,23 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// pages answers questions for changes with at most so many at a time.
-type pages struct {
+// pagingStore returns at most maxChanges changes per poll.
+type pagingStore struct {
 	platform.Poller
-	most int
+	maxChanges int
 }
 
-func (p pages) Changes(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) (platform.Batch, error) {
+func (p pagingStore) Changes(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) (platform.Batch, error) {
 	batch, err := p.Poller.Changes(ctx, prefix, after, wait)
-	if len(batch.Changes) > p.most {
-		batch.Changes = batch.Changes[:p.most]
-		batch.Revision = batch.Changes[p.most-1].ModRevision
+	if len(batch.Changes) > p.maxChanges {
+		batch.Changes = batch.Changes[:p.maxChanges]
+		batch.Revision = batch.Changes[p.maxChanges-1].ModRevision
 	}
 	return batch, err
 }
 
-// TestFollowerKeepsUp: with more changes than one answer holds between two rests a
-// follower fell behind for ever (seen in a sweep on the users' platform).
+// TestFollowerKeepsUp guards against a follower falling behind permanently when more changes than
+// one reply holds arrive between two polls.
 func TestFollowerKeepsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -37,9 +37,9 @@
 		defer store.Close()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		seen := map[string]time.Duration{} // how late each change was
+		seen := map[string]time.Duration{} // delay of each change
 		f := Follower{
-			Store: pages{store.Client("a"), 400}, Health: NewHealth(nil), Prefix: "h/", Wait: time.Second, Rest: 400 * time.Millisecond,
+			Store: pagingStore{store.Client("a"), 400}, Health: NewHealth(nil), Prefix: "h/", Wait: time.Second, Rest: 400 * time.Millisecond,
 			List: func([]platform.Record) {},
 			Change: func(c platform.Change) {
 				var at int64
@@ -50,7 +50,7 @@
 		}
 		go f.Run(ctx)
 		time.Sleep(time.Second)
-		for i := range 200 { // 2,000 changes a second
+		for i := range 200 { // 2,000 changes per second
 			for k := range 20 {
 				store.Put(platform.Write{Key: fmt.Sprintf("h/%d-%d", i, k), Value: fmt.Append(nil, time.Now().UnixMilli())})
 			}
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestFollowerListsAgain: when the changes asked for are no longer there, or the
-// store was away, everything is read again.
+// TestFollowerListsAgain: if the requested changes were compacted or the store was unavailable, the
+// follower lists everything again.
 func TestFollowerListsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -95,7 +95,7 @@
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		is.True(lists >= 2)
-		is.Equal(last, "1") // the one record
+		is.Equal(last, "1") // one record was listed
 		store.Put(platform.Write{Key: "h/2", Value: []byte("y")})
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
@@ -103,13 +103,13 @@
 	})
 }
 
-// silenced lets the questions for changes that wait hang for good when mute is closed.
-type silenced struct {
+// silencedStore makes the polls that are waiting when mute is closed hang until their context ends.
+type silencedStore struct {
 	platform.Poller
 	mute <-chan struct{}
 }
 
-func (s silenced) Changes(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) (platform.Batch, error) {
+func (s silencedStore) Changes(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) (platform.Batch, error) {
 	before := !isClosed(s.mute)
 	batch, err := s.Poller.Changes(ctx, prefix, after, wait)
 	if before && isClosed(s.mute) {
@@ -128,10 +128,9 @@
 	}
 }
 
-// TestFollowerAsksAgainWhenRenewed: a question that waits on a connection that has
-// fallen silent missed a change of the configuration for 26 seconds (CONFIG, with
-// reset_conns silent on lsbma-quay).
-func TestFollowerAsksAgainWhenRenewed(t *testing.T) {
+// TestFollowerRepeatsPollWhenRenewed guards against a poll on a silent connection missing a change of
+// the configuration, formerly for 26 seconds.
+func TestFollowerRepeatsPollWhenRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memstore.New()
@@ -142,7 +141,7 @@
 		lists, last := 0, ""
 		health := NewHealth(nil)
 		f := Follower{
-			Store: silenced{store.Client("a"), mute}, Health: health, Prefix: "c/", Wait: 25 * time.Second,
+			Store: silencedStore{store.Client("a"), mute}, Health: health, Prefix: "c/", Wait: 25 * time.Second,
 			List:   func([]platform.Record) { lists++ },
 			Change: func(c platform.Change) { last = string(c.Value) },
 		}
@@ -157,6 +156,6 @@
 		health.Renew()
 		synctest.Wait()
 		is.Equal(last, "new")
-		is.Equal(lists, 1) // it goes on where it was
+		is.Equal(lists, 1) // it continued from its revision without a list
 	})
 }
--- a/internal/platform/follow/health.go
+++ b/internal/platform/follow/health.go
@@ -1,5 +1,5 @@
-// Package follow keeps up with a part of the platform's store, and tells how
-// well the store answers this process.
+// Package follow follows the changes under a key prefix of the platform's store, and tracks whether
+// the store replies to this process.
 package follow
 
 import (
@@ -7,103 +7,100 @@
 	"time"
 )
 
-// Health is what this process's calls say of the store. It is safe for
+// Health tracks the store's availability as observed by this process's calls. It is safe for
 // concurrent use.
 type Health struct {
-	mu       sync.Mutex
-	answered time.Time // last answer
-	failing  bool      // the last call that ended went unanswered
-	since    time.Time // when failing began
-	// waiting is when the first of the calls was sent that nothing was answered after;
-	// zero when there is none.
-	waiting  time.Time
-	restored chan struct{}
-	renewed  chan struct{}
-	// onChange is told when the store is lost or regained.
-	onChange func(up bool, away time.Duration)
+	mu           sync.Mutex
+	replied      time.Time // time of the last reply
+	failing      bool      // the last finished call got no reply
+	failingSince time.Time // start of the outage
+	// waitingSince is when the first call was sent after which no reply has arrived; zero if there is
+	// none.
+	waitingSince time.Time
+	restored     chan struct{}
+	renewed      chan struct{}
+	// onChange is called when the store becomes unavailable or available.
+	onChange func(up bool, outage time.Duration)
 }
 
-// NewHealth returns the health of a store that was not asked yet. The function
-// is told each time that the store stops or starts answering; it may be nil.
-func NewHealth(onChange func(up bool, away time.Duration)) *Health {
+// NewHealth returns the health of a store that has not been called yet. onChange, which may be nil,
+// is called when the store stops or resumes replying; outage is how long it did not reply.
+func NewHealth(onChange func(up bool, outage time.Duration)) *Health {
 	if onChange == nil {
 		onChange = func(bool, time.Duration) {}
 	}
 	return &Health{restored: make(chan struct{}), renewed: make(chan struct{}), onChange: onChange}
 }
 
-// Note takes in the outcome of a call that ended at now.
-func (h *Health) Note(answered bool, now time.Time) {
+// Note records the outcome of a call that ended at now.
+func (h *Health) Note(replied bool, now time.Time) {
 	h.mu.Lock()
 	var changed, up bool
-	var away time.Duration
+	var outage time.Duration
 	switch {
-	case answered && h.failing:
-		changed, up, away = true, true, now.Sub(h.since)
+	case replied && h.failing:
+		changed, up, outage = true, true, now.Sub(h.failingSince)
 		h.failing = false
 		close(h.restored)
 		h.restored = make(chan struct{})
-	case !answered && !h.failing:
-		changed, h.failing, h.since = true, true, now
+	case !replied && !h.failing:
+		changed, h.failing, h.failingSince = true, true, now
 	}
-	if answered {
-		h.answered, h.waiting = now, time.Time{}
+	if replied {
+		h.replied, h.waitingSince = now, time.Time{}
 	}
 	h.mu.Unlock()
 	if changed {
-		h.onChange(up, away)
+		h.onChange(up, outage)
 	}
 }
 
-// Asked takes in that a call was sent which is answered at once where the store is
-// well.
+// Asked records that a call was sent to which an available store replies at once.
 func (h *Health) Asked(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.waiting.IsZero() {
-		h.waiting = now
+	if h.waitingSince.IsZero() {
+		h.waitingSince = now
 	}
 }
 
-// Silent is since how long calls have been waiting with no answer to any; zero when
-// none waits. It knows of a store that has fallen silent before the first call is given
-// up.
+// Silent returns for how long calls have been waiting without a reply to any of them; 0 if none
+// waits. It detects an unresponsive store before the first call times out.
 func (h *Health) Silent(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.waiting.IsZero() {
+	if h.waitingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(h.waiting)
+	return now.Sub(h.waitingSince)
 }
 
-// Age is how long ago the store last answered.
+// Age returns the time since the store's last reply.
 func (h *Health) Age(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return now.Sub(h.answered)
+	return now.Sub(h.replied)
 }
 
-// Failing is for how long calls have gone unanswered; zero while they do not.
+// Failing returns for how long calls have failed; 0 if the last call did not.
 func (h *Health) Failing(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.failing {
 		return 0
 	}
-	return max(now.Sub(h.since), 1)
+	return max(now.Sub(h.failingSince), 1)
 }
 
-// Restored returns a channel that is closed when the store answers again after
-// it did not.
+// Restored returns a channel that is closed when the store replies again after an outage.
 func (h *Health) Restored() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.restored
 }
 
-// Renew has questions that wait asked again: the connections that they wait on may
-// have fallen silent.
+// Renew makes followers repeat their pending polls, as the connections of these may have become
+// silent.
 func (h *Health) Renew() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/platform/retry/retry.go
+++ b/internal/platform/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry repeats calls to the platform that certainly had no effect,
-// with jittered exponential backoff.
+// Package retry repeats calls to the platform that certainly had no effect, with jittered
+// exponential backoff.
 package retry
 
 import (
@@ -13,19 +13,19 @@
 	"pulleyquay/internal/wait"
 )
 
-// The pauses between tries. Each is drawn from half to one and a half times its
-// nominal length, so that processes that failed together do not retry together.
+// Pauses between attempts. Each is drawn from 50 to 150 % of its nominal length, so that processes
+// that failed together do not retry together.
 const (
-	firstPause = 50 * time.Millisecond
-	maxPause   = 2 * time.Second
-	growth     = 2
-	jitter     = 0.5
+	minPause = 50 * time.Millisecond
+	maxPause = 2 * time.Second
+	growth   = 2
+	jitter   = 0.5
 )
 
-// Pauses returns the lengths of the pauses between tries, without an end.
+// Pauses returns the lengths of the pauses between attempts, without a limit on their number.
 func Pauses() backoff.BackOff {
 	return &backoff.ExponentialBackOff{
-		InitialInterval:     firstPause,
+		InitialInterval:     minPause,
 		MaxInterval:         maxPause,
 		Multiplier:          growth,
 		RandomizationFactor: jitter,
@@ -33,8 +33,8 @@
 }
 
 // Do calls fn until it succeeds, ctx ends, or it fails with an error other than
-// platform.ErrUnavailable; it returns fn's last error. A call of unknown
-// outcome is not repeated, nor one that the store will never accept.
+// platform.ErrUnavailable; it returns the last error of fn. A call with an unknown outcome is not
+// repeated, nor is one that the store never accepts.
 func Do(ctx context.Context, fn func(context.Context) error) error {
 	var last error
 	operation := func() (struct{}, error) {
@@ -51,13 +51,12 @@
 	return last
 }
 
-// Certain reports whether err says that a call had no effect and may succeed
-// when it is made again.
+// Certain reports whether err means that a call had no effect and may succeed if it is repeated.
 func Certain(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) && !errors.Is(err, platform.ErrRefused)
 }
 
-// Wait pauses as the backoff says; it returns ctx's error when ctx ends first.
+// Wait pauses for the next backoff interval; it returns ctx's error if ctx ends first.
 func Wait(ctx context.Context, pauses backoff.BackOff) error {
 	if !wait.For(ctx, pauses.NextBackOff()) {
 		return ctx.Err()
--- a/internal/platform/retry/retry_test.go
+++ b/internal/platform/retry/retry_test.go
@@ -52,8 +52,8 @@
 		defer cancel()
 		calls := 0
 		err := retry.Do(ctx, func(context.Context) error { calls++; return platform.ErrUnavailable })
-		is.True(errors.Is(err, platform.ErrUnavailable)) // the reason, not the end of ctx
-		// Pauses grow to 2 s, half as much more by jitter: 20 to 70 tries a minute.
+		is.True(errors.Is(err, platform.ErrUnavailable)) // the error of the call, not of ctx
+		// Pauses grow to 2 s and vary by 50 %: 20 to 70 attempts per minute.
 		is.True(calls > 20)
 		is.True(calls < 70)
 	})
