--- a/internal/platform/memstore/client.go
+++ b/internal/platform/memstore/client.go
@@ -9,7 +9,7 @@
 	"pulleyquay/internal/platform"
 )
 
-// Client is one process's way to the engine. It implements platform.Store.
+// Client is one process's connection to the engine. It implements platform.Store.
 type Client struct {
 	engine        *Engine
 	name          string
@@ -17,10 +17,10 @@
 	faultsChanged chan struct{}
 }
 
-// errBroken is the reason of calls whose connection broke.
-var errBroken = errors.New("connection broke")
+// errConnectionLost is the cause of calls whose connection broke.
+var errConnectionLost = errors.New("connection broke")
 
-// Client returns the client of that name, which is made at its first use.
+// Client returns the client with the given name, and creates it at its first use.
 func (e *Engine) Client(name string) *Client {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -43,7 +43,7 @@
 	return out
 }
 
-// listing is the answer to List.
+// listing is the result of List.
 type listing struct {
 	records  []platform.Record
 	revision platform.Revision
@@ -80,14 +80,14 @@
 	return err
 }
 
-// outcome is what comes back from a call.
+// outcome is the result of a call.
 type outcome[T any] struct {
 	value T
 	err   error
 }
 
-// send carries one call to the engine and back, through the active faults. A
-// request that is under way when its caller gives up still arrives.
+// send makes one call to the engine, subject to the active faults. A request in flight still arrives
+// after its caller has cancelled.
 func send[T any](ctx context.Context, c *Client, write bool, apply func() (T, error)) (T, error) {
 	var none T
 	if err := ctx.Err(); err != nil {
@@ -96,35 +96,35 @@
 	if c.active().Refuse {
 		return none, platform.ErrUnavailable
 	}
-	answers := make(chan outcome[T], 1)
-	after(c.active().RequestDelayMS, func() { arrive(c, write, apply, answers) })
+	replies := make(chan outcome[T], 1)
+	after(c.active().RequestDelayMS, func() { deliverRequest(c, write, apply, replies) })
 	select {
-	case o := <-answers:
+	case o := <-replies:
 		return o.value, o.err
 	case <-ctx.Done():
-		return none, lost(write, context.Cause(ctx))
+		return none, noReply(write, context.Cause(ctx))
 	}
 }
 
-// arrive lets a request take effect and sends its answer, unless either is lost.
-func arrive[T any](c *Client, write bool, apply func() (T, error), answers chan<- outcome[T]) {
+// deliverRequest applies a request and sends its reply, unless a fault drops either.
+func deliverRequest[T any](c *Client, write bool, apply func() (T, error), replies chan<- outcome[T]) {
 	f := c.active()
 	switch {
 	case f.Hang:
 		return
 	case f.Refuse, write && c.loseRequest():
-		answers <- outcome[T]{err: lost(write, errBroken)}
+		replies <- outcome[T]{err: noReply(write, errConnectionLost)}
 		return
 	}
 	value, err := apply()
-	if write && c.loseAnswer() {
-		answers <- outcome[T]{err: lost(write, errBroken)}
+	if write && c.loseReply() {
+		replies <- outcome[T]{err: noReply(write, errConnectionLost)}
 		return
 	}
-	after(f.AnswerDelayMS, func() { answers <- outcome[T]{value, err} })
+	after(f.AnswerDelayMS, func() { replies <- outcome[T]{value, err} })
 }
 
-// after runs fn now, or when the delay in milliseconds has passed.
+// after runs fn at once, or after the delay in milliseconds if it is positive.
 func after(delayMS int64, fn func()) {
 	if delayMS <= 0 {
 		fn()
@@ -133,9 +133,9 @@
 	time.AfterFunc(millis(delayMS), fn)
 }
 
-// lost is the error of a call that was sent and not answered. A read has no
-// effect, answered or not.
-func lost(write bool, cause error) error {
+// noReply returns the error of a call that was sent and got no reply. A read has no effect, with or
+// without a reply.
+func noReply(write bool, cause error) error {
 	if write {
 		return fmt.Errorf("%w: %w", platform.ErrUnknownOutcome, cause)
 	}
@@ -147,23 +147,23 @@
 	w := c.engine.addWatcher(prefix)
 	defer c.engine.removeWatcher(w)
 	for {
-		changed := c.onChange()
-		seen, err := c.deliver(ctx, prefix, after, fn)
+		faultsChange := c.faultChange()
+		delivered, err := c.deliver(ctx, prefix, after, fn)
 		if err != nil {
 			return err
 		}
-		after = seen
+		after = delivered
 		select {
 		case <-w.notify:
-		case <-changed:
+		case <-faultsChange:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// deliver hands over the changes after a revision and returns the revision up
-// to which everything has been seen.
+// deliver passes the changes after a revision to fn and returns the revision up to which all changes
+// have been delivered.
 func (c *Client) deliver(ctx context.Context, prefix string, after platform.Revision, fn func(platform.Batch)) (platform.Revision, error) {
 	f := c.active()
 	switch {
@@ -179,14 +179,14 @@
 	if err := pause(ctx, f.WatchDelayMS); err != nil {
 		return after, err
 	}
-	if again := c.active(); again.Refuse || again.BreakWatches || again.Hang {
-		return after, nil // not delivered; the change of faults wakes the watch
+	if now := c.active(); now.Refuse || now.BreakWatches || now.Hang {
+		return after, nil // not delivered; the change of the faults wakes the watch
 	}
 	fn(batch)
 	return batch.Revision, nil
 }
 
-// pause waits for the delay in milliseconds or the end of ctx.
+// pause waits for the delay in milliseconds or until ctx ends.
 func pause(ctx context.Context, delayMS int64) error {
 	if delayMS <= 0 {
 		return ctx.Err()
--- a/internal/platform/memstore/engine.go
+++ b/internal/platform/memstore/engine.go
@@ -1,7 +1,6 @@
-// Package memstore is an in-memory engine with the behavior of the platform's
-// key-value service, and with faults that can be switched on. The development
-// stand-in serves it over HTTP; tests use it directly, also inside synctest
-// bubbles, where each simulated process has a Client of its own.
+// Package memstore is an in-memory engine with the behavior of the platform's key-value service and
+// with injectable faults. The development stand-in serves it over HTTP; tests use it directly, also
+// within synctest bubbles, where each simulated process has its own Client.
 package memstore
 
 import (
@@ -15,30 +14,29 @@
 )
 
 const (
-	// treeDegree is the number of children of a node of the key tree.
+	// treeDegree is the degree of the B-tree of keys.
 	treeDegree = 32
-	// DefaultHistory is how many changes are kept for watches that start late.
+	// DefaultHistory is the number of changes kept for watches that start in the past.
 	DefaultHistory = 10000
 )
 
-// Engine is the store itself. Its methods are safe for concurrent use; it
-// starts no goroutines, only timers.
+// Engine is the store. Its methods are safe for concurrent use; it starts no goroutines, only timers.
 type Engine struct {
-	mu        sync.Mutex
-	records   *btree.BTreeG[record]
-	revision  platform.Revision
-	compacted platform.Revision
-	history   []platform.Change
-	keep      int
-	leases    map[platform.LeaseID]*lease
-	lastLease platform.LeaseID
-	watchers  map[*watcher]struct{}
-	faults    Faults
-	stale     *snapshot
-	clients   map[string]*Client
+	mu         sync.Mutex
+	records    *btree.BTreeG[record]
+	revision   platform.Revision
+	compacted  platform.Revision
+	history    []platform.Change
+	maxHistory int
+	leases     map[platform.LeaseID]*lease
+	lastLease  platform.LeaseID
+	watchers   map[*watcher]struct{}
+	faults     Faults
+	stale      *snapshot
+	clients    map[string]*Client
 }
 
-// record is one stored key with the lease that it hangs on.
+// record is one stored key with the lease that it is attached to.
 type record struct {
 	platform.Record
 	lease platform.LeaseID
@@ -51,41 +49,41 @@
 	keys  map[string]struct{}
 }
 
-// watcher is told, without blocking, that a key under its prefix has changed.
+// watcher is notified, without blocking, when a key under its prefix changes.
 type watcher struct {
 	prefix string
 	notify chan struct{}
 }
 
-// snapshot is what a stale read answers from.
+// snapshot is the state that stale reads return.
 type snapshot struct {
 	records  *btree.BTreeG[record]
 	revision platform.Revision
 }
 
-// New returns an empty store at revision 1, as the published protocol has it,
-// that keeps DefaultHistory changes.
+// New returns an empty store at revision 1, as in the published protocol, that keeps DefaultHistory
+// changes.
 func New() *Engine {
 	return &Engine{
-		records:  btree.NewG(treeDegree, func(a, b record) bool { return a.Key < b.Key }),
-		revision: 1,
-		keep:     DefaultHistory,
-		leases:   map[platform.LeaseID]*lease{},
-		watchers: map[*watcher]struct{}{},
-		clients:  map[string]*Client{},
+		records:    btree.NewG(treeDegree, func(a, b record) bool { return a.Key < b.Key }),
+		revision:   1,
+		maxHistory: DefaultHistory,
+		leases:     map[platform.LeaseID]*lease{},
+		watchers:   map[*watcher]struct{}{},
+		clients:    map[string]*Client{},
 	}
 }
 
-// SetHistory bounds the number of changes kept for late watches.
+// SetHistory sets the number of changes kept for watches that start in the past.
 func (e *Engine) SetHistory(changes int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keep = changes
+	e.maxHistory = changes
 	e.trim()
 }
 
-// Compact forgets the changes up to the present revision: a watch that asks for
-// older ones gets platform.ErrCompacted.
+// Compact discards the changes up to the current revision: a watch that requests older ones fails
+// with platform.ErrCompacted.
 func (e *Engine) Compact() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -93,7 +91,7 @@
 	e.compacted = e.revision
 }
 
-// Close stops the timers of all leases without ending them.
+// Close stops the timers of all leases without ending the leases.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,8 +100,8 @@
 	}
 }
 
-// list returns the records under the prefix, fresh or as of when stale reads
-// were switched on.
+// list returns the records under the prefix, either current or as of the time when stale reads were
+// enabled.
 func (e *Engine) list(prefix string, stale bool) ([]platform.Record, platform.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,7 +140,7 @@
 	return platform.TxnReply{Applied: true, Revision: e.revision}, nil
 }
 
-// holds reports whether every condition is met.
+// holds reports whether every condition holds.
 func (e *Engine) holds(conditions []platform.Condition) bool {
 	for _, c := range conditions {
 		if r, _ := e.get(c.Key); r.ModRevision != c.ModRevision {
@@ -152,7 +150,7 @@
 	return true
 }
 
-// found returns the present records of the keys in the conditions.
+// found returns the current records of the keys in the conditions.
 func (e *Engine) found(conditions []platform.Condition) []platform.Record {
 	var out []platform.Record
 	for _, c := range conditions {
@@ -168,9 +166,8 @@
 	return e.records.Get(record{Record: platform.Record{Key: key}})
 }
 
-// apply carries out the writes at one new revision and tells the watchers.
-// Writes that change nothing, such as the delete of an absent key, leave the
-// revision as it is.
+// apply executes the writes at one new revision and notifies the watchers. Writes that change
+// nothing, such as the deletion of a missing key, do not increase the revision.
 func (e *Engine) apply(writes []platform.Write) {
 	next := e.revision + 1
 	before := len(e.history)
@@ -189,12 +186,12 @@
 	e.trim()
 }
 
-// put stores one value and hangs the key on its lease.
+// put stores one value and attaches the key to its lease.
 func (e *Engine) put(w platform.Write, at platform.Revision) {
 	if old, ok := e.get(w.Key); ok {
-		e.unhang(old)
+		e.detach(old)
 	}
-	// The value is copied: the caller may use its slice again.
+	// The value is copied, as the caller may reuse its slice.
 	value := append([]byte{}, w.Value...)
 	r := record{Record: platform.Record{Key: w.Key, Value: value, ModRevision: at}, lease: w.Lease}
 	e.records.ReplaceOrInsert(r)
@@ -204,39 +201,39 @@
 	e.history = append(e.history, platform.Change{Record: r.Record})
 }
 
-// remove deletes one key when it is there.
+// remove deletes one key if it exists.
 func (e *Engine) remove(key string, at platform.Revision) {
 	old, ok := e.records.Delete(record{Record: platform.Record{Key: key}})
 	if !ok {
 		return
 	}
-	e.unhang(old)
-	gone := platform.Record{Key: key, ModRevision: at}
-	e.history = append(e.history, platform.Change{Record: gone, Deleted: true})
+	e.detach(old)
+	deleted := platform.Record{Key: key, ModRevision: at}
+	e.history = append(e.history, platform.Change{Record: deleted, Deleted: true})
 }
 
-// unhang takes a key from the lease that it hung on.
-func (e *Engine) unhang(r record) {
+// detach detaches a key from its lease.
+func (e *Engine) detach(r record) {
 	if l, ok := e.leases[r.lease]; ok {
 		delete(l.keys, r.Key)
 	}
 }
 
-// trim drops the oldest changes beyond the bound, whole revisions at a time.
+// trim drops the oldest changes beyond the limit, in whole revisions.
 func (e *Engine) trim() {
-	over := len(e.history) - e.keep
-	// Dropping in large steps keeps the cost of a write constant.
-	if over <= 0 || (over < e.keep/4 && e.keep > 0) {
+	excess := len(e.history) - e.maxHistory
+	// Dropping many changes at once keeps the amortized cost of a write constant.
+	if excess <= 0 || (excess < e.maxHistory/4 && e.maxHistory > 0) {
 		return
 	}
-	e.compacted = e.history[over-1].ModRevision
-	for over < len(e.history) && e.history[over].ModRevision == e.compacted {
-		over++
+	e.compacted = e.history[excess-1].ModRevision
+	for excess < len(e.history) && e.history[excess].ModRevision == e.compacted {
+		excess++
 	}
-	e.history = append([]platform.Change(nil), e.history[over:]...)
+	e.history = append([]platform.Change(nil), e.history[excess:]...)
 }
 
-// Dump is how much the engine holds.
+// Dump holds the numbers of items in the engine.
 type Dump struct {
 	Revision  platform.Revision `json:"revision"`
 	Compacted platform.Revision `json:"compacted"`
@@ -246,7 +243,7 @@
 	Watches   int               `json:"watches"`
 }
 
-// Dump returns how much the engine holds.
+// Dump returns the numbers of items in the engine.
 func (e *Engine) Dump() Dump {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -256,7 +253,7 @@
 	}
 }
 
-// Get returns the value of a key past all faults; nil where there is none.
+// Get returns the value of a key without injected faults; nil if there is none.
 func (e *Engine) Get(key string) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -264,7 +261,7 @@
 	return r.Value
 }
 
-// Put writes past all faults, as the platform itself does.
+// Put writes without injected faults, as the platform itself does.
 func (e *Engine) Put(writes ...platform.Write) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/platform/memstore/faults.go
+++ b/internal/platform/memstore/faults.go
@@ -6,70 +6,70 @@
 	"pulleyquay/internal/platform"
 )
 
-// All makes a counted fault strike every call until it is switched off.
+// All makes a counted fault affect every call until it is switched off.
 const All = -1
 
-// Faults is what goes wrong between clients and the store. The zero value is a
-// healthy store. Counts are of coming writes; All means every one.
+// Faults are the faults between clients and the store. The zero value is a healthy store. Counts are
+// of the next writes; All means every write.
 type Faults struct {
-	// Refuse fails calls before anything is sent and breaks watches.
+	// Refuse fails calls before anything is sent, and ends watches.
 	Refuse bool `json:"refuse,omitempty"`
-	// Hang swallows requests: they have no effect, and callers wait until
-	// their context ends. Open watches stay open and deliver nothing.
+	// Hang drops requests: they have no effect, and callers wait until their context ends. Open
+	// watches stay open and deliver nothing.
 	Hang bool `json:"hang,omitempty"`
-	// RequestDelayMS is how long a request is on its way, in milliseconds. A
-	// caller that gives up meanwhile does not call its request back.
+	// RequestDelayMS is the delay of a request in milliseconds. A request whose caller cancels in
+	// the meantime still arrives.
 	RequestDelayMS int64 `json:"request_delay_ms,omitempty"`
-	// AnswerDelayMS is how long an answer is on its way, in milliseconds.
+	// AnswerDelayMS is the delay of a reply in milliseconds.
 	AnswerDelayMS int64 `json:"answer_delay_ms,omitempty"`
-	// LoseAnswers is the number of writes that take effect without an answer.
+	// LoseAnswers is the number of writes that take effect and whose reply is lost.
 	LoseAnswers int `json:"lose_answers,omitempty"`
 	// LoseRequests is the number of writes that are sent and never arrive.
 	LoseRequests int `json:"lose_requests,omitempty"`
-	// StaleReads answers lists with the state of when it was switched on.
+	// StaleReads makes lists return the state at the time when it was switched on.
 	StaleReads bool `json:"stale_reads,omitempty"`
 	// BreakWatches ends open watches and refuses new ones.
 	BreakWatches bool `json:"break_watches,omitempty"`
-	// WatchDelayMS delays each delivery of a watch, in milliseconds.
+	// WatchDelayMS is the delay of each delivery of a watch in milliseconds.
 	WatchDelayMS int64 `json:"watch_delay_ms,omitempty"`
 }
 
-// SetFaults replaces the faults that strike all clients.
+// SetFaults replaces the faults that affect all clients.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
-	e.freeze(f)
+	e.updateSnapshot(f)
 	for _, c := range e.clients {
-		c.changed()
+		c.notifyFaultsChanged()
 	}
 }
 
-// Faults returns the faults that strike all clients; counts are what is left.
+// Faults returns the faults that affect all clients; counts are the remaining ones.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// SetFaults replaces the faults that strike this client alone.
+// SetFaults replaces the faults that affect this client only.
 func (c *Client) SetFaults(f Faults) {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
 	c.faults = f
-	c.engine.freeze(f)
-	c.changed()
+	c.engine.updateSnapshot(f)
+	c.notifyFaultsChanged()
 }
 
-// Faults returns the faults that strike this client alone.
+// Faults returns the faults that affect this client only.
 func (c *Client) Faults() Faults {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
 	return c.faults
 }
 
-// freeze keeps the present state for stale reads while any fault asks for it.
-func (e *Engine) freeze(f Faults) {
+// updateSnapshot keeps a snapshot for stale reads for as long as any fault needs it.
+func (e *Engine) updateSnapshot(f Faults) {
 	if f.StaleReads && e.stale == nil {
 		e.stale = &snapshot{records: e.records.Clone(), revision: e.revision}
 		return
@@ -85,7 +85,7 @@
 	e.stale = nil
 }
 
-// active is the sum of the faults that strike the client now.
+// active returns the combined faults that currently affect the client.
 func (c *Client) active() Faults {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
@@ -101,23 +101,21 @@
 	}
 }
 
-// loseRequest reports whether a write that is under way never arrives, and
-// uses up one of a counted fault.
+// loseRequest reports whether a write in flight never arrives, and decrements the counted fault.
 func (c *Client) loseRequest() bool {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
 	return take(&c.faults.LoseRequests) || take(&c.engine.faults.LoseRequests)
 }
 
-// loseAnswer reports whether a write's answer is lost, and uses up one of a
-// counted fault.
-func (c *Client) loseAnswer() bool {
+// loseReply reports whether a write's reply is lost, and decrements the counted fault.
+func (c *Client) loseReply() bool {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
 	return take(&c.faults.LoseAnswers) || take(&c.engine.faults.LoseAnswers)
 }
 
-// take uses up one of a counted fault.
+// take decrements a counted fault and reports whether it applies.
 func take(count *int) bool {
 	if *count > 0 {
 		*count--
@@ -126,21 +124,21 @@
 	return *count == All
 }
 
-// changed tells the client's waiting calls that its faults are others now. The
-// engine's lock is held.
-func (c *Client) changed() {
+// notifyFaultsChanged wakes the client's waiting calls after a change of its faults. The engine's
+// lock is held.
+func (c *Client) notifyFaultsChanged() {
 	close(c.faultsChanged)
 	c.faultsChanged = make(chan struct{})
 }
 
-// onChange returns a channel that closes when the faults next change.
-func (c *Client) onChange() <-chan struct{} {
+// faultChange returns a channel that is closed at the next change of the faults.
+func (c *Client) faultChange() <-chan struct{} {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
 	return c.faultsChanged
 }
 
-// millis turns a count of milliseconds into a duration.
+// millis converts a number of milliseconds to a duration.
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
 var _ platform.Store = (*Client)(nil)
--- a/internal/platform/memstore/lease.go
+++ b/internal/platform/memstore/lease.go
@@ -7,7 +7,7 @@
 	"pulleyquay/internal/platform"
 )
 
-// grant makes a lease that ends by itself after its term.
+// grant creates a lease that expires after its term.
 func (e *Engine) grant(ttlSeconds int64) platform.LeaseID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -20,12 +20,12 @@
 	return id
 }
 
-// keepAlive starts a lease's term anew.
+// keepAlive restarts a lease's term.
 func (e *Engine) keepAlive(id platform.LeaseID) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l, ok := e.leases[id]
-	// A timer that has already fired is about to end the lease.
+	// A timer that has already fired will end the lease.
 	if !ok || !l.timer.Stop() {
 		return platform.ErrLeaseGone
 	}
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// expire ends a lease whose term has run out.
+// expire ends a lease whose term has passed.
 func (e *Engine) expire(id platform.LeaseID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/platform/memstore/linear_test.go
+++ b/internal/platform/memstore/linear_test.go
@@ -15,16 +15,16 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// The property: whatever faults strike, the answers that clients get are those
-// of one simple store that carries out each call at one moment between its
-// start and its end. Revisions tell the order, so the check is a replay.
+// The property: under any faults, clients get the results of one sequential store that executes each
+// call at one moment between the call's start and its end (linearizability). Revisions give the
+// order, so the check is a replay.
 
 const (
 	callers = 3
 	keys    = 3
 )
 
-// action is a call, or new faults, of one caller after a pause.
+// action is a call of one caller, or a change of its faults, after a pause.
 type action struct {
 	pause  time.Duration
 	caller int
@@ -72,18 +72,18 @@
 	err        error
 }
 
-// play carries out the actions and returns all calls and the true history.
+// play executes the actions and returns all calls and the true history.
 func play(actions []action, wrap func(platform.Store) platform.Store) ([]*call, []platform.Change) {
 	engine := memstore.New()
 	defer engine.Close()
 	var history []platform.Change
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		_ = engine.Client("judge").Watch(ctx, "", 1, func(b platform.Batch) { history = append(history, b.Changes...) })
+		_ = engine.Client("observer").Watch(ctx, "", 1, func(b platform.Batch) { history = append(history, b.Changes...) })
 	}()
 	var calls []*call
 	var wg sync.WaitGroup
-	known := make([]map[string]platform.Revision, callers)
+	knownRevisions := make([]map[string]platform.Revision, callers)
 	var mu sync.Mutex
 	for i, a := range actions {
 		time.Sleep(a.pause)
@@ -96,20 +96,20 @@
 		calls = append(calls, c)
 		if !a.list {
 			mu.Lock()
-			c.txn, c.id = a.txn(i, known[a.caller]), fmt.Sprint(i)
+			c.txn, c.id = a.txn(i, knownRevisions[a.caller]), fmt.Sprint(i)
 			mu.Unlock()
 		}
 		wg.Go(func() {
 			c.make(wrap(client))
 			if c.txn == nil && c.err == nil {
 				mu.Lock()
-				known[a.caller] = revisions(c.records)
+				knownRevisions[a.caller] = revisions(c.records)
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	time.Sleep(time.Minute) // whatever is late arrives
+	time.Sleep(time.Minute) // all delayed calls arrive
 	cancel()
 	synctest.Wait()
 	return calls, history
@@ -144,7 +144,7 @@
 	c.end = time.Now()
 }
 
-// model is the simple store, replayed from the history.
+// model is the sequential store, replayed from the history.
 type model struct {
 	states map[platform.Revision]map[string]platform.Record
 	last   platform.Revision
@@ -169,28 +169,28 @@
 	return m
 }
 
-// check returns what does not agree with the model.
-func check(calls []*call, history []platform.Change) (wrong []string) {
+// check returns the calls that contradict the model.
+func check(calls []*call, history []platform.Change) (violations []string) {
 	m := replay(history)
-	complain := func(c *call, format string, args ...any) {
-		wrong = append(wrong, fmt.Sprintf("%+v: %s", *c, fmt.Sprintf(format, args...)))
+	report := func(c *call, format string, args ...any) {
+		violations = append(violations, fmt.Sprintf("%+v: %s", *c, fmt.Sprintf(format, args...)))
 	}
 	for _, c := range calls {
 		if c.err == nil && c.txn == nil && fmt.Sprint(revisions(c.records)) != fmt.Sprint(revisionsOf(m.states[c.revision])) {
-			complain(c, "no state of the store")
+			report(c, "result matches no state of the store")
 		}
 		if c.txn != nil {
-			if problem := m.checkWrite(c, times(history, c.id)); problem != "" {
-				complain(c, "%s", problem)
+			if mismatch := m.checkWrite(c, timesWritten(history, c.id)); mismatch != "" {
+				report(c, "%s", mismatch)
 			}
 		}
-		for _, before := range calls {
-			if before.err == nil && c.err == nil && before.end.Before(c.start) && before.revision > c.revision {
-				complain(c, "went back from revision %d", before.revision)
+		for _, earlier := range calls {
+			if earlier.err == nil && c.err == nil && earlier.end.Before(c.start) && earlier.revision > c.revision {
+				report(c, "revision decreased from %d", earlier.revision)
 			}
 		}
 	}
-	return wrong
+	return violations
 }
 
 func revisionsOf(state map[string]platform.Record) map[string]platform.Revision {
@@ -201,8 +201,8 @@
 	return out
 }
 
-// times is how often a value was written.
-func times(history []platform.Change, id string) (n int) {
+// timesWritten returns how often a value was written.
+func timesWritten(history []platform.Change, id string) (n int) {
 	for _, c := range history {
 		if string(c.Value) == id {
 			n++
@@ -211,25 +211,25 @@
 	return n
 }
 
-// checkWrite compares a write's answer with the model. Deletes leave no value
-// behind, so that only what they answered can be checked.
+// checkWrite compares a write's result with the model. Deletions leave no value in the history, so
+// only their result can be checked.
 func (m model) checkWrite(c *call, written int) string {
 	isDelete := c.txn.Then[0].Delete
 	switch {
 	case written > 1:
 		return "written twice"
 	case errors.Is(c.err, platform.ErrUnavailable) && written > 0:
-		return "written though said to be without effect"
+		return "written although reported as without effect"
 	case c.err != nil:
 		return ""
 	case c.reply.Applied && !isDelete && written == 0:
-		return "said to be applied and not written"
+		return "reported as applied and not written"
 	case !c.reply.Applied && written > 0:
-		return "written though refused"
+		return "written although refused"
 	}
 	at := c.revision
 	if c.reply.Applied && !isDelete {
-		at-- // the state that the conditions were compared with
+		at-- // the revision at which the conditions were evaluated
 	}
 	return m.checkConditions(c, at)
 }
@@ -250,29 +250,29 @@
 func TestLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		actions := drawActions(rt)
-		var wrong []string
+		var violations []string
 		synctest.Test(t, func(*testing.T) {
-			wrong = check(play(actions, func(s platform.Store) platform.Store { return s }))
+			violations = check(play(actions, func(s platform.Store) platform.Store { return s }))
 		})
-		if len(wrong) > 0 {
-			rt.Fatal(wrong)
+		if len(violations) > 0 {
+			rt.Fatal(violations)
 		}
 	})
 }
 
-// blindly leaves out the conditions, replayed sends every write again that got
-// no answer, and stale answers lists from the first one.
+// These stores are defective: unconditional drops the conditions, resending sends every write again
+// that got no reply, and overconfident reports an unknown outcome as no effect.
 type (
-	blindly  struct{ platform.Store }
-	replayed struct{ platform.Store }
-	boastful struct{ platform.Store }
+	unconditional struct{ platform.Store }
+	resending     struct{ platform.Store }
+	overconfident struct{ platform.Store }
 )
 
-func (s blindly) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (s unconditional) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	return s.Store.Commit(ctx, platform.Txn{Then: txn.Then})
 }
 
-func (s replayed) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (s resending) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	reply, err := s.Store.Commit(ctx, txn)
 	if err != nil {
 		return s.Store.Commit(ctx, txn)
@@ -280,7 +280,7 @@
 	return reply, err
 }
 
-func (s boastful) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (s overconfident) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	reply, err := s.Store.Commit(ctx, txn)
 	if errors.Is(err, platform.ErrUnknownOutcome) {
 		err = platform.ErrUnavailable
@@ -288,8 +288,8 @@
 	return reply, err
 }
 
-// TestPlantedFaultsAreSeen shows that the check tells wrong stores.
-func TestPlantedFaultsAreSeen(t *testing.T) {
+// TestDefectiveStoresAreDetected checks that the property detects defective stores.
+func TestDefectiveStoresAreDetected(t *testing.T) {
 	write, stale, list := action{blind: true}, action{faults: &memstore.Faults{StaleReads: true}}, action{list: true}
 	loseAnswer := action{faults: &memstore.Faults{LoseAnswers: 1}}
 	second := action{pause: time.Second, blind: true}
@@ -297,9 +297,9 @@
 		wrap    func(platform.Store) platform.Store
 		actions []action
 	}{
-		"conditions left out": {func(s platform.Store) platform.Store { return blindly{s} }, []action{write, {pause: time.Second}}},
-		"write repeated":      {func(s platform.Store) platform.Store { return replayed{s} }, []action{loseAnswer, write}},
-		"false promise":       {func(s platform.Store) platform.Store { return boastful{s} }, []action{loseAnswer, write}},
+		"conditions left out":      {func(s platform.Store) platform.Store { return unconditional{s} }, []action{write, {pause: time.Second}}},
+		"write repeated":           {func(s platform.Store) platform.Store { return resending{s} }, []action{loseAnswer, write}},
+		"false claim of no effect": {func(s platform.Store) platform.Store { return overconfident{s} }, []action{loseAnswer, write}},
 		"stale list": {func(s platform.Store) platform.Store { return s }, []action{
 			write, stale, second, {pause: time.Second, list: list.list},
 		}},
@@ -308,7 +308,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				if len(check(play(test.actions, test.wrap))) == 0 {
-					t.Error("not seen")
+					t.Error("violation not detected")
 				}
 			})
 		})
--- a/internal/platform/memstore/memstore_test.go
+++ b/internal/platform/memstore/memstore_test.go
@@ -22,23 +22,23 @@
 	})
 }
 
-// TestRenewalsUnderFaults renews a lease of 60 s after 40 s and looks after 70 s
-// whether the renewal took effect.
+// TestRenewalsUnderFaults renews a lease of 60 s after 40 s and checks after 70 s whether the renewal
+// took effect.
 func TestRenewalsUnderFaults(t *testing.T) {
 	tests := map[string]struct {
 		faults memstore.Faults
 		want   error
 		took   bool
 	}{
-		"healthy":       {memstore.Faults{}, nil, true},
-		"refused":       {memstore.Faults{Refuse: true}, platform.ErrUnavailable, false},
-		"hanging":       {memstore.Faults{Hang: true}, platform.ErrUnknownOutcome, false},
-		"request late":  {memstore.Faults{RequestDelayMS: 5000}, platform.ErrUnknownOutcome, true},
-		"too late":      {memstore.Faults{RequestDelayMS: 25000}, platform.ErrUnknownOutcome, false},
-		"answer late":   {memstore.Faults{AnswerDelayMS: 5000}, platform.ErrUnknownOutcome, true},
-		"request lost":  {memstore.Faults{LoseRequests: 1}, platform.ErrUnknownOutcome, false},
-		"answer lost":   {memstore.Faults{LoseAnswers: 1}, platform.ErrUnknownOutcome, true},
-		"slow, patient": {memstore.Faults{RequestDelayMS: 500, AnswerDelayMS: 499}, nil, true},
+		"healthy":                  {memstore.Faults{}, nil, true},
+		"refused":                  {memstore.Faults{Refuse: true}, platform.ErrUnavailable, false},
+		"hanging":                  {memstore.Faults{Hang: true}, platform.ErrUnknownOutcome, false},
+		"request late":             {memstore.Faults{RequestDelayMS: 5000}, platform.ErrUnknownOutcome, true},
+		"too late":                 {memstore.Faults{RequestDelayMS: 25000}, platform.ErrUnknownOutcome, false},
+		"reply late":               {memstore.Faults{AnswerDelayMS: 5000}, platform.ErrUnknownOutcome, true},
+		"request lost":             {memstore.Faults{LoseRequests: 1}, platform.ErrUnknownOutcome, false},
+		"reply lost":               {memstore.Faults{LoseAnswers: 1}, platform.ErrUnknownOutcome, true},
+		"slow, within the timeout": {memstore.Faults{RequestDelayMS: 500, AnswerDelayMS: 499}, nil, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestCountedFaults uses up counts of one client and of all.
+// TestCountedFaults consumes counts of one client and of all clients.
 func TestCountedFaults(t *testing.T) {
 	is := is.New(t)
 	e := memstore.New()
--- a/internal/platform/memstore/poll.go
+++ b/internal/platform/memstore/poll.go
@@ -25,7 +25,7 @@
 	return f.record, f.ok, err
 }
 
-// ListStale implements platform.Poller; it is as fresh as List.
+// ListStale implements platform.Poller; it is as current as List.
 func (c *Client) ListStale(ctx context.Context, prefix string) ([]platform.Record, platform.Revision, error) {
 	return c.List(ctx, prefix)
 }
@@ -37,10 +37,10 @@
 	}
 	w := c.engine.addWatcher(prefix)
 	defer c.engine.removeWatcher(w)
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
-		changed := c.onChange()
+		faultsChange := c.faultChange()
 		f := c.active()
 		if f.Refuse || f.BreakWatches {
 			return platform.Batch{}, platform.ErrUnavailable
@@ -53,8 +53,8 @@
 		}
 		select {
 		case <-w.notify:
-		case <-changed:
-		case <-over.C:
+		case <-faultsChange:
+		case <-timer.C:
 			if !c.active().Hang {
 				return c.engine.since(prefix, after)
 			}
--- a/internal/platform/memstore/watch.go
+++ b/internal/platform/memstore/watch.go
@@ -16,28 +16,28 @@
 	return w
 }
 
-// removeWatcher ends what addWatcher began.
+// removeWatcher removes a watcher registered by addWatcher.
 func (e *Engine) removeWatcher(w *watcher) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.watchers, w)
 }
 
-// notify wakes the watchers that a change concerns.
+// notify wakes the watchers with a changed key under their prefix.
 func (e *Engine) notify(changes []platform.Change) {
 	for w := range e.watchers {
-		if !concerns(changes, w.prefix) {
+		if !anyUnderPrefix(changes, w.prefix) {
 			continue
 		}
 		select {
 		case w.notify <- struct{}{}:
-		default: // already told
+		default: // already notified
 		}
 	}
 }
 
-// concerns reports whether any change is under the prefix.
-func concerns(changes []platform.Change, prefix string) bool {
+// anyUnderPrefix reports whether any change is under the prefix.
+func anyUnderPrefix(changes []platform.Change, prefix string) bool {
 	for _, c := range changes {
 		if strings.HasPrefix(c.Key, prefix) {
 			return true
@@ -54,7 +54,7 @@
 		return platform.Batch{}, platform.ErrCompacted
 	}
 	from := sort.Search(len(e.history), func(i int) bool { return e.history[i].ModRevision > after })
-	// A watcher may ask for changes that are yet to come.
+	// A watcher may start at a revision that the store has not reached yet.
 	batch := platform.Batch{Revision: max(after, e.revision)}
 	for _, c := range e.history[from:] {
 		if strings.HasPrefix(c.Key, prefix) {
--- a/internal/platform/platformtest/lease.go
+++ b/internal/platform/platformtest/lease.go
@@ -10,12 +10,12 @@
 	"pulleyquay/internal/platform"
 )
 
-// leased is a transaction of one write under a lease.
+// leased returns a transaction of one write attached to a lease.
 func leased(key string, id platform.LeaseID) platform.Txn {
 	return platform.Txn{Then: []platform.Write{{Key: key, Value: []byte("v"), Lease: id}}}
 }
 
-func revokeTakesKeys(ctx context.Context, is *is.I, c StoreCase) {
+func revokeDeletesKeys(ctx context.Context, is *is.I, c StoreCase) {
 	id, err := c.Store.Grant(ctx, 60)
 	is.NoErr(err)
 	rev := mustCommit(ctx, is, c.Store, leased("m/1", id))
@@ -29,7 +29,7 @@
 	is.True(errors.Is(c.Store.KeepAlive(ctx, id), platform.ErrLeaseGone))
 }
 
-func leaseEnds(ctx context.Context, is *is.I, c StoreCase) {
+func leaseExpires(ctx context.Context, is *is.I, c StoreCase) {
 	id, err := c.Store.Grant(ctx, 1)
 	is.NoErr(err)
 	rev := mustCommit(ctx, is, c.Store, leased("m/1", id))
@@ -39,13 +39,13 @@
 	is.True(errors.Is(c.Store.KeepAlive(ctx, id), platform.ErrLeaseGone))
 }
 
-func leaseKept(ctx context.Context, is *is.I, c StoreCase) {
+func leaseRenewed(ctx context.Context, is *is.I, c StoreCase) {
 	id, err := c.Store.Grant(ctx, 1)
 	is.NoErr(err)
 	mustCommit(ctx, is, c.Store, leased("m/1", id))
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
-	for range 6 { // half as long again as the term
+	for range 6 { // one and a half terms
 		<-tick.C
 		is.NoErr(c.Store.KeepAlive(ctx, id))
 	}
@@ -53,10 +53,10 @@
 }
 
 func leaseGone(ctx context.Context, is *is.I, c StoreCase) {
-	const never = platform.LeaseID(424242)
-	is.True(errors.Is(c.Store.KeepAlive(ctx, never), platform.ErrLeaseGone))
-	is.True(errors.Is(c.Store.Revoke(ctx, never), platform.ErrLeaseGone))
-	_, err := c.Store.Commit(ctx, leased("m/1", never))
+	const unknown = platform.LeaseID(424242)
+	is.True(errors.Is(c.Store.KeepAlive(ctx, unknown), platform.ErrLeaseGone))
+	is.True(errors.Is(c.Store.Revoke(ctx, unknown), platform.ErrLeaseGone))
+	_, err := c.Store.Commit(ctx, leased("m/1", unknown))
 	is.True(errors.Is(err, platform.ErrLeaseGone))
 	is.Equal(mustList(ctx, is, c.Store, "m/"), []string{})
 }
--- a/internal/platform/platformtest/poller.go
+++ b/internal/platform/platformtest/poller.go
@@ -11,27 +11,27 @@
 	"pulleyquay/internal/platform"
 )
 
-// PollerCase is one way to set up a store that can be polled. Compact makes the
-// store forget old changes; nil leaves that part of the contract out.
+// PollerCase is one configuration of a pollable store under test. Compact makes the store discard old
+// changes; nil skips that part of the contract.
 type PollerCase struct {
 	Store   platform.Poller
 	Compact func()
 }
 
-// TestPoller runs the contract of platform.Poller beyond that of platform.Store.
+// TestPoller runs the contract of platform.Poller, except that of platform.Store.
 func TestPoller(t *testing.T, setup func(t *testing.T) PollerCase) {
 	tests := map[string]func(ctx context.Context, is *is.I, c PollerCase){
 		"get":                             getOne,
 		"stale list":                      listStale,
-		"changes that are there":          changesThere,
-		"changes that are yet to come":    changesToCome,
+		"existing changes":                existingChanges,
+		"future changes":                  futureChanges,
 		"no changes":                      noChanges,
 		"changes of a compacted revision": changesCompacted,
 		"many records":                    manyRecords,
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), timeout)
 			defer cancel()
 			test(ctx, is.New(t), setup(t))
 		})
@@ -54,15 +54,15 @@
 	mustCommit(ctx, is, c.Store, put("a/1", "1"))
 	records, _, err := c.Store.ListStale(ctx, "a/")
 	is.NoErr(err)
-	is.True(len(records) <= 1) // it may be seconds old
+	is.True(len(records) <= 1) // the list may be seconds old
 }
 
-func changesThere(ctx context.Context, is *is.I, c PollerCase) {
+func existingChanges(ctx context.Context, is *is.I, c PollerCase) {
 	first := mustCommit(ctx, is, c.Store, put("a/1", "1"))
 	second := mustCommit(ctx, is, c.Store, put("a/1", "2"))
 	mustCommit(ctx, is, c.Store, put("b/1", "3"))
 	mustCommit(ctx, is, c.Store, platform.Txn{Then: []platform.Write{{Key: "a/1", Delete: true}}})
-	batch, err := c.Store.Changes(ctx, "a/", first, patience)
+	batch, err := c.Store.Changes(ctx, "a/", first, timeout)
 	is.NoErr(err)
 	is.Equal(len(batch.Changes), 2)
 	is.Equal(batch.Changes[0].Value, []byte("2"))
@@ -74,7 +74,7 @@
 	is.Equal(len(batch.Changes), 0)
 }
 
-func changesToCome(ctx context.Context, is *is.I, c PollerCase) {
+func futureChanges(ctx context.Context, is *is.I, c PollerCase) {
 	at := mustCommit(ctx, is, c.Store, put("a/1", "1"))
 	type reply struct {
 		batch platform.Batch
@@ -82,7 +82,7 @@
 	}
 	replies := make(chan reply, 1)
 	go func() {
-		batch, err := c.Store.Changes(ctx, "a/", at, patience)
+		batch, err := c.Store.Changes(ctx, "a/", at, timeout)
 		replies <- reply{batch, err}
 	}()
 	mustCommit(ctx, is, c.Store, put("a/2", "2"))
@@ -112,7 +112,7 @@
 	is.True(errors.Is(err, platform.ErrCompacted))
 }
 
-// manyRecords are more than a store gives in one answer.
+// manyRecords lists more records than a store returns in one reply.
 func manyRecords(ctx context.Context, is *is.I, c PollerCase) {
 	const records, each = 1200, 30
 	for i := 0; i < records; i += each {
--- a/internal/platform/platformtest/store.go
+++ b/internal/platform/platformtest/store.go
@@ -1,5 +1,5 @@
-// Package platformtest holds the contract tests that every implementation of
-// the ports in package platform passes.
+// Package platformtest contains the contract tests for all implementations of the interfaces in
+// package platform.
 package platformtest
 
 import (
@@ -15,18 +15,18 @@
 	"pulleyquay/internal/platform"
 )
 
-// patience bounds each wait of the contract tests.
-const patience = 10 * time.Second
+// timeout is the time limit of each wait of the contract tests.
+const timeout = 10 * time.Second
 
-// StoreCase is one way to set up a store under test. Compact makes the store
-// forget old changes; nil leaves that part of the contract out.
+// StoreCase is one configuration of a store under test. Compact makes the store discard old changes;
+// nil skips that part of the contract.
 type StoreCase struct {
 	Store   platform.Store
 	Compact func()
 }
 
-// TestStore runs the contract of platform.Store; setup returns an empty store
-// and is called once a test.
+// TestStore runs the contract of platform.Store; setup returns an empty store and is called once per
+// test.
 func TestStore(t *testing.T, setup func(t *testing.T) StoreCase) {
 	tests := map[string]func(ctx context.Context, is *is.I, c StoreCase){
 		"list is ordered and by prefix":              listByPrefix,
@@ -35,43 +35,43 @@
 		"create once":                                createOnce,
 		"compare and swap":                           compareAndSwap,
 		"transaction is all or nothing":              allOrNothing,
-		"refused transaction shows what is there":    refusedShowsFound,
+		"refused transaction returns the records":    refusedShowsFound,
 		"beyond the limits":                          beyondLimits,
 		"delete":                                     deletes,
 		"empty value and any byte":                   anyByte,
 		"watch sends each change once in order":      watchInOrder,
-		"watch starts in the past":                   watchFromPast,
+		"watch starts at an old revision":            watchFromPast,
 		"watch keeps a transaction together":         watchTogether,
 		"watch of a compacted revision":              watchCompacted,
-		"revoked lease takes its keys":               revokeTakesKeys,
-		"lease ends by itself":                       leaseEnds,
-		"kept lease stays":                           leaseKept,
-		"gone lease is told":                         leaseGone,
+		"revoking a lease deletes its keys":          revokeDeletesKeys,
+		"lease expires":                              leaseExpires,
+		"renewed lease remains":                      leaseRenewed,
+		"ended lease is reported":                    leaseGone,
 		"concurrent swaps have one winner each":      oneWinner,
 		"a call with an ended context has no effect": endedContext,
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), timeout)
 			defer cancel()
 			test(ctx, is.New(t), setup(t))
 		})
 	}
 }
 
-// put is a transaction of one unconditional write.
+// put returns a transaction of one unconditional write.
 func put(key, value string) platform.Txn {
 	return platform.Txn{Then: []platform.Write{{Key: key, Value: []byte(value)}}}
 }
 
-// swap is a transaction that writes when the key was last written at rev.
+// swap returns a transaction that writes a key if its last write was at rev.
 func swap(key, value string, rev platform.Revision) platform.Txn {
 	txn := put(key, value)
 	txn.If = []platform.Condition{{Key: key, ModRevision: rev}}
 	return txn
 }
 
-// mustCommit commits and fails the test unless it was applied.
+// mustCommit commits and fails the test unless the transaction is applied.
 func mustCommit(ctx context.Context, is *is.I, s platform.Store, txn platform.Txn) platform.Revision {
 	is.Helper()
 	reply, err := s.Commit(ctx, txn)
@@ -80,7 +80,7 @@
 	return reply.Revision
 }
 
-// mustList lists and returns keys with values, "k=v".
+// mustList returns the listed keys with their values as "k=v".
 func mustList(ctx context.Context, is *is.I, s platform.Store, prefix string) []string {
 	is.Helper()
 	records, _, err := s.List(ctx, prefix)
@@ -102,7 +102,7 @@
 	_, before, err := c.Store.List(ctx, "b/")
 	is.NoErr(err)
 	after := mustCommit(ctx, is, c.Store, put("d", "v"))
-	is.True(after > before) // each write makes the revision grow
+	is.True(after > before) // each write increases the revision
 }
 
 func createOnce(ctx context.Context, is *is.I, c StoreCase) {
@@ -113,7 +113,7 @@
 	records, rev, err := c.Store.List(ctx, "k")
 	is.NoErr(err)
 	is.Equal(records, []platform.Record{{Key: "k", Value: []byte("one"), ModRevision: first}})
-	is.Equal(rev, first) // a refused transaction leaves the revision alone
+	is.Equal(rev, first) // a refused transaction does not change the revision
 }
 
 func compareAndSwap(ctx context.Context, is *is.I, c StoreCase) {
@@ -150,7 +150,7 @@
 	is.NoErr(err)
 	var got []string
 	for _, r := range records {
-		if len(r.Key) <= 4 { // a wrapper may keep keys of its own, with longer names
+		if len(r.Key) <= 4 { // a wrapper may store its own keys, with longer names
 			got = append(got, r.Key)
 		}
 	}
@@ -158,8 +158,7 @@
 	is.Equal(mustList(ctx, is, c.Store, "\U0010ffff"), []string{"\U0010ffff=v"})
 }
 
-// keysAreText: a platform may carry keys as text, where other bytes would be
-// changed on the way.
+// keysAreText: a platform may transfer keys as text, which would alter other bytes.
 func keysAreText(ctx context.Context, is *is.I, c StoreCase) {
 	for _, txn := range []platform.Txn{
 		put("a\xff", "v"),
@@ -220,18 +219,18 @@
 	ended, cancel := context.WithCancel(ctx)
 	cancel()
 	_, err := c.Store.Commit(ended, put("k", "v"))
-	is.True(errors.Is(err, platform.ErrUnavailable)) // nothing was sent
+	is.True(errors.Is(err, platform.ErrUnavailable)) // the call was not sent
 	is.Equal(mustList(ctx, is, c.Store, "k"), []string{})
 }
 
 func oneWinner(ctx context.Context, is *is.I, c StoreCase) {
-	const rivals, rounds = 4, 8
+	const writers, rounds = 4, 8
 	rev := platform.Revision(0)
 	for round := range rounds {
 		var wins []platform.Revision
 		var mu sync.Mutex
 		var wg sync.WaitGroup
-		for i := range rivals {
+		for i := range writers {
 			wg.Go(func() {
 				reply, err := c.Store.Commit(ctx, swap("k", fmt.Sprint(round, i), rev))
 				mu.Lock()
--- a/internal/platform/platformtest/watch.go
+++ b/internal/platform/platformtest/watch.go
@@ -17,7 +17,7 @@
 	stop    context.CancelFunc
 }
 
-// watch starts a watch in its own goroutine.
+// watch starts a watch in a new goroutine.
 func watch(ctx context.Context, s platform.Store, prefix string, after platform.Revision) watching {
 	ctx, cancel := context.WithCancel(ctx)
 	w := watching{batches: make(chan platform.Batch, 100), ended: make(chan error, 1), stop: cancel}
@@ -27,8 +27,8 @@
 	return w
 }
 
-// next returns the next n changes as "k=v" or "k gone", and checks that
-// revisions only grow and that batches are in order.
+// next returns the next n changes as "k=v" or "k gone", and checks that revisions do not decrease and
+// that batches are in order.
 func (w watching) next(ctx context.Context, is *is.I, n int) []string {
 	is.Helper()
 	var out []string
