--- a/internal/platform/resend/resend.go
+++ b/internal/platform/resend/resend.go
@@ -1,11 +1,9 @@
-// Package resend carries a conditional transaction through to the store: a copy
-// that is not answered in the usual time is followed by another one, and the first
-// answer to any of them counts.
+// Package resend makes a conditional transaction reach the store: if a copy gets no reply within the
+// usual time, another copy is sent, and the first reply to any copy is the result.
 //
-// The conditions make that safe: of all copies, however late they arrive, at most
-// one takes effect, and the answer to the others shows what is there. The time
-// after which a copy is sent follows the answers, so that a slow store is not
-// flooded and a lost answer costs little.
+// The conditions make this safe: at most one of the copies takes effect, however late they arrive, and
+// the replies to the others return the current records. The time after which a copy is sent adapts to
+// the measured latency, so that a slow store is not flooded and a lost reply costs little.
 package resend
 
 import (
@@ -19,61 +17,60 @@
 	"pulleyquay/internal/wait"
 )
 
-// Times and bounds of the copies.
+// Intervals and limits of copies.
 const (
-	// longestGap bounds the pause between two copies, which doubles: a store that was
-	// away is asked again this soon after its return.
-	longestGap = 500 * time.Millisecond
-	// mostCopies is how many copies are under way at a time; the oldest is given up
-	// for the next. With longestGap it lets a store take six seconds to answer.
-	mostCopies = 12
-	// silentAfter is for how long a copy may go unanswered, where answers take less,
-	// before the store counts as not answering, which is looked at every silentCheck.
-	silentAfter = 500 * time.Millisecond
-	silentCheck = 50 * time.Millisecond
-	// failedPause is the pause after a copy that was refused or whose connection broke;
-	// it doubles up to longestGap.
-	failedPause = 30 * time.Millisecond
-	// lateFor is for how long an overtaken copy may still be answered: a busy process
-	// often takes in the later answer first.
-	lateFor = 250 * time.Millisecond
+	// maxGap limits the interval between two copies, which doubles: after an outage the store gets
+	// the next copy within this time.
+	maxGap = 500 * time.Millisecond
+	// maxCopies is the maximum number of copies in flight; the oldest is cancelled for the next one.
+	// With maxGap it allows a store six seconds to reply.
+	maxCopies = 12
+	// unresponsiveAfter is for how long a copy may wait for its reply before the store counts as
+	// unresponsive, if replies usually take less. It is checked every silenceCheckInterval.
+	unresponsiveAfter    = 500 * time.Millisecond
+	silenceCheckInterval = 50 * time.Millisecond
+	// failurePause is the pause after a copy that was refused or whose connection broke; it doubles
+	// up to maxGap.
+	failurePause = 30 * time.Millisecond
+	// lateReplyGrace is for how long the reply to an older copy is awaited after a later copy got one:
+	// a busy process often reads the later reply first.
+	lateReplyGrace = 250 * time.Millisecond
 )
 
-// Reconnecter is a store client that can be told to open new connections for the
-// calls to come. An open connection may have fallen silent for good.
+// Reconnecter is a store client whose subsequent calls can be made to use new connections, since an
+// open connection may be silent permanently.
 type Reconnecter interface{ Reconnect() }
 
-// Sender sends transactions. It is safe for concurrent use.
+// Sender sends transactions with repeated copies. It is safe for concurrent use.
 type Sender struct {
 	store   platform.Store
 	health  *follow.Health
 	latency Latency
-	// Overtaken is told when a later copy was answered and an earlier one stays silent:
-	// its answer was lost, or its connection is dead. It may be nil.
+	// Overtaken, if not nil, is called when a later copy got a reply and an earlier one did not: the
+	// earlier reply was lost, or the connection is dead.
 	Overtaken func()
 }
 
-// New returns a sender that tells health how the store answers.
+// New returns a sender that records the store's replies in health.
 func New(store platform.Store, health *follow.Health) *Sender {
 	return &Sender{store: store, health: health}
 }
 
-// Reply is the answer to a transaction.
+// Reply is the result of a transaction.
 type Reply struct {
 	platform.TxnReply
-	// Repeated is true when more than one copy may have arrived: a transaction that
-	// was not applied may then have been by an earlier copy.
+	// Repeated is true if more than one copy may have arrived: a transaction reported as not applied
+	// may then have been applied by an earlier copy.
 	Repeated bool
 }
 
-// Commit sends copies of a transaction until one is answered. It returns
-// platform.ErrRefused for one that the store never takes, ErrUnavailable when it
-// certainly has no effect, and ErrUnknownOutcome when it may have one, now or later.
-// The latter two come when ctx ends, or when giveUp says so, unless it is nil: it is told
-// whether a copy may have an effect.
+// Commit sends copies of a transaction until one gets a reply. It returns platform.ErrRefused if the
+// store never accepts the transaction, ErrUnavailable if the transaction certainly has no effect, and
+// ErrUnknownOutcome if it may have one, now or later. The latter two are returned when ctx ends, or
+// when giveUp, if not nil, returns true; its argument is whether a copy may have an effect.
 func (s *Sender) Commit(ctx context.Context, txn platform.Txn, giveUp func(inDoubt bool) bool) (Reply, error) {
 	calls, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	c := copies{sender: s, ctx: ctx, calls: calls, txn: txn, gap: s.latency.Wait(), pause: failedPause, answers: make(chan answer, mostCopies)}
+	c := copies{sender: s, ctx: ctx, calls: calls, txn: txn, gap: s.latency.Wait(), pause: failurePause, answers: make(chan answer, maxCopies)}
 	if giveUp == nil {
 		giveUp = func(bool) bool { return false }
 	}
@@ -86,39 +83,39 @@
 		go c.awaitOvertaken(cancel)
 		return reply, nil
 	}
-	cancel() // ends the copies still under way
+	cancel() // ends the copies still in flight
 	return reply, err
 }
 
-// Usual is for how long an answer is worth waiting for, as learned from those so far.
+// Usual returns how long a reply is worth waiting for, by the latency measured so far.
 func (s *Sender) Usual() time.Duration { return s.latency.Wait() }
 
-// copies is one transaction on its way.
+// copies is one transaction in progress.
 type copies struct {
 	sender  *Sender
-	ctx     context.Context // the caller's
-	calls   context.Context // of the copies
+	ctx     context.Context // context of the caller
+	calls   context.Context // context of the copies
 	txn     platform.Txn
 	answers chan answer
-	// underWay are the copies not answered yet, the oldest first.
-	underWay []*flight
-	sent     int  // copies so far
-	doubt    bool // a copy that was given up may have an effect
-	// overtaken is true when a later copy was answered before the oldest.
+	// inFlight are the copies without a reply, the oldest first.
+	inFlight       []*flight
+	sent           int  // number of copies so far
+	mayHaveApplied bool // a cancelled copy may have an effect
+	// overtaken is true if a later copy got a reply before the oldest.
 	overtaken bool
-	// abandoned is true when it was given up while copies were under way.
+	// abandoned is true if the transaction was given up while copies were in flight.
 	abandoned bool
 	gap       time.Duration
 	pause     time.Duration
 }
 
-// flight is one copy under way.
+// flight is one copy in flight.
 type flight struct {
 	sent   time.Time
 	cancel context.CancelFunc
 }
 
-// answer is how one copy ended.
+// answer is the outcome of one copy.
 type answer struct {
 	of    *flight
 	reply platform.TxnReply
@@ -129,34 +126,34 @@
 	c.send()
 	next := time.NewTimer(c.gap)
 	defer next.Stop()
-	silent := time.NewTimer(silentCheck)
-	defer silent.Stop()
+	silenceCheck := time.NewTimer(silenceCheckInterval)
+	defer silenceCheck.Stop()
 	for {
 		select {
 		case a := <-c.answers:
-			reply, done, err := c.take(a)
+			reply, done, err := c.process(a)
 			if done {
 				return reply, err
 			}
-			if len(c.underWay) > 0 {
+			if len(c.inFlight) > 0 {
 				continue
 			}
-			if giveUp(c.doubt) || !c.rest() {
-				return Reply{}, c.givenUp()
+			if giveUp(c.mayHaveApplied) || !c.waitPause() {
+				return Reply{}, c.abandonError()
 			}
 		case <-next.C:
 			c.reconnect()
-			c.gap = max(min(2*c.gap, longestGap), c.sender.latency.Wait())
-		case <-silent.C:
-			silent.Reset(silentCheck)
-			c.noteSilence()
-			if c.waitsLong() && giveUp(true) {
+			c.gap = max(min(2*c.gap, maxGap), c.sender.latency.Wait())
+		case <-silenceCheck.C:
+			silenceCheck.Reset(silenceCheckInterval)
+			c.recordSilence()
+			if c.overdue() && giveUp(true) {
 				c.abandoned = true
-				return Reply{}, c.givenUp()
+				return Reply{}, c.abandonError()
 			}
 			continue
 		case <-c.ctx.Done():
-			return Reply{}, c.givenUp()
+			return Reply{}, c.abandonError()
 		}
 		c.send()
 		next.Reset(c.gap)
@@ -165,13 +162,13 @@
 
 // send sends one more copy.
 func (c *copies) send() {
-	if len(c.underWay) == mostCopies {
-		c.underWay[0].cancel()
-		c.underWay, c.doubt = c.underWay[1:], true
+	if len(c.inFlight) == maxCopies {
+		c.inFlight[0].cancel()
+		c.inFlight, c.mayHaveApplied = c.inFlight[1:], true
 	}
 	ctx, cancel := context.WithCancel(c.calls)
 	f := &flight{sent: time.Now(), cancel: cancel}
-	c.underWay = append(c.underWay, f)
+	c.inFlight = append(c.inFlight, f)
 	c.sent++
 	c.sender.health.Asked(f.sent)
 	go func() {
@@ -184,12 +181,12 @@
 	}()
 }
 
-// take takes in how a copy ended; done is true when that settles the transaction.
-func (c *copies) take(a answer) (reply Reply, done bool, err error) {
+// process records the outcome of a copy; done is true if it decides the transaction.
+func (c *copies) process(a answer) (reply Reply, done bool, err error) {
 	now := time.Now()
-	oldest := c.underWay[0]
-	if !c.land(a.of) {
-		return Reply{}, false, nil // given up before
+	oldest := c.inFlight[0]
+	if !c.remove(a.of) {
+		return Reply{}, false, nil // cancelled before
 	}
 	switch {
 	case a.err == nil:
@@ -202,22 +199,22 @@
 	}
 	c.sender.health.Note(false, now)
 	if !errors.Is(a.err, platform.ErrUnavailable) {
-		c.doubt = true
+		c.mayHaveApplied = true
 	}
 	return Reply{}, false, nil
 }
 
-// awaitOvertaken tells that a copy was overtaken unless its answer comes after all.
+// awaitOvertaken calls Overtaken unless the reply to the oldest copy arrives after all.
 func (c *copies) awaitOvertaken(cancel context.CancelFunc) {
 	defer cancel()
-	oldest := c.underWay[0]
-	timer := time.NewTimer(lateFor)
+	oldest := c.inFlight[0]
+	timer := time.NewTimer(lateReplyGrace)
 	defer timer.Stop()
 	for {
 		select {
 		case a := <-c.answers:
 			if a.err == nil {
-				c.sender.latency.Observe(time.Since(a.of.sent)) // late, as this process is busy
+				c.sender.latency.Observe(time.Since(a.of.sent)) // read late, as this process is busy
 			}
 			if a.of == oldest {
 				return
@@ -229,20 +226,20 @@
 	}
 }
 
-// abandonedFor is for how long the copies of an abandoned transaction are listened to.
-const abandonedFor = 6 * time.Second
+// abandonedReplyTimeout is for how long replies to an abandoned transaction are awaited.
+const abandonedReplyTimeout = 6 * time.Second
 
-// awaitAbandoned takes in the first answer to an abandoned transaction: it tells that
-// the store is there and how long it takes now. A store that turns slow all at once
-// would else be taken for a silent one for good.
+// awaitAbandoned processes the first reply to an abandoned transaction, which shows that the store is
+// available and how long it takes now. Otherwise a store that suddenly becomes slow would be taken for
+// unresponsive permanently.
 func (c *copies) awaitAbandoned(cancel context.CancelFunc) {
 	defer cancel()
-	timer := time.NewTimer(abandonedFor)
+	timer := time.NewTimer(abandonedReplyTimeout)
 	defer timer.Stop()
-	for len(c.underWay) > 0 {
+	for len(c.inFlight) > 0 {
 		select {
 		case a := <-c.answers:
-			if _, done, _ := c.take(a); done {
+			if _, done, _ := c.process(a); done {
 				return
 			}
 		case <-timer.C:
@@ -251,38 +248,40 @@
 	}
 }
 
-// waitsLong reports whether a copy has been under way for a while, so that it is not
-// about to be answered.
-func (c *copies) waitsLong() bool {
-	return len(c.underWay) > 0 && time.Since(c.underWay[0].sent) >= silentCheck
+// overdue reports whether the oldest copy has been in flight for silenceCheckInterval, so that its
+// reply is not imminent.
+func (c *copies) overdue() bool {
+	return len(c.inFlight) > 0 && time.Since(c.inFlight[0].sent) >= silenceCheckInterval
 }
 
-// land takes a copy off those under way.
-func (c *copies) land(f *flight) bool {
-	for i, other := range c.underWay {
+// remove removes a copy from those in flight; it returns false if the copy was cancelled before.
+func (c *copies) remove(f *flight) bool {
+	for i, other := range c.inFlight {
 		if other == f {
-			c.underWay = append(c.underWay[:i], c.underWay[i+1:]...)
+			c.inFlight = append(c.inFlight[:i], c.inFlight[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// rest pauses after a copy that failed. It reports false when ctx ended first.
-func (c *copies) rest() bool {
+// waitPause pauses after a failed copy. It returns false if ctx ended first.
+func (c *copies) waitPause() bool {
 	pause := c.pause
-	c.pause = min(2*pause, longestGap)
+	c.pause = min(2*pause, maxGap)
 	return wait.For(c.ctx, pause)
 }
 
-// silentAfter is for how long a copy may go unanswered before the store counts as
-// not answering.
-func (c *copies) silentAfter() time.Duration { return max(silentAfter, c.sender.latency.Wait()) }
+// unresponsiveAfter returns for how long a copy may wait for its reply before the store counts as
+// unresponsive.
+func (c *copies) unresponsiveAfter() time.Duration {
+	return max(unresponsiveAfter, c.sender.latency.Wait())
+}
 
-// noteSilence tells the health of a store that has not answered for long.
-func (c *copies) noteSilence() {
+// recordSilence records in health that the store is unresponsive.
+func (c *copies) recordSilence() {
 	now := time.Now()
-	if now.Sub(c.underWay[0].sent) >= c.silentAfter() {
+	if now.Sub(c.inFlight[0].sent) >= c.unresponsiveAfter() {
 		c.sender.health.Note(false, now)
 	}
 }
@@ -293,9 +292,9 @@
 	}
 }
 
-// givenUp is the error of a transaction that is not waited for any more.
-func (c *copies) givenUp() error {
-	if c.doubt || len(c.underWay) > 0 {
+// abandonError returns the error of a transaction that was given up.
+func (c *copies) abandonError() error {
+	if c.mayHaveApplied || len(c.inFlight) > 0 {
 		return fmt.Errorf("%w: no answer to %d copies", platform.ErrUnknownOutcome, c.sent)
 	}
 	return fmt.Errorf("%w: refused %d times", platform.ErrUnavailable, c.sent)
--- a/internal/platform/resend/resend_test.go
+++ b/internal/platform/resend/resend_test.go
@@ -16,22 +16,22 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// counted counts the calls to a store, can break their connections, and can let the
-// coming answers arrive late, or never.
-type counted struct {
+// countingStore counts the calls to a store, and can break their connections and delay or drop the next
+// replies.
+type countingStore struct {
 	platform.Store
 	calls, reconnects, loses, late atomic.Int64
 	resets                         atomic.Bool
 }
 
-func (c *counted) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (c *countingStore) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	c.calls.Add(1)
 	if c.resets.Load() {
 		return platform.TxnReply{}, platform.ErrUnknownOutcome
 	}
 	reply, err := c.Store.Commit(ctx, txn)
 	if c.late.Add(-1) >= 0 {
-		time.Sleep(lateFor / 2)
+		time.Sleep(lateReplyGrace / 2)
 	}
 	if c.loses.Add(-1) >= 0 {
 		<-ctx.Done()
@@ -40,13 +40,13 @@
 	return reply, err
 }
 
-func (c *counted) Reconnect() { c.reconnects.Add(1) }
+func (c *countingStore) Reconnect() { c.reconnects.Add(1) }
 
-// bench is a sender to a store that answers in 4 ms.
-type bench struct {
+// fixture is a sender with a store that replies in 4 ms.
+type fixture struct {
 	*Sender
 	client *memstore.Client
-	store  *counted
+	store  *countingStore
 	engine *memstore.Engine
 	health *follow.Health
 	n      int
@@ -54,18 +54,18 @@
 
 var usual = memstore.Faults{AnswerDelayMS: 4}
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	e := memstore.New()
 	t.Cleanup(e.Close)
 	c := e.Client("a")
 	c.SetFaults(usual)
-	store, health := &counted{Store: c}, follow.NewHealth(nil)
-	return &bench{Sender: New(store, health), client: c, store: store, engine: e, health: health}
+	store, health := &countingStore{Store: c}, follow.NewHealth(nil)
+	return &fixture{Sender: New(store, health), client: c, store: store, engine: e, health: health}
 }
 
-// create makes a key that nobody made before.
-func (b *bench) create(ctx context.Context) (Reply, error) {
+// create creates a new key.
+func (b *fixture) create(ctx context.Context) (Reply, error) {
 	b.n++
 	key := fmt.Sprint("k", b.n)
 	return b.Commit(ctx, platform.Txn{
@@ -73,8 +73,8 @@
 	}, nil)
 }
 
-// warm lets the sender learn how long the store takes.
-func (b *bench) warm(t *testing.T) {
+// warm makes the sender measure the store's latency.
+func (b *fixture) warm(t *testing.T) {
 	t.Helper()
 	for range 20 {
 		_, err := b.create(t.Context())
@@ -83,93 +83,92 @@
 	b.store.calls.Store(0)
 }
 
-// TestLostAnswersCostLittle: on the users' platform a third of the answers to
-// writes got lost, and each was waited for for half a second (platform_lost: worth
-// 0.770 a day).
-func TestLostAnswersCostLittle(t *testing.T) {
+// TestLostRepliesCostLittle guards against waiting half a second for each lost reply to a write; on
+// the users' platform a third of the replies was lost.
+func TestLostRepliesCostLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		b.warm(t)
 		var overtaken atomic.Int64
 		b.Overtaken = func() { overtaken.Add(1) }
 		b.store.loses.Store(1)
-		begun := time.Now()
+		start := time.Now()
 		reply, err := b.create(t.Context())
 		is.NoErr(err)
-		is.True(!reply.Applied && reply.Repeated) // the first copy was
-		is.True(time.Since(begun) < 2*shortestWait)
-		time.Sleep(lateFor)
+		is.True(!reply.Applied && reply.Repeated) // the first copy was applied
+		is.True(time.Since(start) < 2*minWait)
+		time.Sleep(lateReplyGrace)
 		synctest.Wait()
 		is.Equal(overtaken.Load(), int64(1))
 		is.Equal(b.store.reconnects.Load(), int64(1))
 	})
 }
 
-// TestLateAnswersAreNoSilence: a busy process takes in the later answer first, or the
-// earlier one late; taking that for silent connections had the holder of 3,000 hosts
-// open all of them anew again and again (sweep at 300 members: served 0.034).
-func TestLateAnswersAreNoSilence(t *testing.T) {
+// TestLateRepliesAreNotSilence: a busy process reads the later reply first, or the earlier one late.
+// Taking that for silent connections made the holder of 3,000 hosts reopen all of its connections
+// again and again.
+func TestLateRepliesAreNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		b.warm(t)
 		var overtaken atomic.Int64
 		b.Overtaken = func() { overtaken.Add(1) }
 		b.store.late.Store(1)
-		begun := time.Now()
+		start := time.Now()
 		_, err := b.create(t.Context())
 		is.NoErr(err)
-		is.True(time.Since(begun) < 2*shortestWait) // the second copy's answer counts
-		time.Sleep(2 * lateFor)
+		is.True(time.Since(start) < 2*minWait) // the second copy's reply is the result
+		time.Sleep(2 * lateReplyGrace)
 		synctest.Wait()
 		is.Equal(overtaken.Load(), int64(0))
 	})
 }
 
-// TestSlowStoreIsHeard: answers that took longer than the wait for them were never
-// heard, each copy being given up before its answer (platform_slow, 200 times:
-// nothing was accepted while it lasted).
-func TestSlowStoreIsHeard(t *testing.T) {
+// TestSlowStoreGetsReplies guards against replies that take longer than the wait never being received,
+// as each copy is cancelled before its reply: nothing was accepted while the store was slow.
+func TestSlowStoreGetsReplies(t *testing.T) {
 	for _, slow := range []int64{240, 800, 3000} {
 		t.Run(fmt.Sprint(slow, " ms"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t)
+				b := newFixture(t)
 				b.warm(t)
 				b.client.SetFaults(memstore.Faults{AnswerDelayMS: slow})
 				for i := range 12 {
-					begun := time.Now()
+					start := time.Now()
 					_, err := b.create(t.Context())
 					is.NoErr(err)
-					is.True(time.Since(begun) < time.Duration(slow+100)*time.Millisecond)
+					is.True(time.Since(start) < time.Duration(slow+100)*time.Millisecond)
 					if i == 5 {
 						b.store.calls.Store(0)
 					}
 				}
 				most := int64(6)
-				if slow > longestWait.Milliseconds() {
-					most *= 2 // one more while it is waited for
+				if slow > maxWait.Milliseconds() {
+					most *= 2 // one more copy during the wait
 				}
-				is.True(b.store.calls.Load() <= most) // no copies once that is known
+				is.True(b.store.calls.Load() <= most) // no further copies once the latency has been measured
 				is.Equal(b.health.Failing(time.Now()), time.Duration(0))
 			})
 		})
 	}
 }
 
-// TestOutcomes: what is known of a transaction that was given up is true.
+// TestOutcomes checks that the error of a transaction that was given up says correctly whether it may
+// have been applied.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		faults  memstore.Faults
 		resets  bool
-		heals   time.Duration // after which the faults end; zero for never
-		giveUp  bool          // where nothing is in doubt
-		inDoubt bool          // and where something is
+		heals   time.Duration // time after which the faults end; 0 for never
+		giveUp  bool          // give up if no copy may have been applied
+		inDoubt bool          // give up also if a copy may have been applied
 		want    error
 		within  time.Duration
-		most    int64 // calls
-		present bool  // whether the key is there in the end
+		most    int64 // maximum number of calls
+		present bool  // whether the key exists in the end
 	}{
 		"refused":                    {faults: memstore.Faults{Refuse: true}, want: platform.ErrUnavailable, within: 3 * time.Second, most: 12},
 		"refused, given up":          {faults: memstore.Faults{Refuse: true}, giveUp: true, want: platform.ErrUnavailable, within: time.Millisecond, most: 1},
@@ -179,14 +178,14 @@
 		"silent, given up in doubt":  {faults: memstore.Faults{Hang: true}, giveUp: true, inDoubt: true, want: platform.ErrUnknownOutcome, within: 100 * time.Millisecond, most: 1},
 		"silent, then back":          {faults: memstore.Faults{Hang: true}, heals: 2 * time.Second, within: 2600 * time.Millisecond, most: 12, present: true},
 		"connections break":          {resets: true, want: platform.ErrUnknownOutcome, within: 3 * time.Second, most: 12},
-		"answers too late":           {faults: memstore.Faults{AnswerDelayMS: 9000}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, most: 12, present: true},
-		"requests late, answers too": {faults: memstore.Faults{RequestDelayMS: 5000}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, most: 12, present: true},
+		"replies too late":           {faults: memstore.Faults{AnswerDelayMS: 9000}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, most: 12, present: true},
+		"requests and replies late":  {faults: memstore.Faults{RequestDelayMS: 5000}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, most: 12, present: true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(t)
+				b := newFixture(t)
 				b.warm(t)
 				b.client.SetFaults(tc.faults)
 				b.store.resets.Store(tc.resets)
@@ -195,27 +194,27 @@
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
-				begun := time.Now()
+				start := time.Now()
 				_, err := b.Commit(ctx, platform.Txn{
 					If: []platform.Condition{{Key: "x"}}, Then: []platform.Write{{Key: "x", Value: []byte("v")}},
 				}, func(inDoubt bool) bool { return tc.giveUp && (!inDoubt || tc.inDoubt) })
 				is.True(errors.Is(err, tc.want))
-				is.True(time.Since(begun) <= tc.within)
+				is.True(time.Since(start) <= tc.within)
 				is.True(b.store.calls.Load() <= tc.most)
-				time.Sleep(20 * time.Second) // copies under way have arrived
-				_, there, err := b.engine.Client("judge").Get(t.Context(), "x")
+				time.Sleep(20 * time.Second) // copies in flight have arrived
+				_, exists, err := b.engine.Client("observer").Get(t.Context(), "x")
 				is.NoErr(err)
-				is.Equal(there, tc.present)
+				is.Equal(exists, tc.present)
 			})
 		})
 	}
 }
 
-// TestRefusedForGood: a refusal for good is not repeated.
-func TestRefusedForGood(t *testing.T) {
+// TestPermanentRefusalIsNotRepeated: a permanent refusal is not repeated.
+func TestPermanentRefusalIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t)
+		b := newFixture(t)
 		b.warm(t)
 		_, err := b.Commit(t.Context(), platform.Txn{Then: []platform.Write{{Key: "", Value: nil}}}, nil)
 		is.True(errors.Is(err, platform.ErrRefused))
