--- a/internal/platform/confirm/confirm_test.go
+++ b/internal/platform/confirm/confirm_test.go
@@ -83,9 +83,9 @@
 				is.Equal(reply.Applied, err == nil)
 				time.Sleep(time.Minute) // all delayed calls have arrived
 				is.Equal(value(is, engine), test.value)
-				again, err := s.Commit(t.Context(), put("next"))
+				next, err := s.Commit(t.Context(), put("next"))
 				is.NoErr(err) // the store remains usable
-				is.True(again.Applied)
+				is.True(next.Applied)
 			})
 		})
 	}
@@ -189,7 +189,7 @@
 	})
 }
 
-// TestLeaseOfTheCaller checks that a lost lease of the caller is told apart from the markers' lease.
+// TestLeaseOfTheCaller checks that the caller's lost lease is distinguished from the markers' lease.
 func TestLeaseOfTheCaller(t *testing.T) {
 	is := is.New(t)
 	engine, s := newStore(t, confirm.Options{})
--- a/internal/platform/confirm/marker.go
+++ b/internal/platform/confirm/marker.go
@@ -72,7 +72,7 @@
 	return &marker{key: fmt.Sprintf("%s%d", p.prefix, p.created), lease: lease}, nil
 }
 
-// put returns a marker whose revision is known to the pool.
+// put returns a marker to the pool; the marker's revision must be known.
 func (p *markers) put(m *marker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/platform/confirm/property_test.go
+++ b/internal/platform/confirm/property_test.go
@@ -52,7 +52,7 @@
 	return steps
 }
 
-// answer is the result of a commit as returned to its caller.
+// result is the result of a commit as returned to its caller.
 type result struct {
 	reply platform.TxnReply
 	err   error
@@ -68,10 +68,10 @@
 		stores[i] = wrap(engine.Client(fmt.Sprint(i)))
 	}
 	results := make([]*result, len(steps))
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for i, s := range steps {
-		time.Sleep(time.Until(began.Add(s.at)))
+		time.Sleep(time.Until(start.Add(s.at)))
 		if s.faults != nil {
 			engine.Client(fmt.Sprint(s.client)).SetFaults(*s.faults)
 			continue
--- a/internal/platform/etcdhttp/client_test.go
+++ b/internal/platform/etcdhttp/client_test.go
@@ -72,11 +72,11 @@
 		"request timeout":  func(w http.ResponseWriter) { raw(w, "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n\r\n") },
 	}
 	for name, fail := range failures {
-		for _, good := range []int64{0, 1, 3} {
+		for _, successes := range []int64{0, 1, 3} {
 			t.Run(name, func(t *testing.T) {
 				is := is.New(t)
 				s := serve(t, func(n int64, w http.ResponseWriter, _ *http.Request) {
-					if n > good {
+					if n > successes {
 						fail(w)
 						return
 					}
@@ -84,14 +84,14 @@
 				})
 				before := other.requests.Load()
 				c := newClient(t, s.URL, other.URL)
-				for range good {
+				for range successes {
 					_, err := c.Commit(t.Context(), platform.Txn{})
 					is.NoErr(err)
 				}
 				_, err := c.Commit(t.Context(), platform.Txn{})
 				is.True(errors.Is(err, platform.ErrUnknownOutcome))
-				is.Equal(s.requests.Load(), good+1)     // sent once
-				is.Equal(other.requests.Load(), before) // and to no other endpoint
+				is.Equal(s.requests.Load(), successes+1) // sent once
+				is.Equal(other.requests.Load(), before)  // and to no other endpoint
 			})
 		}
 	}
@@ -279,17 +279,17 @@
 
 // TestForeignEvents sends events that a watch after revision 5 must not deliver.
 func TestForeignEvents(t *testing.T) {
-	good := `{"kv":{"key":"aw==","mod_revision":"6"}}`
+	valid := `{"kv":{"key":"aw==","mod_revision":"6"}}`
 	for name, events := range map[string]string{
 		"before the start": `{"kv":{"key":"aw==","mod_revision":"5"}}`,
 		"without revision": `{"kv":{"key":"aw=="}}`,
 		"without key":      `{"kv":{"mod_revision":"6"}}`,
-		"out of order":     `{"kv":{"key":"aw==","mod_revision":"7"}},` + good,
+		"out of order":     `{"kv":{"key":"aw==","mod_revision":"7"}},` + valid,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := serve(t, func(_ int64, w http.ResponseWriter, _ *http.Request) {
-				for _, e := range []string{good, events} {
+				for _, e := range []string{valid, events} {
 					_, _ = io.WriteString(w, `{"result":{"header":{"cluster_id":"1","revision":"9"},"events":[`+e+`]}}`)
 				}
 			})
--- a/internal/platform/follow/follow_test.go
+++ b/internal/platform/follow/follow_test.go
@@ -103,16 +103,16 @@
 	})
 }
 
-// silencedStore makes the polls that are waiting when mute is closed hang until their context ends.
+// silencedStore makes the polls that are waiting when silence is closed hang until their context ends.
 type silencedStore struct {
 	platform.Poller
-	mute <-chan struct{}
+	silence <-chan struct{}
 }
 
 func (s silencedStore) Changes(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) (platform.Batch, error) {
-	before := !isClosed(s.mute)
+	before := !isClosed(s.silence)
 	batch, err := s.Poller.Changes(ctx, prefix, after, wait)
-	if before && isClosed(s.mute) {
+	if before && isClosed(s.silence) {
 		<-ctx.Done()
 		return platform.Batch{}, ctx.Err()
 	}
@@ -137,18 +137,18 @@
 		defer store.Close()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		mute := make(chan struct{})
+		silence := make(chan struct{})
 		lists, last := 0, ""
 		health := NewHealth(nil)
 		f := Follower{
-			Store: silencedStore{store.Client("a"), mute}, Health: health, Prefix: "c/", Wait: 25 * time.Second,
+			Store: silencedStore{store.Client("a"), silence}, Health: health, Prefix: "c/", Wait: 25 * time.Second,
 			List:   func([]platform.Record) { lists++ },
 			Change: func(c platform.Change) { last = string(c.Value) },
 		}
 		go f.Run(ctx)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		close(mute)
+		close(silence)
 		store.Put(platform.Write{Key: "c/1", Value: []byte("new")})
 		time.Sleep(time.Second)
 		synctest.Wait()
--- a/internal/platform/groupcommit/groupcommit_test.go
+++ b/internal/platform/groupcommit/groupcommit_test.go
@@ -64,20 +64,20 @@
 	engine, inner, s := newStore(t)
 	_, err := engine.Client("observer").Commit(t.Context(), put("there")) // at revision 2
 	is.New(t).NoErr(err)
-	answers := make([]string, len(txns))
+	results := make([]string, len(txns))
 	var wg sync.WaitGroup
 	for i, txn := range txns {
 		wg.Go(func() {
 			reply, err := s.Commit(t.Context(), txn)
-			answers[i] = short(reply, err)
+			results[i] = summarize(reply, err)
 		})
 		synctest.Wait()
 	}
 	wg.Wait()
-	return answers, inner.commits.Load()
+	return results, inner.commits.Load()
 }
 
-func short(reply platform.TxnReply, err error) string {
+func summarize(reply platform.TxnReply, err error) string {
 	switch {
 	case errors.Is(err, platform.ErrLeaseGone):
 		return "lease gone"
@@ -97,8 +97,8 @@
 }
 
 func TestGroups(t *testing.T) {
-	gone := put("g")
-	gone.Then[0].Lease = 77
+	leaseGone := put("g")
+	leaseGone.Then[0].Lease = 77
 	many := make([]platform.Txn, 300)
 	allApplied := make([]string, len(many))
 	for i := range many {
@@ -109,7 +109,7 @@
 	}
 	tests := map[string]struct {
 		txns    []platform.Txn
-		answers []string
+		results []string
 		calls   int64
 	}{
 		"alone":                     {[]platform.Txn{put("a")}, []string{"applied"}, 1},
@@ -123,15 +123,15 @@
 		"reads what another writes": {[]platform.Txn{put("a"), put("b", at("a", 0))}, []string{"applied", "refused a@3"}, 2},
 		"writes what another reads": {[]platform.Txn{put("b", at("a", 0)), put("a")}, []string{"applied", "applied"}, 2},
 		"differ on a condition":     {[]platform.Txn{put("a", at("there", 2)), put("b", at("there", 1))}, []string{"applied", "refused there@2"}, 2},
-		"lease gone":                {[]platform.Txn{put("a"), gone, put("c")}, []string{"applied", "lease gone", "applied"}, 5},
+		"lease gone":                {[]platform.Txn{put("a"), leaseGone, put("c")}, []string{"applied", "lease gone", "applied"}, 5},
 		"too large for one call":    {[]platform.Txn{large("a"), large("b")}, []string{"applied", "applied"}, 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				answers, calls := commitTogether(t, test.txns...)
-				is.Equal(answers, test.answers)
+				results, calls := commitTogether(t, test.txns...)
+				is.Equal(results, test.results)
 				is.Equal(calls, test.calls)
 			})
 		})
@@ -141,9 +141,9 @@
 // TestCancelledCallers cancels a caller's context before its group is sent, and after.
 func TestCancelledCallers(t *testing.T) {
 	tests := map[string]struct {
-		after time.Duration
-		want  error
-		there int
+		after   time.Duration
+		want    error
+		records int
 	}{
 		"before": {groupcommit.DefaultLinger / 2, platform.ErrUnavailable, 1},
 		"after":  {groupcommit.DefaultLinger * 2, platform.ErrUnknownOutcome, 2},
@@ -160,7 +160,7 @@
 				_, err := s.Commit(ctx, put("k"))
 				is.True(errors.Is(err, test.want))
 				time.Sleep(5 * time.Second)
-				is.Equal(engine.Dump().Records, test.there)
+				is.Equal(engine.Dump().Records, test.records)
 			})
 		})
 	}
@@ -174,14 +174,14 @@
 		engine, inner, s := newStore(t)
 		engine.SetFaults(memstore.Faults{AnswerDelayMS: 1000})
 		var wg sync.WaitGroup
-		began := time.Now()
+		start := time.Now()
 		for i := range 100 {
 			wg.Go(func() { _, _ = s.Commit(t.Context(), put(fmt.Sprint(i))) })
 			time.Sleep(10 * time.Millisecond)
 		}
 		wg.Wait()
 		is.True(inner.commits.Load() <= 4)
-		is.True(time.Since(began) < 3*time.Second)
+		is.True(time.Since(start) < 3*time.Second)
 		is.Equal(engine.Dump().Records, 100)
 	})
 }
@@ -214,7 +214,7 @@
 			is.New(t).NoErr(err)
 			s, err := groupcommit.New(confirmed, groupcommit.Options{})
 			is.New(t).NoErr(err)
-			answers := make([]string, len(plan))
+			results := make([]string, len(plan))
 			var wg sync.WaitGroup
 			for i, d := range plan {
 				time.Sleep(time.Duration(d.pause) * time.Millisecond)
@@ -226,16 +226,16 @@
 				if d.expect >= 0 {
 					txn.If = []platform.Condition{at(fmt.Sprintf("k/%d", d.expect), platform.Revision(2*d.expect))}
 				}
-				wg.Go(func() { answers[i] = short(s.Commit(t.Context(), txn)) })
+				wg.Go(func() { results[i] = summarize(s.Commit(t.Context(), txn)) })
 			}
 			wg.Wait()
 			engine.Client("a").SetFaults(memstore.Faults{})
 			time.Sleep(time.Minute)
-			for i, answer := range answers {
+			for i, result := range results {
 				records, _, err := engine.Client("observer").List(t.Context(), fmt.Sprintf("own/%d", i))
 				found := err == nil && len(records) > 0 && records[0].Key == fmt.Sprintf("own/%d", i)
-				if answer != "unknown" && found != (answer == "applied") {
-					mismatches += fmt.Sprintf("%d: %s, there=%t; ", i, answer, found)
+				if result != "unknown" && found != (result == "applied") {
+					mismatches += fmt.Sprintf("%d: %s, there=%t; ", i, result, found)
 				}
 			}
 		})
--- a/internal/platform/memstore/client.go
+++ b/internal/platform/memstore/client.go
@@ -89,12 +89,12 @@
 // send makes one call to the engine, subject to the active faults. A request in flight still arrives
 // after its caller has cancelled.
 func send[T any](ctx context.Context, c *Client, write bool, apply func() (T, error)) (T, error) {
-	var none T
+	var zero T
 	if err := ctx.Err(); err != nil {
-		return none, fmt.Errorf("%w: %w", platform.ErrUnavailable, err)
+		return zero, fmt.Errorf("%w: %w", platform.ErrUnavailable, err)
 	}
 	if c.active().Refuse {
-		return none, platform.ErrUnavailable
+		return zero, platform.ErrUnavailable
 	}
 	replies := make(chan outcome[T], 1)
 	after(c.active().RequestDelayMS, func() { deliverRequest(c, write, apply, replies) })
@@ -102,7 +102,7 @@
 	case o := <-replies:
 		return o.value, o.err
 	case <-ctx.Done():
-		return none, noReply(write, context.Cause(ctx))
+		return zero, noReply(write, context.Cause(ctx))
 	}
 }
 
--- a/internal/platform/resend/resend.go
+++ b/internal/platform/resend/resend.go
@@ -70,7 +70,7 @@
 // when giveUp, if not nil, returns true; its argument is whether a copy may have an effect.
 func (s *Sender) Commit(ctx context.Context, txn platform.Txn, giveUp func(inDoubt bool) bool) (Reply, error) {
 	calls, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	c := copies{sender: s, ctx: ctx, calls: calls, txn: txn, gap: s.latency.Wait(), pause: failurePause, answers: make(chan answer, maxCopies)}
+	c := copies{sender: s, ctx: ctx, calls: calls, txn: txn, gap: s.latency.Wait(), pause: failurePause, results: make(chan copyResult, maxCopies)}
 	if giveUp == nil {
 		giveUp = func(bool) bool { return false }
 	}
@@ -96,7 +96,7 @@
 	ctx     context.Context // context of the caller
 	calls   context.Context // context of the copies
 	txn     platform.Txn
-	answers chan answer
+	results chan copyResult
 	// inFlight are the copies without a reply, the oldest first.
 	inFlight       []*flight
 	sent           int  // number of copies so far
@@ -115,8 +115,8 @@
 	cancel context.CancelFunc
 }
 
-// answer is the outcome of one copy.
-type answer struct {
+// copyResult is the outcome of one copy.
+type copyResult struct {
 	of    *flight
 	reply platform.TxnReply
 	err   error
@@ -130,7 +130,7 @@
 	defer silenceCheck.Stop()
 	for {
 		select {
-		case a := <-c.answers:
+		case a := <-c.results:
 			reply, done, err := c.process(a)
 			if done {
 				return reply, err
@@ -175,14 +175,14 @@
 		defer cancel()
 		reply, err := c.sender.store.Commit(ctx, c.txn)
 		select {
-		case c.answers <- answer{f, reply, err}:
+		case c.results <- copyResult{f, reply, err}:
 		case <-c.calls.Done():
 		}
 	}()
 }
 
 // process records the outcome of a copy; done is true if it decides the transaction.
-func (c *copies) process(a answer) (reply Reply, done bool, err error) {
+func (c *copies) process(a copyResult) (reply Reply, done bool, err error) {
 	now := time.Now()
 	oldest := c.inFlight[0]
 	if !c.remove(a.of) {
@@ -212,7 +212,7 @@
 	defer timer.Stop()
 	for {
 		select {
-		case a := <-c.answers:
+		case a := <-c.results:
 			if a.err == nil {
 				c.sender.latency.Observe(time.Since(a.of.sent)) // read late, as this process is busy
 			}
@@ -238,7 +238,7 @@
 	defer timer.Stop()
 	for len(c.inFlight) > 0 {
 		select {
-		case a := <-c.answers:
+		case a := <-c.results:
 			if _, done, _ := c.process(a); done {
 				return
 			}
--- a/internal/platform/resend/resend_test.go
+++ b/internal/platform/resend/resend_test.go
@@ -20,8 +20,8 @@
 // replies.
 type countingStore struct {
 	platform.Store
-	calls, reconnects, loses, late atomic.Int64
-	resets                         atomic.Bool
+	calls, reconnects, lostReplies, delayedReplies atomic.Int64
+	resets                                         atomic.Bool
 }
 
 func (c *countingStore) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
@@ -30,10 +30,10 @@
 		return platform.TxnReply{}, platform.ErrUnknownOutcome
 	}
 	reply, err := c.Store.Commit(ctx, txn)
-	if c.late.Add(-1) >= 0 {
+	if c.delayedReplies.Add(-1) >= 0 {
 		time.Sleep(lateReplyGrace / 2)
 	}
-	if c.loses.Add(-1) >= 0 {
+	if c.lostReplies.Add(-1) >= 0 {
 		<-ctx.Done()
 		return platform.TxnReply{}, platform.ErrUnknownOutcome
 	}
@@ -92,7 +92,7 @@
 		b.warm(t)
 		var overtaken atomic.Int64
 		b.Overtaken = func() { overtaken.Add(1) }
-		b.store.loses.Store(1)
+		b.store.lostReplies.Store(1)
 		start := time.Now()
 		reply, err := b.create(t.Context())
 		is.NoErr(err)
@@ -115,7 +115,7 @@
 		b.warm(t)
 		var overtaken atomic.Int64
 		b.Overtaken = func() { overtaken.Add(1) }
-		b.store.late.Store(1)
+		b.store.delayedReplies.Store(1)
 		start := time.Now()
 		_, err := b.create(t.Context())
 		is.NoErr(err)
@@ -145,11 +145,11 @@
 						b.store.calls.Store(0)
 					}
 				}
-				most := int64(6)
+				maxCalls := int64(6)
 				if slow > maxWait.Milliseconds() {
-					most *= 2 // one more copy during the wait
+					maxCalls *= 2 // one more copy during the wait
 				}
-				is.True(b.store.calls.Load() <= most) // no further copies once the latency has been measured
+				is.True(b.store.calls.Load() <= maxCalls) // no further copies once the latency has been measured
 				is.Equal(b.health.Failing(time.Now()), time.Duration(0))
 			})
 		})
@@ -160,26 +160,26 @@
 // have been applied.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
-		faults  memstore.Faults
-		resets  bool
-		heals   time.Duration // time after which the faults end; 0 for never
-		giveUp  bool          // give up if no copy may have been applied
-		inDoubt bool          // give up also if a copy may have been applied
-		want    error
-		within  time.Duration
-		most    int64 // maximum number of calls
-		present bool  // whether the key exists in the end
+		faults        memstore.Faults
+		resets        bool
+		recoversAfter time.Duration // 0 for never
+		giveUp        bool          // give up if no copy may have been applied
+		inDoubt       bool          // give up also if a copy may have been applied
+		want          error
+		within        time.Duration
+		maxCalls      int64
+		present       bool // whether the key exists in the end
 	}{
-		"refused":                    {faults: memstore.Faults{Refuse: true}, want: platform.ErrUnavailable, within: 3 * time.Second, most: 12},
-		"refused, given up":          {faults: memstore.Faults{Refuse: true}, giveUp: true, want: platform.ErrUnavailable, within: time.Millisecond, most: 1},
-		"refused, then back":         {faults: memstore.Faults{Refuse: true}, heals: 2 * time.Second, within: 2600 * time.Millisecond, most: 12, present: true},
-		"silent":                     {faults: memstore.Faults{Hang: true}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, most: 12},
-		"silent, not to be given up": {faults: memstore.Faults{Hang: true}, giveUp: true, heals: time.Second, within: 1600 * time.Millisecond, most: 9, present: true},
-		"silent, given up in doubt":  {faults: memstore.Faults{Hang: true}, giveUp: true, inDoubt: true, want: platform.ErrUnknownOutcome, within: 100 * time.Millisecond, most: 1},
-		"silent, then back":          {faults: memstore.Faults{Hang: true}, heals: 2 * time.Second, within: 2600 * time.Millisecond, most: 12, present: true},
-		"connections break":          {resets: true, want: platform.ErrUnknownOutcome, within: 3 * time.Second, most: 12},
-		"replies too late":           {faults: memstore.Faults{AnswerDelayMS: 9000}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, most: 12, present: true},
-		"requests and replies late":  {faults: memstore.Faults{RequestDelayMS: 5000}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, most: 12, present: true},
+		"refused":                    {faults: memstore.Faults{Refuse: true}, want: platform.ErrUnavailable, within: 3 * time.Second, maxCalls: 12},
+		"refused, given up":          {faults: memstore.Faults{Refuse: true}, giveUp: true, want: platform.ErrUnavailable, within: time.Millisecond, maxCalls: 1},
+		"refused, then back":         {faults: memstore.Faults{Refuse: true}, recoversAfter: 2 * time.Second, within: 2600 * time.Millisecond, maxCalls: 12, present: true},
+		"silent":                     {faults: memstore.Faults{Hang: true}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, maxCalls: 12},
+		"silent, not to be given up": {faults: memstore.Faults{Hang: true}, giveUp: true, recoversAfter: time.Second, within: 1600 * time.Millisecond, maxCalls: 9, present: true},
+		"silent, given up in doubt":  {faults: memstore.Faults{Hang: true}, giveUp: true, inDoubt: true, want: platform.ErrUnknownOutcome, within: 100 * time.Millisecond, maxCalls: 1},
+		"silent, then back":          {faults: memstore.Faults{Hang: true}, recoversAfter: 2 * time.Second, within: 2600 * time.Millisecond, maxCalls: 12, present: true},
+		"connections break":          {resets: true, want: platform.ErrUnknownOutcome, within: 3 * time.Second, maxCalls: 12},
+		"replies too late":           {faults: memstore.Faults{AnswerDelayMS: 9000}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, maxCalls: 12, present: true},
+		"requests and replies late":  {faults: memstore.Faults{RequestDelayMS: 5000}, want: platform.ErrUnknownOutcome, within: 3 * time.Second, maxCalls: 12, present: true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -189,8 +189,8 @@
 				b.warm(t)
 				b.client.SetFaults(tc.faults)
 				b.store.resets.Store(tc.resets)
-				if tc.heals > 0 {
-					time.AfterFunc(tc.heals, func() { b.client.SetFaults(usual) })
+				if tc.recoversAfter > 0 {
+					time.AfterFunc(tc.recoversAfter, func() { b.client.SetFaults(usual) })
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
@@ -200,7 +200,7 @@
 				}, func(inDoubt bool) bool { return tc.giveUp && (!inDoubt || tc.inDoubt) })
 				is.True(errors.Is(err, tc.want))
 				is.True(time.Since(start) <= tc.within)
-				is.True(b.store.calls.Load() <= tc.most)
+				is.True(b.store.calls.Load() <= tc.maxCalls)
 				time.Sleep(20 * time.Second) // copies in flight have arrived
 				_, exists, err := b.engine.Client("observer").Get(t.Context(), "x")
 				is.NoErr(err)
--- a/internal/platform/retry/retry.go
+++ b/internal/platform/retry/retry.go
@@ -39,7 +39,7 @@
 	var last error
 	operation := func() (struct{}, error) {
 		last = fn(ctx)
-		if !Certain(last) {
+		if !Retryable(last) {
 			return struct{}{}, backoff.Permanent(last)
 		}
 		return struct{}{}, last
@@ -51,8 +51,8 @@
 	return last
 }
 
-// Certain reports whether err means that a call had no effect and may succeed if it is repeated.
-func Certain(err error) bool {
+// Retryable reports whether err means that a call had no effect and may succeed if it is repeated.
+func Retryable(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) && !errors.Is(err, platform.ErrRefused)
 }
 
