--- a/internal/platform/resend/resend.go
+++ b/internal/platform/resend/resend.go
@@ -204,7 +204,7 @@
 	return Reply{}, false, nil
 }
 
-// awaitOvertaken calls Overtaken unless the reply to the oldest copy arrives after all.
+// awaitOvertaken calls OnReplyLost unless the reply to the oldest copy arrives after all.
 func (c *copies) awaitOvertaken(cancel context.CancelFunc) {
 	defer cancel()
 	oldest := c.inFlight[0]
