--- a/internal/platform/budget/budget.go
+++ b/internal/platform/budget/budget.go
@@ -15,8 +15,8 @@
 	"pulleyquay/internal/result"
 )
 
-// DefaultTimeout is the time limit of a call whose context has no deadline, including the wait
-// for the rate limiter.
+// DefaultTimeout is the time limit of a call whose context has no earlier deadline, including the
+// wait for the rate limiter.
 const DefaultTimeout = 5 * time.Second
 
 // Options configure a Store. Zero fields take their defaults.
--- a/internal/platform/confirm/confirm.go
+++ b/internal/platform/confirm/confirm.go
@@ -28,7 +28,7 @@
 	Prefix = "commits/"
 	// DefaultCallTime is the minimum time to wait for a reply.
 	DefaultCallTime = time.Second
-	// DefaultCommitTime is the time limit of a commit whose context has no deadline.
+	// DefaultCommitTime is the time limit of a commit whose context has no earlier deadline.
 	DefaultCommitTime = 30 * time.Second
 	// DefaultLeaseSeconds is the term of the markers' lease.
 	DefaultLeaseSeconds = 3600
