--- a/internal/ctl/logline_test.go
+++ b/internal/ctl/logline_test.go
@@ -16,7 +16,7 @@
 	"earlier": `{"age_ms":2384,"epoch":2,"host":"h06","job":"5c0e7a21d94b36f8","level":"info","msg":"run lost","name":"edge-2","process":"pulley-node","step":"5c0e7a21d94b36f8/0/3","time":"2026-12-02T10:00:03.5Z","why":"label \"x\", at 0%, \u003cdark\u003e"}`,
 }
 
-// Log storage may keep only about the first 200 bytes of each line. Truncated lines are no valid JSON
+// Users may keep only about the first 200 bytes of each line. Truncated lines are not valid JSON
 // objects; skipping them silently left a trace without its long lines, which are those with reasons.
 func TestTruncatedLines(t *testing.T) {
 	for name, text := range completeLines {
--- a/internal/daemon/budget.go
+++ b/internal/daemon/budget.go
@@ -13,7 +13,7 @@
 	// each second, of each priority, so that a burst costs little processor time and disk.
 	// Warnings and errors are not limited.
 	infoPerSecond = 1000
-	// mostKinds limits how many kinds of dropped lines are counted by their message; the others
+	// maxKinds limits how many kinds of dropped lines are counted by their message; the others
 	// are counted together.
 	maxKinds = 32
 )
@@ -53,7 +53,7 @@
 	dropped [causeCount]map[string]int // counts by message
 }
 
-// Format implements logrus.Formatter. The result is empty for a dropped line.
+// Format implements logrus.Formatter. A dropped line adds nothing to the result.
 func (b *limiter) Format(entry *logrus.Entry) ([]byte, error) {
 	reports, admitted := b.admit(entry)
 	var out []byte
--- a/internal/daemon/format_test.go
+++ b/internal/daemon/format_test.go
@@ -25,7 +25,7 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 123_456_789, time.UTC)
 
-// Log storage may keep only the first 200 bytes of each line. With the keys in alphabetical order these
+// Users may keep only the first 200 bytes of each line. With the keys in alphabetical order these
 // ended at the time, so that the reason of a job's failure ("why") was lost.
 func TestReasonWithinFirst200Bytes(t *testing.T) {
 	is := is.New(t)
