--- a/internal/ctl/call.go
+++ b/internal/ctl/call.go
@@ -55,7 +55,7 @@
 	flags.StringVarP(&f.data, "data", "d", "", "body; @FILE reads a file, @- standard input")
 	flags.StringVar(&f.key, "key", keyAuto, "Idempotency-Key: a UUIDv7, auto (a new one for POST and PATCH) or none")
 	flags.StringVar(&f.caller, "caller", "", "identity of the caller")
-	flags.StringArrayVarP(&f.headers, "header", "H", nil, "additional header, Name: value")
+	flags.StringArrayVarP(&f.headers, "header", "H", nil, "further header, Name: value")
 	flags.DurationVar(&f.deadline, "deadline", 0, "deadline; by default the service's")
 	return cmd
 }
--- a/internal/taskmsg/taskmsg.go
+++ b/internal/taskmsg/taskmsg.go
@@ -102,7 +102,7 @@
 }
 
 // GangHold requests that a holder reserve capacity for as many of the given slots of a
-// gang as it can, without starting them. The reservation expires after HoldMS.
+// gang as it can, without starting them. The reservation has a time limit.
 type GangHold struct {
 	Home   Home   `cbor:"1,keyasint"`
 	Shape  Shape  `cbor:"2,keyasint"`
@@ -118,7 +118,7 @@
 	Try int `cbor:"6,keyasint"`
 }
 
-// GangHeld is the reply to a GangHold: the slots with reserved capacity.
+// GangHeld is the reply to a reservation request: the slots with reserved capacity.
 type GangHeld struct {
 	Held    []Slot   `cbor:"1,keyasint"`
 	Refusal *Refusal `cbor:"2,keyasint,omitempty"`
@@ -170,9 +170,9 @@
 	Zone      string         `cbor:"5,keyasint,omitempty"`
 	Partition int            `cbor:"6,keyasint"`
 	Epoch     uint64         `cbor:"7,keyasint"`
-	// Unseen and There encode the evidence about a lost run; see Sight. Members of versions
-	// without There read Unseen alone; if it is set, they do not attribute the loss of the
-	// host to the run's task.
+	// The next two fields encode the evidence about a lost run. Members of versions without
+	// the second field read the first alone; if it is set, they do not attribute the loss of
+	// the host to the run's task.
 	Unseen bool `cbor:"8,keyasint,omitempty"`
 	There  bool `cbor:"9,keyasint,omitempty"`
 }
