--- a/cmd/pulley-demo/main.go
+++ b/cmd/pulley-demo/main.go
@@ -1,5 +1,5 @@
-// Command pulley-demo shows the whole path on one machine. It is the only
-// program here that starts processes, and is no part of the product.
+// Command pulley-demo runs a demonstration of a small cell on one machine. It is
+// the only command here that starts processes, and not part of the product.
 package main
 
 import (
@@ -14,7 +14,7 @@
 func main() {
 	var bin, examples string
 	cmd := &cobra.Command{
-		Use: "pulley-demo", Short: "Starts a small cell on loopback and shows what it does.",
+		Use: "pulley-demo", Short: "Starts a small cell on loopback and runs a demonstration on it.",
 		Args: cobra.NoArgs, SilenceUsage: true,
 		RunE: func(*cobra.Command, []string) error {
 			dir, err := os.MkdirTemp("", "pulley-demo-")
--- a/cmd/pulley-entry/config.go
+++ b/cmd/pulley-entry/config.go
@@ -8,16 +8,16 @@
 	"pulleyquay/internal/result"
 )
 
-// Settings is the entry's own settings file.
+// Settings is the content of the entry's settings file.
 type Settings struct {
 	Name string `json:"name" validate:"required"`
-	// Cell is the same in all processes of a cell; others are refused.
+	// Cell is the same in all processes of a cell; peers of another cell are refused.
 	Cell string `json:"cell" validate:"required"`
 	// Zone is the host's availability zone.
 	Zone     string `json:"zone" validate:"required"`
 	LogLevel string `json:"log_level" validate:"oneof=debug info warn error"`
 	Listen   Listen `json:"listen"`
-	// Placers are peer addresses of placers, that of the same host first.
+	// Placers are the peer addresses of placers, starting with the placer on the same host.
 	Placers []string `json:"placers" validate:"min=1,dive,hostname_port"`
 	// Partitions must equal the placers' setting.
 	Partitions int  `json:"partitions" validate:"min=1,max=4096"`
@@ -30,16 +30,16 @@
 	Admin string `json:"admin" validate:"required,hostname_port"`
 }
 
-// Stop bounds a planned stop.
+// Stop holds the time limits of a planned stop.
 type Stop struct {
-	// Announce is how long the listener stays open after readiness went false,
-	// so that the balancer can notice.
+	// Announce is how long the listener stays open after the readiness check
+	// starts to fail, so that the load balancer can notice.
 	Announce config.Duration `json:"announce" validate:"min=0"`
-	// Limit bounds the wait for requests in flight.
+	// Limit is the longest wait for requests in flight.
 	Limit config.Duration `json:"limit" validate:"min=1000000000"`
 }
 
-// Check refuses contradictions between settings.
+// Check returns an error for settings that contradict each other.
 func (s *Settings) Check() error {
 	if s.Listen.HTTP == s.Listen.Admin {
 		return result.New(result.ConfigContradiction, result.RanNo, "the same address as listen.http").At("listen.admin")
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// defaultCell is the name of a cell that is given none.
+// defaultCell is the cell name if the settings file has none.
 const defaultCell = "default"
 
 func defaults() Settings {
--- a/cmd/pulley-entry/main.go
+++ b/cmd/pulley-entry/main.go
@@ -1,5 +1,5 @@
-// Command pulley-entry serves callers and operators over HTTP. It keeps nothing
-// but the requests in flight.
+// Command pulley-entry serves callers and operators over HTTP. Its only state is
+// the requests in flight.
 package main
 
 import (
--- a/cmd/pulley-entry/process.go
+++ b/cmd/pulley-entry/process.go
@@ -18,7 +18,7 @@
 	"pulleyquay/internal/view"
 )
 
-// process is the entry: every part, wired.
+// process holds the components of the entry.
 type process struct {
 	conf   Settings
 	daemon *daemon.Daemon
@@ -33,7 +33,7 @@
 	cancel context.CancelFunc
 }
 
-// newProcess makes and connects the parts; nothing runs yet.
+// newProcess creates and connects the components without starting them.
 func newProcess(s Settings, d *daemon.Daemon) *process {
 	p := &process{conf: s, daemon: d, log: d.Log.WithField("name", s.Name)}
 	p.node = peer.NewNode(peer.Hello{Name: s.Name, Cell: s.Cell}, peer.NewMux(), p.log)
@@ -51,11 +51,11 @@
 	d.AddDump("requests", p.callers.Dump)
 	d.AddDump("settings", p.settings.Dump)
 	d.AddReadiness(p.table.Lacks)
-	d.AddReadiness(p.settingsLack)
+	d.AddReadiness(p.settingsUnreadyReasons)
 	return p
 }
 
-// source is the entry as a view.Source.
+// source implements view.Source for the entry.
 type source struct{ p *process }
 
 // Table implements view.Source.
@@ -64,8 +64,8 @@
 // Settings implements view.Source.
 func (s source) Settings() *settings.Tree { return s.p.settings.Current() }
 
-// placers lists the placers to ask: those configured, the own host's first,
-// then every other member.
+// placers lists the addresses of the placers to query: the configured ones, starting
+// with the placer on the same host, then all other members.
 func (p *process) placers() []string {
 	out := append([]string(nil), p.conf.Placers...)
 	seen := map[string]bool{}
@@ -80,14 +80,15 @@
 	return out
 }
 
-func (p *process) settingsLack() []string {
+// settingsUnreadyReasons returns why the settings are not ready, or nil.
+func (p *process) settingsUnreadyReasons() []string {
 	if err := p.settings.Ready(); err != nil {
 		return []string{fmt.Sprintf("settings: %v", err)}
 	}
 	return nil
 }
 
-// routes returns the handler of everything callers and operators may ask.
+// routes returns the handler of all paths for callers and operators.
 func (p *process) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(entry.Prefix, p.callers)
@@ -100,8 +101,8 @@
 	return alice.New(p.closeWhileStopping).Then(mux)
 }
 
-// closeWhileStopping asks callers for a new connection once a planned stop has
-// begun, so that their next request goes through the balancer again.
+// closeWhileStopping has callers close their connections once a planned stop has
+// begun, so that their next request goes through the load balancer again.
 func (p *process) closeWhileStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p.daemon.Stopping() {
@@ -111,9 +112,9 @@
 	})
 }
 
-// start opens the listeners and runs the parts.
+// start opens the listeners and starts the components.
 func (p *process) start(ctx context.Context) error {
-	callers, err := daemon.Listen(p.conf.Listen.HTTP, "listen.http")
+	callerListener, err := daemon.Listen(p.conf.Listen.HTTP, "listen.http")
 	if err != nil {
 		return err
 	}
@@ -124,12 +125,12 @@
 	ctx, p.cancel = context.WithCancel(ctx)
 	go p.table.Run(ctx)
 	go p.settings.Run(ctx)
-	p.server = p.daemon.Serve(callers, p.routes())
+	p.server = p.daemon.Serve(callerListener, p.routes())
 	p.daemon.Serve(admin, p.daemon.Admin())
 	return nil
 }
 
-// stop lets the requests in flight end.
+// stop waits for the requests in flight, then closes the peer links.
 func (p *process) stop(ctx context.Context) error {
 	err := p.server.Shutdown(ctx)
 	p.cancel()
--- a/cmd/pulley-node/connections.go
+++ b/cmd/pulley-node/connections.go
@@ -11,36 +11,36 @@
 	"pulleyquay/internal/platform/resend"
 )
 
-// suspectEvery is the least time between two renewals of all connections: answers
-// that get lost look like connections that have fallen silent, and each renewal
-// costs a question to every host in use.
-const suspectEvery = 2 * time.Second
+// minReconnectInterval is the least time between two renewals of all connections: lost
+// replies can't be told from a silent connection, and each renewal costs a request to
+// every host in use.
+const minReconnectInterval = 2 * time.Second
 
 // connections renews the connections to the store, the hosts and the services when
-// some have fallen silent: on such a one nothing arrives any more, and nothing tells.
+// some are silent: a silent connection delivers no data and reports no error.
 type connections struct {
-	parts  []resend.Reconnecter
-	peers  *peer.Node
-	health *follow.Health
-	log    *logrus.Entry
+	clients []resend.Reconnecter
+	peers   *peer.Node
+	health  *follow.Health
+	log     *logrus.Entry
 
-	mu   sync.Mutex
-	last time.Time
+	mu            sync.Mutex
+	lastReconnect time.Time
 }
 
-// suspect is told that a connection seems to have fallen silent while a new one to
-// the same address works.
-func (c *connections) suspect() {
+// reconnectAll opens all connections anew, at most once in minReconnectInterval. It is
+// called when a connection seems silent while a new one to the same address works.
+func (c *connections) reconnectAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if now.Sub(c.last) < suspectEvery {
+	if now.Sub(c.lastReconnect) < minReconnectInterval {
 		return
 	}
-	c.last = now
+	c.lastReconnect = now
 	c.log.Warn("a connection has fallen silent; all are opened anew")
-	for _, p := range c.parts {
-		p.Reconnect()
+	for _, client := range c.clients {
+		client.Reconnect()
 	}
 	c.health.Renew()
 	c.peers.Try()
--- a/cmd/pulley-node/events.go
+++ b/cmd/pulley-node/events.go
@@ -8,13 +8,13 @@
 	"pulleyquay/internal/engine"
 )
 
-// event logs a decision.
-func (n *node) event(e engine.Event) {
+// logEvent logs a scheduling decision.
+func (n *node) logEvent(e engine.Event) {
 	n.log.WithFields(eventFields(e)).Info(e.What)
 }
 
-// eventFields are those that apply to an event. The step goes without the job's id where
-// that stands beside it.
+// eventFields returns the log fields of an event without the empty ones. The step is
+// logged without the job's id if the event has a job, whose id is a field of its own.
 func eventFields(e engine.Event) logrus.Fields {
 	fields := logrus.Fields{"epoch": e.Version}
 	for _, f := range [...]struct{ name, value string }{
--- a/cmd/pulley-node/load.go
+++ b/cmd/pulley-node/load.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// loadEvery is how often the load of a process that holds a partition is told,
-	// restLoads in how many of these times that of another one is.
-	loadEvery = 2 * time.Second
-	restLoads = 5
+	// loadInterval is how often a process that holds a partition logs its load. Other
+	// processes log theirs once in standbyLoadFactor intervals.
+	loadInterval      = 2 * time.Second
+	standbyLoadFactor = 5
 )
 
-// purposes names what messages between members are for; others count as "other messages".
-var purposes = map[peer.Kind]string{
+// messagePurposes maps the kinds of messages between members to the purpose under which
+// their traffic is counted; all other kinds count as "other messages".
+var messagePurposes = map[peer.Kind]string{
 	peer.KindBeat: "beats", peer.KindOpinion: "beats", peer.KindSucceed: "beats",
 	peer.KindAccepted: "jobs", peer.KindStoreJob: "jobs",
 	peer.KindState: "questions", peer.KindCancelJob: "questions", peer.KindPending: "questions",
@@ -33,10 +34,10 @@
 	peer.KindHostCalls: "host calls", peer.KindHostReport: "host reports",
 }
 
-// countMessages counts messages between members by what they are for.
+// countMessages returns a function that counts messages between members by purpose.
 func countMessages(m *traffic.Meter) func(kind peer.Kind, in, out int) {
 	counters := map[peer.Kind]*traffic.Counter{}
-	for kind, purpose := range purposes {
+	for kind, purpose := range messagePurposes {
 		counters[kind] = m.Of(purpose)
 	}
 	other := m.Of("other messages")
@@ -49,31 +50,32 @@
 	}
 }
 
-// loadTeller tells now and then in one line what this process is busy with.
-type loadTeller struct {
+// loadReporter periodically logs the load of this process in one line.
+type loadReporter struct {
 	meter   *traffic.Meter
 	metrics *holder.Metrics
-	late    *lateness.Timers
+	timers  *lateness.Timers
 	table   *holder.Table
 	log     *logrus.Entry
 
+	// The readings at the previous report.
 	at     time.Time
 	cpu    time.Duration
 	counts map[string]traffic.Reading
 }
 
-func (l *loadTeller) run(ctx context.Context) {
-	l.tell(time.Now(), false)
-	for rest := 1; wait.For(ctx, loadEvery); rest++ {
+func (l *loadReporter) run(ctx context.Context) {
+	l.report(time.Now(), false)
+	for interval := 1; wait.For(ctx, loadInterval); interval++ {
 		_, holds := l.table.UnderWay()
-		if holds || rest%restLoads == 0 {
-			l.tell(time.Now(), true)
+		if holds || interval%standbyLoadFactor == 0 {
+			l.report(time.Now(), true)
 		}
 	}
 }
 
-// tell logs what was done since the last call.
-func (l *loadTeller) tell(now time.Time, log bool) {
+// report takes the readings and, if log is set, logs the load since the last call.
+func (l *loadReporter) report(now time.Time, log bool) {
 	span, cpu := now.Sub(l.at).Seconds(), processorTime()
 	load := l.metrics.TakeLoad()
 	in, out, counts := map[string]float64{}, map[string]float64{}, map[string]traffic.Reading{}
@@ -92,7 +94,7 @@
 	if log {
 		calls, holds := l.table.UnderWay()
 		l.log.WithFields(logrus.Fields{
-			"cores": math.Round(1000*(cpu-l.cpu).Seconds()/span) / 1000, "late_ms": l.late.Latest().Milliseconds(), "heap_mb": heap() >> 20,
+			"cores": math.Round(1000*(cpu-l.cpu).Seconds()/span) / 1000, "late_ms": l.timers.Latest().Milliseconds(), "heap_mb": heap() >> 20,
 			"connections": conns, "holds": holds, "host_calls_under_way": calls, "deciding_ms_a_second": math.Round(float64(load.Deciding.Milliseconds()) / span),
 			"longest_wait_ms": load.LongestWait.Milliseconds(), "oldest_job_ms": load.OldestJob.Milliseconds(),
 			"in_kb_a_second": in, "out_kb_a_second": out,
@@ -101,12 +103,14 @@
 	l.at, l.cpu, l.counts = now, cpu, counts
 }
 
-// kilobytes is a rate in thousands of bytes a second, to a tenth.
+// kilobytes returns the rate of n bytes in span seconds, in thousands of bytes a second
+// rounded to a tenth.
 func kilobytes(n int64, span float64) float64 {
 	return math.Round(float64(n)/span/100) / 10
 }
 
-// processorTime is what this process has used; zero where it can not be told.
+// processorTime returns the processor time that this process has used, zero if the
+// system doesn't report it.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -115,7 +119,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap is the memory of live and not yet collected objects, in bytes.
+// heap returns the memory of live and not yet collected objects, in bytes.
 func heap() uint64 {
 	s := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(s)
--- a/cmd/pulley-node/main.go
+++ b/cmd/pulley-node/main.go
@@ -1,5 +1,5 @@
-// Command pulley-node is the one process on an entry host of the users'
-// platform: it answers callers, and takes its turn in holding partitions.
+// Command pulley-node is the only process on an entry host of the users' platform.
+// It answers callers and is a candidate for holding partitions.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	d.Weigh(weigh)
+	d.Weigh(lineWeight)
 	d.LogTo(os.Stdout)
 	n := newNode(s, d)
 	if err := n.start(context.Background()); err != nil {
--- a/cmd/pulley-node/node.go
+++ b/cmd/pulley-node/node.go
@@ -33,16 +33,16 @@
 // partitions is the number of partitions of the cell.
 const partitions = 1
 
-// hostIdle is how long a connection to a host is kept without use.
-const hostIdle = 8 * time.Second
+// hostIdleTimeout is how long an unused connection to a host is kept open.
+const hostIdleTimeout = 8 * time.Second
 
-// idleShare is the part of the descriptors, one in so many, that idle connections to
-// hosts may take: with thousands of hosts a look waits at each of them besides, and one
-// for orders should stay. With a sixth of 8,192 every second order to 3,000 hosts opened
-// a connection (urgent work in time 0.65, and 0.92 without a bound).
-const idleShare = 2
+// idleDescriptorShare is the divisor of the descriptors for idle connections to hosts: with
+// thousands of hosts each host also has a poll pending, and one connection per host should
+// stay open for orders. With a sixth of 8,192 descriptors every second order to 3,000 hosts
+// opened a connection, and a share of 0.65 of urgent work was in time (0.92 without a limit).
+const idleDescriptorShare = 2
 
-// node is the process: every part, wired.
+// node holds the components of the process.
 type node struct {
 	conf   Settings
 	daemon *daemon.Daemon
@@ -59,7 +59,7 @@
 	conns   *connections
 	claimer *cell.Claimer
 	meter   *traffic.Meter
-	load    *loadTeller
+	load    *loadReporter
 	catalog *catalog.Keeper
 	table   *holder.Table
 	front   *front.Front
@@ -68,7 +68,7 @@
 	cancel context.CancelFunc
 }
 
-// newNode makes and connects the parts; nothing runs yet.
+// newNode creates and connects the components without starting them.
 func newNode(s Settings, d *daemon.Daemon) *node {
 	d.LogAs(s.Name)
 	n := &node{conf: s, daemon: d, log: d.Log, mux: peer.NewMux(), view: cell.NewView()}
@@ -76,9 +76,9 @@
 		Name: s.Name, Incarnation: uuid.NewString(), Addr: s.Listen.peerAddr(), Zone: s.Zone,
 		Cores: s.Processors, LinkMbps: s.LinkMbps, StartedUnixMilli: time.Now().UnixMilli(),
 	}
-	n.health = follow.NewHealth(func(up bool, away time.Duration) {
+	n.health = follow.NewHealth(func(up bool, outage time.Duration) {
 		if up {
-			n.log.WithField("away_ms", away.Milliseconds()).Info("store regained")
+			n.log.WithField("away_ms", outage.Milliseconds()).Info("store regained")
 			return
 		}
 		n.log.Warn("store lost")
@@ -88,9 +88,9 @@
 	n.store = platform.NewStore(s.Store.Address, n.meter.Of("store"))
 	n.conns = &connections{health: n.health, log: n.log}
 	n.writes = resend.New(n.store, n.health)
-	n.writes.Overtaken = n.conns.suspect
+	n.writes.Overtaken = n.conns.reconnectAll
 	n.peers = peer.NewNode(peer.Hello{Name: s.Name, Incarnation: n.self.Incarnation, Addr: n.self.Addr}, n.mux, n.log)
-	n.conns.peers, n.peers.Silent = n.peers, n.conns.suspect
+	n.conns.peers, n.peers.Silent = n.peers, n.conns.reconnectAll
 	n.peers.Count = countMessages(n.meter)
 	n.entries = &cell.Service{Store: n.store, Health: n.health, Self: n.self, View: n.view, Log: n.log}
 	n.catalog = &catalog.Keeper{
@@ -102,41 +102,41 @@
 	d.AddDump("held", func() any { return n.table.Dump() })
 	d.AddQuestion("explain", n.table.Explain)
 	d.AddReadiness(n.catalog.Lacks)
-	d.AddReadiness(n.lacks)
+	d.AddReadiness(n.unreadyReasons)
 	return n
 }
 
 func (n *node) addHolder() {
-	orders := platform.NewOrders(hostIdle, n.conf.Descriptors/idleShare, n.meter.Of("hosts"))
-	n.conns.parts = append(n.conns.parts, n.store, orders)
-	late := &lateness.Timers{}
+	orders := platform.NewOrders(hostIdleTimeout, n.conf.Descriptors/idleDescriptorShare, n.meter.Of("hosts"))
+	n.conns.clients = append(n.conns.clients, n.store, orders)
+	timers := &lateness.Timers{}
 	metrics := holder.NewMetrics(n.daemon.Reg)
-	hosts := hostcall.New(orders, n.health, late.Busy, hostcall.NewMetrics(n.daemon.Reg))
+	hosts := hostcall.New(orders, n.health, timers.Busy, hostcall.NewMetrics(n.daemon.Reg))
 	linkshard.NewServer(n.mux, hosts, n.peers, n.log)
 	conf := holder.Config{
 		Store: n.store, Health: n.health, Hosts: hosts, Peers: n.peers, Log: n.log,
 		Self: n.self.Name, Addr: n.self.Addr, Shards: n.shards,
 		Bounds: n.conf.Bounds.engine(), Tuning: engine.DefaultTuning(),
 		HostPrefix: platform.HostPrefix, DecodeHost: platform.DecodeHost, HostOf: platform.HostOf,
-		Catalog: n.catalog.Current, Lanes: n.lanes, Metrics: metrics, Event: n.event,
+		Catalog: n.catalog.Current, Lanes: n.querySlots, Metrics: metrics, Event: n.logEvent,
 		WavePrefix: platform.WavePrefix, DecodeWave: platform.DecodeWave, WaveState: platform.WaveState,
-		DutyLease: n.conf.Bounds.DutyLease.Std(), Busy: late.Busy,
+		DutyLease: n.conf.Bounds.DutyLease.Std(), Busy: timers.Busy,
 	}
 	if n.conf.Machines.Address != "" {
 		machines := platform.NewMachines(n.conf.Machines.Address)
-		n.conns.parts = append(n.conns.parts, machines)
+		n.conns.clients = append(n.conns.clients, machines)
 		conf.Machines = machines
 	}
 	n.table = holder.NewTable(conf, n.mux)
 	if n.conf.Policy.Address != "" {
 		policy := platform.NewPolicy(n.conf.Policy.Address, n.meter.Of("policy service"))
-		n.conns.parts = append(n.conns.parts, policy)
+		n.conns.clients = append(n.conns.clients, policy)
 		holder.ServeAdvice(n.mux, policy)
 	}
-	n.load = &loadTeller{meter: n.meter, metrics: metrics, late: late, table: n.table, log: n.log}
+	n.load = &loadReporter{meter: n.meter, metrics: metrics, timers: timers, table: n.table, log: n.log}
 	n.claimer = &cell.Claimer{
 		Self: n.self, View: n.view, Store: n.store, Writes: n.writes, Health: n.health, Peers: n.peers, Log: n.log,
-		Hold: n.hold, CatalogVersion: n.catalog.Version, Behind: n.catalog.Behind, Late: late,
+		Hold: n.hold, CatalogVersion: n.catalog.Version, Behind: n.catalog.Behind, Late: timers,
 	}
 }
 
@@ -147,8 +147,9 @@
 	}
 }
 
-// lanes maps the members that can ask the policy service to their addresses.
-func (n *node) lanes() map[string]string {
+// querySlots maps the members that can query the policy service to their addresses. Each
+// member has at most one query in flight.
+func (n *node) querySlots() map[string]string {
 	out := map[string]string{}
 	for _, m := range n.view.Members(time.Now()) {
 		out[m.Name] = m.Addr
@@ -156,20 +157,20 @@
 	return out
 }
 
-// Collecting garbage took a sixth of a holder's processor time at 1,740 starts a second
+// Garbage collection took a sixth of a holder's processor time at 1,740 starts a second
 // with the default of 100 percent; with 300 it takes a third of that, for some 60 MB more.
-// Above memoryShare of its memory, one part in so many, it collects as often as it must:
-// what callers and peers have sent and it has not read takes memory as well.
+// Above the process's memory divided by gcMemoryShare the runtime collects as often as needed:
+// data from callers and peers that the process has not read yet takes memory as well.
 const (
-	holderGC    = 300
-	memoryShare = 2
+	holderGCPercent = 300
+	gcMemoryShare   = 2
 )
 
-// hold runs a claimed partition, with memory spent to save processor time.
-func (n *node) hold(ctx context.Context, l *ledger.Ledger, former ledger.Holder) error {
-	before := debug.SetGCPercent(holderGC)
+// hold runs a claimed partition, with a GC target that trades memory for processor time.
+func (n *node) hold(ctx context.Context, l *ledger.Ledger, previous ledger.Holder) error {
+	before := debug.SetGCPercent(holderGCPercent)
 	defer debug.SetGCPercent(before)
-	return n.table.Hold(ctx, l, former)
+	return n.table.Hold(ctx, l, previous)
 }
 
 // shards lists the members that can make calls to hosts for a holder.
@@ -183,19 +184,19 @@
 	return out
 }
 
-// unready is for how long neither store nor holder may have answered before the
-// process tells the balancer that it is not ready.
-const unready = time.Second
+// unreadyAfter is the time without a reply from either the store or the holder after which
+// the process reports itself as not ready to the load balancer.
+const unreadyAfter = time.Second
 
-// lacks says what keeps callers from being served here.
-func (n *node) lacks() []string {
-	if failing := n.health.Failing(time.Now()); failing > unready {
+// unreadyReasons returns why this process can't serve callers, or nil.
+func (n *node) unreadyReasons() []string {
+	if failing := n.health.Failing(time.Now()); failing > unreadyAfter {
 		return []string{"store: no answer for " + failing.Round(time.Millisecond).String()}
 	}
 	return nil
 }
 
-// start opens the listeners and runs the parts.
+// start opens the listeners and starts the components.
 func (n *node) start(ctx context.Context) error {
 	for field, addr := range map[string]string{
 		"listen.callers": n.conf.Listen.Callers, "listen.ready": n.conf.Listen.Ready,
@@ -214,15 +215,15 @@
 	n.claimer.Start(ctx, n.mux, partitions)
 	go n.entries.Run(ctx)
 	go n.load.run(ctx)
-	go (&waker{suspended: uptime.Suspended, woke: n.conns.suspect, log: n.log}).run(ctx)
+	go (&suspensionWatcher{suspended: uptime.Suspended, resumed: n.conns.reconnectAll, log: n.log}).run(ctx)
 	if n.conf.MemoryMiB > 0 {
-		debug.SetMemoryLimit(n.conf.MemoryMiB << 20 / memoryShare)
+		debug.SetMemoryLimit(n.conf.MemoryMiB << 20 / gcMemoryShare)
 	}
 	n.log.WithField("process", n.daemon.Name).Info("started")
 	return nil
 }
 
-// serve answers what belongs to a listener.
+// serve serves the paths that belong to the listener of a settings field.
 func (n *node) serve(l net.Listener, field string) {
 	mux := http.NewServeMux()
 	switch field {
@@ -242,8 +243,8 @@
 	n.daemon.Serve(l, mux)
 }
 
-// closeWhileStopping asks callers for a new connection once a planned stop has
-// begun, so that their next request goes through the balancer again.
+// closeWhileStopping has callers close their connections once a planned stop has
+// begun, so that their next request goes through the load balancer again.
 func (n *node) closeWhileStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.daemon.Stopping() {
@@ -253,12 +254,13 @@
 	})
 }
 
-// stop hands the partitions over and lets the requests in flight end.
+// stop hands the partitions over, waits for the requests in flight and deregisters the
+// process from the store.
 func (n *node) stop(ctx context.Context) error {
 	n.claimer.Leave(ctx)
 	err := n.server.Shutdown(ctx)
-	if leaveErr := n.entries.Leave(ctx); leaveErr != nil {
-		n.log.WithError(leaveErr).Warn("left without telling the store")
+	if deregisterErr := n.entries.Leave(ctx); deregisterErr != nil {
+		n.log.WithError(deregisterErr).Warn("could not deregister this process from the store")
 	}
 	n.cancel()
 	n.peers.Close()
--- a/cmd/pulley-node/reload.go
+++ b/cmd/pulley-node/reload.go
@@ -14,28 +14,28 @@
 	"pulleyquay/internal/result"
 )
 
-// reloadEvery is how often the settings file is looked at: it may change without a
-// signal.
-const reloadEvery = 2 * time.Second
+// reloadInterval is how often the settings file's modification time is checked: the file
+// may change without a signal.
+const reloadInterval = 2 * time.Second
 
-// reloader follows the settings file. The log level is taken over at once; every
-// other change is named in the log and needs a restart, as listeners, clients and
-// bounds are made once.
+// reloader watches the settings file. A new log level is applied at once; every other
+// change is logged as needing a restart, as listeners, clients and bounds are created
+// once.
 type reloader struct {
 	path    string
 	log     *logrus.Entry
 	current Settings
-	changed time.Time // of the file, as last read
+	modTime time.Time // of the file when it was last read
 }
 
-// run follows the file until ctx ends.
+// run watches the file until ctx ends.
 func (r *reloader) run(ctx context.Context) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	r.changed = r.modified()
+	r.modTime = r.fileModTime()
 	for {
 		select {
 		case <-ctx.Done():
@@ -43,15 +43,15 @@
 		case <-signals:
 			r.reload("signal")
 		case <-ticker.C:
-			if r.modified() != r.changed {
-				r.reload("the file has changed")
+			if r.fileModTime() != r.modTime {
+				r.reload("file changed")
 			}
 		}
 	}
 }
 
-// modified is when the file was last written; zero when that can not be told.
-func (r *reloader) modified() time.Time {
+// fileModTime returns the file's modification time, zero if it can't be read.
+func (r *reloader) fileModTime() time.Time {
 	info, err := os.Stat(r.path)
 	if err != nil {
 		return time.Time{}
@@ -59,24 +59,24 @@
 	return info.ModTime()
 }
 
-// reload reads the file and takes over what can be.
+// reload reads the file and applies the settings that need no restart.
 func (r *reloader) reload(why string) {
-	r.changed = r.modified()
+	r.modTime = r.fileModTime()
 	next := defaults()
 	if err := config.Load(r.path, &next); err != nil {
 		e := result.From(err)
-		r.log.WithFields(logrus.Fields{"code": e.Code, "field": e.Field, "why": why}).Error("settings can not be read; those before stay in force: " + e.Error())
+		r.log.WithFields(logrus.Fields{"code": e.Code, "field": e.Field, "why": why}).Error("settings file not loaded; the previous settings stay in force: " + e.Error())
 		return
 	}
 	if level, err := logrus.ParseLevel(next.LogLevel); err == nil {
 		r.log.Logger.SetLevel(level)
 	}
 	r.current.LogLevel = next.LogLevel
-	r.log.WithFields(logrus.Fields{"why": why, "needs_restart": differing(r.current, next)}).Info("settings reloaded")
+	r.log.WithFields(logrus.Fields{"why": why, "needs_restart": changedSettings(r.current, next)}).Info("settings reloaded")
 }
 
-// differing names the settings that differ.
-func differing(a, b Settings) []string {
+// changedSettings returns the JSON names of the settings that differ.
+func changedSettings(a, b Settings) []string {
 	var out []string
 	x, y := reflect.ValueOf(a), reflect.ValueOf(b)
 	for i := range x.NumField() {
--- a/cmd/pulley-node/reload_test.go
+++ b/cmd/pulley-node/reload_test.go
@@ -24,15 +24,15 @@
 func TestReload(t *testing.T) {
 	tests := map[string]struct {
 		text string
-		want string // in the log
+		want string // part of the log
 		lvl  logrus.Level
 	}{
-		"nothing changed":       {settingsText, `"needs_restart":null`, logrus.InfoLevel},
-		"log level":             {strings.Replace(settingsText, `"info"`, `"warn"`, 1), "", logrus.WarnLevel},
-		"what needs a restart":  {strings.Replace(settingsText, "0.4", "0.8", 1), `"needs_restart":["processors"]`, logrus.InfoLevel},
-		"a name is not known":   {strings.Replace(settingsText, `"zone"`, `"zoom"`, 1), "those before stay in force", logrus.InfoLevel},
-		"half a file":           {settingsText[:100], "those before stay in force", logrus.InfoLevel},
-		"two listeners at once": {strings.Replace(settingsText, "127.0.0.1:2", "127.0.0.1:1", 1), "two listeners", logrus.InfoLevel},
+		"nothing changed":    {settingsText, `"needs_restart":null`, logrus.InfoLevel},
+		"log level":          {strings.Replace(settingsText, `"info"`, `"warn"`, 1), "", logrus.WarnLevel},
+		"restart needed":     {strings.Replace(settingsText, "0.4", "0.8", 1), `"needs_restart":["processors"]`, logrus.InfoLevel},
+		"unknown name":       {strings.Replace(settingsText, `"zone"`, `"zoom"`, 1), "the previous settings stay in force", logrus.InfoLevel},
+		"truncated file":     {settingsText[:100], "the previous settings stay in force", logrus.InfoLevel},
+		"duplicate listener": {strings.Replace(settingsText, "127.0.0.1:2", "127.0.0.1:1", 1), "two listeners", logrus.InfoLevel},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/pulley-node/settings.go
+++ b/cmd/pulley-node/settings.go
@@ -8,7 +8,7 @@
 	"pulleyquay/internal/result"
 )
 
-// Settings is the process's own settings file.
+// Settings is the content of the process's settings file.
 type Settings struct {
 	// Name is the member's name, the same after a restart on the same host.
 	Name string `json:"name" validate:"required"`
@@ -18,21 +18,20 @@
 	Listen   Listen `json:"listen"`
 	Store    Server `json:"store"`
 	// Policy is the service that decides which hosts may run a step; an empty
-	// address stands for none.
-	Policy Optional `json:"policy"`
-	// Machines is the service that takes machines down for their upkeep; an empty
-	// address stands for none.
-	Machines Optional `json:"machines"`
-	// Processors is the processor time that the process has, in cores.
+	// address means that there is none.
+	Policy OptionalServer `json:"policy"`
+	// Machines is the service that takes machines down for maintenance; an empty
+	// address means that there is none.
+	Machines OptionalServer `json:"machines"`
+	// Processors is the processor time available to the process, in cores.
 	Processors float64 `json:"processors" validate:"gt=0"`
-	// LinkMbps is what the host's link carries, in megabits a second; zero stands for a
-	// link that does not bind.
+	// LinkMbps is the capacity of the host's network link in megabits a second; zero
+	// means that the link is no bottleneck.
 	LinkMbps float64 `json:"link_mbps" validate:"min=0"`
-	// MemoryMiB is the memory that the process may use; zero stands for as much as it
-	// wants.
+	// MemoryMiB is the memory that the process may use; zero means no limit.
 	MemoryMiB int64 `json:"memory_mib" validate:"min=0"`
 	// Descriptors is how many files and connections the process may have open; zero
-	// stands for as many as it wants.
+	// means no limit.
 	Descriptors int    `json:"descriptors" validate:"min=0"`
 	Bounds      Bounds `json:"bounds"`
 }
@@ -40,25 +39,26 @@
 // Listen holds the addresses to listen on, host:port.
 type Listen struct {
 	Callers string `json:"callers" validate:"required,hostname_port"`
-	// Ready is where the balancer asks whether the process takes connections.
+	// Ready is where the load balancer checks the readiness of the process.
 	Ready string `json:"ready" validate:"required,hostname_port"`
 	Peer  string `json:"peer" validate:"required,hostname_port"`
-	// Advertise is where peers reach the peer listener, where that differs.
+	// Advertise is the address at which peers reach the peer listener, if it differs
+	// from Peer.
 	Advertise string `json:"advertise" validate:"omitempty,hostname_port"`
 	Admin     string `json:"admin" validate:"required,hostname_port"`
 }
 
-// Server is a server of the platform.
+// Server is the address of a platform service.
 type Server struct {
 	Address string `json:"address" validate:"required,hostname_port"`
 }
 
-// Optional is a server that a deployment may lack.
-type Optional struct {
+// OptionalServer is the address of a platform service that a deployment may lack.
+type OptionalServer struct {
 	Address string `json:"address" validate:"omitempty,hostname_port"`
 }
 
-// Bounds are the platform's own times; see engine.Bounds.
+// Bounds are the platform's time limits and factors; see engine.Bounds.
 type Bounds struct {
 	LeaseLimit      config.Duration `json:"lease_limit" validate:"min=1000000000"`
 	StopTakes       config.Duration `json:"stop_takes" validate:"min=0"`
@@ -67,15 +67,16 @@
 	FarFactor       float64         `json:"far_factor" validate:"min=1"`
 	RestoreTakes    config.Duration `json:"restore_takes" validate:"min=0"`
 	CheckpointEvery config.Duration `json:"checkpoint_every" validate:"min=0"`
-	// Contact and Heartbeat together are how long after a host's room has shrunk starts may
-	// still go by what it was: the time for which a disturbed process counts as out of
-	// touch, and that between two entries of a host. Zero has sizes never grow old.
+	// Contact is how long a disturbed process counts as out of contact, Heartbeat the time
+	// between two writes of a host's entry. Their sum is how long after a capacity
+	// reduction starts may still be based on the previous capacity. Zero means that sizes
+	// never expire.
 	Contact   config.Duration `json:"contact" validate:"min=0"`
 	Heartbeat config.Duration `json:"heartbeat" validate:"min=0"`
-	// DutyLease is for how long after one process's order to a machine no other may
-	// give one.
+	// DutyLease is how long after one process's order to a machine no other process may
+	// send one.
 	DutyLease config.Duration `json:"duty_lease" validate:"min=0"`
-	// StopLimit is how long a planned stop may take.
+	// StopLimit is the time limit of a planned stop.
 	StopLimit config.Duration `json:"stop_limit" validate:"min=1000000000"`
 }
 
@@ -87,11 +88,11 @@
 	}
 }
 
-// rememberMargin is added to how long ended jobs have to be remembered, for
-// callers' retries of the first sending.
+// rememberMargin is added to the retention time of ended jobs, for callers that retry
+// their first submission.
 const rememberMargin = 30 * time.Second
 
-// Check refuses contradictions between settings.
+// Check returns an error for settings that contradict each other.
 func (s *Settings) Check() error {
 	seen := map[string]bool{}
 	for _, addr := range []string{s.Listen.Callers, s.Listen.Ready, s.Listen.Peer, s.Listen.Admin} {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// peerAddr is where peers reach this process.
+// peerAddr returns the address at which peers reach this process.
 func (l Listen) peerAddr() string {
 	if l.Advertise != "" {
 		return l.Advertise
--- a/cmd/pulley-node/wake.go
+++ b/cmd/pulley-node/wake.go
@@ -7,26 +7,25 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Times of the watch for suspensions.
 const (
-	// wakeEvery is how often it is looked whether the machine was suspended.
-	wakeEvery = 150 * time.Millisecond
-	// suspendedAtLeast is how long a suspension lasts that counts here: a shorter one is
-	// like a late answer.
-	suspendedAtLeast = 200 * time.Millisecond
+	// suspensionPollInterval is how often the total suspension time is read.
+	suspensionPollInterval = 150 * time.Millisecond
+	// minSuspension is the shortest suspension that is handled: a shorter one has no more
+	// effect than a late reply.
+	minSuspension = 200 * time.Millisecond
 )
 
-// waker notices that the machine was suspended. Others have closed their connections to
-// this process meanwhile, and no timer of its own has run, so that it would wait on them
-// for as long as if nothing had happened: it opens all anew.
-type waker struct {
-	suspended func() time.Duration // in all, so far
-	woke      func()
+// suspensionWatcher detects that the machine was suspended and calls resumed. During the
+// suspension peers have closed their connections to this process and none of its timers
+// ran, so it would wait on dead connections for the full time-outs; resumed opens new ones.
+type suspensionWatcher struct {
+	suspended func() time.Duration // total suspension time so far
+	resumed   func()
 	log       *logrus.Entry
 }
 
-func (w *waker) run(ctx context.Context) {
-	ticker := time.NewTicker(wakeEvery)
+func (w *suspensionWatcher) run(ctx context.Context) {
+	ticker := time.NewTicker(suspensionPollInterval)
 	defer ticker.Stop()
 	before := w.suspended()
 	for {
@@ -36,11 +35,11 @@
 		case <-ticker.C:
 		}
 		total := w.suspended()
-		if total-before < suspendedAtLeast {
+		if total-before < minSuspension {
 			continue
 		}
 		w.log.WithField("for_ms", (total - before).Milliseconds()).Warn("machine was suspended")
 		before = total
-		w.woke()
+		w.resumed()
 	}
 }
--- a/cmd/pulley-node/wake_test.go
+++ b/cmd/pulley-node/wake_test.go
@@ -12,29 +12,29 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TestWaking: each suspension is noticed once, soon after the machine has woken.
+// TestWaking checks that each suspension is reported once, shortly after the machine resumes.
 func TestWaking(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var total atomic.Int64
-		total.Store(int64(time.Hour)) // before this process began
-		woken := 0
+		total.Store(int64(time.Hour)) // suspended before this process started
+		resumptions := 0
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		w := waker{
+		w := suspensionWatcher{
 			suspended: func() time.Duration { return time.Duration(total.Load()) },
-			woke:      func() { woken++ }, log: logrus.NewEntry(log),
+			resumed:   func() { resumptions++ }, log: logrus.NewEntry(log),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go w.run(ctx)
 		for _, tc := range []struct {
 			lasted time.Duration
-			wakes  int
+			want   int
 		}{{0, 0}, {100 * time.Millisecond, 0}, {50 * time.Millisecond, 0}, {5 * time.Second, 1}, {0, 1}, {time.Minute, 2}} {
 			total.Add(int64(tc.lasted))
-			time.Sleep(2 * wakeEvery)
+			time.Sleep(2 * suspensionPollInterval)
 			synctest.Wait()
-			is.Equal(woken, tc.wakes)
+			is.Equal(resumptions, tc.want)
 		}
 		cancel()
 	})
--- a/cmd/pulley-node/weights.go
+++ b/cmd/pulley-node/weights.go
@@ -7,13 +7,13 @@
 	"pulleyquay/internal/record"
 )
 
-// msgEnded is the message of a job's end.
-const msgEnded = "job ended"
+// msgJobEnded is the message of the line for a job's end.
+const msgJobEnded = "job ended"
 
-// weights are those of lines that matter more than those which come with each start, by
-// their message.
-var weights = map[string]daemon.Weight{
-	msgEnded:                  daemon.Final,
+// lineWeights maps the messages of log lines that matter more than the Routine lines of
+// each start to their weight.
+var lineWeights = map[string]daemon.Weight{
+	msgJobEnded:               daemon.Final,
 	"crash held against task": daemon.Final,
 	"crash taken back":        daemon.Final,
 	"task failed":             daemon.Notable,
@@ -50,11 +50,12 @@
 	"stopped":                                    daemon.Final,
 }
 
-// weigh weighs a line. A job that was done or cancelled is told to its caller, and may end
-// together with hundreds of others; why one was given up stands in the log alone.
-func weigh(entry *logrus.Entry) daemon.Weight {
-	if entry.Message == msgEnded && (entry.Data["why"] == string(record.StateCompleted) || entry.Data["why"] == string(record.StateCancelled)) {
+// lineWeight returns the weight of a log line. The end of a completed or cancelled job is
+// only Notable: its caller learns of it, and hundreds of such jobs may end at once. The reason
+// why a job has failed is only in the log.
+func lineWeight(entry *logrus.Entry) daemon.Weight {
+	if entry.Message == msgJobEnded && (entry.Data["why"] == string(record.StateCompleted) || entry.Data["why"] == string(record.StateCancelled)) {
 		return daemon.Notable
 	}
-	return weights[entry.Message]
+	return lineWeights[entry.Message]
 }
--- a/cmd/pulley-node/weights_test.go
+++ b/cmd/pulley-node/weights_test.go
@@ -29,20 +29,20 @@
 		"a holder":           {"partition claimed", "", daemon.Final},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(weigh(&logrus.Entry{Message: tc.msg, Data: logrus.Fields{"why": tc.why}}), tc.want)
+			is.New(t).Equal(lineWeight(&logrus.Entry{Message: tc.msg, Data: logrus.Fields{"why": tc.why}}), tc.want)
 		})
 	}
 }
 
-// TestWeighedLinesAreLogged: a message that is changed where it is logged would lose its
-// weight unnoticed.
+// TestWeighedLinesAreLogged guards against a message that is changed where it is logged but
+// not in lineWeights, and so silently loses its weight.
 func TestWeighedLinesAreLogged(t *testing.T) {
 	is := is.New(t)
 	var source strings.Builder
 	for _, dir := range []string{"../../internal", "."} {
 		is.NoErr(filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
-			reads := strings.Contains(path, "internal/ctl") || strings.Contains(path, "internal/report") || d.Name() == "weights.go"
-			if err != nil || d.IsDir() || reads || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+			matchesOnly := strings.Contains(path, "internal/ctl") || strings.Contains(path, "internal/report") || d.Name() == "weights.go"
+			if err != nil || d.IsDir() || matchesOnly || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
 			text, err := os.ReadFile(path)
@@ -50,9 +50,9 @@
 			return err
 		}))
 	}
-	for msg := range weights {
+	for msg := range lineWeights {
 		if !strings.Contains(source.String(), strconv.Quote(msg)) {
-			t.Errorf("no line %q is logged", msg)
+			t.Errorf("no source file logs the message %q", msg)
 		}
 	}
 }
--- a/cmd/pulley-placer/config.go
+++ b/cmd/pulley-placer/config.go
@@ -10,11 +10,11 @@
 	"pulleyquay/internal/result"
 )
 
-// Settings is the placer's own settings file.
+// Settings is the content of the placer's settings file.
 type Settings struct {
 	// Name is the member's name, the same after a restart on the same host.
 	Name string `json:"name" validate:"required"`
-	// Cell is the same in all processes of a cell; others are refused.
+	// Cell is the same in all processes of a cell; peers of another cell are refused.
 	Cell string `json:"cell" validate:"required"`
 	// Zone is the host's availability zone.
 	Zone     string `json:"zone" validate:"required"`
@@ -32,62 +32,64 @@
 	Admin string `json:"admin" validate:"required,hostname_port"`
 }
 
-// Store says where the platform's store is and how many calls it takes from all
-// placers together; each takes an equal share.
+// Store holds the endpoints of the platform's store and the limits on the calls of all
+// placers together; each placer has an equal share of them.
 type Store struct {
 	Endpoints       []string `json:"endpoints" validate:"min=1,dive,hostname_port"`
 	ReadsPerSecond  float64  `json:"reads_per_second" validate:"gt=0"`
 	WritesPerSecond float64  `json:"writes_per_second" validate:"gt=0"`
 }
 
-// Hosts says where the platform's host list is and how often it is read.
+// Hosts holds the address of the platform's host list and the interval at which it is read.
 type Hosts struct {
 	Address  string          `json:"address" validate:"required,hostname_port"`
 	Interval config.Duration `json:"interval" validate:"min=100000000"`
 }
 
-// Hold holds the durations of members and partitions; every placer of a cell
-// must have the same.
+// Hold holds the durations for members and partitions; they must be the same in every
+// placer of a cell.
 type Hold struct {
 	Partitions int             `json:"partitions" validate:"min=1,max=4096"`
 	Term       config.Duration `json:"term" validate:"min=1000000000"`
 	Heartbeat  config.Duration `json:"heartbeat" validate:"min=10000000"`
-	// OutageLimit is the longest outage of the store that a holder's right outlives.
+	// OutageLimit is the longest outage of the store during which a holder keeps its
+	// authority.
 	OutageLimit config.Duration `json:"outage_limit" validate:"min=0"`
-	// TaskLease is the term of the leases that tasks run under.
+	// TaskLease is the term of the leases of running tasks.
 	TaskLease config.Duration `json:"task_lease" validate:"min=1000000000"`
-	// Seeds are peer addresses of placers to learn from when the store is down.
+	// Seeds are the peer addresses of placers to get members and settings from when the
+	// store is down.
 	Seeds []string `json:"seeds" validate:"dive,hostname_port"`
 }
 
-// Stop bounds a planned stop.
+// Stop holds the time limits of a planned stop.
 type Stop struct {
-	// Announce is how long work goes on after readiness went false.
+	// Announce is how long work goes on after the readiness check starts to fail.
 	Announce config.Duration `json:"announce" validate:"min=0"`
 	Limit    config.Duration `json:"limit" validate:"min=1000000000"`
 }
 
-// wholeSecond is the unit of the store's lease terms.
+// wholeSecond is the unit in which the store takes lease terms.
 const wholeSecond = time.Second
 
-// Check refuses contradictions between settings.
+// Check returns an error for settings that contradict each other.
 func (s *Settings) Check() error {
 	refuse := func(field, format string, args ...any) error {
 		return result.New(result.ConfigContradiction, result.RanNo, format, args...).At(field)
 	}
-	term, beat := s.Holding.Term.Std(), s.Holding.Heartbeat.Std()
+	term, heartbeat := s.Holding.Term.Std(), s.Holding.Heartbeat.Std()
 	switch {
 	case term%wholeSecond != 0:
 		return refuse("holding.term", "%v is not a whole number of seconds", term)
-	case beat*3 > term:
-		return refuse("holding.heartbeat", "%v is over a third of the term %v", beat, term)
+	case heartbeat*3 > term:
+		return refuse("holding.heartbeat", "%v is over a third of the term %v", heartbeat, term)
 	case s.Listen.Peer == s.Listen.Admin:
 		return refuse("listen.admin", "the same address as listen.peer")
 	}
 	return nil
 }
 
-// defaultCell is the name of a cell that is given none.
+// defaultCell is the cell name if the settings file has none.
 const defaultCell = "default"
 
 func defaults() Settings {
@@ -106,7 +108,7 @@
 	}
 }
 
-// holdConfig turns the settings file's durations into the keeper's.
+// holdConfig returns the keeper's configuration with the durations of the settings file.
 func (s Settings) holdConfig() hold.Config {
 	c := hold.DefaultConfig()
 	c.Term = s.Holding.Term.Std()
--- a/cmd/pulley-placer/lookup.go
+++ b/cmd/pulley-placer/lookup.go
@@ -10,7 +10,7 @@
 	"pulleyquay/internal/view"
 )
 
-// source is the placer as a view.Source.
+// source implements view.Source for the placer.
 type source struct{ p *placer }
 
 // Table implements view.Source.
@@ -19,8 +19,8 @@
 // Settings implements view.Source.
 func (s source) Settings() *settings.Tree { return s.p.settings.Current() }
 
-// otherPlacers lists the peer addresses of the other members, or the seeds
-// while none is known.
+// otherPlacers lists the peer addresses of the other members, or the seeds while no
+// other member is known.
 func (p *placer) otherPlacers() []string {
 	var addrs []string
 	for _, m := range p.keeper.Table().Members {
@@ -34,9 +34,9 @@
 	return addrs
 }
 
-// settingsLack says what keeps the settings from being ready. An empty tree is
-// ready once the store or a peer has said that there is none.
-func (p *placer) settingsLack() []string {
+// settingsUnreadyReasons returns why the settings are not ready, or nil. An empty tree is
+// ready once the store or a peer has confirmed that there are no settings.
+func (p *placer) settingsUnreadyReasons() []string {
 	if err := p.settings.Ready(); err != nil {
 		return []string{err.Error()}
 	}
@@ -53,8 +53,8 @@
 	return settings.ServiceValues(p.settings.Current(), service)
 }
 
-// digests returns the room of every live member, this one's own included.
-func (p *placer) digests() map[string]taskmsg.Digest {
+// capacityDigests returns the capacity digest of every live member including this one.
+func (p *placer) capacityDigests() map[string]taskmsg.Digest {
 	all := map[string]taskmsg.Digest{p.conf.Name: p.fleet.Digest()}
 	for _, m := range p.keeper.Table().Members {
 		var d taskmsg.Digest
@@ -65,8 +65,8 @@
 	return all
 }
 
-// settingsApplied returns the settings revision that each live member and the
-// entries that follow it have in force.
+// settingsApplied returns the settings revision that is in force at each live member and
+// at the entries that get their settings from it. A revision of -1 means unknown.
 func (p *placer) settingsApplied() map[string]int64 {
 	all := map[string]int64{}
 	for _, m := range p.keeper.Table().Members {
@@ -80,7 +80,7 @@
 	return all
 }
 
-// collectsSettings tells whether this member deletes unreferenced settings: the
+// collectsSettings reports whether this member deletes unreferenced settings. Only the
 // holder of the first partition does.
 func (p *placer) collectsSettings() bool {
 	_, err := p.keeper.Check(0)
@@ -102,7 +102,8 @@
 	return out
 }
 
-// members answers peer.KindMembers with what this process knows of the cell.
+// members handles peer.KindMembers: it returns this process's table of the cell and the
+// settings revisions in force.
 func (p *placer) members(context.Context, cellapi.MembersRequest) (cellapi.MembersReply, error) {
 	return cellapi.MembersReply{Table: p.keeper.Table(), Applied: p.settingsApplied()}, nil
 }
--- a/cmd/pulley-placer/main.go
+++ b/cmd/pulley-placer/main.go
@@ -1,5 +1,5 @@
 // Command pulley-placer holds partitions: it places tasks on workers, dispatches
-// requests to executors and keeps the jobs of its teams.
+// requests to executors and manages the jobs of the teams in its partitions.
 package main
 
 import (
--- a/cmd/pulley-placer/placer.go
+++ b/cmd/pulley-placer/placer.go
@@ -29,14 +29,14 @@
 	"pulleyquay/internal/worker/workerhttp"
 )
 
-// The names under which placers tell each other of their room.
+// The names of the values that placers attach to their heartbeats.
 const (
 	extraCapacity = "capacity" // taskmsg.Digest
 	extraSettings = "settings" // int64, settings.Keeper.AppliedRevision
 	extraSlots    = "slots"    // map of service to free slots
 )
 
-// placer is the process: every part, wired.
+// placer holds the components of the process.
 type placer struct {
 	conf   Settings
 	daemon *daemon.Daemon
@@ -45,7 +45,7 @@
 	mux   *peer.Mux
 	node  *peer.Node
 	store platform.Store
-	calls *budget.Store // what store's calls go through, for the dump
+	calls *budget.Store // the rate limiter under store, for the state dump
 	hosts *hostcache.Cache
 
 	settings *settings.Keeper
@@ -58,7 +58,7 @@
 	cancel context.CancelFunc
 }
 
-// newPlacer makes and connects the parts; nothing runs yet.
+// newPlacer creates and connects the components without starting them.
 func newPlacer(s Settings, d *daemon.Daemon) (*placer, error) {
 	p := &placer{conf: s, daemon: d, log: d.Log.WithField("name", s.Name), mux: peer.NewMux()}
 	p.node = peer.NewNode(peer.Hello{Name: s.Name, Addr: s.Listen.Peer, Cell: s.Cell}, p.mux, p.log)
@@ -77,7 +77,7 @@
 	return p, nil
 }
 
-// expectedMembers is among how many placers the store's rates are shared until
+// expectedMembers is the number of placers assumed to share the store's rate limits until
 // the members are known.
 const expectedMembers = 16
 
@@ -123,8 +123,8 @@
 	return err
 }
 
-// addWork makes the parts that live in partitions. They are released in the
-// order of AddResident: callers' requests first, workers last.
+// addWork creates the components that have state per partition. They release a partition
+// in the order of AddResident: callers' requests first, workers last.
 func (p *placer) addWork() {
 	reg := p.daemon.Reg
 	p.dispatch = dispatch.New(dispatch.Config{
@@ -137,7 +137,7 @@
 	})
 	p.jobs = job.New(job.Config{
 		Source: source{p}, Right: p.keeper, Store: p.store, Peers: p.node,
-		PartitionKey: hold.PartitionKey, Values: p.branchValues, Digests: p.digests,
+		PartitionKey: hold.PartitionKey, Values: p.branchValues, Digests: p.capacityDigests,
 		StoreAge: p.keeper.StoreAge, Registerer: reg, Log: p.log,
 	})
 	p.fleet = fleet.New(fleet.Config{
@@ -165,7 +165,7 @@
 	peer.Handle(p.mux, peer.KindMembers, p.members)
 }
 
-// observe connects the parts to the dump and to readiness.
+// observe adds the components to the state dump and to the readiness check.
 func (p *placer) observe() {
 	for name, dump := range map[string]func() any{
 		"peers": p.node.Dump, "store": p.calls.Dump, "holding": p.keeper.Dump, "workers": p.fleet.Dump, "jobs": p.jobs.Dump,
@@ -175,10 +175,10 @@
 	}
 	p.daemon.AddReadiness(p.keeper.Lacks)
 	p.daemon.AddReadiness(p.hosts.Lacks)
-	p.daemon.AddReadiness(p.settingsLack)
+	p.daemon.AddReadiness(p.settingsUnreadyReasons)
 }
 
-// start opens the listeners and runs the parts.
+// start opens the listeners and starts the components.
 func (p *placer) start(ctx context.Context) error {
 	peers, err := daemon.Listen(p.conf.Listen.Peer, "listen.peer")
 	if err != nil {
@@ -204,17 +204,17 @@
 	p.daemon.Serve(admin, p.daemon.Admin())
 }
 
-// peerDrain bounds the farewell to the peers, who answer in milliseconds.
-const peerDrain = 2 * time.Second
+// peerDrainTimeout limits the draining of the peer links; peers answer in milliseconds.
+const peerDrainTimeout = 2 * time.Second
 
-// drainPeers makes sure that no peer's request is lost in the closing links.
+// drainPeers waits until no request of a peer would be lost when the links close.
 func (p *placer) drainPeers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, peerDrain)
+	ctx, cancel := context.WithTimeout(ctx, peerDrainTimeout)
 	defer cancel()
 	p.node.Drain(ctx)
 }
 
-// stop hands the partitions over with their work, then leaves.
+// stop hands the partitions over with their work, then closes the peer links.
 func (p *placer) stop(ctx context.Context) error {
 	err := p.keeper.Stop(ctx)
 	p.drainPeers(ctx)
--- a/cmd/pulley-standin/main.go
+++ b/cmd/pulley-standin/main.go
@@ -1,5 +1,5 @@
-// Command pulley-standin takes the place of the platform in development: the
-// store, the host list, workers and executors, with faults by HTTP.
+// Command pulley-standin simulates the platform for development: the store, the
+// host list, workers and executors. Faults are injected over HTTP.
 package main
 
 import (
@@ -8,7 +8,7 @@
 )
 
 func main() {
-	daemon.Main("pulley-standin", "The platform's stand-in, for development only", standin.DefaultConfig(), run)
+	daemon.Main("pulley-standin", "Simulates the platform, for development only.", standin.DefaultConfig(), run)
 }
 
 func run(c standin.Config) error {
--- a/cmd/pulleyctl/main.go
+++ b/cmd/pulleyctl/main.go
@@ -1,4 +1,4 @@
-// Command pulleyctl is the operators' and callers' command line.
+// Command pulleyctl is the command-line tool of operators and callers.
 package main
 
 import (
