--- a/test/e2e/together_test.go
+++ b/test/e2e/together_test.go
@@ -17,13 +17,13 @@
 	t.Parallel()
 	cases := []struct {
 		name string
-		fail func(c *harness.Cell, home, other *harness.Host)
+		fail func(c *harness.Cell, home, otherHost *harness.Host)
 	}{
-		{"one placer paused, another killed", func(_ *harness.Cell, home, other *harness.Host) {
-			other.Placer.Pause()
+		{"one placer paused, another killed", func(_ *harness.Cell, home, otherHost *harness.Host) {
+			otherHost.Placer.Pause()
 			home.Placer.Kill()
 			time.Sleep(2 * harness.Term)
-			other.Placer.Resume()
+			otherHost.Placer.Resume()
 			home.StartPlacer()
 		}},
 		{"a placer and workers of it fail at once", func(c *harness.Cell, home, _ *harness.Host) {
@@ -40,8 +40,8 @@
 			}
 			home.Placer.Kill()
 		}},
-		{"two outages in a row with a placer killed in each", func(c *harness.Cell, home, other *harness.Host) {
-			for _, h := range []*harness.Host{home, other} {
+		{"two outages in a row with a placer killed in each", func(c *harness.Cell, home, otherHost *harness.Host) {
+			for _, h := range []*harness.Host{home, otherHost} {
 				c.Platform.StoreFaults(memstore.Faults{Refuse: true})
 				time.Sleep(harness.Term)
 				h.Placer.Kill()
@@ -51,14 +51,14 @@
 				time.Sleep(harness.Term)
 			}
 		}},
-		{"an entry host is killed while a placer is paused", func(_ *harness.Cell, home, other *harness.Host) {
+		{"an entry host is killed while a placer is paused", func(_ *harness.Cell, home, otherHost *harness.Host) {
 			home.Placer.Pause()
-			other.Placer.Kill()
-			other.Entry.Kill()
+			otherHost.Placer.Kill()
+			otherHost.Entry.Kill()
 			time.Sleep(harness.Term)
 			home.Placer.Resume()
-			other.StartPlacer()
-			other.StartEntry()
+			otherHost.StartPlacer()
+			otherHost.StartEntry()
 		}},
 	}
 	for _, k := range cases {
--- a/test/soak/cell_test.go
+++ b/test/soak/cell_test.go
@@ -20,39 +20,39 @@
 	settings map[string]any
 	callers  string
 	ready    string
-	store    *proxytest.Proxy // between it and the store
-	peer     *proxytest.Proxy // in front of its peer listener
+	store    *proxytest.Proxy // between the node and the store
+	peer     *proxytest.Proxy // in front of the node's peer listener
 
 	mu        sync.Mutex
-	process   *harness.Process
-	processes []*harness.Process // all that it has had
+	process   *harness.Process   // the current one
+	processes []*harness.Process // all processes of the node, the current one included
 }
 
-// cell is a stand-in of the platform with nodes and hosts.
+// cell is a simulated platform with hosts, and the nodes that use it.
 type cell struct {
 	t        *testing.T
 	platform *fake.Platform
 	nodes    []*node
 	bin      harness.Binaries
-	world    conditions
+	conds    conditions
 }
 
-// bounds are the platform's times, shorter than the users' where that shortens
-// the soak.
+// bounds are the platform's time limits and factors. Some are shorter than in
+// production, to shorten the soak test.
 var bounds = map[string]any{
 	"lease_limit": "6s", "stop_takes": "200ms", "gang_wait": "3s", "remember_ended": "120s",
 	"far_factor": 2, "restore_takes": "100ms", "checkpoint_every": "1s", "stop_limit": "6s",
 	"contact": "3s", "heartbeat": "1500ms",
 }
 
-// startCell starts the stand-in, the hosts and the nodes.
-func startCell(t *testing.T, bin harness.Binaries, nodes, hosts int, world conditions) *cell {
+// startCell starts the simulated platform, the hosts and the nodes.
+func startCell(t *testing.T, bin harness.Binaries, nodes, hosts int, conds conditions) *cell {
 	t.Helper()
-	c := &cell{t: t, platform: fake.New(), bin: bin, world: world}
+	c := &cell{t: t, platform: fake.New(), bin: bin, conds: conds}
 	t.Cleanup(c.platform.Close)
-	c.platform.Seed(world.seed)
-	c.platform.Fleet.KeepsID, c.platform.Fleet.BackAfter = world.keepsID, 700*time.Millisecond
-	c.platform.SetCallFaults(world.calls)
+	c.platform.Seed(conds.seed)
+	c.platform.Fleet.KeepsID, c.platform.Fleet.BackAfter = conds.keepsID, 700*time.Millisecond
+	c.platform.SetCallFaults(conds.callFaults)
 	c.addHosts(hosts)
 	for i, h := range c.platform.Hosts() {
 		if i%2 == 1 {
@@ -69,7 +69,7 @@
 	return c
 }
 
-// slowClock is the rate of every other host's steady clock, the slowest that hosts have.
+// slowClock is the rate of every other host's monotonic clock; no host has a slower one.
 const slowClock = 0.98
 
 func (c *cell) addHosts(n int) {
@@ -80,7 +80,7 @@
 
 func (c *cell) newNode(name string) *node {
 	n := &node{name: name, callers: harness.FreeAddr(c.t), ready: harness.FreeAddr(c.t)}
-	storeTo, err := c.platform.ServeStore(name)
+	storeAddr, err := c.platform.ServeStore(name)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 		c.t.Fatal(err)
 	}
 	peer := harness.FreeAddr(c.t)
-	n.store = proxytest.New(c.t, "", storeTo)
+	n.store = proxytest.New(c.t, "", storeAddr)
 	n.peer = proxytest.New(c.t, "", peer)
 	n.settings = map[string]any{
 		"name": name, "zone": "z", "processors": 1, "log_level": "info",
@@ -99,7 +99,7 @@
 	return n
 }
 
-// start starts a node's process, unless another fault that has ended did.
+// start starts a node's process unless it is running: another fault may have restarted it.
 func (c *cell) start(n *node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,14 +109,14 @@
 	}
 }
 
-// running is the node's present process.
-func (n *node) running() *harness.Process {
+// current returns the node's current process.
+func (n *node) current() *harness.Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
-// log is what all processes of the node have logged.
+// log returns the logs of all processes of the node.
 func (n *node) log() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,7 +127,7 @@
 	return out.String()
 }
 
-// testCatalog has queues of unlike kinds, as the users' sheets have.
+// testCatalog returns a catalog with queues of the kinds in the users' specification.
 func testCatalog(version int64) *catalog.Catalog {
 	advice := func(decide, each float64) *catalog.Advice {
 		return &catalog.Advice{DecideMillis: decide, PerHostMillis: each, ValidMillis: 1500}
@@ -149,5 +149,5 @@
 	}
 }
 
-// settle is how long a cell without faults may need until it serves again.
-const settle = 15 * time.Second
+// recoveryLimit is how long a cell without faults may take until it serves again.
+const recoveryLimit = 15 * time.Second
--- a/test/soak/conditions_test.go
+++ b/test/soak/conditions_test.go
@@ -7,42 +7,43 @@
 	"pulleyquay/platform/fake"
 )
 
-// conditions are what a seed's cell lives under all the time; faults come on top.
+// conditions are the faults that last for the whole run of a seed; the series of faults
+// come on top of these.
 type conditions struct {
-	seed     uint64
-	name     string // of what happens to calls to hosts
-	calls    fake.CallFaults
-	keepsID  bool // hosts that crash start again under their ids
-	together bool // several hosts at once go every few seconds
+	seed          uint64
+	name          string // of the call faults
+	callFaults    fake.CallFaults
+	keepsID       bool // hosts that crash restart under their ids
+	hostsTogether bool // several hosts fail at once every few seconds
 }
 
-// String tells them, for the report.
+// String describes the conditions for the report.
 func (c conditions) String() string {
-	return fmt.Sprintf("calls to hosts: %s; hosts keep their ids: %t; several hosts go at once: %t", c.name, c.keepsID, c.together)
+	return fmt.Sprintf("calls to hosts: %s; hosts keep their ids: %t; several hosts fail at once: %t", c.name, c.keepsID, c.hostsTogether)
 }
 
-// How late calls to hosts are carried out: up to twice as late as leases last.
+// The delay of calls to hosts, up to twice the lease limit.
 const (
-	lateLeast = 2 * time.Second
-	lateMost  = 12 * time.Second
+	minCallDelay = 2 * time.Second
+	maxCallDelay = 12 * time.Second
 )
 
-// callKinds are what may happen to calls to hosts for a whole seed.
-var callKinds = []struct {
-	name  string
-	calls fake.CallFaults
+// callFaultKinds are the faults of calls to hosts that a seed may have.
+var callFaultKinds = []struct {
+	name       string
+	callFaults fake.CallFaults
 }{
-	{"pass", fake.CallFaults{}},
-	{"requests and answers lost, late", fake.CallFaults{
-		LoseRequests: 0.06, LoseAnswers: 0.1, Late: 0.06, LateLeast: lateLeast, LateMost: lateMost,
+	{"none", fake.CallFaults{}},
+	{"requests and answers lost, calls delayed", fake.CallFaults{
+		LoseRequests: 0.06, LoseAnswers: 0.1, Late: 0.06, LateLeast: minCallDelay, LateMost: maxCallDelay,
 	}},
 	{"requests lost", fake.CallFaults{LoseRequests: 0.2}},
 	{"answers lost", fake.CallFaults{LoseAnswers: 0.3}},
-	{"orders late", fake.CallFaults{Late: 0.25, LateLeast: lateLeast, LateMost: lateMost, SpareLooks: true}},
+	{"orders delayed", fake.CallFaults{Late: 0.25, LateLeast: minCallDelay, LateMost: maxCallDelay, SpareLooks: true}},
 }
 
-// conditionsOf gives the conditions of a seed; those that follow have others each.
+// conditionsOf returns the conditions of a seed; successive seeds differ in them.
 func conditionsOf(seed uint64) conditions {
-	kind := callKinds[seed%uint64(len(callKinds))]
-	return conditions{seed: seed, name: kind.name, calls: kind.calls, keepsID: seed%2 == 1, together: seed%3 != 0}
+	kind := callFaultKinds[seed%uint64(len(callFaultKinds))]
+	return conditions{seed: seed, name: kind.name, callFaults: kind.callFaults, keepsID: seed%2 == 1, hostsTogether: seed%3 != 0}
 }
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -9,23 +9,24 @@
 	"pulleyquay/platform/fake"
 )
 
-// fault is one kind of trouble. It strikes and returns what ends it.
+// fault is one kind of fault. inject starts it and returns the function that ends it.
 type fault struct {
 	name   string
-	strike func(s *storm) (end func())
+	inject func(s *faultSeries) (end func())
 }
 
-// storm draws faults at random, in series that overlap.
-type storm struct {
-	c    *cell
-	l    *load
-	said []string
+// faultSeries injects faults one after the other; several series overlap.
+type faultSeries struct {
+	c        *cell
+	l        *load
+	injected []string // descriptions of the faults, for the report
 }
 
-func (s *storm) node() *node { return s.c.nodes[s.l.intn(len(s.c.nodes))] }
+// node draws one of the nodes.
+func (s *faultSeries) node() *node { return s.c.nodes[s.l.intn(len(s.c.nodes))] }
 
-// proxies of a node or the store, one drawn at random.
-func (s *storm) proxy() *proxytest.Proxy {
+// proxy draws the proxy to the store or the peer proxy of a node.
+func (s *faultSeries) proxy() *proxytest.Proxy {
 	n := s.node()
 	if s.l.intn(2) == 0 {
 		return n.store
@@ -33,79 +34,81 @@
 	return n.peer
 }
 
-func (s *storm) link(m proxytest.Mode) func() {
+func (s *faultSeries) link(m proxytest.Mode) func() {
 	p := s.proxy()
 	p.Set(m)
 	return func() { p.Set(proxytest.Open) }
 }
 
-func (s *storm) store(f memstore.Faults) func() {
+func (s *faultSeries) store(f memstore.Faults) func() {
 	s.c.platform.Store.SetFaults(f)
 	return func() { s.c.platform.Store.SetFaults(memstore.Faults{}) }
 }
 
-func (s *storm) storeFor(f memstore.Faults) func() {
+func (s *faultSeries) storeFor(f memstore.Faults) func() {
 	client := s.c.platform.Store.Client(s.node().name)
 	client.SetFaults(f)
 	return func() { client.SetFaults(memstore.Faults{}) }
 }
 
-// calls has those to one host struck more than by the seed's faults.
-func (s *storm) calls(f fake.CallFaults) func() {
+// callFaults replaces the seed's call faults for one host.
+func (s *faultSeries) callFaults(f fake.CallFaults) func() {
 	h := s.l.host()
 	h.SetFaults(f)
-	return func() { h.SetFaults(s.c.world.calls) }
+	return func() { h.SetFaults(s.c.conds.callFaults) }
 }
 
-func (s *storm) eachHost(do func(*fake.HostServer)) {
+func (s *faultSeries) eachHost(do func(*fake.HostServer)) {
 	for _, h := range s.c.platform.Hosts() {
 		do(h)
 	}
 }
 
-// powerOff ends a host for good; another one comes in its place.
-func (s *storm) powerOff(h *fake.HostServer) func() {
+// powerOff ends a host for good. The function returned adds a host in its place.
+func (s *faultSeries) powerOff(h *fake.HostServer) func() {
 	h.PowerOff()
 	return func() { s.c.addHosts(1) }
 }
 
-func cutOff(h *fake.HostServer) func() {
+// disconnect stops all calls to the host, in both directions, until reconnected.
+func disconnect(h *fake.HostServer) func() {
 	h.Cut(true)
 	return func() { h.Cut(false) }
 }
 
-// restartBehindCut has a host crash and start again while nothing comes through to it.
-func restartBehindCut(h *fake.HostServer) func() {
+// restartDisconnected disconnects a host, and has it lose power and restart meanwhile.
+func restartDisconnected(h *fake.HostServer) func() {
 	h.Cut(true)
 	h.RestartDark()
 	return func() { h.Cut(false) }
 }
 
-func nothing() {}
+// noEnd is the end of a fault that needs none.
+func noEnd() {}
 
 var faultKinds = []fault{
-	{"node killed", func(s *storm) func() {
+	{"node killed", func(s *faultSeries) func() {
 		n := s.node()
-		n.running().Kill()
+		n.current().Kill()
 		return func() { s.c.start(n) }
 	}},
-	{"node stopped in order", func(s *storm) func() {
+	{"node stopped as planned", func(s *faultSeries) func() {
 		n := s.node()
-		n.running().Terminate()
+		n.current().Terminate()
 		return func() {
-			n.running().Kill() // when its time is over
+			n.current().Kill() // if the planned stop is still going on
 			s.c.start(n)
 		}
 	}},
-	{"node paused", func(s *storm) func() {
+	{"node paused", func(s *faultSeries) func() {
 		n := s.node()
-		p := n.running()
+		p := n.current()
 		p.Pause()
 		return p.Resume
 	}},
-	{"all nodes killed", func(s *storm) func() {
+	{"all nodes killed", func(s *faultSeries) func() {
 		for _, n := range s.c.nodes {
-			n.running().Kill()
+			n.current().Kill()
 		}
 		return func() {
 			for _, n := range s.c.nodes {
@@ -113,88 +116,88 @@
 			}
 		}
 	}},
-	{"link delayed", func(s *storm) func() {
+	{"link delayed", func(s *faultSeries) func() {
 		return s.link(proxytest.Mode{Delay: 80 * time.Millisecond, Up: true, Down: true})
 	}},
-	{"link reset", func(s *storm) func() { s.proxy().Reset(); return nothing }},
-	{"link refused", func(s *storm) func() { return s.link(proxytest.Mode{Refuse: true}) }},
-	{"link silent", func(s *storm) func() { return s.link(proxytest.Mode{}) }},
-	{"link one way up", func(s *storm) func() { return s.link(proxytest.Mode{Up: true}) }},
-	{"link one way down", func(s *storm) func() { return s.link(proxytest.Mode{Down: true}) }},
-	{"open connections fall silent", func(s *storm) func() {
+	{"link reset", func(s *faultSeries) func() { s.proxy().Reset(); return noEnd }},
+	{"link refused", func(s *faultSeries) func() { return s.link(proxytest.Mode{Refuse: true}) }},
+	{"link silent", func(s *faultSeries) func() { return s.link(proxytest.Mode{}) }},
+	{"link one way up", func(s *faultSeries) func() { return s.link(proxytest.Mode{Up: true}) }},
+	{"link one way down", func(s *faultSeries) func() { return s.link(proxytest.Mode{Down: true}) }},
+	{"open connections become silent", func(s *faultSeries) func() {
 		n := s.node()
 		n.store.Mute()
 		n.peer.Mute()
-		return nothing
+		return noEnd
 	}},
-	{"all open connections fall silent", func(s *storm) func() {
+	{"all open connections become silent", func(s *faultSeries) func() {
 		for _, n := range s.c.nodes {
 			n.store.Mute()
 			n.peer.Mute()
 		}
-		return nothing
+		return noEnd
 	}},
-	{"store refuses", func(s *storm) func() { return s.store(memstore.Faults{Refuse: true}) }},
-	{"store silent", func(s *storm) func() { return s.store(memstore.Faults{Hang: true}) }},
-	{"store slow", func(s *storm) func() { return s.store(memstore.Faults{AnswerDelayMS: 150}) }},
-	{"store loses answers", func(s *storm) func() { return s.store(memstore.Faults{LoseAnswers: 5}) }},
-	{"store loses requests", func(s *storm) func() { return s.store(memstore.Faults{LoseRequests: 5}) }},
-	{"store late", func(s *storm) func() { return s.store(memstore.Faults{RequestDelayMS: 700}) }},
-	{"store away for one", func(s *storm) func() { return s.storeFor(memstore.Faults{Refuse: true}) }},
-	{"store silent to one", func(s *storm) func() { return s.storeFor(memstore.Faults{Hang: true}) }},
-	{"store forgets its history", func(s *storm) func() { s.c.platform.Store.Compact(); return nothing }},
-	{"host gone for good", func(s *storm) func() { return s.powerOff(s.l.host()) }},
-	{"host starts again", func(s *storm) func() { s.l.host().Restart(); return nothing }},
-	{"hosts lose power and start again", func(s *storm) func() {
+	{"store refuses", func(s *faultSeries) func() { return s.store(memstore.Faults{Refuse: true}) }},
+	{"store silent", func(s *faultSeries) func() { return s.store(memstore.Faults{Hang: true}) }},
+	{"store answers delayed", func(s *faultSeries) func() { return s.store(memstore.Faults{AnswerDelayMS: 150}) }},
+	{"store loses answers", func(s *faultSeries) func() { return s.store(memstore.Faults{LoseAnswers: 5}) }},
+	{"store loses requests", func(s *faultSeries) func() { return s.store(memstore.Faults{LoseRequests: 5}) }},
+	{"store requests delayed", func(s *faultSeries) func() { return s.store(memstore.Faults{RequestDelayMS: 700}) }},
+	{"store refuses one node", func(s *faultSeries) func() { return s.storeFor(memstore.Faults{Refuse: true}) }},
+	{"store silent to one node", func(s *faultSeries) func() { return s.storeFor(memstore.Faults{Hang: true}) }},
+	{"store compacted", func(s *faultSeries) func() { s.c.platform.Store.Compact(); return noEnd }},
+	{"host replaced", func(s *faultSeries) func() { return s.powerOff(s.l.host()) }},
+	{"host restarts", func(s *faultSeries) func() { s.l.host().Restart(); return noEnd }},
+	{"hosts lose power and restart", func(s *faultSeries) func() {
 		for range 4 {
 			s.l.host().RestartDark()
 		}
-		return nothing
+		return noEnd
 	}},
-	{"host cut off", func(s *storm) func() { return cutOff(s.l.host()) }},
-	{"host cut off from the store, too", func(s *storm) func() {
+	{"host disconnected", func(s *faultSeries) func() { return disconnect(s.l.host()) }},
+	{"host disconnected from the store as well", func(s *faultSeries) func() {
 		h := s.l.host()
 		h.CutFromStore(true)
-		heal := cutOff(h)
-		return func() { heal(); h.CutFromStore(false) }
+		reconnect := disconnect(h)
+		return func() { reconnect(); h.CutFromStore(false) }
 	}},
-	{"host starts again behind a cut", func(s *storm) func() { return restartBehindCut(s.l.host()) }},
-	{"connections to a host reset", func(s *storm) func() { s.l.host().Reset(); return nothing }},
-	{"connections to all hosts reset", func(s *storm) func() { s.eachHost((*fake.HostServer).Reset); return nothing }},
-	{"connections to a host fall silent", func(s *storm) func() { s.l.host().Silence(); return nothing }},
-	{"connections to all hosts fall silent", func(s *storm) func() { s.eachHost((*fake.HostServer).Silence); return nothing }},
-	{"calls to a host get lost", func(s *storm) func() {
-		return s.calls(fake.CallFaults{LoseRequests: 0.5, LoseAnswers: 0.2})
+	{"host restarts while disconnected", func(s *faultSeries) func() { return restartDisconnected(s.l.host()) }},
+	{"connections to a host reset", func(s *faultSeries) func() { s.l.host().Reset(); return noEnd }},
+	{"connections to all hosts reset", func(s *faultSeries) func() { s.eachHost((*fake.HostServer).Reset); return noEnd }},
+	{"connections to a host become silent", func(s *faultSeries) func() { s.l.host().Silence(); return noEnd }},
+	{"connections to all hosts become silent", func(s *faultSeries) func() { s.eachHost((*fake.HostServer).Silence); return noEnd }},
+	{"calls to a host lost", func(s *faultSeries) func() {
+		return s.callFaults(fake.CallFaults{LoseRequests: 0.5, LoseAnswers: 0.2})
 	}},
-	{"answers of a host get lost", func(s *storm) func() { return s.calls(fake.CallFaults{LoseAnswers: 0.7}) }},
-	{"calls to a host come late", func(s *storm) func() {
-		return s.calls(fake.CallFaults{Late: 0.7, LateLeast: lateLeast, LateMost: lateMost})
+	{"answers of a host lost", func(s *faultSeries) func() { return s.callFaults(fake.CallFaults{LoseAnswers: 0.7}) }},
+	{"calls to a host delayed", func(s *faultSeries) func() {
+		return s.callFaults(fake.CallFaults{Late: 0.7, LateLeast: minCallDelay, LateMost: maxCallDelay})
 	}},
-	{"host fails everything", func(s *storm) func() {
+	{"host fails every task", func(s *faultSeries) func() {
 		h := s.l.host().Host()
 		h.Fail(true)
 		return func() { h.Fail(false) }
 	}},
-	{"configuration changes", func(s *storm) func() {
+	{"configuration changes", func(s *faultSeries) func() {
 		s.c.platform.SetCatalog(testCatalog(time.Now().UnixMilli()))
-		return nothing
+		return noEnd
 	}},
 }
 
-// strike draws a fault, lets it last for a while, and ends it.
-func (s *storm) strike(begun time.Time) {
+// inject injects a fault drawn at random, waits for 0.2 to 4.2 s, and ends it.
+func (s *faultSeries) inject(begun time.Time) {
 	f := faultKinds[s.l.intn(len(faultKinds))]
 	lasts := time.Duration(200+s.l.intn(4000)) * time.Millisecond
-	s.said = append(s.said, fmt.Sprintf("%v %s for %v", time.Since(begun).Round(time.Millisecond), f.name, lasts))
-	end := f.strike(s)
+	s.injected = append(s.injected, fmt.Sprintf("%v %s for %v", time.Since(begun).Round(time.Millisecond), f.name, lasts))
+	end := f.inject(s)
 	time.Sleep(lasts)
 	end()
 }
 
-// blow strikes again and again, one fault after the other, until the deadline.
-func (s *storm) blow(begun, deadline time.Time) {
+// injectFaults injects one fault after the other until the deadline.
+func (s *faultSeries) injectFaults(begun, deadline time.Time) {
 	for time.Now().Before(deadline) {
 		time.Sleep(time.Duration(s.l.intn(1500)) * time.Millisecond)
-		s.strike(begun)
+		s.inject(begun)
 	}
 }
--- a/test/soak/load_test.go
+++ b/test/soak/load_test.go
@@ -17,41 +17,41 @@
 	"pulleyquay/platform/fake"
 )
 
-// work is one job and what its caller knows of it.
-type work struct {
+// submission is one job and the results that its caller has received.
+type submission struct {
 	id, queue string
 	body      []byte
 
 	mu       sync.Mutex
-	accepted bool // some answer said so
-	open     bool // some answer left it open
-	cancel   bool // the caller has asked for its end
+	accepted bool // by at least one answer
+	unknown  bool // at least one call left open whether the job was accepted
+	cancel   bool // the caller has requested cancellation
 	state    record.State
 }
 
-// load hands jobs in and follows them.
+// load submits jobs and polls them until they end.
 type load struct {
 	c    *cell
 	http *http.Client
 
-	mu   sync.Mutex
-	rnd  *rand.Rand
-	jobs []*work
-	left sync.WaitGroup
+	mu      sync.Mutex
+	rnd     *rand.Rand
+	jobs    []*submission
+	callers sync.WaitGroup
 }
 
 func newLoad(c *cell, seed uint64) *load {
 	return &load{c: c, rnd: rand.New(rand.NewPCG(seed, 2)), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
-// intn draws a number; callers share one source.
+// intn returns a random number below n; all callers share one source.
 func (l *load) intn(n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rnd.IntN(n)
 }
 
-// run hands in perSecond jobs until ctx ends.
+// run submits perSecond jobs a second until ctx ends.
 func (l *load) run(ctx context.Context, perSecond int) {
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
@@ -65,20 +65,21 @@
 		l.mu.Lock()
 		l.jobs = append(l.jobs, w)
 		l.mu.Unlock()
-		l.left.Go(func() { l.follow(ctx, w) })
+		l.callers.Go(func() { l.follow(ctx, w) })
 	}
 }
 
-// wideEvery is of how many jobs one has many tasks that run for seconds.
-const wideEvery = 16
+// wideInterval is the average number of jobs per wide job, which has many tasks that run
+// for seconds.
+const wideInterval = 16
 
-// draw makes a job of one of the kinds of the users' sheets.
-func (l *load) draw(n int) *work {
-	w := &work{id: fmt.Sprintf("%016x", uint64(n)*0x9e3779b97f4a7c15+uint64(l.intn(1<<30)))}
+// draw returns a random job of one of the kinds in the users' specification.
+func (l *load) draw(n int) *submission {
+	w := &submission{id: fmt.Sprintf("%016x", uint64(n)*0x9e3779b97f4a7c15+uint64(l.intn(1<<30)))}
 	var steps []map[string]any
 	w.queue, steps = l.drawSteps()
-	w.body, _ = json.Marshal(map[string]any{"spec": "x", "steps": steps}) // plain data
-	l.c.platform.Fleet.Know(known(w, steps))
+	w.body, _ = json.Marshal(map[string]any{"spec": "x", "steps": steps}) // can not fail for plain data
+	l.c.platform.Fleet.Know(jobRecord(w, steps))
 	return w
 }
 
@@ -86,9 +87,9 @@
 	return map[string]any{"count": count, "cpu": cpu, "mem-mb": mem, "estimate-ms": ms}
 }
 
-// drawSteps draws a queue, and the steps of a job for it.
+// drawSteps returns a random queue and the steps of a job for it.
 func (l *load) drawSteps() (queue string, steps []map[string]any) {
-	if l.intn(wideEvery) == 0 {
+	if l.intn(wideInterval) == 0 {
 		return "wide", []map[string]any{step(4+l.intn(25), 1000, 2000, 2000+l.intn(6000))}
 	}
 	switch l.intn(10) {
@@ -111,8 +112,8 @@
 	}
 }
 
-// known is the job as the simulated hosts know it.
-func known(w *work, steps []map[string]any) *record.Job {
+// jobRecord returns the job's record for the simulated hosts.
+func jobRecord(w *submission, steps []map[string]any) *record.Job {
 	rec := &record.Job{ID: w.id, Queue: w.queue, Service: "s"}
 	for _, q := range testCatalog(1).Queues {
 		if q.Name == w.queue {
@@ -132,21 +133,21 @@
 	return rec
 }
 
-// patience is how long a caller waits for one answer.
-const patience = 3 * time.Second
+// answerTimeout is the deadline of one call.
+const answerTimeout = 3 * time.Second
 
-// call asks a node, drawn at random, and returns the status, zero without an
-// answer.
-func (l *load) call(method string, w *work, body []byte) (int, []byte) {
+// call sends a request to a random node and returns the status and the body. The
+// status is zero if there was no complete answer.
+func (l *load) call(method string, w *submission, body []byte) (int, []byte) {
 	n := l.c.nodes[l.intn(len(l.c.nodes))]
-	ctx, cancel := context.WithTimeout(context.Background(), patience+500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout+500*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.callers+"/"+w.queue+"/"+w.id, bytes.NewReader(body))
 	if err != nil {
 		panic(err) // the address is well formed
 	}
 	req.Host = "cell.example"
-	req.Header.Set(platform.DeadlineHeader, fmt.Sprint(patience.Milliseconds()))
+	req.Header.Set(platform.DeadlineHeader, fmt.Sprint(answerTimeout.Milliseconds()))
 	resp, err := l.http.Do(req)
 	if err != nil {
 		return 0, nil
@@ -159,9 +160,9 @@
 	return resp.StatusCode, answer
 }
 
-// follow hands one job in, asks for its state now and then, and cancels one in
+// follow submits one job, polls its state until it is final, and cancels one job in
 // twenty.
-func (l *load) follow(ctx context.Context, w *work) {
+func (l *load) follow(ctx context.Context, w *submission) {
 	for range 5 {
 		if l.submit(w) {
 			break
@@ -174,13 +175,13 @@
 		w.mu.Unlock()
 		l.call(http.MethodDelete, w, nil)
 	}
-	for ctx.Err() == nil && !l.ask(w) {
+	for ctx.Err() == nil && !l.poll(w) {
 		time.Sleep(time.Duration(200+l.intn(600)) * time.Millisecond)
 	}
 }
 
-// submit hands a job in once and reports whether it was accepted.
-func (l *load) submit(w *work) bool {
+// submit submits a job once and reports whether it was accepted.
+func (l *load) submit(w *submission) bool {
 	status, _ := l.call(http.MethodPost, w, w.body)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,70 +190,72 @@
 		w.accepted = true
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusNotFound:
 	default:
-		w.open = true
+		w.unknown = true
 	}
 	return status/100 == 2
 }
 
-// host draws one of the hosts.
+// host returns a random host.
 func (l *load) host() *fake.HostServer {
 	hosts := l.c.platform.Hosts()
 	return hosts[l.intn(len(hosts))]
 }
 
-// ask asks for a job's state and reports whether it is final.
-func (l *load) ask(w *work) bool {
+// poll queries a job's state once, checks it, and reports whether it is final.
+func (l *load) poll(w *submission) bool {
 	status, body := l.call(http.MethodGet, w, nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	judge := l.c.platform.Fleet.Judge()
 	if status == http.StatusGone && w.accepted {
-		judge.Breach("LOST job %s was accepted and is not known", w.id)
+		judge.Breach("LOST job %s was accepted and is unknown to the node", w.id)
 	}
 	if status != http.StatusOK {
 		return false
 	}
 	var answer struct{ State record.State }
 	if err := json.Unmarshal(body, &answer); err != nil {
-		judge.Breach("the state of job %s is %q", w.id, body)
+		judge.Breach("the state of job %s is not valid JSON: %q", w.id, body)
 		return true
 	}
 	switch {
 	case w.state.Final() && answer.State != w.state:
-		judge.Breach("job %s was shown as %s and is shown as %s", w.id, w.state, answer.State)
+		judge.Breach("job %s was reported as %s and is now reported as %s", w.id, w.state, answer.State)
 	case answer.State == record.StateCompleted && !judge.JobDone(w.id):
-		judge.Breach("MIXED job %s is shown as completed and is not", w.id)
+		judge.Breach("MIXED job %s is reported as completed, but not all its tasks are done", w.id)
 	case answer.State == record.StateFailed && w.state != record.StateFailed:
-		judge.GaveUpFor(w.id, l.whyOf(w.id))
+		judge.GaveUpFor(w.id, l.endReason(w.id))
 	case answer.State == record.StateCancelled && !w.cancel:
-		judge.Breach("LOST job %s is shown as cancelled, which nobody asked for", w.id)
+		judge.Breach("LOST job %s is reported as cancelled without a cancel request", w.id)
 	}
 	w.state = answer.State
 	return w.state.Final()
 }
 
-// whyOf is the reason for a job's end that the store holds; empty where it holds none.
-func (l *load) whyOf(id string) string {
+// endReason returns the reason for a job's end from its record in the store, or an empty
+// string without a record.
+func (l *load) endReason(id string) string {
 	value := l.c.platform.Store.Get(record.JobKey(0, id))
 	if value == nil {
 		return ""
 	}
 	rec, err := record.DecodeJob(value)
 	if err != nil {
-		l.c.platform.Fleet.Judge().Breach("the record of job %s can not be read: %v", id, err)
+		l.c.platform.Fleet.Judge().Breach("the record of job %s can not be decoded: %v", id, err)
 		return ""
 	}
 	return rec.Why
 }
 
-// finish waits until every accepted job is final, and tells of those that are not.
+// finish waits until every accepted job is final, and records a violation for each that
+// is not final within the limit.
 func (l *load) finish(limit time.Duration) {
 	deadline := time.Now().Add(limit)
 	for _, w := range l.jobs {
 		if !w.accepted {
 			continue
 		}
-		for !l.ask(w) {
+		for !l.poll(w) {
 			if time.Now().After(deadline) {
 				l.c.platform.Fleet.Judge().Breach("LOST job %s of %s is %q at the end", w.id, w.queue, w.state)
 				break
@@ -262,11 +265,11 @@
 	}
 }
 
-// refused checks that jobs that every answer refused have started nothing.
-func (l *load) refused() {
+// checkRefused checks that no task of a job that was refused by every answer has started.
+func (l *load) checkRefused() {
 	judge := l.c.platform.Fleet.Judge()
 	for _, w := range l.jobs {
-		if !w.accepted && !w.open && judge.Started(w.id) {
+		if !w.accepted && !w.unknown && judge.Started(w.id) {
 			judge.Breach("REFUSED job %s was refused by every answer and has started", w.id)
 		}
 	}
--- a/test/soak/report_test.go
+++ b/test/soak/report_test.go
@@ -14,9 +14,9 @@
 	"pulleyquay/internal/record"
 )
 
-// report fails the test for each breach, and tells what struck and what became of the jobs
-// that the breaches name.
-func report(t *testing.T, l *load, seed uint64, storms []*storm) {
+// report fails the test for each violation, and reports the faults injected and the
+// histories of the jobs that the violations name.
+func report(t *testing.T, l *load, seed uint64, allSeries []*faultSeries) {
 	t.Helper()
 	accepted := 0
 	for _, w := range l.jobs {
@@ -26,26 +26,26 @@
 	}
 	judge := l.c.platform.Fleet.Judge()
 	t.Logf("%d jobs, %d accepted, %d starts, %d hosts crashed", len(l.jobs), accepted, judge.Starts(), judge.HostsCrashed())
-	t.Log("in the logs:", l.c.lines("start unanswered", "run lost", "crash held against task", "job-crashes-hosts"))
-	wrong := judge.Wrong()
-	for _, s := range wrong {
-		t.Error(s)
+	t.Log("in the logs:", l.c.countInLogs("start unanswered", "run lost", "crash held against task", "job-crashes-hosts"))
+	violations := judge.Wrong()
+	for _, v := range violations {
+		t.Error(v)
 	}
 	if accepted == 0 {
 		t.Error("no job was accepted")
 	}
-	text := fmt.Sprintf("seed %d: %v\n%s\n\n%s\n", seed, l.c.world, strings.Join(wrong, "\n"), struck(storms))
-	named := jobsIn(wrong)
+	text := fmt.Sprintf("seed %d: %v\n%s\n\n%s\n", seed, l.c.conds, strings.Join(violations, "\n"), injectedFaults(allSeries))
+	involved := jobsIn(violations)
 	if t.Failed() {
-		t.Log(text + l.c.histories(named[:min(len(named), mostHistories)]))
+		t.Log(text + l.c.histories(involved[:min(len(involved), maxHistories)]))
 	}
 	if *reports != "" {
-		named = append(named, l.failed()...)
-		l.c.keep(t, filepath.Join(*reports, fmt.Sprint("seed-", seed)), text+l.c.histories(named))
+		involved = append(involved, l.failed()...)
+		l.c.save(t, filepath.Join(*reports, fmt.Sprint("seed-", seed)), text+l.c.histories(involved))
 	}
 }
 
-// failed names the jobs that were shown as failed.
+// failed returns the ids of the jobs that were reported as failed.
 func (l *load) failed() []string {
 	var out []string
 	for _, w := range l.jobs {
@@ -56,8 +56,8 @@
 	return out
 }
 
-// lines counts the lines of all logs that hold each text.
-func (c *cell) lines(texts ...string) string {
+// countInLogs returns how often each text occurs in the logs of all nodes.
+func (c *cell) countInLogs(texts ...string) string {
 	var out []string
 	for _, text := range texts {
 		count := 0
@@ -69,18 +69,18 @@
 	return strings.Join(out, ", ")
 }
 
-// struck lists the faults of each series.
-func struck(storms []*storm) string {
+// injectedFaults lists the faults of each series.
+func injectedFaults(allSeries []*faultSeries) string {
 	var lines []string
-	for i, s := range storms {
+	for i, s := range allSeries {
 		lines = append(lines, fmt.Sprintf("series %d:", i))
-		lines = append(lines, s.said...)
+		lines = append(lines, s.injected...)
 	}
 	return strings.Join(lines, "\n")
 }
 
-// keep writes the report and the logs of all nodes to a directory.
-func (c *cell) keep(t *testing.T, dir, text string) {
+// save writes the report and the logs of all nodes to a directory.
+func (c *cell) save(t *testing.T, dir, text string) {
 	t.Helper()
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Error(err)
@@ -97,16 +97,16 @@
 	}
 }
 
-// jobID finds the ids of jobs.
+// jobID matches the ids of jobs.
 var jobID = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
 
-// mostHistories bounds the jobs whose histories a failed test shows.
-const mostHistories = 5
+// maxHistories is the largest number of jobs whose histories a failed test shows.
+const maxHistories = 5
 
-// jobsIn names the jobs that breaches name, in the order of these.
-func jobsIn(wrong []string) []string {
+// jobsIn returns the ids of the jobs in the violations, in the order of the violations.
+func jobsIn(violations []string) []string {
 	var out []string
-	for _, id := range jobID.FindAllString(strings.Join(wrong, "\n"), -1) {
+	for _, id := range jobID.FindAllString(strings.Join(violations, "\n"), -1) {
 		if !slices.Contains(out, id) {
 			out = append(out, id)
 		}
@@ -114,7 +114,7 @@
 	return out
 }
 
-// histories tells what became of jobs.
+// histories returns the histories of jobs.
 func (c *cell) histories(jobs []string) string {
 	var out strings.Builder
 	for _, id := range jobs {
@@ -123,29 +123,29 @@
 	return out.String()
 }
 
-// told is a line of a history.
-type told struct {
+// historyLine is one line of a job's history.
+type historyLine struct {
 	at   time.Time
 	line string
 }
 
-// history gives, in the order of time, what hosts made of a job's runs, and what the nodes'
-// logs say of it and of the ends of these hosts.
+// history returns, in order of time, the hosts' events of a job's runs, and the lines of the
+// nodes' logs that contain the job's id or report that one of these hosts was lost.
 func (c *cell) history(job string) string {
-	var lines []told
+	var lines []historyLine
 	hosts := map[string]bool{}
 	for _, e := range c.platform.RunEvents(job) {
-		lines = append(lines, told{e.At, e.String()})
+		lines = append(lines, historyLine{e.At, e.String()})
 		hosts[string(e.Host)] = true
 	}
 	for _, n := range c.nodes {
 		for line := range strings.Lines(n.log()) {
 			if l, ok := concerns(line, job, hosts); ok {
-				lines = append(lines, told{l.at, l.at.Format("15:04:05.000 ") + n.name + " " + strings.TrimSpace(line)})
+				lines = append(lines, historyLine{l.at, l.at.Format("15:04:05.000 ") + n.name + " " + strings.TrimSpace(line)})
 			}
 		}
 	}
-	slices.SortStableFunc(lines, func(a, b told) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(lines, func(a, b historyLine) int { return a.at.Compare(b.at) })
 	var out strings.Builder
 	for _, l := range lines {
 		out.WriteString(l.line + "\n")
@@ -153,19 +153,20 @@
 	return out.String()
 }
 
-// logLine is what a history needs of a line of a log.
+// logLine holds the fields of a log line that a history needs.
 type logLine struct {
 	Time time.Time
 	Msg  string
 	Host string
 }
 
-// concerns reports whether a line names the job, or the end of one of its hosts.
-func concerns(line, job string, hosts map[string]bool) (told, bool) {
+// concerns parses a log line and reports whether it contains the job's id or reports the loss
+// of one of its hosts.
+func concerns(line, job string, hosts map[string]bool) (historyLine, bool) {
 	var l logLine
 	if err := json.Unmarshal([]byte(line), &l); err != nil {
-		return told{}, false // the output of a process that ended in the midst of it
+		return historyLine{}, false // cut short by the end of the process
 	}
-	ofHost := hosts[l.Host] && (l.Msg == "host gone" || l.Msg == "host lost")
-	return told{at: l.Time.Local()}, ofHost || strings.Contains(line, job)
+	hostLost := hosts[l.Host] && (l.Msg == "host gone" || l.Msg == "host lost")
+	return historyLine{at: l.Time.Local()}, hostLost || strings.Contains(line, job)
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,10 +1,10 @@
-// Package soak runs the real programs as separate processes and lets faults
-// strike them from outside, in series that overlap, while callers hand in jobs
-// and simulated hosts judge what runs. See docs/SOAK.md.
+// Package soak runs the real programs as separate processes and injects faults
+// from outside, in series that overlap, while callers submit jobs and simulated
+// hosts check the invariants. See docs/SOAK.md.
 //
 //	go test ./test/soak                                    a short run, as CI does
-//	go test ./test/soak -soak.seeds 50 -timeout 2h         fifty fresh seeds
-//	go test ./test/soak -soak.seed 1234 -soak.seeds 1      one seed again
+//	go test ./test/soak -soak.seeds 50 -timeout 2h         seeds 1 to 50
+//	go test ./test/soak -soak.seed 1234 -soak.seeds 1      seed 1234 alone
 package soak
 
 import (
@@ -23,10 +23,10 @@
 var (
 	seeds     = flag.Int("soak.seeds", 1, "number of seeds to run")
 	firstSeed = flag.Uint64("soak.seed", 1, "first seed; 0 draws one from the time")
-	lasts     = flag.Duration("soak.for", 12*time.Second, "how long faults strike")
+	lasts     = flag.Duration("soak.for", 12*time.Second, "how long faults are injected")
 	nodes     = flag.Int("soak.nodes", 5, "processes of the system")
 	hosts     = flag.Int("soak.hosts", 12, "simulated hosts")
-	perSecond = flag.Int("soak.jobs", 20, "jobs handed in a second")
+	perSecond = flag.Int("soak.jobs", 20, "jobs submitted a second")
 	series    = flag.Int("soak.series", 2, "series of faults that overlap")
 	bin       = flag.String("soak.bin", "", "directory of the system's programs; empty builds them")
 	reports   = flag.String("soak.reports", "", "directory for a report on each seed, with all logs")
@@ -46,11 +46,12 @@
 		os.Exit(1)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(dir) // a folder of the system's for things to throw away
+	_ = os.RemoveAll(dir) // in the system's directory for temporary files
 	os.Exit(code)
 }
 
-// failedSeeds have failed once; docs/SOAK.md has a line on each.
+// failedSeeds are the seeds that have failed once and run each time; docs/SOAK.md has
+// a line on each.
 var failedSeeds = []uint64{}
 
 func TestSoak(t *testing.T) {
@@ -66,13 +67,13 @@
 	}
 }
 
-// soak plays one seed.
+// soak runs one seed.
 func soak(t *testing.T, seed uint64) {
-	world := conditionsOf(seed)
-	t.Log(world)
-	c := startCell(t, binaries, *nodes, *hosts, world)
+	conds := conditionsOf(seed)
+	t.Log(conds)
+	c := startCell(t, binaries, *nodes, *hosts, conds)
 	l := newLoad(c, seed)
-	harness.Eventually(t, settle, "the first job is accepted", func() error {
+	harness.Eventually(t, recoveryLimit, "the first job is accepted", func() error {
 		w := l.draw(1 << 20)
 		if !l.submit(w) {
 			return fmt.Errorf("job %s not accepted", w.id)
@@ -84,24 +85,24 @@
 	deadline := begun.Add(*lasts)
 	ctx, cancel := context.WithDeadline(t.Context(), deadline)
 	defer cancel()
-	var storms []*storm
-	var blowing sync.WaitGroup
-	strike := func(blow func(s *storm, begun, deadline time.Time)) {
-		s := &storm{c: c, l: l}
-		storms = append(storms, s)
-		blowing.Go(func() { blow(s, begun, deadline) })
+	var allSeries []*faultSeries
+	var injecting sync.WaitGroup
+	startSeries := func(injectFaults func(s *faultSeries, begun, deadline time.Time)) {
+		s := &faultSeries{c: c, l: l}
+		allSeries = append(allSeries, s)
+		injecting.Go(func() { injectFaults(s, begun, deadline) })
 	}
 	for range *series {
-		strike((*storm).blow)
+		startSeries((*faultSeries).injectFaults)
 	}
-	if world.together {
-		strike((*storm).goTogether)
+	if conds.hostsTogether {
+		startSeries((*faultSeries).failTogether)
 	}
 	l.run(ctx, *perSecond)
-	blowing.Wait()
+	injecting.Wait()
 	c.platform.SetCallFaults(fake.CallFaults{})
-	l.left.Wait()
-	l.finish(settle + 30*time.Second)
-	l.refused()
-	report(t, l, seed, storms)
+	l.callers.Wait()
+	l.finish(recoveryLimit + 30*time.Second)
+	l.checkRefused()
+	report(t, l, seed, allSeries)
 }
