--- a/internal/capacity/daemon_bench_test.go
+++ b/internal/capacity/daemon_bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/google/uuid"
 )
 
-// daemons are a stand-in for the platform and some placers, as processes.
+// daemons are a simulated platform and placers, each a process of its own.
 type daemons struct {
 	dir     string
 	placers []*exec.Cmd
@@ -26,21 +26,21 @@
 
 type object = map[string]any
 
-// BenchmarkDaemonIdle measures placers as processes with so many of them and so
-// many workers in all, nothing running: processor time, resident memory, and
-// bytes through their sockets. One iteration is a second.
+// BenchmarkDaemonIdle measures idle placer processes for several numbers of
+// placers and workers in the cell: processor time, resident memory, and bytes
+// through their sockets. One iteration is a second.
 func BenchmarkDaemonIdle(b *testing.B) {
 	bin := buildDaemons(b)
 	for _, c := range []struct{ placers, workers int }{{1, 8}, {3, 48}, {7, 48}, {7, 350}, {14, 48}} {
 		b.Run(fmt.Sprintf("%d-placers/%d-workers", c.placers, c.workers), func(b *testing.B) {
 			d := startDaemons(b, bin, c.placers, c.workers)
 			time.Sleep(8 * time.Second) // claims and first renewals
-			cpuBefore, ioBefore := d.use(b)
+			cpuBefore, ioBefore := d.usage(b)
 			for b.Loop() {
 				time.Sleep(time.Second)
 			}
 			seconds := b.Elapsed().Seconds() * float64(c.placers)
-			cpuAfter, ioAfter := d.use(b)
+			cpuAfter, ioAfter := d.usage(b)
 			b.ReportMetric((cpuAfter-cpuBefore)*1e3/seconds, "cpu-ms/s")
 			b.ReportMetric((ioAfter-ioBefore)/seconds, "B/s")
 			b.ReportMetric(d.resident(b)/float64(c.placers), "MB-resident")
@@ -59,9 +59,9 @@
 }
 
 // BenchmarkDaemonStarts measures batch jobs of 100 tasks that run for 2 s, from
-// their submission at an entry to their recorded end, by three placers as
-// processes: what the placers spend on each start above what they spend idle.
-// One iteration is a wave of 40 jobs of as many teams.
+// their submission at an entry to their recorded end, with three placer
+// processes: the cost of each start for the placers in excess of their idle
+// cost. One iteration submits 40 jobs of as many teams at once.
 func BenchmarkDaemonStarts(b *testing.B) {
 	const jobs, tasks = 40, 100
 	bin := buildDaemons(b)
@@ -69,9 +69,9 @@
 	entry := d.startEntry(b, bin)
 	time.Sleep(8 * time.Second) // claims and first renewals
 	const idle = 5.0
-	cpu0, io0 := d.use(b)
+	cpu0, io0 := d.usage(b)
 	time.Sleep(idle * time.Second)
-	cpu1, io1 := d.use(b)
+	cpu1, io1 := d.usage(b)
 	for b.Loop() {
 		var ids []string
 		for i := range jobs {
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	cpu2, io2 := d.use(b)
+	cpu2, io2 := d.usage(b)
 	starts, seconds := float64(b.N*jobs*tasks), b.Elapsed().Seconds()
 	b.ReportMetric((cpu2-cpu1-(cpu1-cpu0)/idle*seconds)*1e6/starts, "cpu-us/start")
 	b.ReportMetric((io2-io1-(io1-io0)/idle*seconds)/starts, "B/start")
@@ -168,7 +168,7 @@
 	return d
 }
 
-// start runs one program until the end of the benchmark.
+// start starts a program, which is killed at the end of the benchmark.
 func (d *daemons) start(b *testing.B, program string, settings object) *exec.Cmd {
 	data, err := json.Marshal(settings)
 	if err != nil {
@@ -188,21 +188,21 @@
 	}
 	b.Cleanup(func() {
 		_ = cmd.Process.Kill()
-		_ = cmd.Wait() // its status is the kill
+		_ = cmd.Wait() // the error is the exit status after SIGKILL
 	})
 	return cmd
 }
 
-// use adds up processor seconds, as the system's scheduler counted them for
-// each thread, and bytes read and written.
-func (d *daemons) use(b *testing.B) (seconds, bytes float64) {
+// usage returns the processor seconds of the placers, summed from the kernel's
+// scheduler statistics of each thread, and the bytes that they have read and written.
+func (d *daemons) usage(b *testing.B) (seconds, bytes float64) {
 	for _, p := range d.placers {
 		threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.Process.Pid))
 		if err != nil {
 			b.Fatal(err)
 		}
 		for _, thread := range threads {
-			if data, err := os.ReadFile(thread); err == nil { // it may have ended
+			if data, err := os.ReadFile(thread); err == nil { // the thread may have ended
 				var ns float64
 				_, _ = fmt.Sscan(string(data), &ns)
 				seconds += ns / 1e9
@@ -213,6 +213,7 @@
 	return seconds, bytes
 }
 
+// resident returns the resident memory of all placers in MB.
 func (d *daemons) resident(b *testing.B) float64 {
 	var mb float64
 	for _, p := range d.placers {
@@ -221,9 +222,9 @@
 	return mb
 }
 
-// field reads one number from a file about a process.
+// field returns the number after name in a file of the process's /proc directory.
 func field(b *testing.B, p *exec.Cmd, file, name string) float64 {
-	for line := range strings.Lines(string(proc(b, p, file))) {
+	for line := range strings.Lines(string(procFile(b, p, file))) {
 		if rest, ok := strings.CutPrefix(line, name); ok {
 			var v float64
 			_, _ = fmt.Sscan(rest, &v)
@@ -234,7 +235,7 @@
 	return 0
 }
 
-func proc(b *testing.B, p *exec.Cmd, file string) []byte {
+func procFile(b *testing.B, p *exec.Cmd, file string) []byte {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", p.Process.Pid, file))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/capacity/helpers_test.go
+++ b/internal/capacity/helpers_test.go
@@ -14,16 +14,16 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// jobID is as long as every job's.
+// jobID has the length of every job's id.
 const jobID = "0198a3c2-7d1e-7abc-8def-0123456789ab"
 
-func quiet() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
 }
 
-// cpu is the processor time that this process has used.
+// cpu returns the processor time that this process has used.
 func cpu(tb testing.TB) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -32,12 +32,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// reportCPU reports the processor time per unit since before, both user and
-// system, of all goroutines.
+// reportCPU reports the user and system time of all goroutines since before, per
+// unit.
 func reportCPU(b *testing.B, before time.Duration, units int, unit string) {
 	b.ReportMetric(float64((cpu(b)-before).Nanoseconds())/1e3/float64(units), "cpu-us/"+unit)
 }
 
+// shape returns a typical task shape of a batch job.
 func shape() taskmsg.Shape {
 	return taskmsg.Shape{
 		Job: jobID, Kind: spec.KindBatch,
--- a/internal/capacity/holder_bench_test.go
+++ b/internal/capacity/holder_bench_test.go
@@ -31,14 +31,14 @@
 	holderAddr    = "holder:1"
 )
 
-// always is the right to every partition.
-type always struct{}
+// fullAuthority grants the authority for every partition.
+type fullAuthority struct{}
 
-func (always) Check(p int) (hold.Grant, error) {
+func (fullAuthority) Check(p int) (hold.Grant, error) {
 	return hold.Grant{Partition: p, Epoch: 1, Until: time.Now().Add(time.Minute)}, nil
 }
 
-func (always) Held() []int {
+func (fullAuthority) Held() []int {
 	var out []int
 	for p := range partition.DefaultCount {
 		out = append(out, p)
@@ -46,14 +46,14 @@
 	return out
 }
 
-// oneHolder is a cell in which one process holds everything.
-type oneHolder struct{ table view.Table }
+// singleHolderView is the view of a cell in which one process holds all partitions.
+type singleHolderView struct{ table view.Table }
 
-func (o *oneHolder) Table() *view.Table       { return &o.table }
-func (o *oneHolder) Settings() *settings.Tree { return nil }
+func (o *singleHolderView) Table() *view.Table       { return &o.table }
+func (o *singleHolderView) Settings() *settings.Tree { return nil }
 
 // instantWorkers are workers in memory. Each start succeeds, and the task has
-// ended by the worker's next answer unless endless is set.
+// finished by the worker's next reply unless endless is set.
 type instantWorkers struct {
 	endless bool
 	began   time.Time
@@ -106,8 +106,8 @@
 	return worker.Millis(time.Since(w.began).Milliseconds())
 }
 
-// holder is one fleet over n instant workers, asked through the peer messages'
-// codec but without a socket.
+// holder is one fleet with n instant workers. It is called through the codec of
+// peer messages but without a socket.
 type holder struct {
 	workers *instantWorkers
 	peers   peer.Local
@@ -130,14 +130,14 @@
 		}
 		return reply, nil
 	})
-	cell := &oneHolder{}
+	cell := &singleHolderView{}
 	for p := range partition.DefaultCount {
 		cell.table.Partitions = append(cell.table.Partitions, view.Partition{ID: p, Holder: "home", Addr: homeAddr, Epoch: 1})
 	}
 	hosts := h.workers.add(n)
 	f := fleet.New(fleet.Config{
 		Name: "holder", Partitions: partition.DefaultCount, Hosts: func() []platform.Host { return hosts },
-		Right: always{}, Client: h.workers, Peers: h.peers, View: cell, Registerer: prometheus.NewRegistry(), Log: quiet(),
+		Right: fullAuthority{}, Client: h.workers, Peers: h.peers, View: cell, Registerer: prometheus.NewRegistry(), Log: discardLogger(),
 	})
 	f.Register(h.peers[holderAddr])
 	for p := range partition.DefaultCount {
@@ -155,7 +155,7 @@
 	return h
 }
 
-// add makes n workers and returns them as the host list shows them.
+// add adds n workers and returns their entries in the host list.
 func (w *instantWorkers) add(n int) []platform.Host {
 	var out []platform.Host
 	for i := range n {
@@ -166,7 +166,7 @@
 	return out
 }
 
-// place asks for n tasks and returns how many started.
+// place requests the placement of n tasks and returns how many started.
 func (h *holder) place(b *testing.B, n int) int {
 	s := shape()
 	s.Task.Size = spec.Resources{MilliCPU: 50, MemoryMiB: 50}
@@ -189,10 +189,10 @@
 	return started
 }
 
-// BenchmarkHolderStart measures the life of a task at a holder: request, choice,
-// order, answer, end, news and acknowledgement, with workers that answer at
-// once in memory. The codec of peer links is part of it, sockets and the JSON of
-// workers are not (see BenchmarkPeerCall and BenchmarkWorkerOrder).
+// BenchmarkHolderStart measures all steps of a task at a holder: request, placement,
+// order, reply, end, report to the job owner and acknowledgement. The workers are in
+// memory and reply immediately. The codec of peer links is included; sockets and the
+// JSON of workers are not (see BenchmarkPeerCall and BenchmarkWorkerOrder).
 func BenchmarkHolderStart(b *testing.B) {
 	for _, n := range []int{90, 500, 3000} {
 		for _, batch := range []int{1, 16, 64} {
@@ -210,9 +210,8 @@
 	}
 }
 
-// BenchmarkHolderIdle measures what a holder spends on workers with 11 runs each
-// when nothing starts: leases renewed, books looked at. One iteration is a
-// second.
+// BenchmarkHolderIdle measures the cost of workers with 11 runs each for a holder that
+// starts nothing but renews leases and checks its records. One iteration is a second.
 func BenchmarkHolderIdle(b *testing.B) {
 	for _, n := range []int{90, 500, 3000} {
 		b.Run(fmt.Sprint(n, "-workers"), func(b *testing.B) {
@@ -224,20 +223,21 @@
 			}
 			full := heap()
 			time.Sleep(time.Second)
-			orders, used := h.count(), cpu(b)
+			orders, used := h.orderCount(), cpu(b)
 			for b.Loop() {
 				time.Sleep(time.Second)
 			}
 			seconds := b.Elapsed().Seconds()
 			b.ReportMetric(float64((cpu(b)-used).Microseconds())/seconds/float64(n), "cpu-us/worker/s")
-			b.ReportMetric(float64(h.count()-orders)/seconds/float64(n), "orders/worker/s")
+			b.ReportMetric(float64(h.orderCount()-orders)/seconds/float64(n), "orders/worker/s")
 			b.ReportMetric(math.Round(float64(claimed-before)/float64(n)), "B/worker")
 			b.ReportMetric(math.Round(float64(full-claimed)/float64(11*n)), "B/run")
 		})
 	}
 }
 
-func (h *holder) count() int {
+// orderCount returns the number of orders to workers so far.
+func (h *holder) orderCount() int {
 	h.workers.mu.Lock()
 	defer h.workers.mu.Unlock()
 	return h.workers.orders
--- a/internal/capacity/links_bench_test.go
+++ b/internal/capacity/links_bench_test.go
@@ -20,14 +20,14 @@
 	"pulleyquay/internal/worker/workerhttp"
 )
 
-// BenchmarkPeerCall measures a call over a real link on the loopback: the
-// processor time is that of both ends. The answers have as many slots.
+// BenchmarkPeerCall measures a call over a real link on loopback, with the same
+// number of slots in request and reply. The processor time is that of both ends.
 func BenchmarkPeerCall(b *testing.B) {
 	for _, n := range []int{1, 8, 64, 256} {
 		b.Run(fmt.Sprint(n, "-slots"), func(b *testing.B) {
 			caller, addr := peers(b, placeReply(n))
 			req := taskmsg.PlaceRequest{Shape: shape(), Slots: slots(n)}
-			call(b, caller, addr, req) // makes the link
+			call(b, caller, addr, req) // opens the link
 			before := cpu(b)
 			for b.Loop() {
 				call(b, caller, addr, req)
@@ -45,7 +45,8 @@
 	}
 }
 
-// peers returns a caller and the address of a node that answers KindPlace.
+// peers returns a calling node and the address of a node that answers KindPlace with
+// reply.
 func peers(b *testing.B, reply taskmsg.PlaceReply) (*peer.Node, string) {
 	mux := peer.NewMux()
 	peer.Handle(mux, peer.KindPlace, func(context.Context, taskmsg.PlaceRequest) (taskmsg.PlaceReply, error) { return reply, nil })
@@ -53,10 +54,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	answering := peer.NewNode(peer.Hello{Name: "b", Addr: l.Addr().String()}, mux, quiet())
+	answering := peer.NewNode(peer.Hello{Name: "b", Addr: l.Addr().String()}, mux, discardLogger())
 	server := &httptest.Server{Listener: l, Config: &http.Server{Handler: answering}}
 	server.Start()
-	calling := peer.NewNode(peer.Hello{Name: "a"}, peer.NewMux(), quiet())
+	calling := peer.NewNode(peer.Hello{Name: "a"}, peer.NewMux(), discardLogger())
 	b.Cleanup(func() {
 		calling.Close()
 		answering.Close()
@@ -65,9 +66,9 @@
 	return calling, l.Addr().String()
 }
 
-// BenchmarkWorkerOrder measures an order over HTTP on the loopback to a worker
-// that answers with bytes made before. The processor time is that of the client
-// and of the little that the worker does.
+// BenchmarkWorkerOrder measures an order over HTTP on loopback to a worker that
+// answers with a canned reply. The processor time is that of the client and of the
+// minimal server.
 func BenchmarkWorkerOrder(b *testing.B) {
 	for _, n := range []int{0, 1, 8} {
 		b.Run(fmt.Sprint(n, "-starts"), func(b *testing.B) {
@@ -95,8 +96,9 @@
 	}
 }
 
-// cannedWorker answers every request with the same bytes. It adds up the bytes
-// of requests and answers with their headers.
+// cannedWorker starts a server that answers every request with the same bytes, and
+// returns its address. It adds the bytes of requests and replies, headers included,
+// to bytes.
 func cannedWorker(b *testing.B, reply worker.OrderReply, bytes *atomic.Int64) string {
 	body, err := json.Marshal(reply)
 	if err != nil {
@@ -120,6 +122,7 @@
 	return l.Addr().String()
 }
 
+// answerAll answers all requests on a connection.
 func answerAll(conn net.Conn, answer []byte, bytes *atomic.Int64) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
--- a/internal/capacity/messages_bench_test.go
+++ b/internal/capacity/messages_bench_test.go
@@ -14,7 +14,7 @@
 	"pulleyquay/internal/worker"
 )
 
-// codec is how a message goes over a link.
+// codec encodes and decodes the messages of a link.
 type codec struct {
 	marshal   func(any) ([]byte, error)
 	unmarshal func([]byte, any) error
@@ -25,7 +25,7 @@
 	workerCodec = codec{json.Marshal, json.Unmarshal}
 )
 
-// measure runs one message out and back.
+// measure measures the encoding and decoding of one message, and its size.
 func measure[T any](b *testing.B, name string, c codec, msg T) {
 	b.Run(name, func(b *testing.B) {
 		b.ReportAllocs()
@@ -45,7 +45,7 @@
 	})
 }
 
-// BenchmarkPeerMessages measures the CBOR messages of starting tasks.
+// BenchmarkPeerMessages measures the CBOR messages for starting tasks.
 func BenchmarkPeerMessages(b *testing.B) {
 	home := taskmsg.Home{Partition: 17, Epoch: 4711}
 	for _, n := range []int{1, 64, 256} {
@@ -88,15 +88,15 @@
 	return worker.Attempt{Task: spec.TaskID{Job: jobID, Index: 1000 + i}, Attempt: 1}
 }
 
-// BenchmarkHeartbeat measures a heartbeat with a digest of so many makes of
-// worker and the free slots of so many services.
+// BenchmarkHeartbeat measures a heartbeat with a capacity digest of n types of worker
+// and the free slots of n services.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{1, 8, 32} {
-		measure(b, fmt.Sprint(n, "-makes"), peerCodec, beat(b, n))
+		measure(b, fmt.Sprint(n, "-makes"), peerCodec, heartbeatMessage(b, n))
 	}
 }
 
-func beat(b *testing.B, n int) heartbeat.Beat {
+func heartbeatMessage(b *testing.B, n int) heartbeat.Beat {
 	digest := taskmsg.Digest{Workers: 90, Free: spec.Resources{MilliCPU: 1 << 21, MemoryMiB: 1 << 22, Accelerators: 40}}
 	free := map[string]int{}
 	for i := range n {
@@ -106,14 +106,14 @@
 		})
 		free[fmt.Sprintf("lakeshore.ledger-%d", i)] = 300 + i
 	}
-	beat := heartbeat.Beat{Extras: map[string]cbor.RawMessage{"capacity": raw(b, digest), "slots": raw(b, free)}}
-	beat.Status.Member = member(1)
-	beat.Status.Deputy = "placer-00002"
-	beat.Status.TableRevision, beat.Status.SettingsRevision = 1234567, 1234000
-	return beat
+	heartbeatMessage := heartbeat.Beat{Extras: map[string]cbor.RawMessage{"capacity": encode(b, digest), "slots": encode(b, free)}}
+	heartbeatMessage.Status.Member = member(1)
+	heartbeatMessage.Status.Deputy = "placer-00002"
+	heartbeatMessage.Status.TableRevision, heartbeatMessage.Status.SettingsRevision = 1234567, 1234000
+	return heartbeatMessage
 }
 
-func raw(b *testing.B, v any) cbor.RawMessage {
+func encode(b *testing.B, v any) cbor.RawMessage {
 	data, err := cbor.Marshal(v)
 	if err != nil {
 		b.Fatal(err)
@@ -125,8 +125,8 @@
 	return view.Member{Name: fmt.Sprintf("placer-%05d", i), Incarnation: jobID, Addr: "10.123.45.67:7100", Zone: "eu-west-1a"}
 }
 
-// BenchmarkTable measures the table of members and partitions that entries get
-// whole at each change.
+// BenchmarkTable measures the table of members and partitions, which is sent to the
+// entries in full at each change.
 func BenchmarkTable(b *testing.B) {
 	for _, c := range []struct{ members, partitions int }{{7, 64}, {16, 64}, {200, 2048}} {
 		t := view.Table{Revision: 1234567}
@@ -144,7 +144,7 @@
 }
 
 // BenchmarkWorkerMessages measures the JSON messages to and from a worker with
-// 11 runs. A renewal names no runs, so that its size does not depend on them.
+// 11 runs. A renewal does not list the runs, so its size is independent of their number.
 func BenchmarkWorkerMessages(b *testing.B) {
 	order := worker.Order{Partition: 33, Epoch: 815, Expires: 123456789, RenewMillis: 15000}
 	reply := worker.OrderReply{Now: 123456789, Running: 11, Usage: spec.Resources{MilliCPU: 51234, MemoryMiB: 101234, Accelerators: 4}}
--- a/internal/capacity/path_bench_test.go
+++ b/internal/capacity/path_bench_test.go
@@ -24,10 +24,11 @@
 	"pulleyquay/internal/view"
 )
 
-// teams share the jobs, so that many homes take part.
+// teams is the number of teams that the jobs are spread over, so that many home partitions
+// have jobs.
 const teams = 100
 
-// countedStore counts the calls that write.
+// countedStore counts the commits to a store.
 type countedStore struct {
 	platform.Store
 	commits atomic.Int64
@@ -38,7 +39,7 @@
 	return s.Store.Commit(ctx, txn)
 }
 
-// cell is one process that is the home of all jobs and holds all workers.
+// cell is one process that owns all jobs and holds all workers.
 type cell struct {
 	jobs    *job.Manager
 	workers *instantWorkers
@@ -56,13 +57,13 @@
 	view := c.table(b)
 	f := fleet.New(fleet.Config{
 		Name: "holder", Partitions: partition.DefaultCount, Hosts: func() []platform.Host { return hosts },
-		Right: always{}, Client: c.workers, Peers: peers, View: view, Registerer: prometheus.NewRegistry(), Log: quiet(),
+		Right: fullAuthority{}, Client: c.workers, Peers: peers, View: view, Registerer: prometheus.NewRegistry(), Log: discardLogger(),
 	})
 	c.jobs = job.New(job.Config{
-		Source: view, Right: always{}, Store: c.store, Peers: peers, PartitionKey: hold.PartitionKey,
+		Source: view, Right: fullAuthority{}, Store: c.store, Peers: peers, PartitionKey: hold.PartitionKey,
 		Values:     func(string) (settings.Values, bool) { return settings.Defaults(), true },
 		Digests:    func() map[string]taskmsg.Digest { return map[string]taskmsg.Digest{"holder": f.Digest()} },
-		Registerer: prometheus.NewRegistry(), Log: quiet(),
+		Registerer: prometheus.NewRegistry(), Log: discardLogger(),
 	})
 	f.Register(mux)
 	c.jobs.Register(mux)
@@ -90,9 +91,9 @@
 	return c
 }
 
-// table writes the partitions' records to the store and shows them.
-func (c *cell) table(b *testing.B) *oneHolder {
-	o := &oneHolder{}
+// table writes the partitions' records to the store and returns a view with them.
+func (c *cell) table(b *testing.B) *singleHolderView {
+	o := &singleHolderView{}
 	o.table.Members = []view.Member{{Name: "holder", Incarnation: jobID, Addr: holderAddr}}
 	for p := range partition.DefaultCount {
 		reply, err := c.store.Commit(context.Background(), platform.Txn{Then: []platform.Write{{Key: hold.PartitionKey(p), Value: []byte("1")}}})
@@ -121,7 +122,7 @@
 		if b.Elapsed() > time.Minute {
 			b.Fatal(err)
 		}
-		time.Sleep(10 * time.Millisecond) // the home is still reading its records
+		time.Sleep(10 * time.Millisecond) // the job owner is still reading its records
 	}
 }
 
@@ -134,12 +135,12 @@
 }
 
 // BenchmarkTaskWholePath measures jobs from their submission to the record of
-// their end: home, holder and the record in a store in memory, through the codec
-// of peer links but without sockets. One iteration is a wave of jobs; the last
-// ends are told with the renewals, so starts/s is bounded by these waits.
+// their end: job owner, holder and records in an in-memory store, with the codec of
+// peer links but without sockets. One iteration submits several jobs at once; their
+// last ends are reported with the lease renewals, and this delay limits starts/s.
 func BenchmarkTaskWholePath(b *testing.B) {
-	for _, wave := range []struct{ jobs, tasks int }{{500, 1}, {500, 10}, {50, 100}, {20, 1000}} {
-		jobs, tasks := wave.jobs, wave.tasks
+	for _, load := range []struct{ jobs, tasks int }{{500, 1}, {500, 10}, {50, 100}, {20, 1000}} {
+		jobs, tasks := load.jobs, load.tasks
 		b.Run(fmt.Sprintf("%d-jobs/%d-tasks", jobs, tasks), func(b *testing.B) {
 			c := newCell(b, 200)
 			commits, used := c.store.commits.Load(), cpu(b)
@@ -163,8 +164,8 @@
 	}
 }
 
-// BenchmarkHomeBytes measures the memory of a home for each waiting task, and
-// the bytes of a job's record in the store.
+// BenchmarkHomeBytes measures the memory that a job owner needs for each waiting task,
+// and the bytes of a job's record in the store.
 func BenchmarkHomeBytes(b *testing.B) {
 	for _, c := range []struct{ jobs, tasks int }{{1000, 1}, {1000, 100}, {20, 10000}} {
 		jobs, tasks := c.jobs, c.tasks
--- a/internal/experiment/arrivals_test.go
+++ b/internal/experiment/arrivals_test.go
@@ -11,7 +11,7 @@
 	"pulleyquay/internal/worker"
 )
 
-// class is a kind of work as the figures tell it apart.
+// class is a kind of work that the results distinguish.
 type class int
 
 const (
@@ -31,12 +31,12 @@
 	class class
 	at    time.Duration
 	tasks int
-	size  spec.Resources // declared, of each task
-	run   time.Duration  // zero for ever
-	// branch of the settings; jobs of one branch are alike in their truth.
+	size  spec.Resources // declared by each task
+	run   time.Duration  // zero if the tasks run forever
+	// branch is the branch of the settings; jobs of one branch have similar usage shares.
 	branch int
-	// truth is the share of the declared size that the tasks use.
-	truth float64
+	// usageShare is the fraction of the declared size that the tasks use.
+	usageShare float64
 }
 
 func (a *arrival) kind() spec.Kind {
@@ -49,23 +49,23 @@
 	return spec.KindBatch
 }
 
-// horizon is how long jobs arrive.
+// horizon is the duration of the arrivals.
 const horizon = 15 * time.Minute
 
-// arrivals makes the jobs for so many workers. load is the share of the
-// processors that they would hold if nothing waited.
+// arrivals returns random jobs for a number of workers. load is the fraction of
+// the processors that the jobs would have allocated if none waited.
 func arrivals(seed uint64, workers int, load float64) []arrival {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var out []arrival
-	var truths [branches]float64
-	for i := range truths {
-		truths[i] = truth(r)
+	var usageShares [branches]float64
+	for i := range usageShares {
+		usageShares[i] = usageShare(r)
 	}
 	add := func(c class, at time.Duration, tasks int, size spec.Resources, run time.Duration) {
 		branch := r.IntN(branches)
 		out = append(out, arrival{
 			id: fmt.Sprintf("%s-%d", classNames[c], len(out)), class: c, at: at, tasks: tasks, size: size, run: run,
-			branch: branch, truth: truths[branch] * (0.85 + 0.3*r.Float64()),
+			branch: branch, usageShare: usageShares[branch] * (0.85 + 0.3*r.Float64()),
 		})
 	}
 	capacity := float64(workers) * 64
@@ -75,7 +75,7 @@
 		add(service, time.Duration(r.IntN(60))*time.Second, tasks, cpuMem(cores*1000, cores*(2+r.Int64N(4))*1024), 0)
 		used += float64(cores * int64(tasks))
 	}
-	// The shares of work per second of the finite kinds, in core-seconds.
+	// The work of the finite classes, in core-seconds per second.
 	for at := time.Duration(0); at < horizon; {
 		var cost float64
 		run := time.Duration(math.Exp(r.NormFloat64()*0.8+3.6) * float64(time.Second))
@@ -107,8 +107,8 @@
 
 func cpuMem(cpu, mem int64) spec.Resources { return spec.Resources{MilliCPU: cpu, MemoryMiB: mem} }
 
-// batchSize draws from a quarter of a core to 16 cores, with memory in any
-// relation to them.
+// batchSize returns a random size from a quarter of a core to 16 cores; the memory
+// per core is random as well.
 func batchSize(r *rand.Rand) spec.Resources {
 	cores := math.Exp(r.Float64()*4.1 - 1.4)
 	perCore := math.Exp(r.NormFloat64()*0.6) * 2048
@@ -118,17 +118,18 @@
 // branches is the number of branches of the settings.
 const branches = 20
 
-// truth draws how much of their declared size the jobs of a branch use: most
-// use less, one in ten uses more.
-func truth(r *rand.Rand) float64 {
+// usageShare returns the random fraction of their declared size that the jobs of a
+// branch use: below one for most branches, above one for one in ten.
+func usageShare(r *rand.Rand) float64 {
 	if r.Float64() < 0.1 {
 		return 1 + 0.4*r.Float64()
 	}
 	return 0.3 + 0.7*r.Float64()
 }
 
-// cluster makes a mixed cell: every fifth rack with accelerators, every fifth
-// with large memories, four zones, eight workers to a rack.
+// cluster returns n workers of a mixed cell with four zones and eight workers per
+// rack. One rack in five has accelerators and large memories, another one only large
+// memories.
 func cluster(n int) []scheduler.Worker {
 	var out []scheduler.Worker
 	for i := range n {
--- a/internal/experiment/driver_test.go
+++ b/internal/experiment/driver_test.go
@@ -15,14 +15,14 @@
 
 // Intervals of the driver.
 const (
-	step        = 500 * time.Millisecond // between two looks at the queue
+	step        = 500 * time.Millisecond // between two scheduling passes
 	reportEvery = 2 * time.Second        // of each worker's usage
 	reportAge   = time.Second            // how old the usage in a report is
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// driver runs one policy over the arrivals.
+// driver simulates a cell with one policy over the arrivals.
 type driver struct {
 	policy policy
 	cell   *scheduler.Cell
@@ -31,18 +31,18 @@
 	now    time.Duration
 	queue  []*queued // in the order of arrival, urgent jobs first
 	ends   endHeap
-	// load is what truly runs on each worker, past what it was a report's age ago.
-	load, past map[string]spec.Resources
-	claims     map[string]spec.Resources // the declared sizes of what runs
-	learned    *learnedSizes
-	// bookedSize gives the size that a task counts for from what was learned of
-	// its branch; nil takes the declared one.
-	bookedSize func(a *arrival, learned spec.Resources) spec.Resources
+	// load is the actual usage of each worker, lagged its usage one reportAge ago.
+	load, lagged map[string]spec.Resources
+	declaredSums map[string]spec.Resources // the sum of the declared sizes of each worker's runs
+	learned      *learnedSizes
+	// allocatedSize returns the size to allocate for a task, from the size learned for
+	// its branch; nil stands for the declared size.
+	allocatedSize func(a *arrival, learned spec.Resources) spec.Resources
 
-	figures figures
+	results results
 }
 
-// queued is a job with tasks that wait.
+// queued is a job that has or had tasks waiting.
 type queued struct {
 	*arrival
 	waiting []int // indexes of tasks
@@ -51,24 +51,24 @@
 	spared  map[int]bool
 }
 
-// figures are what the driver measures.
-type figures struct {
+// results are the measurements of a driver.
+type results struct {
 	waits         [classes]*hdrhistogram.Histogram // milliseconds
 	started, jobs [classes]int
 	preemptions   int
-	// strandedSeconds counts free accelerators on workers that could not take
-	// the smallest accelerator task, freeSeconds all free ones.
+	// strandedSeconds counts the accelerator-seconds free on workers without room for
+	// the smallest accelerator task, freeSeconds those of all free accelerators.
 	strandedSeconds, freeSeconds float64
-	// overSeconds counts worker-seconds with more than the worker's size in use.
+	// overSeconds counts the worker-seconds with usage above the worker's size.
 	overSeconds float64
-	// overClaimed is the largest sum of declared sizes on a worker, as a share of
+	// maxDeclared is the largest sum of declared sizes on a worker, as a fraction of
 	// its size.
-	overClaimed float64
-	usedShare   float64 // of processors, by the books, mean
-	steps       int
+	maxDeclared    float64
+	allocatedShare float64 // sum over the steps of the fraction of processors allocated
+	steps          int
 }
 
-// end is the moment at which a run ends by itself.
+// end is the time at which a run finishes.
 type end struct {
 	at  time.Duration
 	run scheduler.Run
@@ -92,10 +92,10 @@
 func newDriver(p policy, workers []scheduler.Worker) *driver {
 	d := &driver{
 		policy: p, cell: scheduler.NewCell(1), sizes: map[string]spec.Resources{},
-		load: map[string]spec.Resources{}, past: map[string]spec.Resources{}, claims: map[string]spec.Resources{}, learned: newLearnedSizes(),
+		load: map[string]spec.Resources{}, lagged: map[string]spec.Resources{}, declaredSums: map[string]spec.Resources{}, learned: newLearnedSizes(),
 	}
-	for i := range d.figures.waits {
-		d.figures.waits[i] = hdrhistogram.New(1, int64(2*time.Hour/time.Millisecond), 3)
+	for i := range d.results.waits {
+		d.results.waits[i] = hdrhistogram.New(1, int64(2*time.Hour/time.Millisecond), 3)
 	}
 	for _, w := range workers {
 		d.cell.Upsert(w)
@@ -105,9 +105,9 @@
 	return d
 }
 
-// drive runs the arrivals and stops at the horizon; what still waits then
-// counts with the wait that it had.
-func (d *driver) drive(jobs []arrival) *figures {
+// simulate runs the simulation up to the horizon. Tasks that still wait then count
+// with the time that they have waited.
+func (d *driver) simulate(jobs []arrival) *results {
 	for next := 0; d.now < horizon; d.now += step {
 		d.endRuns()
 		if d.now%reportEvery == 0 {
@@ -121,10 +121,10 @@
 	}
 	for _, q := range d.queue {
 		for range q.waiting {
-			d.noteWait(q)
+			d.recordWait(q)
 		}
 	}
-	return &d.figures
+	return &d.results
 }
 
 func (d *driver) enqueue(a *arrival) {
@@ -132,7 +132,7 @@
 	for i := range a.tasks {
 		q.waiting = append(q.waiting, i)
 	}
-	d.figures.jobs[a.class]++
+	d.results.jobs[a.class]++
 	if a.class == urgent {
 		d.queue = append([]*queued{q}, d.queue...)
 		return
@@ -140,7 +140,7 @@
 	d.queue = append(d.queue, q)
 }
 
-// startQueued starts what finds room, every job getting its chance.
+// startQueued is one scheduling pass over all jobs in the queue.
 func (d *driver) startQueued() {
 	left := d.queue[:0]
 	for _, q := range d.queue {
@@ -174,7 +174,7 @@
 		d.preempt(q, a)
 	}
 	if before > 0 && len(q.waiting) == 0 {
-		d.figures.started[q.class]++
+		d.results.started[q.class]++
 	}
 }
 
@@ -186,10 +186,10 @@
 }
 
 func (d *driver) sizeOf(a *arrival) spec.Resources {
-	if d.bookedSize == nil {
+	if d.allocatedSize == nil {
 		return a.size
 	}
-	return d.bookedSize(a, d.learned.Size(branchName(a), a.size))
+	return d.allocatedSize(a, d.learned.Size(branchName(a), a.size))
 }
 
 func (d *driver) runOf(q *queued, index int) scheduler.Run {
@@ -200,9 +200,9 @@
 }
 
 func (d *driver) start(q *queued, p scheduler.Placed) {
-	d.noteWait(q)
+	d.recordWait(q)
 	d.load[p.Worker] = d.load[p.Worker].Add(used(q.arrival))
-	d.claims[p.Worker] = d.claims[p.Worker].Add(q.size)
+	d.declaredSums[p.Worker] = d.declaredSums[p.Worker].Add(q.size)
 	if w, ok := d.cell.Worker(p.Worker); ok {
 		q.zones[w.Info.Zone]++
 	}
@@ -211,8 +211,8 @@
 	}
 }
 
-// preempt makes room for the first waiting tasks; they start when the victims'
-// room is reported free.
+// preempt preempts runs for the first waiting tasks, which start once the resources
+// of the victims are reported as free.
 func (d *driver) preempt(q *queued, a scheduler.Ask) {
 	for range q.waiting {
 		_, victims := d.cell.Victims(a)
@@ -226,9 +226,9 @@
 	}
 }
 
-// stop ends a run before its time and queues its task again.
+// stop ends a preempted run and queues its task again.
 func (d *driver) stop(v scheduler.Run) {
-	d.figures.preemptions++
+	d.results.preemptions++
 	for i := range d.ends {
 		e := d.ends[i]
 		if e.run.Attempt != v.Attempt {
@@ -255,37 +255,37 @@
 func (d *driver) finish(e end) {
 	d.cell.Unreserve(e.run.Attempt)
 	d.load[e.on] = d.load[e.on].Sub(used(e.job.arrival))
-	d.claims[e.on] = d.claims[e.on].Sub(e.job.size)
-	d.learned.Note(branchName(e.job.arrival), e.job.size, used(e.job.arrival))
+	d.declaredSums[e.on] = d.declaredSums[e.on].Sub(e.job.size)
+	d.learned.Record(branchName(e.job.arrival), e.job.size, used(e.job.arrival))
 }
 
-// report tells the cell what each worker used a report's age ago.
+// report reports to the cell what each worker used one reportAge ago.
 func (d *driver) report() {
 	for _, n := range d.names {
-		d.cell.Observe(n, d.past[n], d.time())
+		d.cell.Observe(n, d.lagged[n], d.time())
 	}
 }
 
-func (d *driver) noteWait(q *queued) {
-	_ = d.figures.waits[q.class].RecordValue((d.now - q.at).Milliseconds())
+func (d *driver) recordWait(q *queued) {
+	_ = d.results.waits[q.class].RecordValue((d.now - q.at).Milliseconds())
 }
 
 func (d *driver) time() time.Time { return epoch.Add(d.now) }
 
-// used is what a task of the job truly uses; accelerators are as declared.
+// used returns the actual usage of a task of the job; accelerators are as declared.
 func used(a *arrival) spec.Resources {
 	return spec.Resources{
-		MilliCPU: int64(float64(a.size.MilliCPU) * a.truth), MemoryMiB: int64(float64(a.size.MemoryMiB) * a.truth),
+		MilliCPU: int64(float64(a.size.MilliCPU) * a.usageShare), MemoryMiB: int64(float64(a.size.MemoryMiB) * a.usageShare),
 		Accelerators: a.size.Accelerators,
 	}
 }
 
 func branchName(a *arrival) string { return strconv.Itoa(a.branch) }
 
-// measure looks at the cell once a step.
+// measure takes the measurements of one step.
 func (d *driver) measure() {
 	smallest := spec.Resources{MilliCPU: 5000, MemoryMiB: 20 * 1024, Accelerators: 1}
-	f := &d.figures
+	f := &d.results
 	var free, whole int64
 	for _, n := range d.names {
 		left, _ := d.cell.Free(n)
@@ -297,17 +297,17 @@
 				f.strandedSeconds += float64(left.Accelerators) * step.Seconds()
 			}
 		}
-		claimed, size := d.claims[n], d.sizes[n]
-		f.overClaimed = max(f.overClaimed, float64(claimed.MilliCPU)/float64(size.MilliCPU), float64(claimed.MemoryMiB)/float64(size.MemoryMiB))
+		declared, size := d.declaredSums[n], d.sizes[n]
+		f.maxDeclared = max(f.maxDeclared, float64(declared.MilliCPU)/float64(size.MilliCPU), float64(declared.MemoryMiB)/float64(size.MemoryMiB))
 		if !d.load[n].Fits(size) {
 			f.overSeconds += step.Seconds()
 		}
 	}
-	f.usedShare += 1 - float64(free)/float64(whole)
+	f.allocatedShare += 1 - float64(free)/float64(whole)
 	f.steps++
 	if d.now%reportAge == 0 {
 		for n, l := range d.load {
-			d.past[n] = l
+			d.lagged[n] = l
 		}
 	}
 }
--- a/internal/experiment/learned_sizes_test.go
+++ b/internal/experiment/learned_sizes_test.go
@@ -16,13 +16,13 @@
 		percent func(i int) int64
 		want    spec.Resources
 	}{
-		{"too few", leastSamples - 1, func(int) int64 { return 50 }, spec.Resources{}},
-		{"half of the declared", leastSamples, func(int) int64 { return 50 }, spec.Resources{MilliCPU: 500, MemoryMiB: 1000}},
-		{"one in twenty is left out", 100, func(i int) int64 { return 50 + 100*int64(btoi(i >= 95)) }, spec.Resources{MilliCPU: 500, MemoryMiB: 1000}},
-		{"one in ten is not", 100, func(i int) int64 { return 50 + 100*int64(btoi(i >= 90)) }, spec.Resources{MilliCPU: 1500, MemoryMiB: 3000}},
-		{"beyond the range", leastSamples, func(int) int64 { return 5000 }, spec.Resources{MilliCPU: 10000, MemoryMiB: 20000}},
-		{"old ones serve meanwhile", mostSamples + 1, func(i int) int64 { return 50 + 100*int64(i/mostSamples) }, spec.Resources{MilliCPU: 500, MemoryMiB: 1000}},
-		{"new ones replace them", mostSamples + leastSamples, func(i int) int64 { return 50 + 100*int64(i/mostSamples) }, spec.Resources{MilliCPU: 1500, MemoryMiB: 3000}},
+		{"too few samples", minSamples - 1, func(int) int64 { return 50 }, spec.Resources{}},
+		{"half of the declared size", minSamples, func(int) int64 { return 50 }, spec.Resources{MilliCPU: 500, MemoryMiB: 1000}},
+		{"one in twenty ignored", 100, func(i int) int64 { return 50 + 100*int64(btoi(i >= 95)) }, spec.Resources{MilliCPU: 500, MemoryMiB: 1000}},
+		{"one in ten counted", 100, func(i int) int64 { return 50 + 100*int64(btoi(i >= 90)) }, spec.Resources{MilliCPU: 1500, MemoryMiB: 3000}},
+		{"beyond the range", minSamples, func(int) int64 { return 5000 }, spec.Resources{MilliCPU: 10000, MemoryMiB: 20000}},
+		{"previous samples used until enough new ones", maxSamples + 1, func(i int) int64 { return 50 + 100*int64(i/maxSamples) }, spec.Resources{MilliCPU: 500, MemoryMiB: 1000}},
+		{"new samples replace previous ones", maxSamples + minSamples, func(i int) int64 { return 50 + 100*int64(i/maxSamples) }, spec.Resources{MilliCPU: 1500, MemoryMiB: 3000}},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 			s := newLearnedSizes()
 			for i := range tt.samples {
 				p := tt.percent(i)
-				s.Note("/a", declared, spec.Resources{MilliCPU: 10 * p, MemoryMiB: 20 * p, Accelerators: 4})
+				s.Record("/a", declared, spec.Resources{MilliCPU: 10 * p, MemoryMiB: 20 * p, Accelerators: 4})
 			}
 			is.Equal(s.Size("/a", declared), tt.want)
 			is.Equal(s.Size("/b", declared), spec.Resources{})
--- a/internal/experiment/learned_test.go
+++ b/internal/experiment/learned_test.go
@@ -1,8 +1,8 @@
 package experiment
 
-// What tasks of a branch were observed to need, as shares of what they declared.
-// It is a trial, not a part of the product: docs/PLACEMENT.md shows what it would
-// gain and risk.
+// This file estimates the sizes of tasks from the observed usage of earlier tasks of
+// their branch, as a fraction of the declared sizes. It is an experiment and not part of
+// the product; docs/PLACEMENT.md describes its benefits and risks.
 
 import (
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -12,52 +12,54 @@
 )
 
 const (
-	// leastSamples is how many observations a branch needs before it counts.
-	leastSamples = 100
-	// mostSamples is when a branch's observations start anew; the old ones
-	// serve until there are enough new ones.
-	mostSamples = 10000
-	// quantile of the observed shares that a task counts for, in percent.
+	// minSamples is how many observations a branch needs before they are used.
+	minSamples = 100
+	// maxSamples is how many observations a branch's histogram takes before a new one
+	// replaces it; the previous one is used until the new one has minSamples.
+	maxSamples = 10000
+	// quantile is the quantile of the observed fractions that is used as a task's size, in
+	// percent.
 	quantile = 95
-	// mostPercent bounds a share; more is noted as so much.
-	mostPercent = 1000
-	// branchesKept bounds the memory; the branches used last stay.
-	branchesKept = 1024
+	// maxPercent is the largest fraction recorded; larger ones are recorded as this.
+	maxPercent = 1000
+	// maxBranches limits the memory; the least recently used branches are evicted.
+	maxBranches = 1024
 )
 
-// learnedSizes holds the observations by branch.
+// learnedSizes holds the observations of each branch.
 type learnedSizes struct {
 	branches *lru.Cache[string, *branch]
 }
 
-// branch is the observations of one branch, in percent of what was declared.
+// branch holds the observations of one branch, in percent of the declared size.
 type branch struct{ cpu, memory series }
 
-// series is a histogram that starts anew after mostSamples.
-type series struct{ now, before *hdrhistogram.Histogram }
+// series is a histogram that is replaced after maxSamples, and the previous one.
+type series struct{ current, previous *hdrhistogram.Histogram }
 
 // newLearnedSizes returns learnedSizes without observations.
 func newLearnedSizes() *learnedSizes {
-	branches, err := lru.New[string, *branch](branchesKept)
+	branches, err := lru.New[string, *branch](maxBranches)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
 	return &learnedSizes{branches: branches}
 }
 
-// Note takes in that a task, or several together, declared and used so much.
-func (s *learnedSizes) Note(name string, declared, used spec.Resources) {
+// Record adds the declared size and the usage of a task, or their sums over several
+// tasks.
+func (s *learnedSizes) Record(name string, declared, used spec.Resources) {
 	b, ok := s.branches.Get(name)
 	if !ok {
 		b = &branch{}
 		s.branches.Add(name, b)
 	}
-	b.cpu.note(declared.MilliCPU, used.MilliCPU)
-	b.memory.note(declared.MemoryMiB, used.MemoryMiB)
+	b.cpu.record(declared.MilliCPU, used.MilliCPU)
+	b.memory.record(declared.MemoryMiB, used.MemoryMiB)
 }
 
-// Size returns what tasks of the branch that declare so much were observed to
-// need; zero while too few were observed. Accelerators are never learned.
+// Size returns the learned size of a task of the branch with the declared size, zero
+// with too few observations. Accelerators are never learned.
 func (s *learnedSizes) Size(name string, declared spec.Resources) spec.Resources {
 	b, ok := s.branches.Get(name)
 	if !ok {
@@ -66,24 +68,24 @@
 	return spec.Resources{MilliCPU: b.cpu.size(declared.MilliCPU), MemoryMiB: b.memory.size(declared.MemoryMiB)}
 }
 
-func (s *series) note(declared, used int64) {
+func (s *series) record(declared, used int64) {
 	if declared <= 0 {
 		return
 	}
-	if s.now == nil || s.now.TotalCount() >= mostSamples {
-		s.now, s.before = hdrhistogram.New(1, mostPercent, 2), s.now
+	if s.current == nil || s.current.TotalCount() >= maxSamples {
+		s.current, s.previous = hdrhistogram.New(1, maxPercent, 2), s.current
 	}
-	// The value is within the histogram's range, so that it can not fail.
-	_ = s.now.RecordValue(min(max(used*100/declared, 1), mostPercent))
+	// RecordValue can not fail, since the value is in the histogram's range.
+	_ = s.current.RecordValue(min(max(used*100/declared, 1), maxPercent))
 }
 
 func (s *series) size(declared int64) int64 {
-	h := s.now
-	if h != nil && h.TotalCount() < leastSamples {
-		h = s.before
+	h := s.current
+	if h != nil && h.TotalCount() < minSamples {
+		h = s.previous
 	}
-	if h == nil || h.TotalCount() < leastSamples {
+	if h == nil || h.TotalCount() < minSamples {
 		return 0
 	}
-	return declared * min(h.ValueAtQuantile(quantile), mostPercent) / 100
+	return declared * min(h.ValueAtQuantile(quantile), maxPercent) / 100
 }
--- a/internal/experiment/policies_test.go
+++ b/internal/experiment/policies_test.go
@@ -8,13 +8,13 @@
 	"pulleyquay/internal/settings"
 )
 
-// policy is a way of choosing workers.
+// policy is a placement policy.
 type policy struct {
 	name  string
 	place func(c *scheduler.Cell, names []string, a scheduler.Ask, runs []scheduler.Run, now time.Time) []scheduler.Placed
 }
 
-// policies are the two of the product and two that anything has to beat.
+// policies returns the product's two policies and two baselines.
 func policies() []policy {
 	return []policy{
 		{settings.PolicyPacking, byCell(settings.PolicyPacking)},
@@ -32,7 +32,7 @@
 	}
 }
 
-// byRandom tries workers from a random one on, in a random stride.
+// byRandom tries the workers from a random one on, with a random stride.
 func byRandom(r *rand.Rand) func(*scheduler.Cell, []string, scheduler.Ask, []scheduler.Run, time.Time) []scheduler.Placed {
 	return byProbing(func(n int) (int, int) {
 		step := 1 + r.IntN(n)
@@ -43,8 +43,8 @@
 	})
 }
 
-// byProbing books each run on the first worker that takes it, in the order that
-// walk gives. The books refuse what does not fit.
+// byProbing reserves each run on the first worker that it fits on, in the order given by
+// walk. The cell refuses reservations that do not fit.
 func byProbing(walk func(n int) (first, step int)) func(*scheduler.Cell, []string, scheduler.Ask, []scheduler.Run, time.Time) []scheduler.Placed {
 	return func(c *scheduler.Cell, names []string, _ scheduler.Ask, runs []scheduler.Run, now time.Time) []scheduler.Placed {
 		var out []scheduler.Placed
--- a/internal/experiment/quality_bench_test.go
+++ b/internal/experiment/quality_bench_test.go
@@ -11,8 +11,8 @@
 	"pulleyquay/internal/spec"
 )
 
-// BenchmarkWaiting runs the same arrivals by each policy in a cell of 160
-// workers, at a load that just fits and at one that does not.
+// BenchmarkWaiting runs the same arrivals with each policy in a cell of 160
+// workers, at loads that just fit and at one that does not.
 func BenchmarkWaiting(b *testing.B) {
 	const workers = 160
 	for _, load := range []float64{0.7, 0.85, 1.0} {
@@ -20,14 +20,14 @@
 		for _, p := range policies() {
 			b.Run(fmt.Sprintf("load-%.2f/%s", load, p.name), func(b *testing.B) {
 				for b.Loop() {
-					reportFigures(b, newDriver(p, cluster(workers)).drive(jobs))
+					reportResults(b, newDriver(p, cluster(workers)).simulate(jobs))
 				}
 			})
 		}
 	}
 }
 
-func reportFigures(b *testing.B, f *figures) {
+func reportResults(b *testing.B, f *results) {
 	for c, h := range f.waits {
 		b.ReportMetric(float64(h.ValueAtQuantile(50))/1000, classNames[c]+"-p50-s")
 		b.ReportMetric(float64(h.ValueAtQuantile(99))/1000, classNames[c]+"-p99-s")
@@ -35,26 +35,26 @@
 	b.ReportMetric(100*f.strandedSeconds/max(f.freeSeconds, 1), "stranded-%")
 	b.ReportMetric(100*float64(f.started[gang])/float64(max(f.jobs[gang], 1)), "gangs-%")
 	b.ReportMetric(float64(f.preemptions), "preempted")
-	b.ReportMetric(100*f.usedShare/float64(f.steps), "booked-%")
+	b.ReportMetric(100*f.allocatedShare/float64(f.steps), "booked-%")
 	b.ReportMetric(f.overSeconds, "over-s")
-	b.ReportMetric(100*f.overClaimed, "claimed-%")
+	b.ReportMetric(100*f.maxDeclared, "claimed-%")
 }
 
 func sorted(jobs []arrival) []arrival {
 	return slices.SortedStableFunc(slices.Values(jobs), func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 }
 
-// BenchmarkHostsNeeded finds for each policy the smallest cell that takes a set
-// of tasks at once, in the order of arrival, against the bound that no cell can
-// beat: as many hosts as the sums of processors, memory and accelerators need.
+// BenchmarkHostsNeeded finds for each policy the smallest cell that fits a set of
+// tasks at once, placed in the order of arrival, and compares it with the lower bound:
+// the number of hosts for the sums of processors, memory and accelerators.
 func BenchmarkHostsNeeded(b *testing.B) {
 	for _, seed := range []uint64{1, 2, 3} {
 		jobs := snapshot(seed)
-		least := bound(jobs)
+		least := lowerBound(jobs)
 		for _, p := range policies() {
 			b.Run(fmt.Sprintf("seed-%d/%s", seed, p.name), func(b *testing.B) {
 				for b.Loop() {
-					n := smallest(p, jobs, least)
+					n := smallestCell(p, jobs, least)
 					b.ReportMetric(float64(n), "hosts")
 					b.ReportMetric(float64(least), "bound")
 					b.ReportMetric(100*(float64(n)/float64(least)-1), "above-%")
@@ -64,8 +64,8 @@
 	}
 }
 
-// snapshot is work of all kinds in random order that would hold the processors
-// of some 150 workers.
+// snapshot returns jobs of all classes in random order whose declared processors are
+// those of about 150 workers.
 func snapshot(seed uint64) []arrival {
 	var out []arrival
 	var cores int64
@@ -80,8 +80,9 @@
 	return out
 }
 
-// bound is the smallest number of hosts of the cluster's mix whose sums suffice.
-func bound(jobs []arrival) int {
+// lowerBound returns the smallest number of hosts of the cluster's mix whose total resources
+// suffice.
+func lowerBound(jobs []arrival) int {
 	var need spec.Resources
 	for _, a := range jobs {
 		need = need.Add(a.size.Times(int64(a.tasks)))
@@ -97,8 +98,9 @@
 	}
 }
 
-// smallest tries cells from the bound on, whole racks at a time first.
-func smallest(p policy, jobs []arrival, least int) int {
+// smallestCell returns the number of workers of the smallest cell that fits the jobs. It
+// searches upwards from least by whole racks, then downwards by single workers.
+func smallestCell(p policy, jobs []arrival, least int) int {
 	n := least
 	for !fits(p, jobs, n) {
 		n += 8
@@ -109,6 +111,7 @@
 	return n
 }
 
+// fits reports whether the policy places all tasks of the jobs on n workers.
 func fits(p policy, jobs []arrival, n int) bool {
 	d := newDriver(p, cluster(n))
 	for i := range jobs {
@@ -128,13 +131,13 @@
 	return true
 }
 
-// BenchmarkLearnedSizes runs the packing policy with sizes in the books that
-// differ in what they make of what was learned of each branch. Only the first
-// two are in the product.
+// BenchmarkLearnedSizes runs the packing policy with different ways to derive the
+// allocated size from the size learned for each branch. Only the first two are in the
+// product.
 func BenchmarkLearnedSizes(b *testing.B) {
 	const workers = 160
 	jobs := sorted(arrivals(1, workers, 1.0))
-	for _, way := range []struct {
+	for _, variant := range []struct {
 		name string
 		size func(a *arrival, learned spec.Resources) spec.Resources
 	}{
@@ -155,11 +158,11 @@
 			return learned
 		}},
 	} {
-		b.Run(way.name, func(b *testing.B) {
+		b.Run(variant.name, func(b *testing.B) {
 			for b.Loop() {
 				d := newDriver(policies()[0], cluster(workers))
-				d.bookedSize = way.size
-				reportFigures(b, d.drive(jobs))
+				d.allocatedSize = variant.size
+				reportResults(b, d.simulate(jobs))
 			}
 		})
 	}
