--- a/cmd/pulley-node/weights_test.go
+++ b/cmd/pulley-node/weights_test.go
@@ -19,14 +19,14 @@
 		msg, why string
 		want     daemon.Weight
 	}{
-		"a start":            {"step started", "2 tasks, on 2 hosts", daemon.Routine},
-		"a run that is lost": {"run lost", "another life answered", daemon.Notable},
-		"a crash":            {"crash held against task", "task 0: ...", daemon.Final},
-		"a job done":         {"job ended", "completed", daemon.Notable},
-		"a job cancelled":    {"job ended", "cancelled", daemon.Notable},
-		"a job that failed":  {"job ended", "failed", daemon.Final},
-		"a job given up":     {"job ended", "failed 5212 job-crashes-hosts: ...", daemon.Final},
-		"a holder":           {"partition claimed", "", daemon.Final},
+		"a start":              {"step started", "2 tasks, on 2 hosts", daemon.Routine},
+		"a run that is lost":   {"run lost", "another life answered", daemon.Notable},
+		"a crash":              {"crash held against task", "task 0: ...", daemon.Final},
+		"a job done":           {"job ended", "completed", daemon.Notable},
+		"a job cancelled":      {"job ended", "cancelled", daemon.Notable},
+		"a job that failed":    {"job ended", "failed", daemon.Final},
+		"a job crashing hosts": {"job ended", "failed 5212 job-crashes-hosts: ...", daemon.Final},
+		"a holder":             {"partition claimed", "", daemon.Final},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is.New(t).Equal(lineWeight(&logrus.Entry{Message: tc.msg, Data: logrus.Fields{"why": tc.why}}), tc.want)
