--- a/cmd/pulley-node/weights_test.go
+++ b/cmd/pulley-node/weights_test.go
@@ -19,30 +19,30 @@
 		msg, why string
 		want     daemon.Weight
 	}{
-		"a start":            {"step started", "2 tasks, on 2 hosts", daemon.Routine},
-		"a run that is lost": {"run lost", "another life answered", daemon.Notable},
-		"a crash":            {"crash held against task", "task 0: ...", daemon.Final},
-		"a job done":         {"job ended", "completed", daemon.Notable},
-		"a job cancelled":    {"job ended", "cancelled", daemon.Notable},
-		"a job that failed":  {"job ended", "failed", daemon.Final},
-		"a job given up":     {"job ended", "failed 5212 job-crashes-hosts: ...", daemon.Final},
-		"a holder":           {"partition claimed", "", daemon.Final},
+		"a start":              {"step started", "2 tasks, on 2 hosts", daemon.Routine},
+		"a run that is lost":   {"run lost", "another life answered", daemon.Notable},
+		"a crash":              {"crash held against task", "task 0: ...", daemon.Final},
+		"a job done":           {"job ended", "completed", daemon.Notable},
+		"a job cancelled":      {"job ended", "cancelled", daemon.Notable},
+		"a job that failed":    {"job ended", "failed", daemon.Final},
+		"a job crashing hosts": {"job ended", "failed 5212 job-crashes-hosts: ...", daemon.Final},
+		"a holder":             {"partition claimed", "", daemon.Final},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(weigh(&logrus.Entry{Message: tc.msg, Data: logrus.Fields{"why": tc.why}}), tc.want)
+			is.New(t).Equal(lineWeight(&logrus.Entry{Message: tc.msg, Data: logrus.Fields{"why": tc.why}}), tc.want)
 		})
 	}
 }
 
-// TestWeighedLinesAreLogged: a message that is changed where it is logged would lose its
-// weight unnoticed.
+// TestWeighedLinesAreLogged guards against a message that is changed where it is logged but
+// not in lineWeights, and so silently loses its weight.
 func TestWeighedLinesAreLogged(t *testing.T) {
 	is := is.New(t)
 	var source strings.Builder
 	for _, dir := range []string{"../../internal", "."} {
 		is.NoErr(filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
-			reads := strings.Contains(path, "internal/ctl") || strings.Contains(path, "internal/report") || d.Name() == "weights.go"
-			if err != nil || d.IsDir() || reads || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+			matchesOnly := strings.Contains(path, "internal/ctl") || strings.Contains(path, "internal/report") || d.Name() == "weights.go"
+			if err != nil || d.IsDir() || matchesOnly || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
 			text, err := os.ReadFile(path)
@@ -50,9 +50,9 @@
 			return err
 		}))
 	}
-	for msg := range weights {
+	for msg := range lineWeights {
 		if !strings.Contains(source.String(), strconv.Quote(msg)) {
-			t.Errorf("no line %q is logged", msg)
+			t.Errorf("no source file logs the message %q", msg)
 		}
 	}
 }
