--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -12,22 +12,21 @@
 // A link to another version is refused at the handshake.
 const Subprotocol = "pulleyquay.peer.v1"
 
-// frameType tells what a frame is.
 type frameType uint8
 
 const (
-	frameRequest frameType = 1
-	frameAnswer  frameType = 2
-	frameError   frameType = 3
-	frameCancel  frameType = 4 // the caller gave up; no answer is wanted
-	// frameGoodbye asks the other side to send no more requests on the link;
-	// frameGoodbyeAnswer follows the last one.
-	frameGoodbye       frameType = 5
-	frameGoodbyeAnswer frameType = 6
+	frameRequest  frameType = 1
+	frameResponse frameType = 2
+	frameError    frameType = 3
+	frameCancel   frameType = 4 // the caller has cancelled the request and needs no response
+	// frameGoAway asks the other side to send no further requests on the link;
+	// frameGoAwayAck follows the last request.
+	frameGoAway    frameType = 5
+	frameGoAwayAck frameType = 6
 )
 
 // frame is one message on a link. Length is the payload's length in bytes: a
-// frame whose payload differs from it is no answer but a broken link.
+// frame whose payload has another length is not delivered and breaks the link.
 type frame struct {
 	ID      uint64          `cbor:"1,keyasint"`
 	Type    frameType       `cbor:"2,keyasint"`
@@ -36,14 +35,13 @@
 	Payload cbor.RawMessage `cbor:"5,keyasint,omitempty"`
 }
 
-// Hello is the first message on each link, from the side that dialled.
+// Hello is the first message on each link, sent by the side that dialled.
 type Hello struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation string `cbor:"2,keyasint"`
-	// Addr is where the sender can be dialled; empty when it serves no peers.
+	// Addr is the address at which the sender can be dialled; empty if it serves no peers.
 	Addr string `cbor:"3,keyasint,omitempty"`
-	// Cell names the cell that the sender belongs to; links join processes of
-	// one cell only.
+	// Cell is the sender's cell. A link between processes of different cells is refused.
 	Cell string `cbor:"4,keyasint,omitempty"`
 }
 
--- a/internal/peer/goodbye_test.go
+++ b/internal/peer/goaway_test.go
@@ -13,13 +13,13 @@
 	"pulleyquay/internal/result"
 )
 
-// TestDrainLosesNoRequest closes servers in the middle of streams of calls: each
-// call is answered or was certainly not sent.
+// TestDrainLosesNoRequest drains servers while clients call them: each call gets a
+// response or was certainly not sent.
 func TestDrainLosesNoRequest(t *testing.T) {
 	is := is.New(t)
 	for range 20 {
 		s, c := newServer(t), newClient(t)
-		var lost, answered atomic.Int64
+		var unknownOutcome, answered atomic.Int64
 		var callers sync.WaitGroup
 		for range 8 {
 			callers.Go(func() {
@@ -30,7 +30,7 @@
 						continue
 					}
 					if result.From(err).Ran != result.RanNo {
-						lost.Add(1)
+						unknownOutcome.Add(1)
 					}
 					return
 				}
@@ -41,27 +41,27 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		s.node.Drain(ctx)
-		is.NoErr(ctx.Err()) // the peers answered the goodbye
+		is.NoErr(ctx.Err()) // the peers acknowledged the go-away frame
 		cancel()
 		s.node.Close()
 		callers.Wait()
-		is.Equal(lost.Load(), int64(0))
+		is.Equal(unknownOutcome.Load(), int64(0))
 	}
 }
 
-// TestOtherCellIsRefused: two cells whose addresses were mixed up must not hear
-// each other's settings or members.
+// TestOtherCellIsRefused: processes of two cells must not exchange settings or members
+// if one is configured with an address of the other cell.
 func TestOtherCellIsRefused(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t)
-	c := NewNode(Hello{Name: "c", Cell: "other"}, NewMux(), quiet())
+	c := NewNode(Hello{Name: "c", Cell: "other"}, NewMux(), discardLogger())
 	t.Cleanup(c.Close)
 	err := result.From(c.Call(context.Background(), s.addr(), kindEcho, echo{}, &echo{}))
 	is.Equal(err.Code, result.PeerNotReached)
 	is.Equal(err.Ran, result.RanNo)
 	s.node.mu.Lock()
 	defer s.node.mu.Unlock()
-	is.Equal(len(s.node.links)+len(s.node.extra), 0)
+	is.Equal(len(s.node.links)+len(s.node.unindexed), 0)
 }
 
 func TestDrainWaitsForAnswers(t *testing.T) {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -16,22 +16,22 @@
 // Limits of a link.
 const (
 	maxFrameBytes = 16 << 20
-	maxInbound    = 8192 // requests of one peer being handled at a time
+	maxInbound    = 8192 // concurrent requests from one peer
 	writeTimeout  = 5 * time.Second
 	pingInterval  = time.Second
 	pingTimeout   = 3 * time.Second
 
-	// silentAfter is for how long nothing may have come in while a call waits before
-	// another link is tried; heartbeats come more often.
-	silentAfter = 250 * time.Millisecond
+	// silenceTimeout is how long a link may receive nothing while a call waits before
+	// another link is tried. Heartbeats are more frequent.
+	silenceTimeout = 250 * time.Millisecond
 )
 
 var errLinkClosed = errors.New("link closed")
 
-// errLinkSilent ends a link on which nothing comes in any more.
+// errLinkSilent is the cause of closing a link that no longer receives anything.
 var errLinkSilent = errors.New("nothing comes in on the link")
 
-// link is one WebSocket to one peer. Both sides may call over it.
+// link is one WebSocket connection to one peer. Both sides may send requests over it.
 type link struct {
 	conn *websocket.Conn
 	mux  *Mux
@@ -39,41 +39,41 @@
 	ctx    context.Context // ends with the link
 	cancel context.CancelCauseFunc
 
-	writing chan struct{} // capacity 1: the lock of conn's writer, taken with a ctx
-	inbound chan struct{} // capacity maxInbound
+	writeLock    chan struct{} // capacity 1: a lock for writes to conn that can be awaited with a ctx
+	requestSlots chan struct{} // capacity maxInbound
 
-	mu      sync.Mutex
-	nextID  uint64
-	waiting map[uint64]waiter
-	serving map[uint64]context.CancelFunc
+	mu              sync.Mutex
+	nextID          uint64
+	pending         map[uint64]pendingCall
+	cancelByRequest map[uint64]context.CancelFunc
 
-	// count is told the bytes of each message, by kind; nil counts nothing.
-	count func(kind Kind, in, out int)
+	// onTraffic receives the kind and the size in bytes of each message. It may be nil.
+	onTraffic func(kind Kind, in, out int)
 
 	onHello func(Hello) error
-	// onGoodbye is called when the other side wants no more requests.
-	onGoodbye func()
-	// departing is set, under the writing lock, once the other side has said
-	// goodbye: no request is written after the answer to it.
-	departing bool
-	// goodbye is closed when the other side has answered ours.
-	goodbye chan struct{}
-
-	// heard is when the last frame came in, in nanoseconds since the epoch.
-	heard atomic.Int64
-	// replace tries another link to the same peer and ends this one if that works while
-	// nothing comes in here; nil where the peer's address is not known. trying is true
+	// onGoAway is called when the other side has asked for no further requests. It may be nil.
+	onGoAway func()
+	// goAwayAckSent is set under writeLock when the peer's go-away frame is acknowledged.
+	// No request is written after the acknowledgement.
+	goAwayAckSent bool
+	// goAwayAcked is closed when the other side has acknowledged this side's go-away frame.
+	goAwayAcked chan struct{}
+
+	// lastReceived is when the last frame was received, in nanoseconds since the Unix epoch.
+	lastReceived atomic.Int64
+	// replace dials another link to the same peer and closes this one if the new link works
+	// while this one stays silent; nil if the peer's address is unknown. replacing is true
 	// meanwhile.
-	replace func()
-	trying  atomic.Bool
-	// saidGoodbye is true while an answer to our goodbye is expected.
-	saidGoodbye atomic.Bool
+	replace   func()
+	replacing atomic.Bool
+	// awaitingGoAwayAck is true from this side's go-away frame until its acknowledgement.
+	awaitingGoAwayAck atomic.Bool
 }
 
-// waiter waits for the answer to a request of a kind.
-type waiter struct {
-	kind   Kind
-	answer chan frame
+// pendingCall is a request that waits for its response.
+type pendingCall struct {
+	kind  Kind
+	reply chan frame
 }
 
 func newLink(conn *websocket.Conn, mux *Mux, onHello func(Hello) error) *link {
@@ -81,16 +81,16 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	return &link{
 		conn: conn, mux: mux, ctx: ctx, cancel: cancel,
-		writing: make(chan struct{}, 1),
-		inbound: make(chan struct{}, maxInbound),
-		waiting: map[uint64]waiter{},
-		serving: map[uint64]context.CancelFunc{},
-		onHello: onHello,
-		goodbye: make(chan struct{}),
+		writeLock:       make(chan struct{}, 1),
+		requestSlots:    make(chan struct{}, maxInbound),
+		pending:         map[uint64]pendingCall{},
+		cancelByRequest: map[uint64]context.CancelFunc{},
+		onHello:         onHello,
+		goAwayAcked:     make(chan struct{}),
 	}
 }
 
-// run reads frames until the link breaks and returns why.
+// run reads frames until the link breaks and returns the cause.
 func (l *link) run() error {
 	go l.pingLoop()
 	err := l.readLoop()
@@ -104,7 +104,7 @@
 		if err != nil {
 			return err
 		}
-		l.heard.Store(time.Now().UnixNano())
+		l.lastReceived.Store(time.Now().UnixNano())
 		f, err := decodeFrame(data)
 		if err != nil {
 			return err
@@ -113,59 +113,59 @@
 	}
 }
 
-// receive routes one frame. An answer that nobody waits for is dropped: its
-// caller has gone or it came twice.
+// receive dispatches one frame. A response without a pending call is dropped: the
+// call was cancelled, or the response is a duplicate.
 func (l *link) receive(f frame, size int) {
 	switch f.Type {
-	case frameAnswer, frameError:
-		if w, ok := l.takeWaiter(f.ID); ok {
-			l.counted(w.kind, size, 0)
-			w.answer <- f
+	case frameResponse, frameError:
+		if w, ok := l.takePending(f.ID); ok {
+			l.recordTraffic(w.kind, size, 0)
+			w.reply <- f
 		}
 	case frameCancel:
 		l.mu.Lock()
-		cancel := l.serving[f.ID]
+		cancel := l.cancelByRequest[f.ID]
 		l.mu.Unlock()
 		if cancel != nil {
 			cancel()
 		}
 	case frameRequest:
-		l.counted(f.Kind, size, 0)
-		l.accept(f)
-	case frameGoodbye:
-		go l.depart()
-	case frameGoodbyeAnswer:
-		if l.saidGoodbye.CompareAndSwap(true, false) {
-			close(l.goodbye)
+		l.recordTraffic(f.Kind, size, 0)
+		l.acceptRequest(f)
+	case frameGoAway:
+		go l.handleGoAway()
+	case frameGoAwayAck:
+		if l.awaitingGoAwayAck.CompareAndSwap(true, false) {
+			close(l.goAwayAcked)
 		}
 	}
 }
 
-func (l *link) takeWaiter(id uint64) (waiter, bool) {
+func (l *link) takePending(id uint64) (pendingCall, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w, ok := l.waiting[id]
-	delete(l.waiting, id)
+	w, ok := l.pending[id]
+	delete(l.pending, id)
 	return w, ok
 }
 
-func (l *link) counted(kind Kind, in, out int) {
-	if l.count != nil {
-		l.count(kind, in, out)
+func (l *link) recordTraffic(kind Kind, in, out int) {
+	if l.onTraffic != nil {
+		l.onTraffic(kind, in, out)
 	}
 }
 
-func (l *link) accept(f frame) {
+func (l *link) acceptRequest(f frame) {
 	select {
-	case l.inbound <- struct{}{}:
+	case l.requestSlots <- struct{}{}:
 	default:
 		refusal := result.New(result.NotReady, result.RanNo, "%d requests of this peer are being handled", maxInbound)
-		go l.answer(f, frameError, encodeError(refusal.Later(time.Second)))
+		go l.reply(f, frameError, encodeError(refusal.Later(time.Second)))
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
 	l.mu.Lock()
-	l.serving[f.ID] = cancel
+	l.cancelByRequest[f.ID] = cancel
 	l.mu.Unlock()
 	go l.serve(ctx, cancel, f)
 }
@@ -174,16 +174,16 @@
 	defer func() {
 		cancel()
 		l.mu.Lock()
-		delete(l.serving, f.ID)
+		delete(l.cancelByRequest, f.ID)
 		l.mu.Unlock()
-		<-l.inbound
+		<-l.requestSlots
 	}()
 	payload, err := l.handle(ctx, f)
 	if err != nil {
-		l.answer(f, frameError, encodeError(err))
+		l.reply(f, frameError, encodeError(err))
 		return
 	}
-	l.answer(f, frameAnswer, payload)
+	l.reply(f, frameResponse, payload)
 }
 
 func (l *link) handle(ctx context.Context, f frame) ([]byte, error) {
@@ -202,26 +202,27 @@
 	return cbor.Marshal(struct{}{})
 }
 
-// answer answers a request; an answer that can not be sent is dropped with the link.
-func (l *link) answer(to frame, t frameType, payload []byte) {
+// reply sends the response to a request. If that fails the link is closed, so the error is dropped.
+func (l *link) reply(to frame, t frameType, payload []byte) {
 	_ = l.write(l.ctx, to.Kind, frame{ID: to.ID, Type: t, Payload: payload})
 }
 
-// write sends one frame, which counts for a kind. The returned error is errLinkClosed, or ctx's, when
-// nothing was sent; any other error leaves that open and closes the link.
+// write sends one frame and records its size under kind. If nothing was sent it returns
+// errLinkClosed or ctx's error. After any other error the frame may have been sent in
+// part or in full, and the link is closed.
 func (l *link) write(ctx context.Context, kind Kind, f frame) error {
 	data, err := encodeFrame(f)
 	if err != nil {
 		return errLinkClosed
 	}
 	select {
-	case l.writing <- struct{}{}:
+	case l.writeLock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-l.ctx.Done():
 		return errLinkClosed
 	}
-	defer func() { <-l.writing }()
+	defer func() { <-l.writeLock }()
 	if l.ctx.Err() != nil {
 		return errLinkClosed
 	}
@@ -229,56 +230,56 @@
 		return ctx.Err()
 	}
 	switch {
-	case f.Type == frameRequest && l.departing:
+	case f.Type == frameRequest && l.goAwayAckSent:
 		return errLinkClosed
-	case f.Type == frameGoodbyeAnswer:
-		l.departing = true
+	case f.Type == frameGoAwayAck:
+		l.goAwayAckSent = true
 	}
-	// The link's own deadline, not the caller's: a write given up half way
-	// would break the link for everybody on it.
+	// The deadline is the link's, not the caller's: a write that is aborted halfway
+	// would break the link for all its callers.
 	wctx, cancel := context.WithTimeout(l.ctx, writeTimeout)
 	defer cancel()
 	if err := l.conn.Write(wctx, websocket.MessageBinary, data); err != nil {
 		l.close(err)
-		return &brokenWrite{err}
+		return &uncertainWriteError{err}
 	}
-	l.counted(kind, 0, len(data))
+	l.recordTraffic(kind, 0, len(data))
 	return nil
 }
 
-// brokenWrite is a write that may have reached the peer in part or whole.
-type brokenWrite struct{ err error }
+// uncertainWriteError is a failed write of which a part or all may have reached the peer.
+type uncertainWriteError struct{ err error }
 
-func (b *brokenWrite) Error() string { return "write: " + b.err.Error() }
+func (b *uncertainWriteError) Error() string { return "write: " + b.err.Error() }
 
-// call sends a request and waits for its answer.
+// call sends a request and waits for its response.
 func (l *link) call(ctx context.Context, kind Kind, payload []byte) ([]byte, error) {
-	w := waiter{kind, make(chan frame, 1)}
+	w := pendingCall{kind, make(chan frame, 1)}
 	l.mu.Lock()
 	l.nextID++
 	id := l.nextID
-	l.waiting[id] = w
+	l.pending[id] = w
 	l.mu.Unlock()
-	defer l.takeWaiter(id)
+	defer l.takePending(id)
 
 	if err := l.write(ctx, kind, frame{ID: id, Type: frameRequest, Kind: kind, Payload: payload}); err != nil {
-		var broken *brokenWrite
-		if errors.As(err, &broken) {
+		var uncertain *uncertainWriteError
+		if errors.As(err, &uncertain) {
 			return nil, result.New(result.PeerLost, result.RanUnknown, "%v", err)
 		}
 		return nil, result.New(result.PeerNotReached, result.RanNo, "%v", err)
 	}
-	silent := time.AfterFunc(silentAfter, l.trySilent)
-	defer silent.Stop()
+	silenceTimer := time.AfterFunc(silenceTimeout, l.replaceIfSilent)
+	defer silenceTimer.Stop()
 	select {
-	case f := <-w.answer:
+	case f := <-w.reply:
 		return f.result()
 	case <-ctx.Done():
-		go l.answer(frame{ID: id, Kind: kind}, frameCancel, nil)
+		go l.reply(frame{ID: id, Kind: kind}, frameCancel, nil)
 		return nil, result.New(result.PeerLost, result.RanUnknown, "gave up waiting for the peer: %v", ctx.Err())
 	case <-l.ctx.Done():
 		select {
-		case f := <-w.answer: // it came as the last thing before the link's end
+		case f := <-w.reply: // received just before the link ended
 			return f.result()
 		default:
 		}
@@ -286,7 +287,7 @@
 	}
 }
 
-// result is what an answer says.
+// result returns the payload of a response, or the error that it carries.
 func (f frame) result() ([]byte, error) {
 	if f.Type == frameError {
 		return nil, decodeError(f.Payload)
@@ -294,8 +295,8 @@
 	return f.Payload, nil
 }
 
-// pingLoop finds a peer that is gone without closing the connection. A link on
-// which frames come in needs no pings.
+// pingLoop detects a peer that disappeared without closing the connection. It sends no
+// pings while the link receives frames.
 func (l *link) pingLoop() {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
@@ -304,7 +305,7 @@
 		case <-l.ctx.Done():
 			return
 		case <-ticker.C:
-			if l.heardWithin(pingInterval) {
+			if l.receivedWithin(pingInterval) {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(l.ctx, pingTimeout)
@@ -318,16 +319,16 @@
 	}
 }
 
-// trySilent has the link replaced if nothing comes in on it: an open connection can
-// fall silent for good.
-func (l *link) trySilent() {
+// replaceIfSilent replaces the link if it has received nothing for silenceTimeout: an open
+// connection can stop carrying data permanently without an error.
+func (l *link) replaceIfSilent() {
 	l.mu.Lock()
 	replace := l.replace
 	l.mu.Unlock()
-	if l.heardWithin(silentAfter) || replace == nil || !l.trying.CompareAndSwap(false, true) {
+	if l.receivedWithin(silenceTimeout) || replace == nil || !l.replacing.CompareAndSwap(false, true) {
 		return
 	}
-	defer l.trying.Store(false)
+	defer l.replacing.Store(false)
 	replace()
 }
 
@@ -337,11 +338,11 @@
 	l.replace = replace
 }
 
-func (l *link) heardWithin(d time.Duration) bool {
-	return time.Since(time.Unix(0, l.heard.Load())) < d
+func (l *link) receivedWithin(d time.Duration) bool {
+	return time.Since(time.Unix(0, l.lastReceived.Load())) < d
 }
 
-// close ends the link at once; calls under way end with PeerLost.
+// close ends the link immediately; pending calls fail with PeerLost.
 func (l *link) close(cause error) {
 	l.cancel(cause)
 	_ = l.conn.CloseNow()
--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -8,9 +8,9 @@
 	"pulleyquay/internal/result"
 )
 
-// Local is a Caller that reaches Muxes of this process by address, through the
-// codec but without a socket. Tests use it inside synctest bubbles; a placer
-// uses it for calls to itself.
+// Local is a Caller for Muxes in the same process, by address. Messages are encoded
+// and decoded but pass through no socket. Tests use it inside synctest bubbles; a
+// placer uses it for calls to itself.
 type Local map[string]*Mux
 
 // Call runs the handler registered at addr.
@@ -23,11 +23,11 @@
 	if err != nil {
 		return result.New(result.Internal, result.RanNo, "encode: %v", err)
 	}
-	answer, err := mux.dispatch(ctx, kind, payload)
+	response, err := mux.dispatch(ctx, kind, payload)
 	if err != nil {
 		return result.From(err)
 	}
-	if err := cbor.Unmarshal(answer, resp); err != nil {
+	if err := cbor.Unmarshal(response, resp); err != nil {
 		return result.New(result.PeerLost, result.RanUnknown, "decode: %v", err)
 	}
 	return nil
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -13,55 +13,57 @@
 	"pulleyquay/internal/result"
 )
 
-// Path is where a process serves its peer links.
+// Path is the HTTP path at which a process accepts peer links.
 const Path = "/peer"
 
-// dialTimeout bounds the making of a link, handshake and hello included.
+// dialTimeout bounds the time to establish a link, including the handshake and the hello.
 const dialTimeout = 2 * time.Second
 
-// pongSlack is how much longer than a new link a ping on an old one may take.
-const pongSlack = 100 * time.Millisecond
+// pingMargin is how long after a new link has been established the ping on the existing
+// link may still be unanswered.
+const pingMargin = 100 * time.Millisecond
 
-// Node is this process's end of all peer links: a Caller to others and an
-// http.Handler for links from others. One link serves both directions of a pair.
+// Node manages all peer links of a process: it is the Caller for requests to other
+// processes and the http.Handler for links that they open. A pair of processes uses one
+// link for requests in both directions.
 type Node struct {
 	self Hello
 	mux  *Mux
 	log  *logrus.Entry
 
-	// Silent is told when a link had fallen silent and a new one to the same address
-	// works. It may be nil.
+	// Silent is called after a silent link has been replaced by a new link to the same
+	// address. It may be nil.
 	Silent func()
-	// Count is told the bytes of each message, by its kind; answers count for the kind of
-	// their request. It may be nil.
+	// Count receives the kind and the size in bytes of each message; a response counts
+	// under the kind of its request. It may be nil.
 	Count func(kind Kind, in, out int)
 
-	mu     sync.Mutex
-	links  map[string]*link // by the peer's address
-	extra  map[*link]bool   // links from peers without an address, or doubled
-	dials  map[string]*dialing
-	closed bool
+	mu        sync.Mutex
+	links     map[string]*link // by the peer's address
+	unindexed map[*link]bool   // links of peers without an address, duplicates and retired links
+	dials     map[string]*dialAttempt
+	closed    bool
 	// draining is true from the start of Drain.
 	draining bool
 }
 
-// dialing is one attempt that several callers wait for.
-type dialing struct {
+// dialAttempt is one attempt to establish a link; several callers may wait for it.
+type dialAttempt struct {
 	done chan struct{}
 	link *link
 	err  error
 }
 
-// NewNode returns a Node that names itself by self. An empty self.Addr means
-// that the process serves no peers.
+// NewNode returns a Node that sends self as its hello. An empty self.Addr means that the
+// process serves no peers.
 func NewNode(self Hello, mux *Mux, log *logrus.Entry) *Node {
 	return &Node{
 		self: self, mux: mux, log: log,
-		links: map[string]*link{}, extra: map[*link]bool{}, dials: map[string]*dialing{},
+		links: map[string]*link{}, unindexed: map[*link]bool{}, dials: map[string]*dialAttempt{},
 	}
 }
 
-// Call implements Caller. A call to the Node's own address stays in the process.
+// Call implements Caller. A call to the Node's own address is handled in the process.
 func (n *Node) Call(ctx context.Context, addr string, kind Kind, req, resp any) error {
 	if addr == n.self.Addr && addr != "" {
 		return Local{addr: n.mux}.Call(ctx, addr, kind, req, resp)
@@ -74,17 +76,17 @@
 	if err != nil {
 		return result.New(result.PeerNotReached, result.RanNo, "%s: %v", addr, err)
 	}
-	answer, err := l.call(ctx, kind, payload)
+	response, err := l.call(ctx, kind, payload)
 	if err != nil {
 		return err
 	}
-	if err := cbor.Unmarshal(answer, resp); err != nil {
+	if err := cbor.Unmarshal(response, resp); err != nil {
 		return result.New(result.PeerLost, result.RanUnknown, "decode answer %d: %v", kind, err)
 	}
 	return nil
 }
 
-// link returns the live link to addr, or makes one.
+// link returns the live link to addr, or establishes one.
 func (n *Node) link(ctx context.Context, addr string) (*link, error) {
 	n.mu.Lock()
 	if n.closed {
@@ -97,7 +99,7 @@
 	}
 	d := n.dials[addr]
 	if d == nil {
-		d = &dialing{done: make(chan struct{})}
+		d = &dialAttempt{done: make(chan struct{})}
 		n.dials[addr] = d
 		go n.dial(addr, d)
 	}
@@ -110,7 +112,7 @@
 	}
 }
 
-func (n *Node) dial(addr string, d *dialing) {
+func (n *Node) dial(addr string, d *dialAttempt) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	d.link, d.err = n.connect(ctx, addr)
@@ -118,46 +120,46 @@
 	delete(n.dials, addr)
 	n.mu.Unlock()
 	if d.err == nil {
-		n.add(addr, d.link)
+		n.addLink(addr, d.link)
 	}
 	close(d.done)
 }
 
-// replace makes another link to addr beside l, and takes it into use in place of l
-// if a ping on l stays unanswered while that one works.
+// replace establishes a second link to addr. If a ping on l is still unanswered when the
+// new link works, the new link replaces l.
 func (n *Node) replace(addr string, l *link) {
 	ctx, cancel := context.WithTimeout(l.ctx, dialTimeout)
 	defer cancel()
 	ping := make(chan error, 1)
 	go func() { ping <- l.conn.Ping(ctx) }()
-	other, err := n.connect(ctx, addr)
+	replacement, err := n.connect(ctx, addr)
 	if err != nil {
-		return // the peer itself is not reached: the link says no less
+		return // the peer is unreachable, so a new link would not help
 	}
 	select {
 	case err := <-ping:
 		if err == nil {
-			other.close(errLinkClosed)
+			replacement.close(errLinkClosed)
 			return
 		}
-	case <-time.After(pongSlack): // the ping was sent before the dial and takes less
+	case <-time.After(pingMargin): // the ping was sent before the dial and should take less time
 	}
 	l.close(errLinkSilent)
-	n.add(addr, other)
+	n.addLink(addr, replacement)
 	n.log.WithField("peer", addr).Warn("peer link had fallen silent; replaced")
 	if n.Silent != nil {
 		n.Silent()
 	}
 }
 
-// Try finds out which links have fallen silent, and replaces those.
+// Try checks all links for silence in the background and replaces those that are silent.
 func (n *Node) Try() {
-	for _, l := range n.all() {
-		go l.trySilent()
+	for _, l := range n.liveLinks() {
+		go l.replaceIfSilent()
 	}
 }
 
-// connect makes a link that is not in use yet.
+// connect dials addr and completes the hello. The link is not yet used for calls.
 func (n *Node) connect(ctx context.Context, addr string) (*link, error) {
 	conn, _, err := websocket.Dial(ctx, "ws://"+addr+Path, &websocket.DialOptions{Subprotocols: []string{Subprotocol}})
 	if err != nil {
@@ -168,9 +170,9 @@
 		return nil, result.New(result.PeerVersion, result.RanNo, "%s does not speak %s", addr, Subprotocol)
 	}
 	l := newLink(conn, n.mux, nil)
-	l.count = n.Count
-	l.onGoodbye = func() { n.retire(l) }
-	go n.keep(l)
+	l.onTraffic = n.Count
+	l.onGoAway = func() { n.retire(l) }
+	go n.runLink(l)
 	hello, err := cbor.Marshal(n.self)
 	if err != nil {
 		l.close(err)
@@ -183,22 +185,22 @@
 	return l, nil
 }
 
-// keep runs a link to its end and forgets it.
-func (n *Node) keep(l *link) {
+// runLink runs a link until it ends, then removes it from the Node.
+func (n *Node) runLink(l *link) {
 	err := l.run()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.extra, l)
-	for a, have := range n.links {
-		if have == l {
+	delete(n.unindexed, l)
+	for a, current := range n.links {
+		if current == l {
 			delete(n.links, a)
 			n.log.WithField("peer", a).WithError(err).Info("peer link closed")
 		}
 	}
 }
 
-// add makes l the link used for calls to addr, unless there is one already.
-func (n *Node) add(addr string, l *link) {
+// addLink makes l the link for calls to addr unless another live link has that role.
+func (n *Node) addLink(addr string, l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed || n.draining || l.ctx.Err() != nil {
@@ -208,38 +210,38 @@
 	if addr != "" {
 		l.setReplace(func() { n.replace(addr, l) })
 	}
-	if have := n.links[addr]; addr == "" || have != nil && have.ctx.Err() == nil {
-		n.extra[l] = true
+	if current := n.links[addr]; addr == "" || current != nil && current.ctx.Err() == nil {
+		n.unindexed[l] = true
 		return
 	}
 	n.links[addr] = l
 	n.log.WithField("peer", addr).Info("peer link open")
 }
 
-// greet takes a link into use once its other side has named itself.
-func (n *Node) greet(h Hello, l *link) error {
+// acceptHello checks the cell of a link's other side and then adds the link.
+func (n *Node) acceptHello(h Hello, l *link) error {
 	if h.Cell != n.self.Cell {
-		n.log.WithFields(logrus.Fields{"peer": h.Name, "cell": h.Cell}).Warn("a process of another cell was refused")
+		n.log.WithFields(logrus.Fields{"peer": h.Name, "cell": h.Cell}).Warn("refused a peer link from another cell")
 		return result.New(result.PeerOtherCell, result.RanNo, "this is cell %q, not %q", n.self.Cell, h.Cell)
 	}
-	n.add(h.Addr, l)
+	n.addLink(h.Addr, l)
 	return nil
 }
 
-// retire takes a link out of use for new calls; those under way end on it.
+// retire removes a link from use by new calls; pending calls complete on it.
 func (n *Node) retire(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for addr, have := range n.links {
-		if have == l {
+	for addr, current := range n.links {
+		if current == l {
 			delete(n.links, addr)
-			n.extra[l] = true
+			n.unindexed[l] = true
 		}
 	}
 }
 
-// ServeHTTP accepts a link from another process and serves it to its end. While
-// the node drains it accepts none.
+// ServeHTTP accepts a link from another process and serves it until it ends. A node
+// that drains or is closed accepts no links.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n.mu.Lock()
 	refuse := n.draining || n.closed
@@ -250,28 +252,28 @@
 	}
 	conn, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{Subprotocol}})
 	if err != nil {
-		return // Accept has answered
+		return // Accept has sent the error response
 	}
 	if conn.Subprotocol() != Subprotocol {
 		_ = conn.Close(websocket.StatusPolicyViolation, "unknown protocol version")
 		return
 	}
 	var l *link
-	l = newLink(conn, n.mux, func(h Hello) error { return n.greet(h, l) })
-	l.count = n.Count
-	l.onGoodbye = func() { n.retire(l) }
-	n.keep(l)
+	l = newLink(conn, n.mux, func(h Hello) error { return n.acceptHello(h, l) })
+	l.onTraffic = n.Count
+	l.onGoAway = func() { n.retire(l) }
+	n.runLink(l)
 }
 
-// Drain accepts no more links, asks every peer to send no more requests, and
-// waits until those that came are answered or ctx ends. A request sent by a peer
-// is then either answered or was certainly not sent.
+// Drain accepts no further links, asks every peer to send no further requests, and waits
+// until all received requests have responses or ctx ends. Each request of a peer then
+// either has a response or was certainly not sent.
 func (n *Node) Drain(ctx context.Context) {
 	n.mu.Lock()
 	n.draining = true
 	n.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, l := range n.all() {
+	for _, l := range n.liveLinks() {
 		wg.Go(func() { l.drain(ctx) })
 	}
 	wg.Wait()
@@ -282,23 +284,22 @@
 	n.mu.Lock()
 	n.closed = true
 	n.mu.Unlock()
-	for _, l := range n.all() {
+	for _, l := range n.liveLinks() {
 		l.close(errLinkClosed)
 	}
 }
 
-// all returns every live link.
-func (n *Node) all() []*link {
+func (n *Node) liveLinks() []*link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var all []*link
+	var liveLinks []*link
 	for _, l := range n.links {
-		all = append(all, l)
+		liveLinks = append(liveLinks, l)
 	}
-	for l := range n.extra {
-		all = append(all, l)
+	for l := range n.unindexed {
+		liveLinks = append(liveLinks, l)
 	}
-	return all
+	return liveLinks
 }
 
 // Dump lists the addresses with a live link.
@@ -313,5 +314,5 @@
 		Self  Hello    `json:"self"`
 		Links []string `json:"links"`
 		Other int      `json:"links_without_address"`
-	}{n.self, addrs, len(n.extra)}
+	}{n.self, addrs, len(n.unindexed)}
 }
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -28,35 +28,35 @@
 	kindFail  Kind = 902
 )
 
-func quiet() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	l := logrus.New()
 	l.SetLevel(logrus.PanicLevel)
 	return logrus.NewEntry(l)
 }
 
-// server is one process that answers the test kinds.
+// server is a process with handlers for the test kinds.
 type server struct {
 	*httptest.Server
 	node    *Node
 	entered chan struct{}
-	left    chan struct{}
+	exited  chan struct{}
 }
 
 func newServer(t *testing.T) *server {
-	s := &server{entered: make(chan struct{}, 1000), left: make(chan struct{}, 1000)}
+	s := &server{entered: make(chan struct{}, 1000), exited: make(chan struct{}, 1000)}
 	mux := NewMux()
 	Handle(mux, kindEcho, func(_ context.Context, r echo) (echo, error) { return r, nil })
 	Handle(mux, kindBlock, func(ctx context.Context, r echo) (echo, error) {
 		s.entered <- struct{}{}
 		<-ctx.Done()
-		s.left <- struct{}{}
+		s.exited <- struct{}{}
 		return r, nil
 	})
 	Handle(mux, kindFail, func(context.Context, echo) (echo, error) {
 		return echo{}, result.New(result.TooLarge, result.RanNo, "no").Later(3 * time.Second).At("a.b")
 	})
 	s.Server = httptest.NewUnstartedServer(nil)
-	s.node = NewNode(Hello{Name: "s", Addr: s.Listener.Addr().String()}, mux, quiet())
+	s.node = NewNode(Hello{Name: "s", Addr: s.Listener.Addr().String()}, mux, discardLogger())
 	s.Config.Handler = s.node
 	s.Start()
 	t.Cleanup(func() { s.node.Close(); s.Close() })
@@ -66,12 +66,12 @@
 func (s *server) addr() string { return s.node.self.Addr }
 
 func newClient(t *testing.T) *Node {
-	n := NewNode(Hello{Name: "c"}, NewMux(), quiet())
+	n := NewNode(Hello{Name: "c"}, NewMux(), discardLogger())
 	t.Cleanup(n.Close)
 	return n
 }
 
-// callers run the Caller contract against the link and the in-process one.
+// TestCallerContract runs the contract of Caller against a link and in-process calls.
 func TestCallerContract(t *testing.T) {
 	s := newServer(t)
 	for name, c := range map[string]Caller{"link": newClient(t), "local": Local{s.addr(): s.node.mux}, "self": s.node} {
@@ -118,10 +118,10 @@
 	}
 	wg.Wait()
 	is.Equal(wrong, 0)
-	is.Equal(len(c.links), 1) // one WebSocket a pair
+	is.Equal(len(c.links), 1) // one connection per pair of processes
 }
 
-func TestGivingUpEndsTheHandler(t *testing.T) {
+func TestCancelledCallEndsTheHandler(t *testing.T) {
 	is := is.New(t)
 	s, c := newServer(t), newClient(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -129,7 +129,7 @@
 	err := result.From(c.Call(ctx, s.addr(), kindBlock, echo{}, &echo{}))
 	is.Equal(err.Code, result.PeerLost)
 	is.Equal(err.Ran, result.RanUnknown) // it was sent
-	<-s.left
+	<-s.exited
 }
 
 func TestBrokenLinkLeavesOutcomeUnknownAndIsRedialled(t *testing.T) {
@@ -138,7 +138,7 @@
 	go func() {
 		<-s.entered
 		s.CloseClientConnections()
-		s.node.Close() // hijacked connections are the node's to close
+		s.node.Close() // the node has to close hijacked connections
 	}()
 	err := result.From(c.Call(context.Background(), s.addr(), kindBlock, echo{}, &echo{}))
 	is.Equal(err.Code, result.PeerLost)
@@ -162,17 +162,17 @@
 	b.node.mu.Lock()
 	defer b.node.mu.Unlock()
 	is.Equal(len(b.node.links), 1)
-	is.Equal(len(b.node.extra), 0) // the accepted link was used, none dialled
+	is.Equal(len(b.node.unindexed), 0) // the accepted link was used and none was dialled
 }
 
 func TestFrameOfWrongLengthBreaksTheLink(t *testing.T) {
 	is := is.New(t)
-	data, err := encodeFrame(frame{ID: 7, Type: frameAnswer, Payload: []byte{0x63, 'a', 'b', 'c'}})
+	data, err := encodeFrame(frame{ID: 7, Type: frameResponse, Payload: []byte{0x63, 'a', 'b', 'c'}})
 	is.NoErr(err)
 	_, err = decodeFrame(data)
 	is.NoErr(err)
 	_, err = decodeFrame(data[:len(data)-1])
-	is.True(err != nil)                          // half an answer is no answer
+	is.True(err != nil)                          // a truncated response is rejected
 	i := strings.Index(string(data), "\x04\x04") // key 4: length 4
 	data[i+1] = 3
 	_, err = decodeFrame(data)
@@ -187,8 +187,8 @@
 	is.True(errors.Is(err, &result.Error{Code: result.PeerNotReached}))
 }
 
-// TestSilentPeerIsFoundOut cuts a peer off without closing: it stops reading.
-func TestSilentPeerIsFoundOut(t *testing.T) {
+// TestUnresponsivePeerIsDetected has a peer stop reading without closing its connection.
+func TestUnresponsivePeerIsDetected(t *testing.T) {
 	is := is.New(t)
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{Subprotocol}})
@@ -204,12 +204,12 @@
 		if err != nil {
 			return
 		}
-		answer, err := encodeFrame(frame{ID: hello.ID, Type: frameAnswer, Payload: []byte{0xa0}})
+		response, err := encodeFrame(frame{ID: hello.ID, Type: frameResponse, Payload: []byte{0xa0}})
 		if err != nil {
 			return
 		}
-		_ = conn.Write(r.Context(), websocket.MessageBinary, answer)
-		<-r.Context().Done() // never reads again, so no pong goes out
+		_ = conn.Write(r.Context(), websocket.MessageBinary, response)
+		<-r.Context().Done() // never reads again and so sends no pong
 	}))
 	defer silent.Close()
 	c := newClient(t)
@@ -219,43 +219,43 @@
 	is.True(time.Since(start) < 2*(pingInterval+pingTimeout))
 }
 
-// TestSilentLinkIsReplaced: an open link falls silent without a reset while new ones
-// work. It was found out by pings after seconds, in which members took their holder for
-// dead.
+// TestSilentLinkIsReplaced: an open link stops carrying data without a reset, while new
+// links work. Pings alone would detect this only after seconds, in which members would
+// take their holder for dead.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t)
 	proxy := proxytest.New(t, "", s.addr())
 	c := newClient(t)
-	told := make(chan struct{}, 10)
-	c.Silent = func() { told <- struct{}{} }
-	call := func(patience time.Duration) error {
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+	replaced := make(chan struct{}, 10)
+	c.Silent = func() { replaced <- struct{}{} }
+	call := func(timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
 		return c.Call(ctx, proxy.Addr, kindEcho, echo{}, &echo{})
 	}
 	is.NoErr(call(time.Second))
-	time.Sleep(silentAfter) // nothing has come in for a while
+	time.Sleep(silenceTimeout) // the link receives nothing meanwhile
 	proxy.Mute()
-	begun := time.Now()
+	start := time.Now()
 	err := call(10 * time.Second)
-	is.Equal(result.CodeOf(err), result.PeerLost) // it may have run
-	is.True(time.Since(begun) < pingTimeout)      // not found out by the idle pings
-	<-told
+	is.Equal(result.CodeOf(err), result.PeerLost) // the request may have been handled
+	is.True(time.Since(start) < pingTimeout)      // detected earlier than by the idle pings
+	<-replaced
 	is.NoErr(call(time.Second))
 }
 
-// TestWaitingForLongKeepsTheLink: a peer that takes long to answer one call is not
-// silent, though nothing comes in meanwhile.
-func TestWaitingForLongKeepsTheLink(t *testing.T) {
+// TestSlowResponseKeepsTheLink: a link is not replaced while a request takes long, though
+// it receives nothing meanwhile.
+func TestSlowResponseKeepsTheLink(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t)
 	c := newClient(t)
-	c.Silent = func() { t.Error("taken for silent") }
-	ctx, cancel := context.WithTimeout(t.Context(), 6*silentAfter)
+	c.Silent = func() { t.Error("link was replaced as silent") }
+	ctx, cancel := context.WithTimeout(t.Context(), 6*silenceTimeout)
 	defer cancel()
 	err := c.Call(ctx, s.addr(), kindBlock, echo{}, &echo{})
-	is.Equal(result.CodeOf(err), result.PeerLost) // given up by the caller
+	is.Equal(result.CodeOf(err), result.PeerLost) // cancelled by the caller
 	is.True(strings.Contains(err.Error(), "gave up"))
 	is.NoErr(c.Call(t.Context(), s.addr(), kindEcho, echo{}, &echo{}))
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,63 +1,65 @@
-// Package peer is the link between the project's own processes: typed CBOR
-// messages over one WebSocket a pair, each with its request's id and length.
+// Package peer carries requests between the project's own processes: typed CBOR messages
+// over one WebSocket connection per pair. Each frame has the request's id and the length
+// of its payload.
 package peer
 
 import "context"
 
-// Kind numbers a message of the peer protocol; docs/PEER-PROTOCOL.md lists all.
+// Kind is the number of a message kind in the peer protocol; docs/PEER-PROTOCOL.md lists
+// all kinds.
 type Kind uint16
 
 // The message kinds. A number is never reused for another message.
 const (
 	KindHello     Kind = 1 // version, name, incarnation
-	KindHeartbeat Kind = 2 // placer to placer: right, capacity digest, revisions
+	KindHeartbeat Kind = 2 // placer to placer: authority, capacity digest, revisions
 	KindView      Kind = 3 // long poll for a newer table
 	KindSettings  Kind = 4 // the settings tree newer than a revision
-	KindHandOver  Kind = 5 // a partition's state to its next holder
-	KindFence     Kind = 6 // claimant to voter: no more promises to a session
+	KindHandOver  Kind = 5 // previous holder to next holder: a partition's state
+	KindFence     Kind = 6 // claimant to voter: make no further promises to a session
 
 	KindServe    Kind = 10 // entry to home: one caller's request
 	KindDispatch Kind = 11 // home to a holder with free slots
-	KindCancel   Kind = 12 // a caller went away
+	KindCancel   Kind = 12 // the caller has disconnected or cancelled
 
 	KindSettingsChange  Kind = 20 // an operator's change
 	KindSettingsHistory Kind = 21
 	KindMembers         Kind = 22
 	KindWorkers         Kind = 23
 
-	KindJobSubmit Kind = 30 // entry to the team's home
+	KindJobSubmit Kind = 30 // entry to the team's home partition
 	KindJobGet    Kind = 31
 	KindJobList   Kind = 32
 	KindJobCancel Kind = 33
 	KindJobUpdate Kind = 34 // change a service
 
-	KindPlace     Kind = 40 // home to a holder of workers: place tasks
+	KindPlace     Kind = 40 // job owner to a holder of workers: place tasks
 	KindGangHold  Kind = 41
 	KindGangEnd   Kind = 42 // start or release a held gang
 	KindStopTasks Kind = 43
-	KindTaskNews  Kind = 44 // holder of workers to home: runs ended or lost
-	KindInventory Kind = 45 // home to a holder: what runs of my partition
+	KindTaskNews  Kind = 44 // holder of workers to job owner: runs ended or lost
+	KindInventory Kind = 45 // job owner to a holder: list the runs of a partition's jobs
 
-	KindBeat      Kind = 50 // member to holder: are you there
-	KindOpinion   Kind = 51 // member to member: when did you hear the holder
-	KindSucceed   Kind = 52 // leaving holder to its successor: claim now
+	KindBeat      Kind = 50 // member to holder: heartbeat
+	KindOpinion   Kind = 51 // member to member: when was the holder's last contact
+	KindSucceed   Kind = 52 // leaving holder to the next holder: claim the partition now
 	KindCatalog   Kind = 53 // the configuration newer than a version
-	KindAccepted  Kind = 54 // accepting member to holder: a stored job
+	KindAccepted  Kind = 54 // accepting member to holder: a job has been stored
 	KindState     Kind = 55 // a job's state
 	KindCancelJob Kind = 56 // end a job
-	KindPending   Kind = 57 // jobs of a queue that have not begun
-	KindAdvise    Kind = 58 // holder to member: ask the policy service
-	KindStoreJob  Kind = 59 // member without the store to another: store this job
+	KindPending   Kind = 57 // jobs of a queue that have not started
+	KindAdvise    Kind = 58 // holder to member: query the policy service
+	KindStoreJob  Kind = 59 // member that can not reach the store to another member: store this job
 
-	KindHostCalls  Kind = 60 // holder to link shard: calls to hosts
-	KindHostReport Kind = 61 // link shard to holder: how they ended
+	KindHostCalls  Kind = 60 // holder to link shard: make these calls to hosts
+	KindHostReport Kind = 61 // link shard to holder: results of calls to hosts
 )
 
-// Caller makes calls to other processes. Errors are *result.Error: a failure
-// with code PeerNotReached promises that no byte was sent, one with PeerLost
-// leaves the outcome unknown, anything else came from the handler.
+// Caller sends requests to other processes. Its errors are *result.Error: with code
+// PeerNotReached no byte was sent; with PeerLost the outcome is unknown; any other
+// code was returned by the handler.
 type Caller interface {
-	// Call sends req to the process at addr and decodes its answer into resp.
-	// Cancelling ctx tells the other side, whose handler's ctx ends too.
+	// Call sends req to the process at addr and decodes the response into resp.
+	// Cancelling ctx also cancels the ctx of the remote handler.
 	Call(ctx context.Context, addr string, kind Kind, req, resp any) error
 }
