--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -1,6 +1,6 @@
-// Package judge keeps the record by which a run of the whole system is judged:
-// what ran where and when, and every breach of what must always hold. Fakes of
-// workers and executors report to it; it refuses nothing and changes nothing.
+// Package judge checks the system's invariants in simulations: it records what ran where
+// and when, and every violation. Simulated workers and executors report to it; it never
+// refuses or changes what they do.
 package judge
 
 import (
@@ -9,95 +9,97 @@
 	"time"
 )
 
-// Rule names one thing that must always hold.
+// Rule is the name of an invariant.
 type Rule string
 
-// The rules that a Violation can name.
+// The invariants that are checked. Each comment says how the invariant is violated.
 const (
-	// RuleOvercommit: the ordered sizes on a worker exceed its size.
+	// RuleOvercommit: the sizes of the runs on a worker exceed the worker's size.
 	RuleOvercommit Rule = "overcommit"
-	// RuleTwoPlaces: a task ran twice at one time.
-	RuleTwoPlaces Rule = "two-places"
-	// RuleSharedEpoch: two holders claimed a worker with one epoch.
+	// RuleConcurrentRuns: a task had two runs at the same time.
+	RuleConcurrentRuns Rule = "two-places"
+	// RuleSharedEpoch: two holders claimed a worker with the same epoch.
 	RuleSharedEpoch Rule = "shared-epoch"
-	// RuleGangPartly: some tasks of a gang ran without the others.
-	RuleGangPartly Rule = "gang-partly"
-	// RuleRanTwice: a non-idempotent request was executed again.
+	// RulePartialGang: some tasks of a gang ran without the others.
+	RulePartialGang Rule = "gang-partly"
+	// RuleRanTwice: a non-idempotent request was executed more than once.
 	RuleRanTwice Rule = "ran-twice"
-	// RuleSlots: an executor had more requests at once than it has slots.
+	// RuleSlots: an executor had more concurrent requests than slots.
 	RuleSlots Rule = "slots"
-	// RuleConnections: an executor had more connections than it allows.
+	// RuleConnections: an executor had more open connections than it allows.
 	RuleConnections Rule = "connections"
-	// RuleLeaving: an executor that has said that it leaves got a request after
-	// the grace.
+	// RuleLeaving: an executor got a request later than the grace period after it had
+	// announced its departure.
 	RuleLeaving Rule = "leaving"
 )
 
-// Violation is one breach of a rule.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Rule Rule `json:"rule"`
-	// On is the worker, executor, job or key concerned.
+	// On is the affected worker, executor, job or key.
 	On     string    `json:"on"`
 	At     time.Time `json:"at"`
 	Detail string    `json:"detail"`
 }
 
-// Times given to new judges.
+// Defaults and limits.
 const (
-	// DefaultGangGrace is how long the tasks of a gang may take to all start.
+	// DefaultGangGrace is the time after the first start of a gang within which all its tasks
+	// must be running at once.
 	DefaultGangGrace = 2 * time.Second
-	// DefaultLeavingGrace is how long a leaving executor may still get new work.
+	// DefaultLeavingGrace is how long an executor may get requests after announcing its departure.
 	DefaultLeavingGrace = 3 * time.Second
-	// maxViolations bounds the kept details; the count goes on.
+	// maxViolations bounds the violations that are kept; later ones are only counted.
 	maxViolations = 200
 )
 
-// Judge is the record. Its methods are safe for concurrent use and never call
-// back, so that fakes may call it under their own locks.
+// Judge is a checker: it records runs and executions and checks the invariants. Its methods are safe for
+// concurrent use and never call back, so simulations may call them with locks held.
 type Judge struct {
 	// GangGrace and LeavingGrace may be set before use.
 	GangGrace    time.Duration
 	LeavingGrace time.Duration
 
-	mu         sync.Mutex
-	violations []Violation
-	count      int
-	workers    map[string]*workerBook
-	places     map[taskKey][]*Place
-	gangs      map[string]*gangBook
-	starts     int
-	ends       int
-	perSecond  map[int64]int
-	executors  map[string]*executorBook
-	keys       map[string][]*Execution
-	executions int
+	mu              sync.Mutex
+	violations      []Violation
+	violationCount  int
+	workers         map[string]*workerState
+	runs            map[taskKey][]*RunRecord
+	gangs           map[string]*gangState
+	starts          int
+	ends            int
+	startsPerSecond map[int64]int
+	executors       map[string]*executorState
+	keys            map[string][]*Execution
+	executions      int
 }
 
-// New returns an empty judge.
+// New returns a checker with an empty record and the default grace periods.
 func New() *Judge {
 	return &Judge{
-		GangGrace:    DefaultGangGrace,
-		LeavingGrace: DefaultLeavingGrace,
-		workers:      map[string]*workerBook{},
-		places:       map[taskKey][]*Place{},
-		gangs:        map[string]*gangBook{},
-		perSecond:    map[int64]int{},
-		executors:    map[string]*executorBook{},
-		keys:         map[string][]*Execution{},
+		GangGrace:       DefaultGangGrace,
+		LeavingGrace:    DefaultLeavingGrace,
+		workers:         map[string]*workerState{},
+		runs:            map[taskKey][]*RunRecord{},
+		gangs:           map[string]*gangState{},
+		startsPerSecond: map[int64]int{},
+		executors:       map[string]*executorState{},
+		keys:            map[string][]*Execution{},
 	}
 }
 
-// Violations returns the breaches so far, and the ones that only now show, such
-// as gangs that stayed incomplete. An empty result is the verdict "all held".
+// Violations returns the violations recorded so far, and those that depend on the current
+// time, such as gangs that are still incomplete. An empty result means that all
+// invariants hold.
 func (j *Judge) Violations(now time.Time) []Violation {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	out := append([]Violation(nil), j.violations...)
-	return append(out, j.brokenGangs(now)...)
+	return append(out, j.partialGangs(now)...)
 }
 
-func (j *Judge) violate(rule Rule, on string, at time.Time, format string, args ...any) {
-	j.count++
+func (j *Judge) addViolation(rule Rule, on string, at time.Time, format string, args ...any) {
+	j.violationCount++
 	if len(j.violations) < maxViolations {
 		j.violations = append(j.violations, Violation{rule, on, at, fmt.Sprintf(format, args...)})
 	}
--- a/internal/judge/record.go
+++ b/internal/judge/record.go
@@ -6,7 +6,7 @@
 	"pulleyquay/internal/spec"
 )
 
-// Record is the whole record as JSON; it is what a stand-in serves.
+// Record is the whole record in the form that the stand-in serves as JSON.
 type Record struct {
 	At             time.Time   `json:"at"`
 	Violations     []Violation `json:"violations"`
@@ -14,18 +14,18 @@
 	Starts         int         `json:"starts"`
 	Ends           int         `json:"ends"`
 	Running        int         `json:"running"`
-	// PeakStartsPerSecond is the largest number of starts in one clock second.
+	// PeakStartsPerSecond is the largest number of starts within one second of the clock.
 	PeakStartsPerSecond int                       `json:"peak_starts_per_second"`
 	Workers             map[string]WorkerRecord   `json:"workers"`
 	Executors           map[string]ExecutorRecord `json:"executors"`
 	Requests            int                       `json:"requests"`
 	Gangs               map[string]GangRecord     `json:"gangs"`
-	// Tasks and Keys are given only when the details were asked for.
-	Tasks map[string][]Place     `json:"tasks,omitempty"`
+	// Tasks and Keys are present only if details were requested.
+	Tasks map[string][]RunRecord `json:"tasks,omitempty"`
 	Keys  map[string][]Execution `json:"keys,omitempty"`
 }
 
-// WorkerRecord is what one worker carried.
+// WorkerRecord is the record of one worker: its allocations and its last claim.
 type WorkerRecord struct {
 	Size     spec.Resources `json:"size"`
 	Used     spec.Resources `json:"used"`
@@ -35,7 +35,7 @@
 	Overload int            `json:"overload"`
 }
 
-// ExecutorRecord is what one executor did.
+// ExecutorRecord is the record of one executor's requests and connections.
 type ExecutorRecord struct {
 	Executions  int       `json:"executions"`
 	Running     int       `json:"running"`
@@ -45,7 +45,7 @@
 	LastAt      time.Time `json:"last_at"`
 }
 
-// GangRecord is how far a gang came.
+// GangRecord is the record of one gang: its expected tasks and how many ran at once.
 type GangRecord struct {
 	Tasks   int       `json:"tasks"`
 	First   time.Time `json:"first"`
@@ -53,18 +53,18 @@
 	Peak    int       `json:"peak"`
 }
 
-// Record returns the record at the given time, with details per task and key
-// when asked for.
+// Record returns the record at the given time, with the runs per task and the executions
+// per key if details is true.
 func (j *Judge) Record(now time.Time, details bool) Record {
 	violations := j.Violations(now)
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := Record{
-		At: now, Violations: violations, ViolationCount: j.count + len(violations) - len(j.violations),
+		At: now, Violations: violations, ViolationCount: j.violationCount + len(violations) - len(j.violations),
 		Starts: j.starts, Ends: j.ends, Requests: j.executions,
 		Workers: map[string]WorkerRecord{}, Executors: map[string]ExecutorRecord{}, Gangs: map[string]GangRecord{},
 	}
-	for _, n := range j.perSecond {
+	for _, n := range j.startsPerSecond {
 		r.PeakStartsPerSecond = max(r.PeakStartsPerSecond, n)
 	}
 	for name, w := range j.workers {
@@ -82,10 +82,10 @@
 
 func (j *Judge) detail(r *Record, now time.Time, details bool) {
 	if details {
-		r.Tasks, r.Keys = map[string][]Place{}, map[string][]Execution{}
+		r.Tasks, r.Keys = map[string][]RunRecord{}, map[string][]Execution{}
 	}
-	for task, places := range j.places {
-		for _, p := range places {
+	for task, runs := range j.runs {
+		for _, p := range runs {
 			if p.runsAt(now) {
 				r.Running++
 			}
--- a/internal/judge/requests.go
+++ b/internal/judge/requests.go
@@ -11,11 +11,11 @@
 	Method   string    `json:"method"`
 	Path     string    `json:"path"`
 	At       time.Time `json:"at"`
-	// Done is true once the executor has finished its work, answered or not.
+	// Done is true once the executor has finished, whether or not it sent a response.
 	Done bool `json:"done"`
 }
 
-type executorBook struct {
+type executorState struct {
 	slots       int
 	connections int
 	running     int
@@ -24,32 +24,32 @@
 	peakOpen    int
 	executions  int
 	leaving     bool
-	// toldAt is when an answer first said that the executor leaves.
-	toldAt time.Time
-	lastAt time.Time
+	// announcedAt is when a response first announced the executor's departure.
+	announcedAt time.Time
+	lastAt      time.Time
 }
 
-// Executor makes an executor known with what it can carry.
+// Executor registers an executor with its limits.
 func (j *Judge) Executor(name string, slots, connections int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.executors[name] = &executorBook{slots: slots, connections: connections}
+	j.executors[name] = &executorState{slots: slots, connections: connections}
 }
 
-// Leaving notes that an executor's answers say from now on that it leaves, or
-// no longer say so.
+// Leaving records that the executor's responses announce its departure from now on, or
+// no longer announce it.
 func (j *Judge) Leaving(name string, leaving bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	e := j.executors[name]
 	e.leaving = leaving
 	if !leaving {
-		e.toldAt = time.Time{}
+		e.announcedAt = time.Time{}
 	}
 }
 
-// Execute notes the start of an execution; the key may be empty. The returned
-// value goes to Executed at its end.
+// Execute records the start of an execution. The key may be empty. The caller passes the
+// returned value to Executed at the end of the execution.
 func (j *Judge) Execute(name, key, method, path string, at time.Time) *Execution {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -60,22 +60,22 @@
 	e.lastAt = at
 	e.peak = max(e.peak, e.running)
 	if e.running > e.slots {
-		j.violate(RuleSlots, name, at, "%d requests at once, %d slots", e.running, e.slots)
+		j.addViolation(RuleSlots, name, at, "%d requests at once, %d slots", e.running, e.slots)
 	}
-	if !e.toldAt.IsZero() && at.Sub(e.toldAt) > j.LeavingGrace {
-		j.violate(RuleLeaving, name, at, "%s %s came %s after it said that it leaves", method, path, at.Sub(e.toldAt))
+	if !e.announcedAt.IsZero() && at.Sub(e.announcedAt) > j.LeavingGrace {
+		j.addViolation(RuleLeaving, name, at, "%s %s came %s after it said that it leaves", method, path, at.Sub(e.announcedAt))
 	}
 	x := &Execution{Executor: name, Method: method, Path: path, At: at}
-	j.noteKey(key, x)
+	j.recordKey(key, x)
 	return x
 }
 
-func (j *Judge) noteKey(key string, x *Execution) {
+func (j *Judge) recordKey(key string, x *Execution) {
 	if key == "" {
 		return
 	}
 	if before := j.keys[key]; len(before) > 0 && !idempotent(x.Method) {
-		j.violate(RuleRanTwice, key, x.At, "%s on %s after %s", x.Method, x.Executor, before[0].Executor)
+		j.addViolation(RuleRanTwice, key, x.At, "%s on %s after %s", x.Method, x.Executor, before[0].Executor)
 	}
 	j.keys[key] = append(j.keys[key], x)
 }
@@ -84,19 +84,19 @@
 	return method != http.MethodPost && method != http.MethodPatch
 }
 
-// Executed notes the end of an execution.
+// Executed records the end of an execution.
 func (j *Judge) Executed(x *Execution, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	x.Done = true
 	e := j.executors[x.Executor]
 	e.running--
-	if e.leaving && e.toldAt.IsZero() {
-		e.toldAt = at
+	if e.leaving && e.announcedAt.IsZero() {
+		e.announcedAt = at
 	}
 }
 
-// Connected notes an opened connection, or a closed one.
+// Connected records that a connection was opened or closed.
 func (j *Judge) Connected(name string, open bool, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -108,11 +108,11 @@
 	e.open++
 	e.peakOpen = max(e.peakOpen, e.open)
 	if e.open > e.connections {
-		j.violate(RuleConnections, name, at, "%d connections, %d allowed", e.open, e.connections)
+		j.addViolation(RuleConnections, name, at, "%d connections, %d allowed", e.open, e.connections)
 	}
 }
 
-// Executions returns copies of the executions of a key in order.
+// Executions returns copies of the executions of a key, in the order of their starts.
 func (j *Judge) Executions(key string) []Execution {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/judge/tasks.go
+++ b/internal/judge/tasks.go
@@ -9,25 +9,25 @@
 
 type taskKey = spec.TaskID
 
-// Place is one run of a task on a worker, from its start to its end.
-type Place struct {
+// RunRecord is the record of one run of a task on a worker.
+type RunRecord struct {
 	Worker  string         `json:"worker"`
 	Task    spec.TaskID    `json:"task"`
 	Attempt int            `json:"attempt"`
 	Size    spec.Resources `json:"size"`
 	Started time.Time      `json:"started"`
-	// Until is when the run ends unless renewed, or when it ended.
+	// Until is when the run ended, or when it will end unless its lease is renewed.
 	Until    time.Time    `json:"until"`
 	Ended    bool         `json:"ended"`
 	State    worker.State `json:"state,omitempty"`
 	ExitCode int          `json:"exit_code,omitempty"`
 }
 
-func (p *Place) runsAt(t time.Time) bool {
+func (p *RunRecord) runsAt(t time.Time) bool {
 	return !p.Ended && p.Until.After(t)
 }
 
-type workerBook struct {
+type workerState struct {
 	size   spec.Resources
 	used   spec.Resources
 	peak   spec.Resources
@@ -37,78 +37,78 @@
 	overload int
 }
 
-type gangBook struct {
+type gangState struct {
 	tasks   int
 	first   time.Time
 	running map[int]int
 	peak    int
 }
 
-// Worker makes a worker of the given size known.
+// Worker registers a worker of the given size.
 func (j *Judge) Worker(name string, size spec.Resources) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.workers[name] = &workerBook{size: size}
+	j.workers[name] = &workerState{size: size}
 }
 
-// Claimed notes an accepted claim.
-func (j *Judge) Claimed(name string, epoch uint64, holder string, at time.Time) {
+// RecordClaim records a claim that the worker has accepted.
+func (j *Judge) RecordClaim(name string, epoch uint64, holder string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	w := j.workers[name]
 	if w.epoch == epoch && w.holder != holder {
-		j.violate(RuleSharedEpoch, name, at, "epoch %d claimed by %s and %s", epoch, w.holder, holder)
+		j.addViolation(RuleSharedEpoch, name, at, "epoch %d claimed by %s and %s", epoch, w.holder, holder)
 	}
 	w.epoch, w.holder = epoch, holder
 }
 
-// Gang tells how many tasks a gang has, so that a partly started one shows.
+// Gang sets how many tasks a gang has, so that a partially started gang can be detected.
 func (j *Judge) Gang(job string, tasks int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.gang(job).tasks = tasks
 }
 
-func (j *Judge) gang(job string) *gangBook {
+func (j *Judge) gang(job string) *gangState {
 	g := j.gangs[job]
 	if g == nil {
-		g = &gangBook{running: map[int]int{}}
+		g = &gangState{running: map[int]int{}}
 		j.gangs[job] = g
 	}
 	return g
 }
 
-// Start notes that a run started at p.Started and will end at p.Until unless
-// renewed. The caller keeps p for Renew and End and does not change it.
-func (j *Judge) Start(p *Place, kind spec.Kind) {
+// Start records that a run started at p.Started and will end at p.Until unless its
+// lease is renewed. The caller keeps p for Renew and End and must not change it.
+func (j *Judge) Start(p *RunRecord, kind spec.Kind) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.starts++
-	j.perSecond[p.Started.Unix()]++
-	j.checkRoom(p)
-	for _, other := range j.places[p.Task] {
+	j.startsPerSecond[p.Started.Unix()]++
+	j.allocate(p)
+	for _, other := range j.runs[p.Task] {
 		if other.runsAt(p.Started) {
-			j.violate(RuleTwoPlaces, p.Task.String(), p.Started,
+			j.addViolation(RuleConcurrentRuns, p.Task.String(), p.Started,
 				"attempt %d on %s while attempt %d runs on %s until %s",
 				p.Attempt, p.Worker, other.Attempt, other.Worker, other.Until.Format(time.StampMicro))
 		}
 	}
-	j.places[p.Task] = append(j.places[p.Task], p)
+	j.runs[p.Task] = append(j.runs[p.Task], p)
 	if kind == spec.KindGang {
 		j.gang(p.Task.Job).start(p)
 	}
 }
 
-func (j *Judge) checkRoom(p *Place) {
+func (j *Judge) allocate(p *RunRecord) {
 	w := j.workers[p.Worker]
 	w.used = w.used.Add(p.Size)
 	w.peak = w.peak.Max(w.used)
 	if !w.used.Fits(w.size) {
-		j.violate(RuleOvercommit, p.Worker, p.Started, "%+v ordered of %+v, last by %s", w.used, w.size, p.Task)
+		j.addViolation(RuleOvercommit, p.Worker, p.Started, "%+v ordered of %+v, last by %s", w.used, w.size, p.Task)
 	}
 }
 
-func (g *gangBook) start(p *Place) {
+func (g *gangState) start(p *RunRecord) {
 	if g.first.IsZero() {
 		g.first = p.Started
 	}
@@ -116,17 +116,17 @@
 	g.peak = max(g.peak, len(g.running))
 }
 
-// Renew notes that the given runs now last until their new end.
-func (j *Judge) Renew(places []*Place, until []time.Time) {
+// Renew sets the new end times of the given runs.
+func (j *Judge) Renew(runs []*RunRecord, until []time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for i, p := range places {
+	for i, p := range runs {
 		p.Until = until[i]
 	}
 }
 
-// End notes that a run ended at the given time.
-func (j *Judge) End(p *Place, at time.Time, state worker.State, exitCode int) {
+// End records that a run ended at the given time.
+func (j *Judge) End(p *RunRecord, at time.Time, state worker.State, exitCode int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.ends++
@@ -140,9 +140,9 @@
 	}
 }
 
-// Usage notes a worker's real usage; above its size it counts as overload,
-// which lag makes unavoidable for a while and which is therefore no violation.
-func (j *Judge) Usage(name string, usage spec.Resources) {
+// RecordUsage records a worker's real usage. Usage above the worker's size counts as
+// overload. It is no violation, because reporting lag makes it unavoidable for a time.
+func (j *Judge) RecordUsage(name string, usage spec.Resources) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if w := j.workers[name]; !usage.Fits(w.size) {
@@ -150,23 +150,23 @@
 	}
 }
 
-func (j *Judge) brokenGangs(now time.Time) []Violation {
+func (j *Judge) partialGangs(now time.Time) []Violation {
 	var out []Violation
 	for job, g := range j.gangs {
 		if g.tasks == 0 || g.first.IsZero() || g.peak >= g.tasks || now.Sub(g.first) <= j.GangGrace {
 			continue
 		}
-		out = append(out, Violation{RuleGangPartly, job, g.first, "not all tasks ran at once"})
+		out = append(out, Violation{RulePartialGang, job, g.first, "not all tasks ran at once"})
 	}
 	return out
 }
 
-// Places returns copies of all runs of a task, in the order of their starts.
-func (j *Judge) Places(task spec.TaskID) []Place {
+// Runs returns copies of all runs of a task, in the order of their starts.
+func (j *Judge) Runs(task spec.TaskID) []RunRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	var out []Place
-	for _, p := range j.places[task] {
+	var out []RunRecord
+	for _, p := range j.runs[task] {
 		out = append(out, *p)
 	}
 	return out
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,10 +1,10 @@
-// Package worker is the port to the workers: the messages that a worker
-// understands and the client interface for them.
+// Package worker defines the protocol between holders and workers: the messages and
+// the client interface.
 //
-// A worker is the record of what runs on it. It remembers the highest epoch it
-// has been claimed with and refuses orders of any lower one, and it refuses an
-// order whose expiry has passed by its own clock. Tasks run under leases: a
-// task whose lease is not renewed is stopped by the worker itself.
+// A worker is the authoritative record of its runs. It keeps the highest epoch with
+// which it has been claimed and refuses orders of a lower epoch. It also refuses orders
+// that have expired by its own clock. Tasks run under leases: a worker stops a task
+// whose lease is not renewed.
 package worker
 
 import (
@@ -18,7 +18,7 @@
 // Readings of different workers can not be compared.
 type Millis int64
 
-// Info is what a worker says of itself.
+// Info describes a worker, as reported by the worker.
 type Info struct {
 	Name            string            `json:"name"`
 	Rack            string            `json:"rack"`
@@ -29,58 +29,57 @@
 	Labels          map[string]string `json:"labels,omitempty"`
 }
 
-// State is the state of a task on a worker.
+// State is the state of a run.
 type State string
 
-// States of a task on a worker.
+// The states of a run.
 const (
 	StateRunning  State = "running"
-	StateFinished State = "finished" // ended by itself with ExitCode
-	StateStopped  State = "stopped"  // stopped by order or lapsed lease
+	StateFinished State = "finished" // exited with ExitCode
+	StateStopped  State = "stopped"  // stopped by an order or because its lease expired
 )
 
-// Run is one attempt at one task on one worker. It stays at the worker after
-// its end until it is acknowledged.
+// Run is one attempt at one task on one worker. The worker keeps an ended run until the
+// end is acknowledged.
 type Run struct {
 	Task    spec.TaskID `json:"task"`
 	Attempt int         `json:"attempt"`
-	// Home is the job's partition, kept so that an inventory can be routed.
+	// Home is the job's home partition; it tells where to route an inventory.
 	Home  int            `json:"home"`
 	Size  spec.Resources `json:"size,omitzero"`
 	Kind  spec.Kind      `json:"kind,omitempty"`
 	State State          `json:"state"`
-	// Urgent and Priority are kept for choosing what to preempt.
+	// Urgent and Priority are used to select runs for preemption.
 	Urgent   bool   `json:"urgent,omitempty"`
 	Priority int64  `json:"priority,omitempty"`
 	ExitCode int    `json:"exit_code,omitempty"`
 	Started  Millis `json:"started,omitempty"`
-	// LeaseUntil is when the worker will stop the run unless renewed.
+	// LeaseUntil is when the worker stops the run unless its lease is renewed.
 	LeaseUntil Millis `json:"lease_until,omitempty"`
 }
 
-// Ending returns only what names the run and how it ended, as it stands in an
-// OrderReply: whoever gets that has the rest from the start or the inventory.
+// Ending returns the run with only its identity and outcome, the form used in an
+// OrderReply. The receiver has the other fields from the start or the inventory.
 func (r Run) Ending() Run {
 	return Run{Task: r.Task, Attempt: r.Attempt, Home: r.Home, State: r.State, ExitCode: r.ExitCode}
 }
 
-// ClaimRequest takes over a worker for a partition's new holder.
+// ClaimRequest claims a worker for the new holder of a partition.
 type ClaimRequest struct {
 	Partition int    `json:"partition"`
 	Epoch     uint64 `json:"epoch"`
 	Holder    string `json:"holder"`
 }
 
-// Life tells the lives of one worker apart: the runs of its process. Zero is one that is not
-// told.
+// Life identifies an incarnation of a worker: one run of its process. Zero means that the
+// incarnation is not reported.
 type Life int64
 
-// ClaimReply is the inventory: everything that runs or waits for its
-// acknowledgement.
+// ClaimReply is the worker's inventory: all runs that are running or whose end is not yet
+// acknowledged.
 type ClaimReply struct {
 	Info Info `json:"info"`
-	// Life is the life that answers, Up for how long it has been there; zero where that is not
-	// told.
+	// Life is the replying incarnation and Up its uptime; zero if they are not reported.
 	Life  Life           `json:"life,omitempty"`
 	Up    Millis         `json:"up_ms,omitempty"`
 	Now   Millis         `json:"now"`
@@ -101,55 +100,54 @@
 	Command   string         `json:"command,omitempty"`
 }
 
-// StopMode is how a run is to be ended or slowed.
+// StopMode is how a run is to be stopped or throttled.
 type StopMode string
 
-// Modes of a stop, mildest first.
+// The stop modes, in order of increasing severity.
 const (
 	Throttle   StopMode = "throttle"
 	Checkpoint StopMode = "checkpoint"
 	Kill       StopMode = "stop"
 )
 
-// Attempt names one run.
+// Attempt identifies one run.
 type Attempt struct {
 	Task    spec.TaskID `json:"task"`
 	Attempt int         `json:"attempt"`
 }
 
-// Stop orders the end or the throttling of one run.
+// Stop orders that one run be stopped or throttled.
 type Stop struct {
 	Attempt
 	Mode StopMode `json:"mode"`
 }
 
-// Order is everything a holder has to say to a worker in one message.
+// Order contains all the instructions of a holder to a worker in one message.
 type Order struct {
 	Partition int    `json:"partition"`
 	Epoch     uint64 `json:"epoch"`
-	// Life is the one that is meant: another one refuses the order whole, as its clock and its
-	// claims begin anew. Zero is any.
+	// Life is the incarnation that the order is for. Another incarnation refuses the whole
+	// order, because its clock and its claims start afresh. Zero means any incarnation.
 	Life Life `json:"life,omitempty"`
-	// Expires is by the worker's own clock: an order that arrives later is
-	// refused whole. It is worked out from the last reply's Now.
+	// Expires is a time by the worker's own clock, computed from Now of the last reply.
+	// The worker refuses the whole order if it arrives later.
 	Expires Millis `json:"expires"`
-	// RenewMillis renews the lease of every run on the worker by that much;
-	// zero renews nothing.
+	// RenewMillis renews the lease of every run on the worker to that many milliseconds
+	// from now; zero renews no lease.
 	RenewMillis int64     `json:"renew_ms,omitempty"`
 	Stops       []Stop    `json:"stops,omitempty"`
 	Starts      []Start   `json:"starts,omitempty"`
 	Acks        []Attempt `json:"acks,omitempty"`
 }
 
-// StartResult tells what became of one start, in the order of Order.Starts.
+// StartResult is the result of one start. Results are in the order of Order.Starts.
 type StartResult struct {
 	Started bool   `json:"started"`
 	Reason  string `json:"reason,omitempty"`
 }
 
-// OrderReply is the worker's answer. Ended holds the endings of the runs that
-// are not yet acknowledged; running ones are not repeated, only counted, so
-// that the message stays small.
+// OrderReply is the worker's reply to an order. Ended has the end records that are not
+// yet acknowledged. Running runs are only counted, which keeps the message small.
 type OrderReply struct {
 	Now     Millis         `json:"now"`
 	Results []StartResult  `json:"results,omitempty"`
@@ -158,8 +156,8 @@
 	Usage   spec.Resources `json:"usage"`
 }
 
-// Errors of a worker client. Any other error, and ErrLost, leave the outcome of
-// an order unknown: only a new claim tells.
+// Errors of a worker client. After ErrLost or any other error the outcome of an order is
+// unknown until a new claim returns the inventory.
 var (
 	ErrFenced     = errors.New("worker: a higher epoch has claimed it")
 	ErrExpired    = errors.New("worker: order came after its expiry")
@@ -168,7 +166,7 @@
 	ErrLost       = errors.New("worker: sent, no answer")
 )
 
-// Client talks to workers by address. It must not repeat a call by itself.
+// Client calls workers by address. It must not retry a call.
 type Client interface {
 	Claim(ctx context.Context, addr string, req ClaimRequest) (ClaimReply, error)
 	Order(ctx context.Context, addr string, order Order) (OrderReply, error)
--- a/internal/worker/workerhttp/client.go
+++ b/internal/worker/workerhttp/client.go
@@ -1,6 +1,6 @@
-// Package workerhttp carries the messages of package worker as JSON over HTTP:
-// POST /v1/claim and POST /v1/orders. A refusal is answered with an Error in
-// JSON and a status of its own; anything else but 200 leaves the outcome open.
+// Package workerhttp transports the messages of package worker as JSON over HTTP:
+// POST /v1/claim and POST /v1/orders. A refusal has an Error as its body and a status of
+// its own. After any other status than 200 the outcome is unknown.
 package workerhttp
 
 import (
@@ -15,26 +15,26 @@
 	"pulleyquay/internal/worker"
 )
 
-// The paths of the protocol.
+// The HTTP paths of the protocol.
 const (
 	PathClaim  = "/v1/claim"
 	PathOrders = "/v1/orders"
 )
 
 const (
-	// maxAnswerBytes bounds an answer: an inventory of some 50,000 runs.
-	maxAnswerBytes = 16 << 20
-	contentType    = "application/json"
+	// maxReplyBytes bounds a response; an inventory of about 50,000 runs fits.
+	maxReplyBytes = 16 << 20
+	contentType   = "application/json"
 )
 
 // Error is the body of a refusal.
 type Error struct {
-	// Error is one of the names below.
+	// Error is one of the names in refusals, or "bad-input".
 	Error  string `json:"error"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// refusal is how one error of package worker goes over HTTP.
+// refusal maps an error of package worker to its name and status in the protocol.
 type refusal struct {
 	name   string
 	status int
@@ -47,24 +47,24 @@
 	{"not-claimed", http.StatusPreconditionFailed, worker.ErrNotClaimed},
 }
 
-// Client is a worker.Client over HTTP. It sends each call at most once.
+// Client is a worker.Client over HTTP. It sends each request at most once.
 type Client struct {
 	http *httponce.Client
 }
 
-// NewClient returns a client that keeps connections to the workers it talks to.
+// NewClient returns a client that reuses its connections.
 func NewClient(opt httponce.Options) *Client {
 	return &Client{http: httponce.New(opt)}
 }
 
-// Claim sends a claim; its errors are those of package worker.
+// Claim sends a claim. Its errors wrap those of package worker.
 func (c *Client) Claim(ctx context.Context, addr string, req worker.ClaimRequest) (worker.ClaimReply, error) {
 	var reply worker.ClaimReply
 	err := c.post(ctx, addr, PathClaim, req, &reply)
 	return reply, err
 }
 
-// Order sends an order; its errors are those of package worker.
+// Order sends an order. Its errors wrap those of package worker.
 func (c *Client) Order(ctx context.Context, addr string, order worker.Order) (worker.OrderReply, error) {
 	var reply worker.OrderReply
 	err := c.post(ctx, addr, PathOrders, order, &reply)
@@ -84,20 +84,20 @@
 		URL:    &url.URL{Scheme: "http", Host: addr, Path: path},
 		Header: http.Header{"Content-Type": {contentType}},
 	}
-	answer, err := c.http.Do(ctx, addr, req, body, maxAnswerBytes)
+	response, err := c.http.Do(ctx, addr, req, body, maxReplyBytes)
 	if err != nil {
-		return notAnswered(err)
+		return transportError(err)
 	}
-	if answer.Status != http.StatusOK {
-		return refused(answer)
+	if response.Status != http.StatusOK {
+		return decodeRefusal(response)
 	}
-	if err := json.Unmarshal(answer.Body, out); err != nil {
+	if err := json.Unmarshal(response.Body, out); err != nil {
 		return fmt.Errorf("%w: %w", worker.ErrLost, err)
 	}
 	return nil
 }
 
-func notAnswered(err error) error {
+func transportError(err error) error {
 	var f *httponce.Failure
 	if errors.As(err, &f) && !f.Sent {
 		return fmt.Errorf("%w: %w", worker.ErrNotReached, err)
@@ -105,14 +105,14 @@
 	return fmt.Errorf("%w: %w", worker.ErrLost, err)
 }
 
-func refused(answer httponce.Answer) error {
+func decodeRefusal(response httponce.Answer) error {
 	var e Error
-	if json.Unmarshal(answer.Body, &e) == nil {
+	if json.Unmarshal(response.Body, &e) == nil {
 		for _, r := range refusals {
-			if r.name == e.Error && r.status == answer.Status {
+			if r.name == e.Error && r.status == response.Status {
 				return fmt.Errorf("%w: %s", r.err, e.Detail)
 			}
 		}
 	}
-	return fmt.Errorf("%w: status %d", worker.ErrLost, answer.Status)
+	return fmt.Errorf("%w: status %d", worker.ErrLost, response.Status)
 }
--- a/internal/worker/workerhttp/server.go
+++ b/internal/worker/workerhttp/server.go
@@ -9,12 +9,12 @@
 	"pulleyquay/internal/worker"
 )
 
-// maxOrderBytes bounds a claim or an order.
+// maxOrderBytes bounds the body of a claim or an order.
 const maxOrderBytes = 16 << 20
 
-// Handler serves the protocol for the worker that client reaches at addr. Where
-// the client's answer is ErrNotReached or ErrLost the connection is closed
-// without an answer.
+// Handler serves the protocol for the worker that client reaches at addr. If the client
+// returns ErrNotReached, ErrLost or an unknown error, the connection is closed without a
+// response.
 func Handler(client worker.Client, addr string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathClaim, serve(func(ctx context.Context, req worker.ClaimRequest) (worker.ClaimReply, error) {
@@ -32,29 +32,29 @@
 		dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&in); err != nil {
-			answer(w, http.StatusBadRequest, Error{Error: "bad-input", Detail: err.Error()})
+			writeJSON(w, http.StatusBadRequest, Error{Error: "bad-input", Detail: err.Error()})
 			return
 		}
 		out, err := do(r.Context(), in)
 		if err != nil {
-			refuse(w, err)
+			writeRefusal(w, err)
 			return
 		}
-		answer(w, http.StatusOK, out)
+		writeJSON(w, http.StatusOK, out)
 	}
 }
 
-func refuse(w http.ResponseWriter, err error) {
+func writeRefusal(w http.ResponseWriter, err error) {
 	for _, r := range refusals {
 		if errors.Is(err, r.err) {
-			answer(w, r.status, Error{Error: r.name, Detail: err.Error()})
+			writeJSON(w, r.status, Error{Error: r.name, Detail: err.Error()})
 			return
 		}
 	}
 	panic(http.ErrAbortHandler)
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/internal/worker/workerhttp/workerhttp_test.go
+++ b/internal/worker/workerhttp/workerhttp_test.go
@@ -26,8 +26,8 @@
 		t.Cleanup(client.Close)
 		return workertest.Target{
 			Client: client, Addr: strings.TrimPrefix(server.URL, "http://"),
-			NowhereAddr: strings.TrimPrefix(closed.URL, "http://"), Restart: w.Restart,
-			LoseAnswer: func() { w.SetFaults(workersim.Faults{LoseAnswers: 1}) },
+			UnreachableAddr: strings.TrimPrefix(closed.URL, "http://"), Restart: w.Restart,
+			LoseReply: func() { w.SetFaults(workersim.Faults{LoseAnswers: 1}) },
 		}
 	})
 }
--- a/internal/worker/workersim/faults.go
+++ b/internal/worker/workersim/faults.go
@@ -6,30 +6,31 @@
 	"pulleyquay/internal/spec"
 )
 
-// Faults are what is wrong with one worker. The zero value is a sound one.
+// Faults are the injected faults of one worker. The zero value has none.
 type Faults struct {
-	// FailTasks lets every task end with a failure FailAfter its start.
+	// FailTasks has every task fail FailAfter its start.
 	FailTasks bool          `json:"fail_tasks,omitempty"`
 	FailAfter time.Duration `json:"fail_after_ns,omitempty"`
-	// Unreachable refuses connections; what runs goes on.
+	// Unreachable refuses connections. Running tasks continue.
 	Unreachable bool `json:"unreachable,omitempty"`
-	// Slow delays the effect of each call by this much. A caller that gives
-	// up earlier does not undo the effect.
+	// Slow delays the effect of each call by this much. The effect still occurs if the
+	// caller cancels earlier.
 	Slow time.Duration `json:"slow_ns,omitempty"`
-	// LoseAnswers drops that many answers after their calls took effect;
-	// negative drops all.
+	// LoseAnswers is the number of replies to drop after their calls have taken effect; a
+	// negative number drops all.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// Lifeless has the worker tell no life, and take orders whichever one they are meant for.
+	// Lifeless has the worker omit its incarnation from replies and accept orders for any
+	// incarnation.
 	Lifeless bool `json:"lifeless,omitempty"`
-	// UsageLag is the age of reported usage.
+	// UsageLag is the age of the reported usage.
 	UsageLag time.Duration `json:"usage_lag_ns,omitempty"`
-	// RealSizePercent is the real usage of a task in percent of its declared
-	// size, RealTimePercent the same for its run time; zero is 100.
+	// RealSizePercent is the real usage of a task as a percentage of its declared size,
+	// RealTimePercent is the same for its run time. Zero means 100.
 	RealSizePercent int64 `json:"real_size_percent,omitempty"`
 	RealTimePercent int64 `json:"real_time_percent,omitempty"`
 }
 
-const whole = 100 // percent
+const percentBase = 100
 
 func (f Faults) realSize(declared spec.Resources) spec.Resources {
 	if f.RealSizePercent == 0 {
@@ -37,7 +38,7 @@
 	}
 	r := declared.Times(f.RealSizePercent)
 	return spec.Resources{
-		MilliCPU: r.MilliCPU / whole, MemoryMiB: r.MemoryMiB / whole, Accelerators: declared.Accelerators,
+		MilliCPU: r.MilliCPU / percentBase, MemoryMiB: r.MemoryMiB / percentBase, Accelerators: declared.Accelerators,
 	}
 }
 
@@ -46,26 +47,26 @@
 	if f.RealTimePercent == 0 {
 		return d
 	}
-	return d * time.Duration(f.RealTimePercent) / whole
+	return d * time.Duration(f.RealTimePercent) / percentBase
 }
 
 // SetFaults replaces the worker's faults.
 func (w *Worker) SetFaults(f Faults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle(time.Now())
+	w.advance(time.Now())
 	w.faults = f
 }
 
-// Faults returns the worker's present faults.
+// Faults returns the worker's current faults.
 func (w *Worker) Faults() Faults {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults
 }
 
-// loseAnswer reports whether the answer just made is to be lost.
-func (w *Worker) loseAnswer() bool {
+// dropReply reports whether the next reply is to be dropped, and counts it if it is.
+func (w *Worker) dropReply() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.faults.LoseAnswers > 0 {
--- a/internal/worker/workersim/fleet.go
+++ b/internal/worker/workersim/fleet.go
@@ -9,37 +9,37 @@
 	"pulleyquay/internal/worker"
 )
 
-// Fleet is a set of workers reached by address. It is itself a worker.Client,
-// that of the caller named "".
+// Fleet is a set of simulated workers by address. It implements worker.Client for the
+// caller named "".
 type Fleet struct {
 	Judge *judge.Judge
 
-	mu      sync.Mutex
-	workers map[string]*Worker
-	cuts    map[cutKey]Cut
+	mu            sync.Mutex
+	workers       map[string]*Worker
+	networkFaults map[route]Cut
 }
 
-type cutKey struct{ caller, addr string }
+type route struct{ caller, addr string }
 
-// Cut is how the network between one caller and one worker is broken.
+// Cut is a fault of the network between one caller and one worker.
 type Cut int
 
-// The ways of a cut.
+// The network faults.
 const (
 	CutNone   Cut = 0
-	CutBefore Cut = 1 // nothing reaches the worker: ErrNotReached
-	CutAnswer Cut = 2 // the call takes effect, the answer is lost: ErrLost
+	CutBefore Cut = 1 // requests do not reach the worker: ErrNotReached
+	CutAnswer Cut = 2 // the call takes effect but its reply is lost: ErrLost
 )
 
-// AnyAddr in Fleet.Cut stands for all workers.
+// AnyAddr in Fleet.Cut means all workers.
 const AnyAddr = "*"
 
-// NewFleet returns a fleet without workers.
+// NewFleet returns a fleet without workers that reports to j.
 func NewFleet(j *judge.Judge) *Fleet {
-	return &Fleet{Judge: j, workers: map[string]*Worker{}, cuts: map[cutKey]Cut{}}
+	return &Fleet{Judge: j, workers: map[string]*Worker{}, networkFaults: map[route]Cut{}}
 }
 
-// Add makes a worker at the address.
+// Add creates a worker at the address.
 func (f *Fleet) Add(addr string, info worker.Info) *Worker {
 	w := New(info, f.Judge)
 	f.mu.Lock()
@@ -55,7 +55,7 @@
 	return f.workers[addr]
 }
 
-// Settle brings all workers up to date, so that the judge's record is.
+// Settle applies all due events of all workers, so that the checker's record is current.
 func (f *Fleet) Settle() {
 	f.mu.Lock()
 	workers := make([]*Worker, 0, len(f.workers))
@@ -68,29 +68,29 @@
 	}
 }
 
-// Cut breaks the network between a caller and a worker (or AnyAddr); CutNone
-// mends it.
+// Cut sets the fault of the network between a caller and a worker (or AnyAddr); CutNone
+// removes it.
 func (f *Fleet) Cut(caller, addr string, how Cut) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cuts[cutKey{caller, addr}] = how
+	f.networkFaults[route{caller, addr}] = how
 }
 
-func (f *Fleet) reach(caller, addr string) (*Worker, Cut) {
+func (f *Fleet) lookup(caller, addr string) (*Worker, Cut) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.workers[addr], max(f.cuts[cutKey{caller, addr}], f.cuts[cutKey{caller, AnyAddr}])
+	return f.workers[addr], max(f.networkFaults[route{caller, addr}], f.networkFaults[route{caller, AnyAddr}])
 }
 
-// Caller returns the fleet as one caller reaches it.
+// Caller returns a client whose calls are subject to the network faults of the named caller.
 func (f *Fleet) Caller(name string) worker.Client { return caller{f, name} }
 
-// Claim is worker.Client's, for the caller named "".
+// Claim implements worker.Client for the caller named "".
 func (f *Fleet) Claim(ctx context.Context, addr string, req worker.ClaimRequest) (worker.ClaimReply, error) {
 	return caller{f, ""}.Claim(ctx, addr, req)
 }
 
-// Order is worker.Client's, for the caller named "".
+// Order implements worker.Client for the caller named "".
 func (f *Fleet) Order(ctx context.Context, addr string, o worker.Order) (worker.OrderReply, error) {
 	return caller{f, ""}.Order(ctx, addr, o)
 }
@@ -100,36 +100,36 @@
 	name  string
 }
 
-// Claim carries a claim to the worker through the caller's network.
+// Claim passes a claim to the worker, subject to the caller's network faults.
 func (c caller) Claim(ctx context.Context, addr string, req worker.ClaimRequest) (worker.ClaimReply, error) {
 	return call(ctx, c, addr, func(w *Worker) (worker.ClaimReply, error) { return w.Claim(req) })
 }
 
-// Order carries an order to the worker through the caller's network.
+// Order passes an order to the worker, subject to the caller's network faults.
 func (c caller) Order(ctx context.Context, addr string, o worker.Order) (worker.OrderReply, error) {
 	return call(ctx, c, addr, func(w *Worker) (worker.OrderReply, error) { return w.Order(o) })
 }
 
-// call applies the faults around one call. A call that its caller gives up
-// while it is slow takes effect all the same, later.
+// call makes one call with the faults of the worker and the network applied. A call that
+// is cancelled during its delay still takes effect later.
 func call[T any](ctx context.Context, c caller, addr string, do func(*Worker) (T, error)) (T, error) {
 	var none T
-	w, cut := c.fleet.reach(c.name, addr)
-	if w == nil || cut == CutBefore || w.Faults().Unreachable || ctx.Err() != nil {
+	w, fault := c.fleet.lookup(c.name, addr)
+	if w == nil || fault == CutBefore || w.Faults().Unreachable || ctx.Err() != nil {
 		return none, worker.ErrNotReached
 	}
-	if slow := w.Faults().Slow; slow > 0 {
-		timer := time.NewTimer(slow)
+	if delay := w.Faults().Slow; delay > 0 {
+		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
-			time.AfterFunc(slow, func() { _, _ = do(w) })
+			time.AfterFunc(delay, func() { _, _ = do(w) })
 			return none, worker.ErrLost
 		}
 	}
 	reply, err := do(w)
-	if w.loseAnswer() || cut == CutAnswer {
+	if w.dropReply() || fault == CutAnswer {
 		return none, worker.ErrLost
 	}
 	return reply, err
--- a/internal/worker/workersim/usage.go
+++ b/internal/worker/workersim/usage.go
@@ -8,36 +8,37 @@
 	"pulleyquay/internal/worker"
 )
 
-// usageSample is the real usage from a moment on.
+// usageSample is the real usage from the given time on.
 type usageSample struct {
 	at    time.Time
 	usage spec.Resources
 }
 
-// settle ends, in the order of their ends, the runs that are over by now.
-func (w *Worker) settle(now time.Time) {
-	var over []*run
-	for _, id := range w.order {
+// advance ends all runs that are due, in the order of their end times.
+func (w *Worker) advance(now time.Time) {
+	var due []*run
+	for _, id := range w.startOrder {
 		if r := w.runs[id]; r.State == worker.StateRunning && !r.end().After(now) {
-			over = append(over, r)
+			due = append(due, r)
 		}
 	}
-	sort.SliceStable(over, func(a, b int) bool { return over[a].end().Before(over[b].end()) })
-	for _, r := range over {
+	sort.SliceStable(due, func(a, b int) bool { return due[a].end().Before(due[b].end()) })
+	for _, r := range due {
 		at := r.end()
-		if at.Equal(r.ends) {
+		if at.Equal(r.completesAt) {
 			w.end(r, at, worker.StateFinished, r.exitCode)
 		} else {
 			w.end(r, at, worker.StateStopped, 0)
 		}
-		w.sample(at)
+		w.recordUsage(at)
 	}
 }
 
-// sample notes the real usage at a moment, and forgets what no lag can ask for.
-func (w *Worker) sample(at time.Time) {
+// recordUsage records the real usage at the given time and discards samples older than
+// UsageLag needs.
+func (w *Worker) recordUsage(at time.Time) {
 	usage := w.realUsage()
-	w.judge.Usage(w.info.Name, usage)
+	w.judge.RecordUsage(w.info.Name, usage)
 	w.usage = append(w.usage, usageSample{at, usage})
 	keep := 0
 	for keep+1 < len(w.usage) && !w.usage[keep+1].at.After(at.Add(-w.faults.UsageLag)) {
@@ -48,7 +49,7 @@
 
 func (w *Worker) realUsage() spec.Resources {
 	var sum spec.Resources
-	for _, id := range w.order {
+	for _, id := range w.startOrder {
 		r := w.runs[id]
 		if r.State != worker.StateRunning {
 			continue
@@ -62,8 +63,8 @@
 	return sum
 }
 
-// reported is the usage as the worker reports it: UsageLag old.
-func (w *Worker) reported(now time.Time) spec.Resources {
+// reportedUsage returns the usage as the worker reports it, which is UsageLag old.
+func (w *Worker) reportedUsage(now time.Time) spec.Resources {
 	var usage spec.Resources
 	for _, s := range w.usage {
 		if s.at.After(now.Add(-w.faults.UsageLag)) {
--- a/internal/worker/workersim/worker.go
+++ b/internal/worker/workersim/worker.go
@@ -1,9 +1,9 @@
-// Package workersim is an in-memory model of workers for tests and the
-// stand-in. It obeys the rules of package worker: epochs fence, expired orders
-// are refused, runs live under leases, and ended runs stay until acknowledged.
+// Package workersim simulates workers in memory for tests and the stand-in. It
+// implements the rules of package worker: lower epochs are fenced, expired orders are
+// refused, runs have leases, and ended runs are kept until acknowledged.
 //
-// It does not refuse more work than it can carry, as a real worker may not: it
-// reports every start and end to a judge.Judge, which records the breach.
+// A simulated worker accepts more work than its size, as a real worker may. It reports
+// every start and end to the checker of package judge, which records the violation.
 package workersim
 
 import (
@@ -16,90 +16,90 @@
 )
 
 const (
-	// DefaultLease is the lease of a run started by an order that renews nothing.
+	// DefaultLease is the lease of a run that is started by an order without a renewal.
 	DefaultLease = 15 * time.Second
-	// clockStart keeps the workers' clocks apart from each other and from zero.
-	clockStart = 1_000_000
-	// throttleDivisor is what a throttled run's processor usage is divided by.
+	// clockOffset is the reading of a worker's clock at its start, so that no valid reading is zero.
+	clockOffset = 1_000_000
+	// throttleDivisor divides the processor usage of a throttled run.
 	throttleDivisor = 2
-	// failExitCode is the exit code of every task while FailTasks is on.
+	// failExitCode is the exit code of tasks that fail because of FailTasks.
 	failExitCode = 1
 )
 
-// run is one run with what the model knows beyond the protocol.
+// run is one run with the state of the simulation that is not part of the protocol.
 type run struct {
 	worker.Run
-	place     *judge.Place
-	ends      time.Time // by itself; zero for never
-	until     time.Time // its lease
-	exitCode  int
-	throttled bool
+	record      *judge.RunRecord
+	completesAt time.Time // when it exits by itself; zero for never
+	leaseExpiry time.Time
+	exitCode    int
+	throttled   bool
 }
 
-// Worker is one worker. All its methods are safe for concurrent use. It needs
-// no goroutine and no timer: runs end by the clock, and the state is brought up
-// to date at each access.
+// Worker is one simulated worker. All its methods are safe for concurrent use. It needs
+// no goroutine and no timer: each access first applies the ends of runs that are due by
+// the clock.
 type Worker struct {
 	info  worker.Info
 	judge *judge.Judge
 
-	mu      sync.Mutex
-	boot    time.Time
-	life    worker.Life
-	faults  Faults
-	claimed bool
-	epoch   uint64
-	holder  string
-	runs    map[worker.Attempt]*run
-	order   []worker.Attempt // of starts, for answers in a stable order
-	usage   []usageSample
+	mu          sync.Mutex
+	boot        time.Time
+	incarnation worker.Life
+	faults      Faults
+	claimed     bool
+	epoch       uint64
+	holder      string
+	runs        map[worker.Attempt]*run
+	startOrder  []worker.Attempt // gives replies a stable order
+	usage       []usageSample
 }
 
-// counter numbers the lives of all workers.
-type counter struct{ last atomic.Int64 }
+// incarnationCounter numbers the incarnations of all workers.
+type incarnationCounter struct{ last atomic.Int64 }
 
-var lives counter
+var incarnations incarnationCounter
 
-func (c *counter) next() worker.Life { return worker.Life(c.last.Add(1)) }
+func (c *incarnationCounter) next() worker.Life { return worker.Life(c.last.Add(1)) }
 
-// New returns a worker that starts now, empty and unclaimed.
+// New returns a worker that starts now, without runs and unclaimed.
 func New(info worker.Info, j *judge.Judge) *Worker {
 	j.Worker(info.Name, info.Size)
-	return &Worker{info: info, judge: j, boot: time.Now(), life: lives.next(), runs: map[worker.Attempt]*run{}}
+	return &Worker{info: info, judge: j, boot: time.Now(), incarnation: incarnations.next(), runs: map[worker.Attempt]*run{}}
 }
 
-// Info returns what the worker says of itself.
+// Info returns the worker's description of itself.
 func (w *Worker) Info() worker.Info { return w.info }
 
-// Claim takes the worker over for a new holder and returns its inventory.
+// Claim records the claim of a new holder and returns the inventory.
 func (w *Worker) Claim(req worker.ClaimRequest) (worker.ClaimReply, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.settle(now)
+	w.advance(now)
 	if req.Epoch < w.epoch {
 		return worker.ClaimReply{}, worker.ErrFenced
 	}
-	w.judge.Claimed(w.info.Name, req.Epoch, req.Holder, now)
+	w.judge.RecordClaim(w.info.Name, req.Epoch, req.Holder, now)
 	w.claimed, w.epoch, w.holder = true, req.Epoch, req.Holder
-	reply := worker.ClaimReply{Info: w.info, Now: w.clock(now), Usage: w.reported(now)}
+	reply := worker.ClaimReply{Info: w.info, Now: w.clock(now), Usage: w.reportedUsage(now)}
 	if !w.faults.Lifeless {
-		reply.Life, reply.Up = w.life, max(1, worker.Millis(now.Sub(w.boot).Milliseconds()))
+		reply.Life, reply.Up = w.incarnation, max(1, worker.Millis(now.Sub(w.boot).Milliseconds()))
 	}
-	for _, id := range w.order {
+	for _, id := range w.startOrder {
 		reply.Runs = append(reply.Runs, w.runs[id].Run)
 	}
 	return reply, nil
 }
 
-// Order carries out one order: acknowledgements, stops, renewal, and
-// starts with a lease as long as the renewal's.
+// Order carries out one order: acknowledgements, stops, the renewal, and starts. A
+// started run gets a lease of the same length as the renewal.
 func (w *Worker) Order(o worker.Order) (worker.OrderReply, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.settle(now)
-	if err := w.admit(o, now); err != nil {
+	w.advance(now)
+	if err := w.checkOrder(o, now); err != nil {
 		return worker.OrderReply{}, err
 	}
 	for _, id := range o.Acks {
@@ -117,18 +117,18 @@
 	for _, s := range o.Starts {
 		reply.Results = append(reply.Results, w.start(s, now, lease))
 	}
-	w.sample(now)
-	w.fill(&reply, now)
+	w.recordUsage(now)
+	w.fillReply(&reply, now)
 	return reply, nil
 }
 
-// admit refuses orders of lower epochs, then those that are meant for another life, then late
-// ones, then ones without a claim of the very epoch.
-func (w *Worker) admit(o worker.Order, now time.Time) error {
+// checkOrder refuses, in this order: lower epochs, other incarnations, expired orders,
+// and orders of an epoch that has not claimed the worker.
+func (w *Worker) checkOrder(o worker.Order, now time.Time) error {
 	switch {
 	case o.Epoch < w.epoch:
 		return worker.ErrFenced
-	case o.Life != 0 && o.Life != w.life && !w.faults.Lifeless:
+	case o.Life != 0 && o.Life != w.incarnation && !w.faults.Lifeless:
 		return worker.ErrNotClaimed
 	case w.clock(now) > o.Expires:
 		return worker.ErrExpired
@@ -138,9 +138,9 @@
 	return nil
 }
 
-func (w *Worker) fill(reply *worker.OrderReply, now time.Time) {
-	reply.Now, reply.Usage = w.clock(now), w.reported(now)
-	for _, id := range w.order {
+func (w *Worker) fillReply(reply *worker.OrderReply, now time.Time) {
+	reply.Now, reply.Usage = w.clock(now), w.reportedUsage(now)
+	for _, id := range w.startOrder {
 		if r := w.runs[id]; r.State == worker.StateRunning {
 			reply.Running++
 		} else {
@@ -149,8 +149,8 @@
 	}
 }
 
-// start begins a run. A second start of an attempt that the worker still knows
-// is answered as started without any effect.
+// start starts a run. A repeated start of an attempt that the worker still has is
+// reported as started and has no effect.
 func (w *Worker) start(s worker.Start, now time.Time, lease time.Duration) worker.StartResult {
 	id := worker.Attempt{Task: s.Task, Attempt: s.Attempt}
 	if w.runs[id] != nil {
@@ -161,21 +161,21 @@
 			Task: s.Task, Attempt: s.Attempt, Home: s.Home, Size: s.Size, Kind: s.Kind, Urgent: s.Urgent, Priority: s.Priority,
 			State: worker.StateRunning, Started: w.clock(now),
 		},
-		until: now.Add(lease),
+		leaseExpiry: now.Add(lease),
 	}
 	if s.RunMillis > 0 {
-		r.ends = now.Add(w.faults.runTime(s.RunMillis))
+		r.completesAt = now.Add(w.faults.runTime(s.RunMillis))
 	}
 	if w.faults.FailTasks {
-		r.ends, r.exitCode = now.Add(w.faults.FailAfter), failExitCode
+		r.completesAt, r.exitCode = now.Add(w.faults.FailAfter), failExitCode
 	}
-	r.LeaseUntil = w.clock(r.until)
-	r.place = &judge.Place{
+	r.LeaseUntil = w.clock(r.leaseExpiry)
+	r.record = &judge.RunRecord{
 		Worker: w.info.Name, Task: s.Task, Attempt: s.Attempt, Size: s.Size, Started: now, Until: r.end(),
 	}
 	w.runs[id] = r
-	w.order = append(w.order, id)
-	w.judge.Start(r.place, s.Kind)
+	w.startOrder = append(w.startOrder, id)
+	w.judge.Start(r.record, s.Kind)
 	return worker.StartResult{Started: true}
 }
 
@@ -197,78 +197,78 @@
 		return
 	}
 	delete(w.runs, id)
-	for i, other := range w.order {
+	for i, other := range w.startOrder {
 		if other == id {
-			w.order = append(w.order[:i], w.order[i+1:]...)
+			w.startOrder = append(w.startOrder[:i], w.startOrder[i+1:]...)
 			return
 		}
 	}
 }
 
-func (w *Worker) renew(until time.Time) {
-	var places []*judge.Place
+func (w *Worker) renew(leaseExpiry time.Time) {
+	var records []*judge.RunRecord
 	var ends []time.Time
-	for _, id := range w.order {
+	for _, id := range w.startOrder {
 		r := w.runs[id]
 		if r.State != worker.StateRunning {
 			continue
 		}
-		if until.After(r.until) {
-			r.until, r.LeaseUntil = until, w.clock(until)
+		if leaseExpiry.After(r.leaseExpiry) {
+			r.leaseExpiry, r.LeaseUntil = leaseExpiry, w.clock(leaseExpiry)
 		}
-		places, ends = append(places, r.place), append(ends, r.end())
+		records, ends = append(records, r.record), append(ends, r.end())
 	}
-	w.judge.Renew(places, ends)
+	w.judge.Renew(records, ends)
 }
 
 func (w *Worker) end(r *run, at time.Time, state worker.State, exitCode int) {
 	r.State, r.ExitCode = state, exitCode
-	w.judge.End(r.place, at, state, exitCode)
+	w.judge.End(r.record, at, state, exitCode)
 }
 
-// end is when the run ends unless its lease is renewed.
+// end returns when the run ends unless its lease is renewed.
 func (r *run) end() time.Time {
-	if !r.ends.IsZero() && r.ends.Before(r.until) {
-		return r.ends
+	if !r.completesAt.IsZero() && r.completesAt.Before(r.leaseExpiry) {
+		return r.completesAt
 	}
-	return r.until
+	return r.leaseExpiry
 }
 
-// clock reads the worker's own clock at t.
+// clock returns the reading of the worker's own clock at t.
 func (w *Worker) clock(t time.Time) worker.Millis {
-	return worker.Millis(clockStart + t.Sub(w.boot).Milliseconds())
+	return worker.Millis(clockOffset + t.Sub(w.boot).Milliseconds())
 }
 
-// Settle brings the worker up to date, so that the judge's record is.
+// Settle applies all due events, so that the checker's record is current.
 func (w *Worker) Settle() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle(time.Now())
+	w.advance(time.Now())
 }
 
-// Restart loses everything the worker knew; what ran on it has ended.
+// Restart ends all runs, discards the worker's state and begins a new incarnation.
 func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.settle(now)
+	w.advance(now)
 	for _, r := range w.runs {
 		if r.State == worker.StateRunning {
 			w.end(r, now, worker.StateStopped, 0)
 		}
 	}
-	w.life = lives.next()
+	w.incarnation = incarnations.next()
 	w.boot, w.claimed, w.epoch, w.holder = now, false, 0, ""
-	w.runs, w.order, w.usage = map[worker.Attempt]*run{}, nil, nil
+	w.runs, w.startOrder, w.usage = map[worker.Attempt]*run{}, nil, nil
 }
 
-// Runs returns every run that the worker knows, in the order of their starts.
+// Runs returns all runs that the worker has, in the order of their starts.
 func (w *Worker) Runs() []worker.Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle(time.Now())
+	w.advance(time.Now())
 	var out []worker.Run
-	for _, id := range w.order {
+	for _, id := range w.startOrder {
 		out = append(out, w.runs[id].Run)
 	}
 	return out
--- a/internal/worker/workersim/workersim_test.go
+++ b/internal/worker/workersim/workersim_test.go
@@ -23,14 +23,14 @@
 		f := workersim.NewFleet(judge.New())
 		w := f.Add("a", worker.Info{Name: "w", Size: size})
 		return workertest.Target{
-			Client: f, Addr: "a", NowhereAddr: "nowhere", Restart: w.Restart,
-			LoseAnswer: func() { w.SetFaults(workersim.Faults{LoseAnswers: 1}) },
+			Client: f, Addr: "a", UnreachableAddr: "nowhere", Restart: w.Restart,
+			LoseReply: func() { w.SetFaults(workersim.Faults{LoseAnswers: 1}) },
 		}
 	})
 }
 
-// fleet returns two claimed workers "a" and "b", and a function to start a task
-// of the given size with a lease of one second.
+// fleet returns two claimed workers "a" and "b", and a function that starts a task of the
+// given size with a lease of one second.
 func fleet(is *is.I) (*workersim.Fleet, func(addr string, index, attempt int, size spec.Resources)) {
 	f := workersim.NewFleet(judge.New())
 	for _, addr := range []string{"a", "b"} {
@@ -45,14 +45,14 @@
 	}
 }
 
-func TestJudgeSeesBreaches(t *testing.T) {
+func TestViolationsAreRecorded(t *testing.T) {
 	small := spec.Resources{MilliCPU: 1000}
 	cases := []struct {
 		name string
 		run  func(f *workersim.Fleet, start func(string, int, int, spec.Resources))
 		want judge.Rule // empty for none
 	}{
-		{"full is no breach", func(_ *workersim.Fleet, start func(string, int, int, spec.Resources)) {
+		{"full is no violation", func(_ *workersim.Fleet, start func(string, int, int, spec.Resources)) {
 			start("a", 0, 1, size)
 		}, ""},
 		{"memory over size", func(_ *workersim.Fleet, start func(string, int, int, spec.Resources)) {
@@ -62,27 +62,27 @@
 			start("a", 0, 1, size)
 			start("a", 1, 1, small)
 		}, judge.RuleOvercommit},
-		{"room after a lapsed lease", func(_ *workersim.Fleet, start func(string, int, int, spec.Resources)) {
+		{"free capacity after an expired lease", func(_ *workersim.Fleet, start func(string, int, int, spec.Resources)) {
 			start("a", 0, 1, size)
 			time.Sleep(time.Second)
 			start("a", 1, 1, size)
 		}, ""},
-		{"two places", func(_ *workersim.Fleet, start func(string, int, int, spec.Resources)) {
+		{"two runs at once", func(_ *workersim.Fleet, start func(string, int, int, spec.Resources)) {
 			start("a", 0, 1, small)
 			time.Sleep(999 * time.Millisecond)
 			start("b", 0, 2, small)
-		}, judge.RuleTwoPlaces},
-		{"one place after the lease", func(_ *workersim.Fleet, start func(string, int, int, spec.Resources)) {
+		}, judge.RuleConcurrentRuns},
+		{"second run after the lease expired", func(_ *workersim.Fleet, start func(string, int, int, spec.Resources)) {
 			start("a", 0, 1, small)
 			time.Sleep(time.Second)
 			start("b", 0, 2, small)
 		}, ""},
-		{"gang started partly", func(f *workersim.Fleet, start func(string, int, int, spec.Resources)) {
+		{"gang started partially", func(f *workersim.Fleet, start func(string, int, int, spec.Resources)) {
 			f.Judge.Gang("j", 2)
 			start("a", 0, 1, small)
 			time.Sleep(3 * time.Second)
-		}, judge.RuleGangPartly},
-		{"gang started whole", func(f *workersim.Fleet, start func(string, int, int, spec.Resources)) {
+		}, judge.RulePartialGang},
+		{"gang started completely", func(f *workersim.Fleet, start func(string, int, int, spec.Resources)) {
 			f.Judge.Gang("j", 2)
 			start("a", 0, 1, small)
 			start("b", 1, 1, small)
@@ -115,7 +115,7 @@
 	cases := []struct {
 		name   string
 		faults workersim.Faults
-		cut    workersim.Cut
+		fault  workersim.Cut
 		check  func(is *is.I, f *workersim.Fleet, reply worker.OrderReply, err error)
 	}{
 		{"every task fails", workersim.Faults{FailTasks: true}, 0, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
@@ -127,20 +127,20 @@
 			is.True(errors.Is(err, worker.ErrNotReached))
 			is.Equal(len(f.Worker("a").Runs()), 0)
 		}},
-		{"cut for one caller", workersim.Faults{}, workersim.CutBefore, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
+		{"one caller disconnected", workersim.Faults{}, workersim.CutBefore, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
 			is.True(errors.Is(err, worker.ErrNotReached))
 			_, err = f.Caller("q").Order(ctx, "a", o)
 			is.NoErr(err)
 		}},
-		{"cut of the answers", workersim.Faults{}, workersim.CutAnswer, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
+		{"replies dropped", workersim.Faults{}, workersim.CutAnswer, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
 			is.True(errors.Is(err, worker.ErrLost))
 			is.Equal(len(f.Worker("a").Runs()), 1)
 		}},
-		{"slow beyond the caller's patience", workersim.Faults{Slow: 5 * time.Second}, 0, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
+		{"slower than the caller's timeout", workersim.Faults{Slow: 5 * time.Second}, 0, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
 			is.True(errors.Is(err, worker.ErrLost))
 			is.Equal(len(f.Worker("a").Runs()), 0)
 			time.Sleep(6 * time.Second)
-			is.Equal(len(f.Worker("a").Runs()), 1) // the effect came late
+			is.Equal(len(f.Worker("a").Runs()), 1) // the call took effect later
 		}},
 		{"lagging usage above the declared", workersim.Faults{UsageLag: 2 * time.Second, RealSizePercent: 300}, 0, func(is *is.I, f *workersim.Fleet, reply worker.OrderReply, err error) {
 			is.NoErr(err)
@@ -163,7 +163,7 @@
 				is := is.New(t)
 				f, _ := fleet(is)
 				f.Worker("a").SetFaults(c.faults)
-				f.Cut("p", "a", c.cut)
+				f.Cut("p", "a", c.fault)
 				ctx, cancel := context.WithTimeout(ctx, time.Second)
 				defer cancel()
 				reply, err := f.Caller("p").Order(ctx, "a", o)
--- a/internal/worker/workertest/workertest.go
+++ b/internal/worker/workertest/workertest.go
@@ -1,5 +1,5 @@
-// Package workertest is the contract test of worker.Client and of the worker
-// behind it.
+// Package workertest has the contract tests of worker.Client and of the worker that it
+// calls.
 package workertest
 
 import (
@@ -14,17 +14,17 @@
 	"pulleyquay/internal/worker"
 )
 
-// Target is one worker, just started, of at least 4000 milli-CPUs, and the
+// Target is a worker that has just started and has at least 4000 milli-CPUs, and the
 // client under test.
 type Target struct {
 	Client worker.Client
 	Addr   string
 	// Restart restarts the worker.
 	Restart func()
-	// LoseAnswer lets the next answer be lost after its call took effect.
-	LoseAnswer func()
-	// NowhereAddr is an address at which nobody listens.
-	NowhereAddr string
+	// LoseReply drops the next reply after its call has taken effect.
+	LoseReply func()
+	// UnreachableAddr is an address without a listener.
+	UnreachableAddr string
 }
 
 const (
@@ -34,25 +34,25 @@
 	pollEvery  = 5 * time.Millisecond
 )
 
-// Run checks the contract; make returns a new target for each case.
-func Run(t *testing.T, make func(t *testing.T) Target) {
+// Run checks the contract. newTarget is called once for each case.
+func Run(t *testing.T, newTarget func(t *testing.T) Target) {
 	cases := []struct {
 		name string
 		run  func(*is.I, Target)
 	}{
-		{"a claim gives the inventory", claimGivesInventory},
+		{"a claim returns the inventory", claimGivesInventory},
 		{"lower epochs are fenced", lowerEpochsAreFenced},
-		{"a late order is refused whole", lateOrderIsRefused},
-		{"nothing without a claim", nothingWithoutClaim},
-		{"an order for another life is refused whole", orderForAnotherLife},
-		{"a run ends by itself and stays until acknowledged", runEndsAndStays},
-		{"a lapsed lease stops the run", lapsedLeaseStops},
+		{"an expired order is refused whole", expiredOrderIsRefused},
+		{"an order needs a claim", orderNeedsClaim},
+		{"an order for another incarnation is refused whole", orderForOtherIncarnation},
+		{"an ended run is kept until acknowledged", endedRunIsKept},
+		{"an expired lease stops the run", expiredLeaseStops},
 		{"stops by mode", stopsByMode},
-		{"a lost answer leaves the effect", lostAnswerLeavesEffect},
-		{"nobody there", nobodyThere},
+		{"a call with a lost reply keeps its effect", lostReplyKeepsEffect},
+		{"unreachable address", unreachableAddress},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { c.run(is.New(t), make(t)) })
+		t.Run(c.name, func(t *testing.T) { c.run(is.New(t), newTarget(t)) })
 	}
 }
 
@@ -129,7 +129,7 @@
 	is.Equal(len(c.Runs), 0)
 }
 
-func lateOrderIsRefused(is *is.I, x Target) {
+func expiredOrderIsRefused(is *is.I, x Target) {
 	c, err := x.claim(1)
 	is.NoErr(err)
 	_, err = x.order(worker.Order{Epoch: 1, Expires: c.Now - 1, Starts: []worker.Start{start(0, 0)}})
@@ -139,7 +139,7 @@
 	is.Equal(len(c.Runs), 0)
 }
 
-func nothingWithoutClaim(is *is.I, x Target) {
+func orderNeedsClaim(is *is.I, x Target) {
 	o := worker.Order{Epoch: 1, Expires: 1 << 50, Starts: []worker.Start{start(0, 0)}}
 	_, err := x.order(o)
 	is.True(errors.Is(err, worker.ErrNotClaimed))
@@ -149,13 +149,13 @@
 	is.NoErr(err)
 	x.Restart()
 	_, err = x.order(o)
-	is.True(errors.Is(err, worker.ErrNotClaimed)) // forgotten with the restart
+	is.True(errors.Is(err, worker.ErrNotClaimed)) // a restart discards the claim
 	c, err := x.claim(1)
 	is.NoErr(err)
 	is.Equal(len(c.Runs), 0)
 }
 
-func orderForAnotherLife(is *is.I, x Target) {
+func orderForOtherIncarnation(is *is.I, x Target) {
 	before, err := x.claim(1)
 	is.NoErr(err)
 	is.True(before.Life != 0)
@@ -167,7 +167,7 @@
 	is.NoErr(err)
 	is.True(c.Life != before.Life)
 	_, err = x.order(o)
-	is.True(errors.Is(err, worker.ErrNotClaimed)) // though it is claimed, under the same epoch
+	is.True(errors.Is(err, worker.ErrNotClaimed)) // even though it is claimed under the same epoch
 	c, err = x.claim(1)
 	is.NoErr(err)
 	is.Equal(len(c.Runs), 0)
@@ -177,7 +177,7 @@
 	is.Equal(r.Running, 1)
 }
 
-func runEndsAndStays(is *is.I, x Target) {
+func endedRunIsKept(is *is.I, x Target) {
 	c, err := x.claim(1)
 	is.NoErr(err)
 	o := worker.Order{Epoch: 1, Expires: c.Now + longLease, RenewMillis: longLease, Starts: []worker.Start{start(0, 10)}}
@@ -194,7 +194,7 @@
 	is.Equal(len(r.Ended), 0)
 }
 
-func lapsedLeaseStops(is *is.I, x Target) {
+func expiredLeaseStops(is *is.I, x Target) {
 	c, err := x.claim(1)
 	is.NoErr(err)
 	_, err = x.order(worker.Order{Epoch: 1, Expires: c.Now + longLease, RenewMillis: shortLease,
@@ -216,16 +216,16 @@
 		{Attempt: attempt(2), Mode: worker.Kill},
 	}})
 	is.NoErr(err)
-	is.Equal(r.Running, 1) // a throttled run goes on
+	is.Equal(r.Running, 1) // a throttled run continues
 	is.Equal(len(r.Ended), 2)
 	is.Equal(r.Ended[0].State, worker.StateStopped)
 	is.True(r.Usage.MilliCPU < 1000)
 }
 
-func lostAnswerLeavesEffect(is *is.I, x Target) {
+func lostReplyKeepsEffect(is *is.I, x Target) {
 	c, err := x.claim(1)
 	is.NoErr(err)
-	x.LoseAnswer()
+	x.LoseReply()
 	_, err = x.order(worker.Order{Epoch: 1, Expires: c.Now + longLease, RenewMillis: longLease,
 		Starts: []worker.Start{start(0, 0)}})
 	is.True(errors.Is(err, worker.ErrLost))
@@ -234,8 +234,8 @@
 	is.Equal(len(c.Runs), 1)
 }
 
-func nobodyThere(is *is.I, x Target) {
-	x.Addr = x.NowhereAddr
+func unreachableAddress(is *is.I, x Target) {
+	x.Addr = x.UnreachableAddr
 	_, err := x.claim(1)
 	is.True(errors.Is(err, worker.ErrNotReached))
 	_, err = x.order(worker.Order{Epoch: 1})
