--- a/internal/proxytest/proxytest.go
+++ b/internal/proxytest/proxytest.go
@@ -1,6 +1,6 @@
-// Package proxytest is a TCP proxy for tests that does to connections what networks
-// do: it delays, resets, refuses, or silences them, in one direction or both, those
-// that are open or all.
+// Package proxytest provides a TCP proxy that injects network faults in tests. It delays,
+// refuses or resets connections, or stops forwarding their bytes, in one direction or in
+// both, for all connections or only for those that are open.
 package proxytest
 
 import (
@@ -11,38 +11,39 @@
 	"time"
 )
 
-// Mode is what a proxy does to the connections through it.
+// Mode is the set of faults that a proxy applies to its connections.
 type Mode struct {
-	// Delay holds every chunk back in both directions.
+	// Delay delays every chunk in both directions.
 	Delay time.Duration
-	// Up and Down say which direction carries bytes; a direction that does not is
-	// silent while the connection stays open.
+	// Up and Down say whether bytes are forwarded to and from the target. The connection
+	// stays open if they are not.
 	Up, Down bool
-	// Refuse closes connections at once.
+	// Refuse resets open connections and closes new ones immediately.
 	Refuse bool
 }
 
-// Open is the mode of a proxy that does nothing.
+// Open is the mode without faults.
 var Open = Mode{Up: true, Down: true}
 
-// Proxy forwards TCP connections to one address, with faults. It is safe for
+// Proxy forwards TCP connections to one address and injects faults. It is safe for
 // concurrent use.
 type Proxy struct {
-	// Addr is where it listens.
+	// Addr is the address at which the proxy listens.
 	Addr     string
-	to       string
+	target   string
 	listener net.Listener
 
 	mu      sync.Mutex
 	mode    Mode
 	changed chan struct{}
 	conns   map[net.Conn]struct{}
-	// muted is closed when the connections that are open fall silent for good.
-	muted chan struct{}
+	// blackholed is closed when the open connections stop forwarding bytes permanently.
+	blackholed chan struct{}
 }
 
-// New listens at a free port, or at addr when that is given.
-func New(t testing.TB, addr, to string) *Proxy {
+// New returns a proxy to the given target address. It listens on addr, or on a free port if
+// addr is empty, until the test ends.
+func New(t testing.TB, addr, target string) *Proxy {
 	t.Helper()
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -52,8 +53,8 @@
 		t.Fatal(err)
 	}
 	p := &Proxy{
-		Addr: l.Addr().String(), to: to, listener: l, mode: Open,
-		changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, muted: make(chan struct{}),
+		Addr: l.Addr().String(), target: target, listener: l, mode: Open,
+		changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, blackholed: make(chan struct{}),
 	}
 	t.Cleanup(p.close)
 	go p.accept()
@@ -65,7 +66,7 @@
 	p.Reset()
 }
 
-// Set changes the faults of all connections, also of those that are open.
+// Set changes the faults of all connections, including the open ones.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	p.mode = m
@@ -77,37 +78,37 @@
 	}
 }
 
-// Reset breaks all open connections.
+// Reset closes all open connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset, not a close
+			_ = tcp.SetLinger(0) // has Close send RST instead of FIN
 		}
 		_ = c.Close()
 	}
 }
 
-// Mute lets the connections that are open now fall silent for good, without a reset;
-// new ones work.
+// Mute permanently drops all further bytes of the currently open connections without
+// closing them. New connections are not affected.
 func (p *Proxy) Mute() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	close(p.muted)
-	p.muted = make(chan struct{})
+	close(p.blackholed)
+	p.blackholed = make(chan struct{})
 }
 
-func (p *Proxy) now() (Mode, chan struct{}) {
+func (p *Proxy) current() (Mode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.changed
 }
 
-func (p *Proxy) keep(c net.Conn, keep bool) {
+func (p *Proxy) track(c net.Conn, track bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if keep {
+	if track {
 		p.conns[c] = struct{}{}
 	} else {
 		delete(p.conns, c)
@@ -120,7 +121,7 @@
 		if err != nil {
 			return
 		}
-		if m, _ := p.now(); m.Refuse {
+		if m, _ := p.current(); m.Refuse {
 			_ = c.Close()
 			continue
 		}
@@ -128,33 +129,33 @@
 	}
 }
 
-func (p *Proxy) serve(near net.Conn) {
-	defer near.Close()
-	far, err := net.Dial("tcp", p.to)
+func (p *Proxy) serve(client net.Conn) {
+	defer client.Close()
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	p.keep(near, true)
-	p.keep(far, true)
-	muted := p.mutedNext()
-	defer p.keep(near, false)
-	defer p.keep(far, false)
+	defer server.Close()
+	p.track(client, true)
+	p.track(server, true)
+	blackholed := p.blackholeSignal()
+	defer p.track(client, false)
+	defer p.track(server, false)
 	ended := make(chan struct{}, 2)
-	go func() { p.copy(far, near, muted, func(m Mode) bool { return m.Up }); ended <- struct{}{} }()
-	go func() { p.copy(near, far, muted, func(m Mode) bool { return m.Down }); ended <- struct{}{} }()
+	go func() { p.copy(server, client, blackholed, func(m Mode) bool { return m.Up }); ended <- struct{}{} }()
+	go func() { p.copy(client, server, blackholed, func(m Mode) bool { return m.Down }); ended <- struct{}{} }()
 	<-ended
 }
 
-func (p *Proxy) mutedNext() <-chan struct{} {
+func (p *Proxy) blackholeSignal() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.muted
+	return p.blackholed
 }
 
-// copy forwards chunks in one direction while that carries bytes; those of a muted
+// copy forwards chunks in one direction while the mode permits. Chunks of a blackholed
 // connection are dropped.
-func (p *Proxy) copy(to io.Writer, from io.Reader, muted <-chan struct{}, carries func(Mode) bool) {
+func (p *Proxy) copy(to io.Writer, from io.Reader, blackholed <-chan struct{}, forwards func(Mode) bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
@@ -162,15 +163,15 @@
 			return
 		}
 		for {
-			m, changed := p.now()
-			if carries(m) {
+			m, changed := p.current()
+			if forwards(m) {
 				time.Sleep(m.Delay)
 				break
 			}
 			<-changed
 		}
 		select {
-		case <-muted:
+		case <-blackholed:
 			continue
 		default:
 		}
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -1,6 +1,6 @@
-// Package standin takes the place of the platform in development and tests: the
-// store, the host list, workers and executors, each host on a port of its own,
-// with faults that are switched by HTTP and the judge's record of what ran.
+// Package standin simulates the platform for development and tests: the store, the host
+// list, workers and executors. Each host has a port of its own. Faults are set over HTTP,
+// and the record of what ran is served over HTTP (see package judge).
 package standin
 
 import (
@@ -12,42 +12,42 @@
 	"pulleyquay/internal/spec"
 )
 
-// Config is the settings file of the stand-in.
+// Config is the content of the stand-in's settings file.
 type Config struct {
-	// Listen is the address, host:port, of the store, the host list, the
-	// faults and the record. The hosts get free ports on the same IP number.
+	// Listen is the address, host:port, of the store, the host list, the faults and the
+	// record. The hosts get free ports on the same IP address.
 	Listen   string `json:"listen" validate:"required"`
 	LogLevel string `json:"log_level"`
-	// HostListLag is by how much the host list lags.
+	// HostListLag is the delay until a change appears in the host list.
 	HostListLag config.Duration `json:"host_list_lag"`
 	Groups      []Group         `json:"groups" validate:"required,dive"`
 }
 
-// Group is a number of like hosts.
+// Group is a number of identical hosts.
 type Group struct {
 	Name  string        `json:"name" validate:"required"`
 	Role  platform.Role `json:"role" validate:"oneof=worker executor"`
 	Count int           `json:"count" validate:"min=1"`
-	// Zones are taken in turn, a rack each.
+	// Zones are the availability zones, assigned to the racks in rotation.
 	Zones   []string `json:"zones" validate:"required,min=1"`
 	PerRack int      `json:"per_rack" validate:"min=1"`
 
-	// Of workers.
+	// The following fields apply to workers only.
 	Size            spec.Resources    `json:"size"`
 	AcceleratorKind string            `json:"accelerator_kind"`
 	Generation      int               `json:"generation"`
 	Labels          map[string]string `json:"labels"`
 
-	// Of executors.
+	// The following fields apply to executors only.
 	Service     string `json:"service"`
 	Slots       int    `json:"slots"`
 	Connections int    `json:"connections"`
 }
 
-// DefaultConfig returns the settings that a file need not give.
+// DefaultConfig returns the defaults for settings that the file omits.
 func DefaultConfig() Config { return Config{LogLevel: "info"} }
 
-// Check refuses contradictions, with the field's path.
+// Check returns an error with the path of the field if settings are contradictory.
 func (c Config) Check() error {
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return result.New(result.ConfigValue, result.RanNo, "%v", err).At("listen")
--- a/internal/standin/handler.go
+++ b/internal/standin/handler.go
@@ -11,19 +11,19 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// maxRequest bounds a request's body, in bytes.
+// maxRequest is the maximum size of a request's body in bytes.
 const maxRequest = 1 << 20
 
-// handler serves, besides the store and the host list with their faults:
+// handler serves the store and the host list with their faults, and also:
 //
 //	PUT  /faults/workers/{name}    replace a worker's faults (workersim.Faults)
 //	PUT  /faults/executors/{name}  replace an executor's faults (execsim.Faults)
 //	POST /restart/{name}           restart a worker
-//	PUT  /record/gangs/{job}       ?tasks=N: the judge expects a gang of N tasks
-//	GET  /record                   the judge's record; ?details=1 with every run
+//	PUT  /record/gangs/{job}       ?tasks=N: expect a gang of N tasks
+//	GET  /record                   the checker's record; ?details=1 adds every run
 //	                               by task and every execution by key
 func (s *Standin) handler() http.Handler {
-	hosts := hostlist.Handler(s.list)
+	hosts := hostlist.Handler(s.hostList)
 	mux := http.NewServeMux()
 	mux.Handle("/", s.store)
 	mux.Handle("/v1/hosts", hosts)
@@ -39,7 +39,7 @@
 
 func (s *Standin) setWorkerFaults(w http.ResponseWriter, r *http.Request) {
 	var f workersim.Faults
-	target := s.byName[r.PathValue("name")]
+	target := s.workersByName[r.PathValue("name")]
 	if target == nil {
 		http.NotFound(w, r)
 		return
@@ -62,7 +62,7 @@
 }
 
 func (s *Standin) restart(w http.ResponseWriter, r *http.Request) {
-	target := s.byName[r.PathValue("name")]
+	target := s.workersByName[r.PathValue("name")]
 	if target == nil {
 		http.NotFound(w, r)
 		return
@@ -82,11 +82,12 @@
 func (s *Standin) record(w http.ResponseWriter, r *http.Request) {
 	s.workers.Settle()
 	w.Header().Set("Content-Type", "application/json")
-	// An error means that the caller has gone.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(s.judge.Record(time.Now(), r.URL.Query().Get("details") != ""))
 }
 
-// decode reads a body of known names only and answers for a bad one.
+// decode decodes a JSON body and refuses unknown names. If it returns false it has sent an
+// error response.
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
 	d.DisallowUnknownFields()
--- a/internal/standin/hostlist/bench_test.go
+++ b/internal/standin/hostlist/bench_test.go
@@ -10,7 +10,7 @@
 	"pulleyquay/internal/standin/hostlist"
 )
 
-// BenchmarkRead reads a list that does not change; both sides of the call count.
+// BenchmarkRead reads a list that does not change. Client and server are both measured.
 func BenchmarkRead(b *testing.B) {
 	for _, hosts := range []int{200, 2000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
--- a/internal/standin/hostlist/handler.go
+++ b/internal/standin/hostlist/handler.go
@@ -13,36 +13,36 @@
 	"pulleyquay/internal/platform/hosthttp"
 )
 
-// maxRequest bounds a request's body, in bytes.
+// maxRequest is the maximum size of a request's body in bytes.
 const maxRequest = 4 << 20
 
-// Faults is what goes wrong with the list.
+// Faults are the injected faults of the list.
 type Faults struct {
 	// Down fails every read of the list.
 	Down bool `json:"down"`
-	// LagMS is by how many milliseconds the list lags.
+	// LagMS is the delay, in milliseconds, until a change appears in the list.
 	LagMS int64 `json:"lag_ms"`
 }
 
 // Handler serves the list:
 //
-//	GET    /v1/hosts         the list as the platform shows it
+//	GET    /v1/hosts         the list, without changes more recent than the lag
 //	PUT    /v1/hosts         replace the whole list
 //	PUT    /v1/hosts/{name}  add or replace one host
 //	DELETE /v1/hosts/{name}  remove one host
-//	PUT    /faults/hosts     switch faults
+//	PUT    /faults/hosts     set the faults
 func Handler(l *List) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+hosthttp.Path, l.show)
+	mux.HandleFunc("GET "+hosthttp.Path, l.serveList)
 	mux.HandleFunc("PUT "+hosthttp.Path, func(w http.ResponseWriter, r *http.Request) {
 		var body hosthttp.Reply
-		if read(w, r, &body) {
+		if decodeBody(w, r, &body) {
 			l.Replace(body.Hosts)
 		}
 	})
 	mux.HandleFunc("PUT "+hosthttp.Path+"/{name}", func(w http.ResponseWriter, r *http.Request) {
 		var host platform.Host
-		if !read(w, r, &host) {
+		if !decodeBody(w, r, &host) {
 			return
 		}
 		host.Name = r.PathValue("name")
@@ -53,7 +53,7 @@
 	})
 	mux.HandleFunc("PUT /faults/hosts", func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
-		if !read(w, r, &f) {
+		if !decodeBody(w, r, &f) {
 			return
 		}
 		l.SetDown(f.Down)
@@ -62,8 +62,8 @@
 	return mux
 }
 
-// show answers with the list as it was one lag ago.
-func (l *List) show(w http.ResponseWriter, r *http.Request) {
+// serveList responds with the list as it was one lag ago.
+func (l *List) serveList(w http.ResponseWriter, r *http.Request) {
 	hosts, err := l.Hosts(r.Context())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -81,12 +81,13 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// An error means that the caller has gone.
+	// An error means that the client has disconnected.
 	_, _ = w.Write(body)
 }
 
-// read decodes a body of known names only and answers for a bad one.
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+// decodeBody decodes a JSON body and refuses unknown names. If it returns false it has sent
+// an error response.
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
--- a/internal/standin/hostlist/hostlist.go
+++ b/internal/standin/hostlist/hostlist.go
@@ -1,6 +1,5 @@
-// Package hostlist is the stand-in for the platform's list of hosts: it can be
-// edited, and what it shows lags behind the edits by a set time. It is for
-// development and tests only.
+// Package hostlist simulates the platform's list of hosts. The list can be edited, and its
+// readers see each edit after a configurable lag. It is for development and tests only.
 package hostlist
 
 import (
@@ -13,12 +12,13 @@
 	"pulleyquay/internal/platform"
 )
 
-// List is a lagging list of hosts. It implements platform.HostList.
+// List is a list of hosts whose edits become visible after a lag. It implements
+// platform.HostList.
 type List struct {
 	mu       sync.Mutex
 	lag      time.Duration
 	down     bool
-	versions []version // oldest first; the last one is the truth
+	versions []version // oldest first; the last one is current
 }
 
 // version is the list as it was from a point in time on.
@@ -27,10 +27,10 @@
 	hosts []platform.Host
 }
 
-// New returns an empty list that shows each edit after the lag.
+// New returns an empty list whose edits become visible after the lag.
 func New(lag time.Duration) *List { return &List{lag: lag} }
 
-// Hosts returns the list as it was one lag ago, by name.
+// Hosts returns the list as it was one lag ago, sorted by name.
 func (l *List) Hosts(context.Context) ([]platform.Host, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,50 +38,50 @@
 		return nil, platform.ErrUnavailable
 	}
 	until := time.Now().Add(-l.lag)
-	shown := 0
+	visible := 0
 	for i, v := range l.versions {
 		if !v.from.After(until) {
-			shown = i + 1
+			visible = i + 1
 		}
 	}
-	if shown == 0 {
+	if visible == 0 {
 		return []platform.Host{}, nil
 	}
-	l.versions = l.versions[shown-1:]
+	l.versions = l.versions[visible-1:]
 	return slices.Clone(l.versions[0].hosts), nil
 }
 
-// SetLag changes by how much the list lags.
+// SetLag sets the delay until an edit becomes visible.
 func (l *List) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = lag
 }
 
-// SetDown makes the list fail, or answer again.
+// SetDown sets whether reads of the list fail.
 func (l *List) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// Replace sets the whole list.
+// Replace replaces the whole list.
 func (l *List) Replace(hosts []platform.Host) {
 	l.edit(func([]platform.Host) []platform.Host { return slices.Clone(hosts) })
 }
 
 // Put adds a host or replaces the one of the same name.
 func (l *List) Put(h platform.Host) {
-	l.edit(func(hosts []platform.Host) []platform.Host { return append(without(hosts, h.Name), h) })
+	l.edit(func(hosts []platform.Host) []platform.Host { return append(withoutHost(hosts, h.Name), h) })
 }
 
-// Remove takes a host from the list.
+// Remove removes the host of that name, if there is one.
 func (l *List) Remove(name string) {
-	l.edit(func(hosts []platform.Host) []platform.Host { return without(hosts, name) })
+	l.edit(func(hosts []platform.Host) []platform.Host { return withoutHost(hosts, name) })
 }
 
-// without returns a new list that lacks the host of that name.
-func without(hosts []platform.Host, name string) []platform.Host {
+// withoutHost returns a copy of hosts without the host of that name.
+func withoutHost(hosts []platform.Host, name string) []platform.Host {
 	out := make([]platform.Host, 0, len(hosts)+1)
 	for _, h := range hosts {
 		if h.Name != name {
@@ -91,7 +91,7 @@
 	return out
 }
 
-// edit adds a new version of the list.
+// edit adds the version of the list that change returns.
 func (l *List) edit(change func([]platform.Host) []platform.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/hostlist/hostlist_test.go
+++ b/internal/standin/hostlist/hostlist_test.go
@@ -78,21 +78,21 @@
 	is.Equal(result.CodeOf(err), result.HostListUnavailable)
 }
 
-// TestUnchangedListIsNotSentAgain reads a list that changes now and then, and
-// changes what was returned, which must not show.
+// TestUnchangedListIsNotSentAgain reads a list several times after each change: only the
+// first reply may have a body. Modifying a returned list must not affect later reads.
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	l := hostlist.New(0)
 	sent := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer := httptest.NewRecorder()
-		hostlist.Handler(l).ServeHTTP(answer, r)
-		if answer.Code == http.StatusOK {
+		recorder := httptest.NewRecorder()
+		hostlist.Handler(l).ServeHTTP(recorder, r)
+		if recorder.Code == http.StatusOK {
 			sent++
 		}
-		maps.Copy(w.Header(), answer.Header())
-		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes())
+		maps.Copy(w.Header(), recorder.Header())
+		w.WriteHeader(recorder.Code)
+		_, _ = w.Write(recorder.Body.Bytes())
 	}))
 	defer server.Close()
 	client := hosthttp.New(server.URL)
@@ -103,7 +103,7 @@
 			is.Equal(names(is, client), want)
 			hosts, err := client.Hosts(t.Context())
 			is.NoErr(err)
-			hosts[0].Name = "spoilt"
+			hosts[0].Name = "modified"
 		}
 	}
 	is.Equal(sent, 2)
@@ -111,7 +111,7 @@
 
 func TestMalformedListIsRefusedWhole(t *testing.T) {
 	for name, body := range map[string]string{
-		"cut short":    `{"hosts":[{"name":"w1","role":"worker","addr":"h:1"}`,
+		"truncated":    `{"hosts":[{"name":"w1","role":"worker","addr":"h:1"}`,
 		"no list":      `{}`,
 		"no address":   `{"hosts":[{"name":"w1","role":"worker"}]}`,
 		"unknown role": `{"hosts":[{"name":"w1","role":"cook","addr":"h:1"}]}`,
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -17,34 +17,34 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// Standin is the whole stand-in in one process.
+// Standin runs all parts of the stand-in in one process.
 type Standin struct {
-	config    Config
-	judge     *judge.Judge
-	list      *hostlist.List
-	store     http.Handler
-	workers   *workersim.Fleet
-	byName    map[string]*workersim.Worker
-	executors map[string]*execsim.Executor
-	servers   []*http.Server
-	addr      string
+	config        Config
+	judge         *judge.Judge
+	hostList      *hostlist.List
+	store         http.Handler
+	workers       *workersim.Fleet
+	workersByName map[string]*workersim.Worker
+	executors     map[string]*execsim.Executor
+	servers       []*http.Server
+	addr          string
 }
 
-// Start opens all ports and serves until Close.
+// Start opens all ports and serves them until Close.
 func Start(c Config) (*Standin, error) {
 	j := judge.New()
 	s := &Standin{
-		config: c, judge: j, list: hostlist.New(c.HostListLag.Std()), store: storehttp.Handler(memstore.New()),
-		workers: workersim.NewFleet(j), byName: map[string]*workersim.Worker{}, executors: map[string]*execsim.Executor{},
+		config: c, judge: j, hostList: hostlist.New(c.HostListLag.Std()), store: storehttp.Handler(memstore.New()),
+		workers: workersim.NewFleet(j), workersByName: map[string]*workersim.Worker{}, executors: map[string]*execsim.Executor{},
 	}
-	if err := s.open(); err != nil {
+	if err := s.startServers(); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *Standin) open() error {
+func (s *Standin) startServers() error {
 	ip, _, err := net.SplitHostPort(s.config.Listen)
 	if err != nil {
 		return err
@@ -52,14 +52,14 @@
 	var hosts []platform.Host
 	for _, g := range s.config.Groups {
 		for i := range g.Count {
-			host, err := s.openHost(ip, g, i)
+			host, err := s.startHost(ip, g, i)
 			if err != nil {
 				return err
 			}
 			hosts = append(hosts, host)
 		}
 	}
-	s.list.Replace(hosts)
+	s.hostList.Replace(hosts)
 	l, err := daemon.Listen(s.config.Listen, "listen")
 	if err != nil {
 		return err
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// openHost starts the i-th host of a group on a port of its own.
-func (s *Standin) openHost(ip string, g Group, i int) (platform.Host, error) {
+// startHost starts the i-th host of a group on a free port.
+func (s *Standin) startHost(ip string, g Group, i int) (platform.Host, error) {
 	l, err := daemon.Listen(net.JoinHostPort(ip, "0"), "listen")
 	if err != nil {
 		return platform.Host{}, err
@@ -86,7 +86,7 @@
 		s.serve(l, e.Server())
 		return host, nil
 	}
-	s.byName[host.Name] = s.workers.Add(host.Addr, worker.Info{
+	s.workersByName[host.Name] = s.workers.Add(host.Addr, worker.Info{
 		Name: host.Name, Rack: host.Rack, Zone: host.Zone, Size: g.Size,
 		AcceleratorKind: g.AcceleratorKind, Generation: g.Generation, Labels: g.Labels,
 	})
@@ -96,13 +96,13 @@
 
 func (s *Standin) serve(l net.Listener, server *http.Server) {
 	s.servers = append(s.servers, server)
-	go func() { _ = server.Serve(l) }() // ends with Close
+	go func() { _ = server.Serve(l) }() // Close ends it
 }
 
-// Addr is where the store, the host list, the faults and the record are served.
+// Addr returns the address of the store, the host list, the faults and the record.
 func (s *Standin) Addr() string { return s.addr }
 
-// Close ends all servers and their connections.
+// Close stops all servers and closes their connections.
 func (s *Standin) Close() {
 	for _, server := range s.servers {
 		_ = server.Close()
--- a/internal/standin/storehttp/bench_test.go
+++ b/internal/standin/storehttp/bench_test.go
@@ -22,11 +22,12 @@
 	"pulleyquay/internal/standin/storehttp"
 )
 
-// The benchmarks run the stand-in's store in a process of its own, so that the
-// CPU time that they report is the client's alone. Bytes are counted at the
-// server's sockets, both ways, headers included.
+// The benchmarks run the stand-in's store in a separate process, so that the reported CPU
+// time is that of the client alone. Bytes are counted at the server's sockets in both
+// directions, including headers.
 
-// serverEnv makes the test binary serve the store instead of running tests.
+// serverEnv is the environment variable that makes the test binary serve the store instead
+// of running tests.
 const serverEnv = "PULLEYQUAY_STORE_SERVER"
 
 func TestMain(m *testing.M) {
@@ -37,36 +38,36 @@
 	os.Exit(m.Run())
 }
 
-// wire counts the bytes of all connections.
-type wire struct {
+// countingListener counts the bytes of all connections.
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-type wireConn struct {
+type countingConn struct {
 	net.Conn
-	wire *wire
+	wire *countingListener
 }
 
-func (w *wire) Accept() (net.Conn, error) {
+func (w *countingListener) Accept() (net.Conn, error) {
 	c, err := w.Listener.Accept()
-	return wireConn{c, w}, err
+	return countingConn{c, w}, err
 }
 
-func (c wireConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.wire.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c wireConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.wire.bytes.Add(int64(n))
 	return n, err
 }
 
-// runServer serves until its standard input ends. It prints its two addresses:
-// of the store, and of the bench's own endpoints.
+// runServer serves until its standard input is closed. It prints two addresses: that of
+// the store and that of the control endpoints of the benchmarks.
 func runServer() {
 	engine := memstore.New()
 	listen := func() net.Listener {
@@ -76,7 +77,7 @@
 		}
 		return l
 	}
-	store, own := &wire{Listener: listen()}, listen()
+	store, control := &countingListener{Listener: listen()}, listen()
 	go func() { _ = http.Serve(store, storehttp.Handler(engine)) }()
 	mux := http.NewServeMux()
 	mux.HandleFunc("/bytes", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, store.bytes.Load()) })
@@ -84,46 +85,46 @@
 		count, _ := strconv.Atoi(r.PathValue("count"))
 		for i := range count {
 			_, _ = engine.Client("writer").Commit(r.Context(), record(i%64))
-			runtime.Gosched() // lets the watch take each change by itself
+			runtime.Gosched() // lets the watch deliver each change separately
 		}
 	})
-	go func() { _ = http.Serve(own, mux) }()
-	fmt.Println(store.Addr(), own.Addr())
+	go func() { _ = http.Serve(control, mux) }()
+	fmt.Println(store.Addr(), control.Addr())
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// record writes one of the records that there are many of, of a usual size.
+// record returns a transaction that writes one record of a typical size.
 func record(i int) platform.Txn {
 	value := []byte(strings.Repeat("x", 200))
 	return platform.Txn{Then: []platform.Write{{Key: fmt.Sprintf("partitions/%02d", i), Value: value}}}
 }
 
-// bench is a server process and a client.
+// bench is a server process and a client of its store.
 type bench struct {
 	*etcdhttp.Client
-	b   *testing.B
-	own string
+	b       *testing.B
+	control string
 }
 
 func newBench(b *testing.B) *bench {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), serverEnv+"=1")
 	in, err := cmd.StdinPipe()
-	fatal(b, err)
+	requireNoError(b, err)
 	out, err := cmd.StdoutPipe()
-	fatal(b, err)
-	fatal(b, cmd.Start())
+	requireNoError(b, err)
+	requireNoError(b, cmd.Start())
 	b.Cleanup(func() { _ = in.Close(); _ = cmd.Wait() })
 	line, err := bufio.NewReader(out).ReadString('\n')
-	fatal(b, err)
+	requireNoError(b, err)
 	addrs := strings.Fields(line)
 	client, err := etcdhttp.New(etcdhttp.Options{Endpoints: addrs[:1], Name: "bench"})
-	fatal(b, err)
+	requireNoError(b, err)
 	b.Cleanup(client.Close)
-	return &bench{Client: client, b: b, own: "http://" + addrs[1]}
+	return &bench{Client: client, b: b, control: "http://" + addrs[1]}
 }
 
-func fatal(b *testing.B, err error) {
+func requireNoError(b *testing.B, err error) {
 	b.Helper()
 	if err != nil {
 		b.Fatal(err)
@@ -131,29 +132,29 @@
 }
 
 func (s *bench) get(path string) int64 {
-	response, err := http.Get(s.own + path)
-	fatal(s.b, err)
+	response, err := http.Get(s.control + path)
+	requireNoError(s.b, err)
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	fatal(s.b, err)
+	requireNoError(s.b, err)
 	n, _ := strconv.ParseInt(string(body), 10, 64)
 	return n
 }
 
-// cpu is the CPU time of this process in nanoseconds.
-func cpu() int64 {
+// cpuTime returns the CPU time of this process in nanoseconds.
+func cpuTime() int64 {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return u.Utime.Nano() + u.Stime.Nano()
 }
 
-// measure runs fn, which does b.N operations, and reports bytes and CPU of one.
+// measure runs fn, which does b.N operations, and reports bytes and CPU time per operation.
 func (s *bench) measure(fn func()) {
-	bytes, used := s.get("/bytes"), cpu()
+	bytes, used := s.get("/bytes"), cpuTime()
 	s.b.ResetTimer()
 	fn()
 	s.b.StopTimer()
-	s.b.ReportMetric(float64(cpu()-used)/float64(s.b.N), "cpu-ns/op")
+	s.b.ReportMetric(float64(cpuTime()-used)/float64(s.b.N), "cpu-ns/op")
 	s.b.ReportMetric(float64(s.get("/bytes")-bytes)/float64(s.b.N), "wire-B/op")
 }
 
@@ -162,7 +163,7 @@
 	s.measure(func() {
 		for i := range b.N {
 			_, err := s.Commit(context.Background(), record(i%64))
-			fatal(b, err)
+			requireNoError(b, err)
 		}
 	})
 }
@@ -176,7 +177,7 @@
 	s.measure(func() {
 		for range b.N {
 			_, err := s.Commit(context.Background(), txn)
-			fatal(b, err)
+			requireNoError(b, err)
 		}
 	})
 }
@@ -184,10 +185,10 @@
 func BenchmarkKeepAlive(b *testing.B) {
 	s := newBench(b)
 	id, err := s.Grant(context.Background(), 3600)
-	fatal(b, err)
+	requireNoError(b, err)
 	s.measure(func() {
 		for range b.N {
-			fatal(b, s.KeepAlive(context.Background(), id))
+			requireNoError(b, s.KeepAlive(context.Background(), id))
 		}
 	})
 }
@@ -198,7 +199,7 @@
 	s.measure(func() {
 		for range b.N {
 			_, _, err := s.List(context.Background(), "partitions/")
-			fatal(b, err)
+			requireNoError(b, err)
 		}
 	})
 }
@@ -214,15 +215,15 @@
 	<-events // the watch is open
 	s.measure(func() {
 		go s.get(fmt.Sprintf("/write/%d", b.N))
-		for seen := 0; seen < b.N; {
-			seen += <-events
+		for received := 0; received < b.N; {
+			received += <-events
 		}
 	})
 	cancel()
 }
 
-// heap is what is in use after a collection, in bytes.
-func heap() int64 {
+// heapInUse returns the memory in use after a garbage collection, in bytes, stacks included.
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -235,7 +236,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s.get("/write/1")
-	before := heap()
+	before := heapInUse()
 	open := make(chan struct{}, watches)
 	for range watches {
 		go func() { _ = s.Watch(ctx, "partitions/", 1, func(platform.Batch) { open <- struct{}{} }) }()
@@ -243,12 +244,12 @@
 	for range watches {
 		<-open
 	}
-	b.ReportMetric(float64(heap()-before)/watches, "B/watch")
+	b.ReportMetric(float64(heapInUse()-before)/watches, "B/watch")
 }
 
 func BenchmarkMemoryOfAKey(b *testing.B) {
 	const keys = 20000
-	before := heap()
+	before := heapInUse()
 	engine := memstore.New()
 	engine.SetHistory(0)
 	defer engine.Close()
@@ -256,9 +257,9 @@
 		txn := record(0)
 		txn.Then[0].Key = fmt.Sprintf("jobs/%02d/%08d", i%64, i)
 		_, err := engine.Client("a").Commit(context.Background(), txn)
-		fatal(b, err)
+		requireNoError(b, err)
 	}
-	stored := heap()
+	stored := heapInUse()
 	b.ReportMetric(float64(stored-before)/keys, "store-B/key")
 	runtime.KeepAlive(engine)
 }
--- a/internal/standin/storehttp/calls.go
+++ b/internal/standin/storehttp/calls.go
@@ -12,7 +12,7 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// rangeKeys answers a read of one key or of all keys with a prefix.
+// rangeKeys reads one key, or all keys with a prefix.
 func (s *server) rangeKeys(r *http.Request, c *memstore.Client, req etcdhttp.RangeRequest) (etcdhttp.RangeReply, error) {
 	prefix, err := prefixOf(req.Key, req.RangeEnd)
 	if err != nil {
@@ -29,8 +29,8 @@
 	return reply, err
 }
 
-// prefixOf returns the prefix that a range stands for; other ranges are not
-// served here.
+// prefixOf returns the key or prefix that a range selects. It refuses other ranges, which
+// are not implemented.
 func prefixOf(key, end []byte) (string, error) {
 	all := []byte{0}
 	switch {
@@ -43,13 +43,13 @@
 	}
 }
 
-// keyValue turns a record into the wire's form.
+// keyValue converts a record to its form on the wire.
 func keyValue(r platform.Record) etcdhttp.KeyValue {
 	return etcdhttp.KeyValue{Key: []byte(r.Key), Value: r.Value, ModRevision: r.ModRevision}
 }
 
-// txn answers a transaction. On refusal it returns the present records of the
-// keys compared, which is the only failure branch served.
+// txn commits a transaction. If a comparison fails it returns the current records of the
+// compared keys, which is the only failure branch that is implemented.
 func (s *server) txn(r *http.Request, c *memstore.Client, req etcdhttp.TxnRequest) (etcdhttp.TxnReply, error) {
 	txn, err := decodeTxn(req)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return out, err
 }
 
-// decodeTxn turns the wire's form of a transaction into the port's.
+// decodeTxn converts a transaction from its form on the wire to a platform.Txn.
 func decodeTxn(req etcdhttp.TxnRequest) (platform.Txn, error) {
 	var txn platform.Txn
 	for _, c := range req.Compare {
@@ -86,7 +86,7 @@
 	return txn, nil
 }
 
-// grant answers with a new lease.
+// grant creates a lease.
 func (s *server) grant(r *http.Request, c *memstore.Client, req etcdhttp.GrantRequest) (etcdhttp.LeaseReply, error) {
 	if req.TTL <= 0 {
 		return etcdhttp.LeaseReply{}, fmt.Errorf("%w: TTL of %d seconds", platform.ErrRefused, req.TTL)
@@ -95,8 +95,8 @@
 	return etcdhttp.LeaseReply{Header: s.header(0), ID: id, TTL: req.TTL}, err
 }
 
-// keepAlive renews a lease. As in the service, a lease that is gone is told by
-// a TTL of zero.
+// keepAlive renews a lease. As in the etcd gateway, the reply for a lease that no longer
+// exists has a TTL of zero.
 func (s *server) keepAlive(r *http.Request, c *memstore.Client, req etcdhttp.LeaseRequest) (etcdhttp.KeepAliveMessage, error) {
 	err := c.KeepAlive(r.Context(), req.ID)
 	if errors.Is(err, platform.ErrLeaseGone) {
@@ -111,15 +111,15 @@
 	return etcdhttp.LeaseReply{Header: s.header(0)}, err
 }
 
-// watch streams changes, a line a message, until the caller goes away.
+// watch streams changes, one message per line, until the client disconnects.
 func (s *server) watch(w http.ResponseWriter, r *http.Request) {
 	var req etcdhttp.WatchRequest
-	if !read(w, r, &req) {
+	if !decodeBody(w, r, &req) {
 		return
 	}
 	prefix, err := prefixOf(req.Create.Key, req.Create.RangeEnd)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	stream := &watchStream{server: s, writer: w, exact: len(req.Create.RangeEnd) == 0, prefix: prefix}
@@ -127,14 +127,14 @@
 	if f := client.Faults(); !f.Refuse && !f.BreakWatches {
 		stream.send(etcdhttp.WatchReply{Header: s.header(0), Created: true})
 	}
-	err = client.Watch(r.Context(), prefix, req.Create.StartRevision-1, stream.batch)
+	err = client.Watch(r.Context(), prefix, req.Create.StartRevision-1, stream.sendBatch)
 	if !errors.Is(err, platform.ErrCompacted) {
 		panic(http.ErrAbortHandler)
 	}
 	stream.send(etcdhttp.WatchReply{Header: s.header(0), Canceled: true, CompactRevision: req.Create.StartRevision, CancelReason: err.Error()})
 }
 
-// watchStream writes one watch's messages.
+// watchStream writes the messages of one watch.
 type watchStream struct {
 	server *server
 	writer http.ResponseWriter
@@ -142,8 +142,8 @@
 	exact  bool // one key, not a prefix
 }
 
-// batch sends the changes of a batch.
-func (s *watchStream) batch(b platform.Batch) {
+// sendBatch sends the changes of a batch that concern the watch, if there are any.
+func (s *watchStream) sendBatch(b platform.Batch) {
 	reply := etcdhttp.WatchReply{Header: s.server.header(b.Revision)}
 	for _, c := range b.Changes {
 		if s.exact && c.Key != s.prefix {
@@ -160,9 +160,9 @@
 	}
 }
 
-// send writes one message at once.
+// send writes one message and flushes it.
 func (s *watchStream) send(reply etcdhttp.WatchReply) {
-	// An error means that the caller has gone; its context ends the watch.
+	// An error means that the client has disconnected; the request's context ends the watch.
 	_ = json.NewEncoder(s.writer).Encode(etcdhttp.WatchMessage{Result: reply})
 	_ = http.NewResponseController(s.writer).Flush()
 }
--- a/internal/standin/storehttp/faults.go
+++ b/internal/standin/storehttp/faults.go
@@ -6,20 +6,20 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// FaultsReply is what GET /faults answers.
+// FaultsReply is the response to the requests under /faults.
 type FaultsReply struct {
-	// All strike every client.
+	// All applies to every client.
 	All memstore.Faults `json:"all"`
-	// Clients strike one client each, by name.
+	// Clients has the faults that apply to a single client, by the client's name.
 	Clients map[string]memstore.Faults `json:"clients"`
 }
 
-// handleFaults registers the endpoints that show and replace faults:
+// handleFaults registers the endpoints that return and replace faults:
 //
-//	GET  /faults                 all of them
-//	PUT  /faults                 those that strike every client
-//	PUT  /faults/clients/{name}  those that strike one client
-//	POST /faults/compact         forget old changes now
+//	GET  /faults                 all faults
+//	PUT  /faults                 the faults that apply to every client
+//	PUT  /faults/clients/{name}  the faults that apply to one client
+//	POST /faults/compact         compact the history of changes now
 func (s *server) handleFaults(mux *http.ServeMux) {
 	mux.HandleFunc("GET /faults", func(w http.ResponseWriter, _ *http.Request) { s.showFaults(w) })
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
@@ -34,15 +34,15 @@
 	})
 }
 
-// showFaults answers with all faults.
+// showFaults responds with all faults.
 func (s *server) showFaults(w http.ResponseWriter) {
-	write(w, http.StatusOK, FaultsReply{All: s.engine.Faults(), Clients: s.engine.Clients()})
+	writeJSON(w, http.StatusOK, FaultsReply{All: s.engine.Faults(), Clients: s.engine.Clients()})
 }
 
-// replaceFaults sets the faults in the body and answers with all.
+// replaceFaults sets the faults in the request's body and responds with all faults.
 func (s *server) replaceFaults(w http.ResponseWriter, r *http.Request, set func(memstore.Faults)) {
 	var f memstore.Faults
-	if !read(w, r, &f) {
+	if !decodeBody(w, r, &f) {
 		return
 	}
 	set(f)
--- a/internal/standin/storehttp/faults_test.go
+++ b/internal/standin/storehttp/faults_test.go
@@ -14,76 +14,77 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// faultCase says what a fault does to each kind of call.
+// faultCase is the expected effect of a fault on each kind of call.
 type faultCase struct {
 	faults memstore.Faults
 	read   error
 	write  error
-	// took is true when a write takes effect, sooner or later.
-	took  bool
-	watch error
+	// applied is true if a write takes effect, possibly after the call has failed.
+	applied bool
+	watch   error
 }
 
-// refusedHere is the error of a refused call: in process nothing is sent; over
-// HTTP the stand-in can only close the connection after the request arrived.
-// A read fails without effect in any case.
-func faultCases(refusedHere error) map[string]faultCase {
+// faultCases returns the cases by name. refusedError is the expected error of a refused
+// write: in process nothing is sent, but over HTTP the stand-in can only close the
+// connection after the request has arrived. A read has no effect in either case.
+func faultCases(refusedError error) map[string]faultCase {
 	const late = 150 // milliseconds, longer than callTime
 	unknown, unavailable := platform.ErrUnknownOutcome, platform.ErrUnavailable
 	ended := context.DeadlineExceeded
 	return map[string]faultCase{
 		"healthy":       {memstore.Faults{}, nil, nil, true, ended},
-		"refused":       {memstore.Faults{Refuse: true}, unavailable, refusedHere, false, unavailable},
+		"refused":       {memstore.Faults{Refuse: true}, unavailable, refusedError, false, unavailable},
 		"hanging":       {memstore.Faults{Hang: true}, unavailable, unknown, false, ended},
 		"requests late": {memstore.Faults{RequestDelayMS: late}, unavailable, unknown, true, ended},
-		"answers late":  {memstore.Faults{AnswerDelayMS: late}, unavailable, unknown, true, ended},
+		"replies late":  {memstore.Faults{AnswerDelayMS: late}, unavailable, unknown, true, ended},
 		"requests lost": {memstore.Faults{LoseRequests: memstore.All}, nil, unknown, false, ended},
-		"answers lost":  {memstore.Faults{LoseAnswers: memstore.All}, nil, unknown, true, ended},
+		"replies lost":  {memstore.Faults{LoseAnswers: memstore.All}, nil, unknown, true, ended},
 		"stale reads":   {memstore.Faults{StaleReads: true}, nil, nil, true, ended},
 		"watches break": {memstore.Faults{BreakWatches: true}, nil, nil, true, unavailable},
 	}
 }
 
-// callTime bounds each call of the table.
+// callTime is the timeout of each call in the table.
 const callTime = 100 * time.Millisecond
 
-// trial is one fault against one kind of call.
-type trial struct {
+// testCall is the environment of one call with one fault.
+type testCall struct {
 	is     *is.I
 	engine *memstore.Engine
 	store  platform.Store
 	lease  platform.LeaseID
 }
 
-// callKinds make one call each and tell whether it has taken effect.
+// callKinds has, for each kind of call, functions that make the call and report whether it
+// has taken effect.
 var callKinds = map[string]struct {
-	make func(ctx context.Context, t *trial) error
-	took func(t *trial) bool
+	make    func(ctx context.Context, t *testCall) error
+	applied func(t *testCall) bool
 }{
 	"commit": {
-		func(ctx context.Context, t *trial) error {
+		func(ctx context.Context, t *testCall) error {
 			_, err := t.store.Commit(ctx, platform.Txn{Then: []platform.Write{{Key: "k"}}})
 			return err
 		},
-		func(t *trial) bool { return t.engine.Dump().Records == 2 },
+		func(t *testCall) bool { return t.engine.Dump().Records == 2 },
 	},
 	"grant": {
-		func(ctx context.Context, t *trial) error { _, err := t.store.Grant(ctx, 60); return err },
-		func(t *trial) bool { return t.engine.Dump().Leases == 2 },
+		func(ctx context.Context, t *testCall) error { _, err := t.store.Grant(ctx, 60); return err },
+		func(t *testCall) bool { return t.engine.Dump().Leases == 2 },
 	},
 	"revoke": {
-		func(ctx context.Context, t *trial) error { return t.store.Revoke(ctx, t.lease) },
-		func(t *trial) bool { return t.engine.Dump().Records == 0 },
+		func(ctx context.Context, t *testCall) error { return t.store.Revoke(ctx, t.lease) },
+		func(t *testCall) bool { return t.engine.Dump().Records == 0 },
 	},
 	"keepalive": {
-		func(ctx context.Context, t *trial) error { return t.store.KeepAlive(ctx, t.lease) },
-		nil, // shows only after the term; see TestRenewalsUnderFaults
+		func(ctx context.Context, t *testCall) error { return t.store.KeepAlive(ctx, t.lease) },
+		nil, // observable only after the lease's term; see TestRenewalsUnderFaults
 	},
 }
 
-func newTrial(t *testing.T, setup setupFunc) *trial {
+func newTestCall(t *testing.T, setup setupFunc) *testCall {
 	engine, store := setup(t)
-	tr := &trial{is: is.New(t), engine: engine, store: store}
+	tr := &testCall{is: is.New(t), engine: engine, store: store}
 	var err error
 	tr.lease, err = tr.store.Grant(t.Context(), 60)
 	tr.is.NoErr(err)
@@ -103,7 +104,7 @@
 	is.Fail() // condition never met
 }
 
-// setupFunc makes a store whose client in the engine is "a".
+// setupFunc returns a store that uses the engine as client "a".
 type setupFunc func(t *testing.T) (*memstore.Engine, platform.Store)
 
 func testFaults(t *testing.T, refused error, setup setupFunc) {
@@ -112,22 +113,22 @@
 			t.Parallel()
 			for kind, call := range callKinds {
 				t.Run(kind, func(t *testing.T) {
-					tr := newTrial(t, setup)
+					tr := newTestCall(t, setup)
 					tr.engine.Client("a").SetFaults(fault.faults)
 					ctx, cancel := context.WithTimeout(t.Context(), callTime)
 					defer cancel()
 					tr.is.True(errors.Is(call.make(ctx, tr), fault.write))
-					if call.took == nil {
+					if call.applied == nil {
 						return
 					}
-					if fault.took {
-						eventually(tr.is, func() bool { return call.took(tr) })
+					if fault.applied {
+						eventually(tr.is, func() bool { return call.applied(tr) })
 						return
 					}
 					tr.engine.Client("a").SetFaults(memstore.Faults{})
-					_, _, err := tr.store.List(t.Context(), "") // a later call overtakes nothing
+					_, _, err := tr.store.List(t.Context(), "") // would not overtake a delayed write
 					tr.is.NoErr(err)
-					tr.is.True(!call.took(tr))
+					tr.is.True(!call.applied(tr))
 				})
 			}
 			t.Run("list", func(t *testing.T) { testRead(t, fault, setup) })
@@ -136,9 +137,9 @@
 	}
 }
 
-// struck sets up a store whose client is struck by the fault, and has another
-// client write a key.
-func struck(t *testing.T, fault faultCase, setup setupFunc) (*is.I, platform.Store, context.Context) {
+// withFault sets up a store with the fault applied to its client, and has another client
+// write a key.
+func withFault(t *testing.T, fault faultCase, setup setupFunc) (*is.I, platform.Store, context.Context) {
 	is := is.New(t)
 	engine, store := setup(t)
 	engine.Client("a").SetFaults(fault.faults)
@@ -150,20 +151,20 @@
 }
 
 func testRead(t *testing.T, fault faultCase, setup setupFunc) {
-	is, store, ctx := struck(t, fault, setup)
+	is, store, ctx := withFault(t, fault, setup)
 	records, _, err := store.List(ctx, "k")
 	is.True(errors.Is(err, fault.read))
-	timeIsUp := fault.faults.Hang || fault.faults.RequestDelayMS > 0 || fault.faults.AnswerDelayMS > 0
-	is.Equal(errors.Is(err, context.DeadlineExceeded), timeIsUp)
+	timedOut := fault.faults.Hang || fault.faults.RequestDelayMS > 0 || fault.faults.AnswerDelayMS > 0
+	is.Equal(errors.Is(err, context.DeadlineExceeded), timedOut)
 	is.Equal(len(records) == 1, err == nil && !fault.faults.StaleReads)
 }
 
 func testWatch(t *testing.T, fault faultCase, setup setupFunc) {
-	is, store, ctx := struck(t, fault, setup)
-	told := 0
-	err := store.Watch(ctx, "k", 1, func(platform.Batch) { told++ })
+	is, store, ctx := withFault(t, fault, setup)
+	delivered := 0
+	err := store.Watch(ctx, "k", 1, func(platform.Batch) { delivered++ })
 	is.True(errors.Is(err, fault.watch))
-	is.Equal(told > 0, !fault.faults.Hang && !fault.faults.Refuse && !fault.faults.BreakWatches)
+	is.Equal(delivered > 0, !fault.faults.Hang && !fault.faults.Refuse && !fault.faults.BreakWatches)
 }
 
 func TestFaultsInProcess(t *testing.T) {
@@ -178,7 +179,7 @@
 	testFaults(t, platform.ErrUnknownOutcome, overHTTP)
 }
 
-// overHTTP is a client of the stand-in.
+// overHTTP returns an HTTP client of the stand-in's store.
 func overHTTP(t *testing.T) (*memstore.Engine, platform.Store) {
 	engine, server := serve(t)
 	client, err := etcdhttp.New(etcdhttp.Options{Endpoints: []string{server.URL}, Name: "a"})
@@ -187,14 +188,14 @@
 	return engine, client
 }
 
-// TestLostAnswersAreSettledOverHTTP sends commits through the whole client and
-// has answers and requests lost on the way.
-func TestLostAnswersAreSettledOverHTTP(t *testing.T) {
+// TestLostRepliesAreResolvedOverHTTP commits over HTTP through package confirm while
+// requests and replies are lost.
+func TestLostRepliesAreResolvedOverHTTP(t *testing.T) {
 	tests := map[string]struct {
 		faults memstore.Faults
 		want   error
 	}{
-		"answers": {memstore.Faults{LoseAnswers: 3}, nil},
+		"replies": {memstore.Faults{LoseAnswers: 3}, nil},
 		"request": {memstore.Faults{LoseRequests: 1}, platform.ErrUnavailable},
 		"both":    {memstore.Faults{LoseRequests: 1, LoseAnswers: 2}, platform.ErrUnavailable},
 	}
@@ -221,8 +222,8 @@
 	}
 }
 
-// TestOtherClientsAreSpared strikes one client and calls as another.
-func TestOtherClientsAreSpared(t *testing.T) {
+// TestFaultAffectsOnlyItsClient applies a fault to one client and calls as another.
+func TestFaultAffectsOnlyItsClient(t *testing.T) {
 	is := is.New(t)
 	engine, server := serve(t)
 	engine.Client("a").SetFaults(memstore.Faults{Refuse: true})
--- a/internal/standin/storehttp/handler.go
+++ b/internal/standin/storehttp/handler.go
@@ -1,6 +1,5 @@
-// Package storehttp serves the in-memory engine in the wire form of the
-// published etcd v3 JSON gateway, and endpoints to switch its faults. It is for
-// development and tests only.
+// Package storehttp serves the in-memory store with the protocol of the etcd v3 JSON
+// gateway, and endpoints that set its faults. It is for development and tests only.
 package storehttp
 
 import (
@@ -15,14 +14,13 @@
 	"pulleyquay/internal/platform/memstore"
 )
 
-// maxRequest bounds a request's body: the largest value in base64 and room for
-// the rest, in bytes.
+// maxRequest is the maximum size of a request's body in bytes: enough for the largest value
+// in base64 and the other fields.
 const maxRequest = 2 << 20
 
-// Handler serves the calls under /v3/ and the faults under /faults. A caller's
-// User-Agent names the engine's client whose faults strike it. A call whose
-// outcome the engine calls unknown, or refuses by fault, gets no answer: its
-// connection is closed.
+// Handler serves the calls under /v3/ and the faults under /faults. The User-Agent of a
+// request selects the engine's client whose faults apply. If a fault refuses a call or
+// makes its outcome unknown, the connection is closed without a response.
 func Handler(engine *memstore.Engine) http.Handler {
 	s := &server{engine: engine, clusterID: rand.Uint64() | 1}
 	mux := http.NewServeMux()
@@ -36,14 +34,13 @@
 	return mux
 }
 
-// server holds the engine for the handlers.
+// server has the state that the handlers share.
 type server struct {
 	engine    *memstore.Engine
 	clusterID uint64
 }
 
-// header is that of a reply at a revision; of the present one when that is
-// zero.
+// header returns the header of a reply at a revision; zero means the current revision.
 func (s *server) header(at platform.Revision) etcdhttp.Header {
 	if at == 0 {
 		at = s.engine.Dump().Revision
@@ -51,32 +48,33 @@
 	return etcdhttp.Header{ClusterID: s.clusterID, Revision: at}
 }
 
-// client returns the engine's client of the caller.
+// client returns the engine's client for a request.
 func (s *server) client(r *http.Request) *memstore.Client {
 	return s.engine.Client(r.UserAgent())
 }
 
-// answerer makes one call of a client.
-type answerer[Req, Reply any] func(r *http.Request, c *memstore.Client, req Req) (Reply, error)
+// callHandler carries out one call as a client of the engine.
+type callHandler[Req, Reply any] func(r *http.Request, c *memstore.Client, req Req) (Reply, error)
 
 // handle registers a call with one request and one reply.
-func handle[Req, Reply any](mux *http.ServeMux, s *server, path string, fn answerer[Req, Reply]) {
+func handle[Req, Reply any](mux *http.ServeMux, s *server, path string, fn callHandler[Req, Reply]) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var req Req
-		if !read(w, r, &req) {
+		if !decodeBody(w, r, &req) {
 			return
 		}
 		reply, err := fn(r, s.client(r), req)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
-		write(w, http.StatusOK, reply)
+		writeJSON(w, http.StatusOK, reply)
 	})
 }
 
-// read decodes a request's body, which has to be known to the last name.
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+// decodeBody decodes a JSON body and refuses unknown names. If it returns false it has sent
+// an error response.
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(into)
@@ -84,31 +82,31 @@
 		err = errors.New("more than one JSON value")
 	}
 	if err != nil {
-		write(w, http.StatusBadRequest, etcdhttp.ErrorReply{Code: etcdhttp.CodeInvalidArgument, Message: err.Error()})
+		writeJSON(w, http.StatusBadRequest, etcdhttp.ErrorReply{Code: etcdhttp.CodeInvalidArgument, Message: err.Error()})
 		return false
 	}
-	// The server sees a caller go away only once the body has been read.
+	// The server detects that the client has disconnected only after the body has been read.
 	_, _ = io.Copy(io.Discard, r.Body)
 	return true
 }
 
-// write sends a value as JSON.
-func write(w http.ResponseWriter, status int, value any) {
+// writeJSON writes a response with a JSON body.
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error means that the caller has gone.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// refuse answers a failed call as the service would, or not at all.
-func refuse(w http.ResponseWriter, err error) {
+// writeError responds to a failed call as the etcd gateway does, or aborts the connection.
+func writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, platform.ErrLeaseGone):
-		write(w, http.StatusNotFound, etcdhttp.ErrorReply{
+		writeJSON(w, http.StatusNotFound, etcdhttp.ErrorReply{
 			Code: etcdhttp.CodeNotFound, Message: "etcdserver: requested lease not found",
 		})
 	case errors.Is(err, platform.ErrRefused):
-		write(w, http.StatusBadRequest, etcdhttp.ErrorReply{Code: etcdhttp.CodeInvalidArgument, Message: err.Error()})
+		writeJSON(w, http.StatusBadRequest, etcdhttp.ErrorReply{Code: etcdhttp.CodeInvalidArgument, Message: err.Error()})
 	default:
 		panic(http.ErrAbortHandler) // closes the connection
 	}
--- a/internal/standin/storehttp/storehttp_test.go
+++ b/internal/standin/storehttp/storehttp_test.go
@@ -13,7 +13,7 @@
 	"pulleyquay/internal/standin/storehttp"
 )
 
-// serve starts the stand-in's store on loopback.
+// serve starts the stand-in's store on the loopback interface.
 func serve(t *testing.T) (*memstore.Engine, *httptest.Server) {
 	engine := memstore.New()
 	server := httptest.NewServer(storehttp.Handler(engine))
