--- a/internal/demo/cell.go
+++ b/internal/demo/cell.go
@@ -13,27 +13,27 @@
 	"time"
 )
 
-// loopback is the only address the demonstration uses.
+// loopback is the IP address of all ports of the demonstration.
 const loopback = "127.0.0.1"
 
-// host is one entry host: an entry and a placer in one availability zone.
+// host is one entry host: an entry process and a placer process in one availability zone.
 type host struct {
 	name, zone                     string
 	peer, placerAdmin, http, admin string
 }
 
-// Cell is the stand-in and the entry hosts as processes of this machine.
+// Cell runs the stand-in and the entry hosts as processes of this machine.
 type Cell struct {
-	bin, dir string
-	standin  string // address of the stand-in
-	hosts    []host
-	running  map[string]*exec.Cmd
-	ended    map[string]chan struct{}
-	memory   map[string]int64 // resident KiB, read before each process ends
+	bin, dir    string
+	standin     string // address of the stand-in
+	hosts       []host
+	running     map[string]*exec.Cmd
+	exited      map[string]chan struct{}
+	residentKiB map[string]int64 // resident memory, read before each process is ended
 }
 
-// freePorts returns n addresses nobody listens on. Another process may take one
-// before it is used; the start then fails and names it.
+// freePorts returns n addresses with free ports. Another process may take a port before it
+// is used; the process that needs the port then exits and its log has the address.
 func freePorts(n int) ([]string, error) {
 	var listeners []net.Listener
 	defer func() {
@@ -53,8 +53,8 @@
 	return addrs, nil
 }
 
-// NewCell prepares a cell with one entry host in each of the zones. Settings
-// and logs go to dir, the programs come from bin.
+// NewCell returns a cell, not yet started, with one entry host in each of the zones. The
+// programs are in bin; settings files and logs are written to dir.
 func NewCell(bin, dir string, zones []string) (*Cell, error) {
 	addrs, err := freePorts(1)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	c := &Cell{
 		bin: bin, dir: dir, standin: addrs[0],
-		running: map[string]*exec.Cmd{}, ended: map[string]chan struct{}{}, memory: map[string]int64{},
+		running: map[string]*exec.Cmd{}, exited: map[string]chan struct{}{}, residentKiB: map[string]int64{},
 	}
 	for i, zone := range zones {
 		c.hosts = append(c.hosts, host{name: fmt.Sprintf("host-%d", i+1), zone: zone})
@@ -70,27 +70,27 @@
 	return c, nil
 }
 
-// assignPorts gives the entry hosts their addresses. It comes after the start
-// of the stand-in, whose hosts take free ports of their own.
+// assignPorts assigns addresses to the entry hosts. It must be called after the stand-in
+// has started, because the stand-in's hosts take free ports too.
 func (c *Cell) assignPorts() error {
-	const each = 4
-	addrs, err := freePorts(each * len(c.hosts))
+	const portsPerHost = 4
+	addrs, err := freePorts(portsPerHost * len(c.hosts))
 	if err != nil {
 		return err
 	}
 	for i := range c.hosts {
-		p, h := addrs[each*i:], &c.hosts[i]
+		p, h := addrs[portsPerHost*i:], &c.hosts[i]
 		h.peer, h.placerAdmin, h.http, h.admin = p[0], p[1], p[2], p[3]
 	}
 	return nil
 }
 
-// Start starts every process and waits until the entries are ready.
+// Start starts all processes and waits until the placers and entries are ready.
 func (c *Cell) Start(ctx context.Context) error {
 	if err := c.launch("pulley-standin", "standin", c.standinSettings()); err != nil {
 		return err
 	}
-	if err := await(ctx, "the stand-in", func() bool { return answers("http://" + c.standin + "/v1/hosts") }); err != nil {
+	if err := waitFor(ctx, "the stand-in", func() bool { return respondsOK("http://" + c.standin + "/v1/hosts") }); err != nil {
 		return err
 	}
 	if err := c.assignPorts(); err != nil {
@@ -106,12 +106,12 @@
 	}
 	for _, h := range c.hosts {
 		for _, admin := range []string{h.placerAdmin, h.admin} {
-			ready := func() bool { return c.lost() != "" || answers("http://"+admin+"/readyz") }
-			if err := await(ctx, h.name, ready); err != nil {
+			ready := func() bool { return c.exitedProcess() != "" || respondsOK("http://"+admin+"/readyz") }
+			if err := waitFor(ctx, h.name, ready); err != nil {
 				return err
 			}
-			if name := c.lost(); name != "" {
-				return fmt.Errorf("%s ended at its start", name)
+			if name := c.exitedProcess(); name != "" {
+				return fmt.Errorf("%s exited during startup", name)
 			}
 		}
 	}
@@ -138,19 +138,19 @@
 		return err
 	}
 	c.running[name] = cmd
-	c.ended[name] = make(chan struct{})
-	go func(ended chan struct{}) {
-		_ = cmd.Wait() // its status is read from cmd
-		close(ended)
-	}(c.ended[name])
+	c.exited[name] = make(chan struct{})
+	go func(exited chan struct{}) {
+		_ = cmd.Wait() // the status is read from cmd.ProcessState
+		close(exited)
+	}(c.exited[name])
 	return nil
 }
 
-// lost names a process that has ended by itself, or "".
-func (c *Cell) lost() string {
+// exitedProcess returns the name of a process that has exited by itself, or "".
+func (c *Cell) exitedProcess() string {
 	for name := range c.running {
 		select {
-		case <-c.ended[name]:
+		case <-c.exited[name]:
 			return name
 		default:
 		}
@@ -158,42 +158,42 @@
 	return ""
 }
 
-// Kill ends a process without warning.
+// Kill ends a process with SIGKILL.
 func (c *Cell) Kill(name string) error {
 	cmd := c.running[name]
-	c.noteMemory(name)
+	c.recordMemory(name)
 	delete(c.running, name)
 	if err := cmd.Process.Kill(); err != nil {
 		return err
 	}
-	<-c.ended[name]
+	<-c.exited[name]
 	return nil
 }
 
-// Stop asks a process for a planned stop and waits for its end.
+// Stop requests a planned stop of a process and waits until the process has exited.
 func (c *Cell) Stop(name string) error {
 	cmd := c.running[name]
-	c.noteMemory(name)
+	c.recordMemory(name)
 	delete(c.running, name)
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	<-c.ended[name]
+	<-c.exited[name]
 	if status := cmd.ProcessState; !status.Success() {
-		return fmt.Errorf("%s ended with %s", name, status)
+		return fmt.Errorf("%s exited with %s", name, status)
 	}
 	return nil
 }
 
-// Close kills whatever still runs.
+// Close kills all processes that are still running.
 func (c *Cell) Close() {
 	for name := range c.running {
 		_ = c.Kill(name)
 	}
 }
 
-// noteMemory reads a process's resident memory.
-func (c *Cell) noteMemory(name string) {
+// recordMemory records the resident memory of a process.
+func (c *Cell) recordMemory(name string) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.running[name].Process.Pid))
 	if err != nil {
 		return
@@ -201,13 +201,13 @@
 	var kib int64
 	for _, line := range splitLines(data) {
 		if _, err := fmt.Sscanf(line, "VmRSS: %d kB", &kib); err == nil {
-			c.memory[name] = kib
+			c.residentKiB[name] = kib
 		}
 	}
 }
 
-// await polls a condition until it holds or ctx ends.
-func await(ctx context.Context, what string, done func() bool) error {
+// waitFor polls a condition until it is true or ctx ends.
+func waitFor(ctx context.Context, what string, done func() bool) error {
 	const step = 50 * time.Millisecond
 	ticker := time.NewTicker(step)
 	defer ticker.Stop()
@@ -221,7 +221,7 @@
 	return nil
 }
 
-func answers(url string) bool {
+func respondsOK(url string) bool {
 	resp, err := http.Get(url)
 	if err != nil {
 		return false
--- a/internal/demo/client.go
+++ b/internal/demo/client.go
@@ -9,14 +9,14 @@
 	"net/http"
 )
 
-// reply is one HTTP answer, read whole.
+// reply is an HTTP response with its complete body.
 type reply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// object reads the answer as a JSON object.
+// object decodes the body as a JSON object; the result is empty if that fails.
 func (r reply) object() object {
 	var o object
 	if json.Unmarshal(r.body, &o) != nil {
@@ -25,7 +25,8 @@
 	return o
 }
 
-// String is the status and, for a refusal, its code and promise.
+// String returns the status and, for an error, the code, whether the request ran, and the
+// detail.
 func (r reply) String() string {
 	if r.status < http.StatusBadRequest {
 		return fmt.Sprint(r.status)
@@ -34,7 +35,7 @@
 	return fmt.Sprintf("%d code=%v ran=%v: %v", r.status, o["code"], o["ran"], o["detail"])
 }
 
-// call makes one request to an entry host or the stand-in.
+// call sends one request to an entry host or the stand-in.
 func call(ctx context.Context, method, addr, path string, header map[string]string, body any) (reply, error) {
 	var in io.Reader
 	if body != nil {
@@ -60,11 +61,11 @@
 	return reply{resp.StatusCode, resp.Header, data}, err
 }
 
-// want makes one request and fails unless it is answered with the status.
-func want(ctx context.Context, status int, method, addr, path string, header map[string]string, body any) (reply, error) {
+// callExpecting sends one request and fails unless the response has the given status.
+func callExpecting(ctx context.Context, status int, method, addr, path string, header map[string]string, body any) (reply, error) {
 	r, err := call(ctx, method, addr, path, header, body)
 	if err == nil && r.status != status {
-		err = fmt.Errorf("%s %s: wanted %d, got %s", method, path, status, r)
+		err = fmt.Errorf("%s %s: expected status %d, got %s", method, path, status, r)
 	}
 	return r, err
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo shows the whole path on one machine: it starts the stand-in and
-// two entry hosts as separate processes, asks for work through the real
-// interfaces and prints what the stand-in counted.
+// Package demo demonstrates the whole system on one machine: it starts the stand-in and
+// two entry hosts as separate processes, sends requests and jobs through the public
+// interfaces and prints what the stand-in recorded.
 package demo
 
 import (
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// limit bounds the whole demonstration.
-const limit = time.Minute
+// timeout is the time limit of the whole demonstration.
+const timeout = time.Minute
 
-// Run runs the demonstration and writes its table to w. It fails when a step
-// failed or the stand-in saw a promise broken.
+// Run runs the demonstration and writes its results to w. It returns an error if a step
+// fails or the stand-in has recorded a violation of an invariant.
 func Run(w io.Writer, bin, examples, dir string) error {
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	cell, err := NewCell(bin, dir, []string{"lake-a", "regie-a"})
 	if err != nil {
@@ -31,7 +31,7 @@
 		return fmt.Errorf("start (logs in %s): %w", dir, err)
 	}
 	r := &run{cell: cell, examples: examples}
-	if err := r.all(ctx, w); err != nil {
+	if err := r.runSteps(ctx, w); err != nil {
 		return fmt.Errorf("%w (logs in %s)", err, dir)
 	}
 	if err := r.report(ctx, w); err != nil {
@@ -41,22 +41,22 @@
 	return err
 }
 
-// all runs the steps in order and stops at the first that fails.
-func (r *run) all(ctx context.Context, w io.Writer) error {
+// runSteps runs the steps in order and stops at the first failure.
+func (r *run) runSteps(ctx context.Context, w io.Writer) error {
 	for i, s := range steps {
-		begin := time.Now()
-		seen, err := s.do(ctx, r)
+		start := time.Now()
+		outcome, err := s.do(ctx, r)
 		if err != nil {
-			return fmt.Errorf("step %d, %s: %w", i+1, s.asked, err)
+			return fmt.Errorf("step %d, %s: %w", i+1, s.title, err)
 		}
-		if _, err := fmt.Fprintf(w, "%2d  %-50s %6d ms  %s\n", i+1, s.asked, time.Since(begin).Milliseconds(), seen); err != nil {
+		if _, err := fmt.Fprintf(w, "%2d  %-50s %6d ms  %s\n", i+1, s.title, time.Since(start).Milliseconds(), outcome); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// record is the part of the stand-in's record that the demonstration judges by.
+// record is the part of the stand-in's record that the demonstration prints and checks.
 type record struct {
 	Violations []json.RawMessage            `json:"violations"`
 	Count      int                          `json:"violation_count"`
@@ -71,9 +71,9 @@
 	} `json:"workers"`
 }
 
-// report prints what the stand-in counted and checks it against the promises.
+// report prints the stand-in's record and checks it.
 func (r *run) report(ctx context.Context, w io.Writer) error {
-	got, err := want(ctx, http.StatusOK, "GET", r.cell.standin, "/record?details=1", nil, nil)
+	got, err := callExpecting(ctx, http.StatusOK, "GET", r.cell.standin, "/record?details=1", nil, nil)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 	if err := r.table(w, rec); err != nil {
 		return err
 	}
-	return r.judge(rec)
+	return r.check(rec)
 }
 
 func (r *run) table(w io.Writer, rec record) error {
@@ -97,27 +97,28 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	rows := [][2]any{
 		{"requests executed", rec.Requests},
-		{"tickets posted twice, keys executed", fmt.Sprintf("%d, %d", len(r.keys), len(rec.Keys))},
+		{"tickets posted twice, distinct keys executed", fmt.Sprintf("%d, %d", len(r.keys), len(rec.Keys))},
 		{"task starts", rec.Starts},
 		{"distinct tasks", len(rec.Tasks)},
-		{"workers that ran something", used},
-		{"promises broken", rec.Count},
+		{"workers that ran tasks", used},
+		{"invariant violations", rec.Count},
 	}
-	_, _ = fmt.Fprintln(t, "\nas counted by the stand-in:")
+	_, _ = fmt.Fprintln(t, "\nrecorded by the stand-in:")
 	for _, row := range rows {
 		_, _ = fmt.Fprintf(t, "  %v\t%v\n", row[0], row[1])
 	}
 	_, _ = fmt.Fprintln(t, "resident memory, MiB:")
-	for name, kib := range r.cell.memory {
+	for name, kib := range r.cell.residentKiB {
 		_, _ = fmt.Fprintf(t, "  %s\t%.1f\n", name, float64(kib)/1024)
 	}
 	return t.Flush()
 }
 
-// judge fails when a promise was broken.
-func (r *run) judge(rec record) error {
+// check fails if an invariant was violated, a ticket was not executed exactly once, or a
+// task is missing.
+func (r *run) check(rec record) error {
 	if rec.Count > 0 {
-		return fmt.Errorf("%d promises broken, first: %s", rec.Count, rec.Violations[0])
+		return fmt.Errorf("%d invariant violations, first: %s", rec.Count, rec.Violations[0])
 	}
 	for _, key := range r.keys {
 		if n := len(rec.Keys[key]); n != 1 {
@@ -125,7 +126,7 @@
 		}
 	}
 	if want := batchTasks + gangTasks; len(rec.Tasks) != want {
-		return fmt.Errorf("%d distinct tasks ran, wanted %d", len(rec.Tasks), want)
+		return fmt.Errorf("%d distinct tasks ran, expected %d", len(rec.Tasks), want)
 	}
 	return nil
 }
--- a/internal/demo/jobs.go
+++ b/internal/demo/jobs.go
@@ -15,14 +15,14 @@
 	Tasks map[string]int `json:"tasks"`
 }
 
-// submit hands in a job and returns its identifier.
+// submit submits a job and returns its identifier.
 func (r *run) submit(ctx context.Context, job object) (string, error) {
 	id, err := newID()
 	if err != nil {
 		return "", err
 	}
 	job["id"] = id
-	_, err = want(ctx, http.StatusCreated, "POST", r.entry(0), "/v1/jobs", nil, job)
+	_, err = callExpecting(ctx, http.StatusCreated, "POST", r.entry(0), "/v1/jobs", nil, job)
 	return id, err
 }
 
@@ -35,8 +35,8 @@
 	return s
 }
 
-func (r *run) awaitFinished(ctx context.Context, id string, tasks int) (string, error) {
-	err := await(ctx, "job "+id, func() bool { return r.status(ctx, id).Tasks["finished"] == tasks })
+func (r *run) waitFinished(ctx context.Context, id string, tasks int) (string, error) {
+	err := waitFor(ctx, "job "+id, func() bool { return r.status(ctx, id).Tasks["finished"] == tasks })
 	s := r.status(ctx, id)
 	return fmt.Sprintf("%s, %d of %d tasks finished", s.State, s.Tasks["finished"], tasks), err
 }
@@ -54,7 +54,7 @@
 	if err != nil {
 		return "", err
 	}
-	err = await(ctx, "first tasks to run", func() bool { return r.status(ctx, r.batch).Tasks["running"] > 0 })
+	err = waitFor(ctx, "the first tasks to run", func() bool { return r.status(ctx, r.batch).Tasks["running"] > 0 })
 	return fmt.Sprintf("accepted, %d running", r.status(ctx, r.batch).Tasks["running"]), err
 }
 
@@ -67,10 +67,10 @@
 		return "", err
 	}
 	path := fmt.Sprintf("/record/gangs/%s?tasks=%d", id, gangTasks)
-	if _, err := want(ctx, http.StatusOK, "PUT", r.cell.standin, path, nil, nil); err != nil {
+	if _, err := callExpecting(ctx, http.StatusOK, "PUT", r.cell.standin, path, nil, nil); err != nil {
 		return "", err
 	}
-	return r.awaitFinished(ctx, id, gangTasks)
+	return r.waitFinished(ctx, id, gangTasks)
 }
 
 func refuseJob(ctx context.Context, r *run) (string, error) {
@@ -79,7 +79,7 @@
 		"task": object{"size": size(96000, 16384, 8), "run_ms": taskRunMS},
 	})
 	if err == nil && got.object()["ran"] != "no" {
-		err = fmt.Errorf("wanted a refusal, got %s", got)
+		err = fmt.Errorf("expected a refusal, got %s", got)
 	}
 	return got.String(), err
 }
@@ -89,11 +89,11 @@
 	if err := r.cell.Kill("placer-host-2"); err != nil {
 		return "", err
 	}
-	err := await(ctx, "all partitions to be held again", func() bool {
+	err := waitFor(ctx, "all partitions to have a holder", func() bool {
 		got, err := call(ctx, "GET", r.entry(0), "/v1/members", nil, nil)
 		return err == nil && got.status == http.StatusOK && allHeld(got)
 	})
-	return fmt.Sprintf("%d tasks ran at the kill; all partitions held again", before.Tasks["running"]), err
+	return fmt.Sprintf("%d tasks were running at the kill; all partitions have a holder", before.Tasks["running"]), err
 }
 
 func allHeld(got reply) bool {
@@ -113,8 +113,8 @@
 	return len(m.Members) == 1 && len(m.Unheld) == 0 && held > 0
 }
 
-func awaitBatch(ctx context.Context, r *run) (string, error) {
-	return r.awaitFinished(ctx, r.batch, batchTasks)
+func waitBatch(ctx context.Context, r *run) (string, error) {
+	return r.waitFinished(ctx, r.batch, batchTasks)
 }
 
 func stopAll(_ context.Context, r *run) (string, error) {
@@ -124,5 +124,5 @@
 			failed = append(failed, fmt.Errorf("%s: %w", name, err))
 		}
 	}
-	return strings.TrimSpace(fmt.Sprintf("%d processes ended in order", 3-len(failed))), errors.Join(failed...)
+	return strings.TrimSpace(fmt.Sprintf("%d processes stopped cleanly", 3-len(failed))), errors.Join(failed...)
 }
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -2,15 +2,15 @@
 
 import "strings"
 
-// object is a JSON object of a settings file.
+// object is a JSON object.
 type object = map[string]any
 
-// taskLease is short, so that the takeover of workers is seen quickly.
+// taskLease is short so that the failover of workers completes quickly.
 const taskLease = "4s"
 
 func splitLines(data []byte) []string { return strings.Split(string(data), "\n") }
 
-// standinSettings describes a small copy of both associations' hosts.
+// standinSettings returns a scaled-down copy of both associations' hosts.
 func (c *Cell) standinSettings() object {
 	lake := []string{"lake-a", "lake-b", "lake-c"}
 	regie := []string{"regie-a", "regie-b", "regie-c", "regie-d"}
@@ -51,11 +51,11 @@
 	}
 }
 
-// peers lists the placers' addresses, the host's own first.
-func (c *Cell) peers(own host) []string {
-	out := []string{own.peer}
+// peers returns the addresses of all placers, that of self first.
+func (c *Cell) peers(self host) []string {
+	out := []string{self.peer}
 	for _, h := range c.hosts {
-		if h.peer != own.peer {
+		if h.peer != self.peer {
 			out = append(out, h.peer)
 		}
 	}
--- a/internal/demo/steps.go
+++ b/internal/demo/steps.go
@@ -13,46 +13,46 @@
 	"github.com/google/uuid"
 )
 
-// How much the demonstration asks for.
+// The amount of work in the demonstration.
 const (
-	tickets    = 20
-	reads      = 40
-	batchTasks = 300
-	gangTasks  = 8
-	taskRunMS  = 3000
+	ticketCount = 20
+	readCount   = 40
+	batchTasks  = 300
+	gangTasks   = 8
+	taskRunMS   = 3000
 )
 
-// run is what the steps share.
+// run is the state that the steps share.
 type run struct {
 	cell     *Cell
 	examples string
-	revision int64  // of the settings, as last seen
+	revision int64  // of the settings, as of the last accepted change
 	batch    string // the batch job's id
 	keys     []string
 }
 
-// step is one thing that is shown. It returns what was seen.
+// step is one step of the demonstration. It returns the outcome to print.
 type step struct {
-	asked string
-	do    func(ctx context.Context, r *run) (seen string, err error)
+	title string
+	do    func(ctx context.Context, r *run) (outcome string, err error)
 }
 
-// steps in their order.
+// steps are run in this order.
 var steps = []step{
-	{"operator loads both associations' trees", loadSettings},
-	{"operator changes one branch, waits until in force", changeBranch},
-	{"explain shows where a value comes from", explain},
-	{"a change with a contradiction is refused", refuseChange},
-	{fmt.Sprintf("%d tickets through both entry hosts", tickets), postTickets},
-	{"the same tickets again through the other host", repeatTickets},
-	{fmt.Sprintf("%d reads through both entry hosts", reads), readCounts},
-	{fmt.Sprintf("batch reconciliation, %d tasks", batchTasks), submitBatch},
-	{"a job that can never run is refused at once", refuseJob},
-	{"placer of host-2 killed while the batch runs", killPlacer},
-	{"requests after the kill", readCounts},
-	{fmt.Sprintf("all-together reconciliation, %d tasks", gangTasks), runGang},
-	{"the batch ends, every task once", awaitBatch},
-	{"planned stop of everything", stopAll},
+	{"load the settings of both associations", loadSettings},
+	{"change one branch, wait until it is in force", changeBranch},
+	{"explain where a value comes from", explain},
+	{"contradictory settings change is refused", refuseChange},
+	{fmt.Sprintf("post %d tickets through both entry hosts", ticketCount), postTickets},
+	{"post the same tickets through the other host", repeatTickets},
+	{fmt.Sprintf("send %d reads through both entry hosts", readCount), readCounts},
+	{fmt.Sprintf("submit a batch job of %d tasks", batchTasks), submitBatch},
+	{"infeasible job is refused immediately", refuseJob},
+	{"kill the placer of host-2 during the batch", killPlacer},
+	{"send reads after the kill", readCounts},
+	{fmt.Sprintf("run a gang job of %d tasks", gangTasks), runGang},
+	{"batch job finishes, each task once", waitBatch},
+	{"planned stop of all processes", stopAll},
 }
 
 func (r *run) entry(i int) string { return r.cell.hosts[i%len(r.cell.hosts)].http }
@@ -75,11 +75,11 @@
 	return fmt.Sprintf("revision %d in force", r.revision), nil
 }
 
-// change sends branches against the revision last seen and waits until every
-// member has them in force.
+// change sends new branches, based on r.revision, and waits until they are in force at
+// every member.
 func (r *run) change(ctx context.Context, branches any) error {
 	body := object{"revision": r.revision, "branches": branches, "by": "demo", "wait_ms": 4000}
-	got, err := want(ctx, http.StatusOK, "POST", r.entry(0), "/v1/settings", nil, body)
+	got, err := callExpecting(ctx, http.StatusOK, "POST", r.entry(0), "/v1/settings", nil, body)
 	if err != nil {
 		return err
 	}
@@ -97,11 +97,11 @@
 	return nil
 }
 
-// changeBranch reads a branch, changes one value and writes the whole branch,
-// which is what a change replaces.
+// changeBranch reads a branch, changes one value and writes the whole branch back, because
+// a change replaces whole branches.
 func changeBranch(ctx context.Context, r *run) (string, error) {
 	start := time.Now()
-	got, err := want(ctx, http.StatusOK, "GET", r.entry(0), "/v1/settings?path=/regie/count", nil, nil)
+	got, err := callExpecting(ctx, http.StatusOK, "GET", r.entry(0), "/v1/settings?path=/regie/count", nil, nil)
 	if err != nil {
 		return "", err
 	}
@@ -118,7 +118,7 @@
 
 func explain(ctx context.Context, r *run) (string, error) {
 	var got reply
-	err := await(ctx, "the entry to follow", func() bool {
+	err := waitFor(ctx, "the entry to have the new revision", func() bool {
 		var err error
 		got, err = call(ctx, "GET", r.entry(1), "/v1/settings/explain?path=/regie/count", nil, nil)
 		return err == nil && got.status == http.StatusOK && got.object()["revision"] == float64(r.revision)
@@ -148,13 +148,13 @@
 		"/regie/count": object{"request": object{"default_deadline_ms": 9000, "max_deadline_ms": 1000}}}}
 	got, err := call(ctx, "POST", r.entry(0), "/v1/settings", nil, body)
 	if err == nil && got.status < http.StatusBadRequest {
-		err = errors.New("a contradiction was accepted")
+		err = errors.New("a contradictory change was accepted")
 	}
 	return got.String(), err
 }
 
 func postTickets(ctx context.Context, r *run) (string, error) {
-	for i := range tickets {
+	for i := range ticketCount {
 		key, err := newID()
 		if err != nil {
 			return "", err
@@ -164,19 +164,19 @@
 			return "", err
 		}
 	}
-	return fmt.Sprintf("%d answered, each with its own body", tickets), nil
+	return fmt.Sprintf("%d responses, each with the body of its ticket", ticketCount), nil
 }
 
-// postTicket posts ticket i and checks that the answer is its own.
+// postTicket posts ticket i and checks that the response has the ticket's text.
 func (r *run) postTicket(ctx context.Context, i int, key string) error {
 	text := fmt.Sprintf("gully %d", i)
-	got, err := want(ctx, http.StatusOK, "POST", r.entry(i), "/v1/services/lakeshore.ledger/tickets",
+	got, err := callExpecting(ctx, http.StatusOK, "POST", r.entry(i), "/v1/services/lakeshore.ledger/tickets",
 		map[string]string{"Idempotency-Key": key}, text)
 	if err != nil {
 		return err
 	}
 	if string(got.body) != fmt.Sprintf("%q", text) {
-		return fmt.Errorf("ticket %d got the answer %s", i, got.body)
+		return fmt.Errorf("ticket %d got the response %s", i, got.body)
 	}
 	return nil
 }
@@ -185,24 +185,24 @@
 	for i, key := range r.keys {
 		// i+1 is the other entry host; the body is that of ticket i.
 		text := fmt.Sprintf("gully %d", i)
-		got, err := want(ctx, http.StatusOK, "POST", r.entry(i+1), "/v1/services/lakeshore.ledger/tickets",
+		got, err := callExpecting(ctx, http.StatusOK, "POST", r.entry(i+1), "/v1/services/lakeshore.ledger/tickets",
 			map[string]string{"Idempotency-Key": key}, text)
 		if err != nil {
 			return "", err
 		}
 		if string(got.body) != fmt.Sprintf("%q", text) {
-			return "", fmt.Errorf("ticket %d got the answer %s", i, got.body)
+			return "", fmt.Errorf("ticket %d got the response %s", i, got.body)
 		}
 	}
-	return fmt.Sprintf("%d answered as before", len(r.keys)), nil
+	return fmt.Sprintf("%d responses as before", len(r.keys)), nil
 }
 
 func readCounts(ctx context.Context, r *run) (string, error) {
-	for i := range reads {
+	for i := range readCount {
 		path := fmt.Sprintf("/v1/services/regie.count/wren/%d", i)
-		if _, err := want(ctx, http.StatusOK, "GET", r.entry(i), path, nil, nil); err != nil {
+		if _, err := callExpecting(ctx, http.StatusOK, "GET", r.entry(i), path, nil, nil); err != nil {
 			return "", err
 		}
 	}
-	return fmt.Sprintf("%d answered", reads), nil
+	return fmt.Sprintf("%d responses", readCount), nil
 }
