--- a/cmd/pulley-entry/config.go
+++ b/cmd/pulley-entry/config.go
@@ -42,7 +42,7 @@
 // Check returns an error for settings that contradict each other.
 func (s *Settings) Check() error {
 	if s.Listen.HTTP == s.Listen.Admin {
-		return result.New(result.ConfigContradiction, result.RanNo, "the same address as listen.http").At("listen.admin")
+		return result.New(result.ConfigContradiction, result.RanNo, "the same address as listen.http").AtField("listen.admin")
 	}
 	return nil
 }
--- a/cmd/pulley-entry/process.go
+++ b/cmd/pulley-entry/process.go
@@ -50,8 +50,8 @@
 	d.AddDump("table", func() any { return p.table.Table() })
 	d.AddDump("requests", p.callers.Dump)
 	d.AddDump("settings", p.settings.Dump)
-	d.AddReadiness(p.table.Lacks)
-	d.AddReadiness(p.settingsUnreadyReasons)
+	d.AddReadinessCheck(p.table.NotReadyReasons)
+	d.AddReadinessCheck(p.settingsUnreadyReasons)
 	return p
 }
 
--- a/cmd/pulley-node/connections.go
+++ b/cmd/pulley-node/connections.go
@@ -42,6 +42,6 @@
 	for _, client := range c.clients {
 		client.Reconnect()
 	}
-	c.health.Renew()
-	c.peers.Try()
+	c.health.RepeatPolls()
+	c.peers.ReplaceSilentLinks()
 }
--- a/cmd/pulley-node/load.go
+++ b/cmd/pulley-node/load.go
@@ -27,10 +27,10 @@
 // messagePurposes maps the kinds of messages between members to the purpose under which
 // their traffic is counted; all other kinds count as "other messages".
 var messagePurposes = map[peer.Kind]string{
-	peer.KindBeat: "beats", peer.KindOpinion: "beats", peer.KindSucceed: "beats",
-	peer.KindAccepted: "jobs", peer.KindStoreJob: "jobs",
-	peer.KindState: "questions", peer.KindCancelJob: "questions", peer.KindPending: "questions",
-	peer.KindAdvise: "advice", peer.KindCatalog: "settings",
+	peer.KindMemberHeartbeat: "beats", peer.KindHolderStatus: "beats", peer.KindHandover: "beats",
+	peer.KindJobAccepted: "jobs", peer.KindStoreJob: "jobs",
+	peer.KindJobState: "questions", peer.KindCancelJob: "questions", peer.KindPendingJobs: "questions",
+	peer.KindPolicyQuery: "advice", peer.KindCatalog: "settings",
 	peer.KindHostCalls: "host calls", peer.KindHostReport: "host reports",
 }
 
@@ -38,15 +38,15 @@
 func countMessages(m *traffic.Meter) func(kind peer.Kind, in, out int) {
 	counters := map[peer.Kind]*traffic.Counter{}
 	for kind, purpose := range messagePurposes {
-		counters[kind] = m.Of(purpose)
+		counters[kind] = m.ForPurpose(purpose)
 	}
-	other := m.Of("other messages")
+	other := m.ForPurpose("other messages")
 	return func(kind peer.Kind, in, out int) {
 		c := counters[kind]
 		if c == nil {
 			c = other
 		}
-		c.Message(in, out)
+		c.CountMessage(in, out)
 	}
 }
 
@@ -61,13 +61,13 @@
 	// The readings at the previous report.
 	at     time.Time
 	cpu    time.Duration
-	counts map[string]traffic.Reading
+	counts map[string]traffic.CounterState
 }
 
 func (l *loadReporter) run(ctx context.Context) {
 	l.report(time.Now(), false)
 	for interval := 1; wait.For(ctx, loadInterval); interval++ {
-		_, holds := l.table.UnderWay()
+		_, holds := l.table.PendingCalls()
 		if holds || interval%standbyLoadFactor == 0 {
 			l.report(time.Now(), true)
 		}
@@ -78,9 +78,9 @@
 func (l *loadReporter) report(now time.Time, log bool) {
 	span, cpu := now.Sub(l.at).Seconds(), processorTime()
 	load := l.metrics.TakeLoad()
-	in, out, counts := map[string]float64{}, map[string]float64{}, map[string]traffic.Reading{}
+	in, out, counts := map[string]float64{}, map[string]float64{}, map[string]traffic.CounterState{}
 	conns := int64(0)
-	for _, r := range l.meter.Read() {
+	for _, r := range l.meter.Snapshot() {
 		before := l.counts[r.Purpose]
 		counts[r.Purpose] = r
 		conns += r.OpenConns
@@ -92,11 +92,11 @@
 		}
 	}
 	if log {
-		calls, holds := l.table.UnderWay()
+		calls, holds := l.table.PendingCalls()
 		l.log.WithFields(logrus.Fields{
-			"cores": math.Round(1000*(cpu-l.cpu).Seconds()/span) / 1000, "late_ms": l.timers.Latest().Milliseconds(), "heap_mb": heap() >> 20,
-			"connections": conns, "holds": holds, "host_calls_under_way": calls, "deciding_ms_a_second": math.Round(float64(load.Deciding.Milliseconds()) / span),
-			"longest_wait_ms": load.LongestWait.Milliseconds(), "oldest_job_ms": load.OldestJob.Milliseconds(),
+			"cores": math.Round(1000*(cpu-l.cpu).Seconds()/span) / 1000, "late_ms": l.timers.MaxLateness().Milliseconds(), "heap_mb": heap() >> 20,
+			"connections": conns, "holds": holds, "host_calls_under_way": calls, "deciding_ms_a_second": math.Round(float64(load.DecisionTime.Milliseconds()) / span),
+			"longest_wait_ms": load.LongestWait.Milliseconds(), "oldest_job_ms": load.OldestJobAge.Milliseconds(),
 			"in_kb_a_second": in, "out_kb_a_second": out,
 		}).Info("process load")
 	}
--- a/cmd/pulley-node/main.go
+++ b/cmd/pulley-node/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	daemon.MainAt("pulley-node", "Answers callers and holds partitions of the cell.", platform.SettingsPath(), defaults(), run)
+	daemon.MainWithPath("pulley-node", "Answers callers and holds partitions of the cell.", platform.SettingsPath(), defaults(), run)
 }
 
 func run(path string, s Settings) error {
@@ -19,12 +19,12 @@
 	if err != nil {
 		return err
 	}
-	d.Weigh(lineWeight)
-	d.LogTo(os.Stdout)
+	d.SetPriorityFunc(lineWeight)
+	d.LogInBackground(os.Stdout)
 	n := newNode(s, d)
 	if err := n.start(context.Background()); err != nil {
 		return err
 	}
 	go (&reloader{path: path, log: n.log, current: s}).run(context.Background())
-	return d.Wait(daemon.Stopper{Limit: s.Bounds.StopLimit.Std(), Drain: n.stop})
+	return d.Wait(daemon.StopPhases{Limit: s.Bounds.StopLimit.Std(), Drain: n.stop})
 }
--- a/cmd/pulley-node/node.go
+++ b/cmd/pulley-node/node.go
@@ -60,7 +60,7 @@
 	claimer *cell.Claimer
 	meter   *traffic.Meter
 	load    *loadReporter
-	catalog *catalog.Keeper
+	catalog *catalog.Watcher
 	table   *holder.Table
 	front   *front.Front
 	server  *http.Server
@@ -70,7 +70,7 @@
 
 // newNode creates and connects the components without starting them.
 func newNode(s Settings, d *daemon.Daemon) *node {
-	d.LogAs(s.Name)
+	d.SetMemberName(s.Name)
 	n := &node{conf: s, daemon: d, log: d.Log, mux: peer.NewMux(), view: cell.NewView()}
 	n.self = cell.Member{
 		Name: s.Name, Incarnation: uuid.NewString(), Addr: s.Listen.peerAddr(), Zone: s.Zone,
@@ -85,29 +85,29 @@
 	})
 	n.meter = traffic.NewMeter()
 	d.Reg.MustRegister(n.meter)
-	n.store = platform.NewStore(s.Store.Address, n.meter.Of("store"))
+	n.store = platform.NewStore(s.Store.Address, n.meter.ForPurpose("store"))
 	n.conns = &connections{health: n.health, log: n.log}
 	n.writes = resend.New(n.store, n.health)
-	n.writes.Overtaken = n.conns.reconnectAll
+	n.writes.OnReplyLost = n.conns.reconnectAll
 	n.peers = peer.NewNode(peer.Hello{Name: s.Name, Incarnation: n.self.Incarnation, Addr: n.self.Addr}, n.mux, n.log)
-	n.conns.peers, n.peers.Silent = n.peers, n.conns.reconnectAll
-	n.peers.Count = countMessages(n.meter)
+	n.conns.peers, n.peers.OnSilentLink = n.peers, n.conns.reconnectAll
+	n.peers.OnTraffic = countMessages(n.meter)
 	n.entries = &cell.Service{Store: n.store, Health: n.health, Self: n.self, View: n.view, Log: n.log}
-	n.catalog = &catalog.Keeper{
+	n.catalog = &catalog.Watcher{
 		Store: n.store, Health: n.health, Peers: n.peers, Log: n.log,
 		Key: platform.CatalogKey, Decode: platform.DecodeCatalog,
 	}
 	n.addHolder()
 	n.addFront()
 	d.AddDump("held", func() any { return n.table.Dump() })
-	d.AddQuestion("explain", n.table.Explain)
-	d.AddReadiness(n.catalog.Lacks)
-	d.AddReadiness(n.unreadyReasons)
+	d.AddQuery("explain", n.table.Explain)
+	d.AddReadinessCheck(n.catalog.NotReadyReasons)
+	d.AddReadinessCheck(n.unreadyReasons)
 	return n
 }
 
 func (n *node) addHolder() {
-	orders := platform.NewOrders(hostIdleTimeout, n.conf.Descriptors/idleDescriptorShare, n.meter.Of("hosts"))
+	orders := platform.NewHostClient(hostIdleTimeout, n.conf.Descriptors/idleDescriptorShare, n.meter.ForPurpose("hosts"))
 	n.conns.clients = append(n.conns.clients, n.store, orders)
 	timers := &lateness.Timers{}
 	metrics := holder.NewMetrics(n.daemon.Reg)
@@ -118,7 +118,7 @@
 		Self: n.self.Name, Addr: n.self.Addr, Shards: n.shards,
 		Bounds: n.conf.Bounds.engine(), Tuning: engine.DefaultTuning(),
 		HostPrefix: platform.HostPrefix, DecodeHost: platform.DecodeHost, HostOf: platform.HostOf,
-		Catalog: n.catalog.Current, Lanes: n.querySlots, Metrics: metrics, Event: n.logEvent,
+		Catalog: n.catalog.Current, PolicyMembers: n.querySlots, Metrics: metrics, Event: n.logEvent,
 		WavePrefix: platform.WavePrefix, DecodeWave: platform.DecodeWave, WaveState: platform.WaveState,
 		DutyLease: n.conf.Bounds.DutyLease.Std(), Busy: timers.Busy,
 	}
@@ -129,14 +129,14 @@
 	}
 	n.table = holder.NewTable(conf, n.mux)
 	if n.conf.Policy.Address != "" {
-		policy := platform.NewPolicy(n.conf.Policy.Address, n.meter.Of("policy service"))
+		policy := platform.NewPolicy(n.conf.Policy.Address, n.meter.ForPurpose("policy service"))
 		n.conns.clients = append(n.conns.clients, policy)
-		holder.ServeAdvice(n.mux, policy)
+		holder.ServePolicyQueries(n.mux, policy)
 	}
 	n.load = &loadReporter{meter: n.meter, metrics: metrics, timers: timers, table: n.table, log: n.log}
 	n.claimer = &cell.Claimer{
 		Self: n.self, View: n.view, Store: n.store, Writes: n.writes, Health: n.health, Peers: n.peers, Log: n.log,
-		Hold: n.hold, CatalogVersion: n.catalog.Version, Behind: n.catalog.Behind, Late: timers,
+		Hold: n.hold, CatalogVersion: n.catalog.Version, Behind: n.catalog.FetchFrom, Lateness: timers,
 	}
 }
 
@@ -190,7 +190,7 @@
 
 // unreadyReasons returns why this process can't serve callers, or nil.
 func (n *node) unreadyReasons() []string {
-	if failing := n.health.Failing(time.Now()); failing > unreadyAfter {
+	if failing := n.health.FailingFor(time.Now()); failing > unreadyAfter {
 		return []string{"store: no answer for " + failing.Round(time.Millisecond).String()}
 	}
 	return nil
@@ -228,8 +228,8 @@
 	mux := http.NewServeMux()
 	switch field {
 	case "listen.callers":
-		n.server = n.daemon.Serve(n.meter.Of("callers").Listener(l), alice.New(n.closeWhileStopping).Then(platform.Callers{
-			Catalog: n.catalog.Current, Jobs: n.front, Margin: front.AnswerMargin, Patience: front.DefaultPatience,
+		n.server = n.daemon.Serve(n.meter.ForPurpose("callers").Listener(l), alice.New(n.closeWhileStopping).Then(platform.Callers{
+			Catalog: n.catalog.Current, Jobs: n.front, Margin: front.AnswerMargin, DefaultTimeout: front.DefaultCallTimeout,
 			Refused: n.front.Metrics.Refused,
 		}))
 		return
--- a/cmd/pulley-node/settings.go
+++ b/cmd/pulley-node/settings.go
@@ -82,9 +82,9 @@
 
 func (b Bounds) engine() engine.Bounds {
 	return engine.Bounds{
-		LeaseLimit: b.LeaseLimit.Std(), StopTakes: b.StopTakes.Std(), GangWait: b.GangWait.Std(),
-		RememberEnded: b.RememberEnded.Std() + rememberMargin, FarFactor: b.FarFactor,
-		RestoreTakes: b.RestoreTakes.Std(), CheckpointEvery: b.CheckpointEvery.Std(), RoomNews: b.Contact.Std() + b.Heartbeat.Std(),
+		MaxLease: b.LeaseLimit.Std(), MaxStopTime: b.StopTakes.Std(), GangTimeout: b.GangWait.Std(),
+		EndedJobTTL: b.RememberEnded.Std() + rememberMargin, RemoteDataFactor: b.FarFactor,
+		RestoreTime: b.RestoreTakes.Std(), CheckpointInterval: b.CheckpointEvery.Std(), CapacityLag: b.Contact.Std() + b.Heartbeat.Std(),
 	}
 }
 
@@ -97,12 +97,12 @@
 	seen := map[string]bool{}
 	for _, addr := range []string{s.Listen.Callers, s.Listen.Ready, s.Listen.Peer, s.Listen.Admin} {
 		if seen[addr] {
-			return result.New(result.ConfigContradiction, result.RanNo, "two listeners at %s", addr).At("listen")
+			return result.New(result.ConfigContradiction, result.RanNo, "two listeners at %s", addr).AtField("listen")
 		}
 		seen[addr] = true
 	}
-	if tuning := engine.DefaultTuning(); s.Bounds.LeaseLimit.Std() < 3*tuning.LookWait {
-		return result.New(result.ConfigContradiction, result.RanNo, "%v is under three times the time between looks, %v", s.Bounds.LeaseLimit.Std(), tuning.LookWait).At("bounds.lease_limit")
+	if tuning := engine.DefaultTuning(); s.Bounds.LeaseLimit.Std() < 3*tuning.PollWait {
+		return result.New(result.ConfigContradiction, result.RanNo, "%v is under three times the time between looks, %v", s.Bounds.LeaseLimit.Std(), tuning.PollWait).AtField("bounds.lease_limit")
 	}
 	return nil
 }
--- a/cmd/pulley-node/weights.go
+++ b/cmd/pulley-node/weights.go
@@ -12,50 +12,50 @@
 
 // lineWeights maps the messages of log lines that matter more than the Routine lines of
 // each start to their weight.
-var lineWeights = map[string]daemon.Weight{
-	msgJobEnded:               daemon.Final,
-	"crash held against task": daemon.Final,
-	"crash taken back":        daemon.Final,
-	"task failed":             daemon.Notable,
-	"run lost":                daemon.Notable,
-	"start unanswered":        daemon.Notable,
-	"end passed over":         daemon.Notable,
-	"job not accepted":        daemon.Notable,
+var lineWeights = map[string]daemon.Priority{
+	msgJobEnded:               daemon.PriorityFinal,
+	"crash held against task": daemon.PriorityFinal,
+	"crash taken back":        daemon.PriorityFinal,
+	"task failed":             daemon.PriorityNotable,
+	"run lost":                daemon.PriorityNotable,
+	"start unanswered":        daemon.PriorityNotable,
+	"end passed over":         daemon.PriorityNotable,
+	"job not accepted":        daemon.PriorityNotable,
 
-	"host gone":                 daemon.Notable,
-	"host lost":                 daemon.Notable,
-	"host in another life":      daemon.Notable,
-	"host's clock does not fit": daemon.Notable,
-	"host not listed":           daemon.Notable,
-	"host set aside":            daemon.Notable,
-	"host over its room":        daemon.Notable,
-	"host draining":             daemon.Notable,
-	"peer link open":            daemon.Notable,
-	"peer link closed":          daemon.Notable,
+	"host gone":                 daemon.PriorityNotable,
+	"host lost":                 daemon.PriorityNotable,
+	"host in another life":      daemon.PriorityNotable,
+	"host's clock does not fit": daemon.PriorityNotable,
+	"host not listed":           daemon.PriorityNotable,
+	"host set aside":            daemon.PriorityNotable,
+	"host over its room":        daemon.PriorityNotable,
+	"host draining":             daemon.PriorityNotable,
+	"peer link open":            daemon.PriorityNotable,
+	"peer link closed":          daemon.PriorityNotable,
 
-	"partition claimed":                          daemon.Final,
-	"partition handed to a stronger member":      daemon.Final,
-	"records read":                               daemon.Final,
-	"takeover settled":                           daemon.Final,
-	"fenced by a host":                           daemon.Final,
-	"configuration in force":                     daemon.Final,
-	"settings reloaded":                          daemon.Final,
-	"store regained":                             daemon.Final,
-	"machines not listed":                        daemon.Final,
-	"calls to hosts are spread over link shards": daemon.Final,
-	"cell load":                                  daemon.Final,
-	"process load":                               daemon.Final,
-	"started":                                    daemon.Final,
-	"planned stop began":                         daemon.Final,
-	"stopped":                                    daemon.Final,
+	"partition claimed":                          daemon.PriorityFinal,
+	"partition handed to a stronger member":      daemon.PriorityFinal,
+	"records read":                               daemon.PriorityFinal,
+	"takeover settled":                           daemon.PriorityFinal,
+	"fenced by a host":                           daemon.PriorityFinal,
+	"configuration in force":                     daemon.PriorityFinal,
+	"settings reloaded":                          daemon.PriorityFinal,
+	"store regained":                             daemon.PriorityFinal,
+	"machines not listed":                        daemon.PriorityFinal,
+	"calls to hosts are spread over link shards": daemon.PriorityFinal,
+	"cell load":                                  daemon.PriorityFinal,
+	"process load":                               daemon.PriorityFinal,
+	"started":                                    daemon.PriorityFinal,
+	"planned stop began":                         daemon.PriorityFinal,
+	"stopped":                                    daemon.PriorityFinal,
 }
 
 // lineWeight returns the weight of a log line. The end of a completed or cancelled job is
 // only Notable: its caller learns of it, and hundreds of such jobs may end at once. The reason
 // why a job has failed is only in the log.
-func lineWeight(entry *logrus.Entry) daemon.Weight {
+func lineWeight(entry *logrus.Entry) daemon.Priority {
 	if entry.Message == msgJobEnded && (entry.Data["why"] == string(record.StateCompleted) || entry.Data["why"] == string(record.StateCancelled)) {
-		return daemon.Notable
+		return daemon.PriorityNotable
 	}
 	return lineWeights[entry.Message]
 }
--- a/cmd/pulley-node/weights_test.go
+++ b/cmd/pulley-node/weights_test.go
@@ -17,16 +17,16 @@
 func TestWeights(t *testing.T) {
 	for name, tc := range map[string]struct {
 		msg, why string
-		want     daemon.Weight
+		want     daemon.Priority
 	}{
-		"a start":              {"step started", "2 tasks, on 2 hosts", daemon.Routine},
-		"a run that is lost":   {"run lost", "another life answered", daemon.Notable},
-		"a crash":              {"crash held against task", "task 0: ...", daemon.Final},
-		"a job done":           {"job ended", "completed", daemon.Notable},
-		"a job cancelled":      {"job ended", "cancelled", daemon.Notable},
-		"a job that failed":    {"job ended", "failed", daemon.Final},
-		"a job crashing hosts": {"job ended", "failed 5212 job-crashes-hosts: ...", daemon.Final},
-		"a holder":             {"partition claimed", "", daemon.Final},
+		"a start":              {"step started", "2 tasks, on 2 hosts", daemon.PriorityRoutine},
+		"a run that is lost":   {"run lost", "another life answered", daemon.PriorityNotable},
+		"a crash":              {"crash held against task", "task 0: ...", daemon.PriorityFinal},
+		"a job done":           {"job ended", "completed", daemon.PriorityNotable},
+		"a job cancelled":      {"job ended", "cancelled", daemon.PriorityNotable},
+		"a job that failed":    {"job ended", "failed", daemon.PriorityFinal},
+		"a job crashing hosts": {"job ended", "failed 5212 job-crashes-hosts: ...", daemon.PriorityFinal},
+		"a holder":             {"partition claimed", "", daemon.PriorityFinal},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is.New(t).Equal(lineWeight(&logrus.Entry{Message: tc.msg, Data: logrus.Fields{"why": tc.why}}), tc.want)
--- a/cmd/pulley-placer/config.go
+++ b/cmd/pulley-placer/config.go
@@ -75,7 +75,7 @@
 // Check returns an error for settings that contradict each other.
 func (s *Settings) Check() error {
 	refuse := func(field, format string, args ...any) error {
-		return result.New(result.ConfigContradiction, result.RanNo, format, args...).At(field)
+		return result.New(result.ConfigContradiction, result.RanNo, format, args...).AtField(field)
 	}
 	term, heartbeat := s.Holding.Term.Std(), s.Holding.Heartbeat.Std()
 	switch {
--- a/cmd/pulley-placer/placer.go
+++ b/cmd/pulley-placer/placer.go
@@ -48,8 +48,8 @@
 	calls *budget.Store // the rate limiter under store, for the state dump
 	hosts *hostcache.Cache
 
-	settings *settings.Keeper
-	keeper   *hold.Keeper
+	settings *settings.Manager
+	keeper   *hold.Manager
 	fleet    *fleet.Fleet
 	jobs     *job.Manager
 	dispatch *dispatch.Dispatcher
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	p.calls.Share(expectedMembers)
+	p.calls.SetProcesses(expectedMembers)
 	confirmed, err := confirm.New(p.calls, confirm.Options{Registry: p.daemon.Reg})
 	if err != nil {
 		return err
@@ -103,12 +103,12 @@
 }
 
 func (p *placer) addSettings() {
-	p.settings = settings.NewKeeper(settings.KeeperConfig{
+	p.settings = settings.NewManager(settings.ManagerConfig{
 		Store: p.store, Caller: p.node, Log: p.log, Metrics: p.daemon.Reg,
-		Peers:     p.otherPlacers,
-		Known:     func() map[string]int64 { return p.keeper.Applied() },
-		Applied:   p.settingsApplied,
-		Collector: p.collectsSettings,
+		Peers:            p.otherPlacers,
+		MemberRevisions:  func() map[string]int64 { return p.keeper.AppliedRevisions() },
+		AppliedRevisions: p.settingsApplied,
+		IsCollector:      p.collectsSettings,
 	})
 }
 
@@ -128,27 +128,27 @@
 func (p *placer) addWork() {
 	reg := p.daemon.Reg
 	p.dispatch = dispatch.New(dispatch.Config{
-		Hosts: p.hosts.Hosts, Settings: p.serviceValues, Remotes: p.remotes, Right: p.keeper,
+		Hosts: p.hosts.Hosts, Settings: p.serviceValues, Remotes: p.remotes, Authorizer: p.keeper,
 		Client: exechttp.New(httponce.Options{}), Peers: p.node,
 		Zone: p.conf.Zone, Partitions: p.conf.Holding.Partitions, Log: p.log, Metrics: reg,
 	})
 	p.requests = request.New(request.Config{
-		Right: p.keeper, Dispatcher: p.dispatch, Settings: p.serviceValues, Log: p.log, Metrics: reg,
+		Authorizer: p.keeper, Dispatcher: p.dispatch, Settings: p.serviceValues, Log: p.log, Metrics: reg,
 	})
 	p.jobs = job.New(job.Config{
-		Source: source{p}, Right: p.keeper, Store: p.store, Peers: p.node,
+		Source: source{p}, Authorizer: p.keeper, Store: p.store, Peers: p.node,
 		PartitionKey: hold.PartitionKey, Values: p.branchValues, Digests: p.capacityDigests,
 		StoreAge: p.keeper.StoreAge, Registerer: reg, Log: p.log,
 	})
 	p.fleet = fleet.New(fleet.Config{
 		Name: p.conf.Name, Partitions: p.conf.Holding.Partitions, Lease: p.conf.Holding.TaskLease.Std(),
-		Hosts: p.hosts.Hosts, Right: p.keeper, Client: workerhttp.NewClient(httponce.Options{IdleTimeout: p.conf.Holding.TaskLease.Std()}),
-		Peers: p.node, View: source{p}, Covers: p.keeper, StoreUp: p.keeper.StoreUp,
+		Hosts: p.hosts.Hosts, Authorizer: p.keeper, Client: workerhttp.NewClient(httponce.Options{IdleTimeout: p.conf.Holding.TaskLease.Std()}),
+		Peers: p.node, View: source{p}, Delegations: p.keeper, StoreUp: p.keeper.StoreUp,
 		Registerer: reg, Log: p.log,
 	})
-	p.keeper.SetDeputy(p.fleet)
-	for _, r := range []hold.Resident{p.requests, p.dispatch, p.jobs, p.fleet} {
-		p.keeper.AddResident(r)
+	p.keeper.SetDelegate(p.fleet)
+	for _, r := range []hold.Component{p.requests, p.dispatch, p.jobs, p.fleet} {
+		p.keeper.AddComponent(r)
 	}
 	p.keeper.Provide(extraCapacity, func() any { return p.fleet.Digest() })
 	p.keeper.Provide(extraSettings, func() any { return p.settings.AppliedRevision() })
@@ -173,9 +173,9 @@
 	} {
 		p.daemon.AddDump(name, dump)
 	}
-	p.daemon.AddReadiness(p.keeper.Lacks)
-	p.daemon.AddReadiness(p.hosts.Lacks)
-	p.daemon.AddReadiness(p.settingsUnreadyReasons)
+	p.daemon.AddReadinessCheck(p.keeper.NotReadyReasons)
+	p.daemon.AddReadinessCheck(p.hosts.NotReadyReasons)
+	p.daemon.AddReadinessCheck(p.settingsUnreadyReasons)
 }
 
 // start opens the listeners and starts the components.
--- a/cmd/pulley-standin/main.go
+++ b/cmd/pulley-standin/main.go
@@ -22,5 +22,5 @@
 	}
 	defer s.Close()
 	d.Log.WithField("addr", s.Addr()).Info("started")
-	return d.Wait(daemon.Stopper{})
+	return d.Wait(daemon.StopPhases{})
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -21,10 +21,10 @@
 	// FailingThreshold is the same threshold for calls that the store refuses. They are
 	// retried for that long.
 	FailingThreshold = 300 * time.Millisecond
-	// ComeBack is the delay after which a refused caller should retry: short enough for
+	// RetryDelay is the delay after which a refused caller should retry: short enough for
 	// several retries within the caller's time-out. Callers refused at the same time
 	// spread their retries over an interval of the same length.
-	ComeBack = time.Second
+	RetryDelay = time.Second
 )
 
 // MaxUnknownShare is the largest fraction of its time-out that a caller waits while the
@@ -32,46 +32,46 @@
 // more than half of the time-out is left for retries.
 const MaxUnknownShare = 0.4
 
-// DoubtAfter returns how long a caller with this time-out waits while the outcome of
+// UnknownWaitLimit returns how long a caller with this time-out waits while the outcome of
 // its job is unknown.
-func DoubtAfter(callerTimeout time.Duration) time.Duration {
+func UnknownWaitLimit(callerTimeout time.Duration) time.Duration {
 	return time.Duration(MaxUnknownShare * float64(callerTimeout))
 }
 
 // Store is the state of the store as observed by this process.
 type Store struct {
-	// Silent is how long pending calls have waited with none answered; zero when no call
+	// UnansweredFor is how long pending calls have waited with none answered; zero when no call
 	// is pending.
-	Silent time.Duration
-	// Failing is how long calls have been refused or abandoned.
-	Failing time.Duration
-	// Usual is the upper end of the store's usual response times.
-	Usual time.Duration
+	UnansweredFor time.Duration
+	// FailingFor is how long calls have been refused or abandoned.
+	FailingFor time.Duration
+	// UsualLatency is the upper end of the store's usual response times.
+	UsualLatency time.Duration
 }
 
-// Away reports whether the store counts as unavailable: jobs are no longer sent to it,
+// Unavailable reports whether the store counts as unavailable: jobs are no longer sent to it,
 // and the outcome of those already sent is unknown.
-func (s Store) Away() bool {
-	return s.Silent > max(UnresponsiveThreshold, s.Usual) || s.Failing > FailingThreshold
+func (s Store) Unavailable() bool {
+	return s.UnansweredFor > max(UnresponsiveThreshold, s.UsualLatency) || s.FailingFor > FailingThreshold
 }
 
-// Step is the next action for a submitted job.
-type Step int
+// Action is the next action for a submitted job.
+type Action int
 
 const (
 	// Try sends the job to the store.
-	Try Step = iota
+	Try Action = iota
 	// Relay sends the job to a peer, which may reach the store.
 	Relay
 	// Refuse replies that the job was not accepted, and when to retry.
 	Refuse
-	// Doubt replies that the job may have been accepted; submitting it again returns its
+	// ReplyUnknown replies that the job may have been accepted; submitting it again returns its
 	// outcome.
-	Doubt
+	ReplyUnknown
 )
 
 // String returns the name used in the log.
-func (s Step) String() string {
+func (s Action) String() string {
 	return [...]string{"try", "relay", "refuse", "doubt"}[s]
 }
 
@@ -79,19 +79,19 @@
 type Job struct {
 	// Tried jobs were sent to the store by this process, Relayed ones to peers.
 	Tried, Relayed bool
-	// InDoubt is true if an unanswered call may have stored the job or may still store it.
-	InDoubt bool
+	// OutcomeUnknown is true if an unanswered call may have stored the job or may still store it.
+	OutcomeUnknown bool
 }
 
 // Next returns the next action for a job that is not known to be stored.
-func Next(j Job, s Store) Step {
+func Next(j Job, s Store) Action {
 	switch {
-	case !j.Tried && !s.Away():
+	case !j.Tried && !s.Unavailable():
 		return Try
-	case !j.Relayed && s.Away():
+	case !j.Relayed && s.Unavailable():
 		return Relay
-	case j.InDoubt:
-		return Doubt
+	case j.OutcomeUnknown:
+		return ReplyUnknown
 	}
 	return Refuse
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,27 +16,27 @@
 		store       admission.Store
 		unavailable bool
 	}{
-		"idle":                             {admission.Store{Usual: 60 * ms}, false},
-		"one reply is pending":             {admission.Store{Silent: 30 * ms, Usual: 60 * ms}, false},
-		"sixty times slower":               {admission.Store{Silent: 300 * ms, Usual: 60 * ms}, false},
-		"unresponsive":                     {admission.Store{Silent: 501 * ms, Usual: 60 * ms}, true},
-		"as slow as usual":                 {admission.Store{Silent: 900 * ms, Usual: 1200 * ms}, false},
-		"slower than usual":                {admission.Store{Silent: 1300 * ms, Usual: 1200 * ms}, true},
-		"refuses calls briefly":            {admission.Store{Failing: 200 * ms, Usual: 60 * ms}, false},
-		"refuses calls":                    {admission.Store{Failing: 301 * ms, Usual: 60 * ms}, true},
-		"refuses calls after slow replies": {admission.Store{Failing: 301 * ms, Usual: 1200 * ms}, true},
+		"idle":                             {admission.Store{UsualLatency: 60 * ms}, false},
+		"one reply is pending":             {admission.Store{UnansweredFor: 30 * ms, UsualLatency: 60 * ms}, false},
+		"sixty times slower":               {admission.Store{UnansweredFor: 300 * ms, UsualLatency: 60 * ms}, false},
+		"unresponsive":                     {admission.Store{UnansweredFor: 501 * ms, UsualLatency: 60 * ms}, true},
+		"as slow as usual":                 {admission.Store{UnansweredFor: 900 * ms, UsualLatency: 1200 * ms}, false},
+		"slower than usual":                {admission.Store{UnansweredFor: 1300 * ms, UsualLatency: 1200 * ms}, true},
+		"refuses calls briefly":            {admission.Store{FailingFor: 200 * ms, UsualLatency: 60 * ms}, false},
+		"refuses calls":                    {admission.Store{FailingFor: 301 * ms, UsualLatency: 60 * ms}, true},
+		"refuses calls after slow replies": {admission.Store{FailingFor: 301 * ms, UsualLatency: 1200 * ms}, true},
 	}
 	for name, tc := range tests {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(tc.store.Away(), tc.unavailable) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(tc.store.Unavailable(), tc.unavailable) })
 	}
 }
 
 func TestNext(t *testing.T) {
-	available, unavailable := admission.Store{}, admission.Store{Silent: time.Second}
+	available, unavailable := admission.Store{}, admission.Store{UnansweredFor: time.Second}
 	tests := map[string]struct {
 		job   admission.Job
 		store admission.Store
-		want  admission.Step
+		want  admission.Action
 	}{
 		"new job":                                    {admission.Job{}, available, admission.Try},
 		"new job during an outage":                   {admission.Job{}, unavailable, admission.Relay},
@@ -44,9 +44,9 @@
 		"not stored, store unavailable":              {admission.Job{Tried: true}, unavailable, admission.Relay},
 		"not stored by a peer either":                {admission.Job{Tried: true, Relayed: true}, unavailable, admission.Refuse},
 		"store available again after a failed relay": {admission.Job{Relayed: true}, available, admission.Try},
-		"outcome unknown":                            {admission.Job{Tried: true, InDoubt: true}, available, admission.Doubt},
-		"outcome unknown, store unavailable":         {admission.Job{Tried: true, InDoubt: true}, unavailable, admission.Relay},
-		"outcome unknown at a peer too":              {admission.Job{Tried: true, Relayed: true, InDoubt: true}, unavailable, admission.Doubt},
+		"outcome unknown":                            {admission.Job{Tried: true, OutcomeUnknown: true}, available, admission.ReplyUnknown},
+		"outcome unknown, store unavailable":         {admission.Job{Tried: true, OutcomeUnknown: true}, unavailable, admission.Relay},
+		"outcome unknown at a peer too":              {admission.Job{Tried: true, Relayed: true, OutcomeUnknown: true}, unavailable, admission.ReplyUnknown},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(admission.Next(tc.job, tc.store), tc.want) })
@@ -61,7 +61,7 @@
 		for i := range 3 {
 			store := admission.Store{}
 			if history>>i&1 == 1 {
-				store.Silent = time.Second
+				store.UnansweredFor = time.Second
 			}
 			next := admission.Next(job, store)
 			if next == admission.Try {
@@ -72,12 +72,12 @@
 				is.New(t).True(!job.Relayed)
 				job.Relayed = true
 			}
-			is.New(t).True(next != admission.Refuse || !job.InDoubt)
-			if next == admission.Refuse || next == admission.Doubt {
+			is.New(t).True(next != admission.Refuse || !job.OutcomeUnknown)
+			if next == admission.Refuse || next == admission.ReplyUnknown {
 				break
 			}
 			is.New(t).True(i < 2) // the third action ends the sequence
-			job.InDoubt = job.InDoubt || history>>(i+3)&1 == 1
+			job.OutcomeUnknown = job.OutcomeUnknown || history>>(i+3)&1 == 1
 		}
 	}
 }
--- a/internal/advice/lanes.go
+++ b/internal/advice/lanes.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Lanes distributes policy queries over the members that can send them. Each member has
+// QuerySlots distributes policy queries over the members that can send them. Each member has
 // a query slot: its queue at the policy service, which answers the member's queries one
 // after the other, each in a duration known in advance. Some query slots take no long
 // queries, so that short queries never wait behind long ones.
-type Lanes struct {
+type QuerySlots struct {
 	slots []*querySlot // sorted by name
 }
 
@@ -44,11 +44,11 @@
 	maxDoublings   = 5
 )
 
-// NewLanes returns an empty set of query slots; SetMembers adds them.
-func NewLanes() *Lanes { return &Lanes{} }
+// NewQuerySlots returns an empty set of query slots; SetMembers adds them.
+func NewQuerySlots() *QuerySlots { return &QuerySlots{} }
 
 // SetMembers replaces the set of members. Members that stay keep their state.
-func (l *Lanes) SetMembers(names []string) {
+func (l *QuerySlots) SetMembers(names []string) {
 	old := map[string]*querySlot{}
 	for _, x := range l.slots {
 		old[x.name] = x
@@ -65,10 +65,10 @@
 	}
 }
 
-// Book adds a query of the given duration to the query slot that will answer it first.
+// Assign adds a query of the given duration to the query slot that will answer it first.
 // It returns the member's name and the expected time of the reply, or false if the
 // backlogs of all query slots that the query may use are too long.
-func (l *Lanes) Book(duration time.Duration, now time.Time) (name string, answered time.Time, ok bool) {
+func (l *QuerySlots) Assign(duration time.Duration, now time.Time) (name string, answered time.Time, ok bool) {
 	leastLoaded := l.leastLoaded(duration, now)
 	if leastLoaded == nil {
 		return "", time.Time{}, false
@@ -81,14 +81,14 @@
 	return leastLoaded.name, leastLoaded.busyUntil, true
 }
 
-// Open reports whether a query slot may take a query of the given duration now.
-func (l *Lanes) Open(duration time.Duration, now time.Time) bool {
+// MayAssign reports whether a query slot may take a query of the given duration now.
+func (l *QuerySlots) MayAssign(duration time.Duration, now time.Time) bool {
 	return l.leastLoaded(duration, now) != nil
 }
 
-// Idle reports whether at least half of the query slots for a query of the given duration
+// HalfIdle reports whether at least half of the query slots for a query of the given duration
 // have no outstanding queries.
-func (l *Lanes) Idle(duration time.Duration, now time.Time) bool {
+func (l *QuerySlots) HalfIdle(duration time.Duration, now time.Time) bool {
 	slots, _ := l.eligible(duration, now)
 	idle := 0
 	for _, x := range slots {
@@ -101,7 +101,7 @@
 
 // leastLoaded returns the query slot with the shortest backlog for a query of the given
 // duration, or nil if none may take the query now.
-func (l *Lanes) leastLoaded(duration time.Duration, now time.Time) *querySlot {
+func (l *QuerySlots) leastLoaded(duration time.Duration, now time.Time) *querySlot {
 	slots, backlog := l.eligible(duration, now)
 	var leastLoaded *querySlot
 	for _, x := range slots {
@@ -127,7 +127,7 @@
 
 // eligible returns the query slots for queries of the given duration, and their largest
 // permitted backlog. Queries of all durations share the slots if there are few.
-func (l *Lanes) eligible(duration time.Duration, now time.Time) ([]*querySlot, time.Duration) {
+func (l *QuerySlots) eligible(duration time.Duration, now time.Time) ([]*querySlot, time.Duration) {
 	slots := l.usable(now)
 	n := len(slots)
 	if n < mediumDivisor {
@@ -146,7 +146,7 @@
 
 // usable returns the query slots without failures, followed by those whose back-off after
 // a failure has ended.
-func (l *Lanes) usable(now time.Time) []*querySlot {
+func (l *QuerySlots) usable(now time.Time) []*querySlot {
 	working := make([]*querySlot, 0, len(l.slots))
 	var failed []*querySlot
 	for _, x := range l.slots {
@@ -160,9 +160,9 @@
 	return append(working, failed...)
 }
 
-// Answered records at now the reply to a query sent at sent, or its failure. A failure
+// RecordReply records at now the reply to a query sent at sent, or its failure. A failure
 // of a query that was sent before the query slot's last failure is ignored.
-func (l *Lanes) Answered(name string, failed bool, sent, now time.Time) {
+func (l *QuerySlots) RecordReply(name string, failed bool, sent, now time.Time) {
 	for _, x := range l.slots {
 		if x.name != name {
 			continue
--- a/internal/advice/lanes_test.go
+++ b/internal/advice/lanes_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func newSevenSlots() *Lanes {
-	l := NewLanes()
+func newSevenSlots() *QuerySlots {
+	l := NewQuerySlots()
 	l.SetMembers([]string{"a", "b", "c", "d", "e", "f", "g"})
 	return l
 }
@@ -20,17 +20,17 @@
 func TestShortQueriesNeverWaitBehindLongOnes(t *testing.T) {
 	is := is.New(t)
 	for members := 2; members <= 9; members++ {
-		l := NewLanes()
+		l := NewQuerySlots()
 		l.SetMembers([]string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}[:members])
 		for {
-			if _, _, ok := l.Book(900*time.Millisecond, start); !ok {
+			if _, _, ok := l.Assign(900*time.Millisecond, start); !ok {
 				break
 			}
 		}
 		if members < 3 {
 			continue // queries of all durations share two query slots
 		}
-		_, answered, ok := l.Book(8*time.Millisecond, start)
+		_, answered, ok := l.Assign(8*time.Millisecond, start)
 		is.True(ok)
 		is.Equal(answered, start.Add(8*time.Millisecond))
 	}
@@ -38,25 +38,25 @@
 
 func TestOneMemberSendsAllQueries(t *testing.T) {
 	is := is.New(t)
-	l := NewLanes()
+	l := NewQuerySlots()
 	l.SetMembers([]string{"a"})
 	for _, duration := range []time.Duration{5 * time.Millisecond, 60 * time.Millisecond, 700 * time.Millisecond} {
-		name, _, ok := l.Book(duration, start)
+		name, _, ok := l.Assign(duration, start)
 		is.True(ok)
 		is.Equal(name, "a")
 	}
-	_, _, ok := NewLanes().Book(time.Millisecond, start)
+	_, _, ok := NewQuerySlots().Assign(time.Millisecond, start)
 	is.True(!ok) // there is no member to send the query
 }
 
 func TestLeastLoadedQuerySlotIsChosen(t *testing.T) {
 	is := is.New(t)
 	l := newSevenSlots()
-	first, _, _ := l.Book(700*time.Millisecond, start)
-	second, _, _ := l.Book(700*time.Millisecond, start)
+	first, _, _ := l.Assign(700*time.Millisecond, start)
+	second, _, _ := l.Assign(700*time.Millisecond, start)
 	is.True(first != second)
-	l.Answered(first, false, start, start.Add(100*time.Millisecond)) // earlier than estimated
-	third, answered, _ := l.Book(700*time.Millisecond, start.Add(100*time.Millisecond))
+	l.RecordReply(first, false, start, start.Add(100*time.Millisecond)) // earlier than estimated
+	third, answered, _ := l.Assign(700*time.Millisecond, start.Add(100*time.Millisecond))
 	is.True(third != second)
 	is.Equal(answered, start.Add(800*time.Millisecond))
 }
@@ -69,7 +69,7 @@
 	now := start
 	failures := 0
 	for range 40 {
-		name, _, ok := l.Book(700*time.Millisecond, now)
+		name, _, ok := l.Assign(700*time.Millisecond, now)
 		is.True(ok)
 		failed := name == "g"
 		if failed {
@@ -77,7 +77,7 @@
 		}
 		sent := now
 		now = now.Add(time.Second)
-		l.Answered(name, failed, sent, now)
+		l.RecordReply(name, failed, sent, now)
 	}
 	is.True(failures > 0)
 	is.True(failures <= 8)
@@ -88,22 +88,22 @@
 // doubles the back-off, the query slot is not used for ten seconds.
 func TestFailuresOfOneEventCountOnce(t *testing.T) {
 	is := is.New(t)
-	l := NewLanes()
+	l := NewQuerySlots()
 	l.SetMembers([]string{"a"})
 	for range 8 {
-		_, _, ok := l.Book(8*time.Millisecond, start)
+		_, _, ok := l.Assign(8*time.Millisecond, start)
 		is.True(ok)
 	}
 	failed := start.Add(400 * time.Millisecond)
 	for range 8 {
-		l.Answered("a", true, start, failed)
+		l.RecordReply("a", true, start, failed)
 	}
-	_, _, ok := l.Book(8*time.Millisecond, failed.Add(initialBackoff-1))
+	_, _, ok := l.Assign(8*time.Millisecond, failed.Add(initialBackoff-1))
 	is.True(!ok)
-	_, _, ok = l.Book(8*time.Millisecond, failed.Add(initialBackoff))
+	_, _, ok = l.Assign(8*time.Millisecond, failed.Add(initialBackoff))
 	is.True(ok)
-	l.Answered("a", true, failed.Add(initialBackoff), failed.Add(2*initialBackoff)) // failed again
-	_, _, ok = l.Book(8*time.Millisecond, failed.Add(3*initialBackoff))
+	l.RecordReply("a", true, failed.Add(initialBackoff), failed.Add(2*initialBackoff)) // failed again
+	_, _, ok = l.Assign(8*time.Millisecond, failed.Add(3*initialBackoff))
 	is.True(!ok)
 }
 
@@ -113,18 +113,18 @@
 	is := is.New(t)
 	l := newSevenSlots()
 	for _, name := range []string{"a", "b"} {
-		l.Answered(name, true, start, start)
+		l.RecordReply(name, true, start, start)
 	}
 	for _, duration := range []time.Duration{8 * time.Millisecond, 60 * time.Millisecond, 700 * time.Millisecond} {
-		name, _, ok := l.Book(duration, start)
+		name, _, ok := l.Assign(duration, start)
 		is.True(ok)
 		is.True(name != "a" && name != "b")
 	}
 	for _, name := range []string{"c", "d", "e", "f", "g"} {
-		l.Answered(name, true, start, start)
+		l.RecordReply(name, true, start, start)
 	}
-	_, _, ok := l.Book(8*time.Millisecond, start)
+	_, _, ok := l.Assign(8*time.Millisecond, start)
 	is.True(!ok)
-	_, _, ok = l.Book(8*time.Millisecond, start.Add(initialBackoff))
+	_, _, ok = l.Assign(8*time.Millisecond, start.Add(initialBackoff))
 	is.True(ok) // one query slot is tried again
 }
--- a/internal/advice/port.go
+++ b/internal/advice/port.go
@@ -18,11 +18,11 @@
 	Ticket string  `cbor:"2,keyasint"`
 }
 
-// Answer is the reply to a policy query: the tickets of those queried hosts that may run
+// Reply is the reply to a policy query: the tickets of those queried hosts that may run
 // the step, and for how long the tickets are valid.
-type Answer struct {
-	Good  []Ticket      `cbor:"1,keyasint"`
-	Valid time.Duration `cbor:"2,keyasint"`
+type Reply struct {
+	Permitted []Ticket      `cbor:"1,keyasint"`
+	ValidFor  time.Duration `cbor:"2,keyasint"`
 }
 
 // ErrBusy is returned if the query was refused because too many are waiting.
@@ -30,7 +30,7 @@
 
 // Service is a client of the policy service.
 type Service interface {
-	// Advise returns which of the hosts may run the step. The reply takes the time given in
+	// Query returns which of the hosts may run the step. The reply takes the time given in
 	// the queue's settings, once the queries that wait already have been answered.
-	Advise(ctx context.Context, step spec.StepID, hosts []host.ID) (Answer, error)
+	Query(ctx context.Context, step spec.StepID, hosts []host.ID) (Reply, error)
 }
--- a/internal/capacity/helpers_test.go
+++ b/internal/capacity/helpers_test.go
@@ -42,9 +42,9 @@
 func shape() taskmsg.Shape {
 	return taskmsg.Shape{
 		Job: jobID, Kind: spec.KindBatch,
-		Task:   spec.Task{Size: spec.Resources{MilliCPU: 2000, MemoryMiB: 4096}, RunMillis: 20000, Command: "reconcile --shard"},
-		Policy: taskmsg.Policy{Name: settings.PolicyPacking, SpreadZones: true, MinReplicas: 1},
-		Zones:  map[string]int{"eu-west-1a": 12, "eu-west-1b": 12, "eu-west-1c": 11},
+		Task:          spec.Task{Size: spec.Resources{MilliCPU: 2000, MemoryMiB: 4096}, RunMillis: 20000, Command: "reconcile --shard"},
+		Policy:        taskmsg.Policy{Name: settings.PolicyPacking, SpreadZones: true, MinReplicas: 1},
+		RunningByZone: map[string]int{"eu-west-1a": 12, "eu-west-1b": 12, "eu-west-1c": 11},
 	}
 }
 
--- a/internal/capacity/holder_bench_test.go
+++ b/internal/capacity/holder_bench_test.go
@@ -121,8 +121,8 @@
 		workers: newInstantWorkers(endless),
 		peers:   peer.Local{homeAddr: peer.NewMux(), holderAddr: peer.NewMux()}, done: make(chan struct{}),
 	}
-	peer.Handle(h.peers[homeAddr], peer.KindTaskNews, func(_ context.Context, n taskmsg.News) (taskmsg.NewsReply, error) {
-		var reply taskmsg.NewsReply
+	peer.Handle(h.peers[homeAddr], peer.KindTaskUpdates, func(_ context.Context, n taskmsg.RunReports) (taskmsg.RunReportsReply, error) {
+		var reply taskmsg.RunReportsReply
 		for _, r := range n.Runs {
 			if r.State != taskmsg.RunRunning {
 				reply.Acked = append(reply.Acked, r.Run)
@@ -137,11 +137,11 @@
 	hosts := h.workers.add(n)
 	f := fleet.New(fleet.Config{
 		Name: "holder", Partitions: partition.DefaultCount, Hosts: func() []platform.Host { return hosts },
-		Right: fullAuthority{}, Client: h.workers, Peers: h.peers, View: cell, Registerer: prometheus.NewRegistry(), Log: discardLogger(),
+		Authorizer: fullAuthority{}, Client: h.workers, Peers: h.peers, View: cell, Registerer: prometheus.NewRegistry(), Log: discardLogger(),
 	})
 	f.Register(h.peers[holderAddr])
 	for p := range partition.DefaultCount {
-		if err := f.Acquire(context.Background(), hold.Takeover{Grant: hold.Grant{Partition: p, Epoch: 1}, Fresh: true}); err != nil {
+		if err := f.Acquire(context.Background(), hold.Acquisition{Grant: hold.Grant{Partition: p, Epoch: 1}, NeverHeld: true}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/capacity/messages_bench_test.go
+++ b/internal/capacity/messages_bench_test.go
@@ -66,18 +66,18 @@
 	return r
 }
 
-func news(n int) taskmsg.News {
-	m := taskmsg.News{HomePartition: 17}
+func news(n int) taskmsg.RunReports {
+	m := taskmsg.RunReports{HomePartition: 17}
 	for i := range n {
-		m.Runs = append(m.Runs, taskmsg.RunNews{
+		m.Runs = append(m.Runs, taskmsg.RunReport{
 			Run: attempt(i), State: taskmsg.RunFinished, Worker: workerName(i), Zone: "eu-west-1a", Partition: 33, Epoch: 815,
 		})
 	}
 	return m
 }
 
-func newsReply(n int) taskmsg.NewsReply {
-	r := taskmsg.NewsReply{}
+func newsReply(n int) taskmsg.RunReportsReply {
+	r := taskmsg.RunReportsReply{}
 	for i := range n {
 		r.Acked = append(r.Acked, attempt(i))
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-func heartbeatMessage(b *testing.B, n int) heartbeat.Beat {
+func heartbeatMessage(b *testing.B, n int) heartbeat.Request {
 	digest := taskmsg.Digest{Workers: 90, Free: spec.Resources{MilliCPU: 1 << 21, MemoryMiB: 1 << 22, Accelerators: 40}}
 	free := map[string]int{}
 	for i := range n {
@@ -106,9 +106,9 @@
 		})
 		free[fmt.Sprintf("lakeshore.ledger-%d", i)] = 300 + i
 	}
-	heartbeatMessage := heartbeat.Beat{Extras: map[string]cbor.RawMessage{"capacity": encode(b, digest), "slots": encode(b, free)}}
+	heartbeatMessage := heartbeat.Request{Extras: map[string]cbor.RawMessage{"capacity": encode(b, digest), "slots": encode(b, free)}}
 	heartbeatMessage.Status.Member = member(1)
-	heartbeatMessage.Status.Deputy = "placer-00002"
+	heartbeatMessage.Status.Delegate = "placer-00002"
 	heartbeatMessage.Status.TableRevision, heartbeatMessage.Status.SettingsRevision = 1234567, 1234000
 	return heartbeatMessage
 }
@@ -156,7 +156,7 @@
 			o.Starts = append(o.Starts, start(i))
 			o.Acks = append(o.Acks, attempt(i))
 			r.Results = append(r.Results, worker.StartResult{Started: true})
-			r.Ended = append(r.Ended, ended(i).Ending())
+			r.Ended = append(r.Ended, ended(i).EndRecord())
 		}
 		measure(b, fmt.Sprint("start-and-ack/", n), workerCodec, o)
 		measure(b, fmt.Sprint("start-and-ended-reply/", n), workerCodec, r)
--- a/internal/capacity/path_bench_test.go
+++ b/internal/capacity/path_bench_test.go
@@ -57,10 +57,10 @@
 	view := c.table(b)
 	f := fleet.New(fleet.Config{
 		Name: "holder", Partitions: partition.DefaultCount, Hosts: func() []platform.Host { return hosts },
-		Right: fullAuthority{}, Client: c.workers, Peers: peers, View: view, Registerer: prometheus.NewRegistry(), Log: discardLogger(),
+		Authorizer: fullAuthority{}, Client: c.workers, Peers: peers, View: view, Registerer: prometheus.NewRegistry(), Log: discardLogger(),
 	})
 	c.jobs = job.New(job.Config{
-		Source: view, Right: fullAuthority{}, Store: c.store, Peers: peers, PartitionKey: hold.PartitionKey,
+		Source: view, Authorizer: fullAuthority{}, Store: c.store, Peers: peers, PartitionKey: hold.PartitionKey,
 		Values:     func(string) (settings.Values, bool) { return settings.Defaults(), true },
 		Digests:    func() map[string]taskmsg.Digest { return map[string]taskmsg.Digest{"holder": f.Digest()} },
 		Registerer: prometheus.NewRegistry(), Log: discardLogger(),
@@ -68,7 +68,7 @@
 	f.Register(mux)
 	c.jobs.Register(mux)
 	for p := range partition.DefaultCount {
-		t := hold.Takeover{Grant: hold.Grant{Partition: p, Epoch: 1}, Fresh: true}
+		t := hold.Acquisition{Grant: hold.Grant{Partition: p, Epoch: 1}, NeverHeld: true}
 		if err := f.Acquire(context.Background(), t); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -14,11 +14,11 @@
 	Queues   []Queue   `cbor:"2,keyasint"`
 	Services []Service `cbor:"3,keyasint"`
 	Limits   Limits    `cbor:"4,keyasint"`
-	// Keyed is true if calls need a key of one of the Accounts.
-	Keyed    bool      `cbor:"5,keyasint,omitempty"`
-	Accounts []Account `cbor:"6,keyasint,omitempty"`
-	// Form is the CurrentForm of the process that decoded the configuration.
-	Form int `cbor:"7,keyasint,omitempty"`
+	// KeysRequired is true if calls need a key of one of the Accounts.
+	KeysRequired bool      `cbor:"5,keyasint,omitempty"`
+	Accounts     []Account `cbor:"6,keyasint,omitempty"`
+	// FormatVersion is the CurrentForm of the process that decoded the configuration.
+	FormatVersion int `cbor:"7,keyasint,omitempty"`
 
 	byHost   map[string][]*Queue // longest prefix first
 	services map[string]*Service
@@ -26,10 +26,10 @@
 	keys     map[KeyDigest]*Account
 }
 
-// CurrentForm is the format version of catalogs. It is increased whenever fields are added. A peer that runs an older
+// CurrentFormatVersion is the format version of catalogs. It is increased whenever fields are added. A peer that runs an older
 // program version omits the fields that it doesn't know, so catalogs of a lower format version aren't accepted from
 // peers.
-const CurrentForm = 1
+const CurrentFormatVersion = 1
 
 // Queue is an address to which callers submit jobs, with the rules for these jobs.
 type Queue struct {
@@ -50,18 +50,18 @@
 type Rules struct {
 	// Priority 0 is the highest and may preempt other priorities.
 	Priority int `cbor:"1,keyasint,omitempty"`
-	// Attempts is how often a task may fail before its job fails.
-	Attempts int `cbor:"2,keyasint"`
-	// Stretch and TargetMillis define a job's target completion time: Stretch times its critical path, plus
+	// MaxAttempts is how often a task may fail before its job fails.
+	MaxAttempts int `cbor:"2,keyasint"`
+	// CriticalPathFactor and TargetMillis define a job's target completion time: Stretch times its critical path, plus
 	// TargetMillis.
-	Stretch      float64 `cbor:"3,keyasint,omitempty"`
-	TargetMillis int64   `cbor:"4,keyasint,omitempty"`
-	// Advice is set if a policy service decides which hosts may run a step.
-	Advice *Advice `cbor:"5,keyasint,omitempty"`
+	CriticalPathFactor float64 `cbor:"3,keyasint,omitempty"`
+	TargetMillis       int64   `cbor:"4,keyasint,omitempty"`
+	// PolicyQuery is set if a policy service decides which hosts may run a step.
+	PolicyQuery *PolicyQuery `cbor:"5,keyasint,omitempty"`
 }
 
-// Advice describes the duration of a policy query and the validity of the ticket that the policy service returns.
-type Advice struct {
+// PolicyQuery describes the duration of a policy query and the validity of the ticket that the policy service returns.
+type PolicyQuery struct {
 	// DecideMillis is the fixed part of a query's duration, PerHostMillis the part for each host.
 	DecideMillis  float64 `cbor:"1,keyasint"`
 	PerHostMillis float64 `cbor:"2,keyasint"`
@@ -69,22 +69,24 @@
 	ValidMillis int64 `cbor:"3,keyasint"`
 }
 
-// Took returns how long the policy service takes for a query about n hosts.
-func (a *Advice) Took(n int) time.Duration {
+// QueryDuration returns how long the policy service takes for a query about n hosts.
+func (a *PolicyQuery) QueryDuration(n int) time.Duration {
 	ms := a.DecideMillis + float64(n)*a.PerHostMillis
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Valid returns how long a ticket can be used.
-func (a *Advice) Valid() time.Duration { return time.Duration(a.ValidMillis) * time.Millisecond }
+// TicketTTL returns how long a ticket can be used.
+func (a *PolicyQuery) TicketTTL() time.Duration {
+	return time.Duration(a.ValidMillis) * time.Millisecond
+}
 
 // Service is a pool of hosts.
 type Service struct {
 	Name       string `cbor:"1,keyasint"`
 	HealthPath string `cbor:"2,keyasint,omitempty"`
-	// GuardsCapacity is true if the hosts refuse tasks that don't fit; other hosts start every task they are ordered
+	// EnforcesCapacity is true if the hosts refuse tasks that don't fit; other hosts start every task they are ordered
 	// to start.
-	GuardsCapacity bool `cbor:"3,keyasint,omitempty"`
+	EnforcesCapacity bool `cbor:"3,keyasint,omitempty"`
 	// Standby is true if the pool's hosts are switched off.
 	Standby bool `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -75,16 +75,16 @@
 	return c, nil
 }
 
-func start(t *testing.T, store *memstore.Engine, p *peers) *Keeper {
+func start(t *testing.T, store *memstore.Engine, p *peers) *Watcher {
 	t.Helper()
 	return startDecoding(t, store, p, decodeVersion)
 }
 
-func startDecoding(t *testing.T, store *memstore.Engine, p *peers, decode func(platform.Record) (*Catalog, error)) *Keeper {
+func startDecoding(t *testing.T, store *memstore.Engine, p *peers, decode func(platform.Record) (*Catalog, error)) *Watcher {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	k := &Keeper{
+	k := &Watcher{
 		Store: store.Client("a"), Health: follow.NewHealth(nil), Peers: p, Log: log.WithField("test", t.Name()),
 		Key: key, Decode: decode,
 	}
@@ -105,11 +105,11 @@
 		defer store.Close()
 		p := &peers{}
 		k := start(t, store, p)
-		is.Equal(len(k.Lacks()), 1)
+		is.Equal(len(k.NotReadyReasons()), 1)
 		put(store, "3")
 		time.Sleep(time.Second)
 		is.Equal(k.Version(), int64(3))
-		is.Equal(len(k.Lacks()), 0)
+		is.Equal(len(k.NotReadyReasons()), 0)
 
 		put(store, "nonsense") // it can not be decoded: the previous version stays active
 		time.Sleep(time.Second)
@@ -119,13 +119,13 @@
 		put(store, "7")
 		time.Sleep(time.Second)
 		is.Equal(k.Version(), int64(3))
-		p.newest = &Catalog{Version: 7, Form: CurrentForm}
-		k.Behind("b:1") // a heartbeat has reported a newer version
+		p.newest = &Catalog{Version: 7, FormatVersion: CurrentFormatVersion}
+		k.FetchFrom("b:1") // a heartbeat has reported a newer version
 		time.Sleep(time.Second)
 		is.Equal(k.Version(), int64(7))
 
-		p.newest = &Catalog{Version: 5, Form: CurrentForm}
-		k.Behind("b:1")
+		p.newest = &Catalog{Version: 5, FormatVersion: CurrentFormatVersion}
+		k.FetchFrom("b:1")
 		time.Sleep(time.Second)
 		is.Equal(k.Version(), int64(7))
 
@@ -148,7 +148,7 @@
 	for _, key := range words[1:] {
 		a.Keys = append(a.Keys, DigestOf(key))
 	}
-	c := &Catalog{Version: v, Form: CurrentForm, Keyed: true, Accounts: []Account{a}}
+	c := &Catalog{Version: v, FormatVersion: CurrentFormatVersion, KeysRequired: true, Accounts: []Account{a}}
 	c.Index()
 	return c, nil
 }
@@ -162,7 +162,7 @@
 	refusing, healthy := memstore.Faults{Refuse: true}, memstore.Faults{}
 	newest, _ := keyedVersion(platform.Record{Value: []byte(after)})
 	previous, _ := keyedVersion(platform.Record{Value: []byte(before)})
-	incomplete := &Catalog{Version: 9, Keyed: false} // as a peer of an older program version forwards it
+	incomplete := &Catalog{Version: 9, KeysRequired: false} // as a peer of an older program version forwards it
 	cases := map[string]struct {
 		faults  memstore.Faults
 		newest  *Catalog // the peers' catalog
@@ -199,7 +199,7 @@
 				put(store, after)
 				p.newest = tc.newest
 				for range 4 {
-					k.Behind("b:1")
+					k.FetchFrom("b:1")
 					time.Sleep(bound / 4)
 				}
 				c := k.Current()
@@ -209,7 +209,7 @@
 				store.Client("a").SetFaults(healthy)
 				p.newest = previous
 				time.Sleep(2 * bound)
-				k.Behind("b:1")
+				k.FetchFrom("b:1")
 				time.Sleep(time.Second)
 				is.True(k.Current().AccountOf("new") != nil)
 				is.True(k.Current().AccountOf("old") == nil)
--- a/internal/catalog/watcher.go
+++ b/internal/catalog/watcher.go
@@ -23,7 +23,7 @@
 
 // Watcher follows the newest catalog in the store and, if the store doesn't answer, at peers. The active version
 // never decreases.
-type Keeper struct {
+type Watcher struct {
 	Store  platform.Poller
 	Health *follow.Health
 	Peers  peer.Caller
@@ -49,10 +49,10 @@
 }
 
 // OnChange registers a function that is called with each newer catalog, in order. Call it before Start.
-func (k *Keeper) OnChange(fn func(*Catalog)) { k.listeners = append(k.listeners, fn) }
+func (k *Watcher) OnChange(fn func(*Catalog)) { k.listeners = append(k.listeners, fn) }
 
 // Start registers the message handler and follows the store's catalog in the background until ctx ends.
-func (k *Keeper) Start(ctx context.Context, mux *peer.Mux) {
+func (k *Watcher) Start(ctx context.Context, mux *peer.Mux) {
 	peer.Handle(mux, peer.KindCatalog, func(_ context.Context, q Request) (Reply, error) {
 		if c := k.Current(); c != nil && c.Version > q.Newer {
 			return Reply{Catalog: c}, nil
@@ -76,25 +76,25 @@
 }
 
 // Current returns the active catalog, or nil before the first.
-func (k *Keeper) Current() *Catalog { return k.current.Load() }
+func (k *Watcher) Current() *Catalog { return k.current.Load() }
 
 // Version returns the version of the active catalog, -1 before the first.
-func (k *Keeper) Version() int64 {
+func (k *Watcher) Version() int64 {
 	if c := k.Current(); c != nil {
 		return c.Version
 	}
 	return -1
 }
 
-// Lacks returns the reasons why the catalog isn't ready; none once a catalog is active.
-func (k *Keeper) Lacks() []string {
+// NotReadyReasons returns the reasons why the catalog isn't ready; none once a catalog is active.
+func (k *Watcher) NotReadyReasons() []string {
 	if k.Current() == nil {
 		return []string{"catalog: no configuration has been read yet"}
 	}
 	return nil
 }
 
-func (k *Keeper) processRecord(rec platform.Record) {
+func (k *Watcher) processRecord(rec platform.Record) {
 	if rec.Key != k.Key {
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 // apply activates a catalog if it is newer than the active one.
-func (k *Keeper) apply(c *Catalog, from string) {
+func (k *Watcher) apply(c *Catalog, from string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if c.Version <= k.Version() {
@@ -120,8 +120,8 @@
 	}
 }
 
-// Behind fetches a newer catalog from a peer in the background. It does nothing while another fetch is in progress.
-func (k *Keeper) Behind(addr string) {
+// FetchFrom fetches a newer catalog from a peer in the background. It does nothing while another fetch is in progress.
+func (k *Watcher) FetchFrom(addr string) {
 	if !k.fetching.CompareAndSwap(false, true) {
 		return
 	}
@@ -133,7 +133,7 @@
 		if err := k.Peers.Call(ctx, addr, peer.KindCatalog, Request{Newer: k.Version()}, &reply); err != nil || reply.Catalog == nil {
 			return // the next heartbeat triggers another fetch
 		}
-		if reply.Catalog.Form < CurrentForm {
+		if reply.Catalog.FormatVersion < CurrentFormatVersion {
 			return // decoded by an older program version, which omitted fields that it doesn't know
 		}
 		reply.Catalog.Index()
--- a/internal/cell/claimer.go
+++ b/internal/cell/claimer.go
@@ -55,7 +55,7 @@
 	CatalogVersion func() int64
 	Behind         func(addr string)
 	// Lateness measures the lateness of this process's timers. Start runs it.
-	Late *lateness.Timers
+	Lateness *lateness.Timers
 
 	started   time.Time
 	monitors  []*holderMonitor
@@ -89,10 +89,10 @@
 	for p := range partitions {
 		c.monitors = append(c.monitors, &holderMonitor{partition: p})
 	}
-	peer.Handle(mux, peer.KindBeat, c.onHeartbeat)
-	peer.Handle(mux, peer.KindOpinion, c.onHolderStatus)
-	peer.Handle(mux, peer.KindSucceed, c.onHandover)
-	go c.Late.Run(ctx)
+	peer.Handle(mux, peer.KindMemberHeartbeat, c.onHeartbeat)
+	peer.Handle(mux, peer.KindHolderStatus, c.onHolderStatus)
+	peer.Handle(mux, peer.KindHandover, c.onHandover)
+	go c.Lateness.Run(ctx)
 	for _, w := range c.monitors {
 		c.running.Go(func() { c.monitor(ctx, w) })
 	}
@@ -133,7 +133,7 @@
 	for ctx.Err() == nil {
 		h, _ := c.View.Holder(w.partition)
 		w.trackEpoch(h.Epoch, time.Now())
-		if c.Health.Age(time.Now()) > time.Hour {
+		if c.Health.SinceLastReply(time.Now()) > time.Hour {
 			wait.For(ctx, MinHeartbeatInterval/4) // no information before the store's first reply
 			continue
 		}
@@ -180,9 +180,9 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply HeartbeatReply
-	err := c.Peers.Call(ctx, h.Addr, peer.KindBeat, Heartbeat{
+	err := c.Peers.Call(ctx, h.Addr, peer.KindMemberHeartbeat, Heartbeat{
 		Partition: w.partition, From: c.Self.Name, FromAddr: c.Self.Addr, Catalog: c.CatalogVersion(),
-		Members: c.Health.Failing(time.Now()) > 0,
+		Members: c.Health.FailingFor(time.Now()) > 0,
 	}, &reply)
 	if err == nil && reply.Incarnation == h.Incarnation {
 		c.applyReply(reply)
@@ -206,8 +206,8 @@
 }
 
 func (c *Claimer) applyReply(reply HeartbeatReply) {
-	c.View.Learn(withRevision(reply.Holder, reply.Revision))
-	if c.Health.Failing(time.Now()) > 0 {
+	c.View.UpdateHolder(withRevision(reply.Holder, reply.Revision))
+	if c.Health.FailingFor(time.Now()) > 0 {
 		c.View.addReported(reply.Members, time.Now())
 	}
 	if reply.Catalog > c.CatalogVersion() {
--- a/internal/cell/evidence.go
+++ b/internal/cell/evidence.go
@@ -21,7 +21,7 @@
 	if h.Epoch > 0 && h.Incarnation == c.Self.Incarnation {
 		e.Replaced = true // a claim of this process took effect after its time-out
 	}
-	if c.Health.Failing(now) > 0 || e.HolderStoreOutage > 0 && c.Health.Age(now) >= e.HolderStoreOutage {
+	if c.Health.FailingFor(now) > 0 || e.HolderStoreOutage > 0 && c.Health.SinceLastReply(now) >= e.HolderStoreOutage {
 		e.HolderStoreOutage = 0 // this process may not reach the store either
 	}
 	return e
@@ -61,11 +61,11 @@
 		e.Others++
 		calls.Go(func() {
 			var status HolderStatus
-			err := c.Peers.Call(ctx, m.Addr, peer.KindOpinion, HolderStatusRequest{w.partition, e.Holder.Epoch}, &status)
+			err := c.Peers.Call(ctx, m.Addr, peer.KindHolderStatus, HolderStatusRequest{w.partition, e.Holder.Epoch}, &status)
 			if err != nil {
 				return
 			}
-			c.View.Learn(withRevision(status.Holder, status.Revision))
+			c.View.UpdateHolder(withRevision(status.Holder, status.Revision))
 			mu.Lock()
 			defer mu.Unlock()
 			if status.Reachable {
@@ -106,7 +106,7 @@
 	defer cancel()
 	rec, _, err := c.Store.Get(ctx, ledger.ChainKey(w.partition))
 	now := time.Now()
-	c.Health.Note(err == nil, now)
+	c.Health.RecordCall(err == nil, now)
 	if err != nil {
 		return
 	}
--- a/internal/cell/heartbeat.go
+++ b/internal/cell/heartbeat.go
@@ -94,8 +94,8 @@
 // storeOutage returns the time for which the store has not answered this process: the time
 // since the first call after which no call was answered.
 func (c *Claimer) storeOutage(now time.Time) time.Duration {
-	outage := c.Health.Failing(now)
-	if silent := c.Health.Silent(now); silent >= storeSilenceThreshold {
+	outage := c.Health.FailingFor(now)
+	if silent := c.Health.UnansweredFor(now); silent >= storeSilenceThreshold {
 		outage = max(outage, silent)
 	}
 	return outage
@@ -117,8 +117,8 @@
 	if h.Partition < 0 || h.Partition >= len(c.monitors) {
 		return Empty{}, result.New(result.BadInput, result.RanNo, "partition %d", h.Partition)
 	}
-	c.View.Learn(h)
-	if c.Late.Slow() {
+	c.View.UpdateHolder(h)
+	if c.Lateness.Slow() {
 		return Empty{}, errProcessSlow()
 	}
 	c.monitors[h.Partition].invite(h.Epoch)
--- a/internal/cell/heartbeat_test.go
+++ b/internal/cell/heartbeat_test.go
@@ -61,11 +61,11 @@
 				is := is.New(t)
 				now := time.Now()
 				holder, member := follow.NewHealth(nil), follow.NewHealth(nil)
-				holder.Note(true, now.Add(-time.Second))
+				holder.RecordCall(true, now.Add(-time.Second))
 				if tc.unansweredFor > 0 {
-					holder.Asked(now.Add(-tc.unansweredFor))
+					holder.RecordSend(now.Add(-tc.unansweredFor))
 				}
-				member.Note(true, now.Add(-tc.memberAnsweredAgo))
+				member.RecordCall(true, now.Add(-tc.memberAnsweredAgo))
 				reply, err := (&Claimer{View: NewView(), Health: holder, CatalogVersion: func() int64 { return 0 }, monitors: []*holderMonitor{{}}}).onHeartbeat(t.Context(), Heartbeat{})
 				is.NoErr(err)
 				w := &holderMonitor{storeOutage: reply.StoreOutage, lastContact: now}
--- a/internal/cell/service.go
+++ b/internal/cell/service.go
@@ -74,7 +74,7 @@
 	defer cancel()
 	err := s.register(ctx)
 	answered := err == nil || errors.Is(err, platform.ErrLeaseGone)
-	s.Health.Note(answered, time.Now())
+	s.Health.RecordCall(answered, time.Now())
 	return err
 }
 
--- a/internal/cell/slow.go
+++ b/internal/cell/slow.go
@@ -31,7 +31,7 @@
 	pause := minTenure
 	for wait.For(ctx, pause) {
 		pause = lateness.SampleInterval
-		if c.Late.Slow() {
+		if c.Lateness.Slow() {
 			c.handOverToFastest(ctx, w)
 			pause = lateness.SampleCount * lateness.SampleInterval
 		}
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	log := c.Log.WithFields(logrus.Fields{"partition": w.partition, "epoch": h.Epoch, "to": m.Name})
-	if err := c.Peers.Call(ctx, m.Addr, peer.KindSucceed, HandoverRequest{h, h.Revision}, &Empty{}); err != nil {
+	if err := c.Peers.Call(ctx, m.Addr, peer.KindHandover, HandoverRequest{h, h.Revision}, &Empty{}); err != nil {
 		log.WithError(err).Warn("this process is slow, and nobody takes its partition")
 		return
 	}
@@ -79,7 +79,7 @@
 	first := make(chan Member, len(members))
 	for _, m := range members {
 		go func() {
-			if c.Peers.Call(ctx, m.Addr, peer.KindOpinion, HolderStatusRequest{Partition: partition}, &HolderStatus{}) == nil {
+			if c.Peers.Call(ctx, m.Addr, peer.KindHolderStatus, HolderStatusRequest{Partition: partition}, &HolderStatus{}) == nil {
 				first <- m
 			}
 		}()
@@ -94,5 +94,5 @@
 
 // errProcessSlow returns the refusal of a partition by a process that is slow.
 func errProcessSlow() error {
-	return result.New(result.NotReady, result.RanNo, "this process is slow itself").Later(minTenure)
+	return result.New(result.NotReady, result.RanNo, "this process is slow itself").WithRetryAfter(minTenure)
 }
--- a/internal/cell/slow_test.go
+++ b/internal/cell/slow_test.go
@@ -47,7 +47,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if kind == peer.KindSucceed {
+	if kind == peer.KindHandover {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.invited, o.at = append(o.invited, addr), time.Now()
@@ -62,9 +62,9 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		view.members[name] = Member{Name: name, Incarnation: name + "-1", Addr: name}
 	}
-	view.Learn(ledger.Holder{Epoch: 3, Name: "a", Incarnation: "a-1", Addr: "a"})
+	view.UpdateHolder(ledger.Holder{Epoch: 3, Name: "a", Incarnation: "a-1", Addr: "a"})
 	w := &holderMonitor{}
-	c := &Claimer{Late: &lateness.Timers{}, Self: view.members["a"], View: view, Peers: others, Log: logrus.NewEntry(log), monitors: []*holderMonitor{w}}
+	c := &Claimer{Lateness: &lateness.Timers{}, Self: view.members["a"], View: view, Peers: others, Log: logrus.NewEntry(log), monitors: []*holderMonitor{w}}
 	return c, w
 }
 
@@ -103,7 +103,7 @@
 				start := time.Now()
 				go c.handOverWhenSlow(ctx, w)
 				if tc.slow {
-					simulateSlowHost(c.Late)
+					simulateSlowHost(c.Lateness)
 				}
 				time.Sleep(minTenure + time.Second)
 				cancel()
@@ -127,7 +127,7 @@
 	_, err := c.onHandover(t.Context(), req)
 	is.NoErr(err)
 	is.True(w.isInvited(3))
-	simulateSlowHost(c.Late)
+	simulateSlowHost(c.Lateness)
 	w.invite(0)
 	_, err = c.onHandover(t.Context(), req)
 	is.True(errors.Is(err, &result.Error{Code: result.NotReady}))
--- a/internal/cell/takeover.go
+++ b/internal/cell/takeover.go
@@ -28,14 +28,14 @@
 	cancel()
 	switch {
 	case errors.Is(err, ledger.ErrClaimConflict):
-		c.View.Learn(current)
+		c.View.UpdateHolder(current)
 		return
 	case err != nil:
-		c.Health.Note(false, time.Now())
+		c.Health.RecordCall(false, time.Now())
 		wait.For(ctx, MinHeartbeatInterval)
 		return
 	}
-	c.View.Learn(current)
+	c.View.UpdateHolder(current)
 	c.Log.WithFields(logrus.Fields{"partition": w.partition, "epoch": current.Epoch, "from": previous.Name}).Info("partition claimed")
 	c.runPartition(ctx, w, l, previous)
 }
@@ -160,7 +160,7 @@
 func (c *Claimer) requestClaim(ctx context.Context, m Member, h ledger.Holder) bool {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	if c.Peers.Call(ctx, m.Addr, peer.KindSucceed, HandoverRequest{h, h.Revision}, &Empty{}) != nil {
+	if c.Peers.Call(ctx, m.Addr, peer.KindHandover, HandoverRequest{h, h.Revision}, &Empty{}) != nil {
 		return false
 	}
 	for {
--- a/internal/cell/view.go
+++ b/internal/cell/view.go
@@ -132,7 +132,7 @@
 
 // UpdateHolder records a holder read from the store or reported by a peer if its epoch is higher than
 // that of the known holder, or equal to it while the known revision is zero.
-func (v *View) Learn(h ledger.Holder) {
+func (v *View) UpdateHolder(h ledger.Holder) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	current := v.holders[h.Partition]
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	v.Learn(h)
+	v.UpdateHolder(h)
 	return nil
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -91,7 +91,7 @@
 func typeError(err error) error {
 	var te *json.UnmarshalTypeError
 	if errors.As(err, &te) {
-		return result.New(result.ConfigValue, result.RanNo, "%s can not be read as %s", te.Value, te.Type).At(te.Field)
+		return result.New(result.ConfigValue, result.RanNo, "%s can not be read as %s", te.Value, te.Type).AtField(te.Field)
 	}
 	return result.New(result.ConfigValue, result.RanNo, "%v", err)
 }
@@ -130,7 +130,7 @@
 		err = json.Unmarshal(data, reflect.New(t).Interface())
 	}
 	if err != nil {
-		return result.New(result.ConfigValue, result.RanNo, "%v", err).At(path)
+		return result.New(result.ConfigValue, result.RanNo, "%v", err).AtField(path)
 	}
 	return nil
 }
@@ -144,7 +144,7 @@
 		where := strings.TrimPrefix(path+"."+name, ".")
 		ft, ok := fields[name]
 		if !ok {
-			return result.New(result.ConfigUnknownName, result.RanNo, "no such setting").At(where)
+			return result.New(result.ConfigUnknownName, result.RanNo, "no such setting").AtField(where)
 		}
 		if err := checkNames(value, ft, where); err != nil {
 			return err
@@ -186,7 +186,7 @@
 		first := bad[0]
 		_, path, _ := strings.Cut(first.Namespace(), ".")
 		rule := strings.TrimSuffix(first.Tag()+"="+first.Param(), "=")
-		return result.New(result.ConfigValue, result.RanNo, "%v does not satisfy %q", first.Value(), rule).At(path)
+		return result.New(result.ConfigValue, result.RanNo, "%v does not satisfy %q", first.Value(), rule).AtField(path)
 	}
 	return err
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,7 +22,7 @@
 
 func (s *sample) Check() error {
 	if s.Inner.Wait.Std() > time.Minute && s.Count > 5 {
-		return result.New(result.ConfigContradiction, result.RanNo, "too long for so many").At("inner.wait")
+		return result.New(result.ConfigContradiction, result.RanNo, "too long for so many").AtField("inner.wait")
 	}
 	return nil
 }
--- a/internal/crashloop/crashloop.go
+++ b/internal/crashloop/crashloop.go
@@ -50,10 +50,10 @@
 	quarantineAfter = 2
 )
 
-// ProvenAfter is how long a task of a service has to run without a crash for its earlier
+// HistoryResetAfter is how long a task of a service has to run without a crash for its earlier
 // crashes to be dropped, so that a service is failed for consecutive crashes and not for those
 // of a whole year.
-const ProvenAfter = 5 * time.Minute
+const HistoryResetAfter = 5 * time.Minute
 
 // Crash is the crash of one host while a task may have been running on it.
 type Crash struct {
@@ -61,20 +61,20 @@
 	Run int `cbor:"1,keyasint"`
 	// Host is the name of the incarnation that ended.
 	Host string `cbor:"2,keyasint"`
-	// Recent is true if the run had just started and no run of another job started on the host
+	// JustStarted is true if the run had just started and no run of another job started on the host
 	// after it.
-	Recent bool `cbor:"3,keyasint,omitempty"`
+	JustStarted bool `cbor:"3,keyasint,omitempty"`
 	// Excused is true if the crash has a more likely cause than the task.
 	Excused bool `cbor:"4,keyasint,omitempty"`
 	// Chance is the probability that the host failed spontaneously during the run time.
 	Chance float32 `cbor:"5,keyasint,omitempty"`
-	// Unsure is true if the run was never observed on the host: its start was not acknowledged.
-	Unsure bool `cbor:"6,keyasint,omitempty"`
-	// RanMillis is the run time on the host in milliseconds, or zero if unknown.
-	RanMillis int64 `cbor:"8,keyasint,omitempty"`
-	// Unheard is read by versions that do not know Proven; without it they take every run as
+	// Unconfirmed is true if the run was never observed on the host: its start was not acknowledged.
+	Unconfirmed bool `cbor:"6,keyasint,omitempty"`
+	// RunMillis is the run time on the host in milliseconds, or zero if unknown.
+	RunMillis int64 `cbor:"8,keyasint,omitempty"`
+	// LegacyUnproven is read by versions that do not know Proven; without it they take every run as
 	// proven.
-	Unheard bool `cbor:"9,keyasint,omitempty"`
+	LegacyUnproven bool `cbor:"9,keyasint,omitempty"`
 	// Machine is the address of the host, which stays the same across its incarnations.
 	Machine string `cbor:"10,keyasint,omitempty"`
 	// Proven is true if the run is known to have been on the host when the incarnation ended.
@@ -82,8 +82,8 @@
 	Proven bool `cbor:"11,keyasint,omitempty"`
 }
 
-// Seen reports whether the run was observed on the host.
-func (c Crash) Seen() bool { return !c.Unsure }
+// Observed reports whether the run was observed on the host.
+func (c Crash) Observed() bool { return !c.Unconfirmed }
 
 func (c Crash) isProven() bool { return c.Proven }
 
@@ -91,9 +91,9 @@
 // long as the job exists.
 const maxCrashes = 16
 
-// With returns the history with c appended. A history that gets too long loses the oldest of
+// Append returns the history with c appended. A history that gets too long loses the oldest of
 // the crashes with the weakest evidence.
-func (h History) With(c Crash) History {
+func (h History) Append(c Crash) History {
 	out := append(slices.Clone(h), c)
 	if len(out) <= maxCrashes {
 		return out
@@ -111,7 +111,7 @@
 	switch {
 	case c.Proven:
 		return 2
-	case c.Seen():
+	case c.Observed():
 		return 1
 	}
 	return 0
@@ -120,14 +120,14 @@
 // History is the crashes attributed to one task, oldest first.
 type History []Crash
 
-// Has reports whether the loss of a run is already in the history.
-func (h History) Has(run int) bool {
+// HasRun reports whether the loss of a run is already in the history.
+func (h History) HasRun(run int) bool {
 	return slices.ContainsFunc(h, func(c Crash) bool { return c.Run == run })
 }
 
-// On reports whether a host at the address of machine has crashed under the task. A further
+// HasMachine reports whether a host at the address of machine has crashed under the task. A further
 // loss on another machine is stronger evidence.
-func (h History) On(machine string) bool {
+func (h History) HasMachine(machine string) bool {
 	return slices.ContainsFunc(h, func(c Crash) bool { return c.Machine == machine })
 }
 
@@ -136,8 +136,8 @@
 	return slices.ContainsFunc(h, func(c Crash) bool { return c.Host == host })
 }
 
-// Without returns the history without the crashes of a host that turned out to be alive.
-func (h History) Without(host string) History {
+// WithoutHost returns the history without the crashes of a host that turned out to be alive.
+func (h History) WithoutHost(host string) History {
 	return slices.DeleteFunc(slices.Clone(h), func(c Crash) bool { return c.Host == host })
 }
 
@@ -146,39 +146,39 @@
 	return slices.DeleteFunc(slices.Clone(h), func(c Crash) bool { return c.Host == host && !c.Proven })
 }
 
-// Standing is the level of suspicion that a history puts on its task.
-type Standing uint8
+// Suspicion is the level of suspicion that a history puts on its task.
+type Suspicion uint8
 
 // The levels of suspicion, in ascending order.
 const (
-	Unsuspected Standing = iota
+	Unsuspected Suspicion = iota
 	// Suspect tasks prefer hosts without other suspect tasks, but may share a host.
 	Suspect
-	// OnTrial tasks are in quarantine: they start only where nothing new is started beside
+	// Quarantined tasks are in quarantine: they start only where nothing new is started beside
 	// them.
-	OnTrial
-	// GivenUp tasks are not started again.
-	GivenUp
+	Quarantined
+	// Failed tasks are not started again.
+	Failed
 )
 
-// AtRate returns the history assessed again with a rate, per second, of spontaneous host
+// Reassess returns the history assessed again with a rate, per second, of spontaneous host
 // failures, where that rate gives a higher probability than before. When many hosts fail for
 // one cause, the first failure is assessed before the others are known.
-func (h History) AtRate(rate float64) History {
+func (h History) Reassess(rate float64) History {
 	out := slices.Clone(h)
 	for i := range out {
 		c := &out[i]
-		chance := spontaneousFailureChance(time.Duration(c.RanMillis)*time.Millisecond, c.RanMillis == 0, rate)
+		chance := spontaneousFailureChance(time.Duration(c.RunMillis)*time.Millisecond, c.RunMillis == 0, rate)
 		c.Chance = max(c.Chance, float32(chance))
 		c.Excused = c.Excused || chance >= minExcusedChance
 	}
 	return out
 }
 
-// Excuse returns the history with the unproven crashes of a host attributed to a cause that the
+// ExcuseHost returns the history with the unproven crashes of a host attributed to a cause that the
 // host shared with its rack, such as power or a switch. A proven crash has no such cause: its
 // machine had power and network, since it refused connections.
-func (h History) Excuse(host string) History {
+func (h History) ExcuseHost(host string) History {
 	out := slices.Clone(h)
 	for i := range out {
 		out[i].Excused = out[i].Excused || out[i].Host == host && !out[i].Proven
@@ -186,10 +186,10 @@
 	return out
 }
 
-// Standing returns the level of suspicion for the history.
-func (h History) Standing() Standing {
+// Suspicion returns the level of suspicion for the history.
+func (h History) Suspicion() Suspicion {
 	if h.isConclusive() {
-		return GivenUp
+		return Failed
 	}
 	counted := 0
 	for _, c := range h {
@@ -199,7 +199,7 @@
 	}
 	switch {
 	case counted >= quarantineAfter:
-		return OnTrial
+		return Quarantined
 	case counted > 0:
 		return Suspect
 	}
@@ -208,7 +208,7 @@
 
 // isConclusive reports whether the crashes are enough to fail the task.
 func (h History) isConclusive() bool {
-	proven, seen := tallyOf(h, Crash.isProven), tallyOf(h, Crash.Seen)
+	proven, seen := tallyOf(h, Crash.isProven), tallyOf(h, Crash.Observed)
 	if proven.chance <= maxChance && (proven.counted >= minProven || proven.counted >= minProvenWithRecent && proven.recent > 0) {
 		return true
 	}
@@ -239,7 +239,7 @@
 		}
 		t.counted++
 		t.chance *= float64(c.Chance)
-		if c.Recent {
+		if c.JustStarted {
 			t.recent++
 		}
 	}
@@ -257,29 +257,29 @@
 
 // The ways in which a run that was lost with its host was observed there.
 const (
-	HowUnsure = "not seen there"
-	HowSeen   = "seen there, maybe not at its end"
-	HowProven = "there at its end"
+	ObservedNever  = "not seen there"
+	ObservedBefore = "seen there, maybe not at its end"
+	ObservedAtEnd  = "there at its end"
 )
 
-// How returns how the run was observed on the host.
-func (c Crash) How() string {
+// Observation returns how the run was observed on the host.
+func (c Crash) Observation() string {
 	switch {
-	case c.Unsure:
-		return HowUnsure
+	case c.Unconfirmed:
+		return ObservedNever
 	case !c.Proven:
-		return HowSeen
+		return ObservedBefore
 	}
-	return HowProven
+	return ObservedAtEnd
 }
 
 // String describes the host and the run, and how the run was observed, for operators.
 func (c Crash) String() string {
-	notes := []string{c.How()}
-	if c.RanMillis > 0 && !c.Unsure {
-		notes = append(notes, fmt.Sprintf("after %d ms", c.RanMillis))
+	notes := []string{c.Observation()}
+	if c.RunMillis > 0 && !c.Unconfirmed {
+		notes = append(notes, fmt.Sprintf("after %d ms", c.RunMillis))
 	}
-	if c.Recent {
+	if c.JustStarted {
 		notes = append(notes, "just started")
 	}
 	if c.Excused {
@@ -293,26 +293,26 @@
 	Run int
 	// Host is the name of the incarnation that ended, Machine its address.
 	Host, Machine string
-	// Ran is how long the run had been on the host when the host was last known to be alive.
+	// RunTime is how long the run had been on the host when the host was last known to be alive.
 	// Unknown is true if another process started the run.
-	Ran     time.Duration
-	Unknown bool
-	// Unsure is true if the run was never observed on the host, Proven if it is known to have
+	RunTime        time.Duration
+	RunTimeUnknown bool
+	// Unconfirmed is true if the run was never observed on the host, Proven if it is known to have
 	// been there when the incarnation ended.
-	Unsure, Proven bool
-	// Newest is true if no run of another job was started on the host at the same time or
+	Unconfirmed, Proven bool
+	// LastStarted is true if no run of another job was started on the host at the same time or
 	// later.
-	Newest bool
-	// Together is true if the host failed together with its rack, presumably for one cause; see
+	LastStarted bool
+	// WithRack is true if the host failed together with its rack, presumably for one cause; see
 	// Excuse.
-	Together bool
+	WithRack bool
 }
 
 func (e Evidence) ranMillis() int64 {
-	if e.Unknown {
+	if e.RunTimeUnknown {
 		return 0
 	}
-	return max(e.Ran.Milliseconds(), 1)
+	return max(e.RunTime.Milliseconds(), 1)
 }
 
 // Times and probabilities for the assessment of one crash.
@@ -329,13 +329,13 @@
 	minRunTime = 20 * time.Millisecond
 )
 
-// Judge assesses the evidence. The rate is that of spontaneous failures per host and second.
-func Judge(e Evidence, rate float64) Crash {
-	chance := spontaneousFailureChance(e.Ran, e.Unknown, rate)
+// Assess assesses the evidence. The rate is that of spontaneous failures per host and second.
+func Assess(e Evidence, rate float64) Crash {
+	chance := spontaneousFailureChance(e.RunTime, e.RunTimeUnknown, rate)
 	return Crash{
-		Run: e.Run, Host: e.Host, Machine: e.Machine, Chance: float32(chance), Unsure: e.Unsure, Proven: e.Proven, Unheard: !e.Proven, RanMillis: e.ranMillis(),
-		Recent:  e.Newest && !e.Unknown && !e.Unsure && e.Ran <= maxRecentRunTime,
-		Excused: e.Together && !e.Proven || chance >= minExcusedChance,
+		Run: e.Run, Host: e.Host, Machine: e.Machine, Chance: float32(chance), Unconfirmed: e.Unconfirmed, Proven: e.Proven, LegacyUnproven: !e.Proven, RunMillis: e.ranMillis(),
+		JustStarted: e.LastStarted && !e.RunTimeUnknown && !e.Unconfirmed && e.RunTime <= maxRecentRunTime,
+		Excused:     e.WithRack && !e.Proven || chance >= minExcusedChance,
 	}
 }
 
--- a/internal/crashloop/crashloop_test.go
+++ b/internal/crashloop/crashloop_test.go
@@ -10,49 +10,49 @@
 
 func TestStanding(t *testing.T) {
 	counted := Crash{Run: 1, Host: "a", Proven: true, Chance: 1e-3}
-	recent := Crash{Run: 2, Host: "b", Proven: true, Recent: true, Chance: 1e-3}
-	often := Crash{Run: 2, Host: "b", Proven: true, Recent: true, Chance: 0.03}
+	recent := Crash{Run: 2, Host: "b", Proven: true, JustStarted: true, Chance: 1e-3}
+	often := Crash{Run: 2, Host: "b", Proven: true, JustStarted: true, Chance: 0.03}
 	excused := Crash{Run: 3, Host: "c", Proven: true, Excused: true, Chance: 0.05}
 	likely := Crash{Run: 3, Host: "c", Proven: true, Excused: true, Chance: 0.5}
-	unseen := Crash{Run: 4, Host: "d", Unsure: true, Chance: 1e-3}
-	seen := Crash{Run: 5, Host: "e", Recent: true, Chance: 1e-3}
+	unseen := Crash{Run: 4, Host: "d", Unconfirmed: true, Chance: 1e-3}
+	seen := Crash{Run: 5, Host: "e", JustStarted: true, Chance: 1e-3}
 	many := func(n int, c Crash) History { return slices.Repeat(History{c}, n) }
 	for name, tc := range map[string]struct {
 		h    History
-		want Standing
+		want Suspicion
 	}{
 		"nothing":                          {nil, Unsuspected},
 		"one":                              {History{counted}, Suspect},
 		"one, just started":                {History{recent}, Suspect},
 		"one, excused":                     {History{excused}, Unsuspected},
-		"two":                              {History{counted, counted}, OnTrial},
-		"two, one just started":            {History{counted, recent}, GivenUp},
-		"two, the first just started":      {History{recent, counted}, GivenUp},
+		"two":                              {History{counted, counted}, Quarantined},
+		"two, one just started":            {History{counted, recent}, Failed},
+		"two, the first just started":      {History{recent, counted}, Failed},
 		"two, one excused":                 {History{recent, excused}, Suspect},
-		"three":                            {History{counted, counted, counted}, GivenUp},
-		"three, one excused":               {History{counted, excused, counted}, OnTrial},
-		"two, hosts fail often":            {History{often, often}, OnTrial},
-		"three, hosts fail often":          {History{often, often, often}, OnTrial},
-		"four, hosts fail often":           {History{often, often, often, often}, GivenUp},
+		"three":                            {History{counted, counted, counted}, Failed},
+		"three, one excused":               {History{counted, excused, counted}, Quarantined},
+		"two, hosts fail often":            {History{often, often}, Quarantined},
+		"three, hosts fail often":          {History{often, often, often}, Quarantined},
+		"four, hosts fail often":           {History{often, often, often, often}, Failed},
 		"four, excused":                    {many(4, excused), Unsuspected},
-		"five, excused":                    {many(5, excused), GivenUp},
+		"five, excused":                    {many(5, excused), Failed},
 		"five, excused, likely":            {many(5, likely), Unsuspected},
-		"two, neither observed":            {History{unseen, unseen}, OnTrial},
-		"two, one not observed":            {History{recent, unseen}, OnTrial},
-		"three, two not observed":          {History{counted, unseen, unseen}, OnTrial},
-		"three, none observed":             {many(3, unseen), OnTrial},
-		"nine, none observed":              {many(9, unseen), OnTrial},
-		"five, excused, not observed":      {many(5, Crash{Unsure: true, Excused: true, Chance: 0.05}), Unsuspected},
-		"two, one unproven":                {History{recent, seen}, OnTrial},
-		"four, unproven":                   {many(4, seen), OnTrial},
-		"five, unproven":                   {onMachines(5, seen), GivenUp},
-		"five, unproven, on four machines": {append(onMachines(4, seen), onMachines(1, seen)...), OnTrial},
-		"five, unproven, hosts fail often": {onMachines(5, Crash{Recent: true, Chance: 0.1}), OnTrial},
-		"five, two unproven":               {History{counted, counted, excused, seen, seen}, GivenUp},
-		"stored by an earlier version":     {many(3, Crash{Run: 1, Host: "a", Recent: true, Chance: 1e-3}), OnTrial},
+		"two, neither observed":            {History{unseen, unseen}, Quarantined},
+		"two, one not observed":            {History{recent, unseen}, Quarantined},
+		"three, two not observed":          {History{counted, unseen, unseen}, Quarantined},
+		"three, none observed":             {many(3, unseen), Quarantined},
+		"nine, none observed":              {many(9, unseen), Quarantined},
+		"five, excused, not observed":      {many(5, Crash{Unconfirmed: true, Excused: true, Chance: 0.05}), Unsuspected},
+		"two, one unproven":                {History{recent, seen}, Quarantined},
+		"four, unproven":                   {many(4, seen), Quarantined},
+		"five, unproven":                   {onMachines(5, seen), Failed},
+		"five, unproven, on four machines": {append(onMachines(4, seen), onMachines(1, seen)...), Quarantined},
+		"five, unproven, hosts fail often": {onMachines(5, Crash{JustStarted: true, Chance: 0.1}), Quarantined},
+		"five, two unproven":               {History{counted, counted, excused, seen, seen}, Failed},
+		"stored by an earlier version":     {many(3, Crash{Run: 1, Host: "a", JustStarted: true, Chance: 1e-3}), Quarantined},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(tc.h.Standing(), tc.want)
+			is.New(t).Equal(tc.h.Suspicion(), tc.want)
 		})
 	}
 }
@@ -68,7 +68,7 @@
 
 func TestJudge(t *testing.T) {
 	const lowRate, highRate = 0.001, 0.1 // spontaneous failures per host and second
-	base := Evidence{Run: 4, Host: "a", Ran: 40 * time.Millisecond, Newest: true}
+	base := Evidence{Run: 4, Host: "a", RunTime: 40 * time.Millisecond, LastStarted: true}
 	modified := func(change func(*Evidence)) Evidence {
 		e := base
 		change(&e)
@@ -80,24 +80,24 @@
 		recent, excusing bool
 	}{
 		"just started, the newest":            {base, lowRate, true, false},
-		"another job started since":           {modified(func(e *Evidence) { e.Newest = false }), lowRate, false, false},
-		"started by a previous holder":        {modified(func(e *Evidence) { e.Unknown = true }), lowRate, false, false},
-		"long-running":                        {modified(func(e *Evidence) { e.Ran = 5 * time.Second }), lowRate, false, false},
+		"another job started since":           {modified(func(e *Evidence) { e.LastStarted = false }), lowRate, false, false},
+		"started by a previous holder":        {modified(func(e *Evidence) { e.RunTimeUnknown = true }), lowRate, false, false},
+		"long-running":                        {modified(func(e *Evidence) { e.RunTime = 5 * time.Second }), lowRate, false, false},
 		"just started, hosts fail often":      {base, highRate, true, false},
-		"after 300 ms, hosts fail often":      {modified(func(e *Evidence) { e.Ran = 300 * time.Millisecond }), highRate, true, false},
-		"after one second, hosts fail often":  {modified(func(e *Evidence) { e.Ran = time.Second }), highRate, true, true},
-		"previous holder's, hosts fail often": {modified(func(e *Evidence) { e.Unknown = true; e.Ran = 0 }), highRate, false, true},
-		"with its rack":                       {modified(func(e *Evidence) { e.Together = true }), lowRate, true, true},
-		"with its rack, and proven":           {modified(func(e *Evidence) { e.Together, e.Proven = true, true }), lowRate, true, false},
+		"after 300 ms, hosts fail often":      {modified(func(e *Evidence) { e.RunTime = 300 * time.Millisecond }), highRate, true, false},
+		"after one second, hosts fail often":  {modified(func(e *Evidence) { e.RunTime = time.Second }), highRate, true, true},
+		"previous holder's, hosts fail often": {modified(func(e *Evidence) { e.RunTimeUnknown = true; e.RunTime = 0 }), highRate, false, true},
+		"with its rack":                       {modified(func(e *Evidence) { e.WithRack = true }), lowRate, true, true},
+		"with its rack, and proven":           {modified(func(e *Evidence) { e.WithRack, e.Proven = true, true }), lowRate, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := Judge(tc.e, tc.rate)
-			ran := tc.e.Ran.Milliseconds()
-			if tc.e.Unknown {
+			c := Assess(tc.e, tc.rate)
+			ran := tc.e.RunTime.Milliseconds()
+			if tc.e.RunTimeUnknown {
 				ran = 0
 			}
-			is.Equal(c, Crash{Run: 4, Host: "a", Recent: tc.recent, Excused: tc.excusing, Chance: c.Chance, RanMillis: ran, Proven: tc.e.Proven, Unheard: !tc.e.Proven})
+			is.Equal(c, Crash{Run: 4, Host: "a", JustStarted: tc.recent, Excused: tc.excusing, Chance: c.Chance, RunMillis: ran, Proven: tc.e.Proven, LegacyUnproven: !tc.e.Proven})
 		})
 	}
 }
@@ -105,9 +105,9 @@
 func TestHistoryCountsByRun(t *testing.T) {
 	is := is.New(t)
 	h := History{{Run: 1, Host: "a"}, {Run: 2, Host: "b"}, {Run: 4, Host: "b"}}
-	is.True(h.Has(2))
-	is.True(!h.Has(3))
-	is.Equal(h.Without("b"), History{{Run: 1, Host: "a"}})
+	is.True(h.HasRun(2))
+	is.True(!h.HasRun(3))
+	is.Equal(h.WithoutHost("b"), History{{Run: 1, Host: "a"}})
 	is.Equal(len(h), 3)
 }
 
@@ -115,9 +115,9 @@
 // verify why a task was failed.
 func TestHistoryTellsHowEachWasSeen(t *testing.T) {
 	h := History{
-		{Run: 1, Host: "a", Unsure: true, Excused: true, RanMillis: 300},
-		{Run: 2, Host: "b", RanMillis: 2055},
-		{Run: 3, Host: "c", Proven: true, RanMillis: 12, Recent: true},
+		{Run: 1, Host: "a", Unconfirmed: true, Excused: true, RunMillis: 300},
+		{Run: 2, Host: "b", RunMillis: 2055},
+		{Run: 3, Host: "c", Proven: true, RunMillis: 12, JustStarted: true},
 	}
 	is.New(t).Equal(h.String(), "3 hosts crashed under it: c under run 3 (there at its end, after 12 ms, just started), "+
 		"b under run 2 (seen there, maybe not at its end, after 2055 ms), a under run 1 (not seen there, excused)")
@@ -129,7 +129,7 @@
 	is := is.New(t)
 	var h History
 	for i := range 3 * maxCrashes {
-		h = h.With(Crash{Run: i, Unsure: i%8 != 0, Proven: i%8 == 0})
+		h = h.Append(Crash{Run: i, Unconfirmed: i%8 != 0, Proven: i%8 == 0})
 	}
 	is.Equal(len(h), maxCrashes)
 	is.Equal(h[len(h)-1].Run, 3*maxCrashes-1)
@@ -141,14 +141,14 @@
 // history.
 func TestRevised(t *testing.T) {
 	is := is.New(t)
-	h := History{{Run: 1, Host: "a", Recent: true, Proven: true, Chance: 1e-4}, {Run: 2, Host: "b", Proven: true, Chance: 1e-4}, {Run: 3, Host: "c"}}
-	is.Equal(h.Standing(), GivenUp)
-	is.Equal(h.Excuse("a").Standing(), GivenUp) // proven, so its machine had power and network
+	h := History{{Run: 1, Host: "a", JustStarted: true, Proven: true, Chance: 1e-4}, {Run: 2, Host: "b", Proven: true, Chance: 1e-4}, {Run: 3, Host: "c"}}
+	is.Equal(h.Suspicion(), Failed)
+	is.Equal(h.ExcuseHost("a").Suspicion(), Failed) // proven, so its machine had power and network
 	seen := History{{Run: 1, Host: "a", Chance: 1e-4}, {Run: 2, Host: "b", Chance: 1e-4}}
-	is.Equal(seen.Standing(), OnTrial)
-	is.Equal(seen.Excuse("a").Standing(), Suspect)
-	is.Equal(seen.Standing(), OnTrial) // the original history is unchanged
-	is.Equal(h.Standing(), GivenUp)
+	is.Equal(seen.Suspicion(), Quarantined)
+	is.Equal(seen.ExcuseHost("a").Suspicion(), Suspect)
+	is.Equal(seen.Suspicion(), Quarantined) // the original history is unchanged
+	is.Equal(h.Suspicion(), Failed)
 	is.Equal(len(h.WithoutUnproven("a")), 3)
 	is.Equal(len(h.WithoutUnproven("c")), 2)
 }
@@ -157,41 +157,41 @@
 // failures show.
 func TestAtRate(t *testing.T) {
 	is := is.New(t)
-	h := History{{Run: 1, Host: "a", RanMillis: 100, Chance: 1e-4}, {Run: 2, Host: "b", RanMillis: 5000, Chance: 1e-2}, {Run: 3, Host: "c", Chance: 1e-3}}
-	often := h.AtRate(0.1)
+	h := History{{Run: 1, Host: "a", RunMillis: 100, Chance: 1e-4}, {Run: 2, Host: "b", RunMillis: 5000, Chance: 1e-2}, {Run: 3, Host: "c", Chance: 1e-3}}
+	often := h.Reassess(0.1)
 	is.True(often[0].Chance > 0.009 && !often[0].Excused)
 	is.True(often[1].Excused)
 	is.True(often[2].Excused) // its run time is unknown
-	is.Equal(h.AtRate(1e-9), h)
+	is.Equal(h.Reassess(1e-9), h)
 }
 
 func TestLosses(t *testing.T) {
 	at := time.Unix(1_800_000_000, 0)
 	t.Run("rate", func(t *testing.T) {
 		is := is.New(t)
-		var l Losses
-		alone := l.Rate(50, 0, nil, at.Add(recentWindow+time.Second))
+		var l HostFailures
+		alone := l.SpontaneousRate(50, 0, nil, at.Add(recentWindow+time.Second))
 		l.Add("a", "r1", at)
 		l.Add("a", "r1", at.Add(time.Second)) // reported twice
 		l.Add("b", "r2", at)
-		is.Equal(l.Rate(50, 0, nil, at.Add(recentWindow+time.Second)), 3*alone)
-		is.Equal(l.Rate(50, 2, nil, at.Add(recentWindow+time.Second)), max(5*alone, 2/(50*recentWindow.Seconds())))
-		is.Equal(l.Rate(50, 0, nil, at), 2/(50*recentWindow.Seconds()))                                  // the recent window has the higher rate
-		is.Equal(l.Rate(50, 0, History{{Run: 1, Host: "b"}}, at.Add(recentWindow+time.Second)), 2*alone) // failures under the assessed task do not count
-		l.Explain(History{{Run: 1, Host: "b"}})
-		is.Equal(l.Rate(50, 0, nil, at.Add(recentWindow+time.Second)), 2*alone)
-		l.Forget(at.Add(lossRetention + time.Millisecond))
-		is.Equal(l.Rate(50, 0, nil, at.Add(recentWindow+time.Second)), alone)
+		is.Equal(l.SpontaneousRate(50, 0, nil, at.Add(recentWindow+time.Second)), 3*alone)
+		is.Equal(l.SpontaneousRate(50, 2, nil, at.Add(recentWindow+time.Second)), max(5*alone, 2/(50*recentWindow.Seconds())))
+		is.Equal(l.SpontaneousRate(50, 0, nil, at), 2/(50*recentWindow.Seconds()))                                  // the recent window has the higher rate
+		is.Equal(l.SpontaneousRate(50, 0, History{{Run: 1, Host: "b"}}, at.Add(recentWindow+time.Second)), 2*alone) // failures under the assessed task do not count
+		l.MarkAttributed(History{{Run: 1, Host: "b"}})
+		is.Equal(l.SpontaneousRate(50, 0, nil, at.Add(recentWindow+time.Second)), 2*alone)
+		l.Expire(at.Add(lossRetention + time.Millisecond))
+		is.Equal(l.SpontaneousRate(50, 0, nil, at.Add(recentWindow+time.Second)), alone)
 	})
 	t.Run("rack failure", func(t *testing.T) {
 		is := is.New(t)
-		var l Losses
+		var l HostFailures
 		l.Add("b", "r1", at.Add(time.Second))
 		l.Add("c", "r2", at)
 		l.Add("d", "r1", at.Add(-time.Minute))
-		is.True(l.Together("a", "r1", at, 2, 2))  // b failed before it, two are unresponsive
-		is.True(!l.Together("a", "r1", at, 1, 2)) // one host of the rack is alive
-		is.True(!l.Together("a", "r1", at, 0, 0)) // two hosts are fewer than minRackFailures
-		is.True(!l.Together("a", "", at, 9, 9))   // the rack is unknown
+		is.True(l.RackFailed("a", "r1", at, 2, 2))  // b failed before it, two are unresponsive
+		is.True(!l.RackFailed("a", "r1", at, 1, 2)) // one host of the rack is alive
+		is.True(!l.RackFailed("a", "r1", at, 0, 0)) // two hosts are fewer than minRackFailures
+		is.True(!l.RackFailed("a", "", at, 9, 9))   // the rack is unknown
 	})
 }
--- a/internal/crashloop/losses.go
+++ b/internal/crashloop/losses.go
@@ -24,8 +24,8 @@
 	minRackFailures = 3
 )
 
-// Losses records the hosts that failed recently.
-type Losses struct {
+// HostFailures records the hosts that failed recently.
+type HostFailures struct {
 	lost []loss
 }
 
@@ -38,7 +38,7 @@
 
 // Add records a host that failed and has been unresponsive since at. It reports whether the
 // failure was not recorded before.
-func (l *Losses) Add(host, rack string, at time.Time) bool {
+func (l *HostFailures) Add(host, rack string, at time.Time) bool {
 	if slices.ContainsFunc(l.lost, func(x loss) bool { return x.host == host }) {
 		return false
 	}
@@ -49,9 +49,9 @@
 // maxInherited bounds the host failures that are handed over to the next holder.
 const maxInherited = 64
 
-// Names lists the hosts that failed recently and whose failure is not attributed to a task;
+// Unattributed lists the hosts that failed recently and whose failure is not attributed to a task;
 // only the latest if there are many.
-func (l *Losses) Names() []string {
+func (l *HostFailures) Unattributed() []string {
 	var out []string
 	for _, x := range l.lost {
 		if !x.explained {
@@ -61,32 +61,32 @@
 	return out[max(0, len(out)-maxInherited):]
 }
 
-// Inherit adds the host failures that a previous holder recorded. Their time is taken to be
+// Import adds the host failures that a previous holder recorded. Their time is taken to be
 // now, which is the latest possible.
-func (l *Losses) Inherit(names []string, now time.Time) {
+func (l *HostFailures) Import(names []string, now time.Time) {
 	for _, name := range names {
 		l.Add(name, "", now)
 	}
 }
 
-// With lists the hosts of a rack that failed at about the given time.
-func (l *Losses) With(rack string, at time.Time) []string {
+// InRack lists the hosts of a rack that failed at about the given time.
+func (l *HostFailures) InRack(rack string, at time.Time) []string {
 	var out []string
 	for _, x := range l.lost {
-		if x.rack == rack && Near(x.at, at) {
+		if x.rack == rack && MayShareCause(x.at, at) {
 			out = append(out, x.host)
 		}
 	}
 	return out
 }
 
-// Forget drops failures that are older than lossRetention.
-func (l *Losses) Forget(now time.Time) {
+// Expire drops failures that are older than lossRetention.
+func (l *HostFailures) Expire(now time.Time) {
 	l.lost = slices.DeleteFunc(l.lost, func(x loss) bool { return now.Sub(x.at) > lossRetention })
 }
 
-// Explain marks the losses in a history as caused by tasks.
-func (l *Losses) Explain(h History) {
+// MarkAttributed marks the losses in a history as caused by tasks.
+func (l *HostFailures) MarkAttributed(h History) {
 	for i := range l.lost {
 		if h.hasHost(l.lost[i].host) {
 			l.lost[i].explained = true
@@ -94,12 +94,12 @@
 	}
 }
 
-// Rate returns the rate of spontaneous failures per host and second: the rate over the whole
+// SpontaneousRate returns the rate of spontaneous failures per host and second: the rate over the whole
 // retention time, or that over the recent window if it is higher. Hosts that are unresponsive
 // now count as failed. The rate over the whole time counts one failure more than observed,
 // since no failures in a small cell are little evidence. Failures attributed to a task, and
 // those in the history under, which is to be assessed with the rate, are not counted.
-func (l *Losses) Rate(hosts, unresponsive int, under History, now time.Time) float64 {
+func (l *HostFailures) SpontaneousRate(hosts, unresponsive int, under History, now time.Time) float64 {
 	total, recent := 1+unresponsive, unresponsive
 	for _, x := range l.lost {
 		if x.explained || under.hasHost(x.host) {
@@ -114,22 +114,22 @@
 	return max(whole, float64(recent)/recentWindow.Seconds()) / float64(max(hosts, 1))
 }
 
-// Together reports whether the host that failed at the given time failed with its whole rack.
+// RackFailed reports whether the host that failed at the given time failed with its whole rack.
 // present is the number of other hosts still in the rack, of which unresponsive stopped
 // answering at about that time.
-func (l *Losses) Together(host, rack string, at time.Time, unresponsive, present int) bool {
+func (l *HostFailures) RackFailed(host, rack string, at time.Time, unresponsive, present int) bool {
 	if rack == "" || unresponsive < present {
 		return false
 	}
 	failed := 0
 	for _, x := range l.lost {
-		if x.rack == rack && x.host != host && Near(x.at, at) {
+		if x.rack == rack && x.host != host && MayShareCause(x.at, at) {
 			failed++
 		}
 	}
 	return 1+failed+unresponsive >= minRackFailures
 }
 
-// Near reports whether two hosts that became unresponsive at a and b may have failed for one
+// MayShareCause reports whether two hosts that became unresponsive at a and b may have failed for one
 // cause.
-func Near(a, b time.Time) bool { return a.Sub(b).Abs() <= correlationWindow }
+func MayShareCause(a, b time.Time) bool { return a.Sub(b).Abs() <= correlationWindow }
--- a/internal/ctl/accounts.go
+++ b/internal/ctl/accounts.go
@@ -32,7 +32,7 @@
 				return result.New(result.Internal, result.RanNo, "%v", err)
 			}
 			if len(state.Held) == 0 {
-				return result.New(result.HolderAway, result.RanNo, "the process at %s holds no partition", args[0])
+				return result.New(result.HolderUnreachable, result.RanNo, "the process at %s holds no partition", args[0])
 			}
 			for _, h := range state.Held {
 				if err := a.printAccounts(h.Engine); err != nil {
--- a/internal/ctl/answers_test.go
+++ b/internal/ctl/answers_test.go
@@ -28,12 +28,12 @@
 var (
 	fullStatus = jobmsg.Status{
 		Job:   spec.Job{ID: "j1", Team: "maps", Kind: spec.KindBatch, Tasks: 9},
-		State: jobmsg.StateRunning, Counts: jobmsg.Counts{Waiting: 1, Running: 2, Finished: 3, Failures: 4}, Reason: "because",
+		State: jobmsg.StateRunning, TaskCounts: jobmsg.TaskCounts{Waiting: 1, Running: 2, Finished: 3, Failures: 4}, Reason: "because",
 	}
 	fullExplanation = jobmsg.Explanation{
-		Sites:     []jobmsg.Site{{Worker: "w1", Zone: "z1", Partition: 5, Tasks: []int{1, 2}}},
-		Waits:     []jobmsg.Wait{{Tasks: 1, For: "memory", Freed: "job j0", ByRule: map[string]int{"memory": 3}}},
-		Decisions: []jobmsg.Decision{{What: "placed", Why: "best fit", Times: 2}},
+		Placements: []jobmsg.Placement{{Worker: "w1", Zone: "z1", Partition: 5, Tasks: []int{1, 2}}},
+		Waits:      []jobmsg.Wait{{Tasks: 1, For: "memory", FreedBy: "job j0", ByRule: map[string]int{"memory": 3}}},
+		Decisions:  []jobmsg.Decision{{What: "placed", Why: "best fit", Times: 2}},
 	}
 	fullWorkers = cellapi.Workers{Workers: []taskmsg.WorkerState{{Name: "w1", Rack: "r1", Zone: "z1", Partition: 5, Claim: "claimed",
 		Status: "ready", Free: spec.Resources{MilliCPU: 7, MemoryMiB: 8, Accelerators: 9}}}}
--- a/internal/ctl/logline.go
+++ b/internal/ctl/logline.go
@@ -49,7 +49,7 @@
 	if name != "-" {
 		f, err := os.Open(name)
 		if err != nil {
-			return nil, result.New(result.BadInput, result.RanNo, "%v", err).At(name)
+			return nil, result.New(result.BadInput, result.RanNo, "%v", err).AtField(name)
 		}
 		defer f.Close()
 		in = f
@@ -63,7 +63,7 @@
 		}
 	}
 	if err := scan.Err(); err != nil {
-		return nil, result.New(result.BadInput, result.RanNo, "%v", err).At(name)
+		return nil, result.New(result.BadInput, result.RanNo, "%v", err).AtField(name)
 	}
 	fillMissingTimes(out)
 	return out, nil
--- a/internal/ctl/report.go
+++ b/internal/ctl/report.go
@@ -79,7 +79,7 @@
 	}
 	f, err := os.Create(name)
 	if err != nil {
-		return result.New(result.BadInput, result.RanNo, "%v", err).At("plot")
+		return result.New(result.BadInput, result.RanNo, "%v", err).AtField("plot")
 	}
 	err = draw(f, from)
 	if closeErr := f.Close(); err == nil {
--- a/internal/daemon/budget.go
+++ b/internal/daemon/budget.go
@@ -23,7 +23,7 @@
 
 // bufferLimits are the numbers of buffered bytes from which lines of a priority are dropped. Final
 // lines still fit when a burst of starts has filled the buffer of a blocked output up to its limit.
-var bufferLimits = [priorityCount]int{Routine: maxBufferedBytes / 2, Notable: maxBufferedBytes * 3 / 4, Final: maxBufferedBytes * 7 / 8}
+var bufferLimits = [priorityCount]int{PriorityRoutine: maxBufferedBytes / 2, PriorityNotable: maxBufferedBytes * 3 / 4, PriorityFinal: maxBufferedBytes * 7 / 8}
 
 // cause is the reason why a line was dropped.
 type cause uint8
@@ -44,8 +44,8 @@
 // logs how many of which kind were dropped.
 type limiter struct {
 	logrus.Formatter
-	priorityOf func(*logrus.Entry) Weight // nil means Routine for all lines below warning
-	buffer     *Lines                     // where the lines go; nil if they are written one by one
+	priorityOf func(*logrus.Entry) Priority // nil means Routine for all lines below warning
+	buffer     *Lines                       // where the lines go; nil if they are written one by one
 
 	mu      sync.Mutex
 	second  time.Time
@@ -83,7 +83,7 @@
 	defer b.mu.Unlock()
 	if entry.Time.Sub(b.second) >= time.Second {
 		b.second, b.written = entry.Time, [priorityCount]int{}
-		if buffered < bufferLimits[Final] {
+		if buffered < bufferLimits[PriorityFinal] {
 			reports = b.takeDropReports(entry)
 		}
 	}
@@ -102,12 +102,12 @@
 }
 
 // linePriority returns the priority of a line. Warnings and errors are Final.
-func (b *limiter) linePriority(entry *logrus.Entry) Weight {
+func (b *limiter) linePriority(entry *logrus.Entry) Priority {
 	if entry.Level < logrus.InfoLevel {
-		return Final
+		return PriorityFinal
 	}
 	if b.priorityOf == nil {
-		return Routine
+		return PriorityRoutine
 	}
 	return b.priorityOf(entry)
 }
--- a/internal/daemon/budget_test.go
+++ b/internal/daemon/budget_test.go
@@ -15,8 +15,8 @@
 )
 
 // testPriority returns priorities like those of a holder's log lines.
-func testPriority(e *logrus.Entry) Weight {
-	return map[string]Weight{"run lost": Notable, "crash held against task": Final, "job ended": Final}[e.Message]
+func testPriority(e *logrus.Entry) Priority {
+	return map[string]Priority{"run lost": PriorityNotable, "crash held against task": PriorityFinal, "job ended": PriorityFinal}[e.Message]
 }
 
 // logTo returns a daemon whose log goes to out.
@@ -24,7 +24,7 @@
 	t.Helper()
 	d, err := New("test", "info")
 	is.New(t).NoErr(err)
-	d.Weigh(testPriority)
+	d.SetPriorityFunc(testPriority)
 	d.Log.Logger.SetOutput(out)
 	return d
 }
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -11,12 +11,12 @@
 // Main runs a daemon's command line. Its only flag is --config, whose file is read into a
 // settings value that starts as defaults. Main does not return.
 func Main[C any](name, short string, defaults C, run func(C) error) {
-	MainAt(name, short, "", defaults, func(_ string, settings C) error { return run(settings) })
+	MainWithPath(name, short, "", defaults, func(_ string, settings C) error { return run(settings) })
 }
 
-// MainAt is Main with a default path for --config. If the default is empty, the flag is
+// MainWithPath is Main with a default path for --config. If the default is empty, the flag is
 // required. The path in use is passed to run.
-func MainAt[C any](name, short, path string, defaults C, run func(string, C) error) {
+func MainWithPath[C any](name, short, path string, defaults C, run func(string, C) error) {
 	cmd := &cobra.Command{
 		Use: name + " --config FILE", Short: short, Args: cobra.NoArgs,
 		SilenceErrors: true, SilenceUsage: true,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,14 +47,14 @@
 	buffer          *Lines // nil if lines are written one by one
 }
 
-// LogAs makes log lines carry the member's name in place of the program's, which follows from
+// SetMemberName makes log lines carry the member's name in place of the program's, which follows from
 // the member.
-func (d *Daemon) LogAs(member string) {
+func (d *Daemon) SetMemberName(member string) {
 	d.Log = d.Log.Logger.WithField(fieldName, member)
 }
 
-// LogTo makes log lines go through a buffer, which is written to out in the background.
-func (d *Daemon) LogTo(out io.Writer) {
+// LogInBackground makes log lines go through a buffer, which is written to out in the background.
+func (d *Daemon) LogInBackground(out io.Writer) {
 	d.buffer = NewLines(out)
 	d.limiter.buffer = d.buffer
 	d.Log.Logger.SetOutput(d.buffer)
@@ -67,7 +67,7 @@
 	logger.SetFormatter(b)
 	lv, err := logrus.ParseLevel(level)
 	if err != nil {
-		return nil, result.New(result.ConfigValue, result.RanNo, "%v", err).At("log_level")
+		return nil, result.New(result.ConfigValue, result.RanNo, "%v", err).AtField("log_level")
 	}
 	logger.SetLevel(lv)
 	reg := prometheus.NewRegistry()
@@ -82,17 +82,17 @@
 	d.dumps[name] = fn
 }
 
-// AddQuestion adds a query about one object, served as /debug/NAME?of=OBJECT. The errors of fn
+// AddQuery adds a query about one object, served as /debug/NAME?of=OBJECT. The errors of fn
 // are *result.Error. Call it before Admin.
-func (d *Daemon) AddQuestion(name string, fn func(thing string) (any, error)) {
+func (d *Daemon) AddQuery(name string, fn func(thing string) (any, error)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.queries[name] = fn
 }
 
-// AddReadiness adds a check that lists what the process lacks. The process is ready if all
+// AddReadinessCheck adds a check that lists what the process lacks. The process is ready if all
 // lists are empty and no planned stop has started.
-func (d *Daemon) AddReadiness(fn func() []string) {
+func (d *Daemon) AddReadinessCheck(fn func() []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.readinessChecks = append(d.readinessChecks, fn)
@@ -127,7 +127,7 @@
 	if errors.Is(err, syscall.EADDRINUSE) {
 		code = result.ConfigPortInUse
 	}
-	return nil, result.New(code, result.RanNo, "%v", err).At(field)
+	return nil, result.New(code, result.RanNo, "%v", err).AtField(field)
 }
 
 // Serve starts an HTTP server on the listener, which the daemon closes at the end of a planned
@@ -214,8 +214,8 @@
 	_ = enc.Encode(v) // fails only if the client has disconnected
 }
 
-// Stopper configures the phases of a planned stop.
-type Stopper struct {
+// StopPhases configures the phases of a planned stop.
+type StopPhases struct {
 	// Announce is how long listeners stay open after the process ceased to be
 	// ready, so that the load balancer can detect it.
 	Announce time.Duration
@@ -228,7 +228,7 @@
 
 // Wait blocks until SIGTERM or SIGINT, then performs the planned stop. A second
 // signal aborts it. The returned error is a *result.Error.
-func (d *Daemon) Wait(s Stopper) error {
+func (d *Daemon) Wait(s StopPhases) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	d.catchesSignals.Store(true)
@@ -253,7 +253,7 @@
 	return err
 }
 
-func (d *Daemon) drain(ctx context.Context, s Stopper) error {
+func (d *Daemon) drain(ctx context.Context, s StopPhases) error {
 	select {
 	case <-time.After(s.Announce):
 	case <-ctx.Done():
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	d := newDaemon(t)
 	lacks := []string{"members"}
-	d.AddReadiness(func() []string { return lacks })
+	d.AddReadinessCheck(func() []string { return lacks })
 
 	code, body := get(d, "/readyz")
 	is.Equal(code, http.StatusServiceUnavailable)
@@ -103,7 +103,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				start := time.Now()
-				err := newDaemon(t).drain(context.Background(), Stopper{Announce: time.Second, Limit: 5 * time.Second, Drain: tc.drain})
+				err := newDaemon(t).drain(context.Background(), StopPhases{Announce: time.Second, Limit: 5 * time.Second, Drain: tc.drain})
 				is.Equal(time.Since(start), tc.took)
 				is.Equal(err != nil, tc.fails)
 				if tc.fails {
@@ -120,7 +120,7 @@
 	draining := make(chan struct{})
 	done := make(chan error, 1)
 	go func() {
-		done <- d.Wait(Stopper{Limit: time.Hour, Drain: func(ctx context.Context) error {
+		done <- d.Wait(StopPhases{Limit: time.Hour, Drain: func(ctx context.Context) error {
 			close(draining)
 			<-ctx.Done()
 			return ctx.Err()
--- a/internal/daemon/weight.go
+++ b/internal/daemon/weight.go
@@ -2,23 +2,25 @@
 
 import "github.com/sirupsen/logrus"
 
-// Weight is the priority of a log line when there are more lines than the limits allow.
-type Weight uint8
+// Priority is the priority of a log line when there are more lines than the limits allow.
+type Priority uint8
 
 // The priorities, the lowest first. Each has a limit of its own.
 const (
-	// Routine lines are written for each job or start.
-	Routine Weight = iota
-	// Notable lines report single losses, of which there are hundreds when a host is lost.
-	Notable
-	// Final lines report what no later line repeats: how a job ended, which crashes are
+	// PriorityRoutine lines are written for each job or start.
+	PriorityRoutine Priority = iota
+	// PriorityNotable lines report single losses, of which there are hundreds when a host is lost.
+	PriorityNotable
+	// PriorityFinal lines report what no later line repeats: how a job ended, which crashes are
 	// attributed to a task, which member is the holder, which settings are in force, what
 	// is reachable.
-	Final
+	PriorityFinal
 
 	priorityCount // number of priorities
 )
 
-// Weigh sets the function that returns a line's priority. Without one all lines are Routine.
+// SetPriorityFunc sets the function that returns a line's priority. Without one all lines are Routine.
 // Warnings and errors are Final in any case. Call it before anything is logged.
-func (d *Daemon) Weigh(priorityOf func(*logrus.Entry) Weight) { d.limiter.priorityOf = priorityOf }
+func (d *Daemon) SetPriorityFunc(priorityOf func(*logrus.Entry) Priority) {
+	d.limiter.priorityOf = priorityOf
+}
--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -83,7 +83,7 @@
 	switch pushed {
 	case queue.Full:
 		return result.New(result.QueueFull, result.RanNo,
-			"%d requests wait for %s", p.queue.Len(), p.service).Later(d.drainTime(p, now))
+			"%d requests wait for %s", p.queue.Len(), p.service).WithRetryAfter(d.drainTime(p, now))
 	case queue.OverShare:
 		return d.overShareError(p)
 	}
@@ -115,7 +115,7 @@
 	d.recordServed(p, slots, now)
 	if now.Sub(laterOf(p.servedAt, d.started)) > servedGracePeriod {
 		return result.New(result.NoExecutor, result.RanNo,
-			"no executor of %s can be used now", p.service).Later(retryAfter)
+			"no executor of %s can be used now", p.service).WithRetryAfter(retryAfter)
 	}
 	if !now.Before(w.Deadline) {
 		return deadlineQueuedError(p)
@@ -123,7 +123,7 @@
 	wait := p.expectedWait(p.queue.Ahead(w.Caller), slots, now) * waitMarginPercent / 100
 	if now.Add(wait + p.meanServiceTime).After(w.Deadline) {
 		return result.New(result.DeadlineTooShort, result.RanNo,
-			"%d requests wait for %s", p.queue.Len(), p.service).Later(d.drainTime(p, now))
+			"%d requests wait for %s", p.queue.Len(), p.service).WithRetryAfter(d.drainTime(p, now))
 	}
 	return nil
 }
@@ -201,11 +201,11 @@
 
 func (d *Dispatcher) overShareError(p *pool) *result.Error {
 	return result.New(result.CallerOverShare, result.RanNo,
-		"the queue for %s is full and this caller holds most of it", p.service).Later(d.drainTime(p, time.Now()))
+		"the queue for %s is full and this caller holds most of it", p.service).WithRetryAfter(d.drainTime(p, time.Now()))
 }
 
 func callerGoneError() *result.Error {
-	return result.New(result.CallerGone, result.RanNo, "the caller went away before dispatch")
+	return result.New(result.CallerDisconnected, result.RanNo, "the caller went away before dispatch")
 }
 
 func deadlineQueuedError(p *pool) *result.Error {
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -25,7 +25,7 @@
 type testBench struct {
 	*dispatch.Dispatcher
 	executors requesttest.Executors
-	authority requesttest.Right
+	authority requesttest.Authorizer
 	values    settings.Values
 	stop      context.CancelFunc
 	remotes   []dispatch.Remote
@@ -36,8 +36,8 @@
 }
 
 // newTestBench lists executors in three zones and acquires their partition.
-func newTestBench(t testing.TB, executors int, takeover hold.Takeover) *testBench {
-	b := &testBench{values: settings.Defaults(), executors: requesttest.Executors{Time: 10 * time.Millisecond}}
+func newTestBench(t testing.TB, executors int, takeover hold.Acquisition) *testBench {
+	b := &testBench{values: settings.Defaults(), executors: requesttest.Executors{ExecutionTime: 10 * time.Millisecond}}
 	for i := range executors {
 		b.hosts = append(b.hosts, platform.Host{
 			Name: fmt.Sprintf("executor-%d", i), Role: platform.RoleExecutor, Addr: fmt.Sprintf("executor-%d", i),
@@ -50,10 +50,10 @@
 		Hosts:    b.hostList,
 		Settings: func(string) (settings.Values, bool) { return b.values, true },
 		Remotes:  func() []dispatch.Remote { return b.remotes },
-		Peers:    b, Right: &b.authority, Client: &b.executors, Zone: "zone-0", Partitions: 1,
+		Peers:    b, Authorizer: &b.authority, Client: &b.executors, Zone: "zone-0", Partitions: 1,
 		Log: logrus.NewEntry(log), Metrics: prometheus.NewRegistry(),
 	})
-	takeover.TakenAt = time.Now()
+	takeover.AcquiredAt = time.Now()
 	if err := b.Acquire(t.Context(), takeover); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatch/cancel_bench_test.go
+++ b/internal/dispatch/cancel_bench_test.go
@@ -13,11 +13,11 @@
 // reports the time from the cancellation to the end of the last request, divided by the requests.
 func BenchmarkCancelledWave(b *testing.B) {
 	const requests = 5000
-	h := newTestBench(b, 1, hold.Takeover{Fresh: true})
+	h := newTestBench(b, 1, hold.Acquisition{NeverHeld: true})
 	defer h.stop()
 	h.values.Request.QueueLimit = 2 * requests
 	h.values.Request.MaxDeadlineMS = 600000
-	h.executors.Time = 10 * time.Minute
+	h.executors.ExecutionTime = 10 * time.Minute
 	for range 8 {
 		go h.send(context.Background(), "caller-a", false, 10*time.Minute)
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -28,7 +28,7 @@
 	}{
 		{"host list", func(b *testBench) { b.setLeaving(0) }, 3 * time.Second},
 		{"executor's signal", func(b *testBench) {
-			b.executors.FaultOf = faultAt("executor-0", requesttest.Leave)
+			b.executors.FaultOf = faultAt("executor-0", requesttest.SignalLeaving)
 			b.sendConcurrently(20, "caller-a", time.Second)
 		}, 0},
 	}
@@ -36,7 +36,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newTestBench(t, 3, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 3, hold.Acquisition{NeverHeld: true})
 				defer b.stop()
 				is.Equal(len(b.sendConcurrently(20, "caller-a", time.Second)), 0)
 				tc.leave(b)
@@ -52,9 +52,9 @@
 func TestInFlightWorkOfLeavingExecutorIsFinished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 1, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 1, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
-		b.executors.Time = 5 * time.Second
+		b.executors.ExecutionTime = 5 * time.Second
 		b.values.Request.MaxDeadlineMS = 10000
 		var wg sync.WaitGroup
 		wg.Go(func() { is.Equal(len(b.sendConcurrently(8, "caller-a", 10*time.Second)), 0) })
@@ -72,12 +72,12 @@
 func TestFailoverWaitsForLongestDispatch(t *testing.T) {
 	cases := []struct {
 		name     string
-		takeover hold.Takeover
+		takeover hold.Acquisition
 		usable   time.Duration // after the acquisition
 	}{
-		{"fresh", hold.Takeover{Fresh: true}, 0},
-		{"failover", hold.Takeover{}, 30 * time.Second},
-		{"handover without state", hold.Takeover{SignedOff: true}, 30 * time.Second},
+		{"fresh", hold.Acquisition{NeverHeld: true}, 0},
+		{"failover", hold.Acquisition{}, 30 * time.Second},
+		{"handover without state", hold.Acquisition{HandedOver: true}, 30 * time.Second},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 func TestHandoverIncludesBusySlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 		var wg sync.WaitGroup
@@ -111,7 +111,7 @@
 		defer cancel()
 		state, err := b.Release(ctx, 0)
 		is.NoErr(err)
-		next := newTestBench(t, 2, hold.Takeover{SignedOff: true, State: state})
+		next := newTestBench(t, 2, hold.Acquisition{HandedOver: true, State: state})
 		defer next.stop()
 		is.Equal(len(next.sendConcurrently(16, "caller-a", time.Second)), 0)
 		is.Equal(next.ranAt(0), map[string]int{"executor-1": 16})
@@ -121,13 +121,13 @@
 func TestHandoverIncludesLeavingExecutors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
-		b.executors.FaultOf = faultAt("executor-0", requesttest.Leave)
+		b.executors.FaultOf = faultAt("executor-0", requesttest.SignalLeaving)
 		is.Equal(len(b.sendConcurrently(1, "caller-a", time.Second)), 0)
 		state, err := b.Release(t.Context(), 0)
 		is.NoErr(err)
-		next := newTestBench(t, 2, hold.Takeover{SignedOff: true, State: state})
+		next := newTestBench(t, 2, hold.Acquisition{HandedOver: true, State: state})
 		defer next.stop()
 		is.Equal(len(next.sendConcurrently(8, "caller-a", time.Second)), 0)
 		is.Equal(next.ranAt(0), map[string]int{"executor-1": 8})
@@ -145,15 +145,15 @@
 	}{
 		{"refused, not idempotent", requesttest.Refuse, false, 0, "", 1},
 		{"refused, idempotent", requesttest.Refuse, true, 0, "", 1},
-		{"connection cut before it ran, not idempotent", requesttest.CutBefore, false, result.ExecutorLost, result.RanUnknown, 0},
-		{"connection cut after it ran, not idempotent", requesttest.CutAfter, false, result.ExecutorLost, result.RanUnknown, 1},
-		{"connection cut after it ran, idempotent", requesttest.CutAfter, true, 0, "", 2},
+		{"connection cut before it ran, not idempotent", requesttest.LoseRequest, false, result.ExecutorLost, result.RanUnknown, 0},
+		{"connection cut after it ran, not idempotent", requesttest.LoseAnswer, false, result.ExecutorLost, result.RanUnknown, 1},
+		{"connection cut after it ran, idempotent", requesttest.LoseAnswer, true, 0, "", 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newTestBench(t, 3, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 3, hold.Acquisition{NeverHeld: true})
 				defer b.stop()
 				b.sendConcurrently(40, "caller-a", time.Second) // fills the retry budget
 				before := len(b.executors.Runs())
@@ -174,9 +174,9 @@
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 3, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 3, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
-		b.executors.FaultOf = func(string, executor.Request) requesttest.Fault { return requesttest.CutAfter }
+		b.executors.FaultOf = func(string, executor.Request) requesttest.Fault { return requesttest.LoseAnswer }
 		const requests = 1000
 		for range requests {
 			b.send(t.Context(), "caller-a", true, 100*time.Millisecond)
@@ -190,7 +190,7 @@
 func TestOneCallersStormDoesNotStarveOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 1, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 1, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
 		refusals := make(chan []*result.Error)
 		go func() { refusals <- b.sendConcurrently(2000, "caller-a", 2*time.Second) }()
@@ -211,7 +211,7 @@
 func TestCancelledWaveLeavesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 1, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 1, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
 		b.values.Request.QueueLimit = 10000
 		ctx, cancel := context.WithCancel(t.Context())
@@ -237,7 +237,7 @@
 func TestRemotesAreRefreshedBeforeRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 0, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 0, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
 		synctest.Wait()
 		b.remotes = []dispatch.Remote{{Name: "other", Addr: "other:1", Free: map[string]int{"ledger": 1}}}
@@ -249,7 +249,7 @@
 func TestProcessThatHasJustStartedDoesNotRefuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 0, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 0, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
 		go func() {
 			time.Sleep(time.Second)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -43,10 +43,10 @@
 	// Remotes returns the other holders, without this process and those that are leaving or have
 	// sent no recent heartbeat. It is called with each refresh, and every offloadInterval while
 	// requests are queued.
-	Remotes func() []Remote
-	Right   hold.Right
-	Client  executor.Client
-	Peers   peer.Caller
+	Remotes    func() []Remote
+	Authorizer hold.Authorizer
+	Client     executor.Client
+	Peers      peer.Caller
 	// Zone is this process's availability zone.
 	Zone string
 	// Partitions is the number of partitions in the cell.
@@ -82,11 +82,11 @@
 	Deadline   time.Time
 	Idempotent bool
 	Request    executor.Request
-	// Begin, when set, is called right before a byte may be sent. When it returns false, the
+	// BeforeSend, when set, is called right before a byte may be sent. When it returns false, the
 	// request was cancelled and must not be sent.
-	Begin func() bool
-	// Unsent, when set, is called when nothing was sent after a call of Begin.
-	Unsent func()
+	BeforeSend func() bool
+	// NotSent, when set, is called when nothing was sent after a call of Begin.
+	NotSent func()
 }
 
 // New returns a Dispatcher that holds no executors yet.
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -17,7 +17,7 @@
 func TestFailingExecutorIsEjectedAndProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 3, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 3, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Fail)
 		b.sendAtInterval(10*time.Second, 5*time.Millisecond)
@@ -35,7 +35,7 @@
 func TestShortDeadlinesDoNotEjectHealthyExecutors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
 		for range 50 {
 			b.send(t.Context(), "caller-a", false, time.Millisecond)
@@ -49,7 +49,7 @@
 func TestHangingExecutorIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 2, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 2, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
 		b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 		var wg sync.WaitGroup
@@ -76,7 +76,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newTestBench(t, 1, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 1, hold.Acquisition{NeverHeld: true})
 				defer b.stop()
 				b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 				is.Equal(len(b.sendConcurrently(tc.requests, "caller-a", time.Second)), tc.requests) // until each has timed out
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newTestBench(t, 1, hold.Takeover{Fresh: true})
+				b := newTestBench(t, 1, hold.Acquisition{NeverHeld: true})
 				defer b.stop()
 				b.executors.FaultOf = faultAt("executor-0", requesttest.Hang)
 				var wg sync.WaitGroup
@@ -121,9 +121,9 @@
 func TestSlowExecutorGetsFewerRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 3, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 3, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
-		b.executors.TimeOf = func(addr string) time.Duration {
+		b.executors.ExecutionTimeOf = func(addr string) time.Duration {
 			if addr == "executor-0" {
 				return 500 * time.Millisecond
 			}
@@ -139,7 +139,7 @@
 func TestFailingZoneDoesNotEjectEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestBench(t, 6, hold.Takeover{Fresh: true})
+		b := newTestBench(t, 6, hold.Acquisition{NeverHeld: true})
 		defer b.stop()
 		var unreachable sync.Map
 		b.executors.FaultOf = func(addr string, _ executor.Request) requesttest.Fault {
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -118,14 +118,14 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d := dispatch.New(dispatch.Config{
-		Hosts:    func() []platform.Host { return hosts },
-		Settings: func(string) (settings.Values, bool) { return settings.Defaults(), true },
-		Remotes:  func() []dispatch.Remote { return nil },
-		Right:    &requesttest.Right{}, Client: client, Zone: "zone-0", Partitions: 1,
+		Hosts:      func() []platform.Host { return hosts },
+		Settings:   func(string) (settings.Values, bool) { return settings.Defaults(), true },
+		Remotes:    func() []dispatch.Remote { return nil },
+		Authorizer: &requesttest.Authorizer{}, Client: client, Zone: "zone-0", Partitions: 1,
 		Discipline: order, Chooser: choose,
 		Log: logrus.NewEntry(log), Metrics: prometheus.NewRegistry(),
 	})
-	if err := d.Acquire(t.Context(), hold.Takeover{Fresh: true}); err != nil {
+	if err := d.Acquire(t.Context(), hold.Acquisition{NeverHeld: true}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -148,8 +148,8 @@
 			var dispatched time.Time
 			_, err := d.Do(context.Background(), dispatch.Work{
 				Service: "ledger", Caller: a.caller, Deadline: deadline,
-				Request: executor.Request{Header: http.Header{serviceHeader: {strconv.Itoa(int(a.service))}}},
-				Begin:   func() bool { dispatched = time.Now(); return true },
+				Request:    executor.Request{Header: http.Header{serviceHeader: {strconv.Itoa(int(a.service))}}},
+				BeforeSend: func() bool { dispatched = time.Now(); return true },
 			})
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -200,7 +200,7 @@
 		if best == nil {
 			return nil
 		}
-		if _, err := d.cfg.Right.Check(best.partition); err == nil {
+		if _, err := d.cfg.Authorizer.Check(best.partition); err == nil {
 			return best
 		}
 		best.authorityLost = true
--- a/internal/dispatch/resident.go
+++ b/internal/dispatch/resident.go
@@ -47,10 +47,10 @@
 
 // Acquire implements hold.Resident. It returns at once; after a failover, executors get no requests
 // until the previous holder's longest dispatch is certainly over.
-func (d *Dispatcher) Acquire(_ context.Context, t hold.Takeover) error {
+func (d *Dispatcher) Acquire(_ context.Context, t hold.Acquisition) error {
 	now := time.Now()
-	part := &heldPartition{acquiredAt: now, unclean: !t.Fresh && !t.SignedOff}
-	if t.SignedOff {
+	part := &heldPartition{acquiredAt: now, unclean: !t.NeverHeld && !t.HandedOver}
+	if t.HandedOver {
 		var state handoverState
 		if err := cbor.Unmarshal(t.State, &state); err != nil {
 			part.unclean = true
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -36,7 +36,7 @@
 	d.mu.Lock()
 	p := d.pool(w.Service, values)
 	d.mu.Unlock()
-	p.budget.Earn(values.Request.RetryBudgetPercent)
+	p.budget.Deposit(values.Request.RetryBudgetPercent)
 	return d.attempts(ctx, p, w, values)
 }
 
@@ -49,7 +49,7 @@
 		if err != nil {
 			return executor.Answer{}, weakenRan(err, ran)
 		}
-		if w.Begin != nil && !w.Begin() {
+		if w.BeforeSend != nil && !w.BeforeSend() {
 			d.returnGrant(p, g)
 			return executor.Answer{}, weakenRan(callerGoneError(), ran)
 		}
@@ -59,8 +59,8 @@
 		}
 		if err.Ran != result.RanNo {
 			ran = result.RanUnknown
-		} else if ran == result.RanNo && w.Unsent != nil {
-			w.Unsent()
+		} else if ran == result.RanNo && w.NotSent != nil {
+			w.NotSent()
 		}
 		requeued = it
 		if !d.retryAllowed(ctx, p, w, err, attempt) {
@@ -88,7 +88,7 @@
 	if attempt >= maxAttempts || (err.Ran != result.RanNo && !w.Idempotent) {
 		return false
 	}
-	return p.budget.Spend() && sleepBackoff(ctx, attempt)
+	return p.budget.TryWithdraw() && sleepBackoff(ctx, attempt)
 }
 
 // send sends the request to the grant's endpoint or holder.
@@ -106,7 +106,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline(values))
 	defer cancel()
 	req := withTimeout(w)
-	if _, err := d.cfg.Right.Check(e.partition); err != nil {
+	if _, err := d.cfg.Authorizer.Check(e.partition); err != nil {
 		d.blockEndpoint(p, e)
 		return executor.Answer{}, result.New(result.NoFreeSlot, result.RanNo, "%v", err)
 	}
--- a/internal/engine/account.go
+++ b/internal/engine/account.go
@@ -22,9 +22,9 @@
 	// reported since the failover. Backfill tasks are counted per step.
 	used, unconfirmed   spec.Resources
 	unconfirmedBackfill map[*group]int64
-	// left and leftFillers are the sizes that jobs which the previous holder had just ended may still have
+	// endedUsage and leftFillers are the sizes that jobs which the previous holder had just ended may still have
 	// running on such hosts.
-	left, leftFillers spec.Resources
+	endedUsage, endedBackfill spec.Resources
 	// withheld is the quota that is withheld in this scheduling pass for steps earlier in the queue.
 	withheld   spec.Resources
 	configured bool // the configuration names the account
@@ -62,7 +62,7 @@
 		before, configured := a.quota, a.configured
 		e.applyAccount(a)
 		if a.quota != before && configured {
-			e.room++
+			e.capacityChanges++
 			e.logQuota(a)
 		}
 	}
@@ -95,7 +95,7 @@
 func (a *account) addUnconfirmed(g *group, n int64) {
 	switch {
 	case a == nil:
-	case !g.step.Filler:
+	case !g.step.Backfill:
 		a.unconfirmed = a.unconfirmed.Add(g.step.Size.Times(n))
 	default:
 		a.unconfirmedBackfill[g] += n
@@ -105,22 +105,22 @@
 	}
 }
 
-// counted returns the upper bound of an account's running work: its recorded runs, all orphan runs, which
+// maxUsage returns the upper bound of an account's running work: its recorded runs, all orphan runs, which
 // may belong to any account, and its unconfirmed tasks.
-func (e *Engine) counted(a *account) spec.Resources {
-	return a.used.Add(e.unowned).Add(e.inDoubt(a))
+func (e *Engine) maxUsage(a *account) spec.Resources {
+	return a.used.Add(e.orphanUsage).Add(e.unconfirmedUsage(a))
 }
 
-// inDoubt returns the unconfirmed usage, bounded by what the hosts that have not reported can hold.
+// unconfirmedUsage returns the unconfirmed usage, bounded by what the hosts that have not reported can hold.
 // Backfill tasks take no processors there, so they may run beside other tasks, as far as the other
 // dimensions allow.
-func (e *Engine) inDoubt(a *account) spec.Resources {
-	sum := a.unconfirmed.Add(a.left).Min(e.unreported.capacity)
+func (e *Engine) unconfirmedUsage(a *account) spec.Resources {
+	sum := a.unconfirmed.Add(a.endedUsage).Min(e.unreported.capacity)
 	if len(e.unreported.sizes) > 0 {
-		sum = sum.Add(a.leftFillers)
+		sum = sum.Add(a.endedBackfill)
 	}
 	for g, n := range a.unconfirmedBackfill {
-		sum = sum.Add(g.step.Size.Times(min(n, e.unreported.holds(g.step.Booked()))))
+		sum = sum.Add(g.step.Size.Times(min(n, e.unreported.holds(g.step.Allocation()))))
 	}
 	return sum
 }
@@ -134,7 +134,7 @@
 // holds returns how many tasks of a size these hosts can hold.
 func (u *unreportedHosts) holds(size spec.Resources) (n int64) {
 	for _, s := range u.sizes {
-		n += int64(s.Holds(size))
+		n += int64(s.FitCount(size))
 	}
 	return n
 }
@@ -142,11 +142,11 @@
 // measureUnreported computes the capacity of the hosts that have not reported.
 func (e *Engine) measureUnreported(now time.Time) {
 	e.unreported = unreportedHosts{sizes: e.unreported.sizes[:0]}
-	if !e.unsettled && len(e.held) == 0 {
+	if !e.reconciling && len(e.possibleHosts) == 0 {
 		return
 	}
-	for _, h := range e.sorted {
-		if !e.isUnheard(h, now) {
+	for _, h := range e.hostsByID {
+		if !e.isUnreported(h, now) {
 			continue
 		}
 		size := h.info.Size
@@ -161,9 +161,9 @@
 // unboundedCapacity exceeds the capacity of all hosts together.
 var unboundedCapacity = spec.Resources{MilliCPU: 1 << 60, MemoryMiB: 1 << 60, Accelerators: 1 << 60}
 
-// allowedNow returns how many waiting tasks of a step the account's quota allows to start now: all members
+// startableNow returns how many waiting tasks of a step the account's quota allows to start now: all members
 // of a gang, or none.
-func (e *Engine) allowedNow(g *group) int {
+func (e *Engine) startableNow(g *group) int {
 	a := g.job.account
 	if a == nil {
 		return g.waiting
@@ -171,7 +171,7 @@
 	if e.catalog == nil {
 		return 0 // the quota is not known yet
 	}
-	n := a.quota.Room(e.counted(a).Add(a.withheld), g.step.Size, g.waiting)
+	n := a.quota.MaxTasks(e.maxUsage(a).Add(a.withheld), g.step.Size, g.waiting)
 	if g.step.Gang && n < g.waiting {
 		return 0
 	}
@@ -183,7 +183,7 @@
 // earlier steps that need more at once would starve.
 func (e *Engine) withholdQuota(g *group, now time.Time) {
 	a := g.job.account
-	if a != nil && g.waiting > 0 && (now.Before(g.preemptedAt) || e.allowedNow(g) < g.waiting) {
+	if a != nil && g.waiting > 0 && (now.Before(g.preemptedAt) || e.startableNow(g) < g.waiting) {
 		if a.withheld.IsZero() {
 			e.withheldAccounts = append(e.withheldAccounts, a)
 		}
@@ -199,18 +199,18 @@
 	e.withheldAccounts = e.withheldAccounts[:0]
 }
 
-// quotaLacks describes the quota that a step lacks to start any task; empty if it does not wait for quota.
-func (e *Engine) quotaLacks(g *group) string {
+// describeMissingQuota describes the quota that a step lacks to start any task; empty if it does not wait for quota.
+func (e *Engine) describeMissingQuota(g *group) string {
 	a := g.job.account
-	if a == nil || e.allowedNow(g) > 0 {
+	if a == nil || e.startableNow(g) > 0 {
 		return ""
 	}
-	need := g.step.AtOnce()
+	need := g.step.MinResources()
 	if exceeded := a.quota.Exceeds(need); exceeded != "" {
 		return fmt.Sprintf("waits for its account's quota to rise: %s needs more at once than %s may have: %s", g.id, a.name, exceeded)
 	}
 	return fmt.Sprintf("waits for its account's quota: %s has %s, of it %s in doubt, and %s promised to steps before it",
-		a.name, a.quota.Exceeds(e.counted(a).Add(a.withheld).Add(need)), describeSize(e.inDoubt(a)), describeSize(a.withheld))
+		a.name, a.quota.Exceeds(e.maxUsage(a).Add(a.withheld).Add(need)), describeSize(e.unconfirmedUsage(a)), describeSize(a.withheld))
 }
 
 func describeSize(r spec.Resources) string {
@@ -220,5 +220,5 @@
 // logQuota logs a changed quota.
 func (e *Engine) logQuota(a *account) {
 	e.log(Event{What: "quota changed", Why: fmt.Sprintf("account %s has a quota of %d milli_cpu, %d memory_mib, %d accelerators (-1: unlimited); may be running: %s",
-		a.name, a.quota.MilliCPU, a.quota.MemoryMiB, a.quota.Accelerators, describeSize(e.counted(a)))})
+		a.name, a.quota.MilliCPU, a.quota.MemoryMiB, a.quota.Accelerators, describeSize(e.maxUsage(a)))})
 }
--- a/internal/engine/ask.go
+++ b/internal/engine/ask.go
@@ -10,8 +10,8 @@
 	"pulleyquay/internal/host"
 )
 
-// question is a query to the policy service that is not answered yet.
-type question struct {
+// policyQuery is a query to the policy service that is not answered yet.
+type policyQuery struct {
 	group  *group
 	hosts  []host.ID
 	slot   string
@@ -33,10 +33,10 @@
 // in a cell of thousands, comparing all of them costs more time than it gains.
 const maxCompared = 128
 
-// askForTasks queries the policy service about hosts that have free capacity for waiting tasks.
-func (e *Engine) askForTasks(g *group, c []*hostState, now time.Time) {
-	size := g.step.Booked()
-	if !size.Fits(e.poolOf(g.job.rec.Service).roomiest) || !e.mayAsk(g, now) {
+// queryForTasks queries the policy service about hosts that have free capacity for waiting tasks.
+func (e *Engine) queryForTasks(g *group, c []*hostState, now time.Time) {
+	size := g.step.Allocation()
+	if !size.Fits(e.poolOf(g.job.rec.Service).maxFree) || !e.mayQuery(g, now) {
 		return
 	}
 	var candidates []*hostState
@@ -49,7 +49,7 @@
 		if len(candidates) == maxCompared {
 			break
 		}
-		if size.Fits(h.free()) && !e.allowed(g, h, now) && refusedBy(g, h) == "" && g.fits(h, e.roomFor(g, h, now)) > 0 {
+		if size.Fits(h.free()) && !e.hasPermission(g, h, now) && rejectedBy(g, h) == "" && g.slotsFor(h, e.capacityFor(g, h, now)) > 0 {
 			candidates = append(candidates, h)
 		}
 	}
@@ -61,7 +61,7 @@
 		cost[h] = e.cost(g, h)
 	}
 	sort.SliceStable(candidates, func(a, b int) bool { return cost[candidates[a]] < cost[candidates[b]] })
-	e.ask(g, e.enoughHosts(g, candidates, float64(e.allowedNow(g))), now)
+	e.query(g, e.enoughHosts(g, candidates, float64(e.startableNow(g))), now)
 }
 
 // querySlotFactor is the factor by which the slots that a query covers exceed those needed.
@@ -73,19 +73,19 @@
 // query, has no time left for other gangs.
 const gangQuerySlotFactor = 6.0
 
-// leastAsked is the minimum number of hosts in a query, if there are so many.
-const leastAsked = 10
+// minQueryHosts is the minimum number of hosts in a query, if there are so many.
+const minQueryHosts = 10
 
 // enoughHosts returns the first hosts of the list that together can be expected to hold n tasks.
 func (e *Engine) enoughHosts(g *group, candidates []*hostState, n float64) []*hostState {
 	want := n * querySlotFactor
 	for i, h := range candidates {
-		p := e.goodShare(g)
+		p := e.permittedShare(g)
 		if g.advice.known[h] {
 			p = 1
 		}
-		want -= p * float64(g.fits(h, h.free()))
-		if want <= 0 && i+1 >= leastAsked || i+1 >= e.cfg.Tuning.AskMost {
+		want -= p * float64(g.slotsFor(h, h.free()))
+		if want <= 0 && i+1 >= minQueryHosts || i+1 >= e.cfg.Tuning.MaxHostsPerQuery {
 			return candidates[:i+1]
 		}
 	}
@@ -96,40 +96,40 @@
 // tickets are requested, in addition to the time that the answer takes.
 const ticketLeadTime = 100 * time.Millisecond
 
-// placesComeSoon reports whether the reserved slots of a gang will be free by the time the
+// slotsDueSoon reports whether the reserved slots of a gang will be free by the time the
 // policy service has answered. Until then, a query about other hosts may find slots sooner.
-func (e *Engine) placesComeSoon(g *group, now time.Time) bool {
-	took := g.job.rec.Rules.Advice.Took(len(g.reserved))
+func (e *Engine) slotsDueSoon(g *group, now time.Time) bool {
+	took := g.job.rec.Rules.PolicyQuery.QueryDuration(len(g.reserved))
 	return g.reservedFrom.Sub(now) <= took+ticketLeadTime
 }
 
-// askForTickets requests tickets for the hosts on which a gang has slots reserved, so that
+// requestTickets requests tickets for the hosts on which a gang has slots reserved, so that
 // they arrive when the slots become free, and for alternative hosts.
-func (e *Engine) askForTickets(g *group, good []*hostState, now time.Time) {
-	advice := g.job.rec.Rules.Advice
+func (e *Engine) requestTickets(g *group, good []*hostState, now time.Time) {
+	advice := g.job.rec.Rules.PolicyQuery
 	hosts := append(slices.Clone(g.reserved), e.alternativeHosts(g, good, now)...)
-	took := advice.Took(min(len(hosts), e.cfg.Tuning.AskMost))
+	took := advice.QueryDuration(min(len(hosts), e.cfg.Tuning.MaxHostsPerQuery))
 	if !e.queryInBatches(g, hosts, now) {
 		return
 	}
-	g.settled = now.Add(took + advice.Valid())
-	e.clearAhead(g, took, now)
+	g.keepUntil = now.Add(took + advice.TicketTTL())
+	e.schedulePreemption(g, took, now)
 }
 
 // alternativeHosts returns the permitted hosts without a reservation of the gang that will have
 // most free capacity for it when an answer arrives.
 func (e *Engine) alternativeHosts(g *group, good []*hostState, now time.Time) []*hostState {
-	var all []seat
-	took := g.job.rec.Rules.Advice.Took(e.cfg.Tuning.AskMost)
+	var all []hostSlots
+	took := g.job.rec.Rules.PolicyQuery.QueryDuration(e.cfg.Tuning.MaxHostsPerQuery)
 	for _, h := range good {
 		if slices.Contains(g.reserved, h) {
 			continue
 		}
-		if n := g.fits(h, e.roomAt(g, h, took, now)); n > 0 {
-			all = append(all, seat{h, n})
+		if n := g.slotsFor(h, e.capacityAt(g, h, took, now)); n > 0 {
+			all = append(all, hostSlots{h, n})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b seat) int { return cmp.Compare(b.n, a.n) })
+	slices.SortStableFunc(all, func(a, b hostSlots) int { return cmp.Compare(b.n, a.n) })
 	spare := int((ticketSlotFactor - 1) * float64(g.waiting))
 	var out []*hostState
 	for _, s := range all {
@@ -142,22 +142,22 @@
 	return out
 }
 
-// askForPlaces queries about further hosts: as many as are expected to be needed for the
+// queryForSlots queries about further hosts: as many as are expected to be needed for the
 // gang to have its slots on permitted hosts.
-func (e *Engine) askForPlaces(g *group, good, unknown []*hostState, now time.Time) {
+func (e *Engine) queryForSlots(g *group, good, unknown []*hostState, now time.Time) {
 	room, roomIfEmpty := 0, 0
 	for _, h := range good {
-		roomIfEmpty += g.fits(h, h.info.Size)
-		room += g.fits(h, e.roomFor(g, h, now))
+		roomIfEmpty += g.slotsFor(h, h.info.Size)
+		room += g.slotsFor(h, e.capacityFor(g, h, now))
 	}
 	e.queryInBatches(g, e.hostsToQuery(g, unknown, room, roomIfEmpty, now), now)
 }
 
-// goodHosts returns the hosts that are known to be permitted for a step and that take work.
-func (e *Engine) goodHosts(g *group, now time.Time) []*hostState {
-	out := make([]*hostState, 0, len(g.advice.good))
-	for _, h := range g.advice.good {
-		if e.placeable(h, now) && refusedBy(g, h) == "" {
+// knownPermitted returns the hosts that are known to be permitted for a step and that take work.
+func (e *Engine) knownPermitted(g *group, now time.Time) []*hostState {
+	out := make([]*hostState, 0, len(g.advice.permitted))
+	for _, h := range g.advice.permitted {
+		if e.placeable(h, now) && rejectedBy(g, h) == "" {
 			out = append(out, h)
 		}
 	}
@@ -168,9 +168,9 @@
 // than the queries of the largest gangs name.
 const maxUnqueried = 2048
 
-// unknownHosts returns those of hosts that the policy service was never asked about for a
+// unqueriedHosts returns those of hosts that the policy service was never asked about for a
 // step.
-func (e *Engine) unknownHosts(g *group, hosts []*hostState) []*hostState {
+func (e *Engine) unqueriedHosts(g *group, hosts []*hostState) []*hostState {
 	out := make([]*hostState, 0, min(len(hosts), maxUnqueried))
 	first := 0
 	if len(hosts) > maxUnqueried {
@@ -178,7 +178,7 @@
 	}
 	for i := range hosts {
 		h := hosts[(first+i)%len(hosts)]
-		if _, known := g.advice.known[h]; !known && refusedBy(g, h) == "" {
+		if _, known := g.advice.known[h]; !known && rejectedBy(g, h) == "" {
 			out = append(out, h)
 		}
 		if len(out) == maxUnqueried {
@@ -196,13 +196,13 @@
 // gang can be expected to fit; then, if it would not fit on the permitted hosts even when
 // they are empty, those that could hold most of its members.
 func (e *Engine) hostsToQuery(g *group, unknown []*hostState, room, roomIfEmpty int, now time.Time) []*hostState {
-	p := e.goodShare(g)
-	take := func(fits func(*hostState) int, want float64) (out, rest []*hostState) {
-		all := make([]seat, 0, len(unknown))
+	p := e.permittedShare(g)
+	take := func(slotsFor func(*hostState) int, want float64) (out, rest []*hostState) {
+		all := make([]hostSlots, 0, len(unknown))
 		for _, h := range unknown {
-			all = append(all, seat{h, fits(h)})
+			all = append(all, hostSlots{h, slotsFor(h)})
 		}
-		slices.SortStableFunc(all, fastestFirst)
+		slices.SortStableFunc(all, compareForGang)
 		for _, s := range all {
 			if s.n > 0 && want > 0 {
 				out = append(out, s.host)
@@ -213,12 +213,12 @@
 		}
 		return out, rest
 	}
-	first, rest := take(func(h *hostState) int { return g.fits(h, e.roomFor(g, h, now)) }, gangQuerySlotFactor*float64(g.waiting)-float64(room))
+	first, rest := take(func(h *hostState) int { return g.slotsFor(h, e.capacityFor(g, h, now)) }, gangQuerySlotFactor*float64(g.waiting)-float64(room))
 	for _, h := range first {
-		roomIfEmpty += int(p * float64(g.fits(h, h.info.Size)))
+		roomIfEmpty += int(p * float64(g.slotsFor(h, h.info.Size)))
 	}
 	unknown = rest
-	more, _ := take(func(h *hostState) int { return g.fits(h, h.info.Size) }, gangQuerySlotFactor*float64(g.waiting)-float64(roomIfEmpty))
+	more, _ := take(func(h *hostState) int { return g.slotsFor(h, h.info.Size) }, gangQuerySlotFactor*float64(g.waiting)-float64(roomIfEmpty))
 	return append(first, more...)
 }
 
@@ -226,8 +226,8 @@
 // reports whether it sent any.
 func (e *Engine) queryInBatches(g *group, hosts []*hostState, now time.Time) (asked bool) {
 	for len(hosts) > 0 {
-		n := min(len(hosts), e.cfg.Tuning.AskMost)
-		if !e.ask(g, hosts[:n], now) {
+		n := min(len(hosts), e.cfg.Tuning.MaxHostsPerQuery)
+		if !e.query(g, hosts[:n], now) {
 			return asked
 		}
 		asked = true
@@ -236,9 +236,9 @@
 	return asked
 }
 
-// goodShare returns the learned share of hosts that are permitted for steps of the queue.
-func (e *Engine) goodShare(g *group) float64 {
-	if p, ok := e.good[g.job.rec.Queue]; ok {
+// permittedShare returns the learned share of hosts that are permitted for steps of the queue.
+func (e *Engine) permittedShare(g *group) float64 {
+	if p, ok := e.permittedByQueue[g.job.rec.Queue]; ok {
 		return p
 	}
 	return defaultPermittedShare
@@ -254,61 +254,61 @@
 		return
 	}
 	share := max(float64(good)/float64(asked), 1/float64(2*asked))
-	e.good[g.job.rec.Queue] = e.goodShare(g) + (share-e.goodShare(g))/permittedShareWindow
+	e.permittedByQueue[g.job.rec.Queue] = e.permittedShare(g) + (share-e.permittedShare(g))/permittedShareWindow
 }
 
-// mayAsk reports whether a query about a step may be sent now.
-func (e *Engine) mayAsk(g *group, now time.Time) bool {
-	return g.advice.asking == 0 && !now.Before(g.advice.askAfter) && e.lanes.Open(g.job.rec.Rules.Advice.Took(1), now)
+// mayQuery reports whether a query about a step may be sent now.
+func (e *Engine) mayQuery(g *group, now time.Time) bool {
+	return g.advice.openQueries == 0 && !now.Before(g.advice.nextQueryAt) && e.lanes.MayAssign(g.job.rec.Rules.PolicyQuery.QueryDuration(1), now)
 }
 
-// ask orders a query through a free query slot. It returns false if there are no hosts or no
+// query orders a query through a free query slot. It returns false if there are no hosts or no
 // slot is free.
-func (e *Engine) ask(g *group, hosts []*hostState, now time.Time) bool {
+func (e *Engine) query(g *group, hosts []*hostState, now time.Time) bool {
 	if len(hosts) == 0 {
 		return false
 	}
-	took := g.job.rec.Rules.Advice.Took(len(hosts))
-	slot, answered, ok := e.lanes.Book(took, now)
+	took := g.job.rec.Rules.PolicyQuery.QueryDuration(len(hosts))
+	slot, answered, ok := e.lanes.Assign(took, now)
 	if !ok {
 		return false
 	}
-	q := &question{group: g, slot: slot, sentAt: now}
+	q := &policyQuery{group: g, slot: slot, sentAt: now}
 	for _, h := range hosts {
 		q.hosts = append(q.hosts, h.info.ID)
 	}
-	e.askID++
-	e.asks[e.askID] = q
-	g.advice.asking++
-	e.out.Asks = append(e.out.Asks, AskOrder{
-		ID: e.askID, Lane: slot, Step: g.id, Hosts: q.hosts, Patience: answered.Sub(now) + queryTimeoutSlack,
+	e.queryID++
+	e.queries[e.queryID] = q
+	g.advice.openQueries++
+	e.out.Queries = append(e.out.Queries, QueryOrder{
+		ID: e.queryID, Member: slot, Step: g.id, Hosts: q.hosts, Timeout: answered.Sub(now) + queryTimeoutSlack,
 	})
 	return true
 }
 
-// Advised handles the outcome of a query to the policy service.
-func (e *Engine) Advised(o AskOrder, a advice.Answer, err error, now time.Time) {
+// PolicyAnswered handles the outcome of a query to the policy service.
+func (e *Engine) PolicyAnswered(o QueryOrder, a advice.Reply, err error, now time.Time) {
 	e.now = now
-	q := e.asks[o.ID]
+	q := e.queries[o.ID]
 	if q == nil {
 		return
 	}
-	delete(e.asks, o.ID)
-	e.lanes.Answered(q.slot, err != nil, q.sentAt, now)
+	delete(e.queries, o.ID)
+	e.lanes.RecordReply(q.slot, err != nil, q.sentAt, now)
 	g := q.group
-	g.advice.asking--
+	g.advice.openQueries--
 	if err != nil {
-		g.advice.askAfter = now.Add(queryRetryDelay)
+		g.advice.nextQueryAt = now.Add(queryRetryDelay)
 		e.log(Event{What: "no advice", Job: g.job.id(), Step: g.id.String(), Why: err.Error()})
 		return
 	}
-	g.advice.askAfter = now.Add(queryDelay)
+	g.advice.nextQueryAt = now.Add(queryDelay)
 	g.advice.answers++
 	if g.advice.known == nil {
 		g.advice.known = map[*hostState]bool{}
 		g.advice.tickets = map[*hostState]ticket{}
 	}
-	fresh, good := 0, 0
+	fresh, permitted := 0, 0
 	for _, id := range q.hosts {
 		if h := e.hosts[id]; h != nil {
 			if _, known := g.advice.known[h]; !known {
@@ -319,17 +319,17 @@
 			}
 		}
 	}
-	for _, t := range a.Good {
+	for _, t := range a.Permitted {
 		if h := e.hosts[t.Host]; h != nil {
 			if !g.advice.known[h] {
-				g.advice.good = append(g.advice.good, h)
+				g.advice.permitted = append(g.advice.permitted, h)
 			}
 			g.advice.known[h] = true
-			g.advice.tickets[h] = ticket{text: t.Ticket, until: now.Add(a.Valid)}
-			good++
+			g.advice.tickets[h] = ticket{text: t.Ticket, until: now.Add(a.ValidFor)}
+			permitted++
 		}
 	}
 	if fresh == len(q.hosts) {
-		e.updatePermittedShare(g, good, fresh)
+		e.updatePermittedShare(g, permitted, fresh)
 	}
 }
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -37,9 +37,9 @@
 
 // arrive submits the load's jobs at even intervals for a duration.
 func (l cellLoad) arrive(w *world, d time.Duration) {
-	reviewAdvice := &catalog.Advice{DecideMillis: 560, PerHostMillis: 8.1, ValidMillis: 1500}
-	surveyAdvice := &catalog.Advice{DecideMillis: 46, PerHostMillis: 0.66, ValidMillis: 1500}
-	ticketAdvice := &catalog.Advice{DecideMillis: 6.5, PerHostMillis: 0.093, ValidMillis: 1500}
+	reviewAdvice := &catalog.PolicyQuery{DecideMillis: 560, PerHostMillis: 8.1, ValidMillis: 1500}
+	surveyAdvice := &catalog.PolicyQuery{DecideMillis: 46, PerHostMillis: 0.66, ValidMillis: 1500}
+	ticketAdvice := &catalog.PolicyQuery{DecideMillis: 6.5, PerHostMillis: 0.093, ValidMillis: 1500}
 	each := func(name string, perSecond float64, rules catalog.Rules, s spec.Step) {
 		n := int(d.Seconds() * perSecond)
 		for i := range n {
@@ -51,11 +51,11 @@
 	review := spec.Step{Count: l.reviewWidth, Size: size(18, 26), EstimateMillis: 6200, Gang: true}
 	survey := spec.Step{Count: l.surveyWidth, Size: spec.Resources{MilliCPU: l.surveyCPU, MemoryMiB: 7200}, EstimateMillis: 2200, Checkpointing: true}
 	ticket := spec.Step{Count: l.ticketWidth, Size: spec.Resources{MilliCPU: l.ticketCPU, MemoryMiB: 10000}, EstimateMillis: 640}
-	each("review", l.reviews, catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000, Advice: reviewAdvice}, review)
-	each("survey", l.surveys, catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000, Advice: surveyAdvice}, survey)
-	each("ticket", l.tickets, catalog.Rules{Stretch: 1.5, TargetMillis: 250, Advice: ticketAdvice}, ticket)
+	each("review", l.reviews, catalog.Rules{Priority: 1, CriticalPathFactor: 2.2, TargetMillis: 1000, PolicyQuery: reviewAdvice}, review)
+	each("survey", l.surveys, catalog.Rules{Priority: 2, CriticalPathFactor: 4, TargetMillis: 3000, PolicyQuery: surveyAdvice}, survey)
+	each("ticket", l.tickets, catalog.Rules{CriticalPathFactor: 1.5, TargetMillis: 250, PolicyQuery: ticketAdvice}, ticket)
 	share := map[byte]uint32{'r': 25, 's': 45, 't': 70}
-	w.good = func(step spec.StepID, h host.ID) bool {
+	w.permitted = func(step spec.StepID, h host.ID) bool {
 		f := fnv.New32a()
 		fmt.Fprint(f, step, h)
 		return f.Sum32()%100 < share[step.Job[0]]
@@ -70,11 +70,11 @@
 			for range b.N {
 				w := newWorld(b, 1)
 				w.fleet.Add(load.hosts, "s", size(64, 128))
-				w.takeOver()
+				w.failOver()
 				load.arrive(w, 10*time.Second)
 				w.run(10 * time.Second)
-				starts += w.fleet.Judge().Starts()
-				w.check()
+				starts += w.fleet.Checker().Starts()
+				w.checkInvariants()
 				if w.completed() == 0 {
 					b.Fatal("nothing completed")
 				}
@@ -92,16 +92,16 @@
 	for range b.N {
 		w := newWorld(b, 1)
 		w.fleet.Add(grownCell.hosts, "s", size(64, 128))
-		w.takeOver()
+		w.failOver()
 		w.run(100 * time.Millisecond)
-		w.held = true
+		w.paused = true
 		grownCell.arrive(w, 5*time.Second)
 		w.run(5 * time.Second)
-		w.held = false
+		w.paused = false
 		grownCell.named("later").arrive(w, 5*time.Second)
 		w.run(5 * time.Second)
-		starts += w.fleet.Judge().Starts()
-		w.check()
+		starts += w.fleet.Checker().Starts()
+		w.checkInvariants()
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(starts), "us/start")
 	b.ReportMetric(float64(starts)/float64(b.N), "starts")
@@ -119,29 +119,31 @@
 	load.tickets *= 3
 	load.surveyCPU, load.ticketCPU = 6900, 9900
 	starts, waiting := 0, 0
-	var deciding time.Duration
+	var decisionTime time.Duration
 	for range b.N {
 		w := newWorld(b, 1)
 		w.fleet.Add(load.hosts, "s", size(64, 128))
-		w.advised = func(o AskOrder) time.Duration { return w.jobs[o.Step.Job].Rules.Advice.Took(len(o.Hosts)) }
+		w.policyDelay = func(o QueryOrder) time.Duration {
+			return w.jobs[o.Step.Job].Rules.PolicyQuery.QueryDuration(len(o.Hosts))
+		}
 		w.members = nil
 		for i := range 43 {
 			w.members = append(w.members, fmt.Sprint("m", i))
 		}
-		w.takeOver()
+		w.failOver()
 		w.run(100 * time.Millisecond)
-		w.held = true
+		w.paused = true
 		load.arrive(w, held)
 		w.run(held)
-		w.held, w.deciding = false, 0
+		w.paused, w.decisionTime = false, 0
 		load.named("later").arrive(w, lasts)
 		w.run(lasts)
-		starts += w.fleet.Judge().Starts()
+		starts += w.fleet.Checker().Starts()
 		waiting += len(w.engine.ready)
-		deciding += w.deciding
-		w.check()
+		decisionTime += w.decisionTime
+		w.checkInvariants()
 	}
-	b.ReportMetric(float64(deciding.Microseconds())/float64(b.N)/lasts.Seconds(), "us/s")
+	b.ReportMetric(float64(decisionTime.Microseconds())/float64(b.N)/lasts.Seconds(), "us/s")
 	b.ReportMetric(float64(starts)/float64(b.N), "starts")
 	b.ReportMetric(float64(waiting)/float64(b.N), "waiting")
 }
@@ -165,10 +167,10 @@
 					w.members = append(w.members, fmt.Sprint("m", i))
 				}
 				w.addAccounts(440)
-				w.takeOver()
+				w.failOver()
 				w.run(time.Second)
 				load.arrive(w, lasts)
-				w.decided = func(d time.Duration) { took = append(took, d) }
+				w.onDecision = func(d time.Duration) { took = append(took, d) }
 				w.run(lasts)
 			}
 			slices.Sort(took)
--- a/internal/engine/capacity.go
+++ b/internal/engine/capacity.go
@@ -19,18 +19,18 @@
 // repeatedly although other hosts have capacity.
 const refusalTTL = 2 * time.Second
 
-// noteFull records that a host had no capacity for a size.
-func (h *hostState) noteFull(s spec.Resources, now time.Time) {
-	h.fullSize, h.fullUntil = s, now.Add(refusalTTL)
+// recordRefusal records that a host had no capacity for a size.
+func (h *hostState) recordRefusal(s spec.Resources, now time.Time) {
+	h.refusedSize, h.refusedUntil = s, now.Add(refusalTTL)
 }
 
-// full reports whether the host has recently refused a start of this size or a smaller one.
-func (h *hostState) full(s spec.Resources, now time.Time) bool {
-	return now.Before(h.fullUntil) && h.fullSize.Fits(s)
+// recentlyRefused reports whether the host has recently refused a start of this size or a smaller one.
+func (h *hostState) recentlyRefused(s spec.Resources, now time.Time) bool {
+	return now.Before(h.refusedUntil) && h.refusedSize.Fits(s)
 }
 
-// shrinking is the largest recent capacity reduction, as the remaining share.
-type shrinking struct {
+// capacityReduction is the largest recent capacity reduction, as the remaining share.
+type capacityReduction struct {
 	share float64 // zero if there was none
 	at    time.Time
 }
@@ -43,27 +43,27 @@
 	maxEntryDelay = 700 * time.Millisecond
 )
 
-// roomSaid applies the capacity in a host's entry. An entry that is read a second time is not new, and the
+// updateCapacity applies the capacity in a host's entry. An entry that is read a second time is not new, and the
 // age of the first entry that is read of a host is unknown: a next holder that read the entries just after
 // a store outage filled hosts whose capacity had shrunk before.
-func (e *Engine) roomSaid(h *hostState, info host.Info, now time.Time) {
-	if h.listed && (info.Beat != h.info.Beat || info.Life != h.info.Life) {
-		h.saidAt = now
+func (e *Engine) updateCapacity(h *hostState, info host.Info, now time.Time) {
+	if h.listed && (info.HeartbeatSeq != h.info.HeartbeatSeq || info.Incarnation != h.info.Incarnation) {
+		h.capacityReportedAt = now
 	}
-	if share := minRemainingShare(h.info.Size, info.Size); share < 1 && (e.shrunk.share == 0 || share < e.shrunk.share) {
-		e.shrunk.share = share
-		e.rosterBehind = true
+	if share := minRemainingShare(h.info.Size, info.Size); share < 1 && (e.reduction.share == 0 || share < e.reduction.share) {
+		e.reduction.share = share
+		e.rosterOutdated = true
 	}
 	if minRemainingShare(h.info.Size, info.Size) < 1 {
-		e.shrunk.at = now
+		e.reduction.at = now
 	}
 	if h.info.Size != info.Size {
 		e.log(Event{
-			What: "host's room changed", Host: string(h.info.ID), Age: now.Sub(h.saidAt),
-			Why: fmt.Sprintf("from %v to %v, allocated %v; entry %d, previous entry %d", h.info.Size, info.Size, h.used, info.Beat, h.info.Beat),
+			What: "host's room changed", Host: string(h.info.ID), Age: now.Sub(h.capacityReportedAt),
+			Why: fmt.Sprintf("from %v to %v, allocated %v; entry %d, previous entry %d", h.info.Size, info.Size, h.used, info.HeartbeatSeq, h.info.HeartbeatSeq),
 		})
 	}
-	h.room = info.Size
+	h.capacity = info.Size
 }
 
 // minRemainingShare returns the smallest share that remains of a size in any dimension.
@@ -77,18 +77,18 @@
 	return smallest
 }
 
-// ageRoom limits the usable capacity of a host whose last report is too old, if hosts have recently
+// limitStaleCapacity limits the usable capacity of a host whose last report is too old, if hosts have recently
 // shrunk: its capacity may be down to the smallest share that was observed. If no host has shrunk, an
 // outage of the store stops no starts. The limit keeps hosts that shrink just before an outage from being
 // overcommitted.
-func (e *Engine) ageRoom(h *hostState, now time.Time) {
-	if e.shrunk.share > 0 && now.Sub(e.shrunk.at) > reductionTTL {
-		e.shrunk = shrinking{}
+func (e *Engine) limitStaleCapacity(h *hostState, now time.Time) {
+	if e.reduction.share > 0 && now.Sub(e.reduction.at) > reductionTTL {
+		e.reduction = capacityReduction{}
 	}
-	if e.shrunk.share == 0 || e.cfg.Bounds.RoomNews == 0 || now.Sub(h.saidAt) < e.cfg.Bounds.RoomNews-maxEntryDelay {
+	if e.reduction.share == 0 || e.cfg.Bounds.CapacityLag == 0 || now.Sub(h.capacityReportedAt) < e.cfg.Bounds.CapacityLag-maxEntryDelay {
 		return
 	}
-	h.room = scaled(h.info.Size, e.shrunk.share)
+	h.capacity = scaled(h.info.Size, e.reduction.share)
 }
 
 func scaled(s spec.Resources, share float64) spec.Resources {
@@ -107,25 +107,25 @@
 	evictionMinRemaining = 2 * time.Second
 )
 
-// relieve evicts tasks from a host that stays overcommitted: tasks that checkpoint, and long-running
+// evictExcess evicts tasks from a host that stays overcommitted: tasks that checkpoint, and long-running
 // tasks that fit elsewhere, the least urgent first and no more than the excess. Tasks whose work would be
 // lost run to their end, as do gang members, each of which would stop its whole gang.
-func (e *Engine) relieve(h *hostState, now time.Time) {
+func (e *Engine) evictExcess(h *hostState, now time.Time) {
 	overcommitted := !h.used.Fits(h.info.Size)
-	if !overcommitted || h.info.Draining || h.closed {
-		h.overSince = time.Time{}
+	if !overcommitted || h.info.Draining || h.cordoned {
+		h.overCapacitySince = time.Time{}
 		return
 	}
-	if h.overSince.IsZero() {
-		h.overSince = now
+	if h.overCapacitySince.IsZero() {
+		h.overCapacitySince = now
 		e.log(Event{What: "host over its room", Host: string(h.info.ID), Why: fmt.Sprintf("allocated %v of %v", h.used, h.info.Size)})
 	}
-	if now.Sub(h.overSince) < overcommitGrace {
+	if now.Sub(h.overCapacitySince) < overcommitGrace {
 		return
 	}
 	left := h.used
 	for _, r := range h.runs {
-		if r.unwanted {
+		if r.stopRequested {
 			left = left.Sub(r.size)
 		}
 	}
@@ -133,11 +133,11 @@
 		if left.Fits(h.info.Size) {
 			return
 		}
-		if r.group.step.LongRunning && !(e.roomElsewhere(r.group, h, now) && (r.percent < atWork || r.group.mayMiss(r))) {
+		if r.group.step.LongRunning && !(e.hasCapacityElsewhere(r.group, h, now) && (r.percent < atWork || r.group.mayStopReplica(r))) {
 			continue
 		}
 		left = left.Sub(r.size)
-		e.unwant(r, "its host is over its capacity, which has shrunk")
+		e.requestStop(r, "its host is over its capacity, which has shrunk")
 	}
 }
 
@@ -147,10 +147,10 @@
 	var out []*run
 	for _, r := range h.runs {
 		g := r.group
-		if g == nil || r.unwanted || r.state != runRunning || g.step.Gang || g.job.state.Final() {
+		if g == nil || r.stopRequested || r.state != runRunning || g.step.Gang || g.job.state.Final() {
 			continue
 		}
-		if g.step.LongRunning || g.step.Checkpointing && r.endsBy(now).Sub(now) > evictionMinRemaining {
+		if g.step.LongRunning || g.step.Checkpointing && r.expectedEnd(now).Sub(now) > evictionMinRemaining {
 			out = append(out, r)
 		}
 	}
--- a/internal/engine/capacity_test.go
+++ b/internal/engine/capacity_test.go
@@ -15,9 +15,9 @@
 // capacityWorld is a cell of 64-core hosts whose capacity can change.
 func capacityWorld(t testing.TB, hosts int) *world {
 	w := newWorld(t, 21)
-	w.follows = true
+	w.followsHosts = true
 	w.fleet.Add(hosts, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	return w
 }
@@ -29,8 +29,8 @@
 		t.Run(fmt.Sprint("capacity enforced ", guards), func(t *testing.T) {
 			is := is.New(t)
 			w := capacityWorld(t, 6)
-			w.fleet.Guards = guards
-			w.bystanders(20 * time.Second)
+			w.fleet.EnforceCapacity = guards
+			w.submitUnrelated(20 * time.Second)
 			for i, h := range w.fleet.Hosts() {
 				for n := range 4 {
 					w.after(time.Duration(1000+i*300+n*4000)*time.Millisecond, func() {
@@ -38,14 +38,14 @@
 					})
 				}
 			}
-			w.after(5*time.Second, w.takeOver)
+			w.after(5*time.Second, w.failOver)
 			w.run(22 * time.Second)
 			for _, h := range w.fleet.Hosts() {
 				h.Resize(size(64, 128), heartbeat)
 			}
 			w.run(40 * time.Second)
-			w.check()
-			is.Equal(w.innocentsLost(), nil)
+			w.checkInvariants()
+			is.Equal(w.unrelatedNotCompleted(), nil)
 		})
 	}
 }
@@ -56,7 +56,7 @@
 func TestCapacityRefusalIsRespected(t *testing.T) {
 	is := is.New(t)
 	w := capacityWorld(t, 3)
-	w.fleet.Guards = true
+	w.fleet.EnforceCapacity = true
 	w.submit("first", catalog.Rules{}, step(1, 40, 40, 60000)) // the following tasks fit best beside it
 	w.run(time.Second)
 	for _, h := range w.fleet.Hosts() {
@@ -66,10 +66,10 @@
 	}
 	w.submit("urgent", catalog.Rules{}, step(1, 6, 10, 300))
 	w.run(600 * time.Millisecond)
-	w.check()
-	t.Log(w.fleet.Judge().RefusedForRoom(), "refusals")
+	w.checkInvariants()
+	t.Log(w.fleet.Checker().RefusedForCapacity(), "refusals")
 	is.Equal(w.shown["urgent"], record.StateCompleted)
-	is.True(w.fleet.Judge().RefusedForRoom() <= 2)
+	is.True(w.fleet.Checker().RefusedForCapacity() <= 2)
 }
 
 // TestOvercommittedHostsEvictTasks checks that tasks which checkpoint, or are long-running and fit
@@ -79,7 +79,7 @@
 	checkpointing := step(8, 7, 10, 60000)
 	checkpointing.Checkpointing = true
 	service := step(8, 7, 10, 0)
-	service.LongRunning, service.MayMiss = true, 1
+	service.LongRunning, service.MaxUnavailable = true, 1
 	for name, tc := range map[string]struct {
 		step         spec.Step
 		returnsAfter time.Duration // when the capacity returns; zero for never
@@ -110,9 +110,9 @@
 				w.after(tc.returnsAfter, func() { h.Resize(size(64, 128), heartbeat) })
 			}
 			w.run(tc.within)
-			is.Equal(h.Over(), tc.within == 0)
+			is.Equal(h.Overcommitted(), tc.within == 0)
 			w.run(10 * time.Second)
-			w.check()
+			w.checkInvariants()
 			is.True(stops <= tc.stops)
 			is.Equal(stops > 0, tc.stops > 0)
 		})
@@ -143,7 +143,7 @@
 	}
 	w.submit("urgent", catalog.Rules{}, step(1, 6, 10, 300))
 	w.run(900 * time.Millisecond)
-	w.check()
+	w.checkInvariants()
 	t.Log(starts, "attempts, the last after", delay)
 	is.Equal(w.shown["urgent"], record.StateCompleted)
 	is.True(starts <= 2)
@@ -176,28 +176,28 @@
 				w.after(6*time.Second, func() { w.host("h00").Resize(size(64, 128), heartbeat) })
 			}
 			if tc.failoverAt > 0 {
-				w.after(tc.failoverAt, w.takeOver)
+				w.after(tc.failoverAt, w.failOver)
 			}
 			w.after(10*time.Second, func() {
-				w.storeAway = true
+				w.storeUnavailable = true
 				for _, h := range w.fleet.Hosts()[1:4] {
 					if tc.shrink {
 						h.Resize(size(26, 52), 0)
 					}
 				}
 			})
-			w.after(10*time.Second+outage, func() { w.storeAway = false })
+			w.after(10*time.Second+outage, func() { w.storeUnavailable = false })
 			w.run(15 * time.Second)
-			before := w.fleet.Judge().Starts()
+			before := w.fleet.Checker().Starts()
 			w.run(time.Second)
-			starts := w.fleet.Judge().Starts() - before
+			starts := w.fleet.Checker().Starts() - before
 			t.Logf("%d starts in the last second of the outage", starts)
 			if !tc.shrink {
 				is.True(starts >= 45) // 60 tasks arrive per second
 			}
 			w.run(60 * time.Second)
-			w.check()
-			is.Equal(w.innocentsLost(), nil)
+			w.checkInvariants()
+			is.Equal(w.unrelatedNotCompleted(), nil)
 		})
 	}
 }
@@ -217,10 +217,10 @@
 	w := capacityWorld(t, 2)
 	w.host("h00").Resize(size(32, 64), 0)
 	w.run(3 * time.Second)
-	w.takeOver()
+	w.failOver()
 	w.run(20 * time.Millisecond)
 	h := w.engine.hosts["h01"]
-	is.Equal(h.room, size(32, 64)) // as the other host has shrunk to a half
+	is.Equal(h.capacity, size(32, 64)) // as the other host has shrunk to a half
 	w.run(2 * time.Second)
-	is.Equal(h.room, size(64, 128))
+	is.Equal(h.capacity, size(64, 128))
 }
--- a/internal/engine/commit.go
+++ b/internal/engine/commit.go
@@ -12,12 +12,12 @@
 	Seq uint64
 	// Groups are the writes; those of one group have to be applied atomically.
 	Groups [][]platform.Write
-	// marks are, by host, the end records to acknowledge, up to a number, once the batch is
+	// pendingEnds are, by host, the end records to acknowledge, up to a number, once the batch is
 	// stored. The numbers are valid for one incarnation, so the key is its state and not the
 	// host's id.
-	marks map[*hostState]int64
-	// rostered are the hosts that the batch stores as open in the roster.
-	rostered []*hostState
+	pendingEnds map[*hostState]int64
+	// openInRoster are the hosts that the batch stores as open in the roster.
+	openInRoster []*hostState
 }
 
 // maxDeletesPerBatch bounds the job records deleted with one batch.
@@ -28,69 +28,69 @@
 func (e *Engine) planCommit() {
 	for _, j := range e.dirty {
 		e.out.Commit = true
-		if j.state.Final() || j.crashesNew {
+		if j.state.Final() || j.crashesUnsaved {
 			e.out.CommitNow = true
 		}
 	}
-	if e.retried {
+	if e.retryUnstored {
 		e.out.CommitNow = true
 	}
-	if len(e.forget) >= maxDeletesPerBatch {
+	if len(e.recordsToDelete) >= maxDeletesPerBatch {
 		e.out.Commit = true
 	}
-	if e.rosterBehind {
+	if e.rosterOutdated {
 		e.out.CommitNow = true
 	}
-	if len(e.dirty) == 0 && e.commits == e.durable && e.marks > 0 {
-		for _, h := range e.sorted {
-			h.seen = h.ackable()
+	if len(e.dirty) == 0 && e.commits == e.durable && e.pendingEnds > 0 {
+		for _, h := range e.hostsByID {
+			h.endsAcked = h.ackable()
 		}
-		e.marks = 0
+		e.pendingEnds = 0
 	}
 }
 
 // TakeBatch returns the writes for what has changed since the last batch, or nil. The
 // caller stores batches in order and calls Stored after each.
 func (e *Engine) TakeBatch(now time.Time) *Batch {
-	waves := e.waveWrites()
-	if len(e.dirty) == 0 && len(e.forget) < maxDeletesPerBatch && !e.rosterBehind && len(waves) == 0 {
+	waves := e.rolloutsToStore()
+	if len(e.dirty) == 0 && len(e.recordsToDelete) < maxDeletesPerBatch && !e.rosterOutdated && len(waves) == 0 {
 		return nil
 	}
 	e.commits++
-	e.retried = false
-	b := &Batch{Seq: e.commits, marks: map[*hostState]int64{}}
-	if e.rosterBehind {
-		e.rosterBehind = false
+	e.retryUnstored = false
+	b := &Batch{Seq: e.commits, pendingEnds: map[*hostState]int64{}}
+	if e.rosterOutdated {
+		e.rosterOutdated = false
 		roster := e.roster(now)
-		b.Groups = append(b.Groups, []platform.Write{encoded(record.RosterKey(e.cfg.Partition), roster)})
-		for i, h := range e.sorted {
+		b.Groups = append(b.Groups, []platform.Write{putWrite(record.RosterKey(e.cfg.Partition), roster)})
+		for i, h := range e.hostsByID {
 			if !roster.Hosts[i].Closed {
-				b.rostered = append(b.rostered, h) // nothing may be started on a host that is stored as closed
+				b.openInRoster = append(b.openInRoster, h) // nothing may be started on a host that is stored as closed
 			}
 		}
 	}
 	for _, w := range waves {
-		b.Groups = append(b.Groups, []platform.Write{encoded(record.WaveKey(e.cfg.Partition, w.Wave), w), e.cfg.WaveState(w)})
+		b.Groups = append(b.Groups, []platform.Write{putWrite(record.WaveKey(e.cfg.Partition, w.Rollout), w), e.cfg.WaveState(w)})
 	}
 	for id, j := range e.dirty {
 		b.Groups = append(b.Groups, e.jobWrites(j, now))
-		j.told = b.Seq
-		if j.crashesNew {
-			j.crashesNew, j.crashesIn = false, b.Seq
+		j.finalBatch = b.Seq
+		if j.crashesUnsaved {
+			j.crashesUnsaved, j.crashesBatch = false, b.Seq
 		}
 		delete(e.dirty, id)
 	}
-	n := min(len(e.forget), maxDeletesPerBatch)
-	for _, id := range e.forget[:n] {
+	n := min(len(e.recordsToDelete), maxDeletesPerBatch)
+	for _, id := range e.recordsToDelete[:n] {
 		b.Groups = append(b.Groups, []platform.Write{{Key: record.JobKey(e.cfg.Partition, id), Delete: true}})
 	}
-	e.forget = e.forget[n:]
-	for _, h := range e.sorted {
-		if n := h.ackable(); n > h.seen {
-			b.marks[h] = n
+	e.recordsToDelete = e.recordsToDelete[n:]
+	for _, h := range e.hostsByID {
+		if n := h.ackable(); n > h.endsAcked {
+			b.pendingEnds[h] = n
 		}
 	}
-	e.marks = 0
+	e.pendingEnds = 0
 	return b
 }
 
@@ -99,11 +99,11 @@
 func (e *Engine) jobWrites(j *job, now time.Time) []platform.Write {
 	if !j.state.Final() {
 		j.storedProgress = true
-		return []platform.Write{encoded(record.ProgressKey(e.cfg.Partition, j.id()), progressRecord(j))}
+		return []platform.Write{putWrite(record.ProgressKey(e.cfg.Partition, j.id()), progressRecord(j))}
 	}
-	short := record.Job{ID: j.id(), Ended: j.state, EndedUnixMilli: now.UnixMilli(), Why: j.why, Account: j.rec.Account, Largest: j.rec.Graph.Largest()}
-	short.Left, short.LeftFillers = j.left()
-	writes := []platform.Write{encoded(record.JobKey(e.cfg.Partition, j.id()), short)}
+	short := record.Job{ID: j.id(), Ended: j.state, EndedUnixMilli: now.UnixMilli(), Why: j.endReason, Account: j.rec.Account, MaxTaskSize: j.rec.Graph.MaxTaskSize()}
+	short.RunningAtEnd, short.BackfillAtEnd = j.possibleUsage()
+	writes := []platform.Write{putWrite(record.JobKey(e.cfg.Partition, j.id()), short)}
 	if j.storedProgress {
 		writes = append(writes, platform.Write{Key: record.ProgressKey(e.cfg.Partition, j.id()), Delete: true})
 	}
@@ -111,7 +111,7 @@
 	return writes
 }
 
-func encoded(key string, v any) platform.Write {
+func putWrite(key string, v any) platform.Write {
 	value, err := record.Encode(v)
 	if err != nil {
 		panic("engine: cannot encode record " + key + ": " + err.Error())
@@ -131,10 +131,10 @@
 				}
 				s.Done.Set(i)
 			}
-			s.Fail(i, t.failed)
-			s.Crash(i, t.crashes, t.present())
+			s.SetFailed(i, t.failed)
+			s.SetCrashes(i, t.crashes, t.currentRun())
 		}
-		s.Fail(0, g.failed)
+		s.SetFailed(0, g.failed)
 		if s.Done != nil || s.Failed != nil || s.Crashed != nil {
 			p.Steps = append(p.Steps, s)
 		}
@@ -145,18 +145,18 @@
 // Stored records that a batch, and all before it, are in the store.
 func (e *Engine) Stored(b *Batch, now time.Time) {
 	e.durable = b.Seq
-	for _, h := range b.rostered {
-		if !h.shut { // the host may have been closed as unresponsive meanwhile
-			h.rostered = true
+	for _, h := range b.openInRoster {
+		if !h.closeInRoster { // the host may have been closed as unresponsive meanwhile
+			h.openInRoster = true
 		}
 	}
-	if len(b.rostered) > 0 {
-		e.room++
+	if len(b.openInRoster) > 0 {
+		e.capacityChanges++
 	}
-	for h, n := range b.marks {
-		h.seen = max(h.seen, n)
-		if !h.looking && h.seen == h.handled && len(h.runs) > 0 {
-			h.lookAt = now
+	for h, n := range b.pendingEnds {
+		h.endsAcked = max(h.endsAcked, n)
+		if !h.pollInFlight && h.endsAcked == h.endsProcessed && len(h.runs) > 0 {
+			h.nextPollAt = now
 		}
 	}
 }
--- a/internal/engine/crash.go
+++ b/internal/engine/crash.go
@@ -19,55 +19,55 @@
 // that answers again in the same incarnation has the crashes attributed to its lost runs retracted.
 
 // attribution is a crash that may be attributed to a task, with its evidence.
-type accusation struct {
+type attribution struct {
 	run      host.Run
 	evidence crashloop.Evidence
 }
 
 // attributions gathers the evidence against every run on a host, including runs that a previous holder
 // may have left there. A host that departs as planned yields none.
-func (e *Engine) attributions(h *hostState, now time.Time) []accusation {
+func (e *Engine) attributions(h *hostState, now time.Time) []attribution {
 	if h.departing() {
 		return nil
 	}
-	var out []accusation
+	var out []attribution
 	for _, r := range h.runs {
 		if r.group == nil || r.state == runOrdered {
 			continue // no answer has come yet, so it may not have started
 		}
-		out = append(out, accusation{r.Run, crashloop.Evidence{
-			Run: r.No, Host: h.lifeName(), Machine: h.info.Addr, Ran: r.ranFor(now), Unknown: r.adopted, Unsure: !r.begun, Proven: r.presentAtEnd, Newest: r.newest(),
+		out = append(out, attribution{r.Run, crashloop.Evidence{
+			Run: r.No, Host: h.incarnationName(), Machine: h.info.Addr, RunTime: r.ranFor(now), RunTimeUnknown: r.adopted, Unconfirmed: !r.acknowledged, Proven: r.presentAtEnd, LastStarted: r.newest(),
 		}})
 	}
-	for _, r := range slices.Concat(h.mayRun, h.tried) {
-		out = append(out, accusation{r.Run, crashloop.Evidence{Run: r.No, Host: h.lifeName(), Machine: h.info.Addr, Unknown: true, Unsure: r.unsure}})
+	for _, r := range slices.Concat(h.possibleRuns, h.lastAttempts) {
+		out = append(out, attribution{r.Run, crashloop.Evidence{Run: r.No, Host: h.incarnationName(), Machine: h.info.Addr, RunTimeUnknown: true, Unconfirmed: r.unconfirmed}})
 	}
 	return out
 }
 
 // departing reports whether the host was told to leave; its end is then attributed to no task.
-func (h *hostState) departing() bool { return h.info.Draining || h.drained || h.closed }
+func (h *hostState) departing() bool { return h.info.Draining || h.drained || h.cordoned }
 
 // ranFor returns how long the run had been on its host when the host was first missed after the start.
 // If calls were lost before the start as well, that is the time until now.
 func (r *run) ranFor(now time.Time) time.Duration {
 	missed := now
-	for _, at := range []time.Time{r.on.missedAt, r.on.endedBy, r.on.silent, r.on.refused} {
-		if at.After(r.sent) && at.Before(missed) {
+	for _, at := range []time.Time{r.placedOn.firstMissedAt, r.placedOn.endedBy, r.placedOn.unresponsiveSince, r.placedOn.unreachableSince} {
+		if at.After(r.orderedAt) && at.Before(missed) {
 			missed = at
 		}
 	}
-	return missed.Sub(r.sent)
+	return missed.Sub(r.orderedAt)
 }
 
 // newest reports whether no run of another job was started on the host as late as this one, and no run
 // there is itself suspect. A suspect run beside it would have unrelated jobs failed for its crashes.
 func (r *run) newest() bool {
-	for _, other := range r.on.runs {
+	for _, other := range r.placedOn.runs {
 		if other.group != nil && other.group.job == r.group.job {
 			continue
 		}
-		if other.suspect || !other.sent.Before(r.sent) {
+		if other.suspect || !other.orderedAt.Before(r.orderedAt) {
 			return false
 		}
 	}
@@ -75,17 +75,17 @@
 }
 
 // attributeCrash attributes a host's crash to the tasks that ran there.
-func (e *Engine) attributeCrash(h *hostState, list []accusation, now time.Time) {
-	h.accused = nil
+func (e *Engine) attributeCrash(h *hostState, list []attribution, now time.Time) {
+	h.pendingAttributions = nil
 	if h.departing() {
 		return
 	}
 	if !h.claimed {
 		if h.inherited {
-			e.foundGone++
-			e.losses.Add(h.lifeName(), h.info.Rack, now)
+			e.goneAtFailover++
+			e.losses.Add(h.incarnationName(), h.info.Rack, now)
 			e.attributeToTasks(list, 0, now)
-			e.verdicts = append(e.verdicts, verdict{now.Add(verdictAfter), h.lifeName(), list})
+			e.deferredDecisions = append(e.deferredDecisions, deferredDecision{now.Add(crashDecisionDelay), h.incarnationName(), list})
 		}
 		return // an incarnation that ended before this holder reached it
 	}
@@ -93,20 +93,20 @@
 	switch {
 	case !h.endedBy.IsZero():
 		at = h.endedBy
-	case !h.silent.IsZero():
-		at = h.silent
+	case !h.unresponsiveSince.IsZero():
+		at = h.unresponsiveSince
 	}
 	together := e.rackFailedTogether(h, at, now)
 	silent := e.countUnreachable(h, now)
-	e.losses.Add(h.lifeName(), h.info.Rack, at)
-	if !h.gone && len(list) > 0 {
-		e.exiles[h.lifeName()] = now
+	e.losses.Add(h.incarnationName(), h.info.Rack, at)
+	if !h.terminated && len(list) > 0 {
+		e.presumedEnded[h.incarnationName()] = now
 	}
 	for i := range list {
-		list[i].evidence.Together = together
+		list[i].evidence.WithRack = together
 	}
 	if together {
-		e.reviseCrashes(h.lifeName(), crashloop.History.Excuse)
+		e.reviseCrashes(h.incarnationName(), crashloop.History.ExcuseHost)
 	}
 	e.attributeToTasks(list, silent, now)
 	e.failCrashingJobs(list, now)
@@ -114,7 +114,7 @@
 
 // attributeToTasks attributes each crash in the list to its task as far as the evidence goes; silent is
 // the number of other hosts that are unreachable at present.
-func (e *Engine) attributeToTasks(list []accusation, silent int, now time.Time) {
+func (e *Engine) attributeToTasks(list []attribution, silent int, now time.Time) {
 	for _, a := range list {
 		e.attributeToTask(a.run, a.evidence, silent, now)
 	}
@@ -124,8 +124,8 @@
 // fail, or they have been unresponsive for about as long as a poll takes to time out.
 func (e *Engine) countUnreachable(h *hostState, now time.Time) int {
 	n := 0
-	for _, other := range e.sorted {
-		if other != h && other.listed && (!other.refused.IsZero() || other.silentFor(now) >= 3*certainSilence) {
+	for _, other := range e.hostsByID {
+		if other != h && other.listed && (!other.unreachableSince.IsZero() || other.unresponsiveFor(now) >= 3*certainSilence) {
 			n++
 		}
 	}
@@ -135,16 +135,16 @@
 // rackFailedTogether reports whether the host's whole rack became unresponsive with it.
 func (e *Engine) rackFailedTogether(h *hostState, at, now time.Time) bool {
 	silent, present := 0, 0
-	for _, other := range e.sorted {
+	for _, other := range e.hostsByID {
 		if other == h || other.info.Rack != h.info.Rack {
 			continue
 		}
 		present++
-		if other.silentFor(now) >= certainSilence && crashloop.Near(other.silent, at) {
+		if other.unresponsiveFor(now) >= certainSilence && crashloop.MayShareCause(other.unresponsiveSince, at) {
 			silent++
 		}
 	}
-	return e.losses.Together(h.lifeName(), h.info.Rack, at, silent, present)
+	return e.losses.RackFailed(h.incarnationName(), h.info.Rack, at, silent, present)
 }
 
 // attributeToTask adds a crash to a task's history. The task is not started again before the history is
@@ -155,42 +155,42 @@
 		return
 	}
 	t := &g.tasks[r.Task.Index]
-	if t.state == taskDone || t.crashes.Has(r.No) {
+	if t.state == taskDone || t.crashes.HasRun(r.No) {
 		return
 	}
 	under := append(slices.Clone(t.crashes), crashloop.Crash{Host: evidence.Host})
-	rate := e.losses.Rate(len(e.sorted), silent, under, now)
-	c := crashloop.Judge(evidence, rate)
+	rate := e.losses.SpontaneousRate(len(e.hostsByID), silent, under, now)
+	c := crashloop.Assess(evidence, rate)
 	if c.Excused && g.step.LongRunning {
 		return // hosts crash under a service that runs for months: it is not failed for that
 	}
-	t.crashes = t.crashes.AtRate(rate).With(c)
-	g.judgeStanding()
-	g.job.crashesNew = true
-	e.touch(g.job)
-	e.log(Event{What: "crash held against task", Kind: c.How(), Job: g.job.id(), Step: g.id.String(), Host: c.Host, Why: fmt.Sprintf("task %d: %s", r.Task.Index, t.crashes)})
+	t.crashes = t.crashes.Reassess(rate).Append(c)
+	g.updateSuspicion()
+	g.job.crashesUnsaved = true
+	e.markDirty(g.job)
+	e.log(Event{What: "crash held against task", Kind: c.Observation(), Job: g.job.id(), Step: g.id.String(), Host: c.Host, Why: fmt.Sprintf("task %d: %s", r.Task.Index, t.crashes)})
 }
 
 // updateSuspicion sets the group's suspicion level to the highest of its unfinished tasks.
-func (g *group) judgeStanding() {
-	g.standing = crashloop.Unsuspected
+func (g *group) updateSuspicion() {
+	g.suspicion = crashloop.Unsuspected
 	for i := range g.tasks {
 		if t := &g.tasks[i]; t.state != taskDone {
-			g.standing = max(g.standing, t.crashes.Standing())
+			g.suspicion = max(g.suspicion, t.crashes.Suspicion())
 		}
 	}
 }
 
 // retractCrashes removes what was attributed to tasks for the presumed crash of a host that has answered
 // again in the same incarnation.
-func (e *Engine) acquit(h *hostState) {
-	h.accused, h.endAttributed = nil, false
-	incarnation := h.lifeName()
-	if _, presumed := e.exiles[incarnation]; !presumed {
+func (e *Engine) retractCrashes(h *hostState) {
+	h.pendingAttributions, h.endAttributed = nil, false
+	incarnation := h.incarnationName()
+	if _, presumed := e.presumedEnded[incarnation]; !presumed {
 		return
 	}
-	delete(e.exiles, incarnation)
-	e.reviseCrashes(incarnation, crashloop.History.Without)
+	delete(e.presumedEnded, incarnation)
+	e.reviseCrashes(incarnation, crashloop.History.WithoutHost)
 }
 
 // retractWindow is how long after an incarnation is presumed ended an answer from it still retracts the
@@ -198,9 +198,9 @@
 const retractWindow = 5 * time.Minute
 
 func (e *Engine) expirePresumedEnded(now time.Time) {
-	for incarnation, since := range e.exiles {
+	for incarnation, since := range e.presumedEnded {
 		if now.Sub(since) > retractWindow {
-			delete(e.exiles, incarnation)
+			delete(e.presumedEnded, incarnation)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 }
 
 func (e *Engine) reviseGroupCrashes(g *group, incarnation string, change func(h crashloop.History, incarnation string) crashloop.History) {
-	if g.standing == crashloop.Unsuspected {
+	if g.suspicion == crashloop.Unsuspected {
 		return
 	}
 	for i := range g.tasks {
@@ -226,59 +226,59 @@
 			continue
 		}
 		t.crashes = revised
-		e.touch(g.job)
+		e.markDirty(g.job)
 		e.log(Event{What: "crash taken back", Job: g.job.id(), Step: g.id.String(), Host: incarnation, Why: fmt.Sprintf("task %d: %s", i, revised)})
 	}
-	g.judgeStanding()
+	g.updateSuspicion()
 }
 
 // clearStableService clears the crash history of a long-running task that has run soundly for
 // crashloop.ProvenAfter: hosts crash under a service that runs for months.
-func (e *Engine) prove(r *run, now time.Time) {
-	if !r.suspect || r.group == nil || !r.group.step.LongRunning || now.Sub(r.known) < crashloop.ProvenAfter {
+func (e *Engine) clearStableService(r *run, now time.Time) {
+	if !r.suspect || r.group == nil || !r.group.step.LongRunning || now.Sub(r.confirmedAt) < crashloop.HistoryResetAfter {
 		return
 	}
 	r.suspect = false
-	r.on.suspects--
+	r.placedOn.suspectRuns--
 	r.group.tasks[r.Task.Index].crashes = nil
-	r.group.judgeStanding()
-	e.touch(r.group.job)
+	r.group.updateSuspicion()
+	e.markDirty(r.group.job)
 }
 
 // startBlocked reports whether a task (with nil, the whole group) may not start yet: a superseded run of
 // it is still on a host, crashes under it are not stored yet, or the decision on it is pending.
-func (e *Engine) heldBack(g *group, t *task) bool {
-	if g.anyLeftOver(t) {
+func (e *Engine) startBlocked(g *group, t *task) bool {
+	if g.hasSuperseded(t) {
 		return true
 	}
-	if g.standing == crashloop.Unsuspected || t != nil && len(t.crashes) == 0 {
+	if g.suspicion == crashloop.Unsuspected || t != nil && len(t.crashes) == 0 {
 		return false
 	}
-	return g.standing == crashloop.GivenUp || g.job.crashesNew || g.job.crashesIn > e.durable
+	return g.suspicion == crashloop.Failed || g.job.crashesUnsaved || g.job.crashesBatch > e.durable
 }
 
 // currentRun returns the record of the task's current run, or nil.
-func (t *task) present() *record.RunOn {
+func (t *task) currentRun() *record.RunOn {
 	if t.cur == nil {
 		return nil
 	}
-	return &record.RunOn{Run: t.cur.No, Host: string(t.cur.on.info.ID), Seen: t.cur.begun}
+	return &record.RunOn{Run: t.cur.No, Host: string(t.cur.placedOn.info.ID), Observed: t.cur.acknowledged}
 }
 
 // restoreCrashes loads the crashes that a previous holder stored for a task, and where that holder last
 // started it: the host may have crashed during the change of holders.
-func (e *Engine) inheritCrashes(g *group, i int, s record.StepProgress, now time.Time) {
+func (e *Engine) restoreCrashes(g *group, i int, s record.StepProgress, now time.Time) {
 	g.tasks[i].crashes = s.Crashed[i]
 	for _, c := range s.Crashed[i] {
-		e.exiles[c.Host] = now
+		e.presumedEnded[c.Host] = now
 	}
-	at, found := s.Trying[i]
+	at, found := s.CurrentRuns[i]
 	h := e.hosts[host.ID(at.Host)]
 	if !found || h == nil {
 		return
 	}
 	r := host.Run{Task: g.task(i), No: at.Run}
-	if !h.claimed && !slices.ContainsFunc(h.mayRun, func(may mayRun) bool { return may.Run == r }) {
-		h.tried = append(h.tried, mayRun{r, !at.Seen})
+	if !h.claimed && !slices.ContainsFunc(h.possibleRuns, func(may possibleRun) bool { return may.Run == r }) {
+		h.lastAttempts = append(h.lastAttempts, possibleRun{r, !at.Observed})
 	}
 }
--- a/internal/engine/crash_faults_test.go
+++ b/internal/engine/crash_faults_test.go
@@ -30,29 +30,29 @@
 // holder as well.
 var faultCases = map[string]func(w *world){
 	"none":         func(*world) {},
-	"lost answers": func(w *world) { w.faults = faults{lostRequest: 0.2, lostAnswer: 0.33} },
-	"late orders":  func(w *world) { w.faults = faults{late: 0.3} },
+	"lost answers": func(w *world) { w.faults = faults{lostRequest: 0.2, lostReply: 0.33} },
+	"late orders":  func(w *world) { w.faults = faults{delayedRequest: 0.3} },
 	"restarts while disconnected": func(w *world) {
 		w.atRandomTimes(800*time.Millisecond, func() {
 			h := w.randomHost()
 			outage := time.Duration(200+w.rnd.IntN(7000)) * time.Millisecond
 			w.disconnect(h, outage)
 			if w.rnd.IntN(2) == 0 {
-				w.after(time.Duration(w.rnd.IntN(int(outage))), h.RestartDark)
+				w.after(time.Duration(w.rnd.IntN(int(outage))), h.RestartAfterPowerLoss)
 			}
 		})
 	},
 }
 
 var failoverCases = map[string]func(w *world){
-	"failovers": func(w *world) { w.atRandomTimes(4*time.Second, w.takeOver) },
+	"failovers": func(w *world) { w.atRandomTimes(4*time.Second, w.failOver) },
 	"all": func(w *world) {
-		w.faults = faults{lostRequest: 0.1, lostAnswer: 0.15, late: 0.1}
-		w.atRandomTimes(5*time.Second, w.takeOver)
+		w.faults = faults{lostRequest: 0.1, lostReply: 0.15, delayedRequest: 0.1}
+		w.atRandomTimes(5*time.Second, w.failOver)
 		w.atRandomTimes(1500*time.Millisecond, func() {
 			h := w.randomHost()
 			w.disconnect(h, time.Duration(200+w.rnd.IntN(7000))*time.Millisecond)
-			w.after(time.Duration(w.rnd.IntN(3000))*time.Millisecond, h.RestartDark)
+			w.after(time.Duration(w.rnd.IntN(3000))*time.Millisecond, h.RestartAfterPowerLoss)
 		})
 	},
 }
@@ -83,7 +83,7 @@
 // runWithFaults runs jobs that crash their hosts, one or two a second, beside unrelated ones.
 func runWithFaults(t testing.TB, seed uint64, inject func(w *world)) *world {
 	w := crashWorld(t, seed, 32)
-	w.fleet.KeepsID = seed%2 == 0
+	w.fleet.KeepID = seed%2 == 0
 	between := func(least, most int) int64 { return int64(least + w.rnd.IntN(most-least+1)) }
 	submit := func(at time.Duration, id string, rules catalog.Rules, s spec.Step) {
 		w.after(at, func() { w.submit(id, rules, s) })
@@ -91,11 +91,11 @@
 	for at, n := time.Duration(0), 0; at < faultPeriod; at, n = at+time.Duration(between(20, 180))*time.Millisecond, n+1 {
 		submit(at, fmt.Sprint("urgent-", n), catalog.Rules{}, step(int(between(1, 5)), between(2, 8), 7, between(200, 1200)))
 		if n%8 == 0 {
-			submit(at, fmt.Sprint("wide-", n), catalog.Rules{Attempts: 2, Priority: 1}, step(10, 4, 7, between(500, 3000)))
+			submit(at, fmt.Sprint("wide-", n), catalog.Rules{MaxAttempts: 2, Priority: 1}, step(10, 4, 7, between(500, 3000)))
 		}
 	}
 	for at, n := 2*time.Second, 0; at < faultPeriod-4*time.Second; at, n = at+time.Duration(between(400, 1600))*time.Millisecond, n+1 {
-		submit(at, fmt.Sprint(culprit, n), catalog.Rules{}, step(int(between(1, 4)), between(2, 8), 7, 640))
+		submit(at, fmt.Sprint(crashingJob, n), catalog.Rules{}, step(int(between(1, 4)), between(2, 8), 7, 640))
 	}
 	inject(w)
 	w.run(faultPeriod)
@@ -112,10 +112,10 @@
 
 // count adds the outcomes of a finished load.
 func (c *faultResult) count(w *world) {
-	c.hostsCrashed += w.fleet.Judge().HostsStruck()
+	c.hostsCrashed += w.fleet.Checker().HostsCrashedByTasks()
 	for id := range w.jobs {
 		shown := w.shown[id]
-		switch crashing := strings.HasPrefix(id, culprit); {
+		switch crashing := strings.HasPrefix(id, crashingJob); {
 		case crashing && shown != record.StateFailed:
 			c.crashing++
 			c.notFailed++
@@ -128,7 +128,7 @@
 			c.unrelated++
 		}
 	}
-	for _, violation := range w.fleet.Judge().Wrong() {
+	for _, violation := range w.fleet.Checker().Violations() {
 		switch {
 		case strings.Contains(violation, ": LOST"):
 			c.withoutCause++
@@ -155,7 +155,7 @@
 			for i := range uint64(*faultSeeds) {
 				seed := *firstFaultSeed + i
 				w := runWithFaults(t, seed, inject)
-				w.check()
+				w.checkInvariants()
 				if left := w.unfinished(); len(left) > 0 {
 					t.Errorf("seed %d: %d jobs are not final, such as %s", seed, len(left), left[0])
 				}
@@ -176,6 +176,6 @@
 // more after three hosts had crashed under them, each of which had refused connections.
 func TestCrashingJobsWhoseRackFails(t *testing.T) {
 	for _, seed := range []uint64{119, 139} {
-		runWithFaults(t, seed, failoverCases["all"]).check()
+		runWithFaults(t, seed, failoverCases["all"]).checkInvariants()
 	}
 }
--- a/internal/engine/crash_load_test.go
+++ b/internal/engine/crash_load_test.go
@@ -37,7 +37,7 @@
 	}
 	for at := 2 * time.Second; at < 32*time.Second; at += time.Duration(between(200, 1200)) * time.Millisecond {
 		for range between(1, 2) {
-			l.submit(at, fmt.Sprint(culprit, l.numCrashing), catalog.Rules{}, step(int(between(1, 4)), between(2, 11), 10, 640))
+			l.submit(at, fmt.Sprint(crashingJob, l.numCrashing), catalog.Rules{}, step(int(between(1, 4)), between(2, 11), 10, 640))
 			l.numCrashing++
 		}
 	}
@@ -56,13 +56,13 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		l := newCrashLoad(t, seed)
 		l.w.run(90 * time.Second)
-		l.w.check()
+		l.w.checkInvariants()
 		crashing += l.numCrashing
-		lost += l.w.fleet.Judge().HostsCrashed()
+		lost += l.w.fleet.Checker().HostsCrashed()
 		unrelated += len(l.w.jobs) - l.numCrashing
 		for id := range l.w.jobs {
 			switch shown := l.w.shown[id]; {
-			case strings.HasPrefix(id, culprit):
+			case strings.HasPrefix(id, crashingJob):
 				is.New(t).Equal(shown, record.StateFailed)
 			case shown == record.StateFailed:
 				failedUnrelated++
