--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -24,7 +24,7 @@
 // crashingJob is the name prefix of jobs whose first task crashes each host that starts it,
 // allCrashingJob that of jobs all of whose tasks do.
 const (
-	culprit        = "culprit-"
+	crashingJob    = "culprit-"
 	allCrashingJob = "culprits-"
 	// crashesAfter is how soon after its start such a task crashes its host.
 	crashesAfter = 10 * time.Millisecond
@@ -33,22 +33,22 @@
 // crashWorld has hosts that restart after a crash, in racks of four.
 func crashWorld(t testing.TB, seed uint64, hosts int) *world {
 	w := newWorld(t, seed)
-	w.follows = true
+	w.followsHosts = true
 	w.fleet.Add(hosts, "s", size(64, 128))
-	w.fleet.Crashes = func(task spec.StepTask) time.Duration {
-		if strings.HasPrefix(task.Job, allCrashingJob) || strings.HasPrefix(task.Job, culprit) && task.Index == 0 {
+	w.fleet.CrashAfter = func(task spec.StepTask) time.Duration {
+		if strings.HasPrefix(task.Job, allCrashingJob) || strings.HasPrefix(task.Job, crashingJob) && task.Index == 0 {
 			return crashesAfter
 		}
 		return 0
 	}
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	return w
 }
 
 // submitUnrelated submits jobs that crash nothing for a while: two urgent tasks of 6 cores every 50 ms,
 // and ten of 4 cores that take longer every 500 ms. They use about a third of the hosts.
-func (w *world) bystanders(d time.Duration) {
+func (w *world) submitUnrelated(d time.Duration) {
 	for at, n := time.Duration(0), 0; at < d; at, n = at+50*time.Millisecond, n+1 {
 		w.after(at, func() {
 			w.submit(fmt.Sprint("urgent-", n), catalog.Rules{}, step(2, 6, 10, 640))
@@ -60,7 +60,7 @@
 }
 
 // unrelatedNotCompleted lists the jobs without crashing tasks that were not completed.
-func (w *world) innocentsLost() (lost []string) {
+func (w *world) unrelatedNotCompleted() (lost []string) {
 	for id := range w.jobs {
 		if !strings.HasPrefix(id, "culprit") && w.shown[id] != record.StateCompleted {
 			lost = append(lost, id+" "+string(w.shown[id]))
@@ -87,27 +87,27 @@
 	saving := step(4, 4, 7, 3000)
 	saving.Checkpointing = true
 	return map[string]crashCase{
-		"one task":                {id: culprit, steps: []spec.Step{single}, maxHostsLost: 3},
-		"a task of many":          {id: culprit, steps: []spec.Step{step(12, 6, 10, 2000)}, maxHostsLost: 3},
+		"one task":                {id: crashingJob, steps: []spec.Step{single}, maxHostsLost: 3},
+		"a task of many":          {id: crashingJob, steps: []spec.Step{step(12, 6, 10, 2000)}, maxHostsLost: 3},
 		"all tasks of a job":      {id: allCrashingJob, steps: []spec.Step{step(8, 6, 10, 2000)}, maxHostsLost: 6},
-		"a member of a gang":      {id: culprit, steps: []spec.Step{gang}, maxHostsLost: 3},
-		"a long-running task":     {id: culprit, steps: []spec.Step{service}, maxHostsLost: 3},
-		"a checkpointing task":    {id: culprit, steps: []spec.Step{saving}, maxHostsLost: 3},
-		"with a placement policy": {id: culprit, steps: []spec.Step{single}, rules: catalog.Rules{Advice: &catalog.Advice{DecideMillis: 6, ValidMillis: 1500}}, maxHostsLost: 3},
-		"orders come late":        {id: culprit, steps: []spec.Step{single}, inject: func(w *world) { w.faults = faults{late: 0.3} }, maxHostsLost: 3},
-		"holders change": {id: culprit, steps: []spec.Step{single}, maxHostsLost: 4, inject: func(w *world) {
+		"a member of a gang":      {id: crashingJob, steps: []spec.Step{gang}, maxHostsLost: 3},
+		"a long-running task":     {id: crashingJob, steps: []spec.Step{service}, maxHostsLost: 3},
+		"a checkpointing task":    {id: crashingJob, steps: []spec.Step{saving}, maxHostsLost: 3},
+		"with a placement policy": {id: crashingJob, steps: []spec.Step{single}, rules: catalog.Rules{PolicyQuery: &catalog.PolicyQuery{DecideMillis: 6, ValidMillis: 1500}}, maxHostsLost: 3},
+		"orders come late":        {id: crashingJob, steps: []spec.Step{single}, inject: func(w *world) { w.faults = faults{delayedRequest: 0.3} }, maxHostsLost: 3},
+		"holders change": {id: crashingJob, steps: []spec.Step{single}, maxHostsLost: 4, inject: func(w *world) {
 			for i := 1; i < 8; i++ {
-				w.after(time.Duration(i)*1700*time.Millisecond, w.takeOver)
+				w.after(time.Duration(i)*1700*time.Millisecond, w.failOver)
 			}
 		}},
-		"holders change, unresponsive hosts in the roster": {id: culprit, steps: []spec.Step{single}, maxHostsLost: 4, inject: func(w *world) {
+		"holders change, unresponsive hosts in the roster": {id: crashingJob, steps: []spec.Step{single}, maxHostsLost: 4, inject: func(w *world) {
 			for i := 1; i < 8; i++ {
-				w.after(time.Duration(i)*3300*time.Millisecond, w.takeOver)
+				w.after(time.Duration(i)*3300*time.Millisecond, w.failOver)
 			}
 		}},
-		"the store is unavailable": {id: culprit, steps: []spec.Step{single}, maxHostsLost: 3, inject: func(w *world) {
-			w.after(200*time.Millisecond, func() { w.storeAway = true })
-			w.after(6*time.Second, func() { w.storeAway = false; w.takeOver() })
+		"the store is unavailable": {id: crashingJob, steps: []spec.Step{single}, maxHostsLost: 3, inject: func(w *world) {
+			w.after(200*time.Millisecond, func() { w.storeUnavailable = true })
+			w.after(6*time.Second, func() { w.storeUnavailable = false; w.failOver() })
 		}},
 	}
 }
@@ -116,8 +116,8 @@
 // get lost.
 func TestCrashingJobWithLostAnswers(t *testing.T) {
 	crashCase{
-		id: culprit, steps: []spec.Step{step(1, 6, 10, 640)}, maxHostsLost: 3,
-		inject: func(w *world) { w.faults = faults{lostRequest: 0.2, lostAnswer: 0.3} },
+		id: crashingJob, steps: []spec.Step{step(1, 6, 10, 640)}, maxHostsLost: 3,
+		inject: func(w *world) { w.faults = faults{lostRequest: 0.2, lostReply: 0.3} },
 	}.execute(t)
 }
 
@@ -135,8 +135,8 @@
 func (tc crashCase) execute(t *testing.T) {
 	is := is.New(t)
 	w := crashWorld(t, 7, 16)
-	w.fleet.KeepsID = tc.keepsID
-	w.bystanders(20 * time.Second)
+	w.fleet.KeepID = tc.keepsID
+	w.submitUnrelated(20 * time.Second)
 	w.run(2 * time.Second)
 	w.submit(tc.id+"0", tc.rules, tc.steps...)
 	if tc.inject != nil {
@@ -145,11 +145,11 @@
 	w.run(30 * time.Second)
 	w.faults = faults{}
 	w.run(30 * time.Second)
-	w.check()
-	lost := w.fleet.Judge().HostsCrashed()
+	w.checkInvariants()
+	lost := w.fleet.Checker().HostsCrashed()
 	t.Logf("%d hosts lost", lost)
 	is.Equal(w.shown[tc.id+"0"], record.StateFailed)
-	is.Equal(w.innocentsLost(), nil)
+	is.Equal(w.unrelatedNotCompleted(), nil)
 	is.True(lost <= tc.maxHostsLost)
 }
 
@@ -159,19 +159,19 @@
 	is := is.New(t)
 	const jobs = 20
 	w := crashWorld(t, 8, 48)
-	w.bystanders(20 * time.Second)
+	w.submitUnrelated(20 * time.Second)
 	w.run(2 * time.Second)
 	for i := range jobs {
-		w.submit(fmt.Sprint(culprit, i), catalog.Rules{}, step(2, 6, 10, 640))
+		w.submit(fmt.Sprint(crashingJob, i), catalog.Rules{}, step(2, 6, 10, 640))
 	}
 	w.run(60 * time.Second)
-	w.check()
-	t.Logf("%d hosts lost to %d jobs", w.fleet.Judge().HostsCrashed(), jobs)
+	w.checkInvariants()
+	t.Logf("%d hosts lost to %d jobs", w.fleet.Checker().HostsCrashed(), jobs)
 	for i := range jobs {
-		is.Equal(w.shown[fmt.Sprint(culprit, i)], record.StateFailed)
+		is.Equal(w.shown[fmt.Sprint(crashingJob, i)], record.StateFailed)
 	}
-	is.Equal(w.innocentsLost(), nil)
-	is.True(w.fleet.Judge().HostsCrashed() <= 3*jobs)
+	is.Equal(w.unrelatedNotCompleted(), nil)
+	is.True(w.fleet.Checker().HostsCrashed() <= 3*jobs)
 }
 
 // TestHostsThatCrashByThemselves checks that no job is failed for hosts that crash, lose power, are
@@ -198,8 +198,8 @@
 		"racks disconnected for a while": each(9*time.Second, 30*time.Second, func(w *world, n int) {
 			rack(w, n, func(i int) {
 				h := w.fleet.Hosts()[i]
-				h.Cut(true)
-				w.after(8*time.Second, func() { h.Cut(false) })
+				h.SetDisconnected(true)
+				w.after(8*time.Second, func() { h.SetDisconnected(false) })
 			})
 		}),
 		"all at once": each(8*time.Second, 20*time.Second, func(w *world, _ int) {
@@ -211,17 +211,17 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := crashWorld(t, 9, 16)
-			w.bystanders(20 * time.Second)
+			w.submitUnrelated(20 * time.Second)
 			service := step(6, 6, 10, 0)
 			service.LongRunning = true
 			w.submit("service", catalog.Rules{}, service)
 			inject(w)
 			w.run(70 * time.Second)
-			w.check()
+			w.checkInvariants()
 			is.Equal(w.shown["service"], record.StateRunning)
 			w.engine.Cancel("service", w.now())
 			delete(w.jobs, "service")
-			is.Equal(w.innocentsLost(), nil)
+			is.Equal(w.unrelatedNotCompleted(), nil)
 		})
 	}
 }
@@ -242,7 +242,7 @@
 func TestDeparturesAreNotCrashes(t *testing.T) {
 	for name, inject := range map[string]func(w *world){
 		"drained":                func(w *world) { w.host("h00").Drain(0); w.run(500 * time.Millisecond); w.crashAt(0) },
-		"cordoned":               func(w *world) { w.engine.hosts["h00"].closed = true; w.crashAt(0) },
+		"cordoned":               func(w *world) { w.engine.hosts["h00"].cordoned = true; w.crashAt(0) },
 		"disconnected, listed":   func(w *world) { w.disconnectFor("h00", 9*time.Second, true) },
 		"disconnected, unlisted": func(w *world) { w.disconnectFor("h00", 9*time.Second, false) },
 	} {
@@ -254,10 +254,10 @@
 			w.run(time.Second)
 			inject(w)
 			w.run(15 * time.Second)
-			w.check()
-			is.Equal(w.engine.jobs["a"].groups[0].standing, crashloop.Unsuspected)
+			w.checkInvariants()
+			is.Equal(w.engine.jobs["a"].groups[0].suspicion, crashloop.Unsuspected)
 			w.run(70 * time.Second)
-			w.check()
+			w.checkInvariants()
 			is.Equal(w.shown["a"], record.StateCompleted)
 		})
 	}
@@ -266,9 +266,9 @@
 // disconnectFor disconnects a host for a while, with or without its entry in the list.
 func (w *world) disconnectFor(id host.ID, d time.Duration, listed bool) {
 	h := w.host(id)
-	h.Cut(true)
-	w.after(4500*time.Millisecond, func() { h.List(listed) })
-	w.after(d, func() { h.Cut(false); h.List(true) })
+	h.SetDisconnected(true)
+	w.after(4500*time.Millisecond, func() { h.SetListed(listed) })
+	w.after(d, func() { h.SetDisconnected(false); h.SetListed(true) })
 }
 
 // TestFailedJobStaysFailed checks that a job that was failed for its crashes is reported as failed by
@@ -277,24 +277,24 @@
 func TestFailedJobStaysFailed(t *testing.T) {
 	is := is.New(t)
 	w := crashWorld(t, 11, 16)
-	w.submit(culprit+"0", catalog.Rules{}, step(3, 6, 10, 640))
+	w.submit(crashingJob+"0", catalog.Rules{}, step(3, 6, 10, 640))
 	w.run(12 * time.Second)
-	is.Equal(w.shown[culprit+"0"], record.StateFailed)
-	starts := w.fleet.Judge().Starts()
-	rec, err := record.DecodeJob(w.store[record.JobKey(0, culprit+"0")])
+	is.Equal(w.shown[crashingJob+"0"], record.StateFailed)
+	starts := w.fleet.Checker().Starts()
+	rec, err := record.DecodeJob(w.store[record.JobKey(0, crashingJob+"0")])
 	is.NoErr(err)
 	for _, part := range []string{"5212", "job-crashes-hosts", "2 hosts crashed under it", "under run 1", "under run 2"} {
 		is.True(strings.Contains(rec.Why, part)) // the reason names it
 	}
 	for range 3 {
-		w.takeOver()
+		w.failOver()
 		w.run(12 * time.Second)
 	}
-	s, known := w.engine.State(culprit + "0")
+	s, known := w.engine.State(crashingJob + "0")
 	is.True(known)
 	is.Equal(s, record.StateFailed)
-	is.Equal(w.fleet.Judge().Starts(), starts)
-	w.check()
+	is.Equal(w.fleet.Checker().Starts(), starts)
+	w.checkInvariants()
 }
 
 // TestStableServiceIsCleared checks that a long-running task is cleared once it has run soundly for long
@@ -312,15 +312,15 @@
 		}
 	}
 	w.run(10 * time.Second)
-	is.Equal(w.engine.jobs["service"].groups[0].standing, crashloop.Suspect)
-	w.takeOver()
+	is.Equal(w.engine.jobs["service"].groups[0].suspicion, crashloop.Suspect)
+	w.failOver()
 	w.run(10 * time.Second)
-	is.Equal(w.engine.jobs["service"].groups[0].standing, crashloop.Suspect)
-	w.run(crashloop.ProvenAfter)
-	is.Equal(w.engine.jobs["service"].groups[0].standing, crashloop.Unsuspected)
-	w.takeOver()
-	is.Equal(w.engine.jobs["service"].groups[0].standing, crashloop.Unsuspected)
-	w.check()
+	is.Equal(w.engine.jobs["service"].groups[0].suspicion, crashloop.Suspect)
+	w.run(crashloop.HistoryResetAfter)
+	is.Equal(w.engine.jobs["service"].groups[0].suspicion, crashloop.Unsuspected)
+	w.failOver()
+	is.Equal(w.engine.jobs["service"].groups[0].suspicion, crashloop.Unsuspected)
+	w.checkInvariants()
 }
 
 // TestOrdersToEndedIncarnations sends a job's first tasks to hosts that have just ended and restarted.
@@ -331,13 +331,13 @@
 	for name, keepsID := range map[string]bool{"other ids": false, "their own ids": true} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 5)
-			w.fleet.KeepsID, w.fleet.BackAfter = keepsID, 20*time.Millisecond
+			w.fleet.KeepID, w.fleet.RestartDelay = keepsID, 20*time.Millisecond
 			w.fleet.Add(12, "s", size(64, 128))
-			w.takeOver()
+			w.failOver()
 			w.run(5 * time.Second) // nothing runs, so the hosts are not polled for seconds
 			for i, h := range w.fleet.Hosts() {
 				if i%4 == 0 { // one of each rack
-					h.RestartDark()
+					h.RestartAfterPowerLoss()
 				} else {
 					h.Drain(time.Minute)
 				}
@@ -346,11 +346,11 @@
 			w.run(100 * time.Millisecond)
 			w.submit("job", catalog.Rules{}, step(5, 12, 10, 640))
 			w.run(100 * time.Millisecond)
-			is.New(t).Equal(w.engine.jobs["job"].groups[0].standing, crashloop.Unsuspected)
-			w.follows = true
+			is.New(t).Equal(w.engine.jobs["job"].groups[0].suspicion, crashloop.Unsuspected)
+			w.followsHosts = true
 			w.run(20 * time.Second)
-			w.check()
-			is.New(t).Equal(w.innocentsLost(), nil)
+			w.checkInvariants()
+			is.New(t).Equal(w.unrelatedNotCompleted(), nil)
 		})
 	}
 }
--- a/internal/engine/crash_ways_test.go
+++ b/internal/engine/crash_ways_test.go
@@ -34,26 +34,26 @@
 			for seed := uint64(1); seed <= 2; seed++ {
 				is := is.New(t)
 				w := crashWorld(t, seed, 32)
-				w.fleet.KeepsID, w.fleet.DarkCrashes = tc.keepsID, tc.powerLoss
-				w.fleet.Crashes = func(task spec.StepTask) time.Duration {
-					if strings.HasPrefix(task.Job, culprit) && task.Index == 0 {
+				w.fleet.KeepID, w.fleet.PowerLossCrashes = tc.keepsID, tc.powerLoss
+				w.fleet.CrashAfter = func(task spec.StepTask) time.Duration {
+					if strings.HasPrefix(task.Job, crashingJob) && task.Index == 0 {
 						return tc.after
 					}
 					return 0
 				}
-				w.bystanders(20 * time.Second)
+				w.submitUnrelated(20 * time.Second)
 				w.run(2 * time.Second)
 				const jobs = 4
 				for i := range jobs {
-					w.after(time.Duration(i)*3*time.Second, func() { w.submit(fmt.Sprint(culprit, i), catalog.Rules{}, step(3, 6, 10, 2000)) })
+					w.after(time.Duration(i)*3*time.Second, func() { w.submit(fmt.Sprint(crashingJob, i), catalog.Rules{}, step(3, 6, 10, 2000)) })
 				}
 				w.run(90 * time.Second)
-				w.check()
-				t.Logf("seed %d: %d hosts lost to %d jobs", seed, w.fleet.Judge().HostsStruck(), jobs)
+				w.checkInvariants()
+				t.Logf("seed %d: %d hosts lost to %d jobs", seed, w.fleet.Checker().HostsCrashedByTasks(), jobs)
 				for i := range jobs {
-					is.Equal(w.shown[fmt.Sprint(culprit, i)], record.StateFailed)
+					is.Equal(w.shown[fmt.Sprint(crashingJob, i)], record.StateFailed)
 				}
-				is.Equal(w.innocentsLost(), nil)
+				is.Equal(w.unrelatedNotCompleted(), nil)
 			}
 		})
 	}
--- a/internal/engine/decision.go
+++ b/internal/engine/decision.go
@@ -16,9 +16,9 @@
 
 // awaitConfirmation delays the restart of quarantined tasks that were lost with an unresponsive host.
 func (e *Engine) awaitConfirmation(h *hostState, now time.Time) {
-	for _, a := range h.accused {
+	for _, a := range h.pendingAttributions {
 		g := e.groupOf(a.run.Task)
-		if g == nil || g.standing < crashloop.OnTrial {
+		if g == nil || g.suspicion < crashloop.Quarantined {
 			continue
 		}
 		g.notBefore = later(g.notBefore, now.Add(confirmationWait))
@@ -26,10 +26,10 @@
 }
 
 // deferredDecision is the decision, due later, whether crashes fail the jobs of the listed tasks.
-type verdict struct {
+type deferredDecision struct {
 	due  time.Time
 	life string // incarnation of a host found terminated at a failover; empty otherwise
-	list []accusation
+	list []attribution
 }
 
 // Hosts found terminated at a failover were lost while no holder watched, and are found one by one.
@@ -38,17 +38,17 @@
 // commonCauseDivisor terminated, they had one cause, such as power, and no task is held responsible.
 // Otherwise repeated power failures would fail jobs.
 const (
-	verdictAfter       = time.Second
+	crashDecisionDelay = time.Second
 	minCommonCause     = 3
 	commonCauseDivisor = 4 // one host in so many
 )
 
 // processDecisions decides about jobs whose tasks were lost while the partition changed hands.
 func (e *Engine) processDecisions(now time.Time) {
-	together := e.foundGone >= max(minCommonCause, e.inheritedHosts/commonCauseDivisor)
-	for len(e.verdicts) > 0 && !now.Before(e.verdicts[0].due) {
-		v := e.verdicts[0]
-		e.verdicts = e.verdicts[1:]
+	together := e.goneAtFailover >= max(minCommonCause, e.inheritedHosts/commonCauseDivisor)
+	for len(e.deferredDecisions) > 0 && !now.Before(e.deferredDecisions[0].due) {
+		v := e.deferredDecisions[0]
+		e.deferredDecisions = e.deferredDecisions[1:]
 		if together && v.life != "" {
 			e.reviseCrashes(v.life, crashloop.History.WithoutUnproven)
 		}
@@ -58,30 +58,30 @@
 
 // scheduleDecision schedules the decision on a group that a previous holder had found to crash its hosts
 // when it was replaced.
-func (e *Engine) verdictOn(g *group, now time.Time) {
-	if g.standing != crashloop.GivenUp {
+func (e *Engine) scheduleDecision(g *group, now time.Time) {
+	if g.suspicion != crashloop.Failed {
 		return
 	}
-	v := verdict{due: now.Add(verdictAfter)}
+	v := deferredDecision{due: now.Add(crashDecisionDelay)}
 	for i := range g.tasks {
-		v.list = append(v.list, accusation{run: host.Run{Task: g.task(i)}})
+		v.list = append(v.list, attribution{run: host.Run{Task: g.task(i)}})
 	}
-	e.verdicts = append(e.verdicts, v)
+	e.deferredDecisions = append(e.deferredDecisions, v)
 }
 
 // failCrashingJobs fails the jobs of those tasks whose crash histories suffice.
-func (e *Engine) failCrashingJobs(list []accusation, now time.Time) {
+func (e *Engine) failCrashingJobs(list []attribution, now time.Time) {
 	for _, a := range list {
 		g := e.groupOf(a.run.Task)
 		if g == nil {
 			continue
 		}
 		t := &g.tasks[a.run.Task.Index]
-		if t.state == taskDone || t.crashes.Standing() != crashloop.GivenUp {
+		if t.state == taskDone || t.crashes.Suspicion() != crashloop.Failed {
 			continue
 		}
-		e.losses.Explain(t.crashes)
-		g.job.why = result.New(result.JobCrashesHosts, result.RanUnknown, "task %v: %s", a.run.Task, t.crashes).Error()
+		e.losses.MarkAttributed(t.crashes)
+		g.job.endReason = result.New(result.JobCrashesHosts, result.RanUnknown, "task %v: %s", a.run.Task, t.crashes).Error()
 		e.finish(g.job, record.StateFailed, now)
 	}
 }
--- a/internal/engine/drain.go
+++ b/internal/engine/drain.go
@@ -6,51 +6,51 @@
 	"pulleyquay/internal/spec"
 )
 
-// moveOff stops runs on a host that is draining, or cordoned for maintenance, where they
+// evictRuns stops runs on a host that is draining, or cordoned for maintenance, where they
 // gain by a restart elsewhere: long-running tasks as soon as another host has room for
 // them, and checkpointing tasks that will not end in time. The other runs continue: a
 // draining host may stay longer than it has announced, and maintenance waits for them.
 //
 // On a host that is only cordoned for maintenance, a long-running task that is at work is
 // stopped only while enough tasks of its step are at work.
-func (e *Engine) moveOff(h *hostState, now time.Time) {
+func (e *Engine) evictRuns(h *hostState, now time.Time) {
 	for _, r := range h.runs {
 		g := r.group
-		if g == nil || r.unwanted || r.state != runRunning || g.job.state.Final() {
+		if g == nil || r.stopRequested || r.state != runRunning || g.job.state.Final() {
 			continue
 		}
 		switch {
 		case g.step.LongRunning:
-			if e.roomElsewhere(g, h, now) && (h.info.Draining || r.percent < atWork || g.mayMiss(r)) {
-				e.unwant(r, "its host is being drained")
+			if e.hasCapacityElsewhere(g, h, now) && (h.info.Draining || r.percent < atWork || g.mayStopReplica(r)) {
+				e.requestStop(r, "its host is being drained")
 			}
-		case g.step.Checkpointing && (h.closed || r.endsBy(now).After(h.leavesAt)):
-			e.unwant(r, "its host is being drained and it would not end in time")
-		case g.step.Filler && h.closed && r.pace == 0:
-			e.unwant(r, "it is throttled to zero on a host that is being drained")
+		case g.step.Checkpointing && (h.cordoned || r.expectedEnd(now).After(h.departsAt)):
+			e.requestStop(r, "its host is being drained and it would not end in time")
+		case g.step.Backfill && h.cordoned && r.pace == 0:
+			e.requestStop(r, "it is throttled to zero on a host that is being drained")
 		}
 	}
 }
 
-// roomElsewhere reports whether a host other than not has free capacity for one task of
+// hasCapacityElsewhere reports whether a host other than not has free capacity for one task of
 // a step, without a new query to the policy service.
-func (e *Engine) roomElsewhere(g *group, not *hostState, now time.Time) bool {
-	size := g.step.Booked()
-	for _, h := range e.sorted {
-		if h == not || !e.placeable(h, now) || refusedBy(g, h) != "" || !g.spread(h) {
+func (e *Engine) hasCapacityElsewhere(g *group, not *hostState, now time.Time) bool {
+	size := g.step.Allocation()
+	for _, h := range e.hostsByID {
+		if h == not || !e.placeable(h, now) || rejectedBy(g, h) != "" || !g.belowHostLimit(h) {
 			continue
 		}
-		if size.Fits(e.roomFor(g, h, now)) {
+		if size.Fits(e.capacityFor(g, h, now)) {
 			return true
 		}
 	}
 	return false
 }
 
-// filling returns the total size of the backfill tasks on the host.
-func (h *hostState) filling() (sum spec.Resources) {
+// backfillDemand returns the total size of the backfill tasks on the host.
+func (h *hostState) backfillDemand() (sum spec.Resources) {
 	for _, r := range h.runs {
-		if r.fills() {
+		if r.isBackfill() {
 			sum = sum.Add(r.group.step.Size)
 		}
 	}
--- a/internal/engine/dump.go
+++ b/internal/engine/dump.go
@@ -45,8 +45,8 @@
 
 // DumpedTask is a task under which hosts have crashed.
 type DumpedTask struct {
-	Task     string `json:"task"`
-	Standing string `json:"standing"`
+	Task      string `json:"task"`
+	Suspicion string `json:"standing"`
 	// Crashes lists the hosts and runs, and how each crash was detected.
 	Crashes string `json:"crashes"`
 	// Stored is false while some of the crashes are not in the store; the task does not start
@@ -59,7 +59,7 @@
 	// WaitsMillis is the remaining delay before the task's step may start.
 	WaitsMillis int64 `json:"waits_ms,omitempty"`
 
-	level crashloop.Standing
+	level crashloop.Suspicion
 	hosts int
 }
 
@@ -144,23 +144,23 @@
 func (e *Engine) dumpTask(g *group, i int, now time.Time) DumpedTask {
 	t := &g.tasks[i]
 	row := DumpedTask{
-		Task: g.task(i).String(), level: t.crashes.Standing(), hosts: len(t.crashes), Crashes: t.crashes.String(),
-		Stored: !g.job.crashesNew && g.job.crashesIn <= e.durable, WaitsMillis: millisUntil(g.notBefore, now),
+		Task: g.task(i).String(), level: t.crashes.Suspicion(), hosts: len(t.crashes), Crashes: t.crashes.String(),
+		Stored: !g.job.crashesUnsaved && g.job.crashesBatch <= e.durable, WaitsMillis: millisUntil(g.notBefore, now),
 	}
-	row.Standing = suspicionLevelName(row.level)
+	row.Suspicion = suspicionLevelName(row.level)
 	if t.cur != nil {
-		row.Run, row.Host, row.State = t.cur.No, t.cur.on.lifeName(), t.cur.state.String()
+		row.Run, row.Host, row.State = t.cur.No, t.cur.placedOn.incarnationName(), t.cur.state.String()
 	}
 	return row
 }
 
-func suspicionLevelName(s crashloop.Standing) string {
+func suspicionLevelName(s crashloop.Suspicion) string {
 	switch s {
 	case crashloop.Suspect:
 		return "suspect"
-	case crashloop.OnTrial:
+	case crashloop.Quarantined:
 		return "on trial"
-	case crashloop.GivenUp:
+	case crashloop.Failed:
 		return "given up"
 	}
 	return "unsuspected"
@@ -170,7 +170,7 @@
 	rows := []DumpedFailure{}
 	for _, end := range slices.Backward(e.ended) {
 		if j := e.jobs[end.id]; j != nil && j.state == record.StateFailed {
-			rows = append(rows, DumpedFailure{Job: end.id, Why: cmp.Or(j.why, j.rec.Why), AgoMillis: now.Sub(end.at).Milliseconds()})
+			rows = append(rows, DumpedFailure{Job: end.id, Why: cmp.Or(j.endReason, j.rec.Why), AgoMillis: now.Sub(end.at).Milliseconds()})
 		}
 	}
 	return rows
@@ -178,8 +178,8 @@
 
 func (e *Engine) dumpSilent(now time.Time) []DumpedHost {
 	rows := []DumpedHost{}
-	for _, h := range e.sorted {
-		if !h.silent.IsZero() || h.inherited && !h.claimed {
+	for _, h := range e.hostsByID {
+		if !h.unresponsiveSince.IsZero() || h.inherited && !h.claimed {
 			rows = append(rows, e.dumpHost(h, now))
 		}
 	}
@@ -190,24 +190,24 @@
 
 func (e *Engine) dumpHost(h *hostState, now time.Time) DumpedHost {
 	row := DumpedHost{
-		Host: h.lifeName(), Reported: h.claimed, Listed: h.listed, Closed: h.shut, SilentMillis: h.silentFor(now).Milliseconds(),
-		Runs: len(h.runs), PossibleRuns: len(h.mayRun) + len(h.tried), Unattributed: len(h.accused),
+		Host: h.incarnationName(), Reported: h.claimed, Listed: h.listed, Closed: h.closeInRoster, SilentMillis: h.unresponsiveFor(now).Milliseconds(),
+		Runs: len(h.runs), PossibleRuns: len(h.possibleRuns) + len(h.lastAttempts), Unattributed: len(h.pendingAttributions),
 	}
-	if !h.refused.IsZero() {
-		row.UnreachedMillis = now.Sub(h.refused).Milliseconds()
+	if !h.unreachableSince.IsZero() {
+		row.UnreachedMillis = now.Sub(h.unreachableSince).Milliseconds()
 	}
 	switch {
 	case h.knowsClock():
 		row.LeaseOverMillis = millisUntil(e.leaseOver(h), now)
 	case h.inherited:
-		row.LeaseOverMillis = millisUntil(e.settleBy, now)
+		row.LeaseOverMillis = millisUntil(e.reconcileDeadline, now)
 	}
 	return row
 }
 
 func (e *Engine) dumpDecisions(now time.Time) []DumpedDecision {
 	rows := []DumpedDecision{}
-	for _, v := range e.verdicts {
+	for _, v := range e.deferredDecisions {
 		row := DumpedDecision{DueMillis: v.due.Sub(now).Milliseconds(), Host: v.life, Tasks: []string{}, Count: len(v.list)}
 		for _, a := range v.list[:min(len(v.list), maxDumpTasks)] {
 			row.Tasks = append(row.Tasks, a.run.Task.String())
--- a/internal/engine/dump_account.go
+++ b/internal/engine/dump_account.go
@@ -36,10 +36,10 @@
 	total := e.placeableCapacity(now)
 	rows := make(map[*account]*AccountLoad, len(e.accounts))
 	for _, a := range e.accounts {
-		counted := e.counted(a)
+		maxUsage := e.maxUsage(a)
 		rows[a] = &AccountLoad{
-			Account: a.name, Running: counted, InDoubt: e.inDoubt(a), Quota: a.quota,
-			Share: fairshare.DominantShare(counted, total), Full: a.quota.Full(counted),
+			Account: a.name, Running: maxUsage, InDoubt: e.unconfirmedUsage(a), Quota: a.quota,
+			Share: fairshare.DominantShare(maxUsage, total), Full: a.quota.Utilization(maxUsage),
 		}
 	}
 	for _, g := range e.queue {
@@ -51,7 +51,7 @@
 			row.firstWaiting = g
 		}
 		row.Steps++
-		if e.allowedNow(g) == 0 {
+		if e.startableNow(g) == 0 {
 			row.ForQuota++
 		}
 	}
@@ -88,7 +88,7 @@
 
 // placeableCapacity returns the total size of the hosts that take new work.
 func (e *Engine) placeableCapacity(now time.Time) (sum spec.Resources) {
-	for _, h := range e.sorted {
+	for _, h := range e.hostsByID {
 		if e.placeable(h, now) {
 			sum = sum.Add(h.info.Size)
 		}
@@ -127,9 +127,9 @@
 	if j == nil {
 		return Explanation{}, false
 	}
-	out := Explanation{Job: id, Account: j.rec.Account, Queue: j.rec.Queue, State: j.state, Why: cmp.Or(j.why, j.rec.Why), Steps: []ExplainedStep{}}
+	out := Explanation{Job: id, Account: j.rec.Account, Queue: j.rec.Queue, State: j.state, Why: cmp.Or(j.endReason, j.rec.Why), Steps: []ExplainedStep{}}
 	for _, g := range j.groups {
-		if g.left == 0 || j.state.Final() {
+		if g.undone == 0 || j.state.Final() {
 			continue
 		}
 		if len(out.Steps) == maxDumpRows {
@@ -142,14 +142,14 @@
 }
 
 func (e *Engine) explainStep(g *group, now time.Time) ExplainedStep {
-	s := ExplainedStep{Step: g.id.String(), Done: len(g.tasks) - g.left, Waiting: g.waiting, Running: g.left - g.waiting}
+	s := ExplainedStep{Step: g.id.String(), Done: len(g.tasks) - g.undone, Waiting: g.waiting, Running: g.undone - g.waiting}
 	switch {
 	case g.waiting == 0:
-	case g.needs > 0:
-		s.Why = fmt.Sprintf("%d steps before it are not done", g.needs)
+	case g.pendingDeps > 0:
+		s.Why = fmt.Sprintf("%d steps before it are not done", g.pendingDeps)
 	case now.Before(g.due):
 		s.Why = fmt.Sprintf("its time comes in %v", g.due.Sub(now).Round(time.Millisecond))
-	case e.unsettled:
+	case e.reconciling:
 		s.Why = "the partition has changed hands; hosts are being asked what they run"
 	default:
 		s.Why = e.waitReason(g, now)
@@ -161,7 +161,7 @@
 func (e *Engine) logQuotaWaits(now time.Time) {
 	waiting := map[*account]int{}
 	for _, g := range e.queue {
-		if a := g.job.account; a != nil && g.ready && e.allowedNow(g) == 0 {
+		if a := g.job.account; a != nil && g.ready && e.startableNow(g) == 0 {
 			waiting[a]++
 		}
 	}
@@ -175,6 +175,6 @@
 		if n == 0 {
 			what = "account waits for its quota no more"
 		}
-		e.log(Event{What: what, Why: fmt.Sprintf("account %s: %d steps, may have running %s, %.0f%% of its quota", a.name, n, describeSize(e.counted(a)), 100*a.quota.Full(e.counted(a)))})
+		e.log(Event{What: what, Why: fmt.Sprintf("account %s: %d steps, may have running %s, %.0f%% of its quota", a.name, n, describeSize(e.maxUsage(a)), 100*a.quota.Utilization(e.maxUsage(a)))})
 	}
 }
--- a/internal/engine/dump_account_test.go
+++ b/internal/engine/dump_account_test.go
@@ -15,10 +15,10 @@
 func TestAccountsAreReported(t *testing.T) {
 	is := is.New(t)
 	w := accountWorld(t, 19, 4)
-	w.logs = true
+	w.keepEvents = true
 	w.setQuota("crew", cores(8))
 	w.setQuota("other", cores(64))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	w.submit("crew-1", catalog.Rules{}, step(6, 2, 1, 9000))
 	w.submit("other-1", catalog.Rules{Priority: 1}, step(16, 2, 1, 9000))
@@ -46,7 +46,7 @@
 
 	w.run(20 * time.Second)
 	lines := map[string]int{}
-	for _, ev := range w.logged {
+	for _, ev := range w.events {
 		if strings.HasPrefix(ev.What, "account waits") {
 			lines[ev.What]++
 		}
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	w := accountWorld(t, 23, 4)
 	w.setQuota("crew", cores(4))
-	w.takeOver()
+	w.failOver()
 	gang := step(3, 2, 1, 1000)
 	gang.Gang = true
 	w.submit("crew-1", catalog.Rules{}, gang)
--- a/internal/engine/dump_test.go
+++ b/internal/engine/dump_test.go
@@ -22,7 +22,7 @@
 	w.submit("bystander", catalog.Rules{}, step(16, 6, 10, 60000))
 	w.run(time.Second)
 	is.Equal(w.engine.Dump(w.now()), Dump{Suspects: []DumpedTask{}, Failed: []DumpedFailure{}, Silent: []DumpedHost{}, Decisions: []DumpedDecision{}, Accounts: []DumpedAccount{}})
-	w.submit(culprit+"0", catalog.Rules{}, step(1, 6, 10, 640))
+	w.submit(crashingJob+"0", catalog.Rules{}, step(1, 6, 10, 640))
 	suspected, silent := false, false
 	var d Dump
 	for range 600 {
@@ -31,10 +31,10 @@
 			break
 		}
 		for _, row := range d.Suspects {
-			if row.Task == culprit+"0/0/0/0" {
+			if row.Task == crashingJob+"0/0/0/0" {
 				suspected = true
-				is.True(row.Standing != "")
-				is.Equal(row.Crashes, w.engine.jobs[culprit+"0"].groups[0].tasks[0].crashes.String())
+				is.True(row.Suspicion != "")
+				is.Equal(row.Crashes, w.engine.jobs[crashingJob+"0"].groups[0].tasks[0].crashes.String())
 				is.Equal(row.Run == 0, row.Host == "")
 				is.Equal(row.Run == 0, row.State == "")
 			}
@@ -51,10 +51,10 @@
 	is.True(suspected)
 	is.True(silent)
 	is.Equal(len(d.Failed), 1)
-	is.Equal(d.Failed[0].Job, culprit+"0")
-	is.True(strings.HasPrefix(d.Failed[0].Why, "5212 job-crashes-hosts: task "+culprit+"0/0/0/0"))
+	is.Equal(d.Failed[0].Job, crashingJob+"0")
+	is.True(strings.HasPrefix(d.Failed[0].Why, "5212 job-crashes-hosts: task "+crashingJob+"0/0/0/0"))
 	w.run(time.Second) // it is stored
-	w.takeOver()
+	w.failOver()
 	is.Equal(w.engine.Dump(w.now()).Failed[0].Why, d.Failed[0].Why) // the next holder has the reason as well
 }
 
@@ -67,14 +67,14 @@
 	w.run(3 * time.Second)
 	w.host("h01").Crash()
 	w.run(3500 * time.Millisecond) // the roster has it closed, with what may run there
-	w.takeOver()
+	w.failOver()
 	silent := w.engine.Dump(w.now()).Silent
 	is.True(len(silent) > 0)
 	is.True(strings.HasPrefix(silent[0].Host, "h01")) // it has the most possible runs
 	is.True(!silent[0].Reported)
 	is.True(silent[0].PossibleRuns > 0)
 	is.True(silent[0].LeaseOverMillis > 0)
-	w.engine.verdicts = []verdict{{due: w.now().Add(verdictAfter), life: "h01", list: []accusation{{run: host.Run{Task: w.engine.jobs["a"].groups[0].task(3)}}}}}
+	w.engine.deferredDecisions = []deferredDecision{{due: w.now().Add(crashDecisionDelay), life: "h01", list: []attribution{{run: host.Run{Task: w.engine.jobs["a"].groups[0].task(3)}}}}}
 	is.Equal(w.engine.Dump(w.now()).Decisions, []DumpedDecision{{DueMillis: 1000, Host: "h01", Tasks: []string{"a/0/0/3"}, Count: 1}})
 }
 
@@ -86,18 +86,18 @@
 	w.run(time.Second)
 	e := w.engine
 	g := e.jobs["a"].groups[0]
-	var list []accusation
+	var list []attribution
 	for i := range g.tasks {
 		g.tasks[i].crashes = crashloop.History{{Run: i + 1, Host: fmt.Sprint("gone", i)}}
-		list = append(list, accusation{run: host.Run{Task: g.task(i)}})
+		list = append(list, attribution{run: host.Run{Task: g.task(i)}})
 	}
 	worst := &g.tasks[len(g.tasks)-1]
 	worst.crashes = append(worst.crashes, crashloop.Crash{Run: 999, Host: "other"})
-	for _, h := range e.sorted {
-		h.silent = w.now()
+	for _, h := range e.hostsByID {
+		h.unresponsiveSince = w.now()
 	}
 	for range 2 * maxDumpRows {
-		e.verdicts = append(e.verdicts, verdict{due: w.now(), life: "gone", list: list})
+		e.deferredDecisions = append(e.deferredDecisions, deferredDecision{due: w.now(), life: "gone", list: list})
 	}
 	d := e.Dump(w.now())
 	is.Equal(len(d.Suspects), maxDumpRows)
@@ -114,8 +114,8 @@
 
 func TestSuspicionLevelNames(t *testing.T) {
 	is := is.New(t)
-	for s, want := range map[crashloop.Standing]string{
-		crashloop.Unsuspected: "unsuspected", crashloop.Suspect: "suspect", crashloop.OnTrial: "on trial", crashloop.GivenUp: "given up",
+	for s, want := range map[crashloop.Suspicion]string{
+		crashloop.Unsuspected: "unsuspected", crashloop.Suspect: "suspect", crashloop.Quarantined: "on trial", crashloop.Failed: "given up",
 	} {
 		is.Equal(suspicionLevelName(s), want)
 	}
--- a/internal/engine/ends.go
+++ b/internal/engine/ends.go
@@ -13,7 +13,7 @@
 func (e *Engine) processEnd(h *hostState, end host.End, now time.Time) {
 	r := h.runs[end.Run]
 	if r != nil {
-		e.remove(r)
+		e.removeRun(r)
 		if end.Checkpoint != "" {
 			r.checkpoint = end.Checkpoint
 		}
@@ -26,21 +26,21 @@
 		return
 	}
 	if r == nil {
-		r = &run{Run: end.Run, group: g, on: h, checkpoint: end.Checkpoint}
+		r = &run{Run: end.Run, group: g, placedOn: h, checkpoint: end.Checkpoint}
 	}
 	g.job.started = true
 	i := end.Task.Index
-	switch end.How {
+	switch end.EndReason {
 	case host.EndDone:
-		h.praise()
-		e.learnRuntime(r, now)
-		e.learnSpeed(r, now)
+		h.recordSuccess()
+		e.observeRunTime(r, now)
+		e.observeSpeed(r, now)
 		e.taskDone(g, i, now)
 	case host.EndFailed:
-		e.blame(h, g.job.id(), now)
+		e.recordFailure(h, g.job.id(), now)
 		e.recordTaskFailure(g, i, r, now)
 	}
-	e.released(r, now)
+	e.runEnded(r, now)
 }
 
 // taskDone records that a task is done. For a gang the end of one member counts for all.
@@ -55,8 +55,8 @@
 	} else {
 		e.markDone(g, i)
 	}
-	e.touch(g.job)
-	if g.left == 0 {
+	e.markDirty(g.job)
+	if g.undone == 0 {
 		e.stepDone(g, now)
 	}
 }
@@ -67,12 +67,12 @@
 		return
 	}
 	if t.cur != nil && !g.step.Gang {
-		e.unwant(t.cur, "another run has completed its task")
+		e.requestStop(t.cur, "another run has completed its task")
 	}
 	g.setState(i, taskDone)
-	g.left--
-	if g.standing != crashloop.Unsuspected {
-		g.judgeStanding() // crashes under a task that is done no longer delay the others
+	g.undone--
+	if g.suspicion != crashloop.Unsuspected {
+		g.updateSuspicion() // crashes under a task that is done no longer delay the others
 	}
 	e.refresh(g)
 }
@@ -83,7 +83,7 @@
 	if t.state == taskDone {
 		return
 	}
-	t.avoid = r.on.info.ID
+	t.avoid = r.placedOn.info.ID
 	if g.step.LongRunning {
 		return
 	}
@@ -96,15 +96,15 @@
 	}
 	*failed = append(*failed, r.No)
 
-	e.touch(g.job)
-	e.log(Event{What: "task failed", Job: g.job.id(), Step: g.id.String(), Host: string(r.on.info.ID)})
-	if len(*failed) >= g.job.rec.Rules.Attempts {
+	e.markDirty(g.job)
+	e.log(Event{What: "task failed", Job: g.job.id(), Step: g.id.String(), Host: string(r.placedOn.info.ID)})
+	if len(*failed) >= g.job.rec.Rules.MaxAttempts {
 		e.finish(g.job, record.StateFailed, now)
 	}
 }
 
-// released updates the task of a run that has ended for any reason.
-func (e *Engine) released(r *run, now time.Time) {
+// runEnded updates the task of a run that has ended for any reason.
+func (e *Engine) runEnded(r *run, now time.Time) {
 	g := r.group
 	if g == nil || g.job.state.Final() {
 		return
@@ -121,7 +121,7 @@
 		return
 	}
 	if g.step.Gang {
-		e.gangReleased(g, r, now)
+		e.handleMemberEnd(g, r, now)
 		return
 	}
 	if r.checkpoint != "" {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -39,22 +39,22 @@
 
 // Bounds are the time limits of the platform; they come from the settings of the process.
 type Bounds struct {
-	// LeaseLimit is the longest lease that a host grants.
-	LeaseLimit time.Duration
-	// StopTakes is the longest time that a stop takes.
-	StopTakes time.Duration
-	// GangWait is how long a gang member waits for the other members.
-	GangWait time.Duration
-	// RememberEnded is how long the result of an ended job can be queried.
-	RememberEnded time.Duration
-	// FarFactor is the factor by which a task takes longer outside the rack of its data.
-	FarFactor float64
-	// RestoreTakes is how long a task takes to resume from a checkpoint.
-	RestoreTakes time.Duration
-	// CheckpointEvery is the amount of work between two checkpoints.
-	CheckpointEvery time.Duration
-	// RoomNews is how long after a capacity reduction starts may still be based on the former capacity.
-	RoomNews time.Duration
+	// MaxLease is the longest lease that a host grants.
+	MaxLease time.Duration
+	// MaxStopTime is the longest time that a stop takes.
+	MaxStopTime time.Duration
+	// GangTimeout is how long a gang member waits for the other members.
+	GangTimeout time.Duration
+	// EndedJobTTL is how long the result of an ended job can be queried.
+	EndedJobTTL time.Duration
+	// RemoteDataFactor is the factor by which a task takes longer outside the rack of its data.
+	RemoteDataFactor float64
+	// RestoreTime is how long a task takes to resume from a checkpoint.
+	RestoreTime time.Duration
+	// CheckpointInterval is the amount of work between two checkpoints.
+	CheckpointInterval time.Duration
+	// CapacityLag is how long after a capacity reduction starts may still be based on the former capacity.
+	CapacityLag time.Duration
 }
 
 // Engine holds the scheduling state of a partition. The holder of the partition owns it.
@@ -69,10 +69,10 @@
 	withheldAccounts []*account
 	// unreported are the hosts that have not reported since the failover, unowned is the size of all orphan
 	// runs.
-	unreported unreportedHosts
-	unowned    spec.Resources
-	jobs       map[string]*job
-	live       map[string]*job
+	unreported  unreportedHosts
+	orphanUsage spec.Resources
+	jobs        map[string]*job
+	live        map[string]*job
 	// ready holds the steps with tasks to start, in no order.
 	ready map[spec.StepID]*group
 	// queue holds the ready steps that are due, in scheduling order; incoming holds those that are not in
@@ -81,76 +81,76 @@
 	// nextPassAt is the earliest time of the next scheduling pass.
 	nextPassAt time.Time
 	hosts      map[host.ID]*hostState
-	// foreign are the listed hosts of services that the configuration does not name.
-	foreign map[host.ID]host.Info
-	// sorted are the hosts in the order of their ids.
-	sorted []*hostState
-	// unwanted are the runs for which a stop is requested.
-	unwanted map[*run]struct{}
-	// room is incremented whenever capacity comes free or hosts become usable, so that a step that found
+	// unconfiguredHosts are the listed hosts of services that the configuration does not name.
+	unconfiguredHosts map[host.ID]host.Info
+	// hostsByID are the hosts in the order of their ids.
+	hostsByID []*hostState
+	// stopRequested are the runs for which a stop is requested.
+	stopRequested map[*run]struct{}
+	// capacityChanges is incremented whenever capacity comes free or hosts become usable, so that a step that found
 	// no capacity is retried only after the next change.
-	room       uint64
-	sortedAt   time.Time // when the queue was last sorted
-	loadToldAt time.Time // when the load of the cell was last logged
-	watchedAt  time.Time // when the runs were last checked for progress
-	expiredAt  time.Time // when hosts were last checked for missing answers
-	lookDue    time.Time // when the next host has to be polled
-	// unsettled is true after a failover until the runs of every host are known.
-	unsettled bool
-	// settleBy is when hosts that have not reported since the failover can run nothing any more.
-	settleBy time.Time
-	// proved is the time until which this process may issue orders.
-	proved time.Time
+	capacityChanges   uint64
+	sortedAt          time.Time // when the queue was last sorted
+	loadLoggedAt      time.Time // when the load of the cell was last logged
+	progressCheckedAt time.Time // when the runs were last checked for progress
+	expiredAt         time.Time // when hosts were last checked for missing answers
+	nextPollDue       time.Time // when the next host has to be polled
+	// reconciling is true after a failover until the runs of every host are known.
+	reconciling bool
+	// reconcileDeadline is when hosts that have not reported since the failover can run nothing any more.
+	reconcileDeadline time.Time
+	// authorityUntil is the time until which this process may issue orders.
+	authorityUntil time.Time
 	// deposed is true once a host has reported a later holder.
 	deposed bool
 	// now is the time of the current call, for the log.
 	now time.Time
 
-	lanes *advice.Lanes
+	lanes *advice.QuerySlots
 	// runtimes estimates the run times of tasks, by queue.
-	runtimes *runtimes.Learner
-	// good is the estimated share of hosts that the policy service permits for a step, by queue.
-	good  map[string]float64
-	asks  map[uint64]*question
-	askID uint64
+	runtimes *runtimes.Estimator
+	// permittedByQueue is the estimated share of hosts that the policy service permits for a step, by queue.
+	permittedByQueue map[string]float64
+	queries          map[uint64]*policyQuery
+	queryID          uint64
 
-	dirty   map[string]*job // jobs whose stored record is out of date
-	ended   []endedJob      // in the order of their ends, until they expire
-	forget  []string        // jobs whose records are to be deleted
-	commits uint64          // batches taken
-	durable uint64          // batches known to be stored
-	marks   int             // end records that are not part of a batch yet
-	// rosterBehind is true when the stored roster is out of date.
-	rosterBehind bool
-	// strangerEnds are the end records of orphan runs, by job.
-	strangerEnds map[string][]strangerEnd
-	// strangers counts the recorded orphan runs.
-	strangers int
+	dirty           map[string]*job // jobs whose stored record is out of date
+	ended           []endedJob      // in the order of their ends, until they expire
+	recordsToDelete []string        // jobs whose records are to be deleted
+	commits         uint64          // batches taken
+	durable         uint64          // batches known to be stored
+	pendingEnds     int             // end records that are not part of a batch yet
+	// rosterOutdated is true when the stored roster is out of date.
+	rosterOutdated bool
+	// orphanEndRecords are the end records of orphan runs, by job.
+	orphanEndRecords map[string][]orphanEnd
+	// orphanRuns counts the recorded orphan runs.
+	orphanRuns int
 	// claiming are the hosts whose first poll is under way.
 	claiming map[host.ID]struct{}
-	// held counts, for each task, the hosts that may run it and have not reported since the failover.
-	held map[spec.StepTask]int
+	// possibleHosts counts, for each task, the hosts that may run it and have not reported since the failover.
+	possibleHosts map[spec.StepTask]int
 
-	pools map[string]*pool // by service
+	pools map[string]*servicePool // by service
 	out   Orders
-	// unpaced are the hosts whose backfill tasks may not run at the intended share of their speed.
-	unpaced map[*hostState]struct{}
+	// throttlesOutdated are the hosts whose backfill tasks may not run at the intended share of their speed.
+	throttlesOutdated map[*hostState]struct{}
 	// backfillOverloadShare is the share at which backfill tasks of an image last overloaded the serving
 	// tasks beside them, by image.
 	backfillOverloadShare map[string]int
-	shrunk                shrinking // the largest recent capacity reduction
+	reduction             capacityReduction // the largest recent capacity reduction
 	// losses are the incarnations of hosts that ended recently, exiles the presumed-ended ones that are
 	// attributed to tasks although the host may still answer, trials counts the hosts that are quarantined
 	// for a suspect job.
-	losses crashloop.Losses
-	exiles map[string]time.Time
-	trials int
-	// verdicts are deferred crash-loop decisions; foundGone counts the inherited hosts that were gone
+	losses        crashloop.HostFailures
+	presumedEnded map[string]time.Time
+	quarantines   int
+	// deferredDecisions are deferred crash-loop decisions; foundGone counts the inherited hosts that were gone
 	// before this holder had reached them, out of inheritedHosts.
-	verdicts                  []verdict
-	foundGone, inheritedHosts int
-	// retried is true while the store lacks a run of a task that is suspected of host crashes.
-	retried bool
+	deferredDecisions              []deferredDecision
+	goneAtFailover, inheritedHosts int
+	// retryUnstored is true while the store lacks a run of a task that is suspected of host crashes.
+	retryUnstored bool
 	// upkeep plans maintenance rollouts; nil where the platform offers no orders to machines.
 	upkeep          *upkeep.Planner
 	upkeepPlannedAt time.Time // when maintenance was last planned
@@ -159,8 +159,8 @@
 	reservingGangs, reservingLarge int
 	// hostBuf is reused for the placeable hosts of each pass.
 	hostBuf []*hostState
-	// waitsTold counts the steps whose reason to wait was logged in the current interval.
-	waitsTold int
+	// waitsLogged counts the steps whose reason to wait was logged in the current interval.
+	waitsLogged int
 }
 
 // endedJob is a job in a final state, kept until it expires.
@@ -180,33 +180,33 @@
 		live:                  map[string]*job{},
 		ready:                 map[spec.StepID]*group{},
 		hosts:                 map[host.ID]*hostState{},
-		foreign:               map[host.ID]host.Info{},
-		asks:                  map[uint64]*question{},
-		unwanted:              map[*run]struct{}{},
+		unconfiguredHosts:     map[host.ID]host.Info{},
+		queries:               map[uint64]*policyQuery{},
+		stopRequested:         map[*run]struct{}{},
 		dirty:                 map[string]*job{},
-		good:                  map[string]float64{},
-		unpaced:               map[*hostState]struct{}{},
+		permittedByQueue:      map[string]float64{},
+		throttlesOutdated:     map[*hostState]struct{}{},
 		backfillOverloadShare: map[string]int{},
-		lanes:                 advice.NewLanes(),
-		runtimes:              runtimes.NewLearner(),
-		strangerEnds:          map[string][]strangerEnd{},
+		lanes:                 advice.NewQuerySlots(),
+		runtimes:              runtimes.NewEstimator(),
+		orphanEndRecords:      map[string][]orphanEnd{},
 		claiming:              map[host.ID]struct{}{},
-		held:                  map[spec.StepTask]int{},
-		pools:                 map[string]*pool{},
-		exiles:                map[string]time.Time{},
+		possibleHosts:         map[spec.StepTask]int{},
+		pools:                 map[string]*servicePool{},
+		presumedEnded:         map[string]time.Time{},
 	}
 }
 
 // Orders lists the actions to carry out next. Every order is carried out once; its result is reported with
 // the method named beside it.
 type Orders struct {
-	Starts []StartOrder // Started
-	Stops  []StopOrder  // Stopped
-	Looks  []LookOrder  // Viewed
-	Asks   []AskOrder   // Advised
-	Paces  []PaceOrder  // Paced
-	// Upkeeps take machines down; see Upkept.
-	Upkeeps []UpkeepOrder
+	Starts    []StartOrder    // Started
+	Stops     []StopOrder     // Stopped
+	Polls     []PollOrder     // Viewed
+	Queries   []QueryOrder    // Advised
+	Throttles []ThrottleOrder // Paced
+	// MachineOrders take machines down; see Upkept.
+	MachineOrders []UpkeepOrder
 	// ListMachines requests the list of the platform's machines; see SetMachines.
 	ListMachines bool
 	// Deposed is true when another process has claimed the partition.
@@ -227,29 +227,29 @@
 	Run host.Run
 }
 
-// PaceOrder limits a run to a share of its speed.
-type PaceOrder struct {
+// ThrottleOrder limits a run to a share of its speed.
+type ThrottleOrder struct {
 	To      host.Info
 	Run     host.Run
 	Percent int
 }
 
-// LookOrder polls a host for its runs.
-type LookOrder struct {
+// PollOrder polls a host for its runs.
+type PollOrder struct {
 	To   host.Info
-	Look host.Look
+	Poll host.Poll
 	// Probe polls are sent in addition to a poll that waits at the host.
 	Probe bool
 }
 
-// AskOrder queries the policy service through a member.
-type AskOrder struct {
-	ID    uint64
-	Lane  string // the member that sends the query
-	Step  spec.StepID
-	Hosts []host.ID
-	// Patience is the time-out of the query.
-	Patience time.Duration
+// QueryOrder queries the policy service through a member.
+type QueryOrder struct {
+	ID     uint64
+	Member string // the member that sends the query
+	Step   spec.StepID
+	Hosts  []host.ID
+	// Timeout is the time-out of the query.
+	Timeout time.Duration
 }
 
 // SetCatalog applies a new configuration. Hosts of services that it does not name stay unused, as a later
@@ -260,28 +260,28 @@
 	}
 	e.catalog, e.now = c, now
 	e.applyAccounts()
-	for _, info := range slices.Collect(maps.Values(e.foreign)) {
+	for _, info := range slices.Collect(maps.Values(e.unconfiguredHosts)) {
 		e.setHost(info, now)
 	}
-	for _, h := range slices.Clone(e.sorted) {
-		if h.listed && !e.named(h.info.Service) {
+	for _, h := range slices.Clone(e.hostsByID) {
+		if h.listed && !e.serviceConfigured(h.info.Service) {
 			e.setHost(h.info, now)
 		}
 	}
 }
 
-// named reports whether the configuration names a service. Without a configuration, or one without
+// serviceConfigured reports whether the configuration names a service. Without a configuration, or one without
 // services, every service counts as named.
-func (e *Engine) named(service string) bool {
+func (e *Engine) serviceConfigured(service string) bool {
 	return e.catalog == nil || len(e.catalog.Services) == 0 || e.catalog.Service(service) != nil
 }
 
-// SetProved sets the time until which this process may issue orders.
-func (e *Engine) SetProved(until time.Time) { e.proved = until }
+// SetAuthority sets the time until which this process may issue orders.
+func (e *Engine) SetAuthority(until time.Time) { e.authorityUntil = until }
 
 // Hosts returns the number of known hosts. It includes hosts that are no longer listed and may still run
 // tasks.
-func (e *Engine) Hosts() int { return len(e.sorted) }
+func (e *Engine) Hosts() int { return len(e.hostsByID) }
 
 // SetMembers sets the members through which the policy service can be queried.
 func (e *Engine) SetMembers(names []string) { e.lanes.SetMembers(names) }
@@ -293,18 +293,18 @@
 	if e.deposed {
 		return e.out, now.Add(restInterval)
 	}
-	e.settle(now)
+	e.reconcile(now)
 	e.setReadyTimes(now)
 	e.expireHosts(now)
-	e.watchRuns(now)
-	if now.Before(e.proved) && !now.Before(e.nextPassAt) {
+	e.checkRuns(now)
+	if now.Before(e.authorityUntil) && !now.Before(e.nextPassAt) {
 		e.plan(now)
 	}
 	e.planStops(now)
 	e.planThrottling(now)
 	e.planUpkeep(now)
-	e.tellLoad(now)
-	e.planLooks(now)
+	e.logLoad(now)
+	e.planPolls(now)
 	e.expireEndedJobs(now)
 	e.planCommit()
 	return e.out, e.nextDue(now)
@@ -319,8 +319,8 @@
 	if e.nextPassAt.After(now) && e.nextPassAt.Before(next) {
 		next = e.nextPassAt
 	}
-	if !e.lookDue.IsZero() && e.lookDue.Before(next) {
-		next = e.lookDue
+	if !e.nextPollDue.IsZero() && e.nextPollDue.Before(next) {
+		next = e.nextPollDue
 	}
 	return later(next, now.Add(time.Millisecond))
 }
--- a/internal/engine/estimate.go
+++ b/internal/engine/estimate.go
@@ -28,8 +28,8 @@
 // unboundedDuration exceeds every planning horizon.
 const unboundedDuration = 24 * time.Hour
 
-// endsBy returns the expected end of a run. A gang ends with its slowest member.
-func (r *run) endsBy(now time.Time) time.Time {
+// expectedEnd returns the expected end of a run. A gang ends with its slowest member.
+func (r *run) expectedEnd(now time.Time) time.Time {
 	g := r.group
 	if g == nil || g.step.LongRunning {
 		return now.Add(unboundedDuration)
@@ -51,20 +51,20 @@
 
 // workEndsBy returns when a run is expected to complete its own work.
 func (r *run) workEndsBy(now time.Time) time.Time {
-	if r.unwanted {
+	if r.stopRequested {
 		return now.Add(minRemaining)
 	}
-	left := r.group.runTimeBound() - now.Sub(r.sent)
+	left := r.group.runTimeBound() - now.Sub(r.orderedAt)
 	observed := r.progressAt.Sub(r.firstAt)
 	if done := r.percent - r.firstPercent; observed > minRateWindow && done > 0 {
-		remaining := float64(workDone-r.percent) / done * float64(observed)
+		remaining := float64(percentDone-r.percent) / done * float64(observed)
 		left = time.Duration(remaining) - now.Sub(r.progressAt)
 	}
 	return now.Add(max(left, minRemaining))
 }
 
-// seen records the reported progress of a run.
-func (r *run) seen(percent float64, now time.Time) {
+// observeProgress records the reported progress of a run.
+func (r *run) observeProgress(percent float64, now time.Time) {
 	if r.firstAt.IsZero() {
 		r.firstPercent, r.firstAt, r.progressAt = percent, now, now
 	}
@@ -81,16 +81,16 @@
 	}
 }
 
-// expect updates the expected run time of the step's tasks.
-func (e *Engine) expect(g *group) {
-	g.expected = e.runtimes.Expect(g.job.rec.Queue, g.step.Estimate())
+// updateExpected updates the expected run time of the step's tasks.
+func (e *Engine) updateExpected(g *group) {
+	g.expected = e.runtimes.ExpectedRunTime(g.job.rec.Queue, g.step.Estimate())
 }
 
-// learnRuntime records the run time of a completed run that started from the beginning and ran at full
+// observeRunTime records the run time of a completed run that started from the beginning and ran at full
 // speed.
-func (e *Engine) learnRuntime(r *run, now time.Time) {
-	if r.group == nil || r.known.IsZero() || r.resumed || r.pace != pacing.Full {
+func (e *Engine) observeRunTime(r *run, now time.Time) {
+	if r.group == nil || r.confirmedAt.IsZero() || r.resumed || r.pace != pacing.Full {
 		return
 	}
-	e.runtimes.Ended(r.group.job.rec.Queue, r.group.step.Estimate(), now.Sub(r.known))
+	e.runtimes.AddSample(r.group.job.rec.Queue, r.group.step.Estimate(), now.Sub(r.confirmedAt))
 }
--- a/internal/engine/evidence.go
+++ b/internal/engine/evidence.go
@@ -28,7 +28,7 @@
 // producedAt takes a reading of the host's clock from an answer to a request sent at sent, and returns
 // the earliest time at which the answer can have been produced. The answer may have arrived late, and
 // says nothing of the time since.
-func (h *hostState) drawnUp(clock host.Millis, sent, now time.Time, drift float64) time.Time {
+func (h *hostState) producedAt(clock host.Millis, sent, now time.Time, drift float64) time.Time {
 	if clock == 0 {
 		return sent
 	}
@@ -49,13 +49,13 @@
 		end = h.connBrokenAt
 	}
 	for _, r := range h.runs {
-		r.presentAtEnd = r.begun && end.Sub(later(r.shown, h.viewed)) <= presenceWindow
+		r.presentAtEnd = r.acknowledged && end.Sub(later(r.shown, h.viewProducedAt)) <= presenceWindow
 	}
 }
 
 // confirmAlive handles an answer in the same incarnation after a presumed process end: the runs marked
 // as present at that end are still there, or have ended by themselves.
-func (h *hostState) lives() {
+func (h *hostState) confirmAlive() {
 	if !h.processEnded {
 		return
 	}
@@ -73,7 +73,7 @@
 		return
 	}
 	h.endAttributed = true
-	var confirmed []accusation
+	var confirmed []attribution
 	for _, a := range e.attributions(h, now) {
 		if a.evidence.Proven {
 			confirmed = append(confirmed, a)
@@ -82,7 +82,7 @@
 	if len(confirmed) == 0 {
 		return
 	}
-	e.exiles[h.lifeName()] = now
+	e.presumedEnded[h.incarnationName()] = now
 	e.attributeToTasks(confirmed, e.countUnreachable(h, now), now)
-	e.verdicts = append(e.verdicts, verdict{due: now.Add(verdictAfter), list: confirmed})
+	e.deferredDecisions = append(e.deferredDecisions, deferredDecision{due: now.Add(crashDecisionDelay), list: confirmed})
 }
--- a/internal/engine/evidence_test.go
+++ b/internal/engine/evidence_test.go
@@ -23,7 +23,7 @@
 // injectAtStepStarts is injectAtStarts for a step of any kind.
 func injectAtStepStarts(t *testing.T, keepsID bool, s spec.Step, hostFaults ...hostFault) *world {
 	w := newInjectionWorld(t, 16, keepsID, hostFaults...)
-	w.submit("job", catalog.Rules{Attempts: 5}, s)
+	w.submit("job", catalog.Rules{MaxAttempts: 5}, s)
 	return w
 }
 
@@ -34,10 +34,10 @@
 
 func newSeededInjectionWorld(t *testing.T, seed uint64, hosts int, keepsID bool, hostFaults ...hostFault) *world {
 	w := newWorld(t, seed)
-	w.follows, w.logs = true, true
-	w.fleet.KeepsID = keepsID
+	w.followsHosts, w.keepEvents = true, true
+	w.fleet.KeepID = keepsID
 	w.fleet.Add(hosts, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(10 * time.Second)
 	injected := map[int]bool{}
 	w.onStart = func(s StartOrder) {
@@ -56,9 +56,9 @@
 func (w *world) mustNotFail(t *testing.T, within time.Duration) {
 	t.Helper()
 	w.run(within)
-	w.check()
+	w.checkInvariants()
 	if w.shown["job"] == record.StateFailed {
-		t.Errorf("the job is reported as failed: %s", w.whyOf("job"))
+		t.Errorf("the job is reported as failed: %s", w.endReason("job"))
 	}
 	if t.Failed() && *searchLog {
 		t.Log("\n" + w.logOf("job"))
@@ -69,9 +69,9 @@
 // reconnects it.
 func restartDisconnected(disconnect, restart, reconnect time.Duration) hostFault {
 	return func(w *world, h *hostsim.Host) {
-		w.after(disconnect, func() { h.Cut(true) })
-		w.after(restart, h.RestartDark)
-		w.after(reconnect, func() { h.Cut(false) })
+		w.after(disconnect, func() { h.SetDisconnected(true) })
+		w.after(restart, h.RestartAfterPowerLoss)
+		w.after(reconnect, func() { h.SetDisconnected(false) })
 	}
 }
 
@@ -82,7 +82,7 @@
 func (w *world) preemptLater(h *hostsim.Host, after time.Duration) {
 	id := h.Info().ID
 	w.after(after, func() {
-		w.tell(w.engine, func() { w.engine.unwant(w.runOn(id), "to make room") })
+		w.deliver(w.engine, func() { w.engine.requestStop(w.runOn(id), "to make room") })
 	})
 }
 
@@ -97,8 +97,8 @@
 
 // workNext sets how long the starts that arrive within the next 20 ms run.
 func (w *world) workNext(d time.Duration) {
-	w.fleet.Work = func(spec.StepTask) time.Duration { return d }
-	w.after(20*time.Millisecond, func() { w.fleet.Work = nil })
+	w.fleet.RunTime = func(spec.StepTask) time.Duration { return d }
+	w.after(20*time.Millisecond, func() { w.fleet.RunTime = nil })
 }
 
 // TestRunsEndedWhileDisconnected runs the rows described above. In the first row the hosts listed each
@@ -165,7 +165,7 @@
 
 // hostOf returns the host on which a task of the job runs.
 func (w *world) hostOf(i int) *hostsim.Host {
-	return w.host(w.engine.jobs["job"].groups[0].tasks[i].cur.on.info.ID)
+	return w.host(w.engine.jobs["job"].groups[0].tasks[i].cur.placedOn.info.ID)
 }
 
 // TestThreeUnreportedEnds guards against unconfirmed crashes that add up. Three short tasks were done,
@@ -199,8 +199,8 @@
 	withBothIDs(t, func(t *testing.T, keepsID bool) {
 		reset := func(w *world, h *hostsim.Host) {
 			w.after(50*time.Millisecond, func() { w.breakAndDisconnect(h) })
-			w.after(time.Second, h.RestartDark)
-			w.after(1500*time.Millisecond, func() { h.Cut(false) })
+			w.after(time.Second, h.RestartAfterPowerLoss)
+			w.after(1500*time.Millisecond, func() { h.SetDisconnected(false) })
 		}
 		injectAtStepStarts(t, keepsID, step(1, 6, 10, 400), reset, reset).mustNotFail(t, 40*time.Second)
 	})
@@ -209,8 +209,8 @@
 // breakAndDisconnect breaks the connections to a live host, and disconnects it.
 func (w *world) breakAndDisconnect(h *hostsim.Host) {
 	id := h.Info().ID
-	h.Cut(true)
-	w.tell(w.engine, func() { w.engine.hosts[id].unanswered(host.ErrBroken, w.now()) })
+	h.SetDisconnected(true)
+	w.deliver(w.engine, func() { w.engine.hosts[id].recordFailedCall(host.ErrConnectionBroken, w.now()) })
 }
 
 // TestStartsThatNeverArrived guards against starts counting as arrived because they were sent a moment
@@ -235,7 +235,7 @@
 	w := newInjectionWorld(t, 16, false, ends, ends, ends)
 	const every = 600 * time.Millisecond
 	for at := time.Duration(0); at < 40*time.Second; at += every { // keeps the hosts in contact
-		w.after(at, func() { w.submit(fmt.Sprint("beside-", at), catalog.Rules{Attempts: 9}, step(16, 40, 60, 250)) })
+		w.after(at, func() { w.submit(fmt.Sprint("beside-", at), catalog.Rules{MaxAttempts: 9}, step(16, 40, 60, 250)) })
 	}
 	w.run(6*time.Second + after)
 	w.submit("job", catalog.Rules{}, step(1, 6, 10, 5000))
@@ -244,8 +244,8 @@
 
 // lateStart delays the start that is sent now.
 func (w *world) lateStart() {
-	w.faults.late = 1
-	w.after(0, func() { w.faults.late = 0 })
+	w.faults.delayedRequest = 1
+	w.after(0, func() { w.faults.delayedRequest = 0 })
 }
 
 // TestLateStartInNextIncarnation guards against two runs of one task. A start was delayed, and its host
@@ -254,10 +254,10 @@
 // as well, as its deadline was by the previous clock.
 func TestLateStartInNextIncarnation(t *testing.T) {
 	w := newWorld(t, 21)
-	w.follows, w.logs = true, true
-	w.fleet.KeepsID, w.fleet.BackAfter = true, 150*time.Millisecond
+	w.followsHosts, w.keepEvents = true, true
+	w.fleet.KeepID, w.fleet.RestartDelay = true, 150*time.Millisecond
 	w.fleet.Add(2, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(10 * time.Second)
 	held := true
 	w.onStart = func(s StartOrder) {
@@ -283,10 +283,10 @@
 func TestOneMachineRepeatedlyDisconnected(t *testing.T) {
 	withBothIDs(t, func(t *testing.T, keepsID bool) {
 		w := newWorld(t, 1)
-		w.follows = true
-		w.fleet.KeepsID, w.fleet.BackAfter = keepsID, 500*time.Millisecond
+		w.followsHosts = true
+		w.fleet.KeepID, w.fleet.RestartDelay = keepsID, 500*time.Millisecond
 		w.fleet.Add(16, "s", size(64, 128))
-		w.takeOver()
+		w.failOver()
 		w.run(10 * time.Second)
 		for n := range 40 {
 			w.after(time.Duration(n)*100*time.Millisecond, func() {
@@ -297,7 +297,7 @@
 			w.after(at, func() { restartDisconnected(0, 6650*time.Millisecond, 7*time.Second)(w, w.currentHost("h05")) })
 		}
 		w.run(120 * time.Second)
-		w.check()
+		w.checkInvariants()
 	})
 }
 
--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -17,13 +17,13 @@
 // lines: finding it examines every host, which delays decisions when the queue is long.
 const maxWaitsLogged = 20
 
-// tellWaiting logs the reason for which a step waits, if it has waited for waitLogInterval.
-func (e *Engine) tellWaiting(g *group, now time.Time) {
-	if now.Sub(g.readySince) < waitLogInterval || now.Sub(g.toldAt) < waitLogInterval || e.waitsTold >= maxWaitsLogged {
+// logWaiting logs the reason for which a step waits, if it has waited for waitLogInterval.
+func (e *Engine) logWaiting(g *group, now time.Time) {
+	if now.Sub(g.readySince) < waitLogInterval || now.Sub(g.waitLoggedAt) < waitLogInterval || e.waitsLogged >= maxWaitsLogged {
 		return
 	}
-	e.waitsTold++
-	g.toldAt = now
+	e.waitsLogged++
+	g.waitLoggedAt = now
 	e.log(Event{What: "step waits", Job: g.job.id(), Step: g.id.String(), Why: e.waitReason(g, now), Age: now.Sub(g.readySince)})
 }
 
@@ -40,8 +40,8 @@
 func (e *Engine) waitReason(g *group, now time.Time) string {
 	refused := map[string]int{}
 	good, ticketed, room, reservedOn, roomIfEmpty := 0, 0, 0, 0, 0
-	for _, h := range e.sorted {
-		rule := refusedBy(g, h)
+	for _, h := range e.hostsByID {
+		rule := rejectedBy(g, h)
 		if !e.placeable(h, now) {
 			rule = "not placeable"
 		}
@@ -52,11 +52,11 @@
 		if g.advice.known[h] {
 			good++
 		}
-		if e.allowed(g, h, now) {
+		if e.hasPermission(g, h, now) {
 			ticketed++
 		}
-		roomIfEmpty += g.fits(h, h.info.Size)
-		room += g.fits(h, e.roomFor(g, h, now))
+		roomIfEmpty += g.slotsFor(h, h.info.Size)
+		room += g.slotsFor(h, e.capacityFor(g, h, now))
 		if len(h.reserved) > 0 {
 			reservedOn++
 		}
@@ -66,11 +66,11 @@
 		rules = append(rules, fmt.Sprintf("%s %d", rule, n))
 	}
 	sort.Strings(rules)
-	if over := e.quotaLacks(g); over != "" {
+	if over := e.describeMissingQuota(g); over != "" {
 		return over
 	}
 	return fmt.Sprintf("wants %d places (%d cores, %d MiB, %d accelerators each, label %q); has room for %d, %d if empty; %d hosts good, %d ticketed, places reserved on %d, for it on %d, %d questions asked; refused by rule: %s; %s",
-		g.waiting, g.step.Size.MilliCPU/1000, g.step.Size.MemoryMiB, g.step.Size.Accelerators, g.step.Label, room, roomIfEmpty, good, ticketed, reservedOn, len(g.reserved), g.advice.asking, strings.Join(rules, ", "), g.describeRuns(e, now))
+		g.waiting, g.step.Size.MilliCPU/1000, g.step.Size.MemoryMiB, g.step.Size.Accelerators, g.step.Label, room, roomIfEmpty, good, ticketed, reservedOn, len(g.reserved), g.advice.openQueries, strings.Join(rules, ", "), g.describeRuns(e, now))
 }
 
 // describeRuns describes the recorded runs of a step: a gang starts only when there are none.
@@ -84,17 +84,17 @@
 			continue
 		}
 		n++
-		if first == nil || r.sent.Before(first.sent) {
+		if first == nil || r.orderedAt.Before(first.orderedAt) {
 			first = r
 		}
 	}
 	if first == nil {
 		return "none of it in the books"
 	}
-	h := first.on
+	h := first.placedOn
 	return fmt.Sprintf("%d of it in the books, the oldest task %d, run %d on %s (%s, unwanted %t, known for %d ms; listed %t, life %d, silent for %d ms, lease over in %d ms)",
-		n, first.Task.Index, first.No, h.info.ID, first.state, first.unwanted, now.Sub(first.known).Milliseconds(),
-		h.listed, h.life, h.silentFor(now).Milliseconds(), e.leaseOver(h).Sub(now).Milliseconds())
+		n, first.Task.Index, first.No, h.info.ID, first.state, first.stopRequested, now.Sub(first.confirmedAt).Milliseconds(),
+		h.listed, h.incarnation, h.unresponsiveFor(now).Milliseconds(), e.leaseOver(h).Sub(now).Milliseconds())
 }
 
 // loadLogInterval is the interval between two "cell load" lines of the log.
@@ -107,12 +107,12 @@
 	longest time.Duration // longest wait among these steps
 }
 
-// tellLoad logs the usage of the cell and the waiting steps, by queue.
-func (e *Engine) tellLoad(now time.Time) {
-	if now.Sub(e.loadToldAt) < loadLogInterval {
+// logLoad logs the usage of the cell and the waiting steps, by queue.
+func (e *Engine) logLoad(now time.Time) {
+	if now.Sub(e.loadLoggedAt) < loadLogInterval {
 		return
 	}
-	e.loadToldAt, e.waitsTold = now, 0
+	e.loadLoggedAt, e.waitsLogged = now, 0
 	e.logQuotaWaits(now)
 	var size spec.Resources
 	queues, placeable := map[string]*queueLoad{}, 0
@@ -122,7 +122,7 @@
 		}
 		return queues[queue]
 	}
-	for _, h := range e.sorted {
+	for _, h := range e.hostsByID {
 		if !e.placeable(h, now) {
 			continue
 		}
@@ -136,8 +136,8 @@
 		}
 	}
 	silentRuns, longest := 0, time.Duration(0)
-	for _, h := range e.sorted {
-		if len(h.runs) > 0 && !h.silent.IsZero() {
+	for _, h := range e.hostsByID {
+		if len(h.runs) > 0 && !h.unresponsiveSince.IsZero() {
 			silentRuns += len(h.runs)
 			longest = max(longest, e.leaseOver(h).Sub(now))
 		}
@@ -159,15 +159,15 @@
 	}
 	sort.Strings(parts)
 	e.log(Event{What: "cell load", Why: fmt.Sprintf("%d of %d hosts take work; %s; %d steps have places reserved; %d questions asked; %d runs on silent hosts, the last lease over in %d ms",
-		placeable, len(e.sorted), strings.Join(parts, ", "), reserving, len(e.asks), silentRuns, longest.Milliseconds())})
+		placeable, len(e.hostsByID), strings.Join(parts, ", "), reserving, len(e.queries), silentRuns, longest.Milliseconds())})
 }
 
 // describe returns the queue's load as text for the log.
 func (q *queueLoad) describe(name string, size spec.Resources) string {
 	out := fmt.Sprintf("%s uses %.0f%% of processors, %.0f%% of memory", name,
-		100*share(q.used.MilliCPU, size.MilliCPU), 100*share(q.used.MemoryMiB, size.MemoryMiB))
+		100*fraction(q.used.MilliCPU, size.MilliCPU), 100*fraction(q.used.MemoryMiB, size.MemoryMiB))
 	if q.used.Accelerators > 0 {
-		out += fmt.Sprintf(", %.0f%% of accelerators", 100*share(q.used.Accelerators, size.Accelerators))
+		out += fmt.Sprintf(", %.0f%% of accelerators", 100*fraction(q.used.Accelerators, size.Accelerators))
 	}
 	if q.waiting > 0 {
 		out += fmt.Sprintf(" and has %d steps waiting, the longest for %d ms", q.waiting, q.longest.Milliseconds())
--- a/internal/engine/filters.go
+++ b/internal/engine/filters.go
@@ -10,15 +10,15 @@
 var filters = []filter{
 	{"service", func(g *group, h *hostState) bool { return h.info.Service == g.job.rec.Service }},
 	{"label", func(g *group, h *hostState) bool { return g.step.Label == "" || h.info.HasLabel(g.step.Label) }},
-	{"size", func(g *group, h *hostState) bool { return g.step.Booked().Fits(h.info.Size) }},
+	{"size", func(g *group, h *hostState) bool { return g.step.Allocation().Fits(h.info.Size) }},
 	{"policy", func(g *group, h *hostState) bool {
 		good, known := g.advice.known[h]
 		return good || !known
 	}},
 }
 
-// refusedBy returns the name of the first filter that rejects a host, or "".
-func refusedBy(g *group, h *hostState) string {
+// rejectedBy returns the name of the first filter that rejects a host, or "".
+func rejectedBy(g *group, h *hostState) string {
 	for _, f := range filters {
 		if !f.accepts(g, h) {
 			return f.name
--- a/internal/engine/fleet_test.go
+++ b/internal/engine/fleet_test.go
@@ -49,19 +49,19 @@
 var fleetKinds = []fleetKind{
 	{
 		name: "review", perSecond: 5.42, steps: 1.2, good: 25, value: 11.8,
-		rules: catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000, Advice: &catalog.Advice{DecideMillis: 600, PerHostMillis: 8.6, ValidMillis: 1500}},
+		rules: catalog.Rules{Priority: 1, CriticalPathFactor: 2.2, TargetMillis: 1000, PolicyQuery: &catalog.PolicyQuery{DecideMillis: 600, PerHostMillis: 8.6, ValidMillis: 1500}},
 		width: 40, widthSpread: 0.8, widthMost: 240, cores: 18, coresSpread: 0.4, coresMost: 30, gib: 52, gibSpread: 0.5, gibMost: 100,
 		work: 6200, workSpread: 0.5, workMost: 16000, taskSpread: 0.15, estimateSpread: 0.5, gang: 1, checkpointing: 0.5,
 	},
 	{
 		name: "survey", perSecond: 11.2, steps: 1.5, good: 45, value: 3.56,
-		rules: catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000, Advice: &catalog.Advice{DecideMillis: 140, PerHostMillis: 2, ValidMillis: 1500}},
+		rules: catalog.Rules{Priority: 2, CriticalPathFactor: 4, TargetMillis: 3000, PolicyQuery: &catalog.PolicyQuery{DecideMillis: 140, PerHostMillis: 2, ValidMillis: 1500}},
 		width: 50, widthSpread: 0.8, widthMost: 300, cores: 11, coresSpread: 0.45, coresMost: 33, gib: 31, gibSpread: 0.6, gibMost: 94,
 		work: 2200, workSpread: 0.5, workMost: 5400, taskSpread: 0.3, estimateSpread: 0.2, checkpointing: 0.8,
 	},
 	{
 		name: "ticket", perSecond: 142, steps: 1, good: 70, value: 0.394,
-		rules: catalog.Rules{Stretch: 1.5, TargetMillis: 250, Advice: &catalog.Advice{DecideMillis: 11, PerHostMillis: 0.16, ValidMillis: 1500}},
+		rules: catalog.Rules{CriticalPathFactor: 1.5, TargetMillis: 250, PolicyQuery: &catalog.PolicyQuery{DecideMillis: 11, PerHostMillis: 0.16, ValidMillis: 1500}},
 		width: 4.5, widthSpread: 0.8, widthMost: 27, cores: 16, coresSpread: 0.45, coresMost: 47, gib: 45, gibSpread: 0.6, gibMost: 130,
 		work: 800, workSpread: 0.5, workMost: 2000, taskSpread: 0.15, estimateSpread: 0.5, gang: 0.3,
 	},
@@ -92,28 +92,30 @@
 // newFleetLoad returns a load that arrives for d at a share of the specified rate.
 func newFleetLoad(t testing.TB, seed uint64, share float64, d time.Duration, bursts ...burst) *fleetLoad {
 	w := newWorld(t, seed)
-	w.bounds.LeaseLimit, w.bounds.StopTakes, w.bounds.GangWait = 10*time.Second, 900*time.Millisecond, 5*time.Second
-	w.bounds.CheckpointEvery, w.bounds.RestoreTakes = 2*time.Second, 600*time.Millisecond
-	w.fleet.Bounds.LeaseLimit, w.fleet.Bounds.StopTakes, w.fleet.Bounds.GangWait = w.bounds.LeaseLimit, w.bounds.StopTakes, w.bounds.GangWait
+	w.bounds.MaxLease, w.bounds.MaxStopTime, w.bounds.GangTimeout = 10*time.Second, 900*time.Millisecond, 5*time.Second
+	w.bounds.CheckpointInterval, w.bounds.RestoreTime = 2*time.Second, 600*time.Millisecond
+	w.fleet.Bounds.MaxLease, w.fleet.Bounds.MaxStopTime, w.fleet.Bounds.GangTimeout = w.bounds.MaxLease, w.bounds.MaxStopTime, w.bounds.GangTimeout
 	w.members = nil
 	for i := range fleetMembers {
 		w.members = append(w.members, fmt.Sprint("m", i))
 	}
 	for i, h := range w.fleet.Add(fleetSize, "s", spec.Resources{MilliCPU: 64000, MemoryMiB: 262144}) {
 		if i%3 == 2 {
-			h.Slow(1.3)
+			h.SetSlowdown(1.3)
 		}
 	}
 	l := &fleetLoad{w: w, rnd: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]*fleetJob{}, work: map[spec.StepTask]time.Duration{}}
-	w.fleet.Work = func(task spec.StepTask) time.Duration { return l.work[task] }
-	w.good = func(step spec.StepID, h host.ID) bool {
+	w.fleet.RunTime = func(task spec.StepTask) time.Duration { return l.work[task] }
+	w.permitted = func(step spec.StepID, h host.ID) bool {
 		f := fnv.New32a()
 		fmt.Fprint(f, step, h, seed)
 		return f.Sum32()%100 < l.jobs[step.Job].kind.good
 	}
 	w.queueOf = func(id string) string { return l.jobs[id].kind.name }
-	w.advised = func(o AskOrder) time.Duration { return w.jobs[o.Step.Job].Rules.Advice.Took(len(o.Hosts)) }
-	w.takeOver()
+	w.policyDelay = func(o QueryOrder) time.Duration {
+		return w.jobs[o.Step.Job].Rules.PolicyQuery.QueryDuration(len(o.Hosts))
+	}
+	w.failOver()
 	w.run(5 * time.Second)
 	for i := range fleetKinds {
 		l.scheduleArrivals(&fleetKinds[i], share, d, bursts)
@@ -172,7 +174,7 @@
 		criticalPath += time.Duration(longest * float64(time.Millisecond))
 		steps = append(steps, s)
 	}
-	j.target = time.Duration(k.rules.Stretch*float64(criticalPath)) + time.Duration(k.rules.TargetMillis)*time.Millisecond
+	j.target = time.Duration(k.rules.CriticalPathFactor*float64(criticalPath)) + time.Duration(k.rules.TargetMillis)*time.Millisecond
 	l.w.submit(id, k.rules, steps...)
 }
 
@@ -199,7 +201,7 @@
 		if l.w.shown[id] != record.StateCompleted {
 			continue
 		}
-		switch took := l.w.ended[id].Sub(j.at); {
+		switch took := l.w.finalSince[id].Sub(j.at); {
 		case took <= j.target:
 			earned += value
 		case took <= 3*j.target:
@@ -236,7 +238,7 @@
 					burst{"ticket", 6 * time.Second, 10 * time.Second, 2}, burst{"review", 11 * time.Second, 15 * time.Second, 1.7})
 				at := l.w.now()
 				l.w.run(lasts + 16*time.Second)
-				l.w.check()
+				l.w.checkInvariants()
 				mu.Lock()
 				defer mu.Unlock()
 				t.Logf("seed %d: %s", seed, l.summary(at, at.Add(lasts)))
@@ -260,7 +262,7 @@
 	l := newFleetLoad(t, 1, 0.87, 12*time.Second)
 	l.w.run(6 * time.Second)
 	at := l.w.now()
-	l.w.takeOver()
+	l.w.failOver()
 	started := map[string]time.Duration{}
 	settled := time.Duration(0)
 	l.w.engine.cfg.Log = func(e Event) {
@@ -274,7 +276,7 @@
 		}
 	}
 	l.w.run(3 * time.Second)
-	l.w.check()
+	l.w.checkInvariants()
 	first, late, all := time.Hour, 0, 0
 	for id, j := range l.jobs {
 		since := j.at.Sub(at)
--- a/internal/engine/foreign_test.go
+++ b/internal/engine/foreign_test.go
@@ -25,7 +25,7 @@
 		return c
 	}
 	e := New(Config{Epoch: 1, Bounds: testBounds, Tuning: DefaultTuning()})
-	e.SetProved(now.Add(time.Minute))
+	e.SetAuthority(now.Add(time.Minute))
 	e.SetCatalog(named(1, "s"), now)
 	info := func(id, service string) host.Info {
 		return host.Info{ID: host.ID(id), Addr: "10.1.1.1:80", Service: service, Size: size(64, 64)}
@@ -34,9 +34,9 @@
 	polled := func() map[host.ID]bool {
 		out := map[host.ID]bool{}
 		orders, _ := e.Next(now)
-		for _, l := range orders.Looks {
+		for _, l := range orders.Polls {
 			out[l.To.ID] = true
-			e.Viewed(l, now, host.View{Clock: 5}, nil, now)
+			e.Polled(l, now, host.View{Clock: 5}, nil, now)
 		}
 		return out
 	}
--- a/internal/engine/gang.go
+++ b/internal/engine/gang.go
@@ -7,10 +7,10 @@
 // runs of its members have ended.
 
 // gangIdle reports whether no member of the gang runs.
-func (g *group) gangIdle() bool { return g.waiting == g.left && g.left > 0 }
+func (g *group) gangIdle() bool { return g.waiting == g.undone && g.undone > 0 }
 
-// gangReleased handles a member's run that ended before the gang was done.
-func (e *Engine) gangReleased(g *group, r *run, now time.Time) {
+// handleMemberEnd handles a member's run that ended before the gang was done.
+func (e *Engine) handleMemberEnd(g *group, r *run, now time.Time) {
 	g.run = max(g.run, r.No)
 	if r.checkpoint != "" && r.percent >= g.checkpointPercent {
 		g.checkpoint, g.checkpointPercent = r.checkpoint, r.percent
@@ -18,7 +18,7 @@
 	g.setState(r.Task.Index, taskWaiting)
 	for i := range g.tasks {
 		if cur := g.tasks[i].cur; cur != nil {
-			e.unwant(cur, "another member of its gang has ended")
+			e.requestStop(cur, "another member of its gang has ended")
 		}
 	}
 	if g.gangIdle() {
@@ -30,13 +30,13 @@
 }
 
 // startGang starts every member on the chosen hosts.
-func (e *Engine) startGang(g *group, slots []seat, now time.Time) {
-	g.run, g.startedHere = e.nextRun(g.run), true
+func (e *Engine) startGang(g *group, slots []hostSlots, now time.Time) {
+	g.run, g.startedHere = e.nextRunNumber(g.run), true
 	e.logStart(g, len(g.tasks), len(slots), now)
 	i := 0
 	for _, s := range slots {
 		for range s.n {
-			e.start(g, i, g.run, s.host, g.checkpoint, now)
+			e.orderStart(g, i, g.run, s.host, g.checkpoint, now)
 			i++
 		}
 	}
@@ -44,8 +44,8 @@
 	e.refresh(g)
 }
 
-// seat is a number of task slots on a host.
-type seat struct {
+// hostSlots is a number of task slots on a host.
+type hostSlots struct {
 	host *hostState
 	n    int
 }
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -16,8 +16,8 @@
 type runState uint8
 
 const (
-	runOrdered runState = iota // start sent, no answer yet
-	runDoubt                   // start sent, the call failed without an acknowledgement
+	runOrdered        runState = iota // start sent, no answer yet
+	runUnacknowledged                 // start sent, the call failed without an acknowledgement
 	runRunning
 	runStopping // the host has answered a stop
 )
@@ -31,26 +31,26 @@
 // end or can not run it any more.
 type run struct {
 	host.Run
-	group   *group   // nil for a run of no live job
-	account *account // of the run's job; nil while not known
-	on      *hostState
-	size    spec.Resources
-	state   runState
+	group    *group   // nil for a run of no live job
+	account  *account // of the run's job; nil while not known
+	placedOn *hostState
+	size     spec.Resources
+	state    runState
 	// A run with unwanted set is to be stopped; stopSentAt is when the stop was last sent.
-	unwanted     bool
-	stopSent     time.Time
-	stopping     bool // the answer to a stop call is to come
-	resumed      bool // started from a checkpoint
-	adopted      bool // started by a previous holder
-	suspect      bool // hosts have crashed under its task
-	begun        bool // the host has acknowledged the start or reported the run
-	leftOver     bool // superseded: its task has another run, or had a later one
-	presentAtEnd bool // on the host when the host ended; see evidence.go
+	stopRequested bool
+	stopSentAt    time.Time
+	stopInFlight  bool // the answer to a stop call is to come
+	resumed       bool // started from a checkpoint
+	adopted       bool // started by a previous holder
+	suspect       bool // hosts have crashed under its task
+	acknowledged  bool // the host has acknowledged the start or reported the run
+	superseded    bool // superseded: its task has another run, or had a later one
+	presentAtEnd  bool // on the host when the host ended; see evidence.go
 	// deadline is the start's deadline by the host's clock.
 	deadline host.Millis
-	// sent is when the start was ordered, known when the host's answer or view last confirmed the state,
+	// orderedAt is when the start was ordered, known when the host's answer or view last confirmed the state,
 	// shown the production time of the last answer that confirms the run.
-	sent, known, shown time.Time
+	orderedAt, confirmedAt, shown time.Time
 
 	// percent is the completed share of the work at progressAt, when it last advanced; the first
 	// reported values are kept to compute the rate.
@@ -65,18 +65,18 @@
 // hostState is the state of one host and of the runs recorded on it.
 type hostState struct {
 	info             host.Info
-	pool             *pool     // of its service
-	life             host.Life // last reported, or taken from the roster; zero while not known
-	incarnationSince time.Time // when it was first reported
-	pastIncarnations []host.Life
+	servicePool      *servicePool     // of its service
+	incarnation      host.Incarnation // last reported, or taken from the roster; zero while not known
+	incarnationSince time.Time        // when it was first reported
+	pastIncarnations []host.Incarnation
 	endedBy          time.Time // latest time at which this incarnation can have ended; zero while it lives
 	drained          bool      // was draining before the next incarnation's entry replaced its entry
 	// listed is true while the host has an entry in the platform's list.
 	listed bool
 	// claimed is true once the host has reported its runs under this holder's epoch.
 	claimed bool
-	// gone is true once the host has certainly terminated.
-	gone bool
+	// terminated is true once the host has certainly terminated.
+	terminated bool
 
 	// clock is the host's clock in its last answer, which arrived at clockAt.
 	clock   host.Millis
@@ -84,84 +84,84 @@
 	// leased is the latest deadline that this process has sent to the host.
 	leased host.Millis
 
-	handled int64 // number of the last run end processed
-	seen    int64 // number of the last run end stored, up to which the host may forget them
-	kept    bool  // its last view listed ends that it had been told to forget
+	endsProcessed   int64 // number of the last run end processed
+	endsAcked       int64 // number of the last run end stored, up to which the host may forget them
+	ackedEndsListed bool  // its last view listed ends that it had been told to forget
 
-	strange []int64 // numbers of orphan ends (of unknown jobs), which the host has to keep
+	orphanEnds []int64 // numbers of orphan ends (of unknown jobs), which the host has to keep
 
-	looking           bool      // a poll other than a probe is in flight
+	pollInFlight      bool      // a poll other than a probe is in flight
 	probe             bool      // an extra poll beside the one in flight is wanted
 	presencePollsFrom time.Time // start of a suspect run from which presence polls are timed, zero when there are none
 	presencePolls     int       // presence polls made since
-	lookAt            time.Time
-	heard             time.Time   // time of the last answer of any kind
-	viewed            time.Time   // earliest time at which the latest view can have been produced
+	nextPollAt        time.Time
+	lastContact       time.Time   // time of the last answer of any kind
+	viewProducedAt    time.Time   // earliest time at which the latest view can have been produced
 	origin            clockOrigin // of its clock
-	// rostered is true while the stored roster has the host as open; see roster.go.
-	rostered bool
-	// shut is true while the host is unresponsive and therefore to be closed in the roster.
-	shut bool
+	// openInRoster is true while the stored roster has the host as open; see roster.go.
+	openInRoster bool
+	// closeInRoster is true while the host is unresponsive and therefore to be closed in the roster.
+	closeInRoster bool
 	// inherited is true if the host was in the previous holder's roster, inheritedShut if it was closed
 	// there; mayRun lists the runs that may be on it.
-	inherited, inheritedShut    bool
-	mayRun                      []mayRun
-	tried                       []mayRun  // suspect runs that the previous holder last started there
-	processEnded, endAttributed bool      // the process has certainly ended; that end was attributed to the runs present
-	missedAt                    time.Time // when the first unanswered request since the last answer was sent
-	connBrokenAt                time.Time // when a connection to it broke; zero once it has answered since
-	silent                      time.Time // since when calls have gone unanswered; zero while they are answered
-	refused                     time.Time // since when connections to it have failed as well
+	inherited, inheritedClosed  bool
+	possibleRuns                []possibleRun
+	lastAttempts                []possibleRun // suspect runs that the previous holder last started there
+	processEnded, endAttributed bool          // the process has certainly ended; that end was attributed to the runs present
+	firstMissedAt               time.Time     // when the first unanswered request since the last answer was sent
+	connBrokenAt                time.Time     // when a connection to it broke; zero once it has answered since
+	unresponsiveSince           time.Time     // since when calls have gone unanswered; zero while they are answered
+	unreachableSince            time.Time     // since when connections to it have failed as well
 
 	runs map[host.Run]*run
 	used spec.Resources
 
-	fails      int // consecutive failures
-	failedJob  string
-	setAside   time.Time // excluded from placement until then
-	exclusions int
+	failures      int // consecutive failures
+	failedJob     string
+	excludedUntil time.Time // excluded from placement until then
+	exclusions    int
 
-	work paceOfWork // how fast tasks run here
+	speed runTimeFactor // how fast tasks run here
 
 	reserved []reservation // capacity reserved for gangs
 
-	governor *pacing.Governor // nil until serving tasks and fillers have shared the host
-	leavesAt time.Time        // earliest departure of a draining host
-	closed   bool             // cordoned: to be emptied for the maintenance of its machine
+	governor  *pacing.Throttle // nil until serving tasks and fillers have shared the host
+	departsAt time.Time        // earliest departure of a draining host
+	cordoned  bool             // cordoned: to be emptied for the maintenance of its machine
 
-	// room is how much of the host's size may be allocated, as last reported by the host; capacityReportedAt is
+	// capacity is how much of the host's size may be allocated, as last reported by the host; capacityReportedAt is
 	// the time of that report.
-	room   spec.Resources
-	saidAt time.Time
-	// fullSize is the last size refused for lack of capacity, taken as valid until refusedUntil;
+	capacity           spec.Resources
+	capacityReportedAt time.Time
+	// refusedSize is the last size refused for lack of capacity, taken as valid until refusedUntil;
 	// overCapacitySince is since when the runs have exceeded the capacity.
-	fullSize  spec.Resources
-	fullUntil time.Time
-	overSince time.Time
+	refusedSize       spec.Resources
+	refusedUntil      time.Time
+	overCapacitySince time.Time
 
-	startedAt  time.Time // when a run was last started there, and of which job
-	startedJob *job
-	suspects   int // runs there whose tasks have crashed hosts
+	startedAt   time.Time // when a run was last started there, and of which job
+	startedJob  *job
+	suspectRuns int // runs there whose tasks have crashed hosts
 	// Until quarantineUntil only starts of quarantinedJob are accepted there; see quarantine.go.
 	quarantinedJob  *job
 	quarantineUntil time.Time
-	// accused are the runs lost when the host's lease was over, while it is not known whether the host
+	// pendingAttributions are the runs lost when the host's lease was over, while it is not known whether the host
 	// has crashed.
-	accused []accusation
+	pendingAttributions []attribution
 }
 
 func (e *Engine) newHost(info host.Info) *hostState {
-	h := &hostState{info: info, room: info.Size, pool: e.poolOf(info.Service), runs: map[host.Run]*run{}}
+	h := &hostState{info: info, capacity: info.Size, servicePool: e.poolOf(info.Service), runs: map[host.Run]*run{}}
 	e.hosts[info.ID] = h
 	at, _ := e.position(info.ID)
-	e.sorted = slices.Insert(e.sorted, at, h)
-	e.rosterBehind = true
+	e.hostsByID = slices.Insert(e.hostsByID, at, h)
+	e.rosterOutdated = true
 	return h
 }
 
 // position returns the index of a host in the sorted list, or where it would be inserted.
 func (e *Engine) position(id host.ID) (int, bool) {
-	return slices.BinarySearchFunc(e.sorted, id, func(h *hostState, id host.ID) int {
+	return slices.BinarySearchFunc(e.hostsByID, id, func(h *hostState, id host.ID) int {
 		return cmp.Compare(h.info.ID, id)
 	})
 }
@@ -170,15 +170,15 @@
 func (e *Engine) forgetHost(h *hostState) {
 	delete(e.hosts, h.info.ID)
 	if at, found := e.position(h.info.ID); found {
-		e.sorted = slices.Delete(e.sorted, at, at+1)
+		e.hostsByID = slices.Delete(e.hostsByID, at, at+1)
 	}
-	h.unreserveHost()
-	delete(e.unpaced, h)
-	e.rosterBehind = true
+	h.releaseReservations()
+	delete(e.throttlesOutdated, h)
+	e.rosterOutdated = true
 }
 
 // free returns the capacity that is not allocated.
-func (h *hostState) free() spec.Resources { return h.room.Sub(h.used) }
+func (h *hostState) free() spec.Resources { return h.capacity.Sub(h.used) }
 
 // now estimates the present reading of the host's clock.
 func (h *hostState) now(now time.Time) host.Millis {
@@ -186,105 +186,105 @@
 }
 
 // recordContact records an answer of the host.
-func (h *hostState) heardFrom(now time.Time) {
-	h.heard, h.silent, h.refused, h.missedAt, h.connBrokenAt = now, time.Time{}, time.Time{}, time.Time{}, time.Time{}
+func (h *hostState) recordContact(now time.Time) {
+	h.lastContact, h.unresponsiveSince, h.unreachableSince, h.firstMissedAt, h.connBrokenAt = now, time.Time{}, time.Time{}, time.Time{}, time.Time{}
 }
 
 // knowsClock reports whether the host's clock was ever read. A reading may be zero, as a host's clock
 // starts with its incarnation.
 func (h *hostState) knowsClock() bool { return !h.clockAt.IsZero() }
 
-// silentFor returns how long calls have gone unanswered.
-func (h *hostState) silentFor(now time.Time) time.Duration {
-	if h.silent.IsZero() {
+// unresponsiveFor returns how long calls have gone unanswered.
+func (h *hostState) unresponsiveFor(now time.Time) time.Duration {
+	if h.unresponsiveSince.IsZero() {
 		return 0
 	}
-	return now.Sub(h.silent)
+	return now.Sub(h.unresponsiveSince)
 }
 
 // recordFailedCall records a call that got no answer.
-func (h *hostState) unanswered(err error, now time.Time) {
-	if h.silent.IsZero() {
-		h.silent = now
+func (h *hostState) recordFailedCall(err error, now time.Time) {
+	if h.unresponsiveSince.IsZero() {
+		h.unresponsiveSince = now
 	}
-	if h.refused.IsZero() && errors.Is(err, host.ErrNotSent) {
-		h.refused = now
+	if h.unreachableSince.IsZero() && errors.Is(err, host.ErrNotSent) {
+		h.unreachableSince = now
 	}
-	if errors.Is(err, host.ErrBroken) && h.connBrokenAt.IsZero() {
+	if errors.Is(err, host.ErrConnectionBroken) && h.connBrokenAt.IsZero() {
 		h.connBrokenAt = now
 	}
-	if errors.Is(err, host.ErrRefused) && !h.processEnded {
+	if errors.Is(err, host.ErrConnectionRefused) && !h.processEnded {
 		h.recordPresence(now)
 	}
 }
 
 // recorded reports whether a run, which may be nil, is recorded on its host.
-func (r *run) booked() bool { return r != nil && r.on.runs[r.Run] == r }
+func (r *run) recorded() bool { return r != nil && r.placedOn.runs[r.Run] == r }
 
 // addRun records a run on the host.
-func (h *hostState) add(r *run) {
-	r.on = h
+func (h *hostState) addRun(r *run) {
+	r.placedOn = h
 	h.runs[r.Run] = r
 	h.used = h.used.Add(r.size)
 	r.account.charge(r)
 	if r.suspect {
-		h.suspects++
+		h.suspectRuns++
 	}
 	if r.group != nil {
 		r.group.perHost[h]++
 	}
-	if r.leftOver {
-		r.group.countLeftOver(r, 1)
+	if r.superseded {
+		r.group.countSuperseded(r, 1)
 	}
 }
 
 // removeRun removes a run from its host.
-func (e *Engine) remove(r *run) {
-	h := r.on
+func (e *Engine) removeRun(r *run) {
+	h := r.placedOn
 	if h.runs[r.Run] != r {
 		return
 	}
 	delete(h.runs, r.Run)
-	delete(e.unwanted, r)
+	delete(e.stopRequested, r)
 	h.used = h.used.Sub(r.size)
 	r.account.discharge(r)
 	if r.state != runOrdered {
-		h.fullUntil = time.Time{}
+		h.refusedUntil = time.Time{}
 	}
 	e.endQuarantine(r)
-	e.room++
+	e.capacityChanges++
 	g := r.group
 	if g == nil {
-		e.countStranger(r, -1)
+		e.countOrphan(r, -1)
 		return
 	}
 	if g.perHost[h]--; g.perHost[h] <= 0 {
 		delete(g.perHost, h)
 	}
-	if r.leftOver {
-		g.countLeftOver(r, -1)
+	if r.superseded {
+		g.countSuperseded(r, -1)
 	}
 }
 
 // requestStop schedules a run to be stopped.
-func (e *Engine) unwant(r *run, why string) {
-	if r.on.runs[r.Run] != r || r.unwanted {
+func (e *Engine) requestStop(r *run, why string) {
+	if r.placedOn.runs[r.Run] != r || r.stopRequested {
 		return
 	}
-	r.unwanted = true
-	e.unwanted[r] = struct{}{}
-	e.log(Event{What: "run stopped", Job: r.Task.Job, Step: r.Task.StepID.String(), Host: string(r.on.info.ID), Why: why, Age: e.now.Sub(r.sent)})
+	r.stopRequested = true
+	e.stopRequested[r] = struct{}{}
+	e.log(Event{What: "run stopped", Job: r.Task.Job, Step: r.Task.StepID.String(), Host: string(r.placedOn.info.ID), Why: why, Age: e.now.Sub(r.orderedAt)})
 }
 
 // SetHosts replaces the list of hosts by the platform's whole list.
 func (e *Engine) SetHosts(list []host.Info, now time.Time) {
-	clear(e.foreign)
+	clear(e.unconfiguredHosts)
 	listed := make(map[host.ID]bool, len(list))
 	for _, info := range list {
 		listed[info.ID] = true
 		e.setHost(info, now)
 	}
-	for _, h := range slices.Clone(e.sorted) {
+	for _, h := range slices.Clone(e.hostsByID) {
 		if h.listed && !listed[h.info.ID] {
 			e.unlist(h, now)
 		}
@@ -296,7 +296,7 @@
 
 // DropHost handles the removal of a host's entry from the list.
 func (e *Engine) DropHost(id host.ID, now time.Time) {
-	delete(e.foreign, id)
+	delete(e.unconfiguredHosts, id)
 	if h := e.hosts[id]; h != nil && h.listed {
 		e.unlist(h, now)
 	}
@@ -304,37 +304,37 @@
 
 func (e *Engine) setHost(info host.Info, now time.Time) {
 	h := e.hosts[info.ID]
-	if !e.named(info.Service) {
-		e.foreign[info.ID] = info
+	if !e.serviceConfigured(info.Service) {
+		e.unconfiguredHosts[info.ID] = info
 		if h != nil && h.listed {
 			e.unlist(h, now)
 		}
 		return
 	}
-	delete(e.foreign, info.ID)
+	delete(e.unconfiguredHosts, info.ID)
 	if h == nil {
 		h = e.newHost(info)
-		h.lookAt = now
+		h.nextPollAt = now
 		e.log(Event{What: "host listed", Host: string(info.ID), Why: info.Zone + " " + strings.Join(info.Labels, " ")})
 	}
 	if info.Draining && !h.info.Draining {
 		e.log(Event{What: "host draining", Host: string(info.ID)})
-		h.unreserveHost()
+		h.releaseReservations()
 	}
 	if !h.listed && h.claimed {
-		h.lookAt = now
+		h.nextPollAt = now
 	}
 	if !h.listed || h.info.Draining != info.Draining || h.info.Size != info.Size {
-		e.room++
-		h.fullUntil = time.Time{}
+		e.capacityChanges++
+		h.refusedUntil = time.Time{}
 	}
 	e.checkListedIncarnation(h, info, now)
-	e.roomSaid(h, info, now)
+	e.updateCapacity(h, info, now)
 	h.listed = true
-	h.info, h.pool = info, e.poolOf(info.Service)
-	h.pool.biggest = h.pool.biggest.Max(info.Size)
+	h.info, h.servicePool = info, e.poolOf(info.Service)
+	h.servicePool.maxSize = h.servicePool.maxSize.Max(info.Size)
 	if info.Draining {
-		h.leavesAt = now.Add(info.Remaining)
+		h.departsAt = now.Add(info.Remaining)
 	}
 }
 
@@ -344,12 +344,12 @@
 	h.listed = false
 	e.log(Event{What: "host not listed", Host: string(h.info.ID)})
 	if len(h.runs) == 0 && h.claimed {
-		e.attributeCrash(h, h.accused, now)
+		e.attributeCrash(h, h.pendingAttributions, now)
 		e.forgetHost(h)
 		return
 	}
-	if !h.looking {
-		h.lookAt = now
+	if !h.pollInFlight {
+		h.nextPollAt = now
 	}
 }
 
@@ -357,8 +357,8 @@
 // eligible for a moment. One that could not even be reached is excluded at once, because its next call
 // fails as well and urgent work would be tried there until it is late.
 func (e *Engine) placeable(h *hostState, now time.Time) bool {
-	return h.listed && h.claimed && h.rostered && !h.gone && !h.info.Draining && !h.closed && !now.Before(h.setAside) &&
-		h.refused.IsZero() && (h.silent.IsZero() || now.Sub(h.silent) < e.cfg.Tuning.SilentAfter)
+	return h.listed && h.claimed && h.openInRoster && !h.terminated && !h.info.Draining && !h.cordoned && !now.Before(h.excludedUntil) &&
+		h.unreachableSince.IsZero() && (h.unresponsiveSince.IsZero() || now.Sub(h.unresponsiveSince) < e.cfg.Tuning.UnresponsiveAfter)
 }
 
 // deadline returns the reading of the host's clock in d from now.
@@ -378,26 +378,26 @@
 
 // recordFailure counts a failure against a host. Consecutive failures of a single job count once, as
 // they may be the job's own fault.
-func (e *Engine) blame(h *hostState, job string, now time.Time) {
-	if h.fails == 0 || h.failedJob != job {
-		h.fails++
+func (e *Engine) recordFailure(h *hostState, job string, now time.Time) {
+	if h.failures == 0 || h.failedJob != job {
+		h.failures++
 		h.failedJob = job
 	}
-	if h.fails < e.cfg.Tuning.SetAsideAfter {
+	if h.failures < e.cfg.Tuning.ExcludeAfter {
 		return
 	}
-	e.setAside(h, now, "consecutive failures")
+	e.exclude(h, now, "consecutive failures")
 }
 
 // maxExclusionDoublings bounds the doubling of the time for which a host is excluded from placement.
 const maxExclusionDoublings = 3
 
-func (e *Engine) setAside(h *hostState, now time.Time, why string) {
-	h.setAside = now.Add(e.cfg.Tuning.SetAsideFor << min(h.exclusions, maxExclusionDoublings))
+func (e *Engine) exclude(h *hostState, now time.Time, why string) {
+	h.excludedUntil = now.Add(e.cfg.Tuning.ExcludeFor << min(h.exclusions, maxExclusionDoublings))
 	h.exclusions++
-	h.fails = 0
+	h.failures = 0
 	e.log(Event{What: "host set aside", Host: string(h.info.ID), Why: why})
 }
 
 // recordSuccess resets a host's failure counts after a completed task.
-func (h *hostState) praise() { h.fails, h.exclusions, h.failedJob = 0, 0, "" }
+func (h *hostState) recordSuccess() { h.failures, h.exclusions, h.failedJob = 0, 0, "" }
--- a/internal/engine/incarnation.go
+++ b/internal/engine/incarnation.go
@@ -24,39 +24,39 @@
 
 // observeIncarnation handles the incarnation named in the answer to a poll that was sent at sent. It
 // returns the state of that incarnation, or nil if the incarnation has ended.
-func (e *Engine) lifeShown(h *hostState, v host.View, sent, now time.Time) *hostState {
+func (e *Engine) observeIncarnation(h *hostState, v host.View, sent, now time.Time) *hostState {
 	switch {
-	case v.Life == 0:
-		h.life = 0 // the host stopped naming its incarnation, so a start for a named one would never arrive
+	case v.Incarnation == 0:
+		h.incarnation = 0 // the host stopped naming its incarnation, so a start for a named one would never arrive
 		return h
-	case v.Life == h.life:
+	case v.Incarnation == h.incarnation:
 		return h
-	case h.life == 0:
-		h.setIncarnation(v.Life, now)
-		e.rosterBehind = true
+	case h.incarnation == 0:
+		h.setIncarnation(v.Incarnation, now)
+		e.rosterOutdated = true
 		return h
-	case h.isPast(v.Life, sent):
+	case h.isPast(v.Incarnation, sent):
 		return nil
 	}
 	return e.beginIncarnation(h, v, sent, now)
 }
 
-func (h *hostState) setIncarnation(incarnation host.Life, now time.Time) {
-	h.life, h.incarnationSince = incarnation, now
+func (h *hostState) setIncarnation(incarnation host.Incarnation, now time.Time) {
+	h.incarnation, h.incarnationSince = incarnation, now
 }
 
 // incarnationName names one incarnation of the host, or the host if it does not name its incarnations.
-func (h *hostState) lifeName() string {
-	if h.life == 0 {
+func (h *hostState) incarnationName() string {
+	if h.incarnation == 0 {
 		return string(h.info.ID)
 	}
-	return fmt.Sprintf("%s/%d", h.info.ID, h.life)
+	return fmt.Sprintf("%s/%d", h.info.ID, h.incarnation)
 }
 
 // isPast reports whether an incarnation that answered a poll sent at sent had ended before the current
 // one was first seen.
-func (h *hostState) isPast(incarnation host.Life, sent time.Time) bool {
-	return slices.Contains(h.pastIncarnations, incarnation) || incarnation < h.life && sent.Before(h.incarnationSince)
+func (h *hostState) isPast(incarnation host.Incarnation, sent time.Time) bool {
+	return slices.Contains(h.pastIncarnations, incarnation) || incarnation < h.incarnation && sent.Before(h.incarnationSince)
 }
 
 // beginIncarnation replaces the state of an ended incarnation by that of the next. Runs that the next
@@ -64,21 +64,21 @@
 // crash.
 func (e *Engine) beginIncarnation(h *hostState, v host.View, sent, now time.Time) *hostState {
 	e.log(Event{
-		What: "host in another life", Host: string(h.info.ID), Age: now.Sub(h.heard),
+		What: "host in another life", Host: string(h.info.ID), Age: now.Sub(h.lastContact),
 		Why: fmt.Sprintf("incarnation started at %d, the previous one at %d; clock %d, expected %d, leased until %d; %d runs recorded, %d reported; ends processed up to %d, acknowledged up to %d, %d listed",
-			v.Life, h.life, v.Clock, h.now(now), h.leased, len(h.runs), len(v.Running), h.handled, h.seen, len(v.Ended)),
+			v.Incarnation, h.incarnation, v.Clock, h.now(now), h.leased, len(h.runs), len(v.Running), h.endsProcessed, h.endsAcked, len(v.Ended)),
 	})
-	h.recordEndedBy(h.silent, v.Clock, now)
-	h.accused = append(h.accused, e.unacknowledgedStarts(h, v, now)...)
+	h.recordEndedBy(h.unresponsiveSince, v.Clock, now)
+	h.pendingAttributions = append(h.pendingAttributions, e.unacknowledgedStarts(h, v, now)...)
 	survivors := e.detachSurvivors(h, v, sent)
 	quarantinedJob, quarantineUntil := h.quarantinedJob, h.quarantineUntil
-	e.hostGone(h, now, "restarted under the same id")
+	e.removeTerminatedHost(h, now, "restarted under the same id")
 	next := e.newHost(h.info)
-	next.room, next.saidAt = h.room, h.saidAt
-	next.listed, next.rostered, next.shut, next.closed = h.listed, h.rostered, h.shut, h.closed
-	next.leavesAt, next.looking, next.probe = h.leavesAt, h.looking, h.probe
-	next.pastIncarnations = append(h.pastIncarnations[max(0, len(h.pastIncarnations)-maxPastIncarnations+1):], h.life)
-	next.setIncarnation(v.Life, now)
+	next.capacity, next.capacityReportedAt = h.capacity, h.capacityReportedAt
+	next.listed, next.openInRoster, next.closeInRoster, next.cordoned = h.listed, h.openInRoster, h.closeInRoster, h.cordoned
+	next.departsAt, next.pollInFlight, next.probe = h.departsAt, h.pollInFlight, h.probe
+	next.pastIncarnations = append(h.pastIncarnations[max(0, len(h.pastIncarnations)-maxPastIncarnations+1):], h.incarnation)
+	next.setIncarnation(v.Incarnation, now)
 	for _, r := range survivors {
 		e.attach(next, r)
 		if r.group != nil && r.group.job == quarantinedJob {
@@ -91,11 +91,11 @@
 // unacknowledgedStarts gathers the evidence against unanswered starts that the next incarnation does not
 // report. They move over to it because it may yet start them; but they may also have crashed the
 // previous incarnation, and would crash one host after another if nothing were attributed to them.
-func (e *Engine) unacknowledgedStarts(h *hostState, v host.View, now time.Time) []accusation {
+func (e *Engine) unacknowledgedStarts(h *hostState, v host.View, now time.Time) []attribution {
 	shown := reportedRuns(v)
-	return slices.DeleteFunc(e.attributions(h, now), func(a accusation) bool {
+	return slices.DeleteFunc(e.attributions(h, now), func(a attribution) bool {
 		r := h.runs[a.run]
-		return r == nil || r.state != runDoubt || shown[a.run]
+		return r == nil || r.state != runUnacknowledged || shown[a.run]
 	})
 }
 
@@ -105,12 +105,12 @@
 	shown := reportedRuns(v)
 	var out []*run
 	for key, r := range h.runs {
-		if shown[key] || r.state == runOrdered || r.state == runDoubt || !r.known.Before(sent) {
+		if shown[key] || r.state == runOrdered || r.state == runUnacknowledged || !r.confirmedAt.Before(sent) {
 			out = append(out, r)
 		}
 	}
 	for _, r := range out {
-		e.remove(r)
+		e.removeRun(r)
 	}
 	return out
 }
@@ -119,24 +119,24 @@
 // incarnation's clock, so it does not tell when the start can no longer take effect.
 func (e *Engine) attach(h *hostState, r *run) {
 	r.deadline = noDeadline
-	h.add(r)
-	if r.unwanted {
-		e.unwanted[r] = struct{}{}
+	h.addRun(r)
+	if r.stopRequested {
+		e.stopRequested[r] = struct{}{}
 	}
 	if r.group == nil {
-		e.countStranger(r, 1)
+		e.countOrphan(r, 1)
 	}
 }
 
 // updateClock takes a reading of a host's clock. A reading that does not fit the earlier ones is another
 // incarnation's; all that was leased by the former clock then lasts at most as long as the longest lease
 // that a host grants. It reports whether the reading fits.
-func (e *Engine) hear(h *hostState, c host.Millis, now time.Time) (fits bool) {
+func (e *Engine) updateClock(h *hostState, c host.Millis, now time.Time) (fits bool) {
 	fits = !h.knowsClock() || e.clockFits(h, c, now)
 	h.clock, h.clockAt = c, now
 	if !fits {
 		h.origin = clockOrigin{}
-		h.leased = c + host.Millis((e.cfg.Bounds.LeaseLimit + e.cfg.Tuning.OrderLife).Milliseconds())
+		h.leased = c + host.Millis((e.cfg.Bounds.MaxLease + e.cfg.Tuning.StartTTL).Milliseconds())
 	}
 	return fits
 }
@@ -164,23 +164,23 @@
 
 // recordReply takes the host's clock from the answer to an order; zero if the answer has none. The host
 // is polled at once if another incarnation seems to have answered.
-func (e *Engine) hearReply(h *hostState, c host.Millis, now time.Time) {
-	silent, expected := h.silent, h.now(now)
-	h.heardFrom(now)
-	if c == 0 || e.hear(h, c, now) {
+func (e *Engine) recordReply(h *hostState, c host.Millis, now time.Time) {
+	unresponsiveSince, expected := h.unresponsiveSince, h.now(now)
+	h.recordContact(now)
+	if c == 0 || e.updateClock(h, c, now) {
 		return
 	}
-	h.recordEndedBy(silent, c, now)
+	h.recordEndedBy(unresponsiveSince, c, now)
 	e.log(Event{What: "host's clock does not fit", Host: string(h.info.ID), Why: fmt.Sprintf("reads %d, expected %d", c, expected)})
-	e.askAgain(h, now)
+	e.pollSoon(h, now)
 }
 
 // checkListedIncarnation handles the incarnation named in a host's entry. The entry may be older than
 // the host's last view, so a difference only triggers a poll.
 func (e *Engine) checkListedIncarnation(h *hostState, info host.Info, now time.Time) {
-	if info.Life == 0 || h.life == 0 || info.Life == h.life || slices.Contains(h.pastIncarnations, info.Life) {
+	if info.Incarnation == 0 || h.incarnation == 0 || info.Incarnation == h.incarnation || slices.Contains(h.pastIncarnations, info.Incarnation) {
 		return
 	}
 	h.drained = h.drained || h.info.Draining
-	e.askAgain(h, now)
+	e.pollSoon(h, now)
 }
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -20,20 +20,20 @@
 	undoneGroups int      // groups that are not done
 	// started is true once any of its tasks has run.
 	started bool
-	// told is the batch that stores the final state: callers are told of a final state only once that
+	// finalBatch is the batch that stores the final state: callers are told of a final state only once that
 	// batch is durable.
-	told uint64
+	finalBatch uint64
 	// storedProgress is true while the store holds a progress record.
 	storedProgress bool
 	accepted       time.Time
 	urgency        urgency
 	urgencyAt      time.Time // when urgency was computed
-	// crashesNew is true while crashes attributed to its tasks are not part of a batch; crashesIn is the
+	// crashesUnsaved is true while crashes attributed to its tasks are not part of a batch; crashesIn is the
 	// last batch that held some.
-	crashesNew bool
-	crashesIn  uint64
-	trialAt    *hostState // host on which it is quarantined, valid only while that host's trialOf refers to this job
-	why        string     // reason of its end, where the state does not tell it
+	crashesUnsaved bool
+	crashesBatch   uint64
+	quarantinedOn  *hostState // host on which it is quarantined, valid only while that host's trialOf refers to this job
+	endReason      string     // reason of its end, where the state does not tell it
 }
 
 func (j *job) id() string { return j.rec.ID }
@@ -42,9 +42,9 @@
 type taskState uint8
 
 const (
-	taskWaiting taskState = iota // not running
-	taskUnsure                   // may run on a host that has not reported since the failover
-	taskActive                   // ordered, running or being stopped
+	taskWaiting     taskState = iota // not running
+	taskUnconfirmed                  // may run on a host that has not reported since the failover
+	taskActive                       // ordered, running or being stopped
 	taskDone
 )
 
@@ -53,9 +53,9 @@
 	state taskState
 	run   int // number of the current or last run
 	cur   *run
-	// leftOver counts the recorded superseded runs of the task. It does not start before they are gone.
-	leftOver int
-	failed   []int // numbers of the failed runs
+	// superseded counts the recorded superseded runs of the task. It does not start before they are gone.
+	superseded int
+	failed     []int // numbers of the failed runs
 	// crashes are the crashes of hosts that ran the task.
 	crashes crashloop.History
 	// checkpoint is where the next run resumes; empty starts from the beginning.
@@ -70,15 +70,15 @@
 
 // group is a step of one occurrence of a job.
 type group struct {
-	job   *job
-	id    spec.StepID
-	step  *spec.Step
-	due   time.Time // earliest start; zero if there is none
-	needs int       // preceding steps that are not done
-	tasks []task
-	left  int // tasks that are not done
+	job         *job
+	id          spec.StepID
+	step        *spec.Step
+	due         time.Time // earliest start; zero if there is none
+	pendingDeps int       // preceding steps that are not done
+	tasks       []task
+	undone      int // tasks that are not done
 	// waiting counts the tasks in taskWaiting, leftOver the superseded runs that its tasks wait for.
-	waiting, leftOver int
+	waiting, superseded int
 	// largeTasks is true when a host holds only a few of its tasks. It is valid once classified is set; see
 	// plan_large.go.
 	largeTasks, classified bool
@@ -89,15 +89,15 @@
 	// expected is the expected run time of a task.
 	expected time.Duration
 	// doneAt is when its last task was done.
-	doneAt time.Time
-	toldAt time.Time // when the reason to wait was last logged
+	doneAt       time.Time
+	waitLoggedAt time.Time // when the reason to wait was last logged
 	// readySince is when the step became due.
 	readySince time.Time
 
 	// perHost counts active tasks by host.
 	perHost map[*hostState]int
-	// standing is the highest crash suspicion of its tasks.
-	standing    crashloop.Standing
+	// suspicion is the highest crash suspicion of its tasks.
+	suspicion   crashloop.Suspicion
 	advice      policyState
 	lastAttempt placementAttempt
 	ready       bool // in the engine's ready steps
@@ -113,7 +113,7 @@
 	reserved          []*hostState
 	reservedAt        time.Time // when the reservation was computed
 	reservedFrom      time.Time // when the reserved slots are expected to be free
-	settled           time.Time // the reservation is kept until then, as tickets for its hosts are on their way
+	keepUntil         time.Time // the reservation is kept until then, as tickets for its hosts are on their way
 	preemptedAt       time.Time // when the capacity that is being preempted for the gang is free
 	preemptAt         time.Time // when to preempt others for the gang
 	estimatedEnd      time.Time // expected end of its run, computed at estimatedAt
@@ -123,21 +123,21 @@
 
 // policyState is what the policy service has replied for a step.
 type policyState struct {
-	known   map[*hostState]bool // false: the host may never run the step
-	good    []*hostState        // hosts that may run the step
-	tickets map[*hostState]ticket
-	asking  int
-	answers int // queries answered so far
-	// askAfter is the earliest time of the next query.
-	askAfter time.Time
+	known       map[*hostState]bool // false: the host may never run the step
+	permitted   []*hostState        // hosts that may run the step
+	tickets     map[*hostState]ticket
+	openQueries int
+	answers     int // queries answered so far
+	// nextQueryAt is the earliest time of the next query.
+	nextQueryAt time.Time
 }
 
 // placementAttempt is the last placement attempt of a step and the state on which it was based.
 type placementAttempt struct {
-	at      time.Time
-	backoff time.Duration // until the next attempt
-	room    uint64
-	answers int
+	at              time.Time
+	backoff         time.Duration // until the next attempt
+	capacityChanges uint64
+	answers         int
 }
 
 type ticket struct {
@@ -166,8 +166,8 @@
 	s := &j.rec.Graph.Steps[step]
 	return &group{
 		job: j, step: s, id: spec.StepID{Job: j.id(), Occurrence: occurrence, Step: step},
-		due: j.rec.Graph.Due(occurrence), needs: len(s.After),
-		tasks: make([]task, s.Count), left: s.Count, waiting: s.Count,
+		due: j.rec.Graph.Due(occurrence), pendingDeps: len(s.After),
+		tasks: make([]task, s.Count), undone: s.Count, waiting: s.Count,
 		perHost: map[*hostState]int{},
 	}
 }
@@ -200,28 +200,28 @@
 	switch t.state {
 	case taskWaiting:
 		g.waiting--
-	case taskUnsure:
+	case taskUnconfirmed:
 		g.job.account.addUnconfirmed(g, -1)
 	}
 	t.state = s
 	switch s {
 	case taskWaiting:
 		g.waiting++
-	case taskUnsure:
+	case taskUnconfirmed:
 		g.job.account.addUnconfirmed(g, 1)
 	}
 }
 
-// left returns the size of the tasks of the job that may be running; backfill tasks are summed separately.
-func (j *job) left() (others, backfill spec.Resources) {
+// possibleUsage returns the size of the tasks of the job that may be running; backfill tasks are summed separately.
+func (j *job) possibleUsage() (others, backfill spec.Resources) {
 	for _, g := range j.groups {
-		n := g.leftOver
+		n := g.superseded
 		for i := range g.tasks {
-			if t := &g.tasks[i]; t.state == taskUnsure || t.cur.booked() {
+			if t := &g.tasks[i]; t.state == taskUnconfirmed || t.cur.recorded() {
 				n++
 			}
 		}
-		if g.step.Filler {
+		if g.step.Backfill {
 			backfill = backfill.Add(g.step.Size.Times(int64(n)))
 		} else {
 			others = others.Add(g.step.Size.Times(int64(n)))
@@ -235,7 +235,7 @@
 
 // refresh updates the membership of the group in the ready set.
 func (e *Engine) refresh(g *group) {
-	if g.needs > 0 || g.waiting == 0 || g.job.state.Final() {
+	if g.pendingDeps > 0 || g.waiting == 0 || g.job.state.Final() {
 		e.removeReady(g)
 		return
 	}
@@ -256,10 +256,10 @@
 	g.releaseReservation()
 }
 
-// touch marks the stored record of the job as out of date. A job in a final state has its record stored
+// markDirty marks the stored record of the job as out of date. A job in a final state has its record stored
 // once and is not marked again: a later report of a superseded run would otherwise make its end count as
 // not stored.
-func (e *Engine) touch(j *job) {
+func (e *Engine) markDirty(j *job) {
 	if !j.state.Final() {
 		e.dirty[j.id()] = j
 	}
@@ -277,10 +277,10 @@
 		}
 		for _, before := range other.step.After {
 			if before == g.id.Step {
-				other.needs--
+				other.pendingDeps--
 			}
 		}
-		if other.needs == 0 && other.left > 0 && other.readySince.IsZero() {
+		if other.pendingDeps == 0 && other.undone > 0 && other.readySince.IsZero() {
 			other.readySince = now
 			e.refresh(other)
 		}
@@ -303,20 +303,20 @@
 		e.removeReady(g)
 		for i := range g.tasks {
 			if r := g.tasks[i].cur; r != nil && s != record.StateCompleted {
-				e.unwant(r, "its job has ended: "+string(s))
+				e.requestStop(r, "its job has ended: "+string(s))
 			}
 		}
 	}
-	e.log(Event{What: "job ended", Job: j.id(), Why: strings.TrimSpace(string(s) + " " + j.why), Age: now.Sub(j.accepted)})
+	e.log(Event{What: "job ended", Job: j.id(), Why: strings.TrimSpace(string(s) + " " + j.endReason), Age: now.Sub(j.accepted)})
 }
 
 // expireEndedJobs drops jobs whose result need not be kept any longer.
 func (e *Engine) expireEndedJobs(now time.Time) {
 	n := 0
-	for n < len(e.ended) && now.Sub(e.ended[n].at) > e.cfg.Bounds.RememberEnded {
+	for n < len(e.ended) && now.Sub(e.ended[n].at) > e.cfg.Bounds.EndedJobTTL {
 		id := e.ended[n].id
 		delete(e.jobs, id)
-		e.forget = append(e.forget, id)
+		e.recordsToDelete = append(e.recordsToDelete, id)
 		n++
 	}
 	e.ended = e.ended[n:]
--- a/internal/engine/large_test.go
+++ b/internal/engine/large_test.go
@@ -28,10 +28,10 @@
 )
 
 var (
-	largeRules = catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000,
-		Advice: &catalog.Advice{DecideMillis: 490, PerHostMillis: 7, ValidMillis: 2000}}
-	smallRules = catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000,
-		Advice: &catalog.Advice{DecideMillis: 140, PerHostMillis: 2, ValidMillis: 2000}}
+	largeRules = catalog.Rules{Priority: 1, CriticalPathFactor: 2.2, TargetMillis: 1000,
+		PolicyQuery: &catalog.PolicyQuery{DecideMillis: 490, PerHostMillis: 7, ValidMillis: 2000}}
+	smallRules = catalog.Rules{Priority: 2, CriticalPathFactor: 4, TargetMillis: 3000,
+		PolicyQuery: &catalog.PolicyQuery{DecideMillis: 140, PerHostMillis: 2, ValidMillis: 2000}}
 )
 
 // accelLoad records the submitted jobs of the load.
@@ -46,16 +46,16 @@
 func newAccelLoad(t testing.TB, seed uint64, d time.Duration) *accelLoad {
 	w := newWorld(t, seed)
 	w.fleet.Add(accelHosts, "s", spec.Resources{MilliCPU: 64000, MemoryMiB: 131072, Accelerators: 8})
-	w.takeOver()
+	w.failOver()
 	share := map[string]uint32{largeKind: 30, smallKind: 45}
-	w.good = func(step spec.StepID, h host.ID) bool {
+	w.permitted = func(step spec.StepID, h host.ID) bool {
 		f := fnv.New32a()
 		fmt.Fprint(f, step, h, seed)
 		kind, _, _ := strings.Cut(step.Job, "-")
 		return f.Sum32()%100 < share[kind]
 	}
-	w.advised = func(o AskOrder) time.Duration {
-		return w.jobs[o.Step.Job].Rules.Advice.Took(len(o.Hosts))
+	w.policyDelay = func(o QueryOrder) time.Duration {
+		return w.jobs[o.Step.Job].Rules.PolicyQuery.QueryDuration(len(o.Hosts))
 	}
 	l := &accelLoad{w: w, rnd: rand.New(rand.NewPCG(seed, 2)), submitted: map[string]time.Time{}, target: map[string]time.Duration{}}
 	sizes := []int64{2, 4, 8, 8}
@@ -84,7 +84,7 @@
 		n++
 		l.w.after(at, func() {
 			l.submitted[id] = l.w.now()
-			l.target[id] = time.Duration(rules.Stretch*float64(s.Estimate())) + time.Duration(rules.TargetMillis)*time.Millisecond
+			l.target[id] = time.Duration(rules.CriticalPathFactor*float64(s.Estimate())) + time.Duration(rules.TargetMillis)*time.Millisecond
 			l.w.submit(id, rules, s)
 		})
 	}
@@ -99,7 +99,7 @@
 			continue
 		}
 		all++
-		if l.w.shown[id] == record.StateCompleted && l.w.ended[id].Sub(at) <= l.target[id] {
+		if l.w.shown[id] == record.StateCompleted && l.w.finalSince[id].Sub(at) <= l.target[id] {
 			good++
 		}
 	}
@@ -115,7 +115,7 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		l := newAccelLoad(t, seed, 40*time.Second)
 		l.w.run(100 * time.Second)
-		l.w.check()
+		l.w.checkInvariants()
 		whole += l.onTimeShare(largeKind) / seeds
 		single += l.onTimeShare(smallKind) / seeds
 		t.Logf("seed %d: on time %.3f of the jobs of large tasks, %.3f of the others", seed, l.onTimeShare(largeKind), l.onTimeShare(smallKind))
--- a/internal/engine/late_start_test.go
+++ b/internal/engine/late_start_test.go
@@ -30,14 +30,14 @@
 // execute runs the job in a cell with room for it, and, for a gang, with one host more than needed.
 func (l lateStart) execute(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed)
-	w.follows, w.logs = true, true
-	w.fleet.KeepsID, w.fleet.CarriesOver, w.fleet.BackAfter = l.keepsID, l.carriesOver, l.downtime
-	w.fleet.Bounds.StopTakes, w.bounds.StopTakes = l.stopTakes(), l.stopTakes()
+	w.followsHosts, w.keepEvents = true, true
+	w.fleet.KeepID, w.fleet.AcceptEarlierStarts, w.fleet.RestartDelay = l.keepsID, l.carriesOver, l.downtime
+	w.fleet.Bounds.MaxStopTime, w.bounds.MaxStopTime = l.stopTakes(), l.stopTakes()
 	w.fleet.Add(2, "s", size(64, 128))
 	if l.gang {
 		w.fleet.Add(3, "s", size(64, 128))
 	}
-	w.takeOver()
+	w.failOver()
 	w.run(10 * time.Second)
 	held := true
 	w.onStart = func(s StartOrder) {
@@ -49,14 +49,14 @@
 		h, epoch := w.host(s.To.ID), w.epoch
 		for _, at := range []time.Duration{l.failover, l.secondFailover} {
 			if at > 0 {
-				w.after(at, w.takeOver)
+				w.after(at, w.failOver)
 			}
 		}
 		w.after(l.restart, h.Restart)
 		w.after(l.arrives, func() { w.arriveAt(h.Info().Addr, epoch, s.Start) })
 		if l.answered > 0 {
 			w.after(l.answered, func() {
-				w.tell(w.engine, func() { w.engine.Started(s, host.Reply{}, host.ErrLost, w.now()) })
+				w.deliver(w.engine, func() { w.engine.Started(s, host.Reply{}, host.ErrLost, w.now()) })
 			})
 		}
 	}
@@ -77,7 +77,7 @@
 	if l.gang {
 		return 900 * time.Millisecond
 	}
-	return testBounds.StopTakes
+	return testBounds.MaxStopTime
 }
 
 // arriveAt delivers a start to every incarnation that is up at an address.
@@ -144,15 +144,15 @@
 // than the holder knows of, before a poll reports the change.
 func TestStartMeantForAnotherIncarnation(t *testing.T) {
 	w := newWorld(t, 21)
-	w.follows, w.logs = true, true
-	w.fleet.KeepsID, w.fleet.BackAfter = true, time.Millisecond
+	w.followsHosts, w.keepEvents = true, true
+	w.fleet.KeepID, w.fleet.RestartDelay = true, time.Millisecond
 	w.fleet.Add(2, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(10 * time.Second)
 	starts := 0
 	w.onStart = func(StartOrder) { starts++ }
 	for _, h := range w.fleet.Hosts() {
-		h.RestartDark() // nothing is reset, so the restart goes unnoticed
+		h.RestartAfterPowerLoss() // nothing is reset, so the restart goes unnoticed
 	}
 	w.run(20 * time.Millisecond)
 	w.submit("job", catalog.Rules{}, step(2, 40, 60, 1000))
@@ -160,7 +160,7 @@
 	if starts != 4 {
 		t.Errorf("%d starts of two tasks, want 4: each meets another incarnation once", starts)
 	}
-	if !w.fleet.Judge().JobDone("job") {
+	if !w.fleet.Checker().JobDone("job") {
 		t.Errorf("the job is reported as %s: %s", w.shown["job"], w.describe("job"))
 	}
 }
@@ -169,21 +169,21 @@
 // changed, so that it names no incarnation any more though it named one to an earlier holder.
 func TestIncarnationNoLongerReported(t *testing.T) {
 	w := newWorld(t, 21)
-	w.follows = true
+	w.followsHosts = true
 	w.fleet.Add(2, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	w.onStart = func(s StartOrder) {
-		if s.Start.Life != 0 {
-			t.Errorf("a start on %s is for incarnation %d", s.To.ID, s.Start.Life)
+		if s.Start.Incarnation != 0 {
+			t.Errorf("a start on %s is for incarnation %d", s.To.ID, s.Start.Incarnation)
 		}
 	}
-	w.fleet.Lifeless = true
-	w.takeOver()
+	w.fleet.OmitIncarnation = true
+	w.failOver()
 	w.run(time.Second)
 	w.submit("job", catalog.Rules{}, step(2, 6, 10, 500))
 	w.mustNotFail(t, 10*time.Second)
-	if !w.fleet.Judge().JobDone("job") {
+	if !w.fleet.Checker().JobDone("job") {
 		t.Errorf("the job is reported as %s: %s", w.shown["job"], w.describe("job"))
 	}
 }
--- a/internal/engine/late_view_test.go
+++ b/internal/engine/late_view_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fault := func(w *world, h *hostsim.Host) {
-				w.faults.lateViews, w.faults.lostAnswer = tc.late, tc.lost
+				w.faults.lateViews, w.faults.lostReply = tc.late, tc.lost
 				if id := h.Info().ID; tc.stop > 0 {
 					w.after(tc.stop, func() { w.stopRunsOn(id) })
 				}
@@ -52,10 +52,10 @@
 
 // stopRunsOn has the current holder stop the runs recorded on a host.
 func (w *world) stopRunsOn(id host.ID) {
-	w.tell(w.engine, func() {
+	w.deliver(w.engine, func() {
 		if h := w.engine.hosts[id]; h != nil {
 			for _, r := range h.runs {
-				w.engine.unwant(r, "to make room")
+				w.engine.requestStop(r, "to make room")
 			}
 		}
 	})
@@ -65,7 +65,7 @@
 // host's clock tell; readings of another incarnation's clock say nothing of this one's.
 func TestProducedAt(t *testing.T) {
 	const drift = 0.02
-	at := func(ms int) time.Time { return worldBegins.Add(time.Duration(ms) * time.Millisecond) }
+	at := func(ms int) time.Time { return simulationStart.Add(time.Duration(ms) * time.Millisecond) }
 	for name, tc := range map[string]struct {
 		first, clock host.Millis // readings
 		sent, now    int         // of the second answer, in milliseconds; the first was sent at 0
@@ -82,12 +82,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, h := New(Config{Tuning: DefaultTuning()}), &hostState{}
-			e.hear(h, tc.first, at(2))
-			h.drawnUp(tc.first, at(0), at(2), drift)
-			e.hear(h, tc.clock, at(tc.now))
-			got := h.drawnUp(tc.clock, at(tc.sent), at(tc.now), drift)
+			e.updateClock(h, tc.first, at(2))
+			h.producedAt(tc.first, at(0), at(2), drift)
+			e.updateClock(h, tc.clock, at(tc.now))
+			got := h.producedAt(tc.clock, at(tc.sent), at(tc.now), drift)
 			if want := at(tc.want); got.Sub(want).Abs() >= time.Millisecond {
-				t.Errorf("produced at %v, want %v", got.Sub(worldBegins), want.Sub(worldBegins))
+				t.Errorf("produced at %v, want %v", got.Sub(simulationStart), want.Sub(simulationStart))
 			}
 		})
 	}
--- a/internal/engine/lost.go
+++ b/internal/engine/lost.go
@@ -10,15 +10,15 @@
 
 // dropAbsentRuns drops runs that the host does not report: starts that have not taken effect and can not
 // any more, and runs that the host no longer knows.
-func (e *Engine) dropVanished(h *hostState, v host.View, sent, now time.Time) {
+func (e *Engine) dropAbsentRuns(h *hostState, v host.View, sent, now time.Time) {
 	if len(h.runs) == 0 {
 		return
 	}
 	reported := reportedRuns(v)
 	for key, r := range h.runs {
 		if reported[key] || !certainlyAbsent(r, v.Clock, sent) {
-			if r.state == runDoubt && !reported[key] && !sent.Before(r.known) {
-				e.unwant(r, "start not acknowledged and run not reported by the host") // the answer to the stop tells whether it is there
+			if r.state == runUnacknowledged && !reported[key] && !sent.Before(r.confirmedAt) {
+				e.requestStop(r, "start not acknowledged and run not reported by the host") // the answer to the stop tells whether it is there
 			}
 			continue
 		}
@@ -42,12 +42,12 @@
 // reason.
 func (e *Engine) dropLostRun(r *run, why string, now time.Time) {
 	e.log(Event{
-		What: "run lost", Job: r.Task.Job, Step: r.Task.StepID.String(), Host: string(r.on.info.ID), Age: now.Sub(r.sent),
+		What: "run lost", Job: r.Task.Job, Step: r.Task.StepID.String(), Host: string(r.placedOn.info.ID), Age: now.Sub(r.orderedAt),
 		Why: fmt.Sprintf("%s; task %d, run %d, %s, at %.0f%%, host unresponsive for %d ms",
-			why, r.Task.Index, r.No, r.state, r.percent, r.on.silentFor(now).Milliseconds()),
+			why, r.Task.Index, r.No, r.state, r.percent, r.placedOn.unresponsiveFor(now).Milliseconds()),
 	})
-	e.remove(r)
-	e.released(r, now)
+	e.removeRun(r)
+	e.runEnded(r, now)
 }
 
 // deadlineMargin is how far a deadline must have passed on the host's clock before an unreported start
@@ -59,20 +59,20 @@
 func certainlyAbsent(r *run, clock host.Millis, sent time.Time) bool {
 	switch r.state {
 	case runRunning, runStopping:
-		return r.known.Before(sent)
-	case runDoubt:
+		return r.confirmedAt.Before(sent)
+	case runUnacknowledged:
 		return clock > r.deadline+deadlineMargin
 	}
 	return false
 }
 
 // removeTerminatedHost removes a host that has certainly terminated, with all its runs.
-func (e *Engine) hostGone(h *hostState, now time.Time, why string) {
-	h.gone = true
-	e.log(Event{What: "host gone", Host: string(h.info.ID), Why: fmt.Sprintf("%s; %d runs recorded", why, len(h.runs)), Age: h.silentFor(now)})
-	pendingAttributions := append(h.accused, e.attributions(h, now)...)
+func (e *Engine) removeTerminatedHost(h *hostState, now time.Time, why string) {
+	h.terminated = true
+	e.log(Event{What: "host gone", Host: string(h.info.ID), Why: fmt.Sprintf("%s; %d runs recorded", why, len(h.runs)), Age: h.unresponsiveFor(now)})
+	pendingAttributions := append(h.pendingAttributions, e.attributions(h, now)...)
 	e.dropLostRuns(h, why, now)
-	e.resolve(h, now)
+	e.releasePossibleRuns(h, now)
 	e.attributeCrash(h, pendingAttributions, now)
 	e.forgetHost(h)
 }
@@ -93,26 +93,26 @@
 		return
 	}
 	e.expiredAt = now
-	e.losses.Forget(now)
+	e.losses.Expire(now)
 	e.processDecisions(now)
 	e.expirePresumedEnded(now)
-	for _, h := range slices.Clone(e.sorted) {
-		e.ageRoom(h, now)
-		e.shutSilent(h, now)
+	for _, h := range slices.Clone(e.hostsByID) {
+		e.limitStaleCapacity(h, now)
+		e.closeUnresponsive(h, now)
 		e.attributeEnd(h, now)
-		e.dropUnheard(h, now)
-		if h.silent.IsZero() || !h.claimed || now.Before(e.leaseOver(h)) {
+		e.expireUnreported(h, now)
+		if h.unresponsiveSince.IsZero() || !h.claimed || now.Before(e.leaseOver(h)) {
 			continue
 		}
 		if len(h.runs) > 0 {
 			const why = "unresponsive until its lease expired"
-			e.log(Event{What: "host lost", Host: string(h.info.ID), Why: why, Age: now.Sub(h.heard)})
-			h.accused = append(h.accused, e.attributions(h, now)...)
+			e.log(Event{What: "host lost", Host: string(h.info.ID), Why: why, Age: now.Sub(h.lastContact)})
+			h.pendingAttributions = append(h.pendingAttributions, e.attributions(h, now)...)
 			e.dropLostRuns(h, why, now)
 			e.awaitConfirmation(h, now)
 		}
 		if !h.listed {
-			e.attributeCrash(h, h.accused, now)
+			e.attributeCrash(h, h.pendingAttributions, now)
 			e.forgetHost(h)
 		}
 	}
--- a/internal/engine/order_test.go
+++ b/internal/engine/order_test.go
@@ -20,7 +20,7 @@
 		if j == nil || !j.state.Final() {
 			continue
 		}
-		if w.ended[j.id()].Sub(j.accepted) <= within {
+		if w.finalSince[j.id()].Sub(j.accepted) <= within {
 			n++
 		}
 	}
@@ -35,10 +35,10 @@
 	is := is.New(t)
 	w := newWorld(t, 29)
 	w.fleet.Add(4, "s", size(16, 64))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
-	urgent := catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000}
-	lessUrgent := catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000}
+	urgent := catalog.Rules{Priority: 1, CriticalPathFactor: 2.2, TargetMillis: 1000}
+	lessUrgent := catalog.Rules{Priority: 2, CriticalPathFactor: 4, TargetMillis: 3000}
 	const burst, others = 40, 60
 	gang := step(8, 4, 1, 2000)
 	gang.Gang = true
@@ -51,7 +51,7 @@
 		w.after(time.Duration(i)*time.Second, func() { w.submit(fmt.Sprint("less-", i), lessUrgent, survey) })
 	}
 	w.run(150 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.completed(), burst+others)
 	// From 17 s on every job of the burst has expired: three times 5.4 s have passed. The other jobs take
 	// three quarters of the cell, in addition to their backlog at that time.
@@ -67,7 +67,7 @@
 			is := is.New(t)
 			w := accountWorld(t, 31, 4)
 			w.setQuota("crew", cores(32))
-			w.takeOver()
+			w.failOver()
 			w.run(time.Second)
 			for i := range 32 {
 				w.after(time.Duration(i)*60*time.Millisecond, func() {
@@ -80,7 +80,7 @@
 			w.submit("crew-urgent", catalog.Rules{}, urgent)
 			w.run(3 * time.Second) // all tasks that were running have ended by then
 			is.True(w.shown["crew-urgent"].Final())
-			w.check()
+			w.checkInvariants()
 		})
 	}
 }
@@ -97,17 +97,17 @@
 	for i := range 7 {
 		w.members = append(w.members, fmt.Sprintf("m%02d", i))
 	}
-	w.good = func(step spec.StepID, h host.ID) bool { return hashOf(step.String()+string(h))%4 == 0 }
-	advice := &catalog.Advice{DecideMillis: 455, PerHostMillis: 6.5, ValidMillis: 1500}
+	w.permitted = func(step spec.StepID, h host.ID) bool { return hashOf(step.String()+string(h))%4 == 0 }
+	advice := &catalog.PolicyQuery{DecideMillis: 455, PerHostMillis: 6.5, ValidMillis: 1500}
 	answeredAt := map[string]time.Time{} // when a member's queries are answered
-	w.advised = func(o AskOrder) time.Duration {
-		answeredAt[o.Lane] = later(answeredAt[o.Lane], w.now()).Add(advice.Took(len(o.Hosts)))
-		return answeredAt[o.Lane].Sub(w.now())
+	w.policyDelay = func(o QueryOrder) time.Duration {
+		answeredAt[o.Member] = later(answeredAt[o.Member], w.now()).Add(advice.QueryDuration(len(o.Hosts)))
+		return answeredAt[o.Member].Sub(w.now())
 	}
 	w.fleet.Add(96, "s", size(16, 64))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
-	rules := catalog.Rules{Priority: 1, Stretch: 2.2, TargetMillis: 1000, Advice: advice}
+	rules := catalog.Rules{Priority: 1, CriticalPathFactor: 2.2, TargetMillis: 1000, PolicyQuery: advice}
 	gang := step(6, 4, 1, 4000)
 	gang.Gang = true
 	const gangs, target = 200, 11200 * time.Millisecond // 2.2 times the work and one query, plus 1 s
@@ -115,7 +115,7 @@
 		w.after(time.Duration(i)*125*time.Millisecond, func() { w.submit(fmt.Sprint("gang-", i), rules, gang) })
 	}
 	w.run(60 * time.Second)
-	w.check()
+	w.checkInvariants()
 	t.Logf("%d of %d gangs on time", w.completedIn("gang", 0, gangs, target), gangs)
 	is.True(10*w.completedIn("gang", 0, gangs, target) >= 9*gangs)
 }
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -13,33 +13,33 @@
 // holder numbers its runs above all numbers that earlier holders can have used.
 const runsPerEpoch = 1000
 
-// nextRun returns the number of the next run of a task whose last run has number last.
-func (e *Engine) nextRun(last int) int {
+// nextRunNumber returns the number of the next run of a task whose last run has number last.
+func (e *Engine) nextRunNumber(last int) int {
 	return max(last, int(e.cfg.Epoch-1)*runsPerEpoch) + 1
 }
 
-// start records a new run of a task on a host and orders the host to execute it.
-func (e *Engine) start(g *group, i, no int, h *hostState, checkpoint string, now time.Time) {
+// orderStart records a new run of a task on a host and orders the host to execute it.
+func (e *Engine) orderStart(g *group, i, no int, h *hostState, checkpoint string, now time.Time) {
 	t := &g.tasks[i]
 	r := &run{
-		Run: host.Run{Task: g.task(i), No: no}, group: g, account: g.job.account, size: g.step.Booked(), state: runOrdered,
-		sent: now, progressAt: now, resumed: checkpoint != "", pace: pacing.Full, deadline: h.deadline(now, e.cfg.Tuning.OrderLife),
+		Run: host.Run{Task: g.task(i), No: no}, group: g, account: g.job.account, size: g.step.Allocation(), state: runOrdered,
+		orderedAt: now, progressAt: now, resumed: checkpoint != "", pace: pacing.Full, deadline: h.deadline(now, e.cfg.Tuning.StartTTL),
 	}
 	h.leased = max(h.leased, r.deadline)
 	r.suspect = len(t.crashes) > 0
 	if r.suspect {
-		h.prove(now)
+		h.schedulePresencePolls(now)
 	}
-	h.add(r)
-	e.noteStart(g, h, now)
+	h.addRun(r)
+	e.recordStart(g, h, now)
 	t.cur, t.run = r, no
 	g.setState(i, taskActive)
 	e.out.Starts = append(e.out.Starts, StartOrder{To: h.info, Start: host.Start{
-		Run: r.Run, Life: h.life, Command: g.job.rec.Graph.Command, Deadline: r.deadline,
+		Run: r.Run, Incarnation: h.incarnation, Command: g.job.rec.Graph.Command, Deadline: r.deadline,
 		Checkpoint: checkpoint, Ticket: g.advice.tickets[h].text,
 	}})
-	if !h.looking {
-		h.lookAt = now // polls renew the lease of the run
+	if !h.pollInFlight {
+		h.nextPollAt = now // polls renew the lease of the run
 	}
 }
 
@@ -52,26 +52,26 @@
 	}
 	r := h.runs[o.Start.Run]
 	switch {
-	case errors.Is(err, host.ErrOtherLife) && o.Start.Life == 0:
+	case errors.Is(err, host.ErrOtherIncarnation) && o.Start.Incarnation == 0:
 		e.removeUnstarted(h, r, now)
 		e.handleOtherIncarnation(h, o.To, now)
 		return
-	case errors.Is(err, host.ErrOtherLife):
-		e.log(Event{What: "start met another life", Job: o.Start.Task.Job, Step: o.Start.Task.StepID.String(), Host: string(h.info.ID), Why: fmt.Sprintf("intended for the one that started at %d", o.Start.Life)})
+	case errors.Is(err, host.ErrOtherIncarnation):
+		e.log(Event{What: "start met another life", Job: o.Start.Task.Job, Step: o.Start.Task.StepID.String(), Host: string(h.info.ID), Why: fmt.Sprintf("intended for the one that started at %d", o.Start.Incarnation)})
 		e.handleUnreachedIncarnation(h, r, host.ErrNotSent, now)
 		return
 	case errors.Is(err, host.ErrNotSent):
 		e.handleUnreachedIncarnation(h, r, err, now)
 		return
 	case err != nil:
-		h.unanswered(err, now)
+		h.recordFailedCall(err, now)
 		e.markUnacknowledged(h, r, now)
 		return
 	}
-	e.hearReply(h, reply.Clock, now)
+	e.recordReply(h, reply.Clock, now)
 	if reply.Refused == "" {
-		if r != nil && (r.state == runOrdered || r.state == runDoubt) {
-			e.runs(r, h.drawnUp(reply.Clock, r.sent, now, e.cfg.Tuning.ClockDrift), now)
+		if r != nil && (r.state == runOrdered || r.state == runUnacknowledged) {
+			e.runs(r, h.producedAt(reply.Clock, r.orderedAt, now, e.cfg.Tuning.ClockDrift), now)
 		}
 		return
 	}
@@ -82,8 +82,8 @@
 // of the host. A poll shows whether that incarnation has ended; until then nothing else is
 // started there.
 func (e *Engine) handleUnreachedIncarnation(h *hostState, r *run, err error, now time.Time) {
-	h.unanswered(err, now)
-	e.askAgain(h, now)
+	h.recordFailedCall(err, now)
+	e.pollSoon(h, now)
 	e.removeUnstarted(h, r, now)
 }
 
@@ -91,10 +91,10 @@
 // call went to a former address of the host, the host is polled again instead.
 func (e *Engine) handleOtherIncarnation(h *hostState, called host.Info, now time.Time) {
 	if called.Addr != h.info.Addr {
-		e.askAgain(h, now)
+		e.pollSoon(h, now)
 		return
 	}
-	e.hostGone(h, now, "another life answered")
+	e.removeTerminatedHost(h, now, "another life answered")
 }
 
 // markUnacknowledged marks a start order as unacknowledged, and has the host polled at once.
@@ -102,19 +102,19 @@
 	if r == nil || r.state != runOrdered {
 		return
 	}
-	r.state, r.known = runDoubt, now
+	r.state, r.confirmedAt = runUnacknowledged, now
 	e.log(Event{What: "start unanswered", Job: r.Task.Job, Step: r.Task.StepID.String(), Host: string(h.info.ID)})
 	e.probe(h)
 }
 
-// askAgain has a host polled as soon as possible. A host that was not reached is eligible for
+// pollSoon has a host polled as soon as possible. A host that was not reached is eligible for
 // placement again once it answers.
-func (e *Engine) askAgain(h *hostState, now time.Time) {
-	if h.looking {
+func (e *Engine) pollSoon(h *hostState, now time.Time) {
+	if h.pollInFlight {
 		e.probe(h)
 		return
 	}
-	h.lookAt = now
+	h.nextPollAt = now
 }
 
 // probe has a host polled in addition to a poll that may be waiting there.
@@ -125,8 +125,8 @@
 	if r == nil || r.state == runRunning {
 		return
 	}
-	e.remove(r)
-	e.released(r, now)
+	e.removeRun(r)
+	e.runEnded(r, now)
 }
 
 // handleRefusal handles a start order that the host has refused.
@@ -139,11 +139,11 @@
 			delete(r.group.advice.tickets, h)
 		}
 	case host.RefusedUnhealthy:
-		e.setAside(h, now, "it reported itself unhealthy")
-	case host.RefusedFull:
+		e.exclude(h, now, "it reported itself unhealthy")
+	case host.RefusedNoCapacity:
 		e.probe(h) // its runs differ from those recorded here
 		if r != nil {
-			h.noteFull(r.size, now)
+			h.recordRefusal(r.size, now)
 		}
 	}
 	if r != nil {
@@ -154,12 +154,12 @@
 
 // planStops orders the requested stops, and repeats orders that had no effect.
 func (e *Engine) planStops(now time.Time) {
-	for r := range e.unwanted {
-		if r.on.gone || !r.on.claimed || r.stopping || !r.stopSent.IsZero() && now.Sub(r.stopSent) <= e.cfg.Tuning.StopRetry {
+	for r := range e.stopRequested {
+		if r.placedOn.terminated || !r.placedOn.claimed || r.stopInFlight || !r.stopSentAt.IsZero() && now.Sub(r.stopSentAt) <= e.cfg.Tuning.StopRetryInterval {
 			continue
 		}
-		r.stopSent, r.stopping = now, true
-		e.out.Stops = append(e.out.Stops, StopOrder{To: r.on.info, Run: r.Run})
+		r.stopSentAt, r.stopInFlight = now, true
+		e.out.Stops = append(e.out.Stops, StopOrder{To: r.placedOn.info, Run: r.Run})
 	}
 }
 
@@ -172,25 +172,25 @@
 	}
 	r := h.runs[o.Run]
 	if r != nil {
-		r.stopping = false
+		r.stopInFlight = false
 	}
 	switch {
-	case errors.Is(err, host.ErrOtherLife):
+	case errors.Is(err, host.ErrOtherIncarnation):
 		e.handleOtherIncarnation(h, o.To, now)
 	case err != nil:
-		h.unanswered(err, now)
+		h.recordFailedCall(err, now)
 	case reply.Refused == host.RefusedFenced:
 		e.fencedBy(h)
 	default:
-		e.hearReply(h, reply.Clock, now)
+		e.recordReply(h, reply.Clock, now)
 		if r != nil && reply.Refused == "" && r.state != runStopping {
-			unacknowledged := r.state == runDoubt
-			r.state, r.known = runStopping, now
+			unacknowledged := r.state == runUnacknowledged
+			r.state, r.confirmedAt = runStopping, now
 			switch {
-			case unacknowledged && h.looking:
+			case unacknowledged && h.pollInFlight:
 				e.probe(h) // a poll waiting there is not answered by the end of a run that never began
-			case !h.looking:
-				h.lookAt = now
+			case !h.pollInFlight:
+				h.nextPollAt = now
 			}
 		}
 	}
--- a/internal/engine/orphans.go
+++ b/internal/engine/orphans.go
@@ -14,8 +14,8 @@
 // End records of orphans are retained as well: the end of a run must not be acknowledged to
 // its host before it is known that no job needs it, and no end record may be skipped.
 
-// strangerEnd is the end record of an orphan run.
-type strangerEnd struct {
+// orphanEnd is the end record of an orphan run.
+type orphanEnd struct {
 	host *hostState
 	end  host.End
 	at   time.Time
@@ -33,50 +33,50 @@
 // retainOrphanEnd retains the end record of an orphan.
 func (e *Engine) retainOrphanEnd(h *hostState, end host.End, now time.Time) {
 	job := end.Task.Job
-	e.strangerEnds[job] = append(e.strangerEnds[job], strangerEnd{h, end, now})
-	h.strange = append(h.strange, end.Number)
+	e.orphanEndRecords[job] = append(e.orphanEndRecords[job], orphanEnd{h, end, now})
+	h.orphanEnds = append(h.orphanEnds, end.Number)
 }
 
 // ackable returns the number up to which end records of the host may be acknowledged once
 // the present batch is stored.
 func (h *hostState) ackable() int64 {
-	last := h.handled
-	for _, n := range h.strange {
+	last := h.endsProcessed
+	for _, n := range h.orphanEnds {
 		last = min(last, n-1)
 	}
-	return max(last, h.seen)
+	return max(last, h.endsAcked)
 }
 
 // processOrphanEnds processes the retained end records of a job that has just become known.
 func (e *Engine) processOrphanEnds(id string, now time.Time) {
-	ends := e.strangerEnds[id]
-	delete(e.strangerEnds, id)
+	ends := e.orphanEndRecords[id]
+	delete(e.orphanEndRecords, id)
 	for _, s := range ends {
 		s.host.unholdEnd(s.end.Number)
 		e.processEnd(s.host, s.end, now)
 	}
 	if len(ends) > 0 {
-		e.marks++
+		e.pendingEnds++
 	}
 }
 
 // unholdEnd lets the end record of an orphan be acknowledged.
 func (h *hostState) unholdEnd(number int64) {
-	h.strange = slices.DeleteFunc(h.strange, func(n int64) bool { return n == number })
+	h.orphanEnds = slices.DeleteFunc(h.orphanEnds, func(n int64) bool { return n == number })
 }
 
 // expireOrphanEnds lets the end records of orphans be acknowledged after orphanEndHold, and
 // discards them after orphanEndTTL.
 func (e *Engine) expireOrphanEnds(now time.Time) {
-	for job, ends := range e.strangerEnds {
+	for job, ends := range e.orphanEndRecords {
 		for _, s := range ends {
-			if now.Sub(s.at) > orphanEndHold && slices.Contains(s.host.strange, s.end.Number) {
+			if now.Sub(s.at) > orphanEndHold && slices.Contains(s.host.orphanEnds, s.end.Number) {
 				s.host.unholdEnd(s.end.Number)
-				e.marks++
+				e.pendingEnds++
 			}
 		}
 		if now.Sub(ends[len(ends)-1].at) > orphanEndTTL {
-			delete(e.strangerEnds, job)
+			delete(e.orphanEndRecords, job)
 		}
 	}
 }
@@ -89,16 +89,16 @@
 // stopOrphans stops orphans whose jobs did not become known in time.
 func (e *Engine) stopOrphans(h *hostState, now time.Time) {
 	for _, r := range h.runs {
-		if r.group == nil && !r.unwanted && now.Sub(r.known) > orphanGracePeriod {
-			e.unwant(r, "it belongs to no live job")
+		if r.group == nil && !r.stopRequested && now.Sub(r.confirmedAt) > orphanGracePeriod {
+			e.requestStop(r, "it belongs to no live job")
 		}
 	}
 }
 
 // assignOrphans assigns the orphans of a job that has just become known to its tasks.
 func (e *Engine) assignOrphans(j *job, now time.Time) {
-	hosts := e.sorted
-	if e.strangers == 0 {
+	hosts := e.hostsByID
+	if e.orphanRuns == 0 {
 		hosts = nil // the usual case; the search would visit every host
 	}
 	for _, h := range hosts {
@@ -108,14 +108,14 @@
 			}
 			g := e.groupOf(key.Task)
 			if g == nil {
-				e.unwant(r, "its job or step has ended")
+				e.requestStop(r, "its job or step has ended")
 				continue
 			}
 			e.assignOrphan(g, r)
 		}
 	}
 	e.processOrphanEnds(j.id(), now)
-	if e.unsettled {
+	if e.reconciling {
 		return
 	}
 	for _, g := range j.groups {
@@ -123,41 +123,41 @@
 	}
 }
 
-// countStranger adds n, which may be negative, to the count of runs whose step is not known. A
+// countOrphan adds n, which may be negative, to the count of runs whose step is not known. A
 // run whose job is not known either may be of any account, and counts against the quota of each.
-func (e *Engine) countStranger(r *run, n int) {
-	e.strangers += n
+func (e *Engine) countOrphan(r *run, n int) {
+	e.orphanRuns += n
 	if r.account == nil {
-		e.unowned = e.unowned.Add(r.charge().Times(int64(n)))
+		e.orphanUsage = e.orphanUsage.Add(r.charge().Times(int64(n)))
 	}
 }
 
 // assignOrphan assigns an orphan to its task. If the run is being stopped already, the
 // task does not start again until the run has ended.
 func (e *Engine) assignOrphan(g *group, r *run) {
-	h := r.on
+	h := r.placedOn
 	h.used = h.used.Sub(r.size)
-	e.countStranger(r, -1)
-	r.group, r.size, r.account = g, g.step.Booked(), g.job.account
+	e.countOrphan(r, -1)
+	r.group, r.size, r.account = g, g.step.Allocation(), g.job.account
 	h.used = h.used.Add(r.size)
 	r.account.charge(r)
 	g.perHost[h]++
 	e.makeCurrent(g, r)
 }
 
-// anyLeftOver reports whether hosts have superseded runs of a task or, if t is nil, of any task of
+// hasSuperseded reports whether hosts have superseded runs of a task or, if t is nil, of any task of
 // the group.
-func (g *group) anyLeftOver(t *task) bool {
+func (g *group) hasSuperseded(t *task) bool {
 	if t != nil {
-		return t.leftOver > 0
+		return t.superseded > 0
 	}
-	return g.leftOver > 0
+	return g.superseded > 0
 }
 
-// countLeftOver adds n, which may be negative, to the counts of superseded runs.
-func (g *group) countLeftOver(r *run, n int) {
-	g.tasks[r.Task.Index].leftOver += n
-	g.leftOver += n
+// countSuperseded adds n, which may be negative, to the counts of superseded runs.
+func (g *group) countSuperseded(r *run, n int) {
+	g.tasks[r.Task.Index].superseded += n
+	g.superseded += n
 }
 
 // makeCurrent makes a run that was not recorded yet the current run of its task. If the task has
@@ -165,18 +165,18 @@
 func (e *Engine) makeCurrent(g *group, r *run) {
 	i := r.Task.Index
 	t := &g.tasks[i]
-	free := t.state == taskUnsure || t.state == taskWaiting && (!g.step.Gang || !g.startedHere)
+	free := t.state == taskUnconfirmed || t.state == taskWaiting && (!g.step.Gang || !g.startedHere)
 	if t.cur != nil || !free || r.No < t.run {
-		r.leftOver = true
-		g.countLeftOver(r, 1)
-		e.unwant(r, "its task has another or a later run, or is done")
+		r.superseded = true
+		g.countSuperseded(r, 1)
+		e.requestStop(r, "its task has another or a later run, or is done")
 		return
 	}
 	t.cur, t.run = r, r.No
 	if len(t.crashes) > 0 {
 		r.suspect = true
-		r.on.suspects++
-		r.on.prove(e.now)
+		r.placedOn.suspectRuns++
+		r.placedOn.schedulePresencePolls(e.now)
 	}
 	g.run = max(g.run, r.No)
 	g.setState(i, taskActive)
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -15,18 +15,18 @@
 // times of serving tasks on the same host. Each host that runs both has a governor that decides at what
 // share of their speed the backfill tasks run.
 
-// paceUnknown is the throttle of a run that a previous holder may have changed.
-const paceUnknown = -1
+// throttleUnknown is the throttle of a run that a previous holder may have changed.
+const throttleUnknown = -1
 
-// sampleEvery is the polling interval of hosts with serving tasks and backfill tasks. Their measurements
+// sampleInterval is the polling interval of hosts with serving tasks and backfill tasks. Their measurements
 // cover half a second.
-const sampleEvery = 450 * time.Millisecond
+const sampleInterval = 450 * time.Millisecond
 
 // isServing reports whether the run is a serving task with a latency target.
-func (r *run) isServing() bool { return r.group != nil && r.group.step.TailTargetMillis > 0 }
+func (r *run) isServing() bool { return r.group != nil && r.group.step.TailLatencyTargetMillis > 0 }
 
-// fills reports whether the run is a backfill task.
-func (r *run) fills() bool { return r.group != nil && r.group.step.Filler }
+// isBackfill reports whether the run is a backfill task.
+func (r *run) isBackfill() bool { return r.group != nil && r.group.step.Backfill }
 
 // atWork is the percentage that a long-running task reports once it is ready.
 const atWork = 100
@@ -37,54 +37,54 @@
 	for _, r := range h.runs {
 		if r.isServing() && r.percent >= atWork {
 			serving = true
-			worst = max(worst, r.gauge/float64(r.group.step.TailTargetMillis))
+			worst = max(worst, r.gauge/float64(r.group.step.TailLatencyTargetMillis))
 		}
 	}
 	return worst, serving
 }
 
-// mixed reports whether the host runs both serving tasks and backfill tasks.
-func (h *hostState) mixed() bool {
+// mixesBackfill reports whether the host runs both serving tasks and backfill tasks.
+func (h *hostState) mixesBackfill() bool {
 	serving, backfill := false, false
 	for _, r := range h.runs {
 		serving = serving || r.isServing()
-		backfill = backfill || r.fills()
+		backfill = backfill || r.isBackfill()
 	}
 	return serving && backfill
 }
 
-// govern updates the governor with a host's measurements and adjusts the throttle of its backfill tasks.
-func (e *Engine) govern(h *hostState, now time.Time) {
+// updateGovernor updates the governor with a host's measurements and adjusts the throttle of its backfill tasks.
+func (e *Engine) updateGovernor(h *hostState, now time.Time) {
 	if h.governor == nil {
-		if !h.mixed() {
+		if !h.mixesBackfill() {
 			return
 		}
-		h.governor = pacing.NewGovernor(e.cfg.Tuning.Pacing, e.initialBackfillShare(h))
+		h.governor = pacing.NewThrottle(e.cfg.Tuning.Pacing, e.initialBackfillShare(h))
 	}
 	ratio, serving := h.worstTailRatio()
 	changed := false
 	if serving {
 		changed = h.governor.Observe(ratio, h.backfillCPUPercent(), now)
-	} else if !h.mixed() {
-		changed = h.governor.Idle(now)
+	} else if !h.mixesBackfill() {
+		changed = h.governor.LiftLimit(now)
 	}
 	if changed {
 		e.recordOverloadShare(h)
 		e.log(Event{What: "fillers paced", Host: string(h.info.ID),
-			Why: fmt.Sprintf("to %d%% of its processors, tail latency at %.2f of its target", h.governor.Share(), ratio), Age: now.Sub(h.viewed)})
+			Why: fmt.Sprintf("to %d%% of its processors, tail latency at %.2f of its target", h.governor.Share(), ratio), Age: now.Sub(h.viewProducedAt)})
 	}
-	e.repace(h)
+	e.scheduleThrottling(h)
 }
 
-// repace schedules an update of the throttle of the host's backfill tasks.
-func (e *Engine) repace(h *hostState) { e.unpaced[h] = struct{}{} }
+// scheduleThrottling schedules an update of the throttle of the host's backfill tasks.
+func (e *Engine) scheduleThrottling(h *hostState) { e.throttlesOutdated[h] = struct{}{} }
 
 // backfillCPUPercent returns the share of the host's processors that its backfill tasks may use at their
 // current throttles, in percent.
 func (h *hostState) backfillCPUPercent() int {
 	sum := int64(0)
 	for _, r := range h.runs {
-		if r.fills() && r.state == runRunning {
+		if r.isBackfill() && r.state == runRunning {
 			sum += r.group.step.Size.MilliCPU * int64(max(r.pace, 0))
 		}
 	}
@@ -96,24 +96,24 @@
 func (h *hostState) backfillByProgress() []*run {
 	var out []*run
 	for _, r := range h.runs {
-		if r.fills() && !r.unwanted {
+		if r.isBackfill() && !r.stopRequested {
 			out = append(out, r)
 		}
 	}
 	slices.SortFunc(out, func(a, b *run) int {
-		return cmp.Or(-cmp.Compare(a.percent, b.percent), a.sent.Compare(b.sent), cmp.Compare(a.Task.String(), b.Task.String()))
+		return cmp.Or(-cmp.Compare(a.percent, b.percent), a.orderedAt.Compare(b.orderedAt), cmp.Compare(a.Task.String(), b.Task.String()))
 	})
 	return out
 }
 
 // planThrottling issues orders for the throttles that differ from the intended ones.
 func (e *Engine) planThrottling(now time.Time) {
-	if !now.Before(e.proved) {
+	if !now.Before(e.authorityUntil) {
 		return
 	}
-	for h := range e.unpaced {
-		delete(e.unpaced, h)
-		if h.gone || !h.claimed {
+	for h := range e.throttlesOutdated {
+		delete(e.throttlesOutdated, h)
+		if h.terminated || !h.claimed {
 			continue
 		}
 		e.throttleBackfill(h)
@@ -135,12 +135,12 @@
 			continue
 		}
 		r.pacing = true
-		e.out.Paces = append(e.out.Paces, PaceOrder{To: h.info, Run: r.Run, Percent: int(percent)})
+		e.out.Throttles = append(e.out.Throttles, ThrottleOrder{To: h.info, Run: r.Run, Percent: int(percent)})
 	}
 }
 
-// Paced handles the result of a throttle order.
-func (e *Engine) Paced(o PaceOrder, reply host.Reply, err error, now time.Time) {
+// HandleThrottleResult handles the result of a throttle order.
+func (e *Engine) HandleThrottleResult(o ThrottleOrder, reply host.Reply, err error, now time.Time) {
 	e.now = now
 	h := e.hosts[o.To.ID]
 	if h == nil {
@@ -151,29 +151,29 @@
 		r.pacing = false
 	}
 	if err != nil {
-		h.unanswered(err, now)
+		h.recordFailedCall(err, now)
 		if r != nil {
-			r.pace = paceUnknown // the order may have been carried out
+			r.pace = throttleUnknown // the order may have been carried out
 		}
-		e.repace(h) // without waiting for the next measurements half a second later
+		e.scheduleThrottling(h) // without waiting for the next measurements half a second later
 		return
 	}
-	e.hearReply(h, reply.Clock, now)
+	e.recordReply(h, reply.Clock, now)
 	switch {
 	case reply.Refused == host.RefusedFenced:
 		e.fencedBy(h)
 	case r != nil && reply.Refused == "":
 		r.pace = o.Percent
 		r.progressAt = now // lack of progress while throttled does not count as a stall
-		e.repace(h)
+		e.scheduleThrottling(h)
 	}
 }
 
 // recordOverloadShare records the share at which the images of a host's backfill tasks overloaded it.
 func (e *Engine) recordOverloadShare(h *hostState) {
 	for _, r := range h.runs {
-		if r.fills() {
-			e.backfillOverloadShare[r.group.step.Image] = h.governor.TooMuch()
+		if r.isBackfill() {
+			e.backfillOverloadShare[r.group.step.Image] = h.governor.ExcessiveShare()
 		}
 	}
 }
@@ -183,11 +183,11 @@
 func (e *Engine) initialBackfillShare(h *hostState) int {
 	share := pacing.Full
 	for _, r := range h.runs {
-		if !r.fills() {
+		if !r.isBackfill() {
 			continue
 		}
 		if overload, known := e.backfillOverloadShare[r.group.step.Image]; known {
-			share = min(share, int(e.cfg.Tuning.Pacing.Near*float64(overload)))
+			share = min(share, int(e.cfg.Tuning.Pacing.SafeFraction*float64(overload)))
 		}
 	}
 	return share
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -43,7 +43,7 @@
 		e.countReserving(g)
 		return 0
 	}
-	e.tellWaiting(g, now)
+	e.logWaiting(g, now)
 	e.recordAttempt(g, rank, now)
 	attemptCost = g.attemptCost()
 	switch {
@@ -60,10 +60,10 @@
 // overQuota reports whether the quota of the step's account allows no task of it to start. Reservations of
 // the step are released meanwhile, so that other steps can use the capacity.
 func (e *Engine) overQuota(g *group, now time.Time) bool {
-	if e.allowedNow(g) > 0 {
+	if e.startableNow(g) > 0 {
 		return false
 	}
-	e.tellWaiting(g, now)
+	e.logWaiting(g, now)
 	if now.Before(g.preemptedAt) {
 		return true // preemption for it is under way: its reservation is kept
 	}
@@ -135,7 +135,7 @@
 	if since < last.backoff {
 		return true
 	}
-	return last.room == e.room && since < unconditionalRetry
+	return last.capacityChanges == e.capacityChanges && since < unconditionalRetry
 }
 
 // recordAttempt records an attempt of the step and computes the backoff that applies if the attempt fails.
@@ -154,8 +154,8 @@
 	if g.advice.answers != g.lastAttempt.answers {
 		backoff = minBackoff
 	}
-	e.expect(g)
-	g.lastAttempt = placementAttempt{at: now, backoff: backoff, room: e.room, answers: g.advice.answers}
+	e.updateExpected(g)
+	g.lastAttempt = placementAttempt{at: now, backoff: backoff, capacityChanges: e.capacityChanges, answers: g.advice.answers}
 }
 
 // sortedQueue returns the steps that are due, sorted by the priority of the queue, then the urgency of the
@@ -177,7 +177,7 @@
 		for _, g := range queue {
 			e.updateUrgency(g.job, now)
 		}
-		slices.SortFunc(queue, before)
+		slices.SortFunc(queue, compareSteps)
 	}
 	e.enqueueIncoming(now)
 	return e.queue
@@ -197,15 +197,15 @@
 		}
 		g.queued = true
 		e.updateUrgency(g.job, now)
-		at, _ := slices.BinarySearchFunc(e.queue, g, before)
+		at, _ := slices.BinarySearchFunc(e.queue, g, compareSteps)
 		e.queue = slices.Insert(e.queue, at, g)
 	}
 	clear(e.incoming[len(notDue):])
 	e.incoming = notDue
 }
 
-// before compares two steps by their scheduling order.
-func before(a, b *group) int {
+// compareSteps compares two steps by their scheduling order.
+func compareSteps(a, b *group) int {
 	return cmp.Or(
 		cmp.Compare(a.job.expiredRank(), b.job.expiredRank()),
 		cmp.Compare(a.job.rec.Rules.Priority, b.job.rec.Rules.Priority),
@@ -221,15 +221,15 @@
 func (e *Engine) placeableHosts(now time.Time) []*hostState {
 	out := e.hostBuf[:0]
 	for _, p := range e.pools {
-		p.roomiest = spec.Resources{}
+		p.maxFree = spec.Resources{}
 	}
-	e.trials = 0
-	for _, h := range e.sorted {
+	e.quarantines = 0
+	for _, h := range e.hostsByID {
 		if e.placeable(h, now) {
 			out = append(out, h)
-			h.pool.roomiest = h.pool.roomiest.Max(h.free())
-			if h.onTrial(now) {
-				e.trials++
+			h.servicePool.maxFree = h.servicePool.maxFree.Max(h.free())
+			if h.hasQuarantine(now) {
+				e.quarantines++
 			}
 		}
 	}
@@ -240,28 +240,28 @@
 // planTasks starts as many waiting tasks of a step as capacity allows.
 func (e *Engine) planTasks(g *group, hosts []*hostState, now time.Time) {
 	e.startTasks(g, e.withCapacity(g, e.permittedHosts(g, hosts, now)), now)
-	if g.waiting > 0 && g.job.rec.Rules.Advice != nil {
-		e.askForTasks(g, hosts, now)
+	if g.waiting > 0 && g.job.rec.Rules.PolicyQuery != nil {
+		e.queryForTasks(g, hosts, now)
 	}
 }
 
 // startTasks starts as many waiting tasks of a step as fit on the permitted hosts.
 func (e *Engine) startTasks(g *group, permitted []*hostState, now time.Time) {
 	started := 0
-	limit := e.allowedNow(g)
+	limit := e.startableNow(g)
 	for i := range g.tasks {
 		if started == limit {
 			break
 		}
 		t := &g.tasks[i]
-		if t.state != taskWaiting || now.Before(t.notBefore) || e.heldBack(g, t) {
+		if t.state != taskWaiting || now.Before(t.notBefore) || e.startBlocked(g, t) {
 			continue
 		}
 		h := e.bestHost(g, t, permitted, now)
 		if h == nil {
 			break
 		}
-		e.start(g, i, e.nextRun(t.run), h, t.checkpoint, now)
+		e.orderStart(g, i, e.nextRunNumber(t.run), h, t.checkpoint, now)
 		started++
 	}
 	if started > 0 {
@@ -273,13 +273,13 @@
 // withCapacity returns the hosts that have capacity for a task of the step, regardless of reservations of
 // other steps.
 func (e *Engine) withCapacity(g *group, hosts []*hostState) []*hostState {
-	size := g.step.Booked()
+	size := g.step.Allocation()
 	return slices.DeleteFunc(hosts, func(h *hostState) bool { return !size.Fits(h.free()) })
 }
 
 // permittedHosts returns the hosts on which a step may start now under the filters and the policy.
 func (e *Engine) permittedHosts(g *group, hosts []*hostState, now time.Time) []*hostState {
-	if g.job.rec.Rules.Advice == nil {
+	if g.job.rec.Rules.PolicyQuery == nil {
 		return e.candidateHosts(g, hosts, now)
 	}
 	if len(g.advice.tickets) == 0 {
@@ -287,7 +287,7 @@
 	}
 	out := make([]*hostState, 0, len(g.advice.tickets))
 	for h := range g.advice.tickets {
-		if e.allowed(g, h, now) && e.placeable(h, now) && refusedBy(g, h) == "" && e.open(g, h, now) {
+		if e.hasPermission(g, h, now) && e.placeable(h, now) && rejectedBy(g, h) == "" && e.startAllowed(g, h, now) {
 			out = append(out, h)
 		}
 	}
@@ -299,7 +299,7 @@
 func (e *Engine) candidateHosts(g *group, hosts []*hostState, now time.Time) []*hostState {
 	out := make([]*hostState, 0, len(hosts))
 	for _, h := range hosts {
-		if refusedBy(g, h) == "" && e.open(g, h, now) {
+		if rejectedBy(g, h) == "" && e.startAllowed(g, h, now) {
 			out = append(out, h)
 		}
 	}
@@ -310,13 +310,13 @@
 func (e *Engine) bestHost(g *group, t *task, hosts []*hostState, now time.Time) *hostState {
 	var bestHost *hostState
 	var lowest float64
-	size := g.step.Booked()
+	size := g.step.Allocation()
 	for _, h := range hosts {
-		if !g.spread(h) || !size.Fits(e.roomFor(g, h, now)) || !e.open(g, h, now) {
+		if !g.belowHostLimit(h) || !size.Fits(e.capacityFor(g, h, now)) || !e.startAllowed(g, h, now) {
 			continue
 		}
 		cost := e.cost(g, h)
-		if t.avoid == h.info.ID || t.crashes.On(h.info.Addr) {
+		if t.avoid == h.info.ID || t.crashes.HasMachine(h.info.Addr) {
 			cost += costFailedBefore
 		}
 		if bestHost == nil || cost < lowest {
@@ -326,24 +326,24 @@
 	return bestHost
 }
 
-// spread reports whether the limit of the step on tasks per host permits another task on the host.
-func (g *group) spread(h *hostState) bool {
-	return g.step.MostPerHost == 0 || g.perHost[h] < g.step.MostPerHost
+// belowHostLimit reports whether the limit of the step on tasks per host permits another task on the host.
+func (g *group) belowHostLimit(h *hostState) bool {
+	return g.step.MaxPerHost == 0 || g.perHost[h] < g.step.MaxPerHost
 }
 
-// allowed reports whether the policy of the queue permits the step to start on the host now.
-func (e *Engine) allowed(g *group, h *hostState, now time.Time) bool {
-	if g.job.rec.Rules.Advice == nil {
+// hasPermission reports whether the policy of the queue permits the step to start on the host now.
+func (e *Engine) hasPermission(g *group, h *hostState, now time.Time) bool {
+	if g.job.rec.Rules.PolicyQuery == nil {
 		return true
 	}
 	return now.Add(e.cfg.Tuning.TicketMargin).Before(g.advice.tickets[h].until)
 }
 
-// fits returns how many tasks of a step fit into the free capacity of a host.
-func (g *group) fits(h *hostState, free spec.Resources) int {
-	n := free.Holds(g.step.Booked())
-	if g.step.MostPerHost > 0 {
-		n = min(n, g.step.MostPerHost-g.perHost[h])
+// slotsFor returns how many tasks of a step fit into the free capacity of a host.
+func (g *group) slotsFor(h *hostState, free spec.Resources) int {
+	n := free.FitCount(g.step.Allocation())
+	if g.step.MaxPerHost > 0 {
+		n = min(n, g.step.MaxPerHost-g.perHost[h])
 	}
 	return max(n, 0)
 }
--- a/internal/engine/plan_gang.go
+++ b/internal/engine/plan_gang.go
@@ -8,34 +8,34 @@
 // planGang starts a gang if there is capacity and permission for all of its members. Otherwise it
 // determines the hosts that may run it, reserves slots there, and requests tickets in time.
 func (e *Engine) planGang(g *group, hosts []*hostState, now time.Time) {
-	if !g.gangIdle() || e.heldBack(g, nil) {
+	if !g.gangIdle() || e.startBlocked(g, nil) {
 		return
 	}
 	permittedHosts := e.permittedHosts(g, hosts, now)
-	if slotsNow := e.slotsNow(g, permittedHosts, g.left, now); slotsNow != nil {
+	if slotsNow := e.slotsNow(g, permittedHosts, g.undone, now); slotsNow != nil {
 		e.startGang(g, slotsNow, now)
 		return
 	}
 	if e.preemptFor(g, permittedHosts, now) {
 		return
 	}
-	if g.job.rec.Rules.Advice == nil {
+	if g.job.rec.Rules.PolicyQuery == nil {
 		e.reserveGang(g, e.candidateHosts(g, hosts, now), now)
 		return
 	}
-	approved := e.goodHosts(g, now)
+	approved := e.knownPermitted(g, now)
 	mayReserve := e.reserveGang(g, approved, now)
-	if !e.mayAsk(g, now) {
+	if !e.mayQuery(g, now) {
 		return
 	}
-	idle := e.lanes.Idle(g.job.rec.Rules.Advice.Took(1), now)
+	idle := e.lanes.HalfIdle(g.job.rec.Rules.PolicyQuery.QueryDuration(1), now)
 	switch {
-	case len(g.reserved) > 0 && e.placesComeSoon(g, now):
-		e.askForTickets(g, approved, now)
+	case len(g.reserved) > 0 && e.slotsDueSoon(g, now):
+		e.requestTickets(g, approved, now)
 	case mayReserve && !g.hasEnoughPermitted(approved) || idle || g.advice.answers == 0:
 		// The permitted hosts that are known can not hold the gang, or the query slots are idle and other
 		// hosts may have capacity.
-		e.askForPlaces(g, approved, e.unknownHosts(g, hosts), now)
+		e.queryForSlots(g, approved, e.unqueriedHosts(g, hosts), now)
 	}
 }
 
@@ -48,18 +48,18 @@
 func (g *group) hasEnoughPermitted(permitted []*hostState) bool {
 	slots := 0
 	for _, h := range permitted {
-		slots += g.fits(h, h.info.Size)
+		slots += g.slotsFor(h, h.info.Size)
 	}
 	return float64(slots) >= permittedHostsFactor*float64(g.waiting)
 }
 
 // slotsNow chooses slots for n tasks of a gang on the given hosts, or returns nil when there are not
 // enough.
-func (e *Engine) slotsNow(g *group, hosts []*hostState, n int, now time.Time) []seat {
-	var all []seat
+func (e *Engine) slotsNow(g *group, hosts []*hostState, n int, now time.Time) []hostSlots {
+	var all []hostSlots
 	for _, h := range hosts {
-		if k := g.fits(h, e.roomFor(g, h, now)); k > 0 {
-			all = append(all, seat{h, k})
+		if k := g.slotsFor(h, e.capacityFor(g, h, now)); k > 0 {
+			all = append(all, hostSlots{h, k})
 		}
 	}
 	if g.step.SameRack {
@@ -71,12 +71,12 @@
 }
 
 // chooseOneRack chooses slots in the rack that has enough of them at the lowest cost.
-func (e *Engine) chooseOneRack(g *group, all []seat, n int) []seat {
-	racks := map[string][]seat{}
+func (e *Engine) chooseOneRack(g *group, all []hostSlots, n int) []hostSlots {
+	racks := map[string][]hostSlots{}
 	for _, s := range all {
 		racks[s.host.info.Rack] = append(racks[s.host.info.Rack], s)
 	}
-	var best []seat
+	var best []hostSlots
 	var lowest float64
 	for _, slots := range racks {
 		chosen := e.takeCheapest(g, slots, n)
@@ -95,19 +95,19 @@
 }
 
 // takeCheapest takes n slots in the order of the hosts' costs, or returns nil when there are not enough.
-func (e *Engine) takeCheapest(g *group, all []seat, n int) []seat {
+func (e *Engine) takeCheapest(g *group, all []hostSlots, n int) []hostSlots {
 	cost := make(map[*hostState]float64, len(all))
 	for _, s := range all {
 		cost[s.host] = e.cost(g, s.host)
 	}
 	sort.SliceStable(all, func(a, b int) bool { return cost[all[a].host] < cost[all[b].host] })
-	var out []seat
+	var out []hostSlots
 	for _, s := range all {
 		if n == 0 {
 			break
 		}
 		k := min(s.n, n)
-		out = append(out, seat{s.host, k})
+		out = append(out, hostSlots{s.host, k})
 		n -= k
 	}
 	if n > 0 {
--- a/internal/engine/plan_large.go
+++ b/internal/engine/plan_large.go
@@ -25,23 +25,23 @@
 	if g.waiting == 0 {
 		return
 	}
-	if g.job.rec.Rules.Advice == nil {
+	if g.job.rec.Rules.PolicyQuery == nil {
 		e.reserveLarge(g, e.candidateHosts(g, hosts, now), now)
 		return
 	}
-	approved := e.goodHosts(g, now)
+	approved := e.knownPermitted(g, now)
 	e.reserveLarge(g, approved, now)
-	if !e.mayAsk(g, now) {
+	if !e.mayQuery(g, now) {
 		return
 	}
 	if !g.hasEnoughPermitted(approved) {
-		if unknown := e.unknownHosts(g, hosts); len(unknown) > 0 {
-			e.ask(g, e.earliestHosts(g, unknown, now), now)
+		if unknown := e.unqueriedHosts(g, hosts); len(unknown) > 0 {
+			e.query(g, e.earliestHosts(g, unknown, now), now)
 			return
 		}
 	}
-	if len(g.reserved) > 0 && (e.placesComeSoon(g, now) || e.lanes.Idle(g.job.rec.Rules.Advice.Took(1), now)) {
-		e.askForTickets(g, approved, now)
+	if len(g.reserved) > 0 && (e.slotsDueSoon(g, now) || e.lanes.HalfIdle(g.job.rec.Rules.PolicyQuery.QueryDuration(1), now)) {
+		e.requestTickets(g, approved, now)
 	}
 }
 
@@ -54,28 +54,28 @@
 	}
 	out := slices.Clone(unknown)
 	slices.SortStableFunc(out, func(a, b *hostState) int { return cmp.Compare(at[a], at[b]) })
-	slots := permittedHostsFactor * float64(g.waiting) / e.goodShare(g)
+	slots := permittedHostsFactor * float64(g.waiting) / e.permittedShare(g)
 	n := 0
-	for slots > 0 && n < len(out) && n < e.cfg.Tuning.AskMost {
-		slots -= float64(g.fits(out[n], out[n].info.Size))
+	for slots > 0 && n < len(out) && n < e.cfg.Tuning.MaxHostsPerQuery {
+		slots -= float64(g.slotsFor(out[n], out[n].info.Size))
 		n++
 	}
-	return out[:max(n, min(leastAsked, len(out)))]
+	return out[:max(n, min(minQueryHosts, len(out)))]
 }
 
 // timeToCapacity returns the expected time until a host has capacity for one more task.
 func (e *Engine) timeToCapacity(g *group, h *hostState, now time.Time) time.Duration {
 	for _, d := range reservationHorizons {
-		if g.fits(h, e.roomAt(g, h, d, now)) > 0 {
+		if g.slotsFor(h, e.capacityAt(g, h, d, now)) > 0 {
 			return d
 		}
 	}
 	return unboundedDuration
 }
 
-// roomAt returns what a step may use of a host after the given time: the expected free capacity less
+// capacityAt returns what a step may use of a host after the given time: the expected free capacity less
 // reservations of other steps.
-func (e *Engine) roomAt(g *group, h *hostState, after time.Duration, now time.Time) spec.Resources {
+func (e *Engine) capacityAt(g *group, h *hostState, after time.Duration, now time.Time) spec.Resources {
 	return h.freeAt(now.Add(after), now).Sub(h.reservedAheadOf(g))
 }
 
@@ -85,7 +85,7 @@
 
 // mayReserveLarge reports whether one more step of large tasks may have reservations.
 func (e *Engine) mayReserveLarge() bool {
-	return e.reservingLarge < max(minReservingSteps, len(e.sorted)/hostsPerLargeReservation)
+	return e.reservingLarge < max(minReservingSteps, len(e.hostsByID)/hostsPerLargeReservation)
 }
 
 // reserveLarge reserves a slot for each waiting task of a step, each from the earliest moment at which one
@@ -102,7 +102,7 @@
 	former := g.reserved
 	g.releaseReservation()
 	g.reservedAt = now
-	want := e.allowedNow(g)
+	want := e.startableNow(g)
 	if want == 0 {
 		return
 	}
@@ -127,14 +127,14 @@
 
 // slotsAfter returns the hosts that are expected to have slots for a step after the given time: hosts of
 // its former reservation first, then by cost.
-func (e *Engine) slotsAfter(g *group, hosts, former []*hostState, after time.Duration, now time.Time) []seat {
-	var all []seat
+func (e *Engine) slotsAfter(g *group, hosts, former []*hostState, after time.Duration, now time.Time) []hostSlots {
+	var all []hostSlots
 	for _, h := range hosts {
-		if n := g.fits(h, e.roomAt(g, h, after, now)); n > 0 {
-			all = append(all, seat{h, n})
+		if n := g.slotsFor(h, e.capacityAt(g, h, after, now)); n > 0 {
+			all = append(all, hostSlots{h, n})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b seat) int {
+	slices.SortStableFunc(all, func(a, b hostSlots) int {
 		x, y := slices.Contains(former, a.host), slices.Contains(former, b.host)
 		if x != y {
 			if x {
@@ -155,17 +155,17 @@
 	if g.classified {
 		return g.largeTasks
 	}
-	size := g.step.Booked()
+	size := g.step.Allocation()
 	for _, h := range hosts {
-		if refusedBy(g, h) != "" {
+		if rejectedBy(g, h) != "" {
 			continue
 		}
 		g.classified, g.largeTasks = true, true
-		if g.step.LongRunning || g.step.Filler || h.info.Size.Holds(size) > maxLargePerHost {
+		if g.step.LongRunning || g.step.Backfill || h.info.Size.FitCount(size) > maxLargePerHost {
 			g.largeTasks = false
 			break
 		}
-		if h.pool.biggest.Holds(size) <= maxLargePerHost {
+		if h.servicePool.maxSize.FitCount(size) <= maxLargePerHost {
 			break // no host holds more
 		}
 	}
--- a/internal/engine/preempt.go
+++ b/internal/engine/preempt.go
@@ -23,12 +23,12 @@
 // scheduling order, and its queue has a higher priority.
 func (g *group) preemptibleBy(gang *group) bool {
 	return gang.step.Gang && g.step.Checkpointing && !g.step.Gang && !g.step.LongRunning &&
-		g.job.rec.Rules.Priority > gang.job.rec.Rules.Priority && before(gang, g) < 0
+		g.job.rec.Rules.Priority > gang.job.rec.Rules.Priority && compareSteps(gang, g) < 0
 }
 
 // preemptibleNow reports whether a run may be preempted by a gang now.
 func (r *run) preemptibleNow(gang *group) bool {
-	return r.group != nil && r.state == runRunning && !r.unwanted && r.group.preemptibleBy(gang) &&
+	return r.group != nil && r.state == runRunning && !r.stopRequested && r.group.preemptibleBy(gang) &&
 		r.group.tasks[r.Task.Index].preempted < maxPreemptions
 }
 
@@ -49,43 +49,43 @@
 		e.preemptScheduled(g, now)
 		return true // preemption is under way
 	}
-	var all []seat
+	var all []hostSlots
 	for _, h := range permitted {
 		if !e.ticketOutlastsStop(g, h, now) {
 			continue
 		}
-		capacity := e.roomFor(g, h, now).Add(h.preemptibleSize(g))
-		if n := g.fits(h, capacity); n > 0 {
-			all = append(all, seat{h, n})
+		capacity := e.capacityFor(g, h, now).Add(h.preemptibleSize(g))
+		if n := g.slotsFor(h, capacity); n > 0 {
+			all = append(all, hostSlots{h, n})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b seat) int { return cmp.Compare(b.n, a.n) })
-	var slots []seat
+	slices.SortStableFunc(all, func(a, b hostSlots) int { return cmp.Compare(b.n, a.n) })
+	var slots []hostSlots
 	if g.step.SameRack {
-		slots = e.chooseOneRack(g, all, g.left)
+		slots = e.chooseOneRack(g, all, g.undone)
 	}
 	if slots == nil {
-		slots = e.takeCheapest(g, all, g.left)
+		slots = e.takeCheapest(g, all, g.undone)
 	}
 	if slots == nil {
 		return false
 	}
-	g.preemptedAt, g.preemptAt = now.Add(e.cfg.Bounds.StopTakes+preemptMargin), time.Time{}
+	g.preemptedAt, g.preemptAt = now.Add(e.cfg.Bounds.MaxStopTime+preemptMargin), time.Time{}
 	g.releaseReservation()
 	for _, s := range slots {
 		e.preemptOnHost(g, s, now)
 		s.host.reserved = append(s.host.reserved, reservation{group: g, n: s.n, at: now})
 		g.reserved = append(g.reserved, s.host)
 	}
-	g.reservedAt, g.reservedFrom = now, now.Add(e.cfg.Bounds.StopTakes)
+	g.reservedAt, g.reservedFrom = now, now.Add(e.cfg.Bounds.MaxStopTime)
 	return true
 }
 
-// clearAhead schedules preemption on the hosts of a gang's reservation, for which tickets were just
+// schedulePreemption schedules preemption on the hosts of a gang's reservation, for which tickets were just
 // requested, so that the capacity is free when the tickets arrive.
-func (e *Engine) clearAhead(g *group, took time.Duration, now time.Time) {
-	g.preemptAt = now.Add(max(took-e.cfg.Bounds.StopTakes, 0))
-	g.preemptedAt = now.Add(max(took, e.cfg.Bounds.StopTakes) + preemptMargin)
+func (e *Engine) schedulePreemption(g *group, took time.Duration, now time.Time) {
+	g.preemptAt = now.Add(max(took-e.cfg.Bounds.MaxStopTime, 0))
+	g.preemptedAt = now.Add(max(took, e.cfg.Bounds.MaxStopTime) + preemptMargin)
 }
 
 // preemptScheduled carries out the scheduled preemption when it is due.
@@ -98,7 +98,7 @@
 		for i := range h.reserved {
 			if r := &h.reserved[i]; r.group == g {
 				r.at = now
-				e.preemptOnHost(g, seat{h, r.n}, now)
+				e.preemptOnHost(g, hostSlots{h, r.n}, now)
 			}
 		}
 	}
@@ -107,16 +107,16 @@
 // ticketOutlastsStop reports whether the gang's ticket for a host remains valid until a stop there has
 // ended.
 func (e *Engine) ticketOutlastsStop(g *group, h *hostState, now time.Time) bool {
-	if g.job.rec.Rules.Advice == nil {
+	if g.job.rec.Rules.PolicyQuery == nil {
 		return true
 	}
-	return now.Add(e.cfg.Bounds.StopTakes + preemptMargin).Before(g.advice.tickets[h].until)
+	return now.Add(e.cfg.Bounds.MaxStopTime + preemptMargin).Before(g.advice.tickets[h].until)
 }
 
 // preemptOnHost preempts as many tasks on a host as the gang needs for its slots there, the largest first.
-func (e *Engine) preemptOnHost(g *group, s seat, now time.Time) {
-	need := g.step.Booked().Times(int64(s.n))
-	capacity := e.roomFor(g, s.host, now)
+func (e *Engine) preemptOnHost(g *group, s hostSlots, now time.Time) {
+	need := g.step.Allocation().Times(int64(s.n))
+	capacity := e.capacityFor(g, s.host, now)
 	var victims []*run
 	for _, r := range s.host.runs {
 		if r.preemptibleNow(g) {
@@ -132,6 +132,6 @@
 		}
 		capacity = capacity.Add(r.size)
 		r.group.tasks[r.Task.Index].preempted++
-		e.unwant(r, "preempted by a gang of a more urgent queue")
+		e.requestStop(r, "preempted by a gang of a more urgent queue")
 	}
 }
--- a/internal/engine/preempt_test.go
+++ b/internal/engine/preempt_test.go
@@ -14,7 +14,7 @@
 
 // loadedWorld is a cell of four hosts filled with tasks of a less urgent queue.
 func loadedWorld(t *testing.T, change func(*spec.Step, *catalog.Rules)) *world {
-	w := quietWorld(t, 4)
+	w := idleWorld(t, 4)
 	s, rules := step(32, 8, 8, 9000), catalog.Rules{Priority: 2}
 	s.Checkpointing = true
 	change(&s, &rules)
@@ -35,26 +35,26 @@
 		"equally urgent":                 {func(_ *spec.Step, r *catalog.Rules) { r.Priority = 1 }, false},
 		"long-running":                   {func(s *spec.Step, _ *catalog.Rules) { s.LongRunning = true }, false},
 		"a gang":                         {func(s *spec.Step, _ *catalog.Rules) { s.Gang = true }, false},
-		"less urgent, with a deadline":   {func(_ *spec.Step, r *catalog.Rules) { r.Stretch = 3 }, true},
+		"less urgent, with a deadline":   {func(_ *spec.Step, r *catalog.Rules) { r.CriticalPathFactor = 3 }, true},
 	}
 	for name, tc := range tests {
 		for _, advised := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", advice ", advised), func(t *testing.T) {
 				is := is.New(t)
 				w := loadedWorld(t, tc.change)
-				before := w.fleet.Judge().Starts()
+				before := w.fleet.Checker().Starts()
 				is.Equal(before, 32)
 				gang := step(6, 18, 26, 1000)
 				gang.Gang = true
 				rules := catalog.Rules{Priority: 1}
 				if advised {
-					rules.Advice = testAdvice
+					rules.PolicyQuery = testAdvice
 				}
 				w.submit("gang", rules, gang)
 				w.run(time.Second)
 				is.Equal(w.running("gang") == 6, tc.preempted)
 				w.run(60 * time.Second)
-				w.check()
+				w.checkInvariants()
 				if tc.preempted {
 					is.Equal(w.shown["busy"], record.StateCompleted)
 				}
@@ -75,8 +75,8 @@
 		})
 	}
 	w.run(60 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.shown["busy"], record.StateCompleted)
 	is.Equal(w.completed(), 41)
-	is.True(w.fleet.Judge().Starts() <= 40*6+32*(1+maxPreemptions))
+	is.True(w.fleet.Checker().Starts() <= 40*6+32*(1+maxPreemptions))
 }
--- a/internal/engine/presence_poll.go
+++ b/internal/engine/presence_poll.go
@@ -16,9 +16,9 @@
 )
 
 // pollWait returns how long a host with suspect runs holds back the answer to a poll.
-func (h *hostState) lookWait() time.Duration {
+func (h *hostState) pollWait() time.Duration {
 	for _, r := range h.runs {
-		if r.suspect && r.group != nil && r.group.standing >= crashloop.OnTrial {
+		if r.suspect && r.group != nil && r.group.suspicion >= crashloop.Quarantined {
 			return quarantinePollWait
 		}
 	}
@@ -36,24 +36,26 @@
 const presencePollInterval = time.Second
 
 // schedulePresencePolls schedules the polls of a host on which a suspect run starts now.
-func (h *hostState) prove(now time.Time) { h.presencePollsFrom, h.presencePolls = now, 0 }
+func (h *hostState) schedulePresencePolls(now time.Time) {
+	h.presencePollsFrom, h.presencePolls = now, 0
+}
 
 // planPresencePoll polls a host on which a suspect run was started, if a poll is due.
-func (e *Engine) planProof(h *hostState, now time.Time) {
+func (e *Engine) planPresencePoll(h *hostState, now time.Time) {
 	if h.presencePollsFrom.IsZero() {
 		return
 	}
 	if due := h.nextPresencePoll(); now.Before(due) {
-		e.lookBy(due)
+		e.planPollsBy(due)
 		return
 	}
-	if h.suspects == 0 {
+	if h.suspectRuns == 0 {
 		h.presencePollsFrom = time.Time{}
 		return
 	}
 	e.probe(h)
 	h.presencePolls++
-	e.lookBy(h.nextPresencePoll())
+	e.planPollsBy(h.nextPresencePoll())
 }
 
 // nextPresencePoll returns when the next poll of planPresencePoll is due.
--- a/internal/engine/presumed_test.go
+++ b/internal/engine/presumed_test.go
@@ -23,11 +23,11 @@
 		t.Run(name, func(t *testing.T) {
 			withBothIDs(t, func(t *testing.T, keepsID bool) {
 				w := crashWorld(t, 5, 32)
-				w.fleet.KeepsID, w.fleet.DarkCrashes, w.fleet.BackAfter = keepsID, powerLoss, 200*time.Second
-				w.submit(culprit, catalog.Rules{}, step(1, 6, 10, 640))
+				w.fleet.KeepID, w.fleet.PowerLossCrashes, w.fleet.RestartDelay = keepsID, powerLoss, 200*time.Second
+				w.submit(crashingJob, catalog.Rules{}, step(1, 6, 10, 640))
 				w.run(190 * time.Second)
-				w.check()
-				t.Logf("%d hosts lost to it; reported as %s", w.fleet.Judge().HostsStruck(), w.shown[culprit])
+				w.checkInvariants()
+				t.Logf("%d hosts lost to it; reported as %s", w.fleet.Checker().HostsCrashedByTasks(), w.shown[crashingJob])
 			})
 		})
 	}
@@ -41,14 +41,14 @@
 	for name, changes := range map[string]bool{"one holder": false, "holders change": true} {
 		t.Run(name, func(t *testing.T) {
 			w := crashWorld(t, 5, 32)
-			w.fleet.DarkCrashes, w.fleet.BackAfter = true, 9*time.Second
+			w.fleet.PowerLossCrashes, w.fleet.RestartDelay = true, 9*time.Second
 			if changes {
-				w.onStart = func(StartOrder) { w.after(8*time.Second, w.takeOver) }
+				w.onStart = func(StartOrder) { w.after(8*time.Second, w.failOver) }
 			}
-			w.submit(culprit, catalog.Rules{}, step(1, 6, 10, 640))
+			w.submit(crashingJob, catalog.Rules{}, step(1, 6, 10, 640))
 			w.run(150 * time.Second)
-			w.check()
-			t.Logf("%d hosts lost to it; reported as %s", w.fleet.Judge().HostsStruck(), w.shown[culprit])
+			w.checkInvariants()
+			t.Logf("%d hosts lost to it; reported as %s", w.fleet.Checker().HostsCrashedByTasks(), w.shown[crashingJob])
 		})
 	}
 }
@@ -63,19 +63,19 @@
 		for _, after := range []time.Duration{1500 * time.Millisecond, 4 * time.Second} {
 			t.Run(fmt.Sprintf("holders change every %v, hosts crash after %v", every, after), func(t *testing.T) {
 				w := crashWorld(t, 1, 16)
-				w.fleet.Crashes = func(spec.StepTask) time.Duration { return after }
+				w.fleet.CrashAfter = func(spec.StepTask) time.Duration { return after }
 				const jobs = 3
 				for i := range jobs {
 					w.after(time.Duration(i)*7*time.Second, func() {
-						w.submit(fmt.Sprint(culprit, i), catalog.Rules{}, step(1, 6, 10, 2*after.Milliseconds()))
+						w.submit(fmt.Sprint(crashingJob, i), catalog.Rules{}, step(1, 6, 10, 2*after.Milliseconds()))
 					})
 				}
 				for at := every; at < 80*time.Second; at += every {
-					w.after(at, w.takeOver)
+					w.after(at, w.failOver)
 				}
 				w.run(160 * time.Second)
-				w.check()
-				t.Logf("%d hosts lost to %d jobs", w.fleet.Judge().HostsStruck(), jobs)
+				w.checkInvariants()
+				t.Logf("%d hosts lost to %d jobs", w.fleet.Checker().HostsCrashedByTasks(), jobs)
 			})
 		}
 	}
@@ -89,10 +89,10 @@
 func TestStaleEntryAtSameAddress(t *testing.T) {
 	survives := func(w *world, h *hostsim.Host) {
 		w.after(10*time.Millisecond, func() { w.breakAndDisconnect(h) })
-		w.after(1500*time.Millisecond, func() { h.Cut(false) })
+		w.after(1500*time.Millisecond, func() { h.SetDisconnected(false) })
 	}
 	w := newInjectionWorld(t, 1, false, crashAfterAnswer, survives)
-	w.fleet.BackAfter = 200 * time.Millisecond
+	w.fleet.RestartDelay = 200 * time.Millisecond
 	w.submit("job", catalog.Rules{}, step(1, 6, 10, 5000))
 	w.mustNotFail(t, 30*time.Second)
 }
@@ -112,18 +112,18 @@
 
 func testCrashesStoredByPreviousVersion(t *testing.T, crashes hostFault) {
 	w := newInjectionWorld(t, 16, false, crashes)
-	w.held = true
+	w.paused = true
 	w.submit("job", catalog.Rules{}, step(1, 6, 10, 5000))
 	w.storeCrashes(map[int]crashloop.History{0: {{Run: 1, Host: "h90", Chance: 1e-3}, {Run: 2, Host: "h91", Chance: 1e-3}}})
-	w.held = false
-	w.takeOver()
+	w.paused = false
+	w.failOver()
 	w.mustNotFail(t, 40*time.Second)
 }
 
 // storeCrashes writes crashes under tasks of the job to the store.
 func (w *world) storeCrashes(crashed map[int]crashloop.History) {
 	p := record.Progress{Steps: []record.StepProgress{{Crashed: crashed}}}
-	w.apply([]platform.Write{encoded(record.ProgressKey(0, "job"), p)})
+	w.applyWrites([]platform.Write{putWrite(record.ProgressKey(0, "job"), p)})
 }
 
 // TestDoneWhileDecisionPending guards against a step that waits for ever. A previous holder had found
@@ -140,23 +140,23 @@
 
 func testDoneWhileDecisionPending(t *testing.T, confirmed bool) {
 	w := newWorld(t, 21)
-	w.follows, w.logs = true, true
+	w.followsHosts, w.keepEvents = true, true
 	w.fleet.Add(16, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	w.submit("job", catalog.Rules{}, step(2, 40, 60, 5000))
 	w.run(4900 * time.Millisecond) // shortly before both tasks are done
 	w.hostOf(1).Crash()
 	crashing := crashloop.History{
-		{Run: 90, Host: "h90", Chance: 1e-4, RanMillis: 10, Recent: true, Proven: confirmed},
-		{Run: 91, Host: "h91", Chance: 1e-4, RanMillis: 10, Recent: true, Proven: confirmed},
+		{Run: 90, Host: "h90", Chance: 1e-4, RunMillis: 10, JustStarted: true, Proven: confirmed},
+		{Run: 91, Host: "h91", Chance: 1e-4, RunMillis: 10, JustStarted: true, Proven: confirmed},
 	}
 	w.storeCrashes(map[int]crashloop.History{0: crashing, 1: crashing[:1]})
-	w.takeOver()
+	w.failOver()
 	w.run(60 * time.Second)
-	w.check()
+	w.checkInvariants()
 	if w.shown["job"] != record.StateCompleted {
-		t.Errorf("the job is reported as %s, its step's suspicion level is %d: %s", w.shown["job"], w.engine.jobs["job"].groups[0].standing, w.describe("job"))
+		t.Errorf("the job is reported as %s, its step's suspicion level is %d: %s", w.shown["job"], w.engine.jobs["job"].groups[0].suspicion, w.describe("job"))
 	}
 }
 
@@ -166,23 +166,23 @@
 // crashes were attributed to all running tasks, stored, and retracted by the next view.
 func TestOwnConnectionsReset(t *testing.T) {
 	w := newWorld(t, 21)
-	w.follows, w.logs = true, true
+	w.followsHosts, w.keepEvents = true, true
 	w.fleet.Add(16, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	for at := time.Duration(0); at < 6*time.Second; at += 20 * time.Millisecond {
 		w.after(at, func() { w.submit(fmt.Sprint("short-", at), catalog.Rules{}, step(1, 6, 2, 1500)) })
 	}
 	w.run(4 * time.Second)
-	w.tell(w.engine, func() {
-		for _, h := range w.engine.sorted {
-			if h.looking {
-				w.engine.Viewed(LookOrder{To: h.info}, w.now(), host.View{}, host.ErrBroken, w.now())
+	w.deliver(w.engine, func() {
+		for _, h := range w.engine.hostsByID {
+			if h.pollInFlight {
+				w.engine.Polled(PollOrder{To: h.info}, w.now(), host.View{}, host.ErrConnectionBroken, w.now())
 			}
 		}
 	})
 	w.run(2 * time.Second)
 	held := 0
-	for _, ev := range w.logged {
+	for _, ev := range w.events {
 		if ev.What == "crash held against task" {
 			held++
 		}
@@ -198,18 +198,18 @@
 // ended: its runs were dropped, and started elsewhere while they ran on.
 func TestLateAnswerFromPreviousAddress(t *testing.T) {
 	w := newWorld(t, 21)
-	w.follows, w.logs = true, true
-	w.fleet.KeepsID, w.fleet.BackAfter = true, 100*time.Millisecond
+	w.followsHosts, w.keepEvents = true, true
+	w.fleet.KeepID, w.fleet.RestartDelay = true, 100*time.Millisecond
 	w.fleet.Add(3, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
-	late, sent := LookOrder{To: w.host("h00").Info(), Probe: true}, w.now()
+	late, sent := PollOrder{To: w.host("h00").Info(), Probe: true}, w.now()
 	w.host("h00").Restart()
 	w.host("h00").SetAddr("elsewhere")
 	w.run(500 * time.Millisecond)
 	w.submit("job", catalog.Rules{}, step(2, 40, 60, 5000))
 	w.run(500 * time.Millisecond)
-	w.tell(w.engine, func() { w.engine.Viewed(late, sent, host.View{}, host.ErrOtherLife, w.now()) })
+	w.deliver(w.engine, func() { w.engine.Polled(late, sent, host.View{}, host.ErrOtherIncarnation, w.now()) })
 	w.mustNotFail(t, 20*time.Second)
 }
 
@@ -219,10 +219,10 @@
 func TestBrokenConnectionsOfNextIncarnation(t *testing.T) {
 	survives := func(w *world, h *hostsim.Host) {
 		w.after(20*time.Millisecond, func() { w.breakAndDisconnect(h) })
-		w.after(1500*time.Millisecond, func() { h.Cut(false) })
+		w.after(1500*time.Millisecond, func() { h.SetDisconnected(false) })
 	}
 	w := newInjectionWorld(t, 16, false, crashRightAfterAnswer, survives)
-	w.fleet.BackAfter = 200 * time.Millisecond
+	w.fleet.RestartDelay = 200 * time.Millisecond
 	w.submit("beside", catalog.Rules{}, step(15, 60, 100, 600000))
 	w.run(time.Second)
 	w.submit("job", catalog.Rules{}, step(1, 6, 10, 5000))
--- a/internal/engine/quarantine.go
+++ b/internal/engine/quarantine.go
@@ -24,52 +24,52 @@
 )
 
 // hasQuarantine reports whether the host takes only starts of a quarantined job at present.
-func (h *hostState) onTrial(now time.Time) bool {
+func (h *hostState) hasQuarantine(now time.Time) bool {
 	return h.quarantinedJob != nil && now.Before(h.quarantineUntil)
 }
 
 // startAllowed reports whether the step may start on the host, considering quarantine and recent
 // capacity refusals of the host.
-func (e *Engine) open(g *group, h *hostState, now time.Time) bool {
-	if h.full(g.step.Booked(), now) {
+func (e *Engine) startAllowed(g *group, h *hostState, now time.Time) bool {
+	if h.recentlyRefused(g.step.Allocation(), now) {
 		return false
 	}
-	if h.onTrial(now) && h.quarantinedJob != g.job {
+	if h.hasQuarantine(now) && h.quarantinedJob != g.job {
 		return false
 	}
-	if g.standing < crashloop.OnTrial || h.quarantinedJob == g.job && h.onTrial(now) {
+	if g.suspicion < crashloop.Quarantined || h.quarantinedJob == g.job && h.hasQuarantine(now) {
 		return true
 	}
-	if h.suspects > g.suspectsOn(h) || h.startedJob != g.job && now.Sub(h.startedAt) < quietPeriod {
+	if h.suspectRuns > g.suspectRunsOn(h) || h.startedJob != g.job && now.Sub(h.startedAt) < quietPeriod {
 		return false
 	}
-	if at := g.job.trialAt; !g.step.Gang && at != nil && at != h && at.quarantinedJob == g.job && at.onTrial(now) {
+	if at := g.job.quarantinedOn; !g.step.Gang && at != nil && at != h && at.quarantinedJob == g.job && at.hasQuarantine(now) {
 		return false
 	}
-	return e.trials < max(1, len(e.sorted)/hostsPerQuarantine)
+	return e.quarantines < max(1, len(e.hostsByID)/hostsPerQuarantine)
 }
 
 // recordStart records that a task of the group was started on the host.
-func (e *Engine) noteStart(g *group, h *hostState, now time.Time) {
+func (e *Engine) recordStart(g *group, h *hostState, now time.Time) {
 	h.startedAt, h.startedJob = now, g.job
-	if g.standing >= crashloop.Suspect {
-		e.retried = true
-		e.touch(g.job)
+	if g.suspicion >= crashloop.Suspect {
+		e.retryUnstored = true
+		e.markDirty(g.job)
 	}
-	if g.standing < crashloop.OnTrial {
+	if g.suspicion < crashloop.Quarantined {
 		return
 	}
-	if !h.onTrial(now) {
-		e.trials++
+	if !h.hasQuarantine(now) {
+		e.quarantines++
 	}
 	h.quarantinedJob, h.quarantineUntil = g.job, now.Add(quarantinePeriod)
-	g.job.trialAt = h
+	g.job.quarantinedOn = h
 }
 
 // suspectRunsOn counts the suspect runs of the group's job on the host.
-func (g *group) suspectsOn(h *hostState) int {
+func (g *group) suspectRunsOn(h *hostState) int {
 	n := 0
-	if h.suspects == 0 {
+	if h.suspectRuns == 0 {
 		return 0
 	}
 	for _, r := range h.runs {
@@ -83,9 +83,9 @@
 // endQuarantine handles the end of a run: the host takes other work again when no run of the quarantined
 // job is left there.
 func (e *Engine) endQuarantine(r *run) {
-	h := r.on
+	h := r.placedOn
 	if r.suspect {
-		h.suspects--
+		h.suspectRuns--
 	}
 	if h.quarantinedJob == nil || r.group == nil || r.group.job != h.quarantinedJob {
 		return
