--- a/internal/engine/quota_test.go
+++ b/internal/engine/quota_test.go
@@ -19,7 +19,7 @@
 // accountWorld is a cell with client accounts; jobs are named "account-...".
 func accountWorld(t testing.TB, seed uint64, hosts int) *world {
 	w := newWorld(t, seed)
-	w.follows = true
+	w.followsHosts = true
 	w.accountOf = func(id string) string {
 		for name := range w.quotas {
 			if len(id) > len(name) && id[:len(name)] == name {
@@ -37,7 +37,7 @@
 func crewWorld(t testing.TB, seed uint64, hosts int, quota int64) *world {
 	w := accountWorld(t, seed, hosts)
 	w.setQuota("crew", cores(quota))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	return w
 }
@@ -47,14 +47,14 @@
 }
 
 // coresOf returns the processors in use by an account's tasks, as seen by the hosts.
-func (w *world) coresOf(account string) int64 { return w.fleet.RunningOf(account).MilliCPU / 1000 }
+func (w *world) coresOf(account string) int64 { return w.fleet.AllocatedTo(account).MilliCPU / 1000 }
 
 // TestQuotasHold checks that everything an account may have running counts in every dimension, for all
 // kinds of work, and that ended work counts no longer.
 func TestQuotasHold(t *testing.T) {
 	const quota = 8
 	backfill := step(20, 2, 1, 60000)
-	backfill.Filler = true
+	backfill.Backfill = true
 	longRunning := step(20, 2, 1, 0)
 	longRunning.LongRunning = true
 	gang := step(3, 2, 1, 2000)
@@ -78,7 +78,7 @@
 			is := is.New(t)
 			w := accountWorld(t, 3, 4)
 			w.setQuota("crew", tc.q)
-			w.takeOver()
+			w.failOver()
 			w.run(time.Second)
 			maxCores := int64(0)
 			w.submit("crew-1", catalog.Rules{}, tc.step)
@@ -87,7 +87,7 @@
 				w.run(100 * time.Millisecond)
 				maxCores = max(maxCores, w.coresOf("crew"))
 			}
-			w.check()
+			w.checkInvariants()
 			is.Equal(maxCores, tc.maxCores)
 			if tc.ends {
 				is.Equal(w.completed(), 2)
@@ -104,7 +104,7 @@
 	w := accountWorld(t, 5, 4)
 	w.setQuota("full", cores(8))
 	w.setQuota("crew", cores(32))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	gang := step(4, 2, 1, 4000)
 	gang.Gang = true
@@ -116,7 +116,7 @@
 	w.submit("crew-1", catalog.Rules{Priority: 2}, step(10, 2, 1, 4000))
 	w.run(300 * time.Millisecond)
 	is.Equal(w.coresOf("crew"), int64(20))
-	w.check()
+	w.checkInvariants()
 }
 
 // TestQuotasFallAndRise checks that a reduced quota stops nothing and lets nothing start above it, and
@@ -124,11 +124,11 @@
 func TestQuotasFallAndRise(t *testing.T) {
 	for name, between := range map[string]func(w *world){
 		"one holder":    func(*world) {},
-		"failover":      func(w *world) { w.takeOver() },
-		"two failovers": func(w *world) { w.takeOver(); w.run(50 * time.Millisecond); w.takeOver() },
+		"failover":      func(w *world) { w.failOver() },
+		"two failovers": func(w *world) { w.failOver(); w.run(50 * time.Millisecond); w.failOver() },
 		"failover, hosts unresponsive": func(w *world) {
 			w.setAllDisconnected(true)
-			w.takeOver()
+			w.failOver()
 			w.after(2*time.Second, func() { w.setAllDisconnected(false) })
 		},
 	} {
@@ -146,7 +146,7 @@
 			w.setQuota("crew", cores(24))
 			w.run(500 * time.Millisecond)
 			is.Equal(w.coresOf("crew"), int64(24))
-			w.check()
+			w.checkInvariants()
 		})
 	}
 }
@@ -157,7 +157,7 @@
 
 func (w *world) setAllDisconnected(cut bool) {
 	for _, h := range w.fleet.Hosts() {
-		h.Cut(cut)
+		h.SetDisconnected(cut)
 	}
 }
 
@@ -169,17 +169,17 @@
 	w.submit("crew-1", catalog.Rules{}, step(12, 2, 1, 30000))
 	w.run(time.Second)
 	is.Equal(w.coresOf("crew"), int64(24))
-	w.host("h00").Cut(true)
-	w.host("h01").Cut(true)
-	w.takeOver()
+	w.host("h00").SetDisconnected(true)
+	w.host("h01").SetDisconnected(true)
+	w.failOver()
 	for i := range 5 {
 		w.submit(fmt.Sprint("crew-", 2+i), catalog.Rules{}, step(6, 2, 1, 1000))
 		w.run(time.Second)
 	}
-	w.check()
+	w.checkInvariants()
 	w.run(30 * time.Second)
 	is.Equal(w.coresOf("crew"), int64(24)) // tasks of the unreachable hosts were restarted
-	w.check()
+	w.checkInvariants()
 }
 
 // TestNothingStartsBeforeQuotasAreKnown checks that a holder without a configuration starts no work of
@@ -188,12 +188,12 @@
 	is := is.New(t)
 	w := accountWorld(t, 13, 4)
 	w.setQuota("crew", cores(8))
-	w.takeOver()
+	w.failOver()
 	w.engine.catalog = nil
 	w.submit("crew-1", catalog.Rules{}, step(12, 2, 1, 1000))
 	w.run(2 * time.Second)
 	is.Equal(w.coresOf("crew"), int64(0))
-	w.tell(w.engine, func() { w.engine.SetCatalog(w.catalog(), w.now()) })
+	w.deliver(w.engine, func() { w.engine.SetCatalog(w.catalog(), w.now()) })
 	w.run(100 * time.Millisecond)
 	is.Equal(w.coresOf("crew"), int64(8))
 }
@@ -217,11 +217,11 @@
 	for i, name := range accounts {
 		w.setQuota(name, cores(int64(48+48*i)))
 	}
-	w.fleet.KeepsID = seed%2 == 0
-	w.fleet.BackAfter = time.Duration(100+w.rnd.IntN(2500)) * time.Millisecond
-	w.takeOver()
+	w.fleet.KeepID = seed%2 == 0
+	w.fleet.RestartDelay = time.Duration(100+w.rnd.IntN(2500)) * time.Millisecond
+	w.failOver()
 	w.run(time.Second)
-	w.faults = []faults{{}, {lostAnswer: 0.3}, {late: 0.15}, {lostRequest: 0.2}, {lateLooks: 0.3}, {lateViews: 0.3}}[seed%6]
+	w.faults = []faults{{}, {lostReply: 0.3}, {delayedRequest: 0.15}, {lostRequest: 0.2}, {latePolls: 0.3}, {lateViews: 0.3}}[seed%6]
 	const busy = 30 * time.Second
 	for at := time.Duration(0); at < busy; at += 150 * time.Millisecond {
 		w.after(at, func() { w.submitRandom(accounts[w.rnd.IntN(len(accounts))], at) })
@@ -236,7 +236,7 @@
 	}
 	w.setAllDisconnected(false)
 	w.run(150 * time.Second)
-	w.check()
+	w.checkInvariants()
 	for id := range w.jobs {
 		if s := w.shown[id]; !s.Final() {
 			t.Errorf("job %s still waits in an idle cell: %s", id, w.describe(id))
@@ -250,8 +250,8 @@
 			t.Errorf("account %s has unconfirmed backfill tasks of %d steps in an empty cell", name, n)
 		}
 	}
-	if !w.engine.unowned.IsZero() {
-		t.Errorf("orphan runs use %v in an empty cell", w.engine.unowned)
+	if !w.engine.orphanUsage.IsZero() {
+		t.Errorf("orphan runs use %v in an empty cell", w.engine.orphanUsage)
 	}
 }
 
@@ -263,7 +263,7 @@
 	w := accountWorld(t, 17, 4)
 	w.setQuota("crew", cores(32))
 	w.setQuota("other", cores(64))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	lessUrgent := step(32, 2, 1, 60000)
 	lessUrgent.Checkpointing = true
@@ -276,20 +276,20 @@
 	is.True(!w.engine.jobs["crew-1"].groups[0].preemptedAt.IsZero())
 	w.submit("crew-2", catalog.Rules{Priority: 0}, step(32, 1, 1, 5000))
 	w.run(30 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.completed(), 2) // one after the other
 }
 
 // submitRandom submits a job of a random kind.
 func (w *world) submitRandom(account string, at time.Duration) {
 	s := step(1+w.rnd.IntN(12), 1+w.rnd.Int64N(4), 1, 200+w.rnd.Int64N(4000))
-	rules := catalog.Rules{Attempts: 20, Priority: w.rnd.IntN(3)}
+	rules := catalog.Rules{MaxAttempts: 20, Priority: w.rnd.IntN(3)}
 	id := fmt.Sprint(account, "-", at)
 	switch w.rnd.IntN(6) {
 	case 0:
 		s.Gang, s.Count = true, 1+w.rnd.IntN(6)
 	case 1:
-		s.Filler = true
+		s.Backfill = true
 	case 2:
 		s.Checkpointing = true
 	case 3:
@@ -309,21 +309,21 @@
 	h := w.fleet.Hosts()[w.rnd.IntN(len(w.fleet.Hosts()))]
 	switch w.rnd.IntN(9) {
 	case 0:
-		w.takeOver()
+		w.failOver()
 	case 1:
-		w.takeOver()
-		w.after(time.Duration(w.rnd.IntN(200))*time.Millisecond, w.takeOver)
+		w.failOver()
+		w.after(time.Duration(w.rnd.IntN(200))*time.Millisecond, w.failOver)
 	case 2:
-		h.RestartDark()
+		h.RestartAfterPowerLoss()
 	case 3, 4:
-		h.Cut(true)
-		w.after(time.Duration(300+w.rnd.IntN(8000))*time.Millisecond, func() { h.Cut(false) })
+		h.SetDisconnected(true)
+		w.after(time.Duration(300+w.rnd.IntN(8000))*time.Millisecond, func() { h.SetDisconnected(false) })
 	case 5, 6:
 		w.setQuota(accounts[w.rnd.IntN(len(accounts))], cores(24+w.rnd.Int64N(120)))
 	case 7:
 		for id, s := range w.shown {
 			if s == record.StateRunning {
-				w.tell(w.engine, func() { w.engine.Cancel(id, w.now()) })
+				w.deliver(w.engine, func() { w.engine.Cancel(id, w.now()) })
 				return
 			}
 		}
@@ -341,18 +341,18 @@
 			is := is.New(t)
 			w := crewWorld(t, 11, 2, quota)
 			backfill := step(int(quota)/4, 4, 1, 30000)
-			backfill.Filler = true
+			backfill.Backfill = true
 			if quota == 16 {
 				backfill.Size.MemoryMiB = 32 << 10 // two per host
 			}
 			w.submit("crew-1", catalog.Rules{}, backfill)
 			w.run(time.Second)
 			is.Equal(w.coresOf("crew"), quota)
-			w.host("h00").Cut(true)
-			w.takeOver()
+			w.host("h00").SetDisconnected(true)
+			w.failOver()
 			w.submit("crew-2", catalog.Rules{}, step(12, 2, 1, 1000))
 			w.run(5 * time.Second)
-			w.check()
+			w.checkInvariants()
 			is.Equal(w.coresOf("crew"), quota)
 		})
 	}
@@ -365,15 +365,15 @@
 	is := is.New(t)
 	w := crewWorld(t, 11, 4, 40)
 	backfill := step(100, 4, 32, 30000) // two per host
-	backfill.Filler = true
+	backfill.Backfill = true
 	w.submit("crew-1", catalog.Rules{}, backfill)
 	w.run(time.Second)
 	is.Equal(w.coresOf("crew"), int64(32))
-	w.host("h00").Cut(true)
-	w.takeOver()
+	w.host("h00").SetDisconnected(true)
+	w.failOver()
 	w.submit("crew-2", catalog.Rules{}, step(4, 2, 0, 30000))
 	w.run(2 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.coresOf("crew"), int64(40))
 }
 
@@ -386,7 +386,7 @@
 	w := accountWorld(t, 11, 4)
 	w.setQuota("crew", cores(8))
 	w.setQuota("county", cores(400))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	w.submit("crew-1", catalog.Rules{}, step(4, 2, 1, 5000))
 	w.run(500 * time.Millisecond)
@@ -394,19 +394,19 @@
 	key := record.JobKey(0, "crew-1")
 	rec := w.store[key]
 	delete(w.store, key)
-	w.takeOver()
+	w.failOver()
 	w.store[key] = rec
 	w.submit("crew-2", catalog.Rules{}, step(4, 2, 1, 1000))
 	w.run(300 * time.Millisecond)
-	w.check()
-	w.tell(w.engine, func() { w.engine.Accept(w.jobs["crew-1"], false, w.now(), w.now()) })
+	w.checkInvariants()
+	w.deliver(w.engine, func() { w.engine.Accept(w.jobs["crew-1"], false, w.now(), w.now()) })
 	w.submit("county-1", catalog.Rules{}, step(4, 2, 1, 1000))
 	w.run(500 * time.Millisecond)
 	is.Equal(w.coresOf("county"), int64(8)) // the runs no longer count against other accounts
 	w.run(20 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.completed(), 3)
-	is.True(w.engine.unowned.IsZero())
+	is.True(w.engine.orphanUsage.IsZero())
 }
 
 // TestRunsOfEndedJobsCount guards against quotas that ignore the runs of ended jobs: a job is cancelled
@@ -420,17 +420,17 @@
 	is.Equal(w.coresOf("crew"), int64(8))
 	for _, h := range w.fleet.Hosts() {
 		if len(h.Running()) > 0 {
-			h.Cut(true)
+			h.SetDisconnected(true)
 		}
 	}
-	w.tell(w.engine, func() { w.engine.Cancel("crew-1", w.now()) })
+	w.deliver(w.engine, func() { w.engine.Cancel("crew-1", w.now()) })
 	w.run(100 * time.Millisecond)
-	w.takeOver()
+	w.failOver()
 	w.submit("crew-2", catalog.Rules{}, step(4, 2, 1, 60000))
 	w.run(time.Second)
-	w.check()
+	w.checkInvariants()
 	w.run(12 * time.Second) // leases have expired
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.coresOf("crew"), int64(8))
 }
 
@@ -440,14 +440,14 @@
 	w := crewWorld(t, 11, 4, 8)
 	w.submit("crew-1", catalog.Rules{}, step(4, 2, 1, 60000))
 	w.run(500 * time.Millisecond)
-	w.tell(w.engine, func() { w.engine.Cancel("crew-1", w.now()) })
+	w.deliver(w.engine, func() { w.engine.Cancel("crew-1", w.now()) })
 	w.run(time.Minute)
-	w.host("h00").Cut(true)
-	w.aged = time.Minute
-	w.takeOver()
+	w.host("h00").SetDisconnected(true)
+	w.recordAge = time.Minute
+	w.failOver()
 	w.submit("crew-2", catalog.Rules{}, step(4, 2, 1, 60000))
 	w.run(time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.coresOf("crew"), int64(8))
 }
 
@@ -462,13 +462,13 @@
 		id := fmt.Sprint("crew-", i)
 		w.submit(id, catalog.Rules{}, step(16, 4, 1, 60000))
 		w.run(300 * time.Millisecond)
-		w.tell(w.engine, func() { w.engine.Cancel(id, w.now()) })
+		w.deliver(w.engine, func() { w.engine.Cancel(id, w.now()) })
 		w.run(300 * time.Millisecond)
 	}
-	w.host("h00").Cut(true)
-	w.takeOver()
+	w.host("h00").SetDisconnected(true)
+	w.failOver()
 	w.submit("crew-next", catalog.Rules{}, step(12, 4, 1, 60000))
 	w.run(time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.coresOf("crew"), int64(48)) // the quota less the capacity of one host
 }
--- a/internal/engine/random_faults_test.go
+++ b/internal/engine/random_faults_test.go
@@ -28,12 +28,12 @@
 var callFaults = map[string]faults{
 	"none":                      {},
 	"lost requests":             {lostRequest: 0.3},
-	"lost answers":              {lostAnswer: 0.3},
-	"late orders":               {late: 0.3},
-	"late polls and views":      {lateLooks: 0.5, lateViews: 0.5},
-	"late polls, views, orders": {late: 0.3, lateLooks: 0.5, lateViews: 0.5},
-	"polls without acknowledgements, lost calls": {lostRequest: 0.2, lostAnswer: 0.2, unsure: 0.5},
-	"all": {lostRequest: 0.1, lostAnswer: 0.1, late: 0.1, unsure: 0.3, lateLooks: 0.3, lateViews: 0.3},
+	"lost answers":              {lostReply: 0.3},
+	"late orders":               {delayedRequest: 0.3},
+	"late polls and views":      {latePolls: 0.5, lateViews: 0.5},
+	"late polls, views, orders": {delayedRequest: 0.3, latePolls: 0.5, lateViews: 0.5},
+	"polls without acknowledgements, lost calls": {lostRequest: 0.2, lostReply: 0.2, unidentifiedPolls: 0.5},
+	"all": {lostRequest: 0.1, lostReply: 0.1, delayedRequest: 0.1, unidentifiedPolls: 0.3, latePolls: 0.3, lateViews: 0.3},
 }
 
 // TestNoJobFailedWithoutCause has hosts that are disconnected, restart while disconnected or not, lose
@@ -48,7 +48,7 @@
 			for i := range uint64(*searchSeeds) {
 				seed := *firstSearchSeed + i
 				w := searchSeed(t, seed, kind)
-				for _, violation := range w.fleet.Judge().Wrong() {
+				for _, violation := range w.fleet.Checker().Violations() {
 					t.Errorf("seed %d: %s", seed, violation)
 				}
 				for id, shown := range w.shown {
@@ -74,16 +74,16 @@
 // searchSeed runs one seed.
 func searchSeed(t testing.TB, seed uint64, kind faults) *world {
 	w := newWorld(t, seed)
-	w.follows, w.logs = true, *searchLog
-	w.fleet.KeepsID = seed%2 == 0
-	w.fleet.BackAfter = time.Duration(100+w.rnd.IntN(4000)) * time.Millisecond
+	w.followsHosts, w.keepEvents = true, *searchLog
+	w.fleet.KeepID = seed%2 == 0
+	w.fleet.RestartDelay = time.Duration(100+w.rnd.IntN(4000)) * time.Millisecond
 	w.fleet.Add(16, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	w.faults = kind
 	for at, n := time.Duration(0), 0; at < searchFaultPeriod; at, n = at+wideEvery, n+1 {
 		w.after(at, func() {
-			w.submit(fmt.Sprint("wide-", n), catalog.Rules{Attempts: 2, Priority: 1}, step(10, 6, 7, 900))
+			w.submit(fmt.Sprint("wide-", n), catalog.Rules{MaxAttempts: 2, Priority: 1}, step(10, 6, 7, 900))
 		})
 	}
 	takeOvers := w.rnd.IntN(3) > 0
@@ -104,19 +104,19 @@
 	outage := time.Duration(200+w.rnd.IntN(7000)) * time.Millisecond
 	switch n := w.rnd.IntN(24); {
 	case n == 0 && takeOvers:
-		w.takeOver()
+		w.failOver()
 	case n < 5:
 		w.disconnect(h, outage)
 	case n < 12:
 		w.disconnect(h, outage)
-		w.after(time.Duration(w.rnd.IntN(int(outage))), h.RestartDark)
+		w.after(time.Duration(w.rnd.IntN(int(outage))), h.RestartAfterPowerLoss)
 	case n < 17:
 		h.Restart()
 	case n < 23:
-		h.RestartDark()
+		h.RestartAfterPowerLoss()
 	case len(w.fleet.Listed()) > 12:
 		h.Crash()
-		w.after(entryLasts, func() { h.List(false) })
+		w.after(entryLasts, func() { h.SetListed(false) })
 	}
 }
 
@@ -125,12 +125,12 @@
 
 // disconnect disconnects a host for a while, in half of the cases from the store as well.
 func (w *world) disconnect(h *hostsim.Host, d time.Duration) {
-	h.Cut(true)
+	h.SetDisconnected(true)
 	if w.rnd.IntN(2) == 0 && d > entryLasts {
-		w.after(entryLasts, func() { h.List(false) })
-		w.after(d, func() { h.List(h.Up()) })
+		w.after(entryLasts, func() { h.SetListed(false) })
+		w.after(d, func() { h.SetListed(h.Up()) })
 	}
-	w.after(d, func() { h.Cut(false) })
+	w.after(d, func() { h.SetDisconnected(false) })
 }
 
 // unfinished lists the jobs that are not final.
@@ -153,16 +153,16 @@
 	withBothIDs(t, func(t *testing.T, keepsID bool) {
 		is := is.New(t)
 		crashUnanswered := func(w *world, h *hostsim.Host) {
-			w.faults.lostAnswer = 1
+			w.faults.lostReply = 1
 			w.after(10*time.Millisecond, h.Restart)
-			w.after(20*time.Millisecond, func() { w.faults.lostAnswer = 0 })
+			w.after(20*time.Millisecond, func() { w.faults.lostReply = 0 })
 		}
 		w := injectAtStepStarts(t, keepsID, step(1, 6, 10, 2000), crashUnanswered, crashUnanswered)
 		w.run(6 * time.Second)
 		task := &w.engine.jobs["job"].groups[0].tasks[0]
 		is.True(task.cur != nil && task.cur.suspect) // the second start is polled as a suspect
 		is.Equal(len(task.crashes), 1)
-		is.True(task.crashes[0].Unsure)
+		is.True(task.crashes[0].Unconfirmed)
 		w.mustNotFail(t, 20*time.Second)
 		is.Equal(w.shown["job"], record.StateCompleted)
 	})
--- a/internal/engine/reserve.go
+++ b/internal/engine/reserve.go
@@ -39,7 +39,7 @@
 
 // mayReserveGang reports whether one more gang may have a reservation.
 func (e *Engine) mayReserveGang() bool {
-	return e.reservingGangs < max(minReservingSteps, len(e.sorted)/hostsPerGangReservation)
+	return e.reservingGangs < max(minReservingSteps, len(e.hostsByID)/hostsPerGangReservation)
 }
 
 // reserveGang finds the earliest moment at which the hosts, which the policy permits, have capacity for a
@@ -50,7 +50,7 @@
 	if mayWait {
 		e.reservingGangs++
 	}
-	if len(g.reserved) > 0 && (now.Sub(g.reservedAt) < reservationInterval || now.Before(g.settled)) && e.reservationValid(g) {
+	if len(g.reserved) > 0 && (now.Sub(g.reservedAt) < reservationInterval || now.Before(g.keepUntil)) && e.reservationValid(g) {
 		return mayWait
 	}
 	former := g.reserved
@@ -82,28 +82,28 @@
 // slotsAt chooses slots that a gang is expected to have at a moment: hosts of its former reservation
 // first, then as few hosts as possible. It returns nil when there are not enough slots, and adds spare
 // slots when there are more.
-func (e *Engine) slotsAt(g *group, hosts, former []*hostState, at, now time.Time) []seat {
-	var all []seat
+func (e *Engine) slotsAt(g *group, hosts, former []*hostState, at, now time.Time) []hostSlots {
+	var all []hostSlots
 	for _, h := range hosts {
 		capacity := h.freeAt(at, now).Sub(h.reservedAheadOf(g))
-		if at.Sub(now) >= e.cfg.Bounds.StopTakes {
+		if at.Sub(now) >= e.cfg.Bounds.MaxStopTime {
 			capacity = capacity.Add(h.preemptibleSize(g))
 		}
-		if n := g.fits(h, capacity); n > 0 {
-			all = append(all, seat{h, n})
+		if n := g.slotsFor(h, capacity); n > 0 {
+			all = append(all, hostSlots{h, n})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b seat) int {
+	slices.SortStableFunc(all, func(a, b hostSlots) int {
 		if x, y := slices.Contains(former, a.host), slices.Contains(former, b.host); x != y {
 			if x {
 				return -1
 			}
 			return 1
 		}
-		return fastestFirst(a, b)
+		return compareForGang(a, b)
 	})
-	n := g.left + int(math.Ceil(reservationMargin*float64(g.left)))
-	need := g.left
+	n := g.undone + int(math.Ceil(reservationMargin*float64(g.undone)))
+	need := g.undone
 	for i := range all {
 		all[i].n = min(all[i].n, n)
 		need -= all[i].n
@@ -122,42 +122,42 @@
 func (h *hostState) reservedAheadOf(g *group) spec.Resources {
 	var sum spec.Resources
 	for _, r := range h.reserved {
-		if r.group != g && before(r.group, g) <= 0 {
+		if r.group != g && compareSteps(r.group, g) <= 0 {
 			sum = sum.Add(r.size())
 		}
 	}
 	return sum
 }
 
-func (r reservation) size() spec.Resources { return r.group.step.Booked().Times(int64(r.n)) }
+func (r reservation) size() spec.Resources { return r.group.step.Allocation().Times(int64(r.n)) }
 
 // freeAt returns the free capacity of a host at a moment, if runs end as estimated and nothing new starts.
 func (h *hostState) freeAt(at, now time.Time) spec.Resources {
 	free := h.free()
 	for _, r := range h.runs {
-		if !r.endsBy(now).After(at) {
+		if !r.expectedEnd(now).After(at) {
 			free = free.Add(r.size)
 		}
 	}
 	return free
 }
 
-// roomFor returns the capacity of a host that a step may use now: the free capacity less what is needed
+// capacityFor returns the capacity of a host that a step may use now: the free capacity less what is needed
 // for reservations. A reservation does not apply to steps that end before it begins, to steps whose tasks
 // can still be preempted for it, or to steps that come first in the scheduling order. If gangs of one
 // queue respected each other's reservations regardless of the order, each would hold most of the slots
 // that it needs, few would start, and much capacity would stay idle.
-func (e *Engine) roomFor(g *group, h *hostState, now time.Time) spec.Resources {
+func (e *Engine) capacityFor(g *group, h *hostState, now time.Time) spec.Resources {
 	free := h.free()
 	if len(h.reserved) == 0 {
 		return free
 	}
 	ends := now.Add(g.runTimeBound())
 	for _, r := range h.reserved {
-		if r.group == g || before(g, r.group) < 0 || !ends.After(r.at) {
+		if r.group == g || compareSteps(g, r.group) < 0 || !ends.After(r.at) {
 			continue
 		}
-		if g.preemptibleBy(r.group) && r.at.Sub(now) > e.cfg.Bounds.StopTakes {
+		if g.preemptibleBy(r.group) && r.at.Sub(now) > e.cfg.Bounds.MaxStopTime {
 			continue
 		}
 		free = free.Min(h.freeAt(r.at, now).Sub(r.size()))
@@ -168,7 +168,7 @@
 // reservationValid reports whether all hosts with reserved slots still accept the gang.
 func (e *Engine) reservationValid(g *group) bool {
 	for _, h := range g.reserved {
-		if h.gone || !h.listed || h.info.Draining || e.hosts[h.info.ID] != h {
+		if h.terminated || !h.listed || h.info.Draining || e.hosts[h.info.ID] != h {
 			return false
 		}
 	}
@@ -183,8 +183,8 @@
 	g.reserved = nil
 }
 
-// unreserveHost releases all reservations that include the host, so that their steps choose other hosts.
-func (h *hostState) unreserveHost() {
+// releaseReservations releases all reservations that include the host, so that their steps choose other hosts.
+func (h *hostState) releaseReservations() {
 	for len(h.reserved) > 0 {
 		h.reserved[0].group.releaseReservation()
 	}
--- a/internal/engine/restart_test.go
+++ b/internal/engine/restart_test.go
@@ -32,10 +32,10 @@
 // before.
 func newRestartWorld(t testing.TB, seed uint64, hosts int) *world {
 	w := newWorld(t, seed)
-	w.follows = true
-	w.fleet.KeepsID, w.fleet.BackAfter = true, 500*time.Millisecond
+	w.followsHosts = true
+	w.fleet.KeepID, w.fleet.RestartDelay = true, 500*time.Millisecond
 	w.fleet.Add(hosts, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(time.Second)
 	w.submit("before", catalog.Rules{}, step(30*hosts, 6, 10, 300))
 	w.run(8 * time.Second)
@@ -51,17 +51,17 @@
 		commit  time.Duration // duration of a commit to the store
 	}{
 		"connections are reset": {restart: (*hostsim.Host).Restart},
-		"power is lost":         {restart: (*hostsim.Host).RestartDark},
-		"answers get lost":      {restart: (*hostsim.Host).Restart, faults: faults{lostRequest: 0.1, lostAnswer: 0.2}},
-		"orders come late":      {restart: (*hostsim.Host).RestartDark, faults: faults{late: 0.2}},
-		"polls come late":       {restart: (*hostsim.Host).RestartDark, faults: faults{lateLooks: 0.7}},
-		"views come late":       {restart: (*hostsim.Host).RestartDark, faults: faults{lateViews: 0.5}},
-		"the store is slow":     {restart: (*hostsim.Host).RestartDark, commit: 1200 * time.Millisecond},
+		"power is lost":         {restart: (*hostsim.Host).RestartAfterPowerLoss},
+		"answers get lost":      {restart: (*hostsim.Host).Restart, faults: faults{lostRequest: 0.1, lostReply: 0.2}},
+		"orders come late":      {restart: (*hostsim.Host).RestartAfterPowerLoss, faults: faults{delayedRequest: 0.2}},
+		"polls come late":       {restart: (*hostsim.Host).RestartAfterPowerLoss, faults: faults{latePolls: 0.7}},
+		"views come late":       {restart: (*hostsim.Host).RestartAfterPowerLoss, faults: faults{lateViews: 0.5}},
+		"the store is slow":     {restart: (*hostsim.Host).RestartAfterPowerLoss, commit: 1200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newRestartWorld(t, 3, 4)
 			w.faults, w.commitTakes = tc.faults, tc.commit
-			w.fleet.BackAfter = 50 * time.Millisecond
+			w.fleet.RestartDelay = 50 * time.Millisecond
 			for at := time.Duration(0); at < 12*time.Second; at += 100 * time.Millisecond {
 				w.after(at, func() { w.submit(fmt.Sprint("short-", at), catalog.Rules{}, step(2, 6, 10, 300)) })
 			}
@@ -71,8 +71,8 @@
 			w.run(14 * time.Second)
 			w.faults = faults{}
 			w.run(30 * time.Second)
-			w.check()
-			is.New(t).Equal(w.innocentsLost(), nil)
+			w.checkInvariants()
+			is.New(t).Equal(w.unrelatedNotCompleted(), nil)
 		})
 	}
 }
@@ -83,7 +83,7 @@
 	for name, s := range map[string]spec.Step{
 		"tasks":   step(12, 6, 10, 4000),
 		"a gang":  gangOf(6, 18, 10, 4000),
-		"service": lasting(6, 6, 10),
+		"service": longRunningStep(6, 6, 10),
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newRestartWorld(t, 4, 6)
@@ -95,7 +95,7 @@
 			w.run(time.Second)
 			w.terminateHosts(2)
 			w.run(30 * time.Second)
-			w.check()
+			w.checkInvariants()
 			if s.LongRunning {
 				is.New(t).Equal(w.running("job"), s.Count)
 				return
@@ -116,8 +116,8 @@
 			h.Crash()
 			continue
 		}
-		h.Cut(true)
-		w.after(4500*time.Millisecond, func() { h.List(false) })
+		h.SetDisconnected(true)
+		w.after(4500*time.Millisecond, func() { h.SetListed(false) })
 	}
 }
 
@@ -150,19 +150,19 @@
 
 func testRandomRestarts(t *testing.T, seed uint64) {
 	w := newRestartWorld(t, seed, 8)
-	w.fleet.BackAfter = time.Duration(100+w.rnd.IntN(2500)) * time.Millisecond
-	w.faults = []faults{{}, {lostRequest: 0.1, lostAnswer: 0.2}, {late: 0.2}, {unsure: 0.5}, {lateLooks: 0.5}, {lateViews: 0.5}}[seed%6]
+	w.fleet.RestartDelay = time.Duration(100+w.rnd.IntN(2500)) * time.Millisecond
+	w.faults = []faults{{}, {lostRequest: 0.1, lostReply: 0.2}, {delayedRequest: 0.2}, {unidentifiedPolls: 0.5}, {latePolls: 0.5}, {lateViews: 0.5}}[seed%6]
 	const busy = 20 * time.Second
-	w.bystanders(busy)
+	w.submitUnrelated(busy)
 	w.after(time.Second, func() { w.submit("gang", catalog.Rules{Priority: 1}, gangOf(6, 18, 20, 4000)) })
-	w.after(time.Second, func() { w.submit("service", catalog.Rules{}, lasting(6, 3, 4)) })
+	w.after(time.Second, func() { w.submit("service", catalog.Rules{}, longRunningStep(6, 3, 4)) })
 	for at := time.Second; at < busy; at += time.Duration(50+w.rnd.IntN(1000)) * time.Millisecond {
 		w.after(at, func() { w.restartAtRandom() })
 	}
 	w.run(busy)
 	w.faults = faults{}
 	w.run(60 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is := is.New(t)
 	if w.shown["service"] != record.StateFailed {
 		is.Equal(w.running("service"), 6)
@@ -178,11 +178,11 @@
 	h := w.fleet.Hosts()[w.rnd.IntN(len(w.fleet.Hosts()))]
 	switch n := w.rnd.IntN(12); {
 	case n == 0:
-		w.takeOver()
+		w.failOver()
 	case n < 6:
 		h.Restart()
 	default:
-		h.RestartDark()
+		h.RestartAfterPowerLoss()
 	}
 }
 
@@ -216,13 +216,13 @@
 	present := w.engine.hosts["h00"]
 	is.True(present != former)
 	runs := len(present.runs)
-	late := host.View{Life: former.life, Clock: former.now(w.now())}
+	late := host.View{Incarnation: former.incarnation, Clock: former.now(w.now())}
 	for _, sent := range []time.Time{asked, w.now()} {
-		w.engine.Viewed(LookOrder{To: present.info}, sent, late, nil, w.now())
+		w.engine.Polled(PollOrder{To: present.info}, sent, late, nil, w.now())
 		is.True(w.engine.hosts["h00"] == present)
 		is.Equal(len(present.runs), runs)
 	}
 	w.run(10 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.shown["job"], record.StateCompleted)
 }
--- a/internal/engine/retract_test.go
+++ b/internal/engine/retract_test.go
@@ -16,7 +16,7 @@
 func TestAnswerRetractsCrashes(t *testing.T) {
 	for name, change := range map[string]func(w *world){
 		"one holder":            func(*world) {},
-		"the next holder hears": func(w *world) { w.takeOver() },
+		"the next holder hears": func(w *world) { w.failOver() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -25,21 +25,21 @@
 			w.run(time.Second)
 			h := w.engine.hosts["h00"]
 			is.True(len(h.runs) > 0)
-			h.viewed = w.now()
-			h.unanswered(host.ErrRefused, w.now())
-			w.host("h00").Cut(true)
+			h.viewProducedAt = w.now()
+			h.recordFailedCall(host.ErrConnectionRefused, w.now())
+			w.host("h00").SetDisconnected(true)
 			w.run(400 * time.Millisecond)
-			is.Equal(w.engine.jobs["job"].groups[0].standing, crashloop.Suspect)
+			is.Equal(w.engine.jobs["job"].groups[0].suspicion, crashloop.Suspect)
 			change(w)
-			w.host("h00").Cut(false)
+			w.host("h00").SetDisconnected(false)
 			w.run(6 * time.Second)
-			is.Equal(w.engine.jobs["job"].groups[0].standing, crashloop.Unsuspected)
+			is.Equal(w.engine.jobs["job"].groups[0].suspicion, crashloop.Unsuspected)
 			w.crashAt(0)
 			w.run(8 * time.Second)
 			for i := range w.engine.jobs["job"].groups[0].tasks {
 				is.True(len(w.engine.jobs["job"].groups[0].tasks[i].crashes) <= 1) // the real crash
 			}
-			w.check()
+			w.checkInvariants()
 		})
 	}
 }
@@ -50,28 +50,28 @@
 func TestBrokenConnectionsAreNotCrashes(t *testing.T) {
 	for name, change := range map[string]func(w *world){
 		"one holder":            func(*world) {},
-		"the next holder hears": func(w *world) { w.takeOver() },
+		"the next holder hears": func(w *world) { w.failOver() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := crashWorld(t, 3, 4)
 			w.submit("job", catalog.Rules{}, step(8, 6, 10, 20000))
 			w.run(time.Second)
-			standing := func() crashloop.Standing { return w.engine.jobs["job"].groups[0].standing }
+			suspicion := func() crashloop.Suspicion { return w.engine.jobs["job"].groups[0].suspicion }
 			h := w.engine.hosts["h00"]
 			is.True(len(h.runs) > 0)
-			h.viewed = w.now()
-			h.unanswered(host.ErrBroken, w.now())
-			w.host("h00").Cut(true)
+			h.viewProducedAt = w.now()
+			h.recordFailedCall(host.ErrConnectionBroken, w.now())
+			w.host("h00").SetDisconnected(true)
 			w.run(400 * time.Millisecond)
-			is.Equal(standing(), crashloop.Unsuspected)
+			is.Equal(suspicion(), crashloop.Unsuspected)
 			change(w)
 			w.run(400 * time.Millisecond)
-			is.Equal(standing(), crashloop.Unsuspected)
-			w.host("h00").Cut(false)
+			is.Equal(suspicion(), crashloop.Unsuspected)
+			w.host("h00").SetDisconnected(false)
 			w.run(6 * time.Second)
-			is.Equal(standing(), crashloop.Unsuspected)
-			w.check()
+			is.Equal(suspicion(), crashloop.Unsuspected)
+			w.checkInvariants()
 		})
 	}
 }
--- a/internal/engine/roster.go
+++ b/internal/engine/roster.go
@@ -18,29 +18,29 @@
 
 // roster returns the roster that is to be stored.
 func (e *Engine) roster(now time.Time) record.Roster {
-	out := record.Roster{Shrunk: e.shrunk.share, Lost: e.losses.Names()}
-	for _, h := range e.sorted {
+	out := record.Roster{CapacityRatio: e.reduction.share, UnattributedFailures: e.losses.Unattributed()}
+	for _, h := range e.hostsByID {
 		out.Hosts = append(out.Hosts, e.rosterHost(h, now))
 	}
 	return out
 }
 
 func (e *Engine) rosterHost(h *hostState, now time.Time) record.RosterHost {
-	r := record.RosterHost{ID: string(h.info.ID), Addr: h.info.Addr, Life: int64(h.life)}
+	r := record.RosterHost{ID: string(h.info.ID), Addr: h.info.Addr, Incarnation: int64(h.incarnation)}
 	switch {
-	case h.claimed && h.shut:
+	case h.claimed && h.closeInRoster:
 		r.Closed = true
 		for key, tracked := range h.runs {
-			r.Tasks = append(r.Tasks, rosterTask(key, !tracked.begun))
+			r.Tasks = append(r.Tasks, rosterTask(key, !tracked.acknowledged))
 		}
 	case h.claimed || !h.inherited:
 		// open
-	case !now.Before(e.settleBy):
+	case !now.Before(e.reconcileDeadline):
 		r.Closed = true // the leases of earlier holders have expired there
-	case h.inheritedShut:
+	case h.inheritedClosed:
 		r.Closed = true
-		for _, p := range h.mayRun {
-			r.Tasks = append(r.Tasks, rosterTask(p.Run, p.unsure))
+		for _, p := range h.possibleRuns {
+			r.Tasks = append(r.Tasks, rosterTask(p.Run, p.unconfirmed))
 		}
 	}
 	return r
@@ -48,71 +48,71 @@
 
 func rosterTask(r host.Run, unconfirmed bool) record.RosterTask {
 	t := r.Task
-	return record.RosterTask{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index, Run: r.No, Unsure: unconfirmed}
+	return record.RosterTask{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index, Run: r.No, Unconfirmed: unconfirmed}
 }
 
-// mayRun is a run that may be on a host according to the roster of the previous holder.
-type mayRun struct {
+// possibleRun is a run that may be on a host according to the roster of the previous holder.
+type possibleRun struct {
 	host.Run
-	unsure bool // the host never confirmed that the run had begun
+	unconfirmed bool // the host never confirmed that the run had begun
 }
 
-// shutSilent closes a host in the roster that has been unresponsive for SilentAfter.
-func (e *Engine) shutSilent(h *hostState, now time.Time) {
-	if h.shut || h.silent.IsZero() || now.Sub(h.silent) < e.cfg.Tuning.SilentAfter {
+// closeUnresponsive closes a host in the roster that has been unresponsive for SilentAfter.
+func (e *Engine) closeUnresponsive(h *hostState, now time.Time) {
+	if h.closeInRoster || h.unresponsiveSince.IsZero() || now.Sub(h.unresponsiveSince) < e.cfg.Tuning.UnresponsiveAfter {
 		return
 	}
-	h.shut, h.rostered = true, false
-	e.rosterBehind = true
+	h.closeInRoster, h.openInRoster = true, false
+	e.rosterOutdated = true
 }
 
 // reopen marks a closed host that has answered again as open. It takes work once the
 // roster is stored.
 func (e *Engine) reopen(h *hostState) {
-	if h.shut {
-		h.shut = false
-		e.rosterBehind = true
+	if h.closeInRoster {
+		h.closeInRoster = false
+		e.rosterOutdated = true
 	}
 }
 
 // loadRoster loads the roster of the previous holder.
 func (e *Engine) loadRoster(roster record.Roster, now time.Time) {
-	e.shrunk = shrinking{roster.Shrunk, now}
-	e.losses.Inherit(roster.Lost, now)
+	e.reduction = capacityReduction{roster.CapacityRatio, now}
+	e.losses.Import(roster.UnattributedFailures, now)
 	for _, r := range roster.Hosts {
 		id := host.ID(r.ID)
 		h := e.hosts[id]
 		if h == nil {
 			h = e.newHost(host.Info{ID: id, Addr: r.Addr})
 		}
-		h.lookAt, h.inherited, h.inheritedShut = now, true, r.Closed
-		h.life = host.Life(r.Life)
+		h.nextPollAt, h.inherited, h.inheritedClosed = now, true, r.Closed
+		h.incarnation = host.Incarnation(r.Incarnation)
 		e.inheritedHosts++
 		for _, t := range r.Tasks {
 			task := spec.StepTask{StepID: spec.StepID{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step}, Index: t.Index}
-			h.mayRun = append(h.mayRun, mayRun{host.Run{Task: task, No: t.Run}, t.Unsure})
-			e.held[task]++
+			h.possibleRuns = append(h.possibleRuns, possibleRun{host.Run{Task: task, No: t.Run}, t.Unconfirmed})
+			e.possibleHosts[task]++
 		}
 	}
 }
 
-// isUnheard reports whether runs of earlier holders may be on a host that has not
+// isUnreported reports whether runs of earlier holders may be on a host that has not
 // reported to this holder.
-func (e *Engine) isUnheard(h *hostState, now time.Time) bool {
-	return h.inherited && !h.claimed && !h.gone && now.Before(e.settleBy)
+func (e *Engine) isUnreported(h *hostState, now time.Time) bool {
+	return h.inherited && !h.claimed && !h.terminated && now.Before(e.reconcileDeadline)
 }
 
-// resolve releases the tasks that are held back because they may run on a host: the
+// releasePossibleRuns releases the tasks that are held back because they may run on a host: the
 // host has reported its runs, or nothing can run there any more.
-func (e *Engine) resolve(h *hostState, now time.Time) {
-	tasks := h.mayRun
-	h.mayRun = nil
+func (e *Engine) releasePossibleRuns(h *hostState, now time.Time) {
+	tasks := h.possibleRuns
+	h.possibleRuns = nil
 	for _, r := range tasks {
-		if e.held[r.Task]--; e.held[r.Task] <= 0 {
-			delete(e.held, r.Task)
+		if e.possibleHosts[r.Task]--; e.possibleHosts[r.Task] <= 0 {
+			delete(e.possibleHosts, r.Task)
 		}
 	}
-	if e.unsettled {
+	if e.reconciling {
 		return // all tasks are held back until the reconciliation has ended
 	}
 	for _, r := range tasks {
@@ -124,14 +124,14 @@
 	}
 }
 
-// dropUnheard releases the tasks of an inherited host that has not reported once every
+// expireUnreported releases the tasks of an inherited host that has not reported once every
 // lease there has expired, and forgets the host unless it is listed.
-func (e *Engine) dropUnheard(h *hostState, now time.Time) {
-	if !h.inherited || h.claimed || now.Before(e.settleBy) {
+func (e *Engine) expireUnreported(h *hostState, now time.Time) {
+	if !h.inherited || h.claimed || now.Before(e.reconcileDeadline) {
 		return
 	}
-	if len(h.mayRun) > 0 {
-		e.resolve(h, now)
+	if len(h.possibleRuns) > 0 {
+		e.releasePossibleRuns(h, now)
 	}
 	if !h.listed {
 		e.forgetHost(h)
--- a/internal/engine/scores.go
+++ b/internal/engine/scores.go
@@ -21,7 +21,7 @@
 
 // cost returns the placement cost of a task of a step on a host.
 func (e *Engine) cost(g *group, h *hostState) float64 {
-	size := g.step.Booked()
+	size := g.step.Allocation()
 	free := h.free()
 	left := free.Sub(size)
 	cost := costLeftover * leftover(left, h.info.Size)
@@ -34,7 +34,7 @@
 			break
 		}
 	}
-	if h.fails > 0 {
+	if h.failures > 0 {
 		cost += costHostFailures
 	}
 	if slower := h.relativeRunTime() - 1; g.latencySensitive() {
@@ -42,30 +42,30 @@
 	} else {
 		cost -= gainSlowHost * slower
 	}
-	if g.standing >= crashloop.Suspect && h.suspects > g.suspectsOn(h) {
+	if g.suspicion >= crashloop.Suspect && h.suspectRuns > g.suspectRunsOn(h) {
 		cost += costSuspects
 	}
-	if g.step.Filler {
-		idle := free.MilliCPU - h.filling().MilliCPU
-		cost += costBackfillCrowding * (1 - share(idle, h.info.Size.MilliCPU))
+	if g.step.Backfill {
+		idle := free.MilliCPU - h.backfillDemand().MilliCPU
+		cost += costBackfillCrowding * (1 - fraction(idle, h.info.Size.MilliCPU))
 	}
 	return cost
 }
 
-// pool aggregates the hosts of a service.
-type pool struct {
-	// roomiest is the largest free capacity of a host in each dimension at the start of the scheduling
+// servicePool aggregates the hosts of a service.
+type servicePool struct {
+	// maxFree is the largest free capacity of a host in each dimension at the start of the scheduling
 	// pass.
-	roomiest spec.Resources
-	// biggest is the largest size of a host in each dimension.
-	biggest spec.Resources
+	maxFree spec.Resources
+	// maxSize is the largest size of a host in each dimension.
+	maxSize spec.Resources
 }
 
 // poolOf is the pool of a service.
-func (e *Engine) poolOf(service string) *pool {
+func (e *Engine) poolOf(service string) *servicePool {
 	p := e.pools[service]
 	if p == nil {
-		p = &pool{}
+		p = &servicePool{}
 		e.pools[service] = p
 	}
 	return p
@@ -74,15 +74,15 @@
 // leftover returns the share of a host that remains free, averaged over its dimensions. Accelerators count
 // only where the host has some, so that tasks that need one are packed together.
 func leftover(left, size spec.Resources) float64 {
-	sum := share(left.MilliCPU, size.MilliCPU) + share(left.MemoryMiB, size.MemoryMiB)
+	sum := fraction(left.MilliCPU, size.MilliCPU) + fraction(left.MemoryMiB, size.MemoryMiB)
 	if size.Accelerators == 0 {
 		return sum / 2
 	}
-	return (sum + share(left.Accelerators, size.Accelerators)) / 3
+	return (sum + fraction(left.Accelerators, size.Accelerators)) / 3
 }
 
-// share returns part/whole, or zero for a zero whole.
-func share(part, whole int64) float64 {
+// fraction returns part/whole, or zero for a zero whole.
+func fraction(part, whole int64) float64 {
 	if whole == 0 {
 		return 0
 	}
--- a/internal/engine/services_test.go
+++ b/internal/engine/services_test.go
@@ -12,46 +12,46 @@
 	"pulleyquay/internal/spec"
 )
 
-// watchTails records how long serving tasks exceed their latency targets.
-func (w *world) watchTails() {
-	if w.fleet.Harm == nil {
+// recordTails records how long serving tasks exceed their latency targets.
+func (w *world) recordTails() {
+	if w.fleet.BackfillImpact == nil {
 		return
 	}
-	now, over := w.now(), map[host.Run]time.Time{}
+	now, overTargetSince := w.now(), map[host.Run]time.Time{}
 	for _, h := range w.fleet.Hosts() {
-		for run, ratio := range h.Tails() {
+		for run, ratio := range h.TailLatencies() {
 			if ratio <= 1 {
 				continue
 			}
-			since, before := w.over[run]
+			since, before := w.overTargetSince[run]
 			if !before {
 				since = now
 			}
-			over[run] = since
-			w.longestOver = max(w.longestOver, now.Sub(since))
+			overTargetSince[run] = since
+			w.longestOverTarget = max(w.longestOverTarget, now.Sub(since))
 		}
 	}
-	w.over = over
+	w.overTargetSince = overTargetSince
 }
 
-// lasting returns a step of long-running tasks.
-func lasting(count int, cores, gib int64) spec.Step {
+// longRunningStep returns a step of long-running tasks.
+func longRunningStep(count int, cores, gib int64) spec.Step {
 	s := step(count, cores, gib, 0)
-	s.LongRunning, s.MostPerHost = true, 3
+	s.LongRunning, s.MaxPerHost = true, 3
 	return s
 }
 
 // servingStep returns a step of serving tasks, which are long-running and have a latency target.
 func servingStep(count int, cores, gib int64) spec.Step {
-	s := lasting(count, cores, gib)
-	s.Image, s.TailTargetMillis, s.MostPerHost = "web", 40, 2
+	s := longRunningStep(count, cores, gib)
+	s.Image, s.TailLatencyTargetMillis, s.MaxPerHost = "web", 40, 2
 	return s
 }
 
 // backfillStep returns a step of backfill tasks.
 func backfillStep(image string, count int, cores, gib, ms int64) spec.Step {
 	s := step(count, cores, gib, ms)
-	s.Filler, s.Image = true, image
+	s.Backfill, s.Image = true, image
 	return s
 }
 
@@ -73,7 +73,7 @@
 	n := 0
 	for _, h := range w.engine.hosts {
 		for _, r := range h.runs {
-			if r.Task.Job == job && r.percent >= atWork && h.silent.IsZero() {
+			if r.Task.Job == job && r.percent >= atWork && h.unresponsiveSince.IsZero() {
 				n++
 			}
 		}
@@ -86,7 +86,7 @@
 		"nothing happens": func(*world) {},
 		"a host crashes": func(w *world) {
 			w.host("h01").Crash()
-			w.host("h01").List(false)
+			w.host("h01").SetListed(false)
 			w.engine.DropHost("h01", w.now())
 		},
 		"a host drains and leaves": func(w *world) {
@@ -95,28 +95,28 @@
 			w.engine.SetHost(h.Info(), w.now())
 			w.after(2500*time.Millisecond, func() {
 				if n := len(h.Running()); n > 0 {
-					w.fleet.Judge().Breach("%d tasks still on the departing host", n)
+					w.fleet.Checker().RecordViolation("%d tasks still on the departing host", n)
 				}
 				h.Crash()
-				h.List(false)
+				h.SetListed(false)
 				w.engine.DropHost("h01", w.now())
 			})
 		},
-		"tasks stall on a host":    func(w *world) { w.host("h01").Stall(true) },
-		"failover":                 func(w *world) { w.takeOver() },
-		"failover, a host crashes": func(w *world) { w.host("h01").Crash(); w.takeOver() },
+		"tasks stall on a host":    func(w *world) { w.host("h01").SetStalled(true) },
+		"failover":                 func(w *world) { w.failOver() },
+		"failover, a host crashes": func(w *world) { w.host("h01").Crash(); w.failOver() },
 	}
 	for name, inject := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := quietWorld(t, 4)
-			w.submit("web", catalog.Rules{}, lasting(8, 6, 4))
+			w := idleWorld(t, 4)
+			w.submit("web", catalog.Rules{}, longRunningStep(8, 6, 4))
 			w.run(4 * time.Second)
 			is := is.New(t)
 			is.Equal(w.running("web"), 8)
 			is.True(len(w.host("h01").Running()) > 0)
 			inject(w)
 			w.run(16 * time.Second)
-			w.check()
+			w.checkInvariants()
 			is.Equal(w.atWork("web"), 8)
 			is.Equal(w.shown["web"].Final(), false)
 		})
@@ -124,13 +124,13 @@
 }
 
 func TestCancelledLongRunningJobEnds(t *testing.T) {
-	w := quietWorld(t, 4)
-	w.submit("web", catalog.Rules{}, lasting(8, 6, 4))
+	w := idleWorld(t, 4)
+	w.submit("web", catalog.Rules{}, longRunningStep(8, 6, 4))
 	w.run(2 * time.Second)
 	w.engine.Cancel("web", w.now())
 	w.decide()
 	w.run(2 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.New(t).Equal(w.running("web"), 0)
 }
 
@@ -138,7 +138,7 @@
 // are moved before their host leaves, and that those which end in time stay.
 func TestCheckpointingTasksLeaveDrainingHosts(t *testing.T) {
 	is := is.New(t)
-	w := quietWorld(t, 2)
+	w := idleWorld(t, 2)
 	long := step(6, 8, 8, 20000)
 	long.Checkpointing = true
 	w.submit("long", catalog.Rules{}, long)
@@ -159,7 +159,7 @@
 	}
 	is.Equal(short, 0) // all of them stayed
 	w.run(30 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.completed(), 2)
 }
 
@@ -178,14 +178,14 @@
 		"harmless":               {harm: 0.05},
 		"harmful":                {harm: 0.4},
 		"very harmful":           {harm: 3},
-		"answers lost":           {harm: 0.4, faults: faults{lostAnswer: 0.1, lostRequest: 0.05}, slack: time.Second},
-		"failover":               {harm: 0.4, inject: func(w *world) { w.takeOver() }, slack: time.Second},
-		"very harmful, failover": {harm: 3, inject: func(w *world) { w.takeOver() }, slack: time.Second},
+		"answers lost":           {harm: 0.4, faults: faults{lostReply: 0.1, lostRequest: 0.05}, slack: time.Second},
+		"failover":               {harm: 0.4, inject: func(w *world) { w.failOver() }, slack: time.Second},
+		"very harmful, failover": {harm: 3, inject: func(w *world) { w.failOver() }, slack: time.Second},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := quietWorld(t, 3)
-			w.fleet.Harm = map[string]float64{"mill": tc.harm}
+			w := idleWorld(t, 3)
+			w.fleet.BackfillImpact = map[string]float64{"mill": tc.harm}
 			w.submit("web", catalog.Rules{}, servingStep(6, 8, 8))
 			w.run(time.Second)
 			w.faults = tc.faults
@@ -200,9 +200,9 @@
 				}
 			})
 			w.run(150 * time.Second)
-			w.check()
+			w.checkInvariants()
 			is := is.New(t)
-			is.True(w.longestOver < maxHarm+tc.slack)
+			is.True(w.longestOverTarget < maxHarm+tc.slack)
 			is.Equal(w.running("web"), 6)
 			if tc.harm < 1 {
 				is.Equal(w.completed(), 6) // the backfill tasks complete as well
@@ -213,12 +213,12 @@
 
 // TestBackfillIsSpread checks that backfill tasks are placed where processor time is left over.
 func TestBackfillIsSpread(t *testing.T) {
-	w := quietWorld(t, 4)
+	w := idleWorld(t, 4)
 	w.submit("busy", catalog.Rules{}, step(2, 60, 8, 8000))
 	w.run(200 * time.Millisecond)
 	w.submit("mill", catalog.Rules{}, backfillStep("mill", 8, 10, 4, 3000))
 	w.run(200 * time.Millisecond)
-	w.check()
+	w.checkInvariants()
 	is := is.New(t)
 	for _, h := range w.fleet.Hosts() {
 		busy, backfill := 0, 0
--- a/internal/engine/speed.go
+++ b/internal/engine/speed.go
@@ -24,37 +24,37 @@
 	latencySensitiveStretch = 2.5
 )
 
-// paceOfWork is the run time of tasks on a host, relative to the mean.
-type paceOfWork struct {
+// runTimeFactor is the run time of tasks on a host, relative to the mean.
+type runTimeFactor struct {
 	factor float64 // zero means 1
 	runs   int
 }
 
 // relativeRunTime returns the run time of tasks on the host, as a multiple of the mean.
 func (h *hostState) relativeRunTime() float64 {
-	if h.work.runs == 0 {
+	if h.speed.runs == 0 {
 		return 1
 	}
-	return h.work.factor
+	return h.speed.factor
 }
 
-// learnSpeed compares the run time of a completed run with the tasks of its step that were done before.
-func (e *Engine) learnSpeed(r *run, now time.Time) {
+// observeSpeed compares the run time of a completed run with the tasks of its step that were done before.
+func (e *Engine) observeSpeed(r *run, now time.Time) {
 	g := r.group
-	if g == nil || g.step.Gang || r.known.IsZero() || r.resumed || r.pace != pacing.Full || r.on == nil {
+	if g == nil || g.step.Gang || r.confirmedAt.IsZero() || r.resumed || r.pace != pacing.Full || r.placedOn == nil {
 		return
 	}
-	took := float64(now.Sub(r.known))
-	relative := r.on.relativeRunTime()
+	took := float64(now.Sub(r.confirmedAt))
+	relative := r.placedOn.relativeRunTime()
 	if g.sampledTasks >= minSampledTasks {
-		r.on.work.observe(took / (g.sampledTime / float64(g.sampledTasks)))
+		r.placedOn.speed.observe(took / (g.sampledTime / float64(g.sampledTasks)))
 	}
 	g.sampledTasks++
 	g.sampledTime += took / relative
 }
 
 // observe records the run time of a task relative to other tasks of its step.
-func (p *paceOfWork) observe(factor float64) {
+func (p *runTimeFactor) observe(factor float64) {
 	if p.runs == 0 {
 		p.factor = 1
 	}
@@ -69,8 +69,8 @@
 // slow reports whether tasks take significantly longer on the host than the mean.
 func (h *hostState) slow() bool { return h.relativeRunTime() > slowHostFactor }
 
-// fastestFirst orders hosts for a gang: slow hosts last, then by the number of slots.
-func fastestFirst(a, b seat) int {
+// compareForGang orders hosts for a gang: slow hosts last, then by the number of slots.
+func compareForGang(a, b hostSlots) int {
 	if x, y := a.host.slow(), b.host.slow(); x != y {
 		if y {
 			return -1
@@ -82,6 +82,6 @@
 
 // latencySensitive reports whether work of the step has little slack.
 func (g *group) latencySensitive() bool {
-	s := g.job.rec.Rules.Stretch
+	s := g.job.rec.Rules.CriticalPathFactor
 	return g.step.Gang || s > 0 && s <= latencySensitiveStretch
 }
--- a/internal/engine/speed_test.go
+++ b/internal/engine/speed_test.go
@@ -20,11 +20,11 @@
 	slow := map[string]bool{}
 	for i, h := range w.fleet.Add(30, "s", size(64, 256)) {
 		if i%3 == 0 {
-			h.Slow(1.3)
+			h.SetSlowdown(1.3)
 			slow[string(h.Info().ID)] = true
 		}
 	}
-	w.takeOver()
+	w.failOver()
 	placed := map[string][2]int{} // tasks on fast and on slow hosts, by kind
 	counting := false
 	w.engine.cfg.Log = func(Event) {}
@@ -33,9 +33,9 @@
 	}
 	for i := range 200 {
 		w.after(time.Duration(i)*50*time.Millisecond, func() {
-			submit("tight-", i, catalog.Rules{Stretch: 1.5, TargetMillis: 250}, step(3, 16, 32, 400))
+			submit("tight-", i, catalog.Rules{CriticalPathFactor: 1.5, TargetMillis: 250}, step(3, 16, 32, 400))
 			if i%4 == 0 {
-				submit("loose-", i, catalog.Rules{Priority: 2, Stretch: 4, TargetMillis: 3000}, step(4, 8, 16, 600))
+				submit("loose-", i, catalog.Rules{Priority: 2, CriticalPathFactor: 4, TargetMillis: 3000}, step(4, 8, 16, 600))
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 			}
 		}
 	}
-	w.check()
+	w.checkInvariants()
 	share := func(kind string) float64 { return float64(placed[kind][1]) / float64(placed[kind][0]+placed[kind][1]) }
 	t.Logf("on slow hosts: %.2f of the urgent tasks, %.2f of the others", share("tight"), share("loose"))
 	is.True(share("tight") < 0.15)
@@ -77,8 +77,8 @@
 	is.Equal(fast.relativeRunTime(), 1.0) // no observation yet
 	for i := range 40 {
 		uneven := 1 + 0.16*float64(i%3-1)
-		fast.work.observe(0.92 * uneven)
-		slow.work.observe(1.2 * uneven)
+		fast.speed.observe(0.92 * uneven)
+		slow.speed.observe(1.2 * uneven)
 	}
 	is.True(!fast.slow())
 	is.True(slow.slow())
--- a/internal/engine/takeover.go
+++ b/internal/engine/takeover.go
@@ -11,16 +11,16 @@
 // started before each of these hosts has reported its runs, or before settleBy, when
 // every lease of earlier holders has expired. settleBy is zero for the first holder of
 // the partition. age returns how long ago a job was accepted or, if it is over, ended.
-func (e *Engine) Load(jobs []*record.Job, progress map[string]*record.Progress, roster record.Roster, settleBy, now time.Time, age func(*record.Job) time.Duration) {
+func (e *Engine) Load(jobs []*record.Job, progress map[string]*record.Progress, roster record.Roster, reconcileDeadline, now time.Time, age func(*record.Job) time.Duration) {
 	e.now = now
-	e.unsettled = !settleBy.IsZero()
-	e.settleBy = settleBy
+	e.reconciling = !reconcileDeadline.IsZero()
+	e.reconcileDeadline = reconcileDeadline
 	e.loadRoster(roster, now)
 	for _, rec := range jobs {
-		j := e.addJob(rec, e.unsettled, now.Add(-age(rec)), now)
-		if j.account != nil && age(rec) < endedUsageFactor*settleBy.Sub(now) {
-			j.account.left = j.account.left.Add(rec.Left)
-			j.account.leftFillers = j.account.leftFillers.Add(rec.LeftFillers)
+		j := e.addJob(rec, e.reconciling, now.Add(-age(rec)), now)
+		if j.account != nil && age(rec) < endedUsageFactor*reconcileDeadline.Sub(now) {
+			j.account.endedUsage = j.account.endedUsage.Add(rec.RunningAtEnd)
+			j.account.endedBackfill = j.account.endedBackfill.Add(rec.BackfillAtEnd)
 		}
 		if p := progress[rec.ID]; p != nil && !j.state.Final() {
 			e.applyProgress(j, p, now)
@@ -38,7 +38,7 @@
 	if e.jobs[rec.ID] != nil {
 		return
 	}
-	e.addJob(rec, e.unsettled && !fresh, accepted, now)
+	e.addJob(rec, e.reconciling && !fresh, accepted, now)
 }
 
 // addJob adds the state of a job. If unconfirmed is set, its tasks may run on hosts that
@@ -53,13 +53,13 @@
 	}
 	e.live[rec.ID] = j
 	for _, g := range j.groups {
-		e.expect(g)
+		e.updateExpected(g)
 		for i := range g.tasks {
-			if unconfirmed || e.held[g.task(i)] > 0 {
-				g.setState(i, taskUnsure)
+			if unconfirmed || e.possibleHosts[g.task(i)] > 0 {
+				g.setState(i, taskUnconfirmed)
 			}
 		}
-		if g.needs == 0 && !now.Before(g.due) {
+		if g.pendingDeps == 0 && !now.Before(g.due) {
 			g.readySince = now
 		}
 		e.refresh(g)
@@ -77,7 +77,7 @@
 			continue
 		}
 		for i := range g.tasks {
-			e.inheritCrashes(g, i, s, now)
+			e.restoreCrashes(g, i, s, now)
 			if !g.step.Gang {
 				g.tasks[i].failed = s.Failed[i]
 			}
@@ -88,31 +88,31 @@
 		if g.step.Gang {
 			g.failed = s.Failed[0]
 		}
-		g.judgeStanding()
-		e.verdictOn(g, now)
-		if g.left == 0 {
+		g.updateSuspicion()
+		e.scheduleDecision(g, now)
+		if g.undone == 0 {
 			e.stepDone(g, now)
 		}
 	}
 }
 
-// settle ends the reconciliation after a failover once every inherited host has reported
+// reconcile ends the reconciliation after a failover once every inherited host has reported
 // its runs, is closed in the roster, or can run nothing any more. Tasks that no host has
 // reported then wait for their start.
-func (e *Engine) settle(now time.Time) {
-	if !e.unsettled {
+func (e *Engine) reconcile(now time.Time) {
+	if !e.reconciling {
 		return
 	}
 	why := "every host has reported its runs or was closed as unresponsive"
-	for _, h := range e.sorted {
-		if e.isUnheard(h, now) && !h.inheritedShut {
+	for _, h := range e.hostsByID {
+		if e.isUnreported(h, now) && !h.inheritedClosed {
 			return
 		}
-		if h.inherited && !h.claimed && !h.inheritedShut {
+		if h.inherited && !h.claimed && !h.inheritedClosed {
 			why = "leases have expired on hosts that did not report, " + string(h.info.ID) + " among them"
 		}
 	}
-	e.unsettled = false
+	e.reconciling = false
 	e.log(Event{What: "takeover settled", Why: why})
 	for _, j := range e.jobs {
 		for _, g := range j.groups {
@@ -125,23 +125,23 @@
 func (e *Engine) reconcileGroup(g *group, now time.Time) {
 	held := false
 	for i := range g.tasks {
-		if g.tasks[i].state != taskUnsure {
+		if g.tasks[i].state != taskUnconfirmed {
 			continue
 		}
-		if e.held[g.task(i)] > 0 {
+		if e.possibleHosts[g.task(i)] > 0 {
 			held = true
 			continue
 		}
 		g.setState(i, taskWaiting)
 	}
-	if g.step.Gang && !held && g.waiting > 0 && g.waiting < g.left {
+	if g.step.Gang && !held && g.waiting > 0 && g.waiting < g.undone {
 		for i := range g.tasks {
 			if cur := g.tasks[i].cur; cur != nil {
-				e.unwant(cur, "its gang is incomplete after the failover") // an incomplete gang makes no progress
+				e.requestStop(cur, "its gang is incomplete after the failover") // an incomplete gang makes no progress
 			}
 		}
 	}
-	if g.needs == 0 && g.readySince.IsZero() && !now.Before(g.due) {
+	if g.pendingDeps == 0 && g.readySince.IsZero() && !now.Before(g.due) {
 		g.readySince = now
 	}
 	e.refresh(g)
@@ -168,7 +168,7 @@
 	switch {
 	case j == nil:
 		return "", false
-	case j.state.Final() && (e.dirty[id] == nil && j.told <= e.durable):
+	case j.state.Final() && (e.dirty[id] == nil && j.finalBatch <= e.durable):
 		return j.state, true
 	case j.started:
 		return record.StateRunning, true
@@ -187,11 +187,11 @@
 	return n
 }
 
-// Open reports whether a job is known and a client account may read and cancel it.
-func (e *Engine) Open(id, account string) bool {
+// AccessibleTo reports whether a job is known and a client account may read and cancel it.
+func (e *Engine) AccessibleTo(id, account string) bool {
 	j := e.jobs[id]
-	return j != nil && j.rec.Open(account)
+	return j != nil && j.rec.AccessibleTo(account)
 }
 
-// Knows reports whether a job is known, live or recently ended.
-func (e *Engine) Knows(id string) bool { return e.jobs[id] != nil }
+// HasJob reports whether a job is known, live or recently ended.
+func (e *Engine) HasJob(id string) bool { return e.jobs[id] != nil }
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -19,31 +19,36 @@
 	tests := map[string]func(w *world){
 		"gone from the list": func(w *world) {
 			w.host("h02").Crash()
-			w.host("h02").List(false)
+			w.host("h02").SetListed(false)
 			w.engine.DropHost("h02", w.now())
 			w.run(12 * time.Second)
 		},
-		"crashed, still listed":            func(w *world) { w.host("h02").Crash(); w.run(3 * time.Second) },
-		"disconnected, runs continue":      func(w *world) { w.host("h02").Cut(true); w.run(3 * time.Second) },
-		"disconnected, over two failovers": func(w *world) { w.host("h02").Cut(true); w.run(3 * time.Second); w.takeOver(); w.run(time.Second) },
+		"crashed, still listed":       func(w *world) { w.host("h02").Crash(); w.run(3 * time.Second) },
+		"disconnected, runs continue": func(w *world) { w.host("h02").SetDisconnected(true); w.run(3 * time.Second) },
+		"disconnected, over two failovers": func(w *world) {
+			w.host("h02").SetDisconnected(true)
+			w.run(3 * time.Second)
+			w.failOver()
+			w.run(time.Second)
+		},
 	}
 	for name, injectFault := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := quietWorld(t, 4)
+			w := idleWorld(t, 4)
 			w.submit("wide", catalog.Rules{}, step(16, 14, 8, 60000))
 			w.run(time.Second)
 			injectFault(w)
 			w.submit("new", catalog.Rules{}, step(2, 4, 4, 300))
-			w.held = true // the previous holder gives no more orders
+			w.paused = true // the previous holder gives no more orders
 			w.run(100 * time.Millisecond)
-			w.held = false
-			w.takeOver()
+			w.paused = false
+			w.failOver()
 			w.run(1500 * time.Millisecond)
 			is.Equal(w.shown["new"], record.StateCompleted)
-			w.check()
+			w.checkInvariants()
 			w.run(150 * time.Second)
-			w.check()
+			w.checkInvariants()
 			is.Equal(w.shown["wide"], record.StateCompleted)
 		})
 	}
@@ -62,18 +67,18 @@
 		} {
 			t.Run(fmt.Sprint("gang ", gang, ", disconnected for ", tc.cut, ", restarted after ", tc.after), func(t *testing.T) {
 				is := is.New(t)
-				w := quietWorld(t, 5) // a gang needs four of them
+				w := idleWorld(t, 5) // a gang needs four of them
 				s := step(4, 40, 8, 5000)
 				s.Gang = gang
 				w.submit("a", catalog.Rules{}, s)
 				w.run(time.Second)
-				w.host("h02").Cut(true)
+				w.host("h02").SetDisconnected(true)
 				w.run(tc.cut)
-				w.takeOver()
+				w.failOver()
 				w.run(tc.after)
-				w.host("h02").Reborn()
+				w.host("h02").ReplaceIncarnation()
 				w.run(20 * time.Second)
-				w.check()
+				w.checkInvariants()
 				is.Equal(w.shown["a"], record.StateCompleted)
 			})
 		}
@@ -86,20 +91,20 @@
 	for _, gang := range []bool{false, true} {
 		t.Run(fmt.Sprint("gang ", gang), func(t *testing.T) {
 			is := is.New(t)
-			w := quietWorld(t, 2)
+			w := idleWorld(t, 2)
 			s := step(3, 14, 8, 20000)
 			s.Checkpointing, s.Gang = true, gang
 			w.submit("a", catalog.Rules{}, s)
 			w.run(3 * time.Second)
 			for _, h := range w.fleet.Hosts() {
-				h.Cut(true)
+				h.SetDisconnected(true)
 			}
 			w.run(9 * time.Second)
 			for _, h := range w.fleet.Hosts() {
 				is.Equal(len(h.Running()), 0)
-				h.Cut(false)
+				h.SetDisconnected(false)
 			}
-			w.takeOver()
+			w.failOver()
 			w.run(time.Second)
 			g := w.engine.jobs["a"].groups[0]
 			for i := range g.tasks {
@@ -111,7 +116,7 @@
 				is.Equal(g.tasks[i].state, taskActive)
 			}
 			w.run(30 * time.Second)
-			w.check()
+			w.checkInvariants()
 			is.Equal(w.shown["a"], record.StateCompleted)
 		})
 	}
@@ -130,29 +135,29 @@
 		}{{false, 3000}, {true, 3000}, {false, 10}, {true, 10}, {false, 400}} {
 			t.Run(fmt.Sprint(after, ", gang ", tc.gang, ", works ", tc.works), func(t *testing.T) {
 				is := is.New(t)
-				w := quietWorld(t, 4)
-				w.fleet.Bounds.StopTakes = 1800 * time.Millisecond // stops take half of it
+				w := idleWorld(t, 4)
+				w.fleet.Bounds.MaxStopTime = 1800 * time.Millisecond // stops take half of it
 				w.run(time.Second)
 				s := step(4, 8, 8, tc.works)
 				s.Gang = tc.gang
-				rec := &record.Job{ID: "a", Service: "s", Queue: "q", Rules: catalog.Rules{Attempts: 3}, Graph: spec.Graph{Steps: []spec.Step{s}}}
-				w.fleet.Know(rec)
+				rec := &record.Job{ID: "a", Service: "s", Queue: "q", Rules: catalog.Rules{MaxAttempts: 3}, Graph: spec.Graph{Steps: []spec.Step{s}}}
+				w.fleet.AddJob(rec)
 				w.jobs["a"] = rec
 				w.engine.Accept(rec, true, w.now(), w.now())
 				w.decide()
 				w.run(10 * time.Millisecond)
-				w.takeOver() // the record is not in the store yet
+				w.failOver() // the record is not in the store yet
 				w.run(after)
 				value, err := record.Encode(rec)
 				is.NoErr(err)
 				w.store[record.JobKey(0, "a")] = value
 				e := w.engine
-				w.tell(e, func() { e.Accept(rec, false, w.now(), w.now()) })
+				w.deliver(e, func() { e.Accept(rec, false, w.now(), w.now()) })
 				w.run(20 * time.Second)
-				w.check()
+				w.checkInvariants()
 				is.Equal(w.shown["a"], record.StateCompleted)
 				if after < orphanGracePeriod || tc.works < orphanGracePeriod.Milliseconds() {
-					is.Equal(w.fleet.Judge().Starts(), 4) // no task was started twice
+					is.Equal(w.fleet.Checker().Starts(), 4) // no task was started twice
 				}
 			})
 		}
@@ -165,7 +170,7 @@
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.fleet.Add(700, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(200 * time.Millisecond)
 	w.submit("a", catalog.Rules{}, step(20, 60, 8, 2000))
 	w.run(time.Second)
@@ -174,7 +179,7 @@
 			h.Crash()
 		}
 	}
-	w.takeOver()
+	w.failOver()
 	most := 0
 	for range 300 {
 		w.run(5 * time.Millisecond)
@@ -189,7 +194,7 @@
 	}
 	is.True(claimed >= 560)
 	w.run(30 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.shown["a"], record.StateCompleted)
 	is.Equal(len(w.engine.claiming) <= 140, true)
 }
@@ -202,7 +207,7 @@
 		t.Run(outage.String(), func(t *testing.T) {
 			is := is.New(t)
 			w := crashWorld(t, 31, 16)
-			w.bystanders(20 * time.Second)
+			w.submitUnrelated(20 * time.Second)
 			gang := step(8, 18, 26, 5000)
 			gang.Gang = true
 			w.submit("gang", catalog.Rules{}, gang)
@@ -216,16 +221,16 @@
 				for i := range 16 {
 					w.crashAt(i)
 				}
-				w.held = true // there is no holder
+				w.paused = true // there is no holder
 				w.run(outage)
-				w.held = false
-				w.takeOver()
+				w.paused = false
+				w.failOver()
 			}
 			w.run(60 * time.Second)
-			w.check()
+			w.checkInvariants()
 			is.Equal(w.shown["service"], record.StateRunning)
 			delete(w.jobs, "service")
-			is.Equal(w.innocentsLost(), nil)
+			is.Equal(w.unrelatedNotCompleted(), nil)
 		})
 	}
 }
--- a/internal/engine/tuning.go
+++ b/internal/engine/tuning.go
@@ -8,54 +8,54 @@
 
 // Tuning holds the engine's own time limits and weights.
 type Tuning struct {
-	// OrderLife is the time to live of a start order, which sets the start's deadline at the host. Orders
+	// StartTTL is the time to live of a start order, which sets the start's deadline at the host. Orders
 	// that the network delivers seconds late are refused by it.
-	OrderLife time.Duration
-	// LookWait is how long a host may delay the answer to a poll until a run ends.
-	LookWait time.Duration
-	// LookRest is the interval between polls of a host that runs nothing.
-	LookRest time.Duration
-	// LookRetry is the delay before a host that did not answer is polled again.
-	LookRetry time.Duration
-	// SilentAfter is how long a host may leave calls unanswered before it is excluded from placement.
-	SilentAfter time.Duration
-	// StopRetry is the delay after which a stop without effect is sent again.
-	StopRetry time.Duration
+	StartTTL time.Duration
+	// PollWait is how long a host may delay the answer to a poll until a run ends.
+	PollWait time.Duration
+	// IdlePollInterval is the interval between polls of a host that runs nothing.
+	IdlePollInterval time.Duration
+	// PollRetryInterval is the delay before a host that did not answer is polled again.
+	PollRetryInterval time.Duration
+	// UnresponsiveAfter is how long a host may leave calls unanswered before it is excluded from placement.
+	UnresponsiveAfter time.Duration
+	// StopRetryInterval is the delay after which a stop without effect is sent again.
+	StopRetryInterval time.Duration
 	// ClockDrift is the largest relative drift between a host's clock and the clock of this process.
 	ClockDrift float64
-	// HangAfter is how long a run may make no progress before it is restarted elsewhere.
-	HangAfter time.Duration
-	// SetAsideAfter is the number of consecutive failures, of different jobs, after which a host is
+	// StallTimeout is how long a run may make no progress before it is restarted elsewhere.
+	StallTimeout time.Duration
+	// ExcludeAfter is the number of consecutive failures, of different jobs, after which a host is
 	// excluded from placement; SetAsideFor is the duration.
-	SetAsideAfter int
-	SetAsideFor   time.Duration
-	// AskMost is the maximum number of hosts in a policy query: more hosts take less query time each, but
+	ExcludeAfter int
+	ExcludeFor   time.Duration
+	// MaxHostsPerQuery is the maximum number of hosts in a policy query: more hosts take less query time each, but
 	// the answer comes later.
-	AskMost int
+	MaxHostsPerQuery int
 	// TicketMargin is how long before its expiry a ticket is no longer used.
 	TicketMargin time.Duration
-	// StartupAtMost is the longest time that a long-running task may take to become ready.
-	StartupAtMost time.Duration
+	// MaxStartupTime is the longest time that a long-running task may take to become ready.
+	MaxStartupTime time.Duration
 	// Pacing is the policy for throttling backfill tasks beside serving tasks.
-	Pacing pacing.Policy
+	Pacing pacing.Params
 }
 
 // DefaultTuning returns the production values; docs/PLATFORM.md explains them.
 func DefaultTuning() Tuning {
 	return Tuning{
-		OrderLife:     1200 * time.Millisecond,
-		LookWait:      2 * time.Second,
-		LookRest:      4 * time.Second,
-		LookRetry:     250 * time.Millisecond,
-		SilentAfter:   400 * time.Millisecond,
-		StopRetry:     600 * time.Millisecond,
-		ClockDrift:    0.02,
-		HangAfter:     2500 * time.Millisecond,
-		SetAsideAfter: 2,
-		SetAsideFor:   4 * time.Second,
-		AskMost:       50,
-		TicketMargin:  60 * time.Millisecond,
-		StartupAtMost: 6 * time.Second,
-		Pacing:        pacing.DefaultPolicy(),
+		StartTTL:          1200 * time.Millisecond,
+		PollWait:          2 * time.Second,
+		IdlePollInterval:  4 * time.Second,
+		PollRetryInterval: 250 * time.Millisecond,
+		UnresponsiveAfter: 400 * time.Millisecond,
+		StopRetryInterval: 600 * time.Millisecond,
+		ClockDrift:        0.02,
+		StallTimeout:      2500 * time.Millisecond,
+		ExcludeAfter:      2,
+		ExcludeFor:        4 * time.Second,
+		MaxHostsPerQuery:  50,
+		TicketMargin:      60 * time.Millisecond,
+		MaxStartupTime:    6 * time.Second,
+		Pacing:            pacing.DefaultParams(),
 	}
 }
--- a/internal/engine/unreported_test.go
+++ b/internal/engine/unreported_test.go
@@ -24,21 +24,21 @@
 
 // losePower ends the host before the start arrives: nothing is reset, and its next incarnation answers
 // three seconds later.
-func losePower(_ *world, h *hostsim.Host) { h.RestartDark() }
+func losePower(_ *world, h *hostsim.Host) { h.RestartAfterPowerLoss() }
 
 // terminateForGood ends the host before the start arrives, and no other incarnation of it ever answers.
 func terminateForGood(w *world, h *hostsim.Host) {
 	h.Crash()
-	w.after(entryLasts, func() { h.List(false) })
+	w.after(entryLasts, func() { h.SetListed(false) })
 }
 
 // disconnectAfterAnswer disconnects the host after its answer, from the store as well, so that its entry
 // is removed.
 func disconnectAfterAnswer(d time.Duration) hostFault {
 	return func(w *world, h *hostsim.Host) {
-		w.after(50*time.Millisecond, func() { h.Cut(true) })
-		w.after(entryLasts, func() { h.List(false) })
-		w.after(d, func() { h.Cut(false); h.List(true) })
+		w.after(50*time.Millisecond, func() { h.SetDisconnected(true) })
+		w.after(entryLasts, func() { h.SetListed(false) })
+		w.after(d, func() { h.SetDisconnected(false); h.SetListed(true) })
 	}
 }
 
@@ -52,10 +52,10 @@
 // each start, in a cell of 16 hosts with nothing else to do.
 func injectAtStarts(t *testing.T, keepsID bool, work time.Duration, hostFaults ...hostFault) *world {
 	w := newWorld(t, 21)
-	w.follows, w.logs = true, true
-	w.fleet.KeepsID = keepsID
+	w.followsHosts, w.keepEvents = true, true
+	w.fleet.KeepID = keepsID
 	w.fleet.Add(16, "s", size(64, 128))
-	w.takeOver()
+	w.failOver()
 	w.run(10 * time.Second)
 	w.onStart = func(s StartOrder) {
 		if len(hostFaults) == 0 {
@@ -64,7 +64,7 @@
 		hostFaults[0](w, w.host(s.To.ID))
 		hostFaults = hostFaults[1:]
 	}
-	w.submit("job", catalog.Rules{Attempts: 2}, step(1, 6, 10, work.Milliseconds()))
+	w.submit("job", catalog.Rules{MaxAttempts: 2}, step(1, 6, 10, work.Milliseconds()))
 	return w
 }
 
@@ -72,7 +72,7 @@
 func (w *world) mustComplete(t *testing.T, within time.Duration) {
 	t.Helper()
 	w.run(within)
-	w.check()
+	w.checkInvariants()
 	if t.Failed() {
 		t.Log("\n" + w.logOf("job"))
 	}
@@ -82,7 +82,7 @@
 // logOf returns the logged events of a job and of lost hosts.
 func (w *world) logOf(job string) string {
 	var out strings.Builder
-	for _, ev := range w.logged {
+	for _, ev := range w.events {
 		if ev.Job == job || strings.HasPrefix(ev.What, "host ") && ev.What != "host claimed" && ev.What != "host listed" || ev.What == "takeover settled" {
 			fmt.Fprintf(&out, "%8.3f %-26s %-6s %s\n", ev.at.Seconds(), ev.What, ev.Host, ev.Why)
 		}
@@ -126,7 +126,7 @@
 func TestFiveLostHostsAmongMany(t *testing.T) {
 	withBothIDs(t, func(t *testing.T, keepsID bool) {
 		w := injectAtStarts(t, keepsID, time.Second, terminateForGood, terminateForGood, terminateForGood, terminateForGood, terminateForGood)
-		w.fleet.BackAfter = 500 * time.Millisecond
+		w.fleet.RestartDelay = 500 * time.Millisecond
 		for i := range 500 {
 			w.after(time.Duration(i)*100*time.Millisecond, func() { w.crashAt(6 + i%10) })
 		}
@@ -143,7 +143,7 @@
 	withBothIDs(t, func(t *testing.T, keepsID bool) {
 		losePowerAndFailover := func(w *world, h *hostsim.Host) {
 			losePower(w, h)
-			w.after(50*time.Millisecond, w.takeOver)
+			w.after(50*time.Millisecond, w.failOver)
 		}
 		injectAtStarts(t, keepsID, time.Second, crashAfterAnswer, losePowerAndFailover).mustComplete(t, 60*time.Second)
 	})
@@ -163,10 +163,10 @@
 // terminateAtFailover disconnects the host after its answer, replaces the holder after the host was
 // closed in the roster, and restarts the host while it is disconnected.
 func terminateAtFailover(w *world, h *hostsim.Host) {
-	w.after(50*time.Millisecond, func() { h.Cut(true) })
-	w.after(3200*time.Millisecond, w.takeOver)
-	w.after(3300*time.Millisecond, h.RestartDark)
-	w.after(6500*time.Millisecond, func() { h.Cut(false) })
+	w.after(50*time.Millisecond, func() { h.SetDisconnected(true) })
+	w.after(3200*time.Millisecond, w.failOver)
+	w.after(3300*time.Millisecond, h.RestartAfterPowerLoss)
+	w.after(6500*time.Millisecond, func() { h.SetDisconnected(false) })
 }
 
 // TestHostsDisconnectedForLong guards against decisions before a host can answer again. Three hosts were
@@ -198,9 +198,9 @@
 // endWhileDisconnected disconnects the host for a moment after its answer, and crashes it as that moment
 // ends.
 func endWhileDisconnected(w *world, h *hostsim.Host) {
-	w.after(50*time.Millisecond, func() { h.Cut(true) })
+	w.after(50*time.Millisecond, func() { h.SetDisconnected(true) })
 	w.after(300*time.Millisecond, func() {
-		h.Cut(false)
+		h.SetDisconnected(false)
 		h.Restart()
 	})
 }
--- a/internal/engine/upkeep.go
+++ b/internal/engine/upkeep.go
@@ -16,7 +16,7 @@
 }
 
 // SetWave applies a rollout requested by an operator.
-func (e *Engine) SetWave(w upkeep.Wave) {
+func (e *Engine) SetWave(w upkeep.Rollout) {
 	if e.upkeep != nil {
 		e.upkeep.SetWave(w)
 	}
@@ -28,7 +28,7 @@
 	if err != nil {
 		e.log(Event{What: "machines not listed", Why: err.Error(), Age: now.Sub(asked)})
 	}
-	e.upkeep.Listed(machines, err, asked, now)
+	e.upkeep.UpdateMachines(machines, err, asked, now)
 }
 
 // upkeepInterval is the time between two planning steps of the rollouts.
@@ -36,23 +36,23 @@
 
 // planUpkeep advances the maintenance rollouts.
 func (e *Engine) planUpkeep(now time.Time) {
-	if e.upkeep == nil || !now.Before(e.proved) || e.unsettled || now.Sub(e.upkeepPlannedAt) < upkeepInterval {
+	if e.upkeep == nil || !now.Before(e.authorityUntil) || e.reconciling || now.Sub(e.upkeepPlannedAt) < upkeepInterval {
 		return
 	}
 	e.upkeepPlannedAt = now
-	orders, list := e.upkeep.Next(hostDrainer{e, now}, now)
+	orders, list := e.upkeep.Plan(hostDrainer{e, now}, now)
 	e.out.ListMachines = list
 	for _, o := range orders {
-		e.log(Event{What: "machine ordered down", Host: string(o.Host), Why: string(o.Machine), Version: o.Wave})
+		e.log(Event{What: "machine ordered down", Host: string(o.Host), Why: string(o.Machine), Version: o.Rollout})
 	}
-	e.out.Upkeeps = append(e.out.Upkeeps, orders...)
-	if e.upkeep.Behind() {
+	e.out.MachineOrders = append(e.out.MachineOrders, orders...)
+	if e.upkeep.HasUnsavedProgress() {
 		e.out.Commit = true
 	}
 }
 
-// Upkept handles the result of an order to a machine.
-func (e *Engine) Upkept(o UpkeepOrder, out upkeep.Outcome, err error, now time.Time) {
+// HandleUpkeepResult handles the result of an order to a machine.
+func (e *Engine) HandleUpkeepResult(o UpkeepOrder, out upkeep.Outcome, err error, now time.Time) {
 	e.now = now
 	why := ""
 	if err != nil {
@@ -63,9 +63,9 @@
 		e.deposed = true
 		return
 	}
-	e.upkeep.Answered(o, out, err, hostDrainer{e, now}, now)
-	if h := e.hosts[o.Host]; h != nil && !h.looking {
-		h.lookAt = now // the poll shows whether the host is gone
+	e.upkeep.RecordOutcome(o, out, err, hostDrainer{e, now}, now)
+	if h := e.hosts[o.Host]; h != nil && !h.pollInFlight {
+		h.nextPollAt = now // the poll shows whether the host is gone
 	}
 }
 
@@ -75,28 +75,28 @@
 	at time.Time
 }
 
-var _ upkeep.Cell = hostDrainer{}
+var _ upkeep.HostControl = hostDrainer{}
 
-// Empty implements upkeep.Cell.
-func (e hostDrainer) Empty(id host.ID) bool {
+// Drain implements upkeep.Cell.
+func (e hostDrainer) Drain(id host.ID) bool {
 	h := e.hosts[id]
 	if h == nil {
 		return true
 	}
-	if !h.closed {
-		h.closed = true
-		h.unreserveHost()
+	if !h.cordoned {
+		h.cordoned = true
+		h.releaseReservations()
 		e.log(Event{What: "host emptied", Host: string(id), Why: "upkeep"})
 	}
-	e.moveOff(h, e.at)
+	e.evictRuns(h, e.at)
 	return len(h.runs) == 0
 }
 
-// Keep implements upkeep.Cell.
-func (e hostDrainer) Keep(id host.ID) {
-	if h := e.hosts[id]; h != nil && h.closed {
-		h.closed = false
-		e.room++
+// Uncordon implements upkeep.Cell.
+func (e hostDrainer) Uncordon(id host.ID) {
+	if h := e.hosts[id]; h != nil && h.cordoned {
+		h.cordoned = false
+		e.capacityChanges++
 	}
 }
 
@@ -108,38 +108,38 @@
 	return 0
 }
 
-// MayEnd implements upkeep.Cell: it protects long-running tasks, whose absence is bounded, and gangs,
+// MayTerminate implements upkeep.Cell: it protects long-running tasks, whose absence is bounded, and gangs,
 // which would lose much work.
-func (e hostDrainer) MayEnd(id host.ID) bool {
+func (e hostDrainer) MayTerminate(id host.ID) bool {
 	h := e.hosts[id]
 	if h == nil {
 		return true
 	}
 	for _, r := range h.runs {
-		if g := r.group; g != nil && (g.step.Gang || g.step.LongRunning) && !r.unwanted {
+		if g := r.group; g != nil && (g.step.Gang || g.step.LongRunning) && !r.stopRequested {
 			return false
 		}
 	}
 	return true
 }
 
-// mayMiss reports whether a task of a long-running step that is ready on a healthy host may be stopped:
+// mayStopReplica reports whether a task of a long-running step that is ready on a healthy host may be stopped:
 // with the other absent tasks the step stays within its limit.
-func (g *group) mayMiss(r *run) bool {
+func (g *group) mayStopReplica(r *run) bool {
 	away := 0
 	for i := range g.tasks {
 		cur := g.tasks[i].cur
-		if cur != r && (cur == nil || cur.unwanted || cur.percent < atWork || !cur.on.silent.IsZero()) {
+		if cur != r && (cur == nil || cur.stopRequested || cur.percent < atWork || !cur.placedOn.unresponsiveSince.IsZero()) {
 			away++
 		}
 	}
-	return away < max(g.step.MayMiss, 1)
+	return away < max(g.step.MaxUnavailable, 1)
 }
 
-// waveWrites returns the progress of rollouts that has to be stored.
-func (e *Engine) waveWrites() []upkeep.Progress {
+// rolloutsToStore returns the progress of rollouts that has to be stored.
+func (e *Engine) rolloutsToStore() []upkeep.Progress {
 	if e.upkeep == nil {
 		return nil
 	}
-	return e.upkeep.Changed()
+	return e.upkeep.TakeProgress()
 }
--- a/internal/engine/upkeep_test.go
+++ b/internal/engine/upkeep_test.go
@@ -18,7 +18,7 @@
 
 // addMachines gives each host a machine of its own.
 func (w *world) addMachines() {
-	w.begun = map[upkeep.MachineID]bool{}
+	w.maintenanceStarted = map[upkeep.MachineID]bool{}
 	for _, h := range w.fleet.Hosts() {
 		id := h.Info().ID
 		w.machines = append(w.machines, upkeep.Machine{ID: upkeep.MachineID("m" + id), Up: true, Host: id})
@@ -26,8 +26,8 @@
 }
 
 // requestWave requests a maintenance rollout over all machines.
-func (w *world) requestWave(atOnce int) upkeep.Wave {
-	wave := upkeep.Wave{ID: 1, AtOnce: atOnce}
+func (w *world) requestWave(atOnce int) upkeep.Rollout {
+	wave := upkeep.Rollout{ID: 1, MaxUnavailable: atOnce}
 	for _, m := range w.machines {
 		wave.Machines = append(wave.Machines, m.ID)
 	}
@@ -35,23 +35,23 @@
 	return wave
 }
 
-// service carries out the engine's orders to the machine service.
-func (w *world) service(e *Engine, o Orders) {
-	for _, u := range o.Upkeeps {
+// serveMachines carries out the engine's orders to the machine service.
+func (w *world) serveMachines(e *Engine, o Orders) {
+	for _, u := range o.MachineOrders {
 		w.after(oneWay, func() {
 			out := w.takeDown(u)
-			if w.rnd.Float64() < w.faults.lostAnswer {
-				w.after(patience, func() { w.tell(e, func() { e.Upkept(u, 0, upkeep.ErrUnsure, w.now()) }) })
+			if w.rnd.Float64() < w.faults.lostReply {
+				w.after(callTimeout, func() { w.deliver(e, func() { e.HandleUpkeepResult(u, 0, upkeep.ErrOutcomeUnknown, w.now()) }) })
 				return
 			}
-			w.after(oneWay, func() { w.tell(e, func() { e.Upkept(u, out, nil, w.now()) }) })
+			w.after(oneWay, func() { w.deliver(e, func() { e.HandleUpkeepResult(u, out, nil, w.now()) }) })
 		})
 	}
 	if o.ListMachines {
 		asked := w.now()
 		w.after(oneWay, func() {
 			list := append([]upkeep.Machine(nil), w.machines...)
-			w.after(oneWay, func() { w.tell(e, func() { e.SetMachines(list, nil, asked, w.now()) }) })
+			w.after(oneWay, func() { w.deliver(e, func() { e.SetMachines(list, nil, asked, w.now()) }) })
 		})
 	}
 }
@@ -62,25 +62,25 @@
 		switch {
 		case m.ID != o.Machine:
 			continue
-		case w.begun[m.ID]:
-			return upkeep.Begun
+		case w.maintenanceStarted[m.ID]:
+			return upkeep.Started
 		case !m.Up:
 			return upkeep.Busy
 		}
-		w.begun[m.ID] = true
+		w.maintenanceStarted[m.ID] = true
 		old := w.host(m.Host)
-		old.TakeDown()
+		old.Decommission()
 		gone := m.Host
-		w.tell(w.engine, func() { w.engine.DropHost(gone, w.now()) })
-		m.Up, m.InUpkeep = false, true
+		w.deliver(w.engine, func() { w.engine.DropHost(gone, w.now()) })
+		m.Up, m.InMaintenance = false, true
 		w.after(upkeepTakes, func() {
 			fresh := w.fleet.Add(1, "s", old.Info().Size)[0]
-			m.Up, m.InUpkeep, m.Host = true, false, fresh.Info().ID
-			w.tell(w.engine, func() { w.engine.SetHost(fresh.Info(), w.now()) })
+			m.Up, m.InMaintenance, m.Host = true, false, fresh.Info().ID
+			w.deliver(w.engine, func() { w.engine.SetHost(fresh.Info(), w.now()) })
 		})
-		return upkeep.Begun
+		return upkeep.Started
 	}
-	return upkeep.NotInWave
+	return upkeep.NotInRollout
 }
 
 // waves returns the stored progress of rollouts.
@@ -103,26 +103,26 @@
 func TestUpkeepKeepsServicesUp(t *testing.T) {
 	tests := map[string]struct {
 		faults faults
-		inject func(w *world, wave upkeep.Wave)
+		inject func(w *world, wave upkeep.Rollout)
 	}{
 		"calm":         {},
-		"answers lost": {faults: faults{lostAnswer: 0.1}},
-		"failover": {inject: func(w *world, wave upkeep.Wave) {
-			w.takeOver()
+		"answers lost": {faults: faults{lostReply: 0.1}},
+		"failover": {inject: func(w *world, wave upkeep.Rollout) {
+			w.failOver()
 			w.engine.SetWave(wave)
 		}},
-		"two failovers, answers lost": {faults: faults{lostAnswer: 0.1}, inject: func(w *world, wave upkeep.Wave) {
-			w.takeOver()
-			w.after(8*time.Second, func() { w.takeOver(); w.engine.SetWave(wave) })
+		"two failovers, answers lost": {faults: faults{lostReply: 0.1}, inject: func(w *world, wave upkeep.Rollout) {
+			w.failOver()
+			w.after(8*time.Second, func() { w.failOver(); w.engine.SetWave(wave) })
 		}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := quietWorld(t, 6)
+			w := idleWorld(t, 6)
 			w.addMachines()
-			web := lasting(10, 6, 4)
-			web.MayMiss = 1
+			web := longRunningStep(10, 6, 4)
+			web.MaxUnavailable = 1
 			w.submit("web", catalog.Rules{}, web)
 			w.run(2 * time.Second)
 			for i := range 10 {
@@ -137,8 +137,8 @@
 				tc.inject(w, wave)
 			}
 			w.run(150 * time.Second)
-			w.check()
-			is.Equal(len(w.begun), 6)
+			w.checkInvariants()
+			is.Equal(len(w.maintenanceStarted), 6)
 			is.Equal(string(w.store["state"]), "true")
 			is.Equal(w.atWork("web"), 10)
 			is.Equal(w.completed(), 10)
@@ -150,18 +150,18 @@
 // service are absent as it tolerates.
 func TestBudgetStopsTheWave(t *testing.T) {
 	is := is.New(t)
-	w := quietWorld(t, 4)
+	w := idleWorld(t, 4)
 	w.addMachines()
-	web := lasting(8, 6, 4)
-	web.MayMiss, web.MostPerHost = 1, 2
+	web := longRunningStep(8, 6, 4)
+	web.MaxUnavailable, web.MaxPerHost = 1, 2
 	w.submit("web", catalog.Rules{}, web)
 	w.run(2 * time.Second)
 	w.host("h03").Crash() // its two tasks fit on no other host, as the limit is two per host
 	w.requestWave(1)
 	w.run(20 * time.Second)
-	w.check()
+	w.checkInvariants()
 	is.Equal(w.running("web"), 6)
-	for id := range w.begun {
+	for id := range w.maintenanceStarted {
 		is.Equal(id, upkeep.MachineID("mh03")) // it runs nothing
 	}
 }
--- a/internal/engine/urgency.go
+++ b/internal/engine/urgency.go
@@ -53,17 +53,17 @@
 // factor of its queue, plus the fixed allowance of the queue.
 func (e *Engine) targetDuration(j *job) time.Duration {
 	rules := j.rec.Rules
-	if rules.Stretch <= 0 {
+	if rules.CriticalPathFactor <= 0 {
 		return unboundedDuration
 	}
 	criticalPath := e.criticalPath(j, func(g *group) time.Duration { return g.expected })
-	return time.Duration(rules.Stretch*float64(criticalPath)) + time.Duration(rules.TargetMillis)*time.Millisecond
+	return time.Duration(rules.CriticalPathFactor*float64(criticalPath)) + time.Duration(rules.TargetMillis)*time.Millisecond
 }
 
 // remainingDuration returns the least time that the job's critical path still takes.
 func (e *Engine) remainingDuration(j *job) time.Duration {
 	return e.criticalPath(j, func(g *group) time.Duration {
-		if g.left == 0 {
+		if g.undone == 0 {
 			return 0
 		}
 		return g.expected
--- a/internal/engine/view.go
+++ b/internal/engine/view.go
@@ -8,21 +8,21 @@
 	"pulleyquay/internal/host"
 )
 
-// planLooks orders the polls that are due: of every host once after the partition was
+// planPolls orders the polls that are due: of every host once after the partition was
 // acquired, of hosts with runs continuously, and of idle hosts at longer intervals.
-func (e *Engine) planLooks(now time.Time) {
-	e.lookDue = time.Time{}
-	for _, h := range e.sorted {
-		e.planProof(h, now)
+func (e *Engine) planPolls(now time.Time) {
+	e.nextPollDue = time.Time{}
+	for _, h := range e.hostsByID {
+		e.planPresencePoll(h, now)
 		if h.probe {
 			h.probe = false
-			e.out.Looks = append(e.out.Looks, LookOrder{To: h.info, Look: host.Look{Seen: h.seen, Life: h.life}, Probe: true})
+			e.out.Polls = append(e.out.Polls, PollOrder{To: h.info, Poll: host.Poll{AckedEnds: h.endsAcked, Incarnation: h.incarnation}, Probe: true})
 		}
-		if h.looking || h.gone || h.lookAt.IsZero() {
+		if h.pollInFlight || h.terminated || h.nextPollAt.IsZero() {
 			continue
 		}
-		if now.Before(h.lookAt) {
-			e.lookBy(h.lookAt)
+		if now.Before(h.nextPollAt) {
+			e.planPollsBy(h.nextPollAt)
 			continue
 		}
 		if !h.claimed {
@@ -35,10 +35,10 @@
 	}
 }
 
-// lookBy schedules the next planning of polls for a time at the latest.
-func (e *Engine) lookBy(at time.Time) {
-	if e.lookDue.IsZero() || at.Before(e.lookDue) {
-		e.lookDue = at
+// planPollsBy schedules the next planning of polls for a time at the latest.
+func (e *Engine) planPollsBy(at time.Time) {
+	if e.nextPollDue.IsZero() || at.Before(e.nextPollDue) {
+		e.nextPollDue = at
 	}
 }
 
@@ -49,30 +49,30 @@
 // poll orders a poll of a host. The poll renews the host's lease while this process has
 // the authority for the partition.
 func (e *Engine) poll(h *hostState, now time.Time) {
-	l := host.Look{Seen: h.seen, Life: h.life}
-	if now.Before(e.proved) {
-		if h.knowsClock() && h.silent.IsZero() {
+	l := host.Poll{AckedEnds: h.endsAcked, Incarnation: h.incarnation}
+	if now.Before(e.authorityUntil) {
+		if h.knowsClock() && h.unresponsiveSince.IsZero() {
 			// No renewal for an unresponsive host: each one would postpone the time after
 			// which nothing can run there.
-			l.Lease = h.deadline(now, e.cfg.Bounds.LeaseLimit)
+			l.Lease = h.deadline(now, e.cfg.Bounds.MaxLease)
 			h.leased = max(h.leased, l.Lease)
 		}
-		if h.claimed && len(h.runs) > 0 && h.silent.IsZero() && h.handled == h.seen {
-			l.Wait = e.cfg.Tuning.LookWait
-			if h.mixed() {
-				l.Wait = sampleEvery
+		if h.claimed && len(h.runs) > 0 && h.unresponsiveSince.IsZero() && h.endsProcessed == h.endsAcked {
+			l.Wait = e.cfg.Tuning.PollWait
+			if h.mixesBackfill() {
+				l.Wait = sampleInterval
 			}
-			if h.suspects > 0 {
-				l.Wait = min(l.Wait, h.lookWait())
+			if h.suspectRuns > 0 {
+				l.Wait = min(l.Wait, h.pollWait())
 			}
 		}
 	}
-	h.looking = true
-	e.out.Looks = append(e.out.Looks, LookOrder{To: h.info, Look: l})
+	h.pollInFlight = true
+	e.out.Polls = append(e.out.Polls, PollOrder{To: h.info, Poll: l})
 }
 
-// Viewed handles the outcome of a poll that was sent at sent.
-func (e *Engine) Viewed(o LookOrder, sent time.Time, v host.View, err error, now time.Time) {
+// Polled handles the outcome of a poll that was sent at sent.
+func (e *Engine) Polled(o PollOrder, sent time.Time, v host.View, err error, now time.Time) {
 	e.now = now
 	id := o.To.ID
 	if !o.Probe {
@@ -83,63 +83,63 @@
 		return
 	}
 	if !o.Probe {
-		h.looking = false
+		h.pollInFlight = false
 	}
 	switch {
-	case errors.Is(err, host.ErrOtherLife):
+	case errors.Is(err, host.ErrOtherIncarnation):
 		e.handleOtherIncarnation(h, o.To, now)
 		return
 	case err != nil:
-		h.unanswered(err, now)
-		if o.Probe && h.missedAt.IsZero() && sent.After(h.heard) {
-			h.missedAt = sent
+		h.recordFailedCall(err, now)
+		if o.Probe && h.firstMissedAt.IsZero() && sent.After(h.lastContact) {
+			h.firstMissedAt = sent
 		}
 		if !o.Probe {
-			h.lookAt = now.Add(e.cfg.Tuning.LookRetry)
+			h.nextPollAt = now.Add(e.cfg.Tuning.PollRetryInterval)
 		}
-		if errors.Is(err, host.ErrBroken) {
-			e.askAgain(h, now) // finds out whether its machine can still be reached
+		if errors.Is(err, host.ErrConnectionBroken) {
+			e.pollSoon(h, now) // finds out whether its machine can still be reached
 		}
 		return
 	case v.Fenced:
 		e.fencedBy(h)
-		h.lookAt = now.Add(restInterval)
+		h.nextPollAt = now.Add(restInterval)
 		return
 	}
-	if h = e.lifeShown(h, v, sent, now); h == nil {
-		e.hosts[id].lookAt = now
+	if h = e.observeIncarnation(h, v, sent, now); h == nil {
+		e.hosts[id].nextPollAt = now
 		return
 	}
-	h.heardFrom(now)
-	h.lives()
-	e.hear(h, v.Clock, now)
+	h.recordContact(now)
+	h.confirmAlive()
+	e.updateClock(h, v.Clock, now)
 	e.reopen(h)
-	e.acquit(h)
-	drawnUp := h.drawnUp(v.Clock, sent, now, e.cfg.Tuning.ClockDrift)
-	h.viewed = later(h.viewed, drawnUp)
+	e.retractCrashes(h)
+	producedAt := h.producedAt(v.Clock, sent, now, e.cfg.Tuning.ClockDrift)
+	h.viewProducedAt = later(h.viewProducedAt, producedAt)
 	first := !h.claimed
 	if first {
-		h.claimed, h.tried = true, nil
-		e.rosterBehind = e.rosterBehind || !h.rostered
-		e.room++
+		h.claimed, h.lastAttempts = true, nil
+		e.rosterOutdated = e.rosterOutdated || !h.openInRoster
+		e.capacityChanges++
 		// Leases that the previous holder granted may last this long.
-		h.leased = max(h.leased, v.Clock+host.Millis(e.cfg.Bounds.LeaseLimit.Milliseconds()))
+		h.leased = max(h.leased, v.Clock+host.Millis(e.cfg.Bounds.MaxLease.Milliseconds()))
 	}
-	kept := relistsAcked(v, o.Look.Seen)
+	ackedEndsListed := relistsAcked(v, o.Poll.AckedEnds)
 	ended := e.processEnds(h, v.Ended, now)
-	e.processRunning(h, v.Running, drawnUp, now)
-	e.dropVanished(h, v, sent, now)
-	e.govern(h, now)
+	e.processRunning(h, v.Running, producedAt, now)
+	e.dropAbsentRuns(h, v, sent, now)
+	e.updateGovernor(h, now)
 	if first {
-		e.resolve(h, now)
+		e.releasePossibleRuns(h, now)
 		e.log(Event{What: "host claimed", Host: string(id)})
 	}
 	if !o.Probe {
-		h.lookAt = e.nextPoll(h, first, ended, now)
-		if kept && !h.kept {
-			h.lookAt = now
+		h.nextPollAt = e.nextPoll(h, first, ended, now)
+		if ackedEndsListed && !h.ackedEndsListed {
+			h.nextPollAt = now
 		}
-		h.kept = kept
+		h.ackedEndsListed = ackedEndsListed
 	}
 	if !h.listed && len(h.runs) == 0 {
 		e.forgetHost(h)
@@ -149,7 +149,7 @@
 // fencedBy records that a host has seen a higher epoch: another process has acquired the
 // partition, and this one gives no more orders.
 func (e *Engine) fencedBy(h *hostState) {
-	e.proved = time.Time{}
+	e.authorityUntil = time.Time{}
 	if !e.deposed {
 		e.deposed = true
 		e.log(Event{What: "fenced by a host", Host: string(h.info.ID)})
@@ -163,12 +163,12 @@
 	switch {
 	case first && len(h.runs) > 0:
 		return now // the first poll renewed no lease, as the host's clock was not known
-	case ended || h.handled > h.seen:
-		return now.Add(e.cfg.Tuning.LookRetry)
+	case ended || h.endsProcessed > h.endsAcked:
+		return now.Add(e.cfg.Tuning.PollRetryInterval)
 	case len(h.runs) > 0:
 		return now
 	}
-	return now.Add(e.cfg.Tuning.LookRest)
+	return now.Add(e.cfg.Tuning.IdlePollInterval)
 }
 
 // relistsAcked reports whether a view lists end records that the poll should have acknowledged:
@@ -179,19 +179,19 @@
 
 // processEnds processes the end records that are new, and reports whether there were any.
 func (e *Engine) processEnds(h *hostState, ends []host.End, now time.Time) bool {
-	before := h.handled
+	before := h.endsProcessed
 	for _, end := range ends {
-		if end.Number <= h.handled {
+		if end.Number <= h.endsProcessed {
 			e.logSkippedEnd(h, end)
 			continue
 		}
-		h.handled = end.Number
+		h.endsProcessed = end.Number
 		e.processEnd(h, end, now)
 	}
-	if h.handled > before {
-		e.marks++
+	if h.endsProcessed > before {
+		e.pendingEnds++
 	}
-	return h.handled > before
+	return h.endsProcessed > before
 }
 
 // logSkippedEnd logs an end record that counts as processed by its number though its run is still
@@ -202,7 +202,7 @@
 	}
 	e.log(Event{
 		What: "end passed over", Job: end.Task.Job, Step: end.Task.StepID.String(), Host: string(h.info.ID),
-		Why: fmt.Sprintf("task %d, run %d, %s, number %d; ends were processed up to %d", end.Task.Index, end.No, end.How, end.Number, h.handled),
+		Why: fmt.Sprintf("task %d, run %d, %s, number %d; ends were processed up to %d", end.Task.Index, end.No, end.EndReason, end.Number, h.endsProcessed),
 	})
 }
 
@@ -213,7 +213,7 @@
 		if r == nil {
 			r = e.adoptRun(h, row, now)
 		}
-		if r.state == runOrdered || r.state == runDoubt {
+		if r.state == runOrdered || r.state == runUnacknowledged {
 			e.runs(r, producedAt, now)
 		}
 		e.updateProgress(r, row, now)
@@ -223,31 +223,31 @@
 // adoptRun records a run that is not recorded yet: one of a previous holder, or one of this
 // holder whose start was given up but arrived late. It is kept if its task has no run.
 func (e *Engine) adoptRun(h *hostState, row host.Running, now time.Time) *run {
-	r := &run{Run: row.Run, state: runRunning, known: now, sent: now, progressAt: now, pace: paceUnknown, adopted: true, begun: true}
+	r := &run{Run: row.Run, state: runRunning, confirmedAt: now, orderedAt: now, progressAt: now, pace: throttleUnknown, adopted: true, acknowledged: true}
 	g := e.groupOf(row.Task)
 	if g == nil {
 		if j := e.jobs[row.Task.Job]; j != nil {
 			r.account = j.account
 			if ended := j.group(row.Task.Occurrence, row.Task.Step); ended != nil {
-				r.group, r.size = ended, ended.step.Booked()
+				r.group, r.size = ended, ended.step.Allocation()
 			} else {
-				r.size = j.rec.Largest
+				r.size = j.rec.MaxTaskSize
 			}
 		}
 		if r.group == nil {
 			if r.size.IsZero() {
 				r.size = h.info.Size // its size is not known
 			}
-			h.add(r)
-			e.countStranger(r, 1)
+			h.addRun(r)
+			e.countOrphan(r, 1)
 			return r // see orphans.go
 		}
-		h.add(r)
-		e.unwant(r, "its job or step has ended")
+		h.addRun(r)
+		e.requestStop(r, "its job or step has ended")
 		return r
 	}
-	r.group, r.size, r.account = g, g.step.Booked(), g.job.account
-	h.add(r)
+	r.group, r.size, r.account = g, g.step.Allocation(), g.job.account
+	h.addRun(r)
 	e.makeCurrent(g, r)
 	return r
 }
@@ -257,7 +257,7 @@
 	if r.group != nil && r.group.step.LongRunning {
 		r.atWork(row.Percent, now)
 	} else {
-		r.seen(row.Percent, now)
+		r.observeProgress(row.Percent, now)
 	}
 	r.gauge = row.Gauge
 	if row.Checkpoint != "" {
@@ -267,14 +267,14 @@
 
 // runs records that a run is on its host, which reported it at shown.
 func (e *Engine) runs(r *run, shown, now time.Time) {
-	if r.suspect && !r.begun {
-		e.retried = true // the next holder has to know that the start was acknowledged
-		e.touch(r.group.job)
+	if r.suspect && !r.acknowledged {
+		e.retryUnstored = true // the next holder has to know that the start was acknowledged
+		e.markDirty(r.group.job)
 	}
-	r.state, r.known, r.progressAt, r.begun = runRunning, now, now, true
+	r.state, r.confirmedAt, r.progressAt, r.acknowledged = runRunning, now, now, true
 	r.shown = later(r.shown, shown)
-	if r.fills() {
-		e.repace(r.on)
+	if r.isBackfill() {
+		e.scheduleThrottling(r.placedOn)
 	}
 	if r.group != nil {
 		r.group.job.started = true
--- a/internal/engine/world_calls_test.go
+++ b/internal/engine/world_calls_test.go
@@ -12,27 +12,27 @@
 
 // oneWay is how long a message takes, patience the time-out of a call.
 const (
-	oneWay   = time.Millisecond
-	patience = 500 * time.Millisecond
+	oneWay      = time.Millisecond
+	callTimeout = 500 * time.Millisecond
 )
 
 // start delivers a start order to a host, and records order and reply with the fleet's checker.
 func (w *world) start(e *Engine, s StartOrder) {
-	w.fleet.Judge().Ordered(s.To.ID, s.Start.Run)
+	w.fleet.Checker().RecordOrder(s.To.ID, s.Start.Run)
 	if w.onStart != nil {
 		w.onStart(s)
 	}
 	sameLife := true // the intended incarnation was reached
 	arrive := func(h *hostsim.Host) host.Reply {
-		sameLife = h.IsLife(s.Start.Life)
+		sameLife = h.IsIncarnation(s.Start.Incarnation)
 		return h.Start(e.cfg.Epoch, s.Start)
 	}
 	w.call(s.To, arrive, func(r host.Reply, err error) {
 		if err == nil && !sameLife {
-			err = host.ErrOtherLife
+			err = host.ErrOtherIncarnation
 		}
 		if err == nil && r.Refused == "" {
-			w.fleet.Judge().Answered(s.To.ID, s.Start.Run)
+			w.fleet.Checker().RecordReply(s.To.ID, s.Start.Run)
 		}
 		e.Started(s, r, err, w.now())
 	})
@@ -41,7 +41,7 @@
 // call delivers an order to a host and the reply to the engine, subject to the faults.
 func (w *world) call(to host.Info, arrive func(*hostsim.Host) host.Reply, answer func(host.Reply, error)) {
 	e := w.engine
-	finish := func(reply host.Reply, err error) { w.tell(e, func() { answer(reply, err) }) }
+	finish := func(reply host.Reply, err error) { w.deliver(e, func() { answer(reply, err) }) }
 	lost := func() { finish(host.Reply{}, host.ErrLost) }
 	h := w.host(to.ID)
 	switch {
@@ -49,35 +49,35 @@
 		w.after(oneWay, func() { finish(host.Reply{}, host.ErrNotSent) })
 		return
 	case w.rnd.Float64() < w.faults.lostRequest:
-		w.after(patience, lost)
+		w.after(callTimeout, lost)
 		return
-	case w.rnd.Float64() < w.faults.late:
-		life := h.Info().Life
+	case w.rnd.Float64() < w.faults.delayedRequest:
+		life := h.Info().Incarnation
 		w.after(2*time.Second+time.Duration(w.rnd.IntN(10000))*time.Millisecond, func() {
-			if h.Reachable() && h.Info().Life == life { // a process that ends drops its pending calls
+			if h.Reachable() && h.Info().Incarnation == life { // a process that ends drops its pending calls
 				arrive(h)
 			}
 		})
-		w.after(patience, lost)
+		w.after(callTimeout, lost)
 		return
 	}
-	answerLost := w.rnd.Float64() < w.faults.lostAnswer
+	answerLost := w.rnd.Float64() < w.faults.lostReply
 	w.after(oneWay, func() {
-		if h.OtherLife() {
-			w.after(oneWay, func() { finish(host.Reply{}, host.ErrOtherLife) })
+		if h.OtherIncarnation() {
+			w.after(oneWay, func() { finish(host.Reply{}, host.ErrOtherIncarnation) })
 			return
 		}
 		if h.Refusing() {
-			w.after(oneWay, func() { finish(host.Reply{}, host.ErrRefused) })
+			w.after(oneWay, func() { finish(host.Reply{}, host.ErrConnectionRefused) })
 			return
 		}
 		if !h.Reachable() {
-			w.after(patience, lost)
+			w.after(callTimeout, lost)
 			return
 		}
 		reply := arrive(h)
 		if answerLost {
-			w.after(patience, lost)
+			w.after(callTimeout, lost)
 			return
 		}
 		w.after(oneWay, func() { finish(reply, nil) })
@@ -86,44 +86,44 @@
 
 // poll delivers a poll to a host, which answers when there is an end record or the wait
 // has elapsed.
-func (w *world) poll(e *Engine, o LookOrder) {
+func (w *world) poll(e *Engine, o PollOrder) {
 	sent := w.now()
 	h := w.host(o.To.ID)
-	request := o.Look
-	if w.rnd.Float64() < w.faults.unsure {
-		request.Seen = 0
+	request := o.Poll
+	if w.rnd.Float64() < w.faults.unidentifiedPolls {
+		request.AckedEnds = 0
 	}
 	finished := false
 	finish := func(v host.View, err error) {
 		if !finished {
 			finished = true
-			w.tell(e, func() {
-				w.fleet.Judge().Shown(o.To.ID, v.Running)
-				e.Viewed(o, sent, v, err, w.now())
+			w.deliver(e, func() {
+				w.fleet.Checker().RecordReported(o.To.ID, v.Running)
+				e.Polled(o, sent, v, err, w.now())
 			})
 		}
 	}
 	fail := func() { finish(host.View{}, host.ErrLost) }
 	if h == nil || w.rnd.Float64() < w.faults.lostRequest {
-		w.after(o.Look.Wait+patience, fail)
+		w.after(o.Poll.Wait+callTimeout, fail)
 		return
 	}
-	w.after(o.Look.Wait+patience, fail)
-	w.after(w.messageDelay(w.faults.lateLooks), func() {
-		if h.OtherLife() {
-			w.after(oneWay, func() { finish(host.View{}, host.ErrOtherLife) })
+	w.after(o.Poll.Wait+callTimeout, fail)
+	w.after(w.messageDelay(w.faults.latePolls), func() {
+		if h.OtherIncarnation() {
+			w.after(oneWay, func() { finish(host.View{}, host.ErrOtherIncarnation) })
 			return
 		}
 		if h.Refusing() {
-			w.after(oneWay, func() { finish(host.View{}, host.ErrRefused) })
+			w.after(oneWay, func() { finish(host.View{}, host.ErrConnectionRefused) })
 			return
 		}
 		if !h.Reachable() {
 			return
 		}
-		h.OnReset(func() { w.after(oneWay, func() { finish(host.View{}, host.ErrBroken) }) })
-		answerLost := w.rnd.Float64() < w.faults.lostAnswer
-		h.Look(e.cfg.Epoch, request, func(v host.View) {
+		h.OnReset(func() { w.after(oneWay, func() { finish(host.View{}, host.ErrConnectionBroken) }) })
+		answerLost := w.rnd.Float64() < w.faults.lostReply
+		h.Poll(e.cfg.Epoch, request, func(v host.View) {
 			if answerLost {
 				return
 			}
@@ -144,18 +144,18 @@
 // policyReplyDelay is the default time from a query to the answer of the policy service.
 const policyReplyDelay = 10 * time.Millisecond
 
-func (w *world) query(e *Engine, o AskOrder) {
-	a := advice.Answer{Valid: 1500 * time.Millisecond}
+func (w *world) query(e *Engine, o QueryOrder) {
+	a := advice.Reply{ValidFor: 1500 * time.Millisecond}
 	for _, id := range o.Hosts {
-		if w.good(o.Step, id) {
-			a.Good = append(a.Good, advice.Ticket{Host: id, Ticket: hostsim.TicketOf(o.Step, id)})
+		if w.permitted(o.Step, id) {
+			a.Permitted = append(a.Permitted, advice.Ticket{Host: id, Ticket: hostsim.TicketOf(o.Step, id)})
 		}
 	}
 	takes := policyReplyDelay
-	if w.advised != nil {
-		takes = w.advised(o)
+	if w.policyDelay != nil {
+		takes = w.policyDelay(o)
 	}
-	w.after(takes, func() { w.tell(e, func() { e.Advised(o, a, nil, w.now()) }) })
+	w.after(takes, func() { w.deliver(e, func() { e.PolicyAnswered(o, a, nil, w.now()) }) })
 }
 
 // commitTakes is how long a batch takes to be stored, unless the simulation sets a longer time.
@@ -179,17 +179,17 @@
 		if e != w.engine {
 			return // the store rejects writes of a deposed holder
 		}
-		if w.storeAway {
+		if w.storeUnavailable {
 			w.after(storeRetry, func() { w.writeBatch(e, b) })
 			return
 		}
-		w.apply(slices.Concat(b.Groups...))
+		w.applyWrites(slices.Concat(b.Groups...))
 		w.committing = false
-		w.tell(e, func() { e.Stored(b, w.now()) })
+		w.deliver(e, func() { e.Stored(b, w.now()) })
 	})
 }
 
-func (w *world) apply(writes []platform.Write) {
+func (w *world) applyWrites(writes []platform.Write) {
 	for _, x := range writes {
 		if x.Delete {
 			delete(w.store, x.Key)
--- a/internal/engine/world_test.go
+++ b/internal/engine/world_test.go
@@ -34,8 +34,8 @@
 	engine *Engine
 	epoch  uint64
 	due    time.Time
-	// held is true while the engine may give no orders.
-	held bool
+	// paused is true while the engine may give no orders.
+	paused bool
 	// commitTakes is how long a write to the store takes, if longer than the default.
 	commitTakes time.Duration
 	// committing is true while a batch is being written to the store.
@@ -43,10 +43,10 @@
 
 	faults faults
 	bounds Bounds
-	// follows makes the engine receive the platform's list of hosts periodically. While
+	// followsHosts makes the engine receive the platform's list of hosts periodically. While
 	// storeAway is set the store accepts no writes.
-	follows, storeAway bool
-	followedAt         time.Time
+	followsHosts, storeUnavailable bool
+	followedAt                     time.Time
 	// entries are the hosts' entries in the store; lastUnavailable is when the store was last
 	// unavailable.
 	entries         map[host.ID]host.Info
@@ -55,50 +55,50 @@
 	members []string
 	// queueOf returns the queue of a job.
 	queueOf func(id string) string
-	// good reports whether the policy service permits a step on a host.
-	good func(step spec.StepID, h host.ID) bool
+	// permitted reports whether the policy service permits a step on a host.
+	permitted func(step spec.StepID, h host.ID) bool
 	// accountOf returns the client account of a job; quotas are the quotas of the accounts.
 	accountOf func(id string) string
 	quotas    map[string]fairshare.Quota
-	// advised returns how long the policy service takes to answer a query; if nil,
+	// policyDelay returns how long the policy service takes to answer a query; if nil,
 	// policyReplyDelay.
-	advised func(o AskOrder) time.Duration
+	policyDelay func(o QueryOrder) time.Duration
 
 	jobs map[string]*record.Job
-	// aged is the age of job records at a failover, since their acceptance or end.
-	aged      time.Duration
-	checkedAt time.Time
-	shown     map[string]record.State // the last state returned to a caller
-	ended     map[string]time.Time    // when a final state was first returned
+	// recordAge is the age of job records at a failover, since their acceptance or end.
+	recordAge  time.Duration
+	checkedAt  time.Time
+	shown      map[string]record.State // the last state returned to a caller
+	finalSince map[string]time.Time    // when a final state was first returned
 
-	// over holds since when a serving task has exceeded its target; longestOver is the longest
+	// overTargetSince holds since when a serving task has exceeded its target; longestOver is the longest
 	// time for which any has.
-	over map[host.Run]time.Time
+	overTargetSince map[host.Run]time.Time
 	// machines are the machines that can be taken down for maintenance; begun marks those whose
 	// maintenance has started.
-	machines []upkeep.Machine
-	begun    map[upkeep.MachineID]bool
-
-	longestOver time.Duration
-	// deciding is the real time spent in the engine's decisions.
-	deciding time.Duration
-	// decided, if not nil, is called with the real time of each decision.
-	decided func(took time.Duration)
+	machines           []upkeep.Machine
+	maintenanceStarted map[upkeep.MachineID]bool
+
+	longestOverTarget time.Duration
+	// decisionTime is the real time spent in the engine's decisions.
+	decisionTime time.Duration
+	// onDecision, if not nil, is called with the real time of each decision.
+	onDecision func(took time.Duration)
 	// onStart, if not nil, is called with each start order.
 	onStart func(StartOrder)
-	// logs makes the events of the engines be kept in logged.
-	logs   bool
-	logged []loggedEvent
+	// keepEvents makes the events of the engines be kept in logged.
+	keepEvents bool
+	events     []loggedEvent
 }
 
 // faults are the probabilities, between 0 and 1, of faults in calls to hosts.
 type faults struct {
-	lostRequest, lostAnswer, late float64
-	// unsure is that of a poll over a connection on which no incarnation has answered yet; such
+	lostRequest, lostReply, delayedRequest float64
+	// unidentifiedPolls is that of a poll over a connection on which no incarnation has answered yet; such
 	// a poll acknowledges no end records.
-	unsure float64
-	// lateLooks is that of a delayed poll, lateViews that of a delayed reply.
-	lateLooks, lateViews float64
+	unidentifiedPolls float64
+	// latePolls is that of a delayed poll, lateViews that of a delayed reply.
+	latePolls, lateViews float64
 }
 
 // virtualTime is a clock that advances from one scheduled event to the next.
@@ -141,23 +141,23 @@
 // hostsKeepIDs makes crashed hosts of new simulations restart under their former ids.
 var hostsKeepIDs bool
 
-// worldBegins is the virtual time at which each simulation starts.
-var worldBegins = time.Unix(1_800_000_000, 0)
+// simulationStart is the virtual time at which each simulation starts.
+var simulationStart = time.Unix(1_800_000_000, 0)
 
 func newWorld(t testing.TB, seed uint64) *world {
 	w := &world{
-		t: t, rnd: rand.New(rand.NewPCG(seed, 1)), time: virtualTime{now: worldBegins},
-		store: map[string][]byte{}, jobs: map[string]*record.Job{}, shown: map[string]record.State{}, ended: map[string]time.Time{}, entries: map[host.ID]host.Info{},
-		queueOf: func(string) string { return "q" }, accountOf: func(string) string { return "" }, quotas: map[string]fairshare.Quota{}, bounds: testBounds, members: []string{"m1", "m2", "m3", "m4", "m5"}, good: func(spec.StepID, host.ID) bool { return true },
+		t: t, rnd: rand.New(rand.NewPCG(seed, 1)), time: virtualTime{now: simulationStart},
+		store: map[string][]byte{}, jobs: map[string]*record.Job{}, shown: map[string]record.State{}, finalSince: map[string]time.Time{}, entries: map[host.ID]host.Info{},
+		queueOf: func(string) string { return "q" }, accountOf: func(string) string { return "" }, quotas: map[string]fairshare.Quota{}, bounds: testBounds, members: []string{"m1", "m2", "m3", "m4", "m5"}, permitted: func(spec.StepID, host.ID) bool { return true },
 	}
 	w.fleet = hostsim.NewFleet(&w.time)
-	w.fleet.KeepsID = hostsKeepIDs
+	w.fleet.KeepID = hostsKeepIDs
 	return w
 }
 
 // catalog returns the configuration in force.
 func (w *world) catalog() *catalog.Catalog {
-	c := &catalog.Catalog{Keyed: len(w.quotas) > 0}
+	c := &catalog.Catalog{KeysRequired: len(w.quotas) > 0}
 	for _, name := range slices.Sorted(maps.Keys(w.quotas)) {
 		c.Accounts = append(c.Accounts, catalog.Account{Name: name, Quota: w.quotas[name]})
 	}
@@ -170,7 +170,7 @@
 	w.quotas[account] = q
 	w.fleet.SetQuota(account, q)
 	if e := w.engine; e != nil {
-		w.tell(e, func() { e.SetCatalog(w.catalog(), w.now()) })
+		w.deliver(e, func() { e.SetCatalog(w.catalog(), w.now()) })
 	}
 }
 
@@ -184,9 +184,9 @@
 func (w *world) host(id host.ID) *hostsim.Host { return w.fleet.Host(id) }
 
 var testBounds = Bounds{
-	LeaseLimit: hostsim.DefaultBounds.LeaseLimit, StopTakes: hostsim.DefaultBounds.StopTakes,
-	GangWait: hostsim.DefaultBounds.GangWait, RememberEnded: 150 * time.Second,
-	RoomNews: 4500 * time.Millisecond, FarFactor: 2, RestoreTakes: 100 * time.Millisecond, CheckpointEvery: time.Second,
+	MaxLease: hostsim.DefaultBounds.MaxLease, MaxStopTime: hostsim.DefaultBounds.MaxStopTime,
+	GangTimeout: hostsim.DefaultBounds.GangTimeout, EndedJobTTL: 150 * time.Second,
+	CapacityLag: 4500 * time.Millisecond, RemoteDataFactor: 2, RestoreTime: 100 * time.Millisecond, CheckpointInterval: time.Second,
 }
 
 // authorityTerm is how long the engine may give orders after its authority was last
@@ -196,9 +196,9 @@
 	testReconcile = 9200 * time.Millisecond
 )
 
-// takeOver replaces the engine by one of the next epoch that loads the store; the previous
+// failOver replaces the engine by one of the next epoch that loads the store; the previous
 // engine receives no more calls.
-func (w *world) takeOver() {
+func (w *world) failOver() {
 	w.epoch++
 	w.engine = New(Config{
 		Epoch: w.epoch, Bounds: w.bounds, Tuning: DefaultTuning(), Seed: w.epoch,
@@ -216,7 +216,7 @@
 	}
 	jobs, progress, roster := w.stored()
 	w.engine.SetUpkeep(reconcileBy, w.waves())
-	w.engine.Load(jobs, progress, roster, reconcileBy, w.now(), func(*record.Job) time.Duration { return w.aged })
+	w.engine.Load(jobs, progress, roster, reconcileBy, w.now(), func(*record.Job) time.Duration { return w.recordAge })
 	w.engine.SetHosts(w.listed(), w.now())
 	w.decide()
 }
@@ -228,8 +228,8 @@
 }
 
 func (w *world) log(ev Event) {
-	if w.logs {
-		w.logged = append(w.logged, loggedEvent{ev, w.now().Sub(worldBegins)})
+	if w.keepEvents {
+		w.events = append(w.events, loggedEvent{ev, w.now().Sub(simulationStart)})
 	}
 }
 
@@ -251,7 +251,7 @@
 		case strings.HasPrefix(key, "progress/"):
 			p, err := record.DecodeProgress(value)
 			must(err)
-			progress[record.IDOf(key)] = p
+			progress[record.JobIDOf(key)] = p
 		case strings.HasPrefix(key, "roster/"):
 			var err error
 			roster, err = record.DecodeRoster(value)
@@ -264,16 +264,16 @@
 // decide calls Next on the engine and carries out its orders.
 func (w *world) decide() {
 	e := w.engine
-	e.SetProved(w.now().Add(authorityTerm))
-	if w.held {
-		e.SetProved(w.now())
+	e.SetAuthority(w.now().Add(authorityTerm))
+	if w.paused {
+		e.SetAuthority(w.now())
 	}
 	begun := time.Now()
 	o, due := e.Next(w.now())
 	took := time.Since(begun)
-	w.deciding += took
-	if w.decided != nil {
-		w.decided(took)
+	w.decisionTime += took
+	if w.onDecision != nil {
+		w.onDecision(took)
 	}
 	w.due = due
 	for _, s := range o.Starts {
@@ -285,17 +285,17 @@
 			e.Stopped(s, r, err, w.now())
 		})
 	}
-	slices.SortFunc(o.Paces, func(a, b PaceOrder) int { return compareOrders(a.To.ID, b.To.ID, a.Run, b.Run) })
-	for _, p := range o.Paces {
-		w.call(p.To, func(h *hostsim.Host) host.Reply { return h.Pace(e.cfg.Epoch, p.Run, p.Percent) }, func(r host.Reply, err error) {
-			e.Paced(p, r, err, w.now())
+	slices.SortFunc(o.Throttles, func(a, b ThrottleOrder) int { return compareOrders(a.To.ID, b.To.ID, a.Run, b.Run) })
+	for _, p := range o.Throttles {
+		w.call(p.To, func(h *hostsim.Host) host.Reply { return h.Throttle(e.cfg.Epoch, p.Run, p.Percent) }, func(r host.Reply, err error) {
+			e.HandleThrottleResult(p, r, err, w.now())
 		})
 	}
-	w.service(e, o)
-	for _, l := range o.Looks {
+	w.serveMachines(e, o)
+	for _, l := range o.Polls {
 		w.poll(e, l)
 	}
-	for _, a := range o.Asks {
+	for _, a := range o.Queries {
 		w.query(e, a)
 	}
 	if (o.Commit || o.CommitNow) && !w.committing {
@@ -312,9 +312,9 @@
 // decisionDelay is how long inputs are collected before the engine decides.
 const decisionDelay = time.Millisecond
 
-// tell calls do, which passes an input to engine e, and schedules a decision. It does nothing
+// deliver calls do, which passes an input to engine e, and schedules a decision. It does nothing
 // if e was replaced at a failover.
-func (w *world) tell(e *Engine, do func()) {
+func (w *world) deliver(e *Engine, do func()) {
 	if e != w.engine {
 		return
 	}
@@ -330,8 +330,8 @@
 }
 
 func (w *world) submitGraph(id string, rules catalog.Rules, g spec.Graph) {
-	if rules.Attempts == 0 {
-		rules.Attempts = 3
+	if rules.MaxAttempts == 0 {
+		rules.MaxAttempts = 3
 	}
 	rec := &record.Job{ID: id, Account: w.accountOf(id), Queue: w.queueOf(id), Service: "s", Rules: rules, Graph: g}
 	value, err := record.Encode(rec)
@@ -340,9 +340,9 @@
 	}
 	w.store[record.JobKey(0, id)] = value
 	w.jobs[id] = rec
-	w.fleet.Know(rec)
+	w.fleet.AddJob(rec)
 	e := w.engine
-	w.tell(e, func() { e.Accept(rec, true, w.now(), w.now()) })
+	w.deliver(e, func() { e.Accept(rec, true, w.now(), w.now()) })
 }
 
 // run advances the virtual time by d.
@@ -377,14 +377,14 @@
 const followInterval = 400 * time.Millisecond
 
 func (w *world) followHosts() {
-	if w.storeAway {
+	if w.storeUnavailable {
 		w.lastUnavailable = w.now()
 	}
-	if !w.follows || w.storeAway || w.now().Sub(w.followedAt) < followInterval {
+	if !w.followsHosts || w.storeUnavailable || w.now().Sub(w.followedAt) < followInterval {
 		return
 	}
 	w.followedAt = w.now()
-	w.tell(w.engine, func() { w.engine.SetHosts(w.listed(), w.now()) })
+	w.deliver(w.engine, func() { w.engine.SetHosts(w.listed(), w.now()) })
 }
 
 // heartbeat is the interval at which hosts write their entries, besides at changes.
@@ -397,10 +397,10 @@
 	for i, info := range w.fleet.Listed() {
 		stored, there := w.entries[info.ID]
 		beat := int64((time.Duration(w.now().UnixNano()) + time.Duration(i)*heartbeat/7) / heartbeat)
-		info.Beat = stored.Beat
+		info.HeartbeatSeq = stored.HeartbeatSeq
 		changed := !reflect.DeepEqual(info, stored) && w.now().Sub(w.lastUnavailable) > heartbeat
-		if !there || !w.storeAway && (beat != stored.Beat || changed) {
-			info.Beat = beat
+		if !there || !w.storeUnavailable && (beat != stored.HeartbeatSeq || changed) {
+			info.HeartbeatSeq = beat
 			w.entries[info.ID] = info
 		}
 		out = append(out, w.entries[info.ID])
@@ -414,7 +414,7 @@
 		return
 	}
 	w.checkedAt = w.now()
-	w.watchTails()
+	w.recordTails()
 	for id := range w.jobs {
 		s, known := w.engine.State(id)
 		before := w.shown[id]
@@ -422,23 +422,23 @@
 			continue
 		}
 		if before.Final() {
-			w.fleet.Judge().Breach("job %s was reported as %s and is now reported as %s", id, before, s)
+			w.fleet.Checker().RecordViolation("job %s was reported as %s and is now reported as %s", id, before, s)
 		}
-		if s == record.StateCompleted && !w.fleet.Judge().JobDone(id) {
-			w.fleet.Judge().Breach("job %s is reported as completed but is not", id)
+		if s == record.StateCompleted && !w.fleet.Checker().JobDone(id) {
+			w.fleet.Checker().RecordViolation("job %s is reported as completed but is not", id)
 		}
 		if s == record.StateFailed {
-			w.fleet.Judge().GaveUpFor(id, w.whyOf(id))
+			w.fleet.Checker().CheckFailedJob(id, w.endReason(id))
 		}
 		w.shown[id] = s
 		if s.Final() {
-			w.ended[id] = w.now()
+			w.finalSince[id] = w.now()
 		}
 	}
 }
 
-// whyOf returns the stored reason for the end of a job.
-func (w *world) whyOf(id string) string {
+// endReason returns the stored reason for the end of a job.
+func (w *world) endReason(id string) string {
 	rec, err := record.DecodeJob(w.store[record.JobKey(0, id)])
 	if err != nil {
 		w.t.Fatal(err)
@@ -457,10 +457,10 @@
 	return n
 }
 
-// check fails the test if any invariant was violated.
-func (w *world) check() {
+// checkInvariants fails the test if any invariant was violated.
+func (w *world) checkInvariants() {
 	w.t.Helper()
-	violations := w.fleet.Judge().Wrong()
+	violations := w.fleet.Checker().Violations()
 	for _, s := range violations[:min(len(violations), 10)] {
 		w.t.Error(s)
 	}
@@ -470,12 +470,12 @@
 func (w *world) describe(id string) string {
 	var out strings.Builder
 	for _, g := range w.engine.jobs[id].groups {
-		fmt.Fprintf(&out, "%v needs %d left %d waiting %d ready %t asking %d;", g.id, g.needs, g.left, g.waiting, !g.readySince.IsZero(), g.advice.asking)
+		fmt.Fprintf(&out, "%v needs %d left %d waiting %d ready %t asking %d;", g.id, g.pendingDeps, g.undone, g.waiting, !g.readySince.IsZero(), g.advice.openQueries)
 		for i := range g.tasks {
 			t := &g.tasks[i]
 			fmt.Fprintf(&out, " %d:%d", i, t.state)
 			if t.cur != nil {
-				fmt.Fprintf(&out, "(%s run %d state %d unwanted %t)", t.cur.on.info.ID, t.cur.No, t.cur.state, t.cur.unwanted)
+				fmt.Fprintf(&out, "(%s run %d state %d unwanted %t)", t.cur.placedOn.info.ID, t.cur.No, t.cur.state, t.cur.stopRequested)
 			}
 		}
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -128,9 +128,9 @@
 func TestPlacersCalledAndOutcomeReported(t *testing.T) {
 	unreached := result.New(result.PeerNotReached, result.RanNo, "refused")
 	lost := result.New(result.PeerLost, result.RanUnknown, "connection lost")
-	moved := result.New(result.HomeMoved, result.RanUnknown, "").Later(homeRetryDelay)
-	none := result.New(result.NoExecutor, result.RanNo, "").Later(homeRetryDelay)
-	noneLeft := result.New(result.NoExecutor, result.RanUnknown, "").Later(homeRetryDelay)
+	moved := result.New(result.HomeMoved, result.RanUnknown, "").WithRetryAfter(homeRetryDelay)
+	none := result.New(result.NoExecutor, result.RanNo, "").WithRetryAfter(homeRetryDelay)
+	noneLeft := result.New(result.NoExecutor, result.RanUnknown, "").WithRetryAfter(homeRetryDelay)
 	key := uuid.Must(uuid.NewV7()).String()
 	cases := []struct {
 		name, method string
@@ -153,8 +153,8 @@
 		{"executor lost, not idempotent", "POST", "", map[string]*result.Error{"own": noneLeft}, []string{"own"}, result.NoExecutor, result.RanUnknown},
 		{"lost, then placers unreachable", "PUT", "", map[string]*result.Error{"own": lost, "b": unreached, "old": unreached}, []string{"own", "b", "old"}, result.HomeNotReached, result.RanUnknown},
 		{"key: unreachable, may have run before", "POST", key, map[string]*result.Error{"own": unreached}, nil, result.HomeNotReached, result.RanUnknown},
-		{"key: refused by the link", "POST", key, map[string]*result.Error{"own": result.New(result.PeerVersion, result.RanNo, "").Later(homeRetryDelay)}, []string{"own"}, result.PeerVersion, result.RanUnknown},
-		{"key: refused by the home", "POST", key, map[string]*result.Error{"own": result.New(result.QueueFull, result.RanNo, "").Later(homeRetryDelay)}, []string{"own"}, result.QueueFull, result.RanNo},
+		{"key: refused by the link", "POST", key, map[string]*result.Error{"own": result.New(result.PeerVersion, result.RanNo, "").WithRetryAfter(homeRetryDelay)}, []string{"own"}, result.PeerVersion, result.RanUnknown},
+		{"key: refused by the home", "POST", key, map[string]*result.Error{"own": result.New(result.QueueFull, result.RanNo, "").WithRetryAfter(homeRetryDelay)}, []string{"own"}, result.QueueFull, result.RanNo},
 		{"key: moved", "POST", key, map[string]*result.Error{"own": moved}, nil, result.HomeMoved, result.RanUnknown},
 		{"key: lost", "POST", key, map[string]*result.Error{"own": lost}, nil, result.HomeLost, result.RanUnknown},
 	}
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -94,13 +94,13 @@
 		return
 	}
 	if !h.limiter.acquire(service) {
-		h.refuse(w, service, result.New(result.EntryFull, ranNotForwarded(r), "service %q", service).Later(time.Second))
+		h.refuse(w, service, result.New(result.EntryFull, ranNotForwarded(r), "service %q", service).WithRetryAfter(time.Second))
 		return
 	}
 	defer h.limiter.release(service)
 	bodyBytes := bodyMemory(r, values.Request.MaxBodyBytes)
 	if !h.bodies.TryAcquire(bodyBytes) {
-		h.refuse(w, service, result.New(result.EntryFull, ranNotForwarded(r), "%d bytes of body", bodyBytes).Later(time.Second))
+		h.refuse(w, service, result.New(result.EntryFull, ranNotForwarded(r), "%d bytes of body", bodyBytes).WithRetryAfter(time.Second))
 		return
 	}
 	defer h.bodies.Release(bodyBytes)
@@ -112,7 +112,7 @@
 		h.refuse(w, service, err)
 		return
 	}
-	h.limiter.forService(service).budget.Earn(values.Request.RetryBudgetPercent)
+	h.limiter.forService(service).budget.Deposit(values.Request.RetryBudgetPercent)
 	deadline := start.Add(msg.Timeout)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
@@ -129,7 +129,7 @@
 // long as the settings are not available.
 func (h *Handler) unknownService(r *http.Request, service string) *result.Error {
 	if h.cfg.View.Settings() == nil {
-		return result.New(result.NotReady, ranNotForwarded(r), "no settings known yet").Later(homeRetryDelay)
+		return result.New(result.NotReady, ranNotForwarded(r), "no settings known yet").WithRetryAfter(homeRetryDelay)
 	}
 	return result.New(result.UnknownService, ranNotForwarded(r), "service %q", service)
 }
--- a/internal/entry/handover_test.go
+++ b/internal/entry/handover_test.go
@@ -24,7 +24,7 @@
 // Call implements peer.Caller.
 func (s *slowHandover) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
 	if time.Now().Before(s.until) {
-		return result.New(result.HomeMoved, result.RanUnknown, "being handed over").Later(homeRetryDelay)
+		return result.New(result.HomeMoved, result.RanUnknown, "being handed over").WithRetryAfter(homeRetryDelay)
 	}
 	return s.fakeCell.Call(ctx, addr, kind, req, resp)
 }
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -74,14 +74,14 @@
 		return uuid.Nil, nil
 	}
 	if len(values) > 1 {
-		return uuid.Nil, result.New(result.BadKey, result.RanNo, "%d keys", len(values)).At(KeyHeader)
+		return uuid.Nil, result.New(result.BadKey, result.RanNo, "%d keys", len(values)).AtField(KeyHeader)
 	}
 	key, err := uuid.Parse(strings.Trim(values[0], `"`))
 	if err != nil {
-		return uuid.Nil, result.New(result.BadKey, result.RanNo, "%v", err).At(KeyHeader)
+		return uuid.Nil, result.New(result.BadKey, result.RanNo, "%v", err).AtField(KeyHeader)
 	}
 	if key.Version() != 7 {
-		return uuid.Nil, result.New(result.BadKey, result.RanNo, "UUID version %d, expected 7", key.Version()).At(KeyHeader)
+		return uuid.Nil, result.New(result.BadKey, result.RanNo, "UUID version %d, expected 7", key.Version()).AtField(KeyHeader)
 	}
 	return key, nil
 }
@@ -93,7 +93,7 @@
 	if text := r.Header.Get(TimeoutHeader); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || n <= 0 {
-			return 0, result.New(result.BadDeadline, result.RanNo, "%q", text).At(TimeoutHeader)
+			return 0, result.New(result.BadDeadline, result.RanNo, "%q", text).AtField(TimeoutHeader)
 		}
 		ms = n
 	}
@@ -129,7 +129,7 @@
 	if errors.As(err, &over) {
 		return nil, tooLarge(limit)
 	}
-	return nil, result.New(result.CallerGone, ranNotForwarded(r), "body: %v", err)
+	return nil, result.New(result.CallerDisconnected, ranNotForwarded(r), "body: %v", err)
 }
 
 // readAll reads to the end. A known length avoids copies.
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -65,13 +65,13 @@
 func (h *Handler) callHome(ctx context.Context, msg *requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
 	table := h.cfg.View.Table()
 	if table == nil || len(table.Partitions) == 0 {
-		return executor.Answer{}, result.New(result.NotReady, result.RanUnknown, "no partitions known yet").Later(homeRetryDelay)
+		return executor.Answer{}, result.New(result.NotReady, result.RanUnknown, "no partitions known yet").WithRetryAfter(homeRetryDelay)
 	}
 	msg.Partition = partition.OfKey(msg.Key.String(), len(table.Partitions))
 	home := findPartition(table, msg.Partition)
 	if home == nil || home.Addr == "" || home.Holder == "" {
 		return executor.Answer{}, result.New(result.HomeNotReached, result.RanUnknown,
-			"partition %d has no holder", msg.Partition).Later(homeRetryDelay)
+			"partition %d has no holder", msg.Partition).WithRetryAfter(homeRetryDelay)
 	}
 	answer, err := h.send(ctx, home.Addr, *msg, deadline)
 	if err == nil {
@@ -79,7 +79,7 @@
 	}
 	switch err.Code {
 	case result.PeerNotReached:
-		err = result.New(result.HomeNotReached, result.RanUnknown, "%s: %s", home.Holder, err.Detail).Later(homeRetryDelay)
+		err = result.New(result.HomeNotReached, result.RanUnknown, "%s: %s", home.Holder, err.Detail).WithRetryAfter(homeRetryDelay)
 	case result.PeerLost:
 		err = lostError(ctx, home.Holder, err)
 	default:
@@ -129,7 +129,7 @@
 // dispatched is retried only if it is idempotent and the retry budget allows it.
 func (h *Handler) routeKeyless(ctx context.Context, msg requestmsg.Serve, deadline time.Time) (executor.Answer, *result.Error) {
 	ran := result.RanNo
-	last := result.New(result.NotReady, result.RanNo, "no placer known yet").Later(homeRetryDelay)
+	last := result.New(result.NotReady, result.RanNo, "no placer known yet").WithRetryAfter(homeRetryDelay)
 	for i, m := range h.candidates() {
 		if i == maxPlacersTried {
 			break
@@ -140,7 +140,7 @@
 		}
 		switch err.Code {
 		case result.PeerNotReached:
-			last = result.New(result.HomeNotReached, ran, "%s: %s", m.Name, err.Detail).Later(homeRetryDelay)
+			last = result.New(result.HomeNotReached, ran, "%s: %s", m.Name, err.Detail).WithRetryAfter(homeRetryDelay)
 		case result.PeerLost:
 			ran = result.RanUnknown
 			last = lostError(ctx, m.Name, err)
@@ -168,7 +168,7 @@
 // mayRepeat reports whether a request that may have run may be sent again. It uses up one retry
 // of the budget.
 func (h *Handler) mayRepeat(ctx context.Context, msg *requestmsg.Serve) bool {
-	return msg.Idempotent && ctx.Err() == nil && h.limiter.forService(msg.Service).budget.Spend()
+	return msg.Idempotent && ctx.Err() == nil && h.limiter.forService(msg.Service).budget.TryWithdraw()
 }
 
 // candidates returns the placers in the order of preference: the one on the same host, the same
@@ -223,9 +223,9 @@
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return result.New(result.DeadlineRunning, result.RanUnknown, "%s did not answer in time", home)
 	case ctx.Err() != nil:
-		return result.New(result.CallerGone, result.RanUnknown, "the caller went away")
+		return result.New(result.CallerDisconnected, result.RanUnknown, "the caller went away")
 	}
-	return result.New(result.HomeLost, result.RanUnknown, "%s: %s", home, err.Detail).Later(homeRetryDelay)
+	return result.New(result.HomeLost, result.RanUnknown, "%s: %s", home, err.Detail).WithRetryAfter(homeRetryDelay)
 }
 
 // findPartition returns the entry of a partition, or nil.
--- a/internal/executor/exechttp/exechttp_test.go
+++ b/internal/executor/exechttp/exechttp_test.go
@@ -34,7 +34,7 @@
 		closed.Close()
 		client := exechttp.New(httponce.Options{})
 		t.Cleanup(client.Close)
-		return executortest.Target{Client: client, Addr: ln.Addr().String(), Executor: e, Judge: j,
+		return executortest.Target{Client: client, Addr: ln.Addr().String(), Executor: e, Checker: j,
 			UnreachableAddr: strings.TrimPrefix(closed.URL, "http://")}
 	})
 }
--- a/internal/executor/execsim/execsim.go
+++ b/internal/executor/execsim/execsim.go
@@ -54,7 +54,7 @@
 // Executor simulates one executor. Its methods are safe for concurrent use.
 type Executor struct {
 	name  string
-	judge *judge.Judge
+	judge *judge.Checker
 
 	mu     sync.Mutex
 	faults Faults
@@ -62,7 +62,7 @@
 
 // NewExecutor returns an executor without faults. The judge checks it against the numbers of
 // slots and connections.
-func NewExecutor(name string, slots, connections int, j *judge.Judge) *Executor {
+func NewExecutor(name string, slots, connections int, j *judge.Checker) *Executor {
 	j.Executor(name, slots, connections)
 	return &Executor{name: name, judge: j}
 }
@@ -135,20 +135,20 @@
 // Fleet is a set of executors by address. It is an executor.Client in which each call uses a
 // connection of its own.
 type Fleet struct {
-	Judge *judge.Judge
+	Checker *judge.Checker
 
 	mu        sync.Mutex
 	executors map[string]*Executor
 }
 
 // NewFleet returns a fleet without executors.
-func NewFleet(j *judge.Judge) *Fleet {
-	return &Fleet{Judge: j, executors: map[string]*Executor{}}
+func NewFleet(j *judge.Checker) *Fleet {
+	return &Fleet{Checker: j, executors: map[string]*Executor{}}
 }
 
 // Add creates an executor at the address.
 func (f *Fleet) Add(addr, name string, slots, connections int) *Executor {
-	e := NewExecutor(name, slots, connections, f.Judge)
+	e := NewExecutor(name, slots, connections, f.Checker)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.executors[addr] = e
@@ -171,8 +171,8 @@
 	if err := ctx.Err(); err != nil {
 		return executor.Answer{}, &executor.Failure{Err: err}
 	}
-	f.Judge.Connected(e.name, true, time.Now())
-	defer func() { f.Judge.Connected(e.name, false, time.Now()) }()
+	f.Checker.RecordConnection(e.name, true, time.Now())
+	defer func() { f.Checker.RecordConnection(e.name, false, time.Now()) }()
 	answer, err := e.Execute(ctx, req)
 	if err == nil && int64(len(answer.Body)) > maxAnswer {
 		err = ErrTooLarge
--- a/internal/executor/execsim/execsim_test.go
+++ b/internal/executor/execsim/execsim_test.go
@@ -20,7 +20,7 @@
 	executortest.Run(t, func(*testing.T) executortest.Target {
 		f := execsim.NewFleet(judge.New())
 		e := f.Add("a", "e", 8, 64)
-		return executortest.Target{Client: f, Addr: "a", Executor: e, Judge: f.Judge, UnreachableAddr: "nowhere"}
+		return executortest.Target{Client: f, Addr: "a", Executor: e, Checker: f.Checker, UnreachableAddr: "nowhere"}
 	})
 }
 
@@ -50,7 +50,7 @@
 		{"as many as slots", func(f *execsim.Fleet) { sendConcurrently(f, 2) }, ""},
 		{"one more than slots", func(f *execsim.Fleet) { sendConcurrently(f, 3) }, judge.RuleSlots},
 		{"one key once", func(f *execsim.Fleet) { send(f, "POST", "a"); send(f, "POST", "b") }, ""},
-		{"one key twice", func(f *execsim.Fleet) { send(f, "POST", "a"); send(f, "POST", "a") }, judge.RuleRanTwice},
+		{"one key twice", func(f *execsim.Fleet) { send(f, "POST", "a"); send(f, "POST", "a") }, judge.RuleRepeatedExecution},
 		{"idempotent twice", func(f *execsim.Fleet) { send(f, "PUT", "a"); send(f, "PUT", "a") }, ""},
 		{"leaving, within the grace period", func(f *execsim.Fleet) { leave(f, 3*time.Second) }, ""},
 		{"leaving, signal not sent", func(f *execsim.Fleet) {
@@ -67,7 +67,7 @@
 				f.Add("a", "e", 2, 3)
 				c.run(f)
 				var got judge.Rule
-				for _, v := range f.Judge.Violations(time.Now()) {
+				for _, v := range f.Checker.Violations(time.Now()) {
 					got = v.Rule
 				}
 				is.New(t).Equal(got, c.want)
--- a/internal/executor/execsim/server.go
+++ b/internal/executor/execsim/server.go
@@ -32,10 +32,10 @@
 		switch {
 		case s == http.StateNew:
 			open[c] = true
-			e.judge.Connected(e.name, true, time.Now())
+			e.judge.RecordConnection(e.name, true, time.Now())
 		case (s == http.StateClosed || s == http.StateHijacked) && open[c]:
 			delete(open, c)
-			e.judge.Connected(e.name, false, time.Now())
+			e.judge.RecordConnection(e.name, false, time.Now())
 		}
 	}
 }
--- a/internal/executor/executortest/executortest.go
+++ b/internal/executor/executortest/executortest.go
@@ -20,7 +20,7 @@
 	Client   executor.Client
 	Addr     string
 	Executor *execsim.Executor
-	Judge    *judge.Judge
+	Checker  *judge.Checker
 	// UnreachableAddr is an address without a listener.
 	UnreachableAddr string
 }
@@ -61,7 +61,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 			defer cancel()
 			a, err := x.Client.Do(ctx, x.Addr, c.req, maxAnswer)
-			is.Equal(len(x.Judge.Executions("k")), c.runs)
+			is.Equal(len(x.Checker.Executions("k")), c.runs)
 			if c.status == 0 {
 				is.Equal(sentOf(is, err), c.sent)
 				return
@@ -88,7 +88,7 @@
 		cancel()
 		_, err := x.Client.Do(ctx, x.Addr, post, maxAnswer)
 		is.True(!sentOf(is, err))
-		is.Equal(len(x.Judge.Executions("k")), 0)
+		is.Equal(len(x.Checker.Executions("k")), 0)
 	})
 }
 
--- a/internal/experiment/driver_test.go
+++ b/internal/experiment/driver_test.go
@@ -178,10 +178,10 @@
 	}
 }
 
-func (d *driver) ask(q *queued) scheduler.Ask {
-	return scheduler.Ask{Shape: taskmsg.Shape{
+func (d *driver) ask(q *queued) scheduler.Request {
+	return scheduler.Request{Shape: taskmsg.Shape{
 		Job: q.id, Kind: q.kind(), Urgent: q.class == urgent, Task: spec.Task{Size: d.sizeOf(q.arrival)},
-		Policy: taskmsg.Policy{SpreadZones: q.class == service, MinReplicas: 3}, Zones: q.zones,
+		Policy: taskmsg.Policy{SpreadZones: q.class == service, MinReplicas: 3}, RunningByZone: q.zones,
 	}}
 }
 
@@ -195,11 +195,11 @@
 func (d *driver) runOf(q *queued, index int) scheduler.Run {
 	return scheduler.Run{
 		Attempt: worker.Attempt{Task: spec.TaskID{Job: q.id, Index: index}, Attempt: q.attempt},
-		Kind:    q.kind(), Size: d.sizeOf(q.arrival), Urgent: q.class == urgent, MinReplicas: 3, Spared: q.spared[index],
+		Kind:    q.kind(), Size: d.sizeOf(q.arrival), Urgent: q.class == urgent, MinReplicas: 3, PreemptionExempt: q.spared[index],
 	}
 }
 
-func (d *driver) start(q *queued, p scheduler.Placed) {
+func (d *driver) start(q *queued, p scheduler.Placement) {
 	d.recordWait(q)
 	d.load[p.Worker] = d.load[p.Worker].Add(used(q.arrival))
 	d.declaredSums[p.Worker] = d.declaredSums[p.Worker].Add(q.size)
@@ -213,13 +213,13 @@
 
 // preempt preempts runs for the first waiting tasks, which start once the resources
 // of the victims are reported as free.
-func (d *driver) preempt(q *queued, a scheduler.Ask) {
+func (d *driver) preempt(q *queued, a scheduler.Request) {
 	for range q.waiting {
 		_, victims := d.cell.Victims(a)
 		if len(victims) == 0 {
 			return
 		}
-		d.cell.Preempted(victims)
+		d.cell.RecordPreemption(victims)
 		for _, v := range victims {
 			d.stop(v)
 		}
--- a/internal/experiment/policies_test.go
+++ b/internal/experiment/policies_test.go
@@ -11,7 +11,7 @@
 // policy is a placement policy.
 type policy struct {
 	name  string
-	place func(c *scheduler.Cell, names []string, a scheduler.Ask, runs []scheduler.Run, now time.Time) []scheduler.Placed
+	place func(c *scheduler.Cell, names []string, a scheduler.Request, runs []scheduler.Run, now time.Time) []scheduler.Placement
 }
 
 // policies returns the product's two policies and two baselines.
@@ -24,8 +24,8 @@
 	}
 }
 
-func byCell(name string) func(*scheduler.Cell, []string, scheduler.Ask, []scheduler.Run, time.Time) []scheduler.Placed {
-	return func(c *scheduler.Cell, _ []string, a scheduler.Ask, runs []scheduler.Run, now time.Time) []scheduler.Placed {
+func byCell(name string) func(*scheduler.Cell, []string, scheduler.Request, []scheduler.Run, time.Time) []scheduler.Placement {
+	return func(c *scheduler.Cell, _ []string, a scheduler.Request, runs []scheduler.Run, now time.Time) []scheduler.Placement {
 		a.Shape.Policy.Name = name
 		placed, _ := c.Place(a, runs, now)
 		return placed
@@ -33,7 +33,7 @@
 }
 
 // byRandom tries the workers from a random one on, with a random stride.
-func byRandom(r *rand.Rand) func(*scheduler.Cell, []string, scheduler.Ask, []scheduler.Run, time.Time) []scheduler.Placed {
+func byRandom(r *rand.Rand) func(*scheduler.Cell, []string, scheduler.Request, []scheduler.Run, time.Time) []scheduler.Placement {
 	return byProbing(func(n int) (int, int) {
 		step := 1 + r.IntN(n)
 		for gcd(step, n) != 1 {
@@ -45,16 +45,16 @@
 
 // byProbing reserves each run on the first worker that it fits on, in the order given by
 // walk. The cell refuses reservations that do not fit.
-func byProbing(walk func(n int) (first, step int)) func(*scheduler.Cell, []string, scheduler.Ask, []scheduler.Run, time.Time) []scheduler.Placed {
-	return func(c *scheduler.Cell, names []string, _ scheduler.Ask, runs []scheduler.Run, now time.Time) []scheduler.Placed {
-		var out []scheduler.Placed
+func byProbing(walk func(n int) (first, step int)) func(*scheduler.Cell, []string, scheduler.Request, []scheduler.Run, time.Time) []scheduler.Placement {
+	return func(c *scheduler.Cell, names []string, _ scheduler.Request, runs []scheduler.Run, now time.Time) []scheduler.Placement {
+		var out []scheduler.Placement
 		for _, r := range runs {
 			n := len(names)
 			at, step := walk(n)
 			found := false
 			for range n {
 				if free, _ := c.Free(names[at]); r.Size.Fits(free) && c.Reserve(names[at], r, now) == nil {
-					out = append(out, scheduler.Placed{Run: r, Choice: scheduler.Choice{Worker: names[at]}})
+					out = append(out, scheduler.Placement{Run: r, Choice: scheduler.Choice{Worker: names[at]}})
 					found = true
 					break
 				}
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -31,8 +31,8 @@
 		{"fits exactly", spec.Resources{MilliCPU: 3}, 2, 0},
 		{"memory is unlimited", spec.Resources{MemoryMiB: 1 << 40}, 1, 0},
 		{"used by another job", spec.Resources{MilliCPU: 7}, 1, result.QuotaExceeded},
-		{"larger than the quota", spec.Resources{MilliCPU: 11}, 1, result.QuotaUnset},
-		{"none allowed", spec.Resources{Accelerators: 1}, 1, result.QuotaUnset},
+		{"larger than the quota", spec.Resources{MilliCPU: 11}, 1, result.QuotaTooSmall},
+		{"none allowed", spec.Resources{Accelerators: 1}, 1, result.QuotaTooSmall},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": func(t *rapid.T) {
 				job, n := jobs.Draw(t, "job"), rapid.IntRange(1, 12).Draw(t, "n")
-				room := l.Room("team", quota, size(job), n)
+				room := l.MaxTasks("team", quota, size(job), n)
 				err := l.Reserve("team", job, quota, size(job), n)
 				if (err == nil) != (room == n) {
 					t.Fatalf("Room returned %d of %d, but Reserve returned %v", room, n, err)
@@ -96,7 +96,7 @@
 }
 
 func entry(job, team string, pending int) Entry {
-	return Entry{Job: job, Team: team, Size: one, Pending: pending, Since: start}
+	return Entry{Job: job, Team: team, Size: one, Pending: pending, WaitingSince: start}
 }
 
 func TestRoundSharesBetweenTeams(t *testing.T) {
@@ -122,11 +122,11 @@
 	q := NewQueue(DefaultConfig())
 	for i := range 10 {
 		e := entry(fmt.Sprint("old", i), "a", 1000)
-		e.Since = start.Add(-time.Hour)
+		e.WaitingSince = start.Add(-time.Hour)
 		q.Put(e)
 	}
 	e := entry("late", "b", 10000)
-	e.Since = start.Add(-2 * time.Minute)
+	e.WaitingSince = start.Add(-2 * time.Minute)
 	q.Put(e)
 	tasks := map[bool]int{}
 	for _, p := range q.Round(start, 6400, total, noUsage) {
@@ -141,11 +141,11 @@
 		change func(a, b *Entry)
 		first  string
 	}{
-		{"older first", func(a, b *Entry) { b.Since = start.Add(-time.Second) }, "b"},
-		{"higher priority first", func(a, b *Entry) { b.Priority, a.Since = 1, start.Add(-time.Second) }, "b"},
+		{"older first", func(a, b *Entry) { b.WaitingSince = start.Add(-time.Second) }, "b"},
+		{"higher priority first", func(a, b *Entry) { b.Priority, a.WaitingSince = 1, start.Add(-time.Second) }, "b"},
 		{"urgent before priority", func(a, b *Entry) { b.Urgent, a.Priority = true, 9 }, "b"},
-		{"aged before priority", func(a, b *Entry) { b.Since, a.Priority = start.Add(-time.Minute), 9 }, "b"},
-		{"urgent before aged", func(a, b *Entry) { a.Urgent, b.Since = true, start.Add(-time.Hour) }, "a"},
+		{"aged before priority", func(a, b *Entry) { b.WaitingSince, a.Priority = start.Add(-time.Minute), 9 }, "b"},
+		{"urgent before aged", func(a, b *Entry) { a.Urgent, b.WaitingSince = true, start.Add(-time.Hour) }, "a"},
 		{"in backoff", func(a, b *Entry) { a.NotBefore = start.Add(time.Millisecond) }, "b"},
 		{"backoff has ended", func(a, b *Entry) { a.NotBefore = start }, "a"},
 	}
@@ -166,7 +166,7 @@
 	is := is.New(t)
 	q := NewQueue(DefaultConfig())
 	e := entry("gang", "a", 500)
-	e.Whole = true
+	e.AllOrNothing = true
 	q.Put(e)
 	is.Equal(q.Round(start, 10, total, noUsage), []Pick{{Job: "gang", Tasks: 500}})
 }
@@ -180,7 +180,7 @@
 	now := start
 	for i := range 1000 {
 		e := entry(fmt.Sprint("urgent", i), "b", 1)
-		e.Urgent, e.Since = true, now
+		e.Urgent, e.WaitingSince = true, now
 		q.Put(e)
 		for _, p := range q.Round(now, 1, total, noUsage) {
 			if p.Job == "waiting" {
@@ -249,7 +249,7 @@
 			q := NewQueue(DefaultConfig())
 			for i := range jobs {
 				e := entry(fmt.Sprint("job", i), fmt.Sprint("team", i%35), 1+i%200)
-				e.Since = start.Add(time.Duration(i) * time.Second)
+				e.WaitingSince = start.Add(time.Duration(i) * time.Second)
 				q.Put(e)
 			}
 			b.ReportAllocs()
--- a/internal/fairshare/ledger.go
+++ b/internal/fairshare/ledger.go
@@ -36,7 +36,7 @@
 func (l *Ledger) Reserve(team, job string, quota Quota, size spec.Resources, tasks int) *result.Error {
 	need := size.Times(int64(tasks))
 	if exceeded := quota.Exceeds(need); exceeded != "" {
-		return result.New(result.QuotaUnset, result.RanNo, "team %s: %s", team, exceeded)
+		return result.New(result.QuotaTooSmall, result.RanNo, "team %s: %s", team, exceeded)
 	}
 	if exceeded := quota.Exceeds(l.Used(team).Add(need)); exceeded != "" {
 		return result.New(result.QuotaExceeded, result.RanNo, "team %s: %s", team, exceeded)
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// Room returns how many tasks of the size fit into the remaining quota of the team, at most
+// MaxTasks returns how many tasks of the size fit into the remaining quota of the team, at most
 // limit.
-func (l *Ledger) Room(team string, quota Quota, size spec.Resources, limit int) int {
-	return quota.Room(l.Used(team), size, limit)
+func (l *Ledger) MaxTasks(team string, quota Quota, size spec.Resources, limit int) int {
+	return quota.MaxTasks(l.Used(team), size, limit)
 }
 
 // Restore counts tasks that are known to run, regardless of the quota: after a failover or
--- a/internal/fairshare/queue.go
+++ b/internal/fairshare/queue.go
@@ -29,14 +29,14 @@
 	Job, Team string
 	Urgent    bool
 	Priority  int64
-	// Since is when the job began to wait: its submission, or the loss of the first of its
+	// WaitingSince is when the job began to wait: its submission, or the loss of the first of its
 	// waiting tasks.
-	Since time.Time
+	WaitingSince time.Time
 	// Size is the size of one task.
 	Size    spec.Resources
 	Pending int
-	// Whole jobs are gangs: they are picked with all their tasks or not at all.
-	Whole bool
+	// AllOrNothing jobs are gangs: they are picked with all their tasks or not at all.
+	AllOrNothing bool
 	// NotBefore is the earliest time at which a job in backoff may be picked again.
 	NotBefore time.Time
 }
@@ -92,7 +92,7 @@
 		}
 		q.picks++
 		tasks := min(e.Pending, q.config.Batch, budget)
-		if e.Whole {
+		if e.AllOrNothing {
 			tasks = e.Pending
 		}
 		r.charge(e, tasks)
@@ -159,7 +159,7 @@
 }
 
 // isAged reports whether a job has waited for AgeAfter.
-func (r *round) isAged(e *Entry) bool { return r.now.Sub(e.Since) >= r.config.AgeAfter }
+func (r *round) isAged(e *Entry) bool { return r.now.Sub(e.WaitingSince) >= r.config.AgeAfter }
 
 // compareAged sorts aged jobs before the others of their team. Between teams the shares decide;
 // otherwise a team with much old work would get everything.
@@ -175,7 +175,7 @@
 
 // compareWait sorts the job that has waited longest first.
 func compareWait(a, b *Entry) int {
-	return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Job, b.Job))
+	return cmp.Or(a.WaitingSince.Compare(b.WaitingSince), cmp.Compare(a.Job, b.Job))
 }
 
 // next returns the job to pick next. agedPick is true for the picks reserved for aged jobs.
--- a/internal/fairshare/quota.go
+++ b/internal/fairshare/quota.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// Room returns how many tasks of a size fit into the quota beside the used resources, at most
+// MaxTasks returns how many tasks of a size fit into the quota beside the used resources, at most
 // limit.
-func (q Quota) Room(used, size spec.Resources, limit int) int {
+func (q Quota) MaxTasks(used, size spec.Resources, limit int) int {
 	room := int64(limit)
 	for _, d := range q.dimensions(used, size) {
 		if d.quota >= 0 && d.size > 0 {
@@ -56,8 +56,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// Full returns the highest utilization of any limited resource, as a fraction of the quota.
-func (q Quota) Full(used spec.Resources) float64 {
+// Utilization returns the highest utilization of any limited resource, as a fraction of the quota.
+func (q Quota) Utilization(used spec.Resources) float64 {
 	utilization := 0.0
 	for _, d := range q.dimensions(used, spec.Resources{}) {
 		if d.quota > 0 {
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -76,7 +76,7 @@
 		home: &fakeHome{states: map[worker.Attempt]taskmsg.RunState{}},
 	}
 	mux := peer.NewMux()
-	peer.Handle(mux, peer.KindTaskNews, tb.home.accept)
+	peer.Handle(mux, peer.KindTaskUpdates, tb.home.accept)
 	tb.peers[homeAddr] = mux
 	tb.table.Partitions = []view.Partition{{ID: homePartition, Holder: "home", Addr: homeAddr, Epoch: 1}}
 	for i := range n {
@@ -186,7 +186,7 @@
 func (l *loadTest) stopAll(b *testing.B, jobs []taskmsg.PlaceRequest) {
 	b.Helper()
 	for _, req := range jobs {
-		stop := taskmsg.StopRequest{Home: req.Home, Mode: worker.Kill}
+		stop := taskmsg.StopRequest{Home: req.Home, Mode: worker.ModeStop}
 		for _, s := range req.Slots {
 			stop.Runs = append(stop.Runs, attemptOf(&req.Shape, s))
 		}
--- a/internal/fleet/claim.go
+++ b/internal/fleet/claim.go
@@ -27,7 +27,7 @@
 	f.mu.Unlock()
 	ctx, cancel := context.WithTimeout(f.ctx, f.timings.callTimeout)
 	defer cancel()
-	grant, err := f.cfg.Right.Check(w.heldPartition.id)
+	grant, err := f.cfg.Authorizer.Check(w.heldPartition.id)
 	if err != nil || grant.Epoch != w.heldPartition.epoch {
 		f.backOffUnauthorized(w)
 		return
@@ -72,7 +72,7 @@
 	}
 	previousBound := w.leasesEndBy
 	w.clock = clockAnchor{reading: reply.Now, at: now}
-	w.info, w.incarnation, w.usage = reply.Info, reply.Life, reply.Usage
+	w.info, w.incarnation, w.usage = reply.Info, reply.Incarnation, reply.Usage
 	// The leases in the inventory were renewed before now; orders that are still
 	// in transit are covered by lostLeasesEndBy.
 	w.leasesEndBy = later(w.lostLeasesEndBy, now.Add(f.timings.leaseBound()))
@@ -120,7 +120,7 @@
 			case reply.Now <= r.startExpires:
 				openStarts++
 			default:
-				f.endRun(r, taskmsg.RunNever, 0, now)
+				f.endRun(r, taskmsg.RunNotStarted, 0, now)
 			}
 		case runRunning:
 			f.markMissing(r, previousBound, incarnationStart(reply, now))
--- a/internal/fleet/crash.go
+++ b/internal/fleet/crash.go
@@ -24,14 +24,14 @@
 )
 
 // lossEvidence returns what is known about how the run was lost.
-func (r *run) lossEvidence() taskmsg.Sight {
+func (r *run) lossEvidence() taskmsg.LossEvidence {
 	switch {
 	case !r.startConfirmed || !r.newIncarnationSeen || r.crashExempt:
-		return taskmsg.SightNone
+		return taskmsg.EvidenceNone
 	case r.presentAtEnd:
-		return taskmsg.SightCrash
+		return taskmsg.EvidenceCrash
 	}
-	return taskmsg.SightThere
+	return taskmsg.EvidencePresent
 }
 
 // loseUnresponsive declares a run lost whose lease has expired on an unresponsive worker.
@@ -49,7 +49,7 @@
 		return
 	}
 	r.recordNewIncarnation(startedAt)
-	if r.lossEvidence() == taskmsg.SightNone {
+	if r.lossEvidence() == taskmsg.EvidenceNone {
 		return
 	}
 	r.state = runEnded
@@ -66,8 +66,8 @@
 // incarnationStart returns the latest possible start of the incarnation that answered a claim,
 // or zero if the reply does not contain it.
 func incarnationStart(reply worker.ClaimReply, now time.Time) time.Time {
-	if reply.Up == 0 {
+	if reply.Uptime == 0 {
 		return time.Time{}
 	}
-	return now.Add(-time.Duration(reply.Up) * time.Millisecond)
+	return now.Add(-time.Duration(reply.Uptime) * time.Millisecond)
 }
--- a/internal/fleet/crash_test.go
+++ b/internal/fleet/crash_test.go
@@ -24,7 +24,7 @@
 	// afterLoss happens after the run was reported as lost.
 	afterLoss func(b *testbed)
 	// want is the evidence reported with the loss, wantFinally the last one reported.
-	want, wantFinally taskmsg.Sight
+	want, wantFinally taskmsg.LossEvidence
 }
 
 func (b *testbed) worker0() *workersim.Worker { return b.sim.Worker("w0") }
@@ -51,7 +51,7 @@
 	noFaults := workersim.Faults{}
 	cases := map[string]lossCase{
 		"worker restarted": {
-			afterStart: func(b *testbed) { b.worker0().Restart() }, want: taskmsg.SightCrash, wantFinally: taskmsg.SightCrash,
+			afterStart: func(b *testbed) { b.worker0().Restart() }, want: taskmsg.EvidenceCrash, wantFinally: taskmsg.EvidenceCrash,
 		},
 		"worker unresponsive": {
 			afterStart: func(b *testbed) { b.setFaults(unreachable) },
@@ -61,7 +61,7 @@
 		"worker unresponsive, then restarted": {
 			afterStart:  func(b *testbed) { b.setFaults(unreachable) },
 			afterLoss:   func(b *testbed) { b.worker0().Restart(); b.setFaults(noFaults) },
-			wantFinally: taskmsg.SightThere,
+			wantFinally: taskmsg.EvidencePresent,
 		},
 		"worker unresponsive, restarted long after": {
 			afterStart: func(b *testbed) { b.setFaults(unreachable) },
@@ -84,7 +84,7 @@
 			},
 		},
 		"start delayed": {
-			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{Slow: 10 * time.Second}) },
+			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{Delay: 10 * time.Second}) },
 			afterStart: func(b *testbed) {
 				time.Sleep(13 * time.Second) // by then the worker has refused the expired order
 				b.worker0().Restart()
@@ -92,17 +92,17 @@
 			},
 		},
 		"start delayed, carried out by another incarnation that becomes unresponsive": {
-			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{Slow: 5 * time.Second, Lifeless: true}) },
+			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{Delay: 5 * time.Second, OmitIncarnation: true}) },
 			afterStart: func(b *testbed) {
 				b.worker0().Restart()
-				b.setFaults(workersim.Faults{Lifeless: true})
+				b.setFaults(workersim.Faults{OmitIncarnation: true})
 				time.Sleep(testLease / 2)
 				b.is.Equal(b.running(), 1)
 				b.setFaults(unreachable)
 			},
 		},
 		"start delayed, refused by another incarnation": {
-			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{Slow: 5 * time.Second}) },
+			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{Delay: 5 * time.Second}) },
 			afterStart: func(b *testbed) {
 				b.worker0().Restart()
 				b.setFaults(noFaults)
@@ -112,7 +112,7 @@
 		},
 		"connection broken during the start, worker restarted": {
 			beforeStart: func(b *testbed) { b.setFaults(workersim.Faults{LoseAnswers: 1}) },
-			afterStart:  func(b *testbed) { b.worker0().Restart() }, want: taskmsg.SightCrash, wantFinally: taskmsg.SightCrash,
+			afterStart:  func(b *testbed) { b.worker0().Restart() }, want: taskmsg.EvidenceCrash, wantFinally: taskmsg.EvidenceCrash,
 		},
 		"connection broken during the start, no recent reply": {
 			beforeStart: func(b *testbed) { time.Sleep(4 * time.Second); b.setFaults(workersim.Faults{LoseAnswers: 1}) },
@@ -166,7 +166,7 @@
 	noFaults, unreachable := workersim.Faults{}, workersim.Faults{Unreachable: true}
 	cases := map[string]struct {
 		reconnect func(b *testbed, m *member) // the worker answers again
-		want      taskmsg.Sight
+		want      taskmsg.LossEvidence
 	}{
 		"in another incarnation, home unavailable": {func(b *testbed, _ *member) {
 			b.home.setUnavailable(true)
@@ -174,7 +174,7 @@
 			b.worker0().Restart()
 			b.setFaults(noFaults)
 			time.Sleep(testLease)
-		}, taskmsg.SightThere},
+		}, taskmsg.EvidencePresent},
 		"soon in another incarnation, home unavailable": {func(b *testbed, m *member) {
 			b.home.setUnavailable(true)
 			b.setFaults(noFaults)
@@ -182,7 +182,7 @@
 			m.placeTasks(shapeOf("beside", 1000, 0), 1) // so that it has replied recently
 			b.worker0().Restart()
 			time.Sleep(testLease)
-		}, taskmsg.SightCrash},
+		}, taskmsg.EvidenceCrash},
 		"in the same incarnation, then in another, home unavailable": {func(b *testbed, _ *member) {
 			b.home.setUnavailable(true)
 			time.Sleep(2 * testLease)
@@ -190,7 +190,7 @@
 			time.Sleep(testLease)
 			b.worker0().Restart()
 			time.Sleep(testLease)
-		}, taskmsg.SightNone},
+		}, taskmsg.EvidenceNone},
 		"in another incarnation, home slow to reply": {func(b *testbed, m *member) {
 			b.home.setDelay(updateTimeout - time.Millisecond)
 			for b.home.state(attempt("job", 0)) != taskmsg.RunLost {
@@ -203,7 +203,7 @@
 			m.mu.Unlock()
 			time.Sleep(testLease)
 			b.home.setDelay(0)
-		}, taskmsg.SightThere},
+		}, taskmsg.EvidencePresent},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -11,10 +11,10 @@
 	"pulleyquay/internal/worker"
 )
 
-// CoverRight is the authority to renew leases on behalf of a dead holder. It is
+// DelegateAuthority is the authority to renew leases on behalf of a dead holder. It is
 // checked before each order, like hold.Right.
-type CoverRight interface {
-	CheckCover(partition int) (hold.Grant, error)
+type DelegateAuthority interface {
+	CheckRenewal(partition int) (hold.Grant, error)
 }
 
 // delegated is a worker whose leases are renewed for a dead holder.
@@ -26,12 +26,12 @@
 	busy       bool
 }
 
-var _ hold.Deputy = (*Fleet)(nil)
+var _ hold.Delegate = (*Fleet)(nil)
 
-// Cover replaces the partitions whose leases this process, as a delegate, renews
+// SetRenewals replaces the partitions whose leases this process, as a delegate, renews
 // on behalf of their dead holders while the store is down. A delegate never starts,
 // stops or acknowledges anything there, and the first claim of a new holder fences it.
-func (f *Fleet) Cover(partitions []view.Partition) {
+func (f *Fleet) SetRenewals(partitions []view.Partition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delegations = map[int]view.Partition{}
@@ -49,7 +49,7 @@
 func (f *Fleet) renewDelegated(hosts []platform.Host, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.delegations) == 0 || f.cfg.Covers == nil {
+	if len(f.delegations) == 0 || f.cfg.Delegations == nil {
 		return
 	}
 	for _, h := range hosts {
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(f.ctx, f.timings.callTimeout)
 	defer cancel()
 	if clock.at.IsZero() {
-		if _, err := f.cfg.Covers.CheckCover(p.ID); err != nil {
+		if _, err := f.cfg.Delegations.CheckRenewal(p.ID); err != nil {
 			return clock, err
 		}
 		reply, err := f.cfg.Client.Claim(ctx, h.Addr, worker.ClaimRequest{Partition: p.ID, Epoch: p.Epoch, Holder: p.Holder})
@@ -97,7 +97,7 @@
 		}
 		clock = clockAnchor{reading: reply.Now, at: time.Now()}
 	}
-	grant, err := f.cfg.Covers.CheckCover(p.ID)
+	grant, err := f.cfg.Delegations.CheckRenewal(p.ID)
 	if err != nil {
 		return clock, err
 	}
--- a/internal/fleet/driver_test.go
+++ b/internal/fleet/driver_test.go
@@ -104,7 +104,7 @@
 		d.tasks[i].attempt = 1
 	}
 	mux := peer.NewMux()
-	peer.Handle(mux, peer.KindTaskNews, d.accept)
+	peer.Handle(mux, peer.KindTaskUpdates, d.accept)
 	b.peers[homeAddr] = mux
 	return d
 }
@@ -141,10 +141,10 @@
 // nextAttempt makes a task's next attempt due.
 func (t *desiredTask) nextAttempt() { t.attempt, t.state = t.attempt+1, taskIdle }
 
-func (d *driver) accept(_ context.Context, n taskmsg.News) (taskmsg.NewsReply, error) {
+func (d *driver) accept(_ context.Context, n taskmsg.RunReports) (taskmsg.RunReportsReply, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var reply taskmsg.NewsReply
+	var reply taskmsg.RunReportsReply
 	if d.unavailable {
 		return reply, result.New(result.NotReady, result.RanNo, "loading")
 	}
@@ -157,7 +157,7 @@
 	return reply, nil
 }
 
-func (d *driver) recordUpdate(r taskmsg.RunNews) {
+func (d *driver) recordUpdate(r taskmsg.RunReport) {
 	if r.Run.Task.Job != driverJob {
 		return
 	}
@@ -207,7 +207,7 @@
 
 // stopUncertain requests the stop of attempts with unknown outcome.
 func (d *driver) stopUncertain(m *member, home taskmsg.Home) {
-	req := taskmsg.StopRequest{Home: home, Mode: worker.Kill}
+	req := taskmsg.StopRequest{Home: home, Mode: worker.ModeStop}
 	d.mu.Lock()
 	for i := range d.tasks {
 		if d.tasks[i].state == taskUncertain {
--- a/internal/fleet/evidence_test.go
+++ b/internal/fleet/evidence_test.go
@@ -47,13 +47,13 @@
 func TestRunsEndedBetweenOrders(t *testing.T) {
 	for name, tc := range map[string]struct {
 		runs, restart time.Duration // counted from the start
-		want          taskmsg.Sight
+		want          taskmsg.LossEvidence
 	}{
-		"finished a second before":              {2 * time.Second, 3 * time.Second, taskmsg.SightThere},
-		"finished 100 ms before":                {time.Second, 1100 * time.Millisecond, taskmsg.SightThere},
-		"present at end, not confirmed":         {0, 3 * time.Second, taskmsg.SightThere},
-		"present at end, started 50 ms before":  {0, 50 * time.Millisecond, taskmsg.SightCrash},
-		"present at end, started 100 ms before": {0, 100 * time.Millisecond, taskmsg.SightThere},
+		"finished a second before":              {2 * time.Second, 3 * time.Second, taskmsg.EvidencePresent},
+		"finished 100 ms before":                {time.Second, 1100 * time.Millisecond, taskmsg.EvidencePresent},
+		"present at end, not confirmed":         {0, 3 * time.Second, taskmsg.EvidencePresent},
+		"present at end, started 50 ms before":  {0, 50 * time.Millisecond, taskmsg.EvidenceCrash},
+		"present at end, started 100 ms before": {0, 100 * time.Millisecond, taskmsg.EvidencePresent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runTestbed(t, 1, func(b *testbed) {
@@ -77,7 +77,7 @@
 // the worker's next incarnation started.
 func TestWorkerWithoutIncarnation(t *testing.T) {
 	runTestbed(t, 1, func(b *testbed) {
-		b.setFaults(workersim.Faults{Lifeless: true})
+		b.setFaults(workersim.Faults{OmitIncarnation: true})
 		m := b.member("a")
 		defer m.stop()
 		m.accept(1, nil)
@@ -85,6 +85,6 @@
 		m.placeTasks(shapeOf("job", 1000, 0), 1)
 		b.worker0().Restart()
 		waitForUpdates()
-		b.is.Equal(b.home.lossEvidence(attempt("job", 0)), taskmsg.SightThere)
+		b.is.Equal(b.home.lossEvidence(attempt("job", 0)), taskmsg.EvidencePresent)
 	})
 }
--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -34,15 +34,15 @@
 	sim := s.b.sim
 	switch o {
 	case opDisconnect:
-		sim.Cut(s.holder.cfg.Name, w, workersim.CutBefore)
+		sim.Cut(s.holder.cfg.Name, w, workersim.DropRequest)
 	case opDropReplies:
-		sim.Cut(s.holder.cfg.Name, w, workersim.CutAnswer)
+		sim.Cut(s.holder.cfg.Name, w, workersim.DropReply)
 	case opDisconnectNext:
-		sim.Cut(fmt.Sprintf("m%d", s.members+1), w, workersim.CutBefore)
+		sim.Cut(fmt.Sprintf("m%d", s.members+1), w, workersim.DropRequest)
 	case opDropNextReplies:
-		sim.Cut(fmt.Sprintf("m%d", s.members+1), w, workersim.CutAnswer)
+		sim.Cut(fmt.Sprintf("m%d", s.members+1), w, workersim.DropReply)
 	case opSlow:
-		sim.Worker(w).SetFaults(workersim.Faults{Slow: 2500 * time.Millisecond})
+		sim.Worker(w).SetFaults(workersim.Faults{Delay: 2500 * time.Millisecond})
 	case opHeal:
 		s.heal()
 	case opUnlist, opRelist:
@@ -63,7 +63,7 @@
 		w := fmt.Sprintf("w%d", i)
 		s.b.sim.Worker(w).SetFaults(workersim.Faults{})
 		for n := range s.members + 1 {
-			s.b.sim.Cut(fmt.Sprintf("m%d", n+1), w, workersim.CutNone)
+			s.b.sim.Cut(fmt.Sprintf("m%d", n+1), w, workersim.NetworkOK)
 		}
 		s.network(opRelist, w)
 	}
@@ -82,7 +82,7 @@
 		b := newTestbed(t, simWorkers)
 		s := newSimulation(b, f)
 		ctx, cancel := context.WithCancel(context.Background())
-		s.join(func(t *hold.Takeover) { t.Fresh = true })
+		s.join(func(t *hold.Acquisition) { t.NeverHeld = true })
 		go s.workload.run(ctx)
 		time.Sleep(20 * time.Second)
 		for _, a := range actions {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -49,14 +49,14 @@
 	// placers of a cell; zero means 15 s.
 	Lease time.Duration
 	// Hosts returns the latest snapshot of the host list.
-	Hosts  func() []platform.Host
-	Right  hold.Right
-	Client worker.Client
-	Peers  peer.Caller
-	View   view.Source
-	// Covers is the authority to renew leases for dead holders; nil when this
+	Hosts      func() []platform.Host
+	Authorizer hold.Authorizer
+	Client     worker.Client
+	Peers      peer.Caller
+	View       view.Source
+	// Delegations is the authority to renew leases for dead holders; nil when this
 	// process is never a delegate.
-	Covers CoverRight
+	Delegations DelegateAuthority
 	// StoreUp reports whether a majority of the members reaches the store,
 	// according to the heartbeats that this process has received; nil when the cell
 	// has no delegates. While it returns false, a delegate that receives no heartbeats
@@ -109,7 +109,7 @@
 	lastOutageAt, storeDownSince time.Time
 }
 
-var _ hold.Resident = (*Fleet)(nil)
+var _ hold.Component = (*Fleet)(nil)
 
 // New returns a Fleet that holds no partition. It makes no progress unless Run is running.
 func New(cfg Config) *Fleet {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,10 +27,10 @@
 	runTestbed(t, 2, func(b *testbed) {
 		m := b.member("a")
 		defer m.stop()
-		b.sim.Cut("a", workersim.AnyAddr, workersim.CutBefore)
+		b.sim.Cut("a", workersim.AnyAddr, workersim.DropRequest)
 		m.accept(1, nil)
 		b.is.Equal(count(m.placeTasks(shapeOf("early", 1000, 0), 4), taskmsg.OutcomeRefused), 4)
-		b.sim.Cut("a", workersim.AnyAddr, workersim.CutNone)
+		b.sim.Cut("a", workersim.AnyAddr, workersim.NetworkOK)
 		time.Sleep(5 * time.Second)
 		b.is.Equal(count(m.placeTasks(shapeOf("late", 1000, 0), 20), taskmsg.OutcomeStarted), 16) // eight on each of two workers
 		b.is.Equal(b.running(), 16)
@@ -74,8 +74,8 @@
 		cut  workersim.Cut
 		want taskmsg.RunState
 	}{
-		{"order arrived", workersim.CutAnswer, taskmsg.RunRunning},
-		{"order did not arrive", workersim.CutBefore, 0},
+		{"order arrived", workersim.DropReply, taskmsg.RunRunning},
+		{"order did not arrive", workersim.DropRequest, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 				} else {
 					b.is.Equal(got[0].Outcome, taskmsg.OutcomeUnknown)
 				}
-				b.sim.Cut("a", "w0", workersim.CutNone)
+				b.sim.Cut("a", "w0", workersim.NetworkOK)
 				time.Sleep(8 * time.Second)
 				b.is.Equal(b.home.state(attempt("job", 0)), c.want)
 				b.is.Equal(b.running() == 1, c.want == taskmsg.RunRunning)
@@ -111,12 +111,12 @@
 				defer m.stop()
 				m.accept(1, nil)
 				synctest.Wait()
-				b.sim.Worker("w0").SetFaults(workersim.Faults{Slow: slow})
+				b.sim.Worker("w0").SetFaults(workersim.Faults{Delay: slow})
 				got := m.placeTasks(shapeOf("job", 1000, 0), 1)[0].Outcome
 				b.sim.Worker("w0").SetFaults(workersim.Faults{})
 				time.Sleep(12 * time.Second)
 				running := got == taskmsg.OutcomeStarted || b.home.state(attempt("job", 0)) == taskmsg.RunRunning
-				never := got == taskmsg.OutcomeRefused || b.home.state(attempt("job", 0)) == taskmsg.RunNever
+				never := got == taskmsg.OutcomeRefused || b.home.state(attempt("job", 0)) == taskmsg.RunNotStarted
 				b.is.True(running != never)
 				b.is.Equal(b.running() == 1, running)
 			})
@@ -134,12 +134,12 @@
 		synctest.Wait()
 		m.placeTasks(shapeOf("job", 1000, 0), 1)
 		time.Sleep(7 * time.Second)
-		b.sim.Cut("a", "w0", workersim.CutBefore)
+		b.sim.Cut("a", "w0", workersim.DropRequest)
 		for b.home.state(attempt("job", 0)) != taskmsg.RunLost {
 			time.Sleep(50 * time.Millisecond)
 		}
 		b.is.Equal(b.running(), 0)
-		b.sim.Cut("a", "w0", workersim.CutNone)
+		b.sim.Cut("a", "w0", workersim.NetworkOK)
 		time.Sleep(5 * time.Second)
 		b.is.Equal(count(m.placeTasks(shapeOf("job2", 1000, 0), 1), taskmsg.OutcomeStarted), 1)
 	})
@@ -170,7 +170,7 @@
 	runTestbed(t, 2, func(b *testbed) {
 		old := b.member("a")
 		defer old.stop()
-		old.accept(1, func(t *hold.Takeover) { t.Fresh = true })
+		old.accept(1, func(t *hold.Acquisition) { t.NeverHeld = true })
 		synctest.Wait()
 		old.placeTasks(shapeOf("job", 1000, 0), 10)
 		time.Sleep(testLease) // until the usage reports contain what was started
@@ -196,7 +196,7 @@
 	runTestbed(t, 2, func(b *testbed) {
 		old := b.member("a")
 		defer old.stop()
-		old.accept(1, func(t *hold.Takeover) { t.Fresh = true })
+		old.accept(1, func(t *hold.Acquisition) { t.NeverHeld = true })
 		synctest.Wait()
 		old.placeTasks(shapeOf("job", 1000, 0), 10)
 		time.Sleep(testLease) // until the usage reports contain what was started
@@ -205,7 +205,7 @@
 		b.is.Equal(count(old.placeTasks(shapeOf("more", 1000, 0), 1), taskmsg.OutcomeRefused), 1)
 		next := b.member("b")
 		defer next.stop()
-		next.accept(2, func(t *hold.Takeover) { t.SignedOff, t.State = true, state })
+		next.accept(2, func(t *hold.Acquisition) { t.HandedOver, t.State = true, state })
 		time.Sleep(time.Millisecond)
 		b.is.True(next.Dump().(State).Partitions[0].Complete)
 		b.is.Equal(count(next.placeTasks(shapeOf("more", 1000, 0), 10), taskmsg.OutcomeStarted), 6)
@@ -245,12 +245,12 @@
 	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
 		defer m.stop()
-		m.accept(1, func(t *hold.Takeover) { t.Fresh = true })
+		m.accept(1, func(t *hold.Acquisition) { t.NeverHeld = true })
 		synctest.Wait()
 		m.placeTasks(shapeOf("job", 1000, 0), 1)
 		home := taskmsg.Home{Partition: homePartition, Epoch: 1}
 		reply, err := m.stopTasks(context.Background(), taskmsg.StopRequest{
-			Home: home, Runs: []worker.Attempt{attempt("job", 0), attempt("other", 0)}, Mode: worker.Kill,
+			Home: home, Runs: []worker.Attempt{attempt("job", 0), attempt("other", 0)}, Mode: worker.ModeStop,
 		})
 		b.is.NoErr(err)
 		b.is.Equal(reply.Unknown, []worker.Attempt{attempt("other", 0)})
@@ -309,11 +309,11 @@
 		synctest.Wait()
 		old.placeTasks(shapeOf("job", 1000, 0), 1)
 		old.stop()
-		b.sim.Cut("b", "w0", workersim.CutBefore)
+		b.sim.Cut("b", "w0", workersim.DropRequest)
 		m := b.member("b")
 		defer m.stop()
 		m.accept(2, nil)
-		req := taskmsg.StopRequest{Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Runs: []worker.Attempt{attempt("job", 0)}, Mode: worker.Kill}
+		req := taskmsg.StopRequest{Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Runs: []worker.Attempt{attempt("job", 0)}, Mode: worker.ModeStop}
 		for b.running() > 0 {
 			reply, err := m.stopTasks(context.Background(), req)
 			b.is.NoErr(err)
@@ -341,7 +341,7 @@
 		m.accept(1, nil)
 		time.Sleep(10 * time.Minute)
 		m.placeTasks(shapeOf("earlier", 1000, 0), 1) // so that no renewal is in flight
-		b.setFaults(workersim.Faults{Slow: 40 * time.Second})
+		b.setFaults(workersim.Faults{Delay: 40 * time.Second})
 		res := m.placeTasks(shapeOf("job", 1000, 0), 1)
 		b.is.Equal(count(res, taskmsg.OutcomeUnknown), 1)
 		b.worker0().Restart()
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -21,7 +21,7 @@
 
 // gangHold is the capacity reserved on this holder's workers for tasks of a gang.
 type gangHold struct {
-	req     taskmsg.GangHold
+	req     taskmsg.GangReserveRequest
 	slots   map[worker.Attempt]*heldSlot
 	expires time.Time
 }
@@ -35,8 +35,8 @@
 
 // holdGang reserves capacity for as many of the slots as fit, without starting
 // anything. A repeated request extends the hold.
-func (f *Fleet) holdGang(_ context.Context, req taskmsg.GangHold) (taskmsg.GangHeld, error) {
-	var reply taskmsg.GangHeld
+func (f *Fleet) holdGang(_ context.Context, req taskmsg.GangReserveRequest) (taskmsg.GangReserveReply, error) {
+	var reply taskmsg.GangReserveReply
 	err := f.serveHome(req.Home, func(now time.Time) error {
 		reply = f.updateGangHold(req, now)
 		return nil
@@ -44,12 +44,12 @@
 	return reply, err
 }
 
-func (f *Fleet) updateGangHold(req taskmsg.GangHold, now time.Time) taskmsg.GangHeld {
+func (f *Fleet) updateGangHold(req taskmsg.GangReserveRequest, now time.Time) taskmsg.GangReserveReply {
 	f.expireGangHolds(now)
 	key := gangKey{req.Home.Partition, req.Shape.Job}
 	g := f.gangs[key]
 	if g != nil && req.Try < g.req.Try {
-		return taskmsg.GangHeld{} // message of an earlier try
+		return taskmsg.GangReserveReply{} // message of an earlier try
 	}
 	if g != nil && req.Try > g.req.Try {
 		f.releaseGang(key)
@@ -60,20 +60,20 @@
 		f.gangs[key] = g
 	}
 	g.req = req
-	g.expires = now.Add(min(time.Duration(req.HoldMS)*time.Millisecond, maxGangHold))
+	g.expires = now.Add(min(time.Duration(req.ReservationMS)*time.Millisecond, maxGangHold))
 	var refusal *taskmsg.Refusal
-	if req.Gather || !f.otherGangGathering(key) {
+	if req.AccumulateCapacity || !f.otherGangGathering(key) {
 		refusal = f.reserveGang(g, now)
 	} else {
 		refusal = f.gangRefusal()
 	}
-	reply := taskmsg.GangHeld{Refusal: refusal}
+	reply := taskmsg.GangReserveReply{Refusal: refusal}
 	for _, s := range req.Slots {
 		if _, ok := g.slots[attemptOf(&req.Shape, s)]; ok {
-			reply.Held = append(reply.Held, s)
+			reply.Reserved = append(reply.Reserved, s)
 		}
 	}
-	if len(g.slots) == 0 && !req.Gather {
+	if len(g.slots) == 0 && !req.AccumulateCapacity {
 		delete(f.gangs, key)
 	}
 	return reply
@@ -96,7 +96,7 @@
 	if len(runs) == 0 {
 		return nil
 	}
-	placed, refusal := f.cell.Place(scheduler.Ask{Shape: g.req.Shape}, runs, now)
+	placed, refusal := f.cell.Place(scheduler.Request{Shape: g.req.Shape}, runs, now)
 	for _, p := range placed {
 		g.slots[p.Attempt] = &heldSlot{slot: bySlot[p.Attempt], managedWorker: f.workers[p.Worker], run: p.Run}
 	}
@@ -106,7 +106,7 @@
 // endGang starts all held tasks or releases their capacity. A start is refused as a
 // whole when any part of the hold is no longer usable. Started tasks can no longer
 // be refused, so a repeated start returns their outcomes.
-func (f *Fleet) endGang(ctx context.Context, req taskmsg.GangEnd) (taskmsg.PlaceReply, error) {
+func (f *Fleet) endGang(ctx context.Context, req taskmsg.GangFinishRequest) (taskmsg.PlaceReply, error) {
 	var call *pendingCall
 	err := f.serveHome(req.Home, func(now time.Time) (err error) {
 		call, err = f.startGang(req, now)
@@ -121,7 +121,7 @@
 	return taskmsg.PlaceReply{Results: call.results}, nil
 }
 
-func (f *Fleet) startGang(req taskmsg.GangEnd, now time.Time) (*pendingCall, error) {
+func (f *Fleet) startGang(req taskmsg.GangFinishRequest, now time.Time) (*pendingCall, error) {
 	f.expireGangHolds(now)
 	key := gangKey{req.Home.Partition, req.Job}
 	g := f.gangs[key]
@@ -148,7 +148,7 @@
 	for id, h := range g.slots {
 		// The only error is a run without a reservation, which firstUnavailable excludes.
 		_ = f.cell.Commit(id, now)
-		p := scheduler.Placed{Run: h.run, Choice: scheduler.Choice{Worker: h.managedWorker.name}}
+		p := scheduler.Placement{Run: h.run, Choice: scheduler.Choice{Worker: h.managedWorker.name}}
 		call.expect(h.slot, f.queueStart(&g.req.Shape, &p, now))
 	}
 	return call, nil
--- a/internal/fleet/gang_test.go
+++ b/internal/fleet/gang_test.go
@@ -20,9 +20,9 @@
 }
 
 // holdFor requests capacity for n tasks of a gang.
-func (m *member) holdFor(job string, n int, epoch uint64) taskmsg.GangHeld {
+func (m *member) holdFor(job string, n int, epoch uint64) taskmsg.GangReserveReply {
 	m.b.t.Helper()
-	req := taskmsg.GangHold{Home: taskmsg.Home{Partition: homePartition, Epoch: epoch}, Shape: gangShape(job), HoldMS: 5000}
+	req := taskmsg.GangReserveRequest{Home: taskmsg.Home{Partition: homePartition, Epoch: epoch}, Shape: gangShape(job), ReservationMS: 5000}
 	for i := range n {
 		req.Slots = append(req.Slots, taskmsg.Slot{Index: i, Attempt: 1})
 	}
@@ -33,7 +33,7 @@
 
 func (m *member) endOf(job string, start bool) (taskmsg.PlaceReply, error) {
 	home := taskmsg.Home{Partition: homePartition, Epoch: 1}
-	return m.endGang(context.Background(), taskmsg.GangEnd{Home: home, Job: job, Start: start})
+	return m.endGang(context.Background(), taskmsg.GangFinishRequest{Home: home, Job: job, Start: start})
 }
 
 func TestGangStartsAllThatIsHeld(t *testing.T) {
@@ -42,9 +42,9 @@
 		defer m.stop()
 		m.accept(1, nil)
 		synctest.Wait()
-		b.is.Equal(len(m.holdFor("gang", 20, 1).Held), 16) // eight on each of two workers
+		b.is.Equal(len(m.holdFor("gang", 20, 1).Reserved), 16) // eight on each of two workers
 		b.is.Equal(b.running(), 0)
-		b.is.Equal(len(m.holdFor("gang", 20, 1).Held), 16) // a repeated request holds the same
+		b.is.Equal(len(m.holdFor("gang", 20, 1).Reserved), 16) // a repeated request holds the same
 		b.is.Equal(count(m.placeTasks(shapeOf("other", 1000, 0), 1), taskmsg.OutcomeRefused), 1)
 		first, err := m.endOf("gang", true)
 		b.is.NoErr(err)
@@ -71,7 +71,7 @@
 		},
 		"worker restarted": func(b *testbed, _ *member) {
 			b.sim.Worker("w0").Restart()
-			b.sim.Cut("a", "w0", workersim.CutBefore)
+			b.sim.Cut("a", "w0", workersim.DropRequest)
 			time.Sleep(4900 * time.Millisecond)
 		},
 	}
@@ -83,14 +83,14 @@
 				m.accept(1, nil)
 				synctest.Wait()
 				time.Sleep(200 * time.Millisecond)
-				b.is.Equal(len(m.holdFor("gang", 16, 1).Held), 16)
+				b.is.Equal(len(m.holdFor("gang", 16, 1).Reserved), 16)
 				end(b, m)
 				_, err := m.endOf("gang", true)
 				b.is.Equal(result.CodeOf(err), result.GangUnknown)
 				b.is.Equal(result.From(err).Ran, result.RanNo)
 				b.is.Equal(b.running(), 0)
 				if name == "partition released" { // and returned under the same epoch
-					b.is.NoErr(m.Acquire(context.Background(), hold.Takeover{Grant: hold.Grant{Partition: b.rackPartition(), Epoch: 1}}))
+					b.is.NoErr(m.Acquire(context.Background(), hold.Acquisition{Grant: hold.Grant{Partition: b.rackPartition(), Epoch: 1}}))
 				}
 				b.is.Equal(count(m.placeTasks(shapeOf("other", 1000, 0), 8), taskmsg.OutcomeStarted), 8)
 			})
@@ -106,8 +106,8 @@
 		defer m.stop()
 		m.accept(1, nil)
 		synctest.Wait()
-		b.is.Equal(len(m.holdFor("gang", 8, 1).Held), 8)
-		b.is.Equal(len(m.holdFor("other", 8, 2).Held), 8)
+		b.is.Equal(len(m.holdFor("gang", 8, 1).Reserved), 8)
+		b.is.Equal(len(m.holdFor("other", 8, 2).Reserved), 8)
 		_, err := m.endOf("gang", true)
 		b.is.Equal(result.CodeOf(err), result.HomeFenced)
 		b.is.Equal(b.running(), 0)
--- a/internal/fleet/gather.go
+++ b/internal/fleet/gather.go
@@ -9,7 +9,7 @@
 // capacity here and does not have all of it yet. The caller has released expired holds.
 func (f *Fleet) otherGangGathering(except gangKey) bool {
 	for key, g := range f.gangs {
-		if key != except && g.req.Gather && len(g.slots) < len(g.req.Slots) {
+		if key != except && g.req.AccumulateCapacity && len(g.slots) < len(g.req.Slots) {
 			return true
 		}
 	}
--- a/internal/fleet/gather_test.go
+++ b/internal/fleet/gather_test.go
@@ -16,18 +16,18 @@
 // attempts have the same number.
 func (m *member) holdTry(try, first, n int, gather bool) []taskmsg.Slot {
 	m.b.t.Helper()
-	req := taskmsg.GangHold{Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Shape: gangShape("gang"), HoldMS: 5000, Try: try, Gather: gather}
+	req := taskmsg.GangReserveRequest{Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Shape: gangShape("gang"), ReservationMS: 5000, Try: try, AccumulateCapacity: gather}
 	for i := range n {
 		req.Slots = append(req.Slots, taskmsg.Slot{Index: first + i, Attempt: try})
 	}
 	held, err := m.holdGang(context.Background(), req)
 	m.b.is.NoErr(err)
-	return held.Held
+	return held.Reserved
 }
 
 func (m *member) endTry(try int, start bool) error {
 	home := taskmsg.Home{Partition: homePartition, Epoch: 1}
-	_, err := m.endGang(context.Background(), taskmsg.GangEnd{Home: home, Job: "gang", Try: try, Start: start})
+	_, err := m.endGang(context.Background(), taskmsg.GangFinishRequest{Home: home, Job: "gang", Try: try, Start: start})
 	return err
 }
 
@@ -63,13 +63,13 @@
 	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
 		defer m.stop()
-		m.accept(1, func(t *hold.Takeover) { t.Fresh = true })
+		m.accept(1, func(t *hold.Acquisition) { t.NeverHeld = true })
 		synctest.Wait()
 		b.is.Equal(len(m.holdTry(1, 0, 8, false)), 8)
 		id := worker.Attempt{Attempt: 1}
 		id.Task.Job = "gang"
 		reply, err := m.stopTasks(context.Background(), taskmsg.StopRequest{
-			Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Runs: []worker.Attempt{id}, Mode: worker.Kill,
+			Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Runs: []worker.Attempt{id}, Mode: worker.ModeStop,
 		})
 		b.is.NoErr(err)
 		b.is.Equal(len(reply.Unknown), 1)
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -25,8 +25,8 @@
 func (f *Fleet) applyHealthChange(w *managedWorker, from, to health.State) {
 	f.log.WithFields(map[string]any{"worker": w.name, "from": from, "to": to}).Warn("worker health changed")
 	f.metrics.health.WithLabelValues(string(to)).Inc()
-	w.excluded = to != health.Good
-	if to == health.Good {
+	w.excluded = to != health.Healthy
+	if to == health.Healthy {
 		delete(f.excludedWorkers, w.name)
 	} else {
 		f.excludedWorkers[w.name] = struct{}{}
@@ -37,7 +37,7 @@
 // placeProbe places one batch task on an excluded worker whose probe is due. These
 // workers are ready for this one placement decision only; the outcome of the task
 // decides what follows. It returns the placed run, or nothing when no probe is due.
-func (f *Fleet) placeProbe(shape *taskmsg.Shape, run scheduler.Run, now time.Time) []scheduler.Placed {
+func (f *Fleet) placeProbe(shape *taskmsg.Shape, run scheduler.Run, now time.Time) []scheduler.Placement {
 	if shape.Kind != spec.KindBatch || shape.Urgent || len(f.excludedWorkers) == 0 {
 		return nil
 	}
@@ -48,7 +48,7 @@
 	for _, w := range due {
 		_ = f.cell.SetStatus(w.name, scheduler.StatusReady) // the worker is claimed, so the scheduler knows it
 	}
-	placed, _ := f.cell.Place(scheduler.Ask{Shape: *shape}, []scheduler.Run{run}, now)
+	placed, _ := f.cell.Place(scheduler.Request{Shape: *shape}, []scheduler.Run{run}, now)
 	for _, w := range due {
 		f.setStatus(w)
 	}
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -72,7 +72,7 @@
 		r.grantedUntil = time.Now().Add(authorityTerm)
 	}
 	if !time.Now().Before(r.grantedUntil) {
-		return hold.Grant{}, result.New(result.RightLapsed, result.RanNo, "partition %d", p)
+		return hold.Grant{}, result.New(result.AuthorityExpired, result.RanNo, "partition %d", p)
 	}
 	return hold.Grant{Partition: p, Epoch: r.epochs[p], Until: r.grantedUntil}, nil
 }
@@ -102,12 +102,12 @@
 	orphans     map[string]bool // by job
 	unavailable bool
 	// evidence is what the last update of each run reported about its loss.
-	evidence map[worker.Attempt]taskmsg.Sight
+	evidence map[worker.Attempt]taskmsg.LossEvidence
 	// delay is the time before a reply.
 	delay time.Duration
 }
 
-func (h *fakeHome) accept(_ context.Context, n taskmsg.News) (taskmsg.NewsReply, error) {
+func (h *fakeHome) accept(_ context.Context, n taskmsg.RunReports) (taskmsg.RunReportsReply, error) {
 	reply, delay, err := h.answer(n)
 	time.Sleep(delay)
 	return reply, err
@@ -119,10 +119,10 @@
 	h.delay = delay
 }
 
-func (h *fakeHome) answer(n taskmsg.News) (taskmsg.NewsReply, time.Duration, error) {
+func (h *fakeHome) answer(n taskmsg.RunReports) (taskmsg.RunReportsReply, time.Duration, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var reply taskmsg.NewsReply
+	var reply taskmsg.RunReportsReply
 	if h.unavailable {
 		return reply, 0, result.New(result.NotReady, result.RanNo, "loading")
 	}
@@ -139,23 +139,23 @@
 }
 
 // recordEvidence records the evidence in an update of a run.
-func (h *fakeHome) recordEvidence(r taskmsg.RunNews) {
+func (h *fakeHome) recordEvidence(r taskmsg.RunReport) {
 	if h.evidence == nil {
-		h.evidence = map[worker.Attempt]taskmsg.Sight{}
+		h.evidence = map[worker.Attempt]taskmsg.LossEvidence{}
 	}
-	h.evidence[r.Run] = taskmsg.SightNone
+	h.evidence[r.Run] = taskmsg.EvidenceNone
 	if r.State == taskmsg.RunLost {
-		h.evidence[r.Run] = r.Sight()
+		h.evidence[r.Run] = r.LossEvidence()
 	}
 }
 
 // crashReported reports whether the last update of a run reported its loss as a crash.
 func (h *fakeHome) crashReported(id worker.Attempt) bool {
-	return h.lossEvidence(id) == taskmsg.SightCrash
+	return h.lossEvidence(id) == taskmsg.EvidenceCrash
 }
 
 // lossEvidence returns what the last update of a run reported about its loss.
-func (h *fakeHome) lossEvidence(id worker.Attempt) taskmsg.Sight {
+func (h *fakeHome) lossEvidence(id worker.Attempt) taskmsg.LossEvidence {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.evidence[id]
@@ -177,7 +177,7 @@
 type testbed struct {
 	t     *testing.T
 	is    *is.I
-	judge *judge.Judge
+	judge *judge.Checker
 	sim   *workersim.Fleet
 	home  *fakeHome
 	peers peer.Local
@@ -198,7 +198,7 @@
 		home: &fakeHome{states: map[worker.Attempt]taskmsg.RunState{}, orphans: map[string]bool{}},
 	}
 	mux := peer.NewMux()
-	peer.Handle(mux, peer.KindTaskNews, b.home.accept)
+	peer.Handle(mux, peer.KindTaskUpdates, b.home.accept)
 	b.peers[homeAddr] = mux
 	b.table.Partitions = []view.Partition{{ID: homePartition, Holder: "home", Addr: homeAddr, Epoch: 1}}
 	for i := range n {
@@ -260,7 +260,7 @@
 	log.SetOutput(io.Discard)
 	m := &member{b: b, authority: &fakeAuthority{epochs: map[int]uint64{}}, done: make(chan struct{})}
 	cfg := Config{
-		Name: name, Partitions: testPartitions, Lease: testLease, Hosts: b.Hosts, Right: m.authority,
+		Name: name, Partitions: testPartitions, Lease: testLease, Hosts: b.Hosts, Authorizer: m.authority,
 		Client: b.sim.Caller(name), Peers: b.peers, View: b, Log: logrus.NewEntry(log),
 	}
 	for _, edit := range edits {
@@ -280,11 +280,11 @@
 }
 
 // accept makes the member the holder of the workers' partition.
-func (m *member) accept(epoch uint64, edit func(*hold.Takeover)) {
+func (m *member) accept(epoch uint64, edit func(*hold.Acquisition)) {
 	p := m.b.rackPartition()
 	m.authority.setHeld(p, epoch)
 	m.b.setEpoch(p, epoch)
-	t := hold.Takeover{Grant: hold.Grant{Partition: p, Epoch: epoch}}
+	t := hold.Acquisition{Grant: hold.Grant{Partition: p, Epoch: epoch}}
 	if edit != nil {
 		edit(&t)
 	}
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -12,7 +12,7 @@
 // Register adds the handlers for requests of job homes and operators.
 func (f *Fleet) Register(mux *peer.Mux) {
 	peer.Handle(mux, peer.KindPlace, f.place)
-	peer.Handle(mux, peer.KindGangHold, f.holdGang)
+	peer.Handle(mux, peer.KindGangReserve, f.holdGang)
 	peer.Handle(mux, peer.KindGangEnd, f.endGang)
 	peer.Handle(mux, peer.KindStopTasks, f.stopTasks)
 	peer.Handle(mux, peer.KindInventory, f.inventory)
@@ -59,8 +59,8 @@
 // authority now.
 func (f *Fleet) heldEpochs() map[int]uint64 {
 	held := map[int]uint64{}
-	for _, id := range f.cfg.Right.Held() {
-		if grant, err := f.cfg.Right.Check(id); err == nil {
+	for _, id := range f.cfg.Authorizer.Held() {
+		if grant, err := f.cfg.Authorizer.Check(id); err == nil {
 			held[id] = grant.Epoch
 		}
 	}
--- a/internal/fleet/loss.go
+++ b/internal/fleet/loss.go
@@ -46,7 +46,7 @@
 func (f *Fleet) declareLost(now time.Time) {
 	f.trackStore(now)
 	for _, p := range f.partitionsWithLosses(now) {
-		grant, err := f.cfg.Right.Check(p.id)
+		grant, err := f.cfg.Authorizer.Check(p.id)
 		if err != nil || grant.Epoch != p.epoch {
 			continue
 		}
--- a/internal/fleet/managedworker.go
+++ b/internal/fleet/managedworker.go
@@ -17,7 +17,7 @@
 type managedWorker struct {
 	name          string
 	addr          string
-	incarnation   worker.Life // as of the last claim
+	incarnation   worker.Incarnation // as of the last claim
 	heldPartition *heldPartition
 	claimState    string // see claimstate.go
 	info          worker.Info
@@ -135,11 +135,11 @@
 	case w.claimState != claimHeld || w.heldPartition.paused:
 		return scheduler.StatusUnclaimed
 	case w.leaving || !w.listed:
-		return scheduler.StatusLeaving
+		return scheduler.StatusDraining
 	case w.overCapacity:
-		return scheduler.StatusOver
+		return scheduler.StatusOverloaded
 	case w.excluded:
-		return scheduler.StatusSetAside
+		return scheduler.StatusExcluded
 	default:
 		return scheduler.StatusReady
 	}
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -35,7 +35,7 @@
 	defer cancel()
 	// The authority is checked after the order is complete, so that the check
 	// is followed directly by the call.
-	grant, err := f.cfg.Right.Check(w.heldPartition.id)
+	grant, err := f.cfg.Authorizer.Check(w.heldPartition.id)
 	if err != nil || grant.Epoch != w.heldPartition.epoch {
 		f.cancelOrder(w, out)
 		return
@@ -58,7 +58,7 @@
 	f.metrics.orders.WithLabelValues(callOutcomeLabel(err)).Inc()
 	out.brokeInFlight = err != nil && ctx.Err() == nil && sent.Sub(w.clock.at) <= recentReply
 	if err == nil && len(reply.Results) != len(out.starts) {
-		err = worker.ErrLost // not a reply to this order
+		err = worker.ErrNoReply // not a reply to this order
 	}
 	if err != nil {
 		f.applyFailure(w, out, err, now)
@@ -83,7 +83,7 @@
 	if w.removed {
 		return nil
 	}
-	out := &outgoingOrder{addr: w.addr, order: worker.Order{Partition: w.heldPartition.id, Epoch: w.heldPartition.epoch, Life: w.incarnation, RenewMillis: f.timings.lease.Milliseconds()}}
+	out := &outgoingOrder{addr: w.addr, order: worker.Order{Partition: w.heldPartition.id, Epoch: w.heldPartition.epoch, Incarnation: w.incarnation, RenewMillis: f.timings.lease.Milliseconds()}}
 	for id, mode := range w.stops {
 		out.order.Stops = append(out.order.Stops, worker.Stop{Attempt: id, Mode: mode})
 	}
@@ -212,7 +212,7 @@
 		f.refuseOrderStarts(out, "worker restarted", now)
 		w.restarted = true
 		f.applyClaimEvent(w, eventRestarted)
-	case errors.Is(err, worker.ErrExpired), errors.Is(err, worker.ErrNotReached):
+	case errors.Is(err, worker.ErrExpired), errors.Is(err, worker.ErrUnreachable):
 		f.refuseOrderStarts(out, "order not received or expired", now)
 		f.applyClaimEvent(w, eventOrderLost)
 	default:
@@ -239,7 +239,7 @@
 		return "expired"
 	case errors.Is(err, worker.ErrNotClaimed):
 		return "not_claimed"
-	case errors.Is(err, worker.ErrNotReached):
+	case errors.Is(err, worker.ErrUnreachable):
 		return "not_reached"
 	default:
 		return "lost"
--- a/internal/fleet/overcapacity.go
+++ b/internal/fleet/overcapacity.go
@@ -11,7 +11,7 @@
 const overCheckInterval = 500 * time.Millisecond
 
 // severity ranks the stop modes, least severe first.
-var severity = map[worker.StopMode]int{worker.Throttle: 1, worker.Checkpoint: 2, worker.Kill: 3}
+var severity = map[worker.StopMode]int{worker.ModeThrottle: 1, worker.ModeCheckpoint: 2, worker.ModeStop: 3}
 
 // relieveOverCapacity acts on workers whose observed usage exceeds their size:
 // nothing is placed there, and their least urgent runs are throttled, checkpointed
@@ -21,7 +21,7 @@
 		return
 	}
 	f.nextOverCheck = now.Add(overCheckInterval)
-	overCapacity := f.cell.Over(now)
+	overCapacity := f.cell.Overloaded(now)
 	names := make(map[string]struct{}, len(overCapacity))
 	for _, o := range overCapacity {
 		names[o.Worker] = struct{}{}
@@ -31,7 +31,7 @@
 			w.renewAt = next // so that the effect is observed soon
 		}
 		if !now.Before(w.nextReliefAt) {
-			f.applyReliefSteps(w, o.Steps, now)
+			f.applyReliefSteps(w, o.Actions, now)
 		}
 	}
 	for name := range f.overCapacity {
@@ -44,14 +44,14 @@
 
 // applyReliefSteps carries out steps against an overload. Further steps are delayed
 // until a usage report can contain the effect of these.
-func (f *Fleet) applyReliefSteps(w *managedWorker, steps []scheduler.Step, now time.Time) {
+func (f *Fleet) applyReliefSteps(w *managedWorker, steps []scheduler.Action, now time.Time) {
 	for _, s := range steps {
 		r := f.runs[s.Attempt]
 		if r == nil || severity[r.reliefMode] >= severity[s.Mode] {
 			continue
 		}
 		r.reliefMode = s.Mode
-		r.preempted = s.Mode != worker.Throttle // so that its home starts it again elsewhere
+		r.preempted = s.Mode != worker.ModeThrottle // so that its home starts it again elsewhere
 		f.stopRun(r, s.Mode, "worker over capacity")
 		w.nextReliefAt = now.Add(f.cell.UsageLag + 2*overCheckInterval)
 	}
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -68,7 +68,7 @@
 		bySlot[r.Attempt] = s
 	}
 	placed := f.placeProbe(&req.Shape, runs[0], now)
-	more, refusal := f.cell.Place(scheduler.Ask{Shape: req.Shape}, runs[len(placed):], now)
+	more, refusal := f.cell.Place(scheduler.Request{Shape: req.Shape}, runs[len(placed):], now)
 	if refusal != nil && !refusal.Never {
 		f.scarceUntil = now.Add(scarcityPeriod)
 	}
@@ -92,7 +92,7 @@
 }
 
 // queueStart records a placed run and queues its start at the worker.
-func (f *Fleet) queueStart(shape *taskmsg.Shape, p *scheduler.Placed, now time.Time) *run {
+func (f *Fleet) queueStart(shape *taskmsg.Shape, p *scheduler.Placement, now time.Time) *run {
 	w := f.workers[p.Worker]
 	r := f.trackRun(w, p.Attempt, p.Home, runQueued)
 	r.start = newStart(shape, &p.Run)
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -67,7 +67,7 @@
 	cases := map[string]func(b *testbed, m *member, cancel func()){
 		"caller gone": func(_ *testbed, _ *member, cancel func()) { cancel() },
 		"stopped": func(b *testbed, m *member, _ func()) {
-			_, err := m.stopTasks(context.Background(), taskmsg.StopRequest{Home: home, Runs: []worker.Attempt{attempt("urgent", 0)}, Mode: worker.Kill})
+			_, err := m.stopTasks(context.Background(), taskmsg.StopRequest{Home: home, Runs: []worker.Attempt{attempt("urgent", 0)}, Mode: worker.ModeStop})
 			b.is.NoErr(err)
 		},
 		"home fenced": func(b *testbed, _ *member, _ func()) { b.setEpoch(homePartition, 2) },
@@ -165,22 +165,22 @@
 // fakeDelegateAuthority is a CoverRight for a dead holder's partition, controlled by the test.
 type fakeDelegateAuthority struct{ *fakeAuthority }
 
-func (c fakeDelegateAuthority) CheckCover(p int) (hold.Grant, error) { return c.Check(p) }
+func (c fakeDelegateAuthority) CheckRenewal(p int) (hold.Grant, error) { return c.Check(p) }
 
 // TestDelegateRenews checks that a delegate keeps a dead holder's runs alive, starts
 // nothing, and is fenced by the next holder.
 func TestDelegateRenews(t *testing.T) {
 	runTestbed(t, 2, func(b *testbed) {
 		dead := b.member("a")
-		dead.accept(1, func(t *hold.Takeover) { t.Fresh = true })
+		dead.accept(1, func(t *hold.Acquisition) { t.NeverHeld = true })
 		synctest.Wait()
 		dead.placeTasks(shapeOf("service", 1000, 0), 4)
 		dead.stop()
 
 		authority := fakeDelegateAuthority{&fakeAuthority{epochs: map[int]uint64{b.rackPartition(): 1}}}
-		delegate := b.member("b", func(c *Config) { c.Covers = authority })
+		delegate := b.member("b", func(c *Config) { c.Delegations = authority })
 		defer delegate.stop()
-		delegate.Cover([]view.Partition{{ID: b.rackPartition(), Holder: "a", Epoch: 1}})
+		delegate.SetRenewals([]view.Partition{{ID: b.rackPartition(), Holder: "a", Epoch: 1}})
 		time.Sleep(10 * testLease)
 		b.is.Equal(b.running(), 4)
 		b.is.Equal(count(delegate.placeTasks(shapeOf("more", 1000, 0), 1), taskmsg.OutcomeRefused), 1)
@@ -190,7 +190,7 @@
 		next.accept(2, nil)
 		time.Sleep(testLease)
 		b.is.Equal(b.running(), 4)
-		delegate.Cover(nil)
+		delegate.SetRenewals(nil)
 		time.Sleep(2 * testLease)
 		b.is.Equal(b.running(), 4)
 	})
@@ -207,7 +207,7 @@
 		m.accept(1, nil)
 		synctest.Wait()
 		m.placeTasks(shapeOf("service", 1000, 0), 1)
-		b.sim.Cut("a", "w0", workersim.CutBefore)
+		b.sim.Cut("a", "w0", workersim.DropRequest)
 		time.Sleep(10 * testLease)
 		b.is.Equal(b.home.state(attempt("service", 0)), taskmsg.RunState(0))
 		up.Store(true)
@@ -228,7 +228,7 @@
 		synctest.Wait()
 		m.placeTasks(shapeOf("wave", 1000, 0), 16)
 		time.Sleep(testLease)
-		req := taskmsg.StopRequest{Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Mode: worker.Kill}
+		req := taskmsg.StopRequest{Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Mode: worker.ModeStop}
 		for i := range 16 {
 			req.Runs = append(req.Runs, attempt("wave", i))
 		}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -37,7 +37,7 @@
 // preempt stops less urgent runs for the slots that could not be placed, and returns
 // the slots for which there are no victims.
 func (f *Fleet) preempt(req *taskmsg.PlaceRequest, slots []taskmsg.Slot, call *pendingCall, now time.Time) []taskmsg.Slot {
-	ask := scheduler.Ask{Shape: req.Shape}
+	ask := scheduler.Request{Shape: req.Shape}
 	for i, s := range slots {
 		name, victims := f.cell.Victims(ask)
 		w := f.workers[name]
@@ -52,8 +52,8 @@
 		for _, v := range victims {
 			ws.victims = append(ws.victims, v.Attempt)
 		}
-		f.cell.Preempted(victims)
-		f.stopVictims(ws, worker.Checkpoint)
+		f.cell.RecordPreemption(victims)
+		f.stopVictims(ws, worker.ModeCheckpoint)
 		f.waitingSlots = append(f.waitingSlots, ws)
 	}
 	return nil
@@ -110,7 +110,7 @@
 	if !f.stillRequested(ws) {
 		return false
 	}
-	placed, _ := f.cell.Place(scheduler.Ask{Shape: *ws.shape}, []scheduler.Run{ws.run}, now)
+	placed, _ := f.cell.Place(scheduler.Request{Shape: *ws.shape}, []scheduler.Run{ws.run}, now)
 	if len(placed) == 0 {
 		return false
 	}
@@ -135,7 +135,7 @@
 	}
 	if !ws.killAt.IsZero() && now.After(ws.killAt) {
 		ws.killAt = time.Time{}
-		f.stopVictims(ws, worker.Kill)
+		f.stopVictims(ws, worker.ModeStop)
 	}
 	if next := now.Add(preemptPoll); ws.managedWorker.renewAt.After(next) {
 		ws.managedWorker.renewAt = next
--- a/internal/fleet/replaced_test.go
+++ b/internal/fleet/replaced_test.go
@@ -56,7 +56,7 @@
 				time.Sleep(time.Minute)
 				synctest.Wait()
 				fresh.Add(addr, worker.Info{Name: "w0", Rack: "r0", Zone: "z0", Size: testSize})
-				b.sim.Cut("a", "w0", workersim.CutBefore)
+				b.sim.Cut("a", "w0", workersim.DropRequest)
 				b.mu.Lock()
 				replaced.Store(true)
 				b.hosts = []platform.Host{{Name: "w0", Role: platform.RoleWorker, Addr: addr, Rack: "r0", Zone: "z0"}}
--- a/internal/fleet/resident.go
+++ b/internal/fleet/resident.go
@@ -74,7 +74,7 @@
 //
 // A partition that returns under the epoch it was released with continues with the
 // existing state: its homes see no change of holder and would not reconcile again.
-func (f *Fleet) Acquire(_ context.Context, t hold.Takeover) error {
+func (f *Fleet) Acquire(_ context.Context, t hold.Acquisition) error {
 	now := time.Now()
 	if f.resume(t.Partition, t.Epoch) {
 		f.syncHosts(f.cfg.Hosts(), now)
@@ -82,13 +82,13 @@
 	}
 	p := &heldPartition{id: t.Partition, epoch: t.Epoch, leasesEndBy: now.Add(f.timings.leaseBound()), awaited: map[string]struct{}{}}
 	var state handoverState
-	if t.SignedOff && json.Unmarshal(t.State, &state) == nil {
+	if t.HandedOver && json.Unmarshal(t.State, &state) == nil {
 		p.awaitedAll = state.Complete
 		for _, name := range state.Workers {
 			p.awaited[name] = struct{}{}
 		}
 	}
-	if t.Fresh {
+	if t.NeverHeld {
 		p.awaitedAll = true
 	}
 	f.mu.Lock()
--- a/internal/fleet/runs.go
+++ b/internal/fleet/runs.go
@@ -104,7 +104,7 @@
 	f.log.WithFields(map[string]any{"worker": r.managedWorker.name, "task": r.id.Task.String(), "reason": reason}).Debug("start refused")
 	f.resolveWaiters(r, taskmsg.OutcomeRefused)
 	if r.reported {
-		f.endRun(r, taskmsg.RunNever, 0, now)
+		f.endRun(r, taskmsg.RunNotStarted, 0, now)
 		return
 	}
 	f.forgetRun(r)
@@ -195,7 +195,7 @@
 	f.recordAdopted(r, report, now)
 	f.queueUpdate(r, taskmsg.RunRunning)
 	if f.tombstones.Contains(id) {
-		w.stops[id] = worker.Kill
+		w.stops[id] = worker.ModeStop
 	}
 	return r
 }
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -98,7 +98,7 @@
 }
 
 // join starts a member and makes it the holder.
-func (s *simulation) join(edit func(*hold.Takeover)) {
+func (s *simulation) join(edit func(*hold.Acquisition)) {
 	s.members++
 	s.epoch++
 	g := &pausableClient{corrupt: s.fault.corrupt}
@@ -143,7 +143,7 @@
 	}
 	old.authority.revoke()
 	s.old = append(s.old, old)
-	s.join(func(t *hold.Takeover) { t.SignedOff, t.State = true, state })
+	s.join(func(t *hold.Acquisition) { t.HandedOver, t.State = true, state })
 }
 
 // failedHandover is a handover that fails: the holder continues under its epoch.
@@ -153,7 +153,7 @@
 	defer cancel()
 	state, err := s.holder.Release(ctx, p)
 	time.Sleep(2 * time.Second)
-	t := hold.Takeover{Grant: hold.Grant{Partition: p, Epoch: s.holder.epoch}, SignedOff: err == nil, State: state}
+	t := hold.Acquisition{Grant: hold.Grant{Partition: p, Epoch: s.holder.epoch}, HandedOver: err == nil, State: state}
 	s.b.is.NoErr(s.holder.Acquire(context.Background(), t))
 }
 
@@ -198,10 +198,10 @@
 	p := s.b.rackPartition()
 	authority := fakeDelegateAuthority{&fakeAuthority{epochs: map[int]uint64{p: dead.epoch}, neverExpires: s.fault.neverExpires}}
 	d := s.b.member(fmt.Sprintf("m%d", s.members), func(c *Config) {
-		g.Client, c.Client, c.Covers = c.Client, g, authority
+		g.Client, c.Client, c.Delegations = c.Client, g, authority
 	})
 	d.pausableClient = g
-	d.Cover([]view.Partition{{ID: p, Holder: dead.cfg.Name, Epoch: dead.epoch}})
+	d.SetRenewals([]view.Partition{{ID: p, Holder: dead.cfg.Name, Epoch: dead.epoch}})
 	s.old = append(s.old, d)
 	time.Sleep(outage)
 	return authority
@@ -301,7 +301,7 @@
 func (s *simulation) gang() {
 	s.jobs++
 	m, home := s.holder, taskmsg.Home{Partition: homePartition, Epoch: s.homeEpoch()}
-	req := taskmsg.GangHold{Home: home, Shape: gangShape(fmt.Sprintf("gang-%d", s.jobs)), HoldMS: 3000}
+	req := taskmsg.GangReserveRequest{Home: home, Shape: gangShape(fmt.Sprintf("gang-%d", s.jobs)), ReservationMS: 3000}
 	req.Shape.Kind = spec.KindBatch // one holder's part only, which the checker can't check as a whole gang
 	req.Shape.Task.RunMillis = 3000
 	for i := range 4 {
@@ -314,7 +314,7 @@
 			return
 		}
 		time.Sleep(time.Second)
-		_, _ = m.endGang(ctx, taskmsg.GangEnd{Home: home, Job: req.Shape.Job, Start: true})
+		_, _ = m.endGang(ctx, taskmsg.GangFinishRequest{Home: home, Job: req.Shape.Job, Start: true})
 	}()
 }
 
--- a/internal/fleet/stop.go
+++ b/internal/fleet/stop.go
@@ -52,7 +52,7 @@
 	}
 	w := r.managedWorker
 	f.metrics.stops.WithLabelValues(string(mode)).Inc()
-	if r.state == runQueued && mode != worker.Throttle {
+	if r.state == runQueued && mode != worker.ModeThrottle {
 		f.dequeueStart(r)
 		r.reported = true
 		f.markNeverStarted(r, reason, time.Now())
