--- a/internal/fleet/updates.go
+++ b/internal/fleet/updates.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		if tableEpoch(table, p.id) < p.epoch {
-			return result.New(result.HolderBehind, result.RanNo, "partition %d: claim of epoch %d not yet in the table", p.id, p.epoch).Later(updateRetry)
+			return result.New(result.HolderBehind, result.RanNo, "partition %d: claim of epoch %d not yet in the table", p.id, p.epoch).WithRetryAfter(updateRetry)
 		}
 		p.inTable = true
 	}
@@ -156,7 +156,7 @@
 type sentUpdate struct {
 	run          *run
 	state        taskmsg.RunState
-	lossEvidence taskmsg.Sight
+	lossEvidence taskmsg.LossEvidence
 }
 
 // superseded reports whether the run's update has changed since it was sent.
@@ -164,9 +164,9 @@
 	return t.run.update != t.state || t.run.lossEvidence() != t.lossEvidence
 }
 
-func (f *Fleet) composeUpdate(id int, h *home) (taskmsg.News, []sentUpdate) {
+func (f *Fleet) composeUpdate(id int, h *home) (taskmsg.RunReports, []sentUpdate) {
 	n := min(len(h.pending), maxRunsPerUpdate)
-	update := taskmsg.News{HomePartition: id, Runs: make([]taskmsg.RunNews, 0, n)}
+	update := taskmsg.RunReports{HomePartition: id, Runs: make([]taskmsg.RunReport, 0, n)}
 	sent := make([]sentUpdate, 0, n)
 	for _, r := range h.pending {
 		if len(sent) == n {
@@ -178,32 +178,32 @@
 	return update, sent
 }
 
-func (f *Fleet) runUpdate(r *run, state taskmsg.RunState) taskmsg.RunNews {
-	update := taskmsg.RunNews{
+func (f *Fleet) runUpdate(r *run, state taskmsg.RunState) taskmsg.RunReport {
+	update := taskmsg.RunReport{
 		Run: r.id, State: state, ExitCode: r.exitCode, Worker: r.managedWorker.name, Zone: r.managedWorker.info.Zone,
 		Partition: r.managedWorker.heldPartition.id, Epoch: r.managedWorker.heldPartition.epoch,
 	}
 	if state == taskmsg.RunLost {
-		update.Saw(r.lossEvidence())
+		update.SetEvidence(r.lossEvidence())
 	}
 	return update
 }
 
-func (f *Fleet) callHome(id int, update taskmsg.News) (taskmsg.NewsReply, error) {
-	var reply taskmsg.NewsReply
+func (f *Fleet) callHome(id int, update taskmsg.RunReports) (taskmsg.RunReportsReply, error) {
+	var reply taskmsg.RunReportsReply
 	addr := f.homeAddr(id)
 	if addr == "" {
 		return reply, result.New(result.PeerNotReached, result.RanNo, "nobody holds partition %d", id)
 	}
 	ctx, cancel := context.WithTimeout(f.ctx, updateTimeout)
 	defer cancel()
-	err := f.cfg.Peers.Call(ctx, addr, peer.KindTaskNews, update, &reply)
+	err := f.cfg.Peers.Call(ctx, addr, peer.KindTaskUpdates, update, &reply)
 	return reply, err
 }
 
 // applyUpdateReply processes a home's reply. An update that a run is running needs
 // no acknowledgement; one that it has ended stays pending until it is acknowledged.
-func (f *Fleet) applyUpdateReply(h *home, sent []sentUpdate, reply taskmsg.NewsReply, err error) {
+func (f *Fleet) applyUpdateReply(h *home, sent []sentUpdate, reply taskmsg.RunReportsReply, err error) {
 	now := time.Now()
 	if err != nil {
 		f.metrics.updates.WithLabelValues("failed").Inc()
@@ -226,7 +226,7 @@
 		case t.run.state < runEnded:
 			f.dropUpdate(t.run)
 			if isOrphan {
-				f.stopRun(t.run, worker.Kill, "unknown job")
+				f.stopRun(t.run, worker.ModeStop, "unknown job")
 			}
 		default:
 			unacked++
--- a/internal/front/check.go
+++ b/internal/front/check.go
@@ -46,12 +46,12 @@
 	if s.Count < 1 || s.Count > maxTasks {
 		return refuse(field("count"), "%d, 1 to %d", s.Count, maxTasks)
 	}
-	for _, amount := range []int64{s.Size.MilliCPU, s.Size.MemoryMiB, s.Size.Accelerators, s.EstimateMillis, s.TailTargetMillis} {
+	for _, amount := range []int64{s.Size.MilliCPU, s.Size.MemoryMiB, s.Size.Accelerators, s.EstimateMillis, s.TailLatencyTargetMillis} {
 		if amount < 0 || amount > maxAmount {
 			return refuse(field("size"), "%d is out of range", amount)
 		}
 	}
-	if s.MostPerHost < 0 || s.MayMiss < 0 {
+	if s.MaxPerHost < 0 || s.MaxUnavailable < 0 {
 		return refuse(field("count"), "a bound below zero")
 	}
 	for _, dep := range s.After {
@@ -70,13 +70,13 @@
 	}
 	for i := range g.Steps {
 		s := &g.Steps[i]
-		if over := a.Quota.Exceeds(s.AtOnce()); over != "" {
-			return result.New(result.AccountQuotaSmall, result.RanNo, "account %s may not have running at once what the step needs: %s", a.Name, over).At(fmt.Sprintf("steps[%d]", i))
+		if over := a.Quota.Exceeds(s.MinResources()); over != "" {
+			return result.New(result.AccountQuotaSmall, result.RanNo, "account %s may not have running at once what the step needs: %s", a.Name, over).AtField(fmt.Sprintf("steps[%d]", i))
 		}
 	}
 	return nil
 }
 
 func refuse(field, format string, args ...any) error {
-	return result.New(result.JobBodyInvalid, result.RanNo, format, args...).At(field)
+	return result.New(result.JobBodyInvalid, result.RanNo, format, args...).AtField(field)
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -36,8 +36,8 @@
 	AnswerMargin = 60 * time.Millisecond
 	// briefRetryDelay is the Retry-After value for failures that are expected to be short.
 	briefRetryDelay = 500 * time.Millisecond
-	// DefaultPatience is the deadline of a caller that does not give one.
-	DefaultPatience = 3 * time.Second
+	// DefaultCallTimeout is the deadline of a caller that does not give one.
+	DefaultCallTimeout = 3 * time.Second
 )
 
 // Front serves callers' requests for jobs.
@@ -78,7 +78,7 @@
 func (f *Front) logSubmit(by Caller, q *catalog.Queue, id string, origin origin, err error, start time.Time) {
 	log := f.Log.WithFields(logrus.Fields{
 		"job": id, "queue": q.Name, "account": by.accountName(), "took_ms": time.Since(start).Milliseconds(),
-		"store_silent_ms": max(f.Health.Silent(time.Now()), f.Health.Failing(time.Now())).Milliseconds(),
+		"store_silent_ms": max(f.Health.UnansweredFor(time.Now()), f.Health.FailingFor(time.Now())).Milliseconds(),
 	})
 	if err == nil {
 		log.WithField("why", origin.String()).Info("job accepted")
@@ -120,7 +120,7 @@
 	switch result.CodeOf(err) {
 	case result.JobUnknown:
 		return result.New(result.JobNameTaken, result.RanNo, "job %s", id)
-	case result.HolderAway:
+	case result.HolderUnreachable:
 		return f.errOutcomeUnknown()
 	}
 	return err
@@ -129,16 +129,16 @@
 // State returns the state of a job. The source is the holder, or the store if the holder does not
 // know the job or cannot be reached.
 func (f *Front) State(ctx context.Context, by Caller, q *catalog.Queue, id string) (record.State, error) {
-	reply, err := f.queryHolder(ctx, by, id, peer.KindState)
+	reply, err := f.queryHolder(ctx, by, id, peer.KindJobState)
 	answered := err == nil
-	if answered && reply.Known && (reply.Checked || by.Account == nil) {
+	if answered && reply.Found && (reply.AccessChecked || by.Account == nil) {
 		return reply.State, nil
 	}
 	rec, err := f.readJob(ctx, by, id)
 	if err != nil {
 		return "", err
 	}
-	if answered && reply.Known {
+	if answered && reply.Found {
 		return reply.State, nil // the holder runs a version without accounts
 	}
 	if rec.Ended != "" {
@@ -157,9 +157,9 @@
 	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
 	rec, ok, err := f.Get(ctx, record.JobKey(f.partition(id), id))
-	f.Health.Note(err == nil, time.Now())
+	f.Health.RecordCall(err == nil, time.Now())
 	if err != nil {
-		return nil, result.New(result.HolderAway, result.RanNo, "neither the holder nor the store answers: %v", err).Later(briefRetryDelay)
+		return nil, result.New(result.HolderUnreachable, result.RanNo, "neither the holder nor the store answers: %v", err).WithRetryAfter(briefRetryDelay)
 	}
 	if !ok {
 		return nil, result.New(result.JobUnknown, result.RanNo, "job %s", id)
@@ -168,7 +168,7 @@
 	if err != nil {
 		return nil, result.New(result.Internal, result.RanUnknown, "%v", err)
 	}
-	if !j.Open(by.accountName()) {
+	if !j.AccessibleTo(by.accountName()) {
 		return nil, result.New(result.JobUnknown, result.RanNo, "job %s", id)
 	}
 	j.ID = id
@@ -192,7 +192,7 @@
 func (f *Front) cancel(ctx context.Context, by Caller, id string) error {
 	for {
 		reply, err := f.queryHolder(ctx, by, id, peer.KindCancelJob)
-		if err == nil && reply.Known {
+		if err == nil && reply.Found {
 			return nil
 		}
 		if err == nil {
@@ -208,7 +208,7 @@
 			}
 		}
 		if !wait.For(ctx, holderRetryDelay) {
-			return result.New(result.HolderAway, result.RanUnknown, "the cancellation is not stored").Later(briefRetryDelay)
+			return result.New(result.HolderUnreachable, result.RanUnknown, "the cancellation is not stored").WithRetryAfter(briefRetryDelay)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	total := 0
 	for p := range f.Partitions {
 		var reply holder.PendingReply
-		if err := f.call(ctx, p, peer.KindPending, holder.PendingRequest{Partition: p, Queue: q.Name}, &reply); err != nil {
+		if err := f.call(ctx, p, peer.KindPendingJobs, holder.PendingRequest{Partition: p, Queue: q.Name}, &reply); err != nil {
 			return 0, err
 		}
 		total += reply.Pending
@@ -246,5 +246,5 @@
 }
 
 func errNoHolder(partition int) error {
-	return result.New(result.HolderAway, result.RanNo, "partition %d has no holder yet", partition).Later(briefRetryDelay)
+	return result.New(result.HolderUnreachable, result.RanNo, "partition %d has no holder yet", partition).WithRetryAfter(briefRetryDelay)
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -50,17 +50,17 @@
 		return result.New(result.PeerNotReached, result.RanNo, "unreachable")
 	}
 	switch kind {
-	case peer.KindAccepted:
-		j := req.(holder.Accepted).Job
+	case peer.KindJobAccepted:
+		j := req.(holder.JobAccepted).Job
 		h.notified[j.ID]++
 		h.owner[j.ID] = j.Account
-	case peer.KindState, peer.KindCancelJob:
+	case peer.KindJobState, peer.KindCancelJob:
 		q := req.(holder.JobRequest)
 		known := h.notified[q.Job] > 0 && (h.oldVersion || h.owner[q.Job] == "" || h.owner[q.Job] == q.Account)
 		if known && kind == peer.KindCancelJob {
 			h.cancelled = append(h.cancelled, q.Job)
 		}
-		*resp.(*holder.JobReply) = holder.JobReply{Known: known, State: h.state, Checked: known && !h.oldVersion}
+		*resp.(*holder.JobReply) = holder.JobReply{Found: known, State: h.state, AccessChecked: known && !h.oldVersion}
 	case peer.KindStoreJob:
 		if h.front == nil {
 			return result.New(result.PeerNotReached, result.RanNo, "unreachable")
@@ -72,7 +72,7 @@
 		}
 		*resp.(*StoreReply) = StoreReply{Existed: m == originExisting, Uncertain: m == originUncertain}
 		return err
-	case peer.KindPending:
+	case peer.KindPendingJobs:
 		*resp.(*holder.PendingReply) = holder.PendingReply{Pending: len(h.notified)}
 	}
 	return ctx.Err()
@@ -91,7 +91,7 @@
 	t.Cleanup(store.Close)
 	c := store.Client("a")
 	view := cell.NewView()
-	view.Learn(ledger.Holder{Epoch: 1, Name: "b", Addr: "b:1"})
+	view.UpdateHolder(ledger.Holder{Epoch: 1, Name: "b", Addr: "b:1"})
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	h := &fakeHolder{notified: map[string]int{}, owner: map[string]string{}, state: record.StateRunning}
@@ -184,7 +184,7 @@
 		b.store.Client("a").SetFaults(memstore.Faults{Hang: true})
 		time.AfterFunc(2500*time.Millisecond, func() {
 			b.store.Client("a").SetFaults(memstore.Faults{})
-			b.Health.Note(true, time.Now()) // as the process's watches do
+			b.Health.RecordCall(true, time.Now()) // as the process's watches do
 		})
 		submit := func(id string) (*result.Error, time.Duration) {
 			ctx, cancel := context.WithTimeout(t.Context(), 2940*time.Millisecond)
@@ -197,7 +197,7 @@
 		}
 		e, took := submit("00000000000000aa")
 		is.Equal(e.Ran, result.RanUnknown)
-		is.Equal(e.RetryAfter, admission.ComeBack)
+		is.Equal(e.RetryAfter, admission.RetryDelay)
 		is.True(took <= 1300*time.Millisecond)
 		time.Sleep(e.RetryAfter)
 		e, took = submit("00000000000000bb") // not sent, so the outcome is certain
@@ -241,8 +241,8 @@
 		is := is.New(t)
 		b := newFixture(t)
 		now := time.Now()
-		b.Health.Note(true, now.Add(-time.Minute))
-		b.Health.Note(false, now.Add(-time.Second))
+		b.Health.RecordCall(true, now.Add(-time.Minute))
+		b.Health.RecordCall(false, now.Add(-time.Second))
 		b.store.Client("a").SetFaults(memstore.Faults{Hang: true})
 		start := time.Now()
 		e := result.From(b.Submit(t.Context(), Caller{}, queue, "00000000000000aa", graph))
@@ -280,7 +280,7 @@
 		"no tasks":             {step(func(s *spec.Step) { s.Count = 0 }), "steps[0].count"},
 		"negative size":        {step(func(s *spec.Step) { s.Size.MemoryMiB = -1 }), "steps[0].size"},
 		"depends on itself":    {step(func(s *spec.Step) { s.After = []int{0} }), "steps[0].after"},
-		"negative budget":      {step(func(s *spec.Step) { s.MayMiss = -1 }), "steps[0].count"},
+		"negative budget":      {step(func(s *spec.Step) { s.MaxUnavailable = -1 }), "steps[0].count"},
 		"command too long":     {spec.Graph{Command: string(make([]byte, 4001)), Steps: graph.Steps}, "spec"},
 		"too many occurrences": {spec.Graph{Repeat: spec.Repeat{Times: 1 << 20}, Steps: graph.Steps}, "repetitions"},
 		"too many tasks":       {step(func(s *spec.Step) { s.Count = 1 << 20 }), "steps[0].count"},
@@ -320,7 +320,7 @@
 		is.Equal(s, record.StateQueued) // the store has no other state of a job that has not ended
 		b.store.Client("a").SetFaults(memstore.Faults{Refuse: true})
 		_, err = b.State(ctx, Caller{}, queue, "00000000000000aa")
-		is.Equal(result.CodeOf(err), result.HolderAway)
+		is.Equal(result.CodeOf(err), result.HolderUnreachable)
 		time.Sleep(2 * notifyPeriod) // notifications have stopped
 	})
 }
@@ -338,7 +338,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		e := result.From(b.Cancel(ctx, Caller{}, queue, "00000000000000aa"))
 		cancel()
-		is.Equal(e.Code, result.HolderAway)
+		is.Equal(e.Code, result.HolderUnreachable)
 		is.True(e.RetryAfter > 0)
 		ctx, cancel = context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
@@ -368,8 +368,8 @@
 		"all answers of the peers are lost": {peer: func(b *fixture) { b.holder.lostReplies = 9 }, want: result.JobStoreUnknown, ran: result.RanUnknown},
 		"no peer is reachable":              {peer: func(b *fixture) { b.holder.front = nil }, want: result.JobNotStored, ran: result.RanNo},
 		"the peer does not reach the store": {peer: func(b *fixture) {
-			b.holder.front.Health.Note(true, time.Now().Add(-time.Minute))
-			b.holder.front.Health.Note(false, time.Now().Add(-time.Second))
+			b.holder.front.Health.RecordCall(true, time.Now().Add(-time.Minute))
+			b.holder.front.Health.RecordCall(false, time.Now().Add(-time.Second))
 		}, want: result.JobNotStored, ran: result.RanNo},
 	}
 	for name, tc := range tests {
@@ -379,13 +379,13 @@
 				b, other := newFixture(t), newFixture(t)
 				other.Front.Store, other.Front.Get = resend.New(b.store.Client("b"), other.Health), b.store.Client("b").Get
 				b.holder.front = other.Front
-				b.View.Learn(ledger.Holder{Epoch: 2, Name: "c", Addr: "c:1"})
+				b.View.UpdateHolder(ledger.Holder{Epoch: 2, Name: "c", Addr: "c:1"})
 				if tc.resubmitted {
 					is.NoErr(b.Submit(t.Context(), Caller{}, queue, "00000000000000aa", graph))
 					time.Sleep(time.Second)
 				}
-				b.Health.Note(true, time.Now().Add(-time.Minute))
-				b.Health.Note(false, time.Now().Add(-time.Second))
+				b.Health.RecordCall(true, time.Now().Add(-time.Minute))
+				b.Health.RecordCall(false, time.Now().Add(-time.Second))
 				b.store.Client("a").SetFaults(memstore.Faults{Hang: true})
 				tc.peer(b)
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
--- a/internal/front/notifier.go
+++ b/internal/front/notifier.go
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	go t.cancelOnNewHolder(ctx, cancel, h)
-	return t.front.Peers.Call(ctx, h.Addr, peer.KindAccepted, holder.Accepted{
+	return t.front.Peers.Call(ctx, h.Addr, peer.KindJobAccepted, holder.JobAccepted{
 		Partition: partition, Job: *rec, Age: age, Fresh: fresh,
 	}, &holder.Empty{})
 }
--- a/internal/front/owner_test.go
+++ b/internal/front/owner_test.go
@@ -77,11 +77,11 @@
 // open to all callers.
 func TestOwnersOfRecords(t *testing.T) {
 	is := is.New(t)
-	is.True((&record.Job{}).Open(""))
-	is.True((&record.Job{}).Open("crew"))
-	is.True((&record.Job{Account: "crew"}).Open("crew"))
-	is.True(!(&record.Job{Account: "crew"}).Open("other"))
-	is.True(!(&record.Job{Account: "crew"}).Open(""))
+	is.True((&record.Job{}).AccessibleTo(""))
+	is.True((&record.Job{}).AccessibleTo("crew"))
+	is.True((&record.Job{Account: "crew"}).AccessibleTo("crew"))
+	is.True(!(&record.Job{Account: "crew"}).AccessibleTo("other"))
+	is.True(!(&record.Job{Account: "crew"}).AccessibleTo(""))
 }
 
 // TestJobIDBelongsToOneAccount: a job submitted under the id of another account's job is refused.
@@ -118,7 +118,7 @@
 		"a task that is too large":          {spec.Step{Count: 1, Size: spec.Resources{MilliCPU: 4001}}, "milli_cpu: 4001 of 4000"},
 		"a resource with quota zero":        {spec.Step{Count: 1, Size: spec.Resources{Accelerators: 1}}, "accelerators: 1 of 0"},
 		"an unlimited resource":             {spec.Step{Count: 1, Size: spec.Resources{MemoryMiB: 1 << 30}}, ""},
-		"a backfill task that is too large": {spec.Step{Count: 1, Filler: true, Size: spec.Resources{MilliCPU: 9000}}, "milli_cpu: 9000 of 4000"},
+		"a backfill task that is too large": {spec.Step{Count: 1, Backfill: true, Size: spec.Resources{MilliCPU: 9000}}, "milli_cpu: 9000 of 4000"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/slow_holder_test.go
+++ b/internal/front/slow_holder_test.go
@@ -57,8 +57,8 @@
 		}
 		time.Sleep(2 * notifyPeriod)
 		synctest.Wait()
-		is.Equal(slow.count(peer.KindState), 5)
-		is.Equal(slow.count(peer.KindAccepted), 1)
+		is.Equal(slow.count(peer.KindJobState), 5)
+		is.Equal(slow.count(peer.KindJobAccepted), 1)
 	})
 }
 
@@ -72,11 +72,11 @@
 		b.Peers = slow
 		is.NoErr(b.Submit(t.Context(), Caller{}, queue, "00000000000000aa", graph))
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(slow.count(peer.KindAccepted), 1)
-		b.View.Learn(ledger.Holder{Epoch: 2, Name: "c", Addr: "c:1"})
+		is.Equal(slow.count(peer.KindJobAccepted), 1)
+		b.View.UpdateHolder(ledger.Holder{Epoch: 2, Name: "c", Addr: "c:1"})
 		time.Sleep(2 * notifyRetryDelay)
 		synctest.Wait()
-		is.Equal(slow.count(peer.KindAccepted), 2)
+		is.Equal(slow.count(peer.KindJobAccepted), 2)
 		time.Sleep(2 * notifyPeriod)
 	})
 }
--- a/internal/front/store.go
+++ b/internal/front/store.go
@@ -64,7 +64,7 @@
 // does not answer this process. Package admission decides which steps are taken and which result
 // the caller gets.
 func (f *Front) storeWithFallback(ctx context.Context, rec record.Job, outcomeUnknown bool) (origin, error) {
-	job := admission.Job{InDoubt: outcomeUnknown}
+	job := admission.Job{OutcomeUnknown: outcomeUnknown}
 	var last storeAttempt
 	for {
 		switch step := admission.Next(job, f.storeStatus()); step {
@@ -74,10 +74,10 @@
 		case admission.Relay:
 			last.origin, last.err = f.storeViaPeer(ctx, rec)
 			job.Relayed = true
-			if job.InDoubt && last.err == nil {
+			if job.OutcomeUnknown && last.err == nil {
 				last.origin = originUncertain // the attempt of this process may have created it
 			}
-		case admission.Doubt:
+		case admission.ReplyUnknown:
 			return 0, f.errOutcomeUnknown()
 		default:
 			if last.err == nil {
@@ -88,7 +88,7 @@
 		if last.err == nil || result.CodeOf(last.err) == result.StoreRefused {
 			return last.origin, last.err
 		}
-		job.InDoubt = job.InDoubt || last.outcomeUnknown()
+		job.OutcomeUnknown = job.OutcomeUnknown || last.outcomeUnknown()
 		if ctx.Err() != nil {
 			job.Tried, job.Relayed = true, true // no time is left for another attempt
 		}
@@ -98,18 +98,18 @@
 // storeStatus returns this process's current information on the store's availability.
 func (f *Front) storeStatus() admission.Store {
 	now := time.Now()
-	return admission.Store{Silent: f.Health.Silent(now), Failing: f.Health.Failing(now), Usual: f.Store.Usual()}
+	return admission.Store{UnansweredFor: f.Health.UnansweredFor(now), FailingFor: f.Health.FailingFor(now), UsualLatency: f.Store.UsualLatency()}
 }
 
 // storeUnavailable reports whether the store has not answered this process for so long that no
 // jobs are sent to it.
-func (f *Front) storeUnavailable() bool { return f.storeStatus().Away() }
+func (f *Front) storeUnavailable() bool { return f.storeStatus().Unavailable() }
 
 // errStoreUnavailable is the error for a job that was not sent to the store.
 func (f *Front) errStoreUnavailable() error {
 	o := f.storeStatus()
 	return result.New(result.JobNotStored, result.RanNo, "the store has not answered for %v",
-		max(o.Silent, o.Failing).Round(time.Millisecond)).Later(admission.ComeBack)
+		max(o.UnansweredFor, o.FailingFor).Round(time.Millisecond)).WithRetryAfter(admission.RetryDelay)
 }
 
 // storeForPeer creates a job's record for a peer, if none exists.
@@ -134,7 +134,7 @@
 	case errors.Is(err, platform.ErrRefused):
 		return 0, result.New(result.StoreRefused, result.RanNo, "%v", err)
 	case errors.Is(err, platform.ErrUnavailable):
-		return 0, result.New(result.JobNotStored, result.RanNo, "%v", err).Later(briefRetryDelay)
+		return 0, result.New(result.JobNotStored, result.RanNo, "%v", err).WithRetryAfter(briefRetryDelay)
 	case err != nil:
 		return 0, f.errOutcomeUnknown()
 	case reply.Applied:
@@ -149,16 +149,16 @@
 // the job is not stored, the write is abandoned as soon as the store is considered unavailable.
 // If the outcome is unknown, the caller must also have waited long enough.
 func (f *Front) abortCondition(ctx context.Context) func(outcomeUnknown bool) bool {
-	start, timeout := time.Now(), DefaultPatience
+	start, timeout := time.Now(), DefaultCallTimeout
 	if end, ok := ctx.Deadline(); ok {
 		timeout = end.Sub(start)
 	}
 	return func(outcomeUnknown bool) bool {
-		return f.storeUnavailable() && (!outcomeUnknown || time.Since(start) >= admission.DoubtAfter(timeout))
+		return f.storeUnavailable() && (!outcomeUnknown || time.Since(start) >= admission.UnknownWaitLimit(timeout))
 	}
 }
 
 // errOutcomeUnknown is the error for a job that may be stored, now or later.
 func (f *Front) errOutcomeUnknown() error {
-	return result.New(result.JobStoreUnknown, result.RanUnknown, "the store has not answered; handing the job in again tells").Later(admission.ComeBack)
+	return result.New(result.JobStoreUnknown, result.RanUnknown, "the store has not answered; handing the job in again tells").WithRetryAfter(admission.RetryDelay)
 }
--- a/internal/front/unresolved_test.go
+++ b/internal/front/unresolved_test.go
@@ -56,7 +56,7 @@
 				is.Equal(b.stored(t, id), tc.stored)
 				is.True(!b.stored(t, other))
 				b.store.Client("a").SetFaults(memstore.Faults{})
-				b.Health.Note(true, time.Now()) // as the process's watches do
+				b.Health.RecordCall(true, time.Now()) // as the process's watches do
 				is.Equal(submit(t, b, id), nil)
 				synctest.Wait()
 				is.True(b.holder.notified[id] > 0) // no other process has notified its holder
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -24,14 +24,14 @@
 		name  string
 		steps []step
 	}{
-		{"failures of one job do not exclude", []step{{0, "a", Good}, {0, "a", Good}, {0, "a", Good}, {0, "a", Good}}},
-		{"failures of different jobs exclude", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {0, "d", Excluded}}},
-		{"success in between clears", []step{{0, "a", Good}, {0, "b", Good}, {0, "ok", Good}, {0, "c", Good}}},
-		{"old failures expire", []step{{0, "a", Good}, {0, "b", Good}, {cfg.Window + 1, "c", Good}}},
-		{"probe too early", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait - 1, "probe", Excluded}}},
-		{"successful probe", []step{{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait, "probe", Probing}, {0, "ok", Good}, {0, "a", Good}}},
+		{"failures of one job do not exclude", []step{{0, "a", Healthy}, {0, "a", Healthy}, {0, "a", Healthy}, {0, "a", Healthy}}},
+		{"failures of different jobs exclude", []step{{0, "a", Healthy}, {0, "b", Healthy}, {0, "c", Excluded}, {0, "d", Excluded}}},
+		{"success in between clears", []step{{0, "a", Healthy}, {0, "b", Healthy}, {0, "ok", Healthy}, {0, "c", Healthy}}},
+		{"old failures expire", []step{{0, "a", Healthy}, {0, "b", Healthy}, {cfg.Window + 1, "c", Healthy}}},
+		{"probe too early", []step{{0, "a", Healthy}, {0, "b", Healthy}, {0, "c", Excluded}, {cfg.MinProbeWait - 1, "probe", Excluded}}},
+		{"successful probe", []step{{0, "a", Healthy}, {0, "b", Healthy}, {0, "c", Excluded}, {cfg.MinProbeWait, "probe", Probing}, {0, "ok", Healthy}, {0, "a", Healthy}}},
 		{"failed probe doubles the wait", []step{
-			{0, "a", Good}, {0, "b", Good}, {0, "c", Excluded}, {cfg.MinProbeWait, "probe", Probing}, {0, "d", Excluded},
+			{0, "a", Healthy}, {0, "b", Healthy}, {0, "c", Excluded}, {cfg.MinProbeWait, "probe", Probing}, {0, "d", Excluded},
 			{cfg.MinProbeWait, "probe", Excluded}, {cfg.MinProbeWait, "probe", Probing},
 		}},
 	}
@@ -97,23 +97,23 @@
 // services before batch.
 func TestZoneLost(t *testing.T) {
 	is := is.New(t)
-	p := NewPacer(100, 50)
-	p.Take(start)
+	p := NewReplacementQueue(100, 50)
+	p.TakeDue(start)
 	for i := range 1000 {
 		kind := spec.KindBatch
 		if i%5 == 0 {
 			kind = spec.KindService
 		}
-		p.Add(Lost{Task: spec.TaskID{Job: string(kind), Index: i}, Kind: kind, Urgent: i%10 == 7, At: start})
+		p.Add(LostTask{Task: spec.TaskID{Job: string(kind), Index: i}, Kind: kind, Urgent: i%10 == 7, At: start})
 	}
-	first := p.Take(start)
+	first := p.TakeDue(start)
 	is.Equal(len(first), 100) // the urgent ones, which used up the burst
 	for _, l := range first {
 		is.True(l.Urgent)
 	}
 	var order []spec.Kind
 	for s := 1; p.Len() > 0; s++ {
-		batch := p.Take(start.Add(time.Duration(s) * 100 * time.Millisecond))
+		batch := p.TakeDue(start.Add(time.Duration(s) * 100 * time.Millisecond))
 		is.True(len(batch) <= 11)
 		for _, l := range batch {
 			order = append(order, l.Kind)
@@ -127,8 +127,8 @@
 
 func TestPacerDrop(t *testing.T) {
 	is := is.New(t)
-	p := NewPacer(1, 10)
-	p.Add(Lost{Task: spec.TaskID{Job: "a"}}, Lost{Task: spec.TaskID{Job: "b"}}, Lost{Task: spec.TaskID{Job: "a", Index: 1}})
+	p := NewReplacementQueue(1, 10)
+	p.Add(LostTask{Task: spec.TaskID{Job: "a"}}, LostTask{Task: spec.TaskID{Job: "b"}}, LostTask{Task: spec.TaskID{Job: "a", Index: 1}})
 	is.Equal(p.Drop("a"), 2)
-	is.Equal(len(p.Take(start)), 1)
+	is.Equal(len(p.TakeDue(start)), 1)
 }
--- a/internal/health/pacer.go
+++ b/internal/health/pacer.go
@@ -10,8 +10,8 @@
 	"pulleyquay/internal/spec"
 )
 
-// Lost is a task whose worker was lost and which has to run again.
-type Lost struct {
+// LostTask is a task whose worker was lost and which has to run again.
+type LostTask struct {
 	Task     spec.TaskID
 	Kind     spec.Kind
 	Urgent   bool
@@ -19,33 +19,33 @@
 	At       time.Time
 }
 
-// Pacer limits the rate at which lost tasks are replaced, so that the loss of a rack or zone does
+// ReplacementQueue limits the rate at which lost tasks are replaced, so that the loss of a rack or zone does
 // not displace all other work from the queues. The order is urgent tasks first, then by priority,
 // then services, gangs and batch, then by the time of loss.
-type Pacer struct {
+type ReplacementQueue struct {
 	limiter *rate.Limiter
-	waiting []Lost
+	waiting []LostTask
 	sorted  bool
 }
 
-// NewPacer returns a pacer that releases perSecond replacements a second, and at most burst at
+// NewReplacementQueue returns a pacer that releases perSecond replacements a second, and at most burst at
 // once. The burst should cover the tasks of an ordinary host.
-func NewPacer(perSecond float64, burst int) *Pacer {
-	return &Pacer{limiter: rate.NewLimiter(rate.Limit(perSecond), burst)}
+func NewReplacementQueue(perSecond float64, burst int) *ReplacementQueue {
+	return &ReplacementQueue{limiter: rate.NewLimiter(rate.Limit(perSecond), burst)}
 }
 
 // Add queues lost tasks.
-func (p *Pacer) Add(lost ...Lost) {
+func (p *ReplacementQueue) Add(lost ...LostTask) {
 	p.waiting = append(p.waiting, lost...)
 	p.sorted = false
 }
 
 // Len returns how many tasks wait for their replacement.
-func (p *Pacer) Len() int { return len(p.waiting) }
+func (p *ReplacementQueue) Len() int { return len(p.waiting) }
 
-// Take returns the tasks whose replacement may start now. Urgent ones do not wait, but count
+// TakeDue returns the tasks whose replacement may start now. Urgent ones do not wait, but count
 // towards the rate of the others.
-func (p *Pacer) Take(now time.Time) []Lost {
+func (p *ReplacementQueue) TakeDue(now time.Time) []LostTask {
 	if !p.sorted {
 		slices.SortStableFunc(p.waiting, byUrgency)
 		p.sorted = true
@@ -60,16 +60,16 @@
 }
 
 // Drop removes the waiting tasks of a cancelled job and returns their number.
-func (p *Pacer) Drop(job string) int {
+func (p *ReplacementQueue) Drop(job string) int {
 	before := len(p.waiting)
-	p.waiting = slices.DeleteFunc(p.waiting, func(l Lost) bool { return l.Task.Job == job })
+	p.waiting = slices.DeleteFunc(p.waiting, func(l LostTask) bool { return l.Task.Job == job })
 	return before - len(p.waiting)
 }
 
 var kindRank = map[spec.Kind]int{spec.KindService: 0, spec.KindGang: 1, spec.KindBatch: 2}
 
 // byUrgency orders lost tasks by the order of their replacement.
-func byUrgency(a, b Lost) int {
+func byUrgency(a, b LostTask) int {
 	if a.Urgent != b.Urgent {
 		if a.Urgent {
 			return -1
--- a/internal/health/workers.go
+++ b/internal/health/workers.go
@@ -16,7 +16,7 @@
 
 // States of a worker.
 const (
-	Good     State = "good"
+	Healthy  State = "good"
 	Excluded State = "set-aside" // receives no tasks until its probe is due
 	Probing  State = "probing"   // receives one task, whose end decides
 )
@@ -70,10 +70,10 @@
 	return &Workers{
 		config:  config,
 		records: map[string]*workerRecord{},
-		machine: fsm.NewFSM(string(Good), fsm.Events{
-			{Name: eventExclude, Src: []string{string(Good), string(Probing)}, Dst: string(Excluded)},
+		machine: fsm.NewFSM(string(Healthy), fsm.Events{
+			{Name: eventExclude, Src: []string{string(Healthy), string(Probing)}, Dst: string(Excluded)},
 			{Name: eventProbe, Src: []string{string(Excluded)}, Dst: string(Probing)},
-			{Name: eventClear, Src: []string{string(Probing)}, Dst: string(Good)},
+			{Name: eventClear, Src: []string{string(Probing)}, Dst: string(Healthy)},
 		}, nil),
 	}
 }
@@ -83,7 +83,7 @@
 	if r := w.records[name]; r != nil {
 		return r.state
 	}
-	return Good
+	return Healthy
 }
 
 // Failed records that a task of the job failed on the worker, and returns the resulting state of
@@ -91,7 +91,7 @@
 func (w *Workers) Failed(name, job string, now time.Time) State {
 	r := w.records[name]
 	if r == nil {
-		r = &workerRecord{state: Good, failed: map[string]time.Time{}}
+		r = &workerRecord{state: Healthy, failed: map[string]time.Time{}}
 		w.records[name] = r
 	}
 	r.failed[job] = now
@@ -100,7 +100,7 @@
 			delete(r.failed, other)
 		}
 	}
-	if r.state == Probing || r.state == Good && len(r.failed) >= w.config.DifferentJobs {
+	if r.state == Probing || r.state == Healthy && len(r.failed) >= w.config.DifferentJobs {
 		w.exclude(r, now)
 	}
 	return r.state
@@ -111,14 +111,14 @@
 func (w *Workers) Succeeded(name string) State {
 	r := w.records[name]
 	if r == nil {
-		return Good
+		return Healthy
 	}
 	switch r.state {
 	case Probing:
 		w.fire(r, eventClear)
 		delete(w.records, name)
-		return Good
-	case Good:
+		return Healthy
+	case Healthy:
 		delete(w.records, name)
 	}
 	return r.state
--- a/internal/heartbeat/message.go
+++ b/internal/heartbeat/message.go
@@ -21,24 +21,24 @@
 	// StoreAge is how long ago the sender sent its last successful renewal;
 	// negative when there was none.
 	StoreAge time.Duration `cbor:"4,keyasint" json:"store_age"`
-	// Deputy names the member that renews the sender's task leases if the sender fails during
+	// Delegate names the member that renews the sender's task leases if the sender fails during
 	// a store outage.
-	Deputy string `cbor:"5,keyasint,omitempty" json:"deputy,omitempty"`
+	Delegate string `cbor:"5,keyasint,omitempty" json:"deputy,omitempty"`
 }
 
-// Ask requests a promise to a member's session from the receiver. A delegate requests
+// PromiseRequest requests a promise to a member's session from the receiver. A delegate requests
 // promises on behalf of the failed member whose task leases it renews.
-type Ask struct {
-	Subject right.Subject `cbor:"1,keyasint"`
-	Session uint64        `cbor:"2,keyasint"`
-	For     time.Duration `cbor:"3,keyasint"`
+type PromiseRequest struct {
+	MemberID right.MemberID `cbor:"1,keyasint"`
+	Session  uint64         `cbor:"2,keyasint"`
+	Period   time.Duration  `cbor:"3,keyasint"`
 }
 
-// Beat is the message that a placer sends to each other placer.
-type Beat struct {
-	Status Status                     `cbor:"1,keyasint"`
-	Extras map[string]cbor.RawMessage `cbor:"2,keyasint,omitempty"`
-	Asks   []Ask                      `cbor:"3,keyasint,omitempty"`
+// Request is the message that a placer sends to each other placer.
+type Request struct {
+	Status          Status                     `cbor:"1,keyasint"`
+	Extras          map[string]cbor.RawMessage `cbor:"2,keyasint,omitempty"`
+	PromiseRequests []PromiseRequest           `cbor:"3,keyasint,omitempty"`
 	// WantTable requests the table. It is set by a process that has none yet.
 	WantTable bool `cbor:"4,keyasint,omitempty"`
 }
@@ -47,6 +47,6 @@
 type Reply struct {
 	Status Status `cbor:"1,keyasint"`
 	// Promised lists the requested promises that were granted.
-	Promised []Ask       `cbor:"2,keyasint,omitempty"`
-	Table    *view.Table `cbor:"3,keyasint,omitempty"`
+	Promised []PromiseRequest `cbor:"2,keyasint,omitempty"`
+	Table    *view.Table      `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/heartbeat/service.go
+++ b/internal/heartbeat/service.go
@@ -14,19 +14,19 @@
 	"pulleyquay/internal/view"
 )
 
-// Host is the process on whose behalf a Service sends and answers heartbeats.
-type Host interface {
+// Placer is the process on whose behalf a Service sends and answers heartbeats.
+type Placer interface {
 	// Status returns the current status of this process.
 	Status() Status
-	// Asks returns the promises to request with the next heartbeats.
-	Asks() []Ask
+	// PromiseRequests returns the promises to request with the next heartbeats.
+	PromiseRequests() []PromiseRequest
 	// Urgent is true while a requested promise is missing or about to expire; heartbeats are
 	// then sent at shorter intervals.
 	Urgent() bool
-	// OnAsk decides whether to grant a promise.
-	OnAsk(promise Ask) bool
-	// OnReply processes the reply to a heartbeat that was sent at sent.
-	OnReply(sent time.Time, reply Reply)
+	// GrantPromise decides whether to grant a promise.
+	GrantPromise(promise PromiseRequest) bool
+	// HandleReply processes the reply to a heartbeat that was sent at sent.
+	HandleReply(sent time.Time, reply Reply)
 	// Targets returns the addresses to send heartbeats to.
 	Targets() []string
 	// Table returns the table for a process that has none, or nil.
@@ -42,34 +42,34 @@
 // Service sends and answers heartbeats.
 type Service struct {
 	peers    peer.Caller
-	placer   Host
+	placer   Placer
 	interval time.Duration
 
 	mu        sync.Mutex
 	providers map[string]func() any
-	contacts  map[string]*Heard // by member name
-	inFlight  map[string]bool   // addresses with an unanswered heartbeat
+	contacts  map[string]*Contact // by member name
+	inFlight  map[string]bool     // addresses with an unanswered heartbeat
 
 	sent   prometheus.Counter
 	failed prometheus.Counter
 	bytes  prometheus.Counter
 }
 
-// Heard is the last status received from a member.
-type Heard struct {
-	Status Status    `json:"status"`
-	At     time.Time `json:"at"`
-	extras map[string]cbor.RawMessage
+// Contact is the last status received from a member.
+type Contact struct {
+	Status     Status    `json:"status"`
+	ReceivedAt time.Time `json:"at"`
+	extras     map[string]cbor.RawMessage
 	// extrasAt is when the extras were received. Only heartbeats contain extras, replies don't.
 	extrasAt time.Time
 }
 
 // New returns a service, and registers its handler for heartbeats in the mux and its metrics
 // in reg.
-func New(peers peer.Caller, mux *peer.Mux, placer Host, interval time.Duration, reg prometheus.Registerer) *Service {
+func New(peers peer.Caller, mux *peer.Mux, placer Placer, interval time.Duration, reg prometheus.Registerer) *Service {
 	s := &Service{
 		peers: peers, placer: placer, interval: interval,
-		providers: map[string]func() any{}, contacts: map[string]*Heard{}, inFlight: map[string]bool{},
+		providers: map[string]func() any{}, contacts: map[string]*Contact{}, inFlight: map[string]bool{},
 		sent:   prometheus.NewCounter(prometheus.CounterOpts{Name: "pulleyquay_heartbeats_sent_total", Help: "Heartbeats sent to other placers."}),
 		failed: prometheus.NewCounter(prometheus.CounterOpts{Name: "pulleyquay_heartbeats_failed_total", Help: "Heartbeats without an answer."}),
 		bytes:  prometheus.NewCounter(prometheus.CounterOpts{Name: "pulleyquay_heartbeat_extra_bytes_total", Help: "Bytes of extra values in the heartbeats built."}),
@@ -102,22 +102,22 @@
 	return uptime.Since(at), true
 }
 
-// Heard returns the last status received from a member, and whether there is one.
-func (s *Service) Heard(member string) (Heard, bool) {
+// Contact returns the last status received from a member, and whether there is one.
+func (s *Service) Contact(member string) (Contact, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	contact := s.contacts[member]
 	if contact == nil {
-		return Heard{}, false
+		return Contact{}, false
 	}
 	return *contact, true
 }
 
-// All returns the last status received from each member, by member name.
-func (s *Service) All() map[string]Heard {
+// Contacts returns the last status received from each member, by member name.
+func (s *Service) Contacts() map[string]Contact {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]Heard, len(s.contacts))
+	out := make(map[string]Contact, len(s.contacts))
 	for name, contact := range s.contacts {
 		out[name] = *contact
 	}
@@ -125,7 +125,7 @@
 }
 
 // Forget removes the members for which gone returns true.
-func (s *Service) Forget(gone func(Heard) bool) {
+func (s *Service) Forget(gone func(Contact) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, contact := range s.contacts {
@@ -156,7 +156,7 @@
 
 // sendRound sends one heartbeat to every target without an unanswered heartbeat.
 func (s *Service) sendRound(ctx context.Context, calls *sync.WaitGroup) {
-	heartbeat := Beat{Status: s.placer.Status(), Extras: s.extras(), Asks: s.placer.Asks(), WantTable: s.placer.WantTable()}
+	heartbeat := Request{Status: s.placer.Status(), Extras: s.extras(), PromiseRequests: s.placer.PromiseRequests(), WantTable: s.placer.WantTable()}
 	for _, addr := range s.placer.Targets() {
 		if !s.startCall(addr) {
 			continue
@@ -170,7 +170,7 @@
 	}
 }
 
-func (s *Service) send(ctx context.Context, addr string, heartbeat Beat) {
+func (s *Service) send(ctx context.Context, addr string, heartbeat Request) {
 	ctx, cancel := context.WithTimeout(ctx, 2*s.interval)
 	defer cancel()
 	s.sent.Inc()
@@ -181,14 +181,14 @@
 		return
 	}
 	s.record(reply.Status, nil)
-	s.placer.OnReply(sent, reply)
+	s.placer.HandleReply(sent, reply)
 }
 
-func (s *Service) handle(_ context.Context, heartbeat Beat) (Reply, error) {
+func (s *Service) handle(_ context.Context, heartbeat Request) (Reply, error) {
 	s.record(heartbeat.Status, heartbeat.Extras)
 	reply := Reply{}
-	for _, promise := range heartbeat.Asks {
-		if s.placer.OnAsk(promise) {
+	for _, promise := range heartbeat.PromiseRequests {
+		if s.placer.GrantPromise(promise) {
 			reply.Promised = append(reply.Promised, promise)
 		}
 	}
@@ -209,12 +209,12 @@
 		if contact != nil && contact.Status.Member.Incarnation > status.Member.Incarnation {
 			return
 		}
-		contact = &Heard{}
+		contact = &Contact{}
 		s.contacts[status.Member.Name] = contact
 	}
-	contact.Status, contact.At = status, uptime.Now()
+	contact.Status, contact.ReceivedAt = status, uptime.Now()
 	if extras != nil {
-		contact.extras, contact.extrasAt = extras, contact.At
+		contact.extras, contact.extrasAt = extras, contact.ReceivedAt
 	}
 }
 
--- a/internal/heartbeat/service_test.go
+++ b/internal/heartbeat/service_test.go
@@ -18,12 +18,12 @@
 type fakePlacer struct {
 	status    Status
 	targets   []string
-	requested []Ask
+	requested []PromiseRequest
 	mu        sync.Mutex
 	received  []Reply
 }
 
-func (f *fakePlacer) OnReply(_ time.Time, r Reply) {
+func (f *fakePlacer) HandleReply(_ time.Time, r Reply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.received = append(f.received, r)
@@ -35,13 +35,13 @@
 	return slices.Clone(f.received)
 }
 
-func (f *fakePlacer) Status() Status     { return f.status }
-func (f *fakePlacer) Asks() []Ask        { return f.requested }
-func (f *fakePlacer) Urgent() bool       { return false }
-func (f *fakePlacer) OnAsk(Ask) bool     { return true }
-func (f *fakePlacer) Targets() []string  { return f.targets }
-func (f *fakePlacer) Table() *view.Table { return &view.Table{Revision: 7} }
-func (f *fakePlacer) WantTable() bool    { return len(f.replies()) == 0 }
+func (f *fakePlacer) Status() Status                    { return f.status }
+func (f *fakePlacer) PromiseRequests() []PromiseRequest { return f.requested }
+func (f *fakePlacer) Urgent() bool                      { return false }
+func (f *fakePlacer) GrantPromise(PromiseRequest) bool  { return true }
+func (f *fakePlacer) Targets() []string                 { return f.targets }
+func (f *fakePlacer) Table() *view.Table                { return &view.Table{Revision: 7} }
+func (f *fakePlacer) WantTable() bool                   { return len(f.replies()) == 0 }
 
 func newFakePlacer(name, incarnation string, targets ...string) *fakePlacer {
 	return &fakePlacer{status: Status{Member: view.Member{Name: name, Incarnation: incarnation}}, targets: targets}
@@ -52,7 +52,7 @@
 		is := is.New(t)
 		net := peer.Local{"a": peer.NewMux(), "b": peer.NewMux()}
 		a, b := newFakePlacer("a", "1", "b"), newFakePlacer("b", "1")
-		a.requested = []Ask{{Session: 3, For: time.Second}}
+		a.requested = []PromiseRequest{{Session: 3, Period: time.Second}}
 		sender := New(net, net["a"], a, time.Second, prometheus.NewRegistry())
 		receiver := New(net, net["b"], b, time.Second, prometheus.NewRegistry())
 		sender.Provide("room", func() any { return 42 })
@@ -68,7 +68,7 @@
 		is.True(!ok)
 		is.Equal(a.replies()[0].Promised, a.requested)
 		is.Equal(a.replies()[0].Table.Revision, int64(7)) // requested by the first heartbeat only
-		contact, ok := sender.Heard("b")
+		contact, ok := sender.Contact("b")
 		is.True(ok)
 		is.Equal(contact.Status.Member.Name, "b")
 
@@ -84,11 +84,11 @@
 	for _, incarnation := range []string{"2", "1"} {
 		s.record(Status{Member: view.Member{Name: "b", Incarnation: incarnation}}, nil)
 	}
-	contact, _ := s.Heard("b")
+	contact, _ := s.Contact("b")
 	is.Equal(contact.Status.Member.Incarnation, "2")
 	s.record(Status{Member: view.Member{Name: "b", Incarnation: "3"}}, nil)
-	contact, _ = s.Heard("b")
+	contact, _ = s.Contact("b")
 	is.Equal(contact.Status.Member.Incarnation, "3")
-	s.Forget(func(h Heard) bool { return h.Status.Member.Name == "b" })
-	is.Equal(len(s.All()), 0)
+	s.Forget(func(h Contact) bool { return h.Status.Member.Name == "b" })
+	is.Equal(len(s.Contacts()), 0)
 }
--- a/internal/hold/cache.go
+++ b/internal/hold/cache.go
@@ -28,11 +28,11 @@
 // only replaced by one of a higher revision, in whatever order lists, watches and replies arrive.
 type cache struct {
 	members      map[string]member.Entry
-	voterRecords map[right.Subject]member.Entry
+	voterRecords map[right.MemberID]member.Entry
 	partitions   map[int]view.Partition
 	handOvers    map[int]string               // attempt that moved each record
 	revisions    map[string]platform.Revision // of each key, including deleted ones
-	unregistered map[right.Subject]time.Time  // holders without a key, since when
+	unregistered map[right.MemberID]time.Time // holders without a key, since when
 	count        int                          // number of partitions in the store, zero if not read
 	revision     platform.Revision
 	listed       map[string]bool // prefixes that have been listed from the store
@@ -40,9 +40,9 @@
 
 func newCache() *cache {
 	return &cache{
-		members: map[string]member.Entry{}, voterRecords: map[right.Subject]member.Entry{},
+		members: map[string]member.Entry{}, voterRecords: map[right.MemberID]member.Entry{},
 		partitions: map[int]view.Partition{}, handOvers: map[int]string{}, revisions: map[string]platform.Revision{},
-		unregistered: map[right.Subject]time.Time{}, listed: map[string]bool{},
+		unregistered: map[right.MemberID]time.Time{}, listed: map[string]bool{},
 	}
 }
 
@@ -91,8 +91,8 @@
 	if err != nil {
 		return err
 	}
-	if entry.IsCharter() {
-		memberID := right.Subject{Name: entry.Name, Incarnation: entry.Incarnation}
+	if entry.IsVoterRecord() {
+		memberID := right.MemberID{Name: entry.Name, Incarnation: entry.Incarnation}
 		if c.Deleted {
 			delete(m.voterRecords, memberID)
 			return nil
@@ -182,7 +182,7 @@
 }
 
 // registered reports whether the member's key is in the store.
-func (m *cache) registered(s right.Subject) bool {
+func (m *cache) registered(s right.MemberID) bool {
 	e, ok := m.members[s.Name]
 	return ok && e.Member.Incarnation == s.Incarnation
 }
@@ -210,7 +210,7 @@
 
 // updateUnregistered records since when each holder has been without a member key.
 func (m *cache) updateUnregistered(now time.Time) {
-	holders := map[right.Subject]bool{}
+	holders := map[right.MemberID]bool{}
 	for _, p := range m.partitions {
 		s := holderOf(p)
 		if p.Holder != "" && !m.registered(s) {
@@ -229,8 +229,8 @@
 	}
 }
 
-func holderOf(p view.Partition) right.Subject {
-	return right.Subject{Name: p.Holder, Incarnation: p.Incarnation}
+func holderOf(p view.Partition) right.MemberID {
+	return right.MemberID{Name: p.Holder, Incarnation: p.Incarnation}
 }
 
 // record is the value stored under a partition's key.
--- a/internal/hold/cell_test.go
+++ b/internal/hold/cell_test.go
@@ -36,7 +36,7 @@
 
 // node is one placer process of a testCell.
 type node struct {
-	*Keeper
+	*Manager
 	name      string
 	addr      string
 	client    *memstore.Client
@@ -122,9 +122,9 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	n.Keeper = k
-	n.component = &recorder{checker: c.checker, node: k.Self().Incarnation, states: map[int]string{}, acquired: map[int]Takeover{}, releasedTimes: map[int]time.Time{}}
-	k.AddResident(n.component)
+	n.Manager = k
+	n.component = &recorder{checker: c.checker, node: k.Self().Incarnation, states: map[int]string{}, acquired: map[int]Acquisition{}, releasedTimes: map[int]time.Time{}}
+	k.AddComponent(n.component)
 	c.net.set(n.addr, mux, n.gate)
 	return n
 }
@@ -192,7 +192,7 @@
 	out := ""
 	for name, n := range c.nodes {
 		b, _ := json.Marshal(n.Dump().(State).Slots)
-		out += fmt.Sprintf("%s %s held %v not ready %v %s\n", name, n.session.State(), n.Held(), n.Lacks(), b)
+		out += fmt.Sprintf("%s %s held %v not ready %v %s\n", name, n.session.State(), n.Held(), n.NotReadyReasons(), b)
 	}
 	return out
 }
--- a/internal/hold/checker_test.go
+++ b/internal/hold/checker_test.go
@@ -79,7 +79,7 @@
 		for ctx.Err() == nil {
 			for _, id := range n.Held() {
 				n.gate.wait(ctx)
-				n.component.use(n.Keeper, id)
+				n.component.use(n.Manager, id)
 			}
 			select {
 			case <-ctx.Done():
@@ -102,7 +102,7 @@
 
 	mu            sync.Mutex
 	states        map[int]string
-	acquired      map[int]Takeover
+	acquired      map[int]Acquisition
 	counts        struct{ acquire, release, drop int }
 	releasedTimes map[int]time.Time // when each partition was last released
 }
@@ -110,7 +110,7 @@
 func (r *recorder) Name() string { return "recorder" }
 
 // use obtains authority and records it, unless the partition is being released.
-func (r *recorder) use(k *Keeper, id int) {
+func (r *recorder) use(k *Manager, id int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, has := r.states[id]; !has {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (r *recorder) Acquire(_ context.Context, t Takeover) error {
+func (r *recorder) Acquire(_ context.Context, t Acquisition) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.acquire++
@@ -155,7 +155,7 @@
 	delete(r.states, id)
 }
 
-func (r *recorder) acquisition(id int) Takeover {
+func (r *recorder) acquisition(id int) Acquisition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.acquired[id]
--- a/internal/hold/config.go
+++ b/internal/hold/config.go
@@ -81,7 +81,7 @@
 }
 
 func invalid(field, format string, args ...any) error {
-	return result.New(result.BadInput, result.RanNo, format, args...).At(field)
+	return result.New(result.BadInput, result.RanNo, format, args...).AtField(field)
 }
 
 // checkSelf rejects names that would not be a single segment of a store key.
@@ -118,10 +118,10 @@
 
 // Delegate is the part of the placer that renews the task leases of a dead member while its
 // partitions can not be taken over yet.
-type Deputy interface {
+type Delegate interface {
 	// SetRenewals names the partitions, with the records of their dead holder, whose workers' task
 	// leases are to be renewed from now on. It replaces the previous list; an empty list ends the
 	// renewal. Each order must be preceded by Manager.CheckRenewal and may only renew. SetRenewals
 	// must not block.
-	Cover(partitions []view.Partition)
+	SetRenewals(partitions []view.Partition)
 }
--- a/internal/hold/decide.go
+++ b/internal/hold/decide.go
@@ -23,20 +23,20 @@
 
 // decisionInput is the state of the cell on which a decision is based.
 type decisionInput struct {
-	self    right.Subject
+	self    right.MemberID
 	leaving bool
 	// canMove is false while this process is not connected to the store: a handover could not
 	// complete.
 	canMove  bool
 	eligible []string
 	// registered reports whether a member's key is in the store.
-	registered func(right.Subject) bool
+	registered func(right.MemberID) bool
 	// reachable reports whether a member's heartbeats arrive.
 	reachable func(name string) bool
 	// mayFence is false during the grace period of a holder.
-	mayFence func(right.Subject) bool
+	mayFence func(right.MemberID) bool
 	// fenced is true once a holder's authority has certainly expired.
-	fenced func(right.Subject) bool
+	fenced func(right.MemberID) bool
 }
 
 // decide returns the next step for a partition and, for a handover, the next holder. known is false
--- a/internal/hold/delegate.go
+++ b/internal/hold/delegate.go
@@ -14,13 +14,13 @@
 // The authority to renew comes from promises of the dead member's voter set in that member's name,
 // so that the fence of a later claimant ends it too.
 type delegateRenewal struct {
-	right      *right.Holder
+	right      *right.Authority
 	partitions []view.Partition
 }
 
 // updateRenewals determines for which dead members to renew task leases. The lock is held.
-func (k *Keeper) updateRenewals() {
-	renewals := map[right.Subject]*delegateRenewal{}
+func (k *Manager) updateRenewals() {
+	renewals := map[right.MemberID]*delegateRenewal{}
 	for _, p := range k.cache.partitions {
 		s := holderOf(p)
 		if p.Holder == "" || !k.shouldRenewFor(s) {
@@ -42,30 +42,30 @@
 // shouldRenewFor reports whether this process is the delegate of the member now: no heartbeat of
 // the member has arrived for a long time, a majority is not connected to the store, and the
 // member's voter record is known.
-func (k *Keeper) shouldRenewFor(s right.Subject) bool {
+func (k *Manager) shouldRenewFor(s right.MemberID) bool {
 	if s == k.memberID() || uptime.Since(k.started) < 2*k.config.Suspect || k.storeAvailable() {
 		return false
 	}
-	if k.heartbeatWithin(s, 2*k.config.Suspect) || k.cache.voterRecords[s].Charter == nil {
+	if k.heartbeatWithin(s, 2*k.config.Suspect) || k.cache.voterRecords[s].VoterRecord == nil {
 		return false
 	}
 	return k.delegateFor(s.Name) == k.session.Self().Name
 }
 
-func (k *Keeper) renewalFor(s right.Subject) *delegateRenewal {
-	voterSet := k.cache.voterRecords[s].Charter.Electorate
+func (k *Manager) renewalFor(s right.MemberID) *delegateRenewal {
+	voterSet := k.cache.voterRecords[s].VoterRecord.VoterSet
 	if old := k.renewals[s]; old != nil && old.right.Session() == voterSet.Session {
 		return &delegateRenewal{right: old.right}
 	}
 	lastRenewal := uptime.Now()
-	if h, ok := k.heartbeats.Heard(s.Name); ok && h.Status.StoreAge >= 0 {
-		lastRenewal = h.At.Add(-h.Status.StoreAge)
+	if h, ok := k.heartbeats.Contact(s.Name); ok && h.Status.StoreAge >= 0 {
+		lastRenewal = h.ReceivedAt.Add(-h.Status.StoreAge)
 	}
 	return &delegateRenewal{right: right.NewDelegate(k.config.times(), voterSet, lastRenewal)}
 }
 
 // delegated lists the partitions whose task leases the delegate has to renew, in ascending order.
-func (k *Keeper) delegated() []view.Partition {
+func (k *Manager) delegated() []view.Partition {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []view.Partition
@@ -85,20 +85,20 @@
 // but can not move, because the store became unavailable while the handover was written. The rule
 // is that of a delegate: only while a majority is not connected to the store, so that nobody
 // declares runs lost meanwhile. The lock is held.
-func (k *Keeper) renewsOwn(s *slot) bool { return s.resolving && !k.storeAvailable() }
+func (k *Manager) renewsOwn(s *slot) bool { return s.resolving && !k.storeAvailable() }
 
 // notifyDelegate passes the list on if it has changed.
-func (k *Keeper) notifyDelegate(last []view.Partition) []view.Partition {
+func (k *Manager) notifyDelegate(last []view.Partition) []view.Partition {
 	now := k.delegated()
 	if k.delegate != nil && !slices.Equal(last, now) {
-		k.delegate.Cover(now)
+		k.delegate.SetRenewals(now)
 	}
 	return now
 }
 
 // CheckRenewal returns the authority to renew task leases on the workers of a delegated partition.
 // Orders carry the grant's epoch and its end, and may only renew.
-func (k *Keeper) CheckCover(id int) (Grant, error) {
+func (k *Manager) CheckRenewal(id int) (Grant, error) {
 	now := uptime.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -120,7 +120,7 @@
 // checkUnexpired refuses a grant that has expired.
 func checkUnexpired(g Grant, now time.Time) (Grant, error) {
 	if !g.Until.After(now) {
-		return Grant{}, result.New(result.RightLapsed, result.RanNo, "cover of partition %d", g.Partition)
+		return Grant{}, result.New(result.AuthorityExpired, result.RanNo, "cover of partition %d", g.Partition)
 	}
 	return g.onGoClock(now), nil
 }
--- a/internal/hold/dump.go
+++ b/internal/hold/dump.go
@@ -9,24 +9,24 @@
 
 // State is the Manager's part of the process dump.
 type State struct {
-	Self       view.Member      `json:"self"`
-	Membership string           `json:"membership"`
-	Lacks      []string         `json:"lacks"`
-	StoreUp    bool             `json:"store_up"`
-	StoreAgeMS int64            `json:"store_age_ms"`
-	LeaseMS    int64            `json:"lease_ms"`
-	Electorate right.Electorate `json:"electorate"`
-	Table      *view.Table      `json:"table"`
-	Slots      []SlotState      `json:"slots"`
-	Heard      []HeardState     `json:"heard"`
-	Covered    []int            `json:"covered"`
+	Self            view.Member    `json:"self"`
+	Membership      string         `json:"membership"`
+	NotReadyReasons []string       `json:"lacks"`
+	StoreUp         bool           `json:"store_up"`
+	StoreAgeMS      int64          `json:"store_age_ms"`
+	LeaseMS         int64          `json:"lease_ms"`
+	VoterSet        right.VoterSet `json:"electorate"`
+	Table           *view.Table    `json:"table"`
+	Slots           []SlotState    `json:"slots"`
+	Contacts        []ContactState `json:"heard"`
+	Delegated       []int          `json:"covered"`
 	// Fencing lists the dead holders whose partitions this process is to acquire.
 	Fencing []FencingState `json:"fencing"`
 }
 
 // FencingState is the progress of fencing a dead holder.
 type FencingState struct {
-	Subject right.Subject `json:"subject"`
+	MemberID right.MemberID `json:"subject"`
 	// Pending are the voters whose replies are still needed.
 	Pending []right.Voter `json:"open"`
 	Done    bool          `json:"done"`
@@ -41,25 +41,25 @@
 	Busy    bool   `json:"busy,omitempty"`
 }
 
-// HeardState is the last status received from a member.
-type HeardState struct {
+// ContactState is the last status received from a member.
+type ContactState struct {
 	Status heartbeat.Status `json:"status"`
 	AgeMS  int64            `json:"age_ms"`
 }
 
 // Dump returns the state for /debug/state.
-func (k *Keeper) Dump() any {
-	notReady, delegated := k.Lacks(), k.delegated()
+func (k *Manager) Dump() any {
+	notReady, delegated := k.NotReadyReasons(), k.delegated()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := uptime.Now()
 	out := State{
-		Self: k.session.Self(), Membership: k.session.State(), Lacks: notReady,
+		Self: k.session.Self(), Membership: k.session.State(), NotReadyReasons: notReady,
 		StoreUp: k.storeAvailable(), StoreAgeMS: k.storeAge().Milliseconds(), Table: k.Table(),
 	}
-	k.session.Right(func(h *right.Holder) {
+	k.session.WithAuthority(func(h *right.Authority) {
 		out.LeaseMS = h.Lease().Sub(now).Milliseconds()
-		out.Electorate = h.Electorate()
+		out.VoterSet = h.VoterSet()
 	})
 	for _, s := range k.slots {
 		if s.owned() || s.busy {
@@ -70,13 +70,13 @@
 		}
 	}
 	for s, f := range k.fencings {
-		out.Fencing = append(out.Fencing, FencingState{Subject: s, Pending: f.answers.Pending(), Done: f.answers.Done(now)})
+		out.Fencing = append(out.Fencing, FencingState{MemberID: s, Pending: f.answers.Pending(), Done: f.answers.Done(now)})
 	}
-	for _, h := range k.heartbeats.All() {
-		out.Heard = append(out.Heard, HeardState{Status: h.Status, AgeMS: now.Sub(h.At).Milliseconds()})
+	for _, h := range k.heartbeats.Contacts() {
+		out.Contacts = append(out.Contacts, ContactState{Status: h.Status, AgeMS: now.Sub(h.ReceivedAt).Milliseconds()})
 	}
 	for _, p := range delegated {
-		out.Covered = append(out.Covered, p.ID)
+		out.Delegated = append(out.Delegated, p.ID)
 	}
 	return out
 }
--- a/internal/hold/fence.go
+++ b/internal/hold/fence.go
@@ -14,8 +14,8 @@
 
 // FenceRequest asks a voter to make no more promises to a member's session.
 type FenceRequest struct {
-	Subject right.Subject `cbor:"1,keyasint"`
-	Session uint64        `cbor:"2,keyasint"`
+	MemberID right.MemberID `cbor:"1,keyasint"`
+	Session  uint64         `cbor:"2,keyasint"`
 }
 
 // fencing is the fence of one dead member's session. All partitions that this process wants from
@@ -27,13 +27,13 @@
 }
 
 // fence starts or continues to ask the voter set of a dead holder. The lock is held.
-func (k *Keeper) fence(ctx context.Context, s right.Subject) {
+func (k *Manager) fence(ctx context.Context, s right.MemberID) {
 	voterRecord := k.cache.voterRecords[s]
 	f := k.fencings[s]
 	if f == nil || f.voterRecord != voterRecord.Revision {
-		var voterSet right.Electorate
-		if voterRecord.Charter != nil {
-			voterSet = voterRecord.Charter.Electorate
+		var voterSet right.VoterSet
+		if voterRecord.VoterRecord != nil {
+			voterSet = voterRecord.VoterRecord.VoterSet
 		}
 		f = &fencing{voterRecord: voterRecord.Revision, answers: right.NewFencing(k.config.times(), voterSet, uptime.Now())}
 		k.fencings[s] = f
@@ -56,10 +56,10 @@
 
 // requestFence asks every pending voter once. If the fence is still incomplete it then waits, so
 // that the next round does not follow immediately.
-func (k *Keeper) requestFence(ctx context.Context, s right.Subject, f *fencing) {
+func (k *Manager) requestFence(ctx context.Context, s right.MemberID, f *fencing) {
 	k.mu.Lock()
 	pending := f.answers.Pending()
-	request := FenceRequest{Subject: s, Session: f.answers.Electorate().Session}
+	request := FenceRequest{MemberID: s, Session: f.answers.VoterSet().Session}
 	k.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, k.config.Suspect)
 	defer cancel()
@@ -89,7 +89,7 @@
 	}
 }
 
-func (k *Keeper) callVoter(ctx context.Context, v right.Voter, request FenceRequest) (right.FenceAnswer, error) {
+func (k *Manager) callVoter(ctx context.Context, v right.Voter, request FenceRequest) (right.FenceAnswer, error) {
 	if v.Incarnation == k.memberID().Incarnation {
 		return k.onFence(ctx, request)
 	}
@@ -99,15 +99,15 @@
 }
 
 // onFence gives this process's vote to a claimant.
-func (k *Keeper) onFence(_ context.Context, request FenceRequest) (right.FenceAnswer, error) {
+func (k *Manager) onFence(_ context.Context, request FenceRequest) (right.FenceAnswer, error) {
 	now := uptime.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	self := k.memberID()
 	answer := right.FenceAnswer{Incarnation: self.Incarnation, Age: now.Sub(k.started)}
-	answer.Remaining = k.promises.Fence(now, request.Subject, request.Session)
-	if request.Subject == self {
-		k.session.Right(func(h *right.Holder) {
+	answer.Remaining = k.promises.Fence(now, request.MemberID, request.Session)
+	if request.MemberID == self {
+		k.session.WithAuthority(func(h *right.Authority) {
 			if request.Session >= h.Session() {
 				h.MarkFenced()
 			}
--- a/internal/hold/handover.go
+++ b/internal/hold/handover.go
@@ -40,7 +40,7 @@
 
 // handOver releases a partition and moves its record to next, or clears the holder if next has no
 // name. If the record does not move, this process resumes the partition.
-func (k *Keeper) handOver(ctx context.Context, s *slot, next view.Member, nextMod platform.Revision) {
+func (k *Manager) handOver(ctx context.Context, s *slot, next view.Member, nextMod platform.Revision) {
 	select {
 	case k.handOverLimit <- struct{}{}:
 		defer func() { <-k.handOverLimit }()
@@ -90,7 +90,7 @@
 
 // completeHandOver ends a successful handover and notifies the next holder, which would otherwise
 // see the record only after the delay of its watch.
-func (k *Keeper) completeHandOver(ctx context.Context, s *slot, next view.Member, rec view.Partition, attempt string) {
+func (k *Manager) completeHandOver(ctx context.Context, s *slot, next view.Member, rec view.Partition, attempt string) {
 	k.mu.Lock()
 	s.event(eventDrop)
 	k.mu.Unlock()
@@ -101,14 +101,14 @@
 	}
 	msg := HandOver{Partition: rec.ID, Epoch: rec.Epoch, Incarnation: next.Incarnation, ID: attempt, Record: &rec}
 	var reply HandOverReply
-	if err := k.peers.Call(ctx, next.Addr, peer.KindHandOver, msg, &reply); err != nil {
+	if err := k.peers.Call(ctx, next.Addr, peer.KindStateTransfer, msg, &reply); err != nil {
 		k.log.WithError(err).Debug("next holder not notified of the handover; it observes the record through its watch")
 	}
 }
 
 // resolveMove finds out whether the record has moved. It writes the record again with the old
 // holder, which makes a delayed move fail; only after that does this process resume the partition.
-func (k *Keeper) resolveMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
+func (k *Manager) resolveMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
 	k.setResolving(s, true)
 	defer k.setResolving(s, false)
 	retry := k.newBackOff()
@@ -139,7 +139,7 @@
 }
 
 // setResolving sets whether the outcome of a partition's move is being resolved.
-func (k *Keeper) setResolving(s *slot, resolving bool) {
+func (k *Manager) setResolving(s *slot, resolving bool) {
 	k.mu.Lock()
 	s.resolving = resolving
 	k.mu.Unlock()
@@ -147,7 +147,7 @@
 }
 
 // resume activates a released partition again with its own states.
-func (k *Keeper) resume(ctx context.Context, s *slot, states map[string][]byte) {
+func (k *Manager) resume(ctx context.Context, s *slot, states map[string][]byte) {
 	k.mu.Lock()
 	s.event(eventResume)
 	k.mu.Unlock()
@@ -155,16 +155,16 @@
 }
 
 // waitForExpiry waits until all authority granted so far has expired.
-func (k *Keeper) waitForExpiry(ctx context.Context) bool {
+func (k *Manager) waitForExpiry(ctx context.Context) bool {
 	var until time.Time
-	k.session.Right(func(h *right.Holder) { until = h.LatestEnd() })
+	k.session.WithAuthority(func(h *right.Authority) { until = h.LatestEnd() })
 	return wait.For(ctx, uptime.Until(until))
 }
 
 // releaseComponents ends the components' work in order and collects their states. It returns
 // graceful as false if one of them could not finish: the next holder then gets no states and treats
 // the partition as that of a dead holder.
-func (k *Keeper) releaseComponents(ctx context.Context, id int) (states map[string][]byte, graceful bool) {
+func (k *Manager) releaseComponents(ctx context.Context, id int) (states map[string][]byte, graceful bool) {
 	states, graceful = map[string][]byte{}, true
 	for _, r := range k.components {
 		state, err := r.Release(ctx, id)
@@ -178,11 +178,11 @@
 	return states, graceful
 }
 
-func (k *Keeper) sendStates(ctx context.Context, next view.Member, msg HandOver) error {
+func (k *Manager) sendStates(ctx context.Context, next view.Member, msg HandOver) error {
 	ctx, cancel := context.WithTimeout(ctx, k.config.Term)
 	defer cancel()
 	var reply HandOverReply
-	if err := k.peers.Call(ctx, next.Addr, peer.KindHandOver, msg, &reply); err != nil {
+	if err := k.peers.Call(ctx, next.Addr, peer.KindStateTransfer, msg, &reply); err != nil {
 		return err
 	}
 	if !reply.Kept {
@@ -192,7 +192,7 @@
 }
 
 // onHandOver keeps states that are sent in advance, or applies the moved record.
-func (k *Keeper) onHandOver(_ context.Context, msg HandOver) (HandOverReply, error) {
+func (k *Manager) onHandOver(_ context.Context, msg HandOver) (HandOverReply, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if msg.Incarnation != k.memberID().Incarnation {
--- a/internal/hold/heartbeats.go
+++ b/internal/hold/heartbeats.go
@@ -13,7 +13,7 @@
 )
 
 // heartbeatHost adapts the Manager to the heartbeat service.
-type heartbeatHost struct{ *Keeper }
+type heartbeatHost struct{ *Manager }
 
 // Status implements heartbeat.Host.
 func (b *heartbeatHost) Status() heartbeat.Status {
@@ -21,32 +21,32 @@
 	defer b.mu.Unlock()
 	return heartbeat.Status{
 		Member: b.session.Self(), TableRevision: b.Table().Revision, SettingsRevision: b.settings(),
-		StoreAge: b.storeAge(), Deputy: b.delegateFor(b.session.Self().Name),
+		StoreAge: b.storeAge(), Delegate: b.delegateFor(b.session.Self().Name),
 	}
 }
 
 // storeAge is the time since the last successful renewal was sent; negative if there was none.
-func (k *Keeper) storeAge() time.Duration {
-	at, _ := k.session.Renewed()
+func (k *Manager) storeAge() time.Duration {
+	at, _ := k.session.LastRenewal()
 	if at.IsZero() {
 		return -1
 	}
 	return uptime.Since(at)
 }
 
-// Asks implements heartbeat.Host. It requests promises as soon as renewals are overdue, well before
+// PromiseRequests implements heartbeat.Host. It requests promises as soon as renewals are overdue, well before
 // the store lease ends.
-func (b *heartbeatHost) Asks() []heartbeat.Ask {
+func (b *heartbeatHost) PromiseRequests() []heartbeat.PromiseRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var asks []heartbeat.Ask
+	var asks []heartbeat.PromiseRequest
 	if b.needsPromises() {
 		var session uint64
-		b.session.Right(func(h *right.Holder) { session = h.Session() })
-		asks = append(asks, heartbeat.Ask{Subject: b.memberID(), Session: session, For: b.config.Term})
+		b.session.WithAuthority(func(h *right.Authority) { session = h.Session() })
+		asks = append(asks, heartbeat.PromiseRequest{MemberID: b.memberID(), Session: session, Period: b.config.Term})
 	}
 	for s, c := range b.renewals {
-		asks = append(asks, heartbeat.Ask{Subject: s, Session: c.right.Session(), For: b.config.Term})
+		asks = append(asks, heartbeat.PromiseRequest{MemberID: s, Session: c.right.Session(), Period: b.config.Term})
 	}
 	now := uptime.Now()
 	self := b.memberID().Incarnation
@@ -60,9 +60,9 @@
 
 // needsPromises reports whether this process has joined and its last renewal is overdue. The lock
 // is held.
-func (k *Keeper) needsPromises() bool {
-	_, answers := k.session.Renewed()
-	return k.session.State() != member.StateOutside && (!answers || k.storeAge() > k.config.maxRenewalAge())
+func (k *Manager) needsPromises() bool {
+	_, answers := k.session.LastRenewal()
+	return k.session.State() != member.StateNotJoined && (!answers || k.storeAge() > k.config.maxRenewalAge())
 }
 
 // Urgent implements heartbeat.Host: the authority may expire within two heartbeats.
@@ -74,12 +74,12 @@
 	}
 	now := uptime.Now()
 	var until time.Time
-	b.session.Right(func(h *right.Holder) { until = h.Until(now, h.Session()) })
+	b.session.WithAuthority(func(h *right.Authority) { until = h.Until(now, h.Session()) })
 	return until.Sub(now) < 2*b.config.Heartbeat
 }
 
-// OnAsk implements heartbeat.Host.
-func (b *heartbeatHost) OnAsk(ask heartbeat.Ask) bool {
+// GrantPromise implements heartbeat.Host.
+func (b *heartbeatHost) GrantPromise(ask heartbeat.PromiseRequest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.promise(uptime.Now(), ask)
@@ -87,19 +87,19 @@
 
 // promise gives this process's vote unless a majority is connected to the store. Promises are not
 // needed then and would only delay a failover. The lock is held.
-func (k *Keeper) promise(now time.Time, ask heartbeat.Ask) bool {
-	if ask.For > k.config.Term || k.storeAvailable() {
+func (k *Manager) promise(now time.Time, ask heartbeat.PromiseRequest) bool {
+	if ask.Period > k.config.Term || k.storeAvailable() {
 		return false
 	}
-	if !k.promises.Ask(now, ask.Subject, ask.Session, ask.For) {
+	if !k.promises.Ask(now, ask.MemberID, ask.Session, ask.Period) {
 		return false
 	}
 	k.metrics.promises.Inc()
 	return true
 }
 
-// OnReply implements heartbeat.Host.
-func (b *heartbeatHost) OnReply(sent time.Time, reply heartbeat.Reply) {
+// HandleReply implements heartbeat.Host.
+func (b *heartbeatHost) HandleReply(sent time.Time, reply heartbeat.Reply) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, ask := range reply.Promised {
@@ -112,13 +112,13 @@
 }
 
 // recordPromise counts a voter's promise. The lock is held.
-func (k *Keeper) recordPromise(ask heartbeat.Ask, voter string, sent time.Time) {
-	if ask.Subject == k.memberID() {
-		k.session.Right(func(h *right.Holder) { h.RecordPromise(voter, ask.Session, sent, ask.For) })
+func (k *Manager) recordPromise(ask heartbeat.PromiseRequest, voter string, sent time.Time) {
+	if ask.MemberID == k.memberID() {
+		k.session.WithAuthority(func(h *right.Authority) { h.RecordPromise(voter, ask.Session, sent, ask.Period) })
 		return
 	}
-	if c := k.renewals[ask.Subject]; c != nil {
-		c.right.RecordPromise(voter, ask.Session, sent, ask.For)
+	if c := k.renewals[ask.MemberID]; c != nil {
+		c.right.RecordPromise(voter, ask.Session, sent, ask.Period)
 	}
 }
 
@@ -131,8 +131,8 @@
 	for _, e := range b.cache.members {
 		addrs[e.Member.Addr] = true
 	}
-	b.session.Right(func(h *right.Holder) {
-		for _, v := range h.Electorate().Voters {
+	b.session.WithAuthority(func(h *right.Authority) {
+		for _, v := range h.VoterSet().Voters {
 			addrs[v.Addr] = true
 		}
 	})
@@ -160,9 +160,9 @@
 // storeAvailable reports whether a majority of the known members is connected to the store,
 // according to their heartbeats. Safety does not depend on it: it only prevents promises that would
 // merely delay a failover, and claims while the store is recovering. The lock is held.
-func (k *Keeper) storeAvailable() bool {
+func (k *Manager) storeAvailable() bool {
 	var voters []right.Voter
-	k.session.Right(func(h *right.Holder) { voters = h.Electorate().Voters })
+	k.session.WithAuthority(func(h *right.Authority) { voters = h.VoterSet().Voters })
 	if len(voters) == 0 {
 		voters = k.cache.voters()
 	}
@@ -174,8 +174,8 @@
 			}
 			continue
 		}
-		h, ok := k.heartbeats.Heard(v.Name)
-		if ok && h.Status.StoreAge >= 0 && h.Status.StoreAge+uptime.Since(h.At) < maxRenewalAge {
+		h, ok := k.heartbeats.Contact(v.Name)
+		if ok && h.Status.StoreAge >= 0 && h.Status.StoreAge+uptime.Since(h.ReceivedAt) < maxRenewalAge {
 			up++
 		}
 	}
@@ -183,23 +183,23 @@
 }
 
 // reachable reports whether heartbeats of the named member arrive. The lock is held.
-func (k *Keeper) reachable(name string) bool {
+func (k *Manager) reachable(name string) bool {
 	e, ok := k.cache.members[name]
-	return ok && k.reachableMember(right.Subject{Name: name, Incarnation: e.Member.Incarnation})
+	return ok && k.reachableMember(right.MemberID{Name: name, Incarnation: e.Member.Incarnation})
 }
 
-func (k *Keeper) reachableMember(s right.Subject) bool {
+func (k *Manager) reachableMember(s right.MemberID) bool {
 	return s == k.memberID() || k.heartbeatWithin(s, k.config.Suspect)
 }
 
-func (k *Keeper) heartbeatWithin(s right.Subject, d time.Duration) bool {
-	h, ok := k.heartbeats.Heard(s.Name)
-	return ok && h.Status.Member.Incarnation == s.Incarnation && uptime.Since(h.At) < d
+func (k *Manager) heartbeatWithin(s right.MemberID, d time.Duration) bool {
+	h, ok := k.heartbeats.Contact(s.Name)
+	return ok && h.Status.Member.Incarnation == s.Incarnation && uptime.Since(h.ReceivedAt) < d
 }
 
 // delegateFor returns the delegate of the named member, by rendezvous hashing over the other
 // reachable members. The lock is held.
-func (k *Keeper) delegateFor(name string) string {
+func (k *Manager) delegateFor(name string) string {
 	var others []string
 	for other := range k.cache.members {
 		if other != name && (other == k.session.Self().Name || k.reachable(other)) {
@@ -211,4 +211,4 @@
 }
 
 // Table implements heartbeat.Host.
-func (b *heartbeatHost) Table() *view.Table { return b.Keeper.Table() }
+func (b *heartbeatHost) Table() *view.Table { return b.Manager.Table() }
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -16,7 +16,7 @@
 }
 
 // Authorizer is asked immediately before every order.
-type Right interface {
+type Authorizer interface {
 	// Check returns a grant, or a *result.Error with code NotHolder or RightLapsed if this process
 	// may not act for the partition now.
 	Check(partition int) (Grant, error)
@@ -25,27 +25,27 @@
 }
 
 // Acquisition tells a component how this process acquired a partition.
-type Takeover struct {
+type Acquisition struct {
 	Grant
 	// HandedOver is true if the previous holder released the partition gracefully; State is then
 	// the return value of Release of its component of the same name.
-	SignedOff bool
-	State     []byte
+	HandedOver bool
+	State      []byte
 	// NeverHeld is true if the partition has had no holder before.
-	Fresh bool
+	NeverHeld bool
 	// AcquiredAt is the wall-clock time of the acquisition: idempotency keys created earlier that
 	// the new holder does not know have an unknown outcome.
-	TakenAt time.Time
+	AcquiredAt time.Time
 }
 
 // Component is a part of the placer that keeps state per partition: requests and executors,
 // workers, jobs. Calls for one partition never overlap.
-type Resident interface {
+type Component interface {
 	// Name is unique in the process and stable across versions.
 	Name() string
 	// Acquire starts work for a partition. It may take long; the partition counts as held from the
 	// time of the call.
-	Acquire(ctx context.Context, t Takeover) error
+	Acquire(ctx context.Context, t Acquisition) error
 	// Release ends work gracefully: it accepts no new work, finishes or serializes the work in
 	// progress, and returns the state for the next holder.
 	Release(ctx context.Context, partition int) ([]byte, error)
--- a/internal/hold/loops.go
+++ b/internal/hold/loops.go
@@ -24,7 +24,7 @@
 // checkCount compares the configured number of partitions with the number in the store, and writes
 // it if there is none. If the store does not answer, the renewal loop repeats the check before the
 // first claim.
-func (k *Keeper) checkCount(ctx context.Context) error {
+func (k *Manager) checkCount(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.config.Term/2)
 	defer cancel()
 	reply, err := k.store.Commit(ctx, platform.Txn{
@@ -44,14 +44,14 @@
 	return nil
 }
 
-func (k *Keeper) setNotReady(notReady ...string) {
+func (k *Manager) setNotReady(notReady ...string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.notReady = notReady
 }
 
 // renewLoop joins, renews the lease, updates the voter set and joins again if the lease is lost.
-func (k *Keeper) renewLoop(ctx context.Context) {
+func (k *Manager) renewLoop(ctx context.Context) {
 	retry := k.newBackOff()
 	for ctx.Err() == nil {
 		begun := uptime.Now()
@@ -72,7 +72,7 @@
 	}
 }
 
-func (k *Keeper) newBackOff() *backoff.ExponentialBackOff {
+func (k *Manager) newBackOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = k.config.Renew / 8
 	b.MaxInterval = k.config.BackoffMax
@@ -80,7 +80,7 @@
 }
 
 // renewOnce makes the one or two calls that the membership needs now.
-func (k *Keeper) renewOnce(ctx context.Context) error {
+func (k *Manager) renewOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.config.Term/2)
 	defer cancel()
 	switch k.session.State() {
@@ -100,19 +100,19 @@
 // maintainSession does the remaining work of a renewed session: it confirms the partitions,
 // announces that this member is leaving, resolves an unknown outcome, or adds new members to the
 // voter set.
-func (k *Keeper) maintainSession(ctx context.Context) error {
+func (k *Manager) maintainSession(ctx context.Context) error {
 	k.mu.Lock()
 	leaving, voters, confirmed := k.leaving, k.cache.voters(), k.confirmed
 	k.mu.Unlock()
 	var session uint64
-	k.session.Right(func(h *right.Holder) { session = h.Session() })
+	k.session.WithAuthority(func(h *right.Authority) { session = h.Session() })
 	if confirmed != session {
 		return k.confirm(ctx)
 	}
 	if leaving && !k.session.Self().Leaving {
 		return k.session.SetLeaving(ctx)
 	}
-	if err := k.session.SettleVoters(ctx); err != nil {
+	if err := k.session.ResolveVoterChange(ctx); err != nil {
 		return err
 	}
 	if len(voters) == 0 {
@@ -125,7 +125,7 @@
 }
 
 // join creates the member key and confirms the partitions that this process still holds.
-func (k *Keeper) join(ctx context.Context) error {
+func (k *Manager) join(ctx context.Context) error {
 	if k.cachedCount() != k.config.Partitions {
 		if err := k.checkCount(ctx); err != nil {
 			k.setNotReady(err.Error())
@@ -148,7 +148,7 @@
 	return k.confirm(ctx)
 }
 
-func (k *Keeper) cachedCount() int {
+func (k *Manager) cachedCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.cache.count
@@ -166,9 +166,9 @@
 
 // confirm reads the partitions after the start of a session: partitions with unchanged records stay
 // held in the new session.
-func (k *Keeper) confirm(ctx context.Context) error {
+func (k *Manager) confirm(ctx context.Context) error {
 	var session uint64
-	k.session.Right(func(h *right.Holder) { session = h.Session() })
+	k.session.WithAuthority(func(h *right.Authority) { session = h.Session() })
 	begun := k.session.Condition().ModRevision
 	records, at, err := k.store.List(ctx, PartitionPrefix)
 	if err != nil {
@@ -196,7 +196,7 @@
 
 // dropForTakenName drops all partitions because another process has the name. The older process
 // keeps the name as long as it is registered; this one waits until it has ended.
-func (k *Keeper) dropForTakenName(err error) {
+func (k *Manager) dropForTakenName(err error) {
 	if len(k.Held()) > 0 {
 		k.log.WithError(err).Error("another process is registered under this member's name; all partitions dropped")
 	}
@@ -206,7 +206,7 @@
 
 // watchLoop keeps the cache of one prefix current: it lists the prefix, then watches from that
 // revision on.
-func (k *Keeper) watchLoop(ctx context.Context, prefix string) {
+func (k *Manager) watchLoop(ctx context.Context, prefix string) {
 	retry := k.newBackOff()
 	for ctx.Err() == nil {
 		begun := uptime.Now()
@@ -224,7 +224,7 @@
 	}
 }
 
-func (k *Keeper) listAndWatch(ctx context.Context, prefix string) error {
+func (k *Manager) listAndWatch(ctx context.Context, prefix string) error {
 	listCtx, cancel := context.WithTimeout(ctx, k.config.Term)
 	records, at, err := k.store.List(listCtx, prefix)
 	cancel()
@@ -252,16 +252,16 @@
 }
 
 // publish makes the cached state visible and wakes the decision loop. The lock is held.
-func (k *Keeper) publish() {
+func (k *Manager) publish() {
 	k.cache.updateUnregistered(uptime.Now())
 	k.table.Store(k.cache.table())
-	k.changes.Tell()
+	k.changes.Notify()
 	k.wakeDecide()
 }
 
 // decideLoop decides on every partition when something has changed, and at least once per heartbeat
 // interval.
-func (k *Keeper) decideLoop(ctx context.Context) {
+func (k *Manager) decideLoop(ctx context.Context) {
 	var delegated []view.Partition
 	for ctx.Err() == nil {
 		k.decideAll(ctx)
--- a/internal/hold/manager.go
+++ b/internal/hold/manager.go
@@ -24,7 +24,7 @@
 
 // Manager maintains this process's membership and partitions. It is the Authorizer that is asked
 // before every order.
-type Keeper struct {
+type Manager struct {
 	store      platform.Store
 	peers      peer.Caller
 	config     Config
@@ -35,8 +35,8 @@
 	settings   func() int64
 	started    time.Time
 
-	components []Resident
-	delegate   Deputy
+	components []Component
+	delegate   Delegate
 
 	decideNow chan struct{} // wakes the decision loop
 	renewNow  chan struct{} // wakes the renewal loop
@@ -52,9 +52,9 @@
 	cache       *cache
 	slots       []*slot
 	promises    *right.VoterState
-	fencings    map[right.Subject]*fencing
-	unusedSince map[right.Subject]time.Time // since when each unused voter record has been unused
-	renewals    map[right.Subject]*delegateRenewal
+	fencings    map[right.MemberID]*fencing
+	unusedSince map[right.MemberID]time.Time // since when each unused voter record has been unused
+	renewals    map[right.MemberID]*delegateRenewal
 	leaving     bool
 	// confirmed is the store session in which the cached partitions were read.
 	confirmed uint64
@@ -62,7 +62,7 @@
 }
 
 // New returns a Manager and registers its message handlers in the mux.
-func New(d Deps) (*Keeper, error) {
+func New(d Deps) (*Manager, error) {
 	if err := d.Config.Check(); err != nil {
 		return nil, err
 	}
@@ -79,52 +79,52 @@
 	if d.SettingsRevision == nil {
 		d.SettingsRevision = func() int64 { return 0 }
 	}
-	k := &Keeper{
+	k := &Manager{
 		store: d.Store, peers: d.Peers, config: d.Config, log: d.Log, settings: d.SettingsRevision,
 		metrics: newMetrics(d.Registry), session: member.NewSession(d.Store, d.Self, d.Config.times()),
 		decideNow: make(chan struct{}, 1), renewNow: make(chan struct{}, 1),
 		handOverLimit: make(chan struct{}, maxHandOvers), cache: newCache(), promises: right.NewVoterState(),
-		fencings: map[right.Subject]*fencing{}, unusedSince: map[right.Subject]time.Time{}, renewals: map[right.Subject]*delegateRenewal{},
+		fencings: map[right.MemberID]*fencing{}, unusedSince: map[right.MemberID]time.Time{}, renewals: map[right.MemberID]*delegateRenewal{},
 	}
 	for id := range d.Config.Partitions {
 		k.slots = append(k.slots, newSlot(id))
 	}
 	k.table.Store(&view.Table{})
 	k.heartbeats = heartbeat.New(d.Peers, d.Mux, &heartbeatHost{k}, d.Config.Heartbeat, d.Registry)
-	peer.Handle(d.Mux, peer.KindHandOver, k.onHandOver)
+	peer.Handle(d.Mux, peer.KindStateTransfer, k.onHandOver)
 	peer.Handle(d.Mux, peer.KindFence, k.onFence)
 	return k, nil
 }
 
 // AddComponent adds a component; it must be called before Start. Partitions are released in the
 // order of the calls and acquired in reverse order.
-func (k *Keeper) AddResident(r Resident) { k.components = append(k.components, r) }
+func (k *Manager) AddComponent(r Component) { k.components = append(k.components, r) }
 
 // SetDelegate sets the part of the placer that renews dead members' task leases; it must be called
 // before Start.
-func (k *Keeper) SetDeputy(d Deputy) { k.delegate = d }
+func (k *Manager) SetDelegate(d Delegate) { k.delegate = d }
 
 // Provide adds a value to this process's heartbeats.
-func (k *Keeper) Provide(name string, fn func() any) { k.heartbeats.Provide(name, fn) }
+func (k *Manager) Provide(name string, fn func() any) { k.heartbeats.Provide(name, fn) }
 
 // Extra decodes the value that a member last sent under the name. This process's own values are not
 // included.
-func (k *Keeper) Extra(member, name string, into any) (age time.Duration, ok bool) {
+func (k *Manager) Extra(member, name string, into any) (age time.Duration, ok bool) {
 	return k.heartbeats.Extra(member, name, into)
 }
 
 // Self returns this process as a member.
-func (k *Keeper) Self() view.Member { return k.session.Self() }
+func (k *Manager) Self() view.Member { return k.session.Self() }
 
 // Table returns the latest members and partitions. Its revision never decreases.
-func (k *Keeper) Table() *view.Table { return k.table.Load() }
+func (k *Manager) Table() *view.Table { return k.table.Load() }
 
 // Changed returns a channel that is closed at the next change of the table.
-func (k *Keeper) Changed() <-chan struct{} { return k.changes.Next() }
+func (k *Manager) Changed() <-chan struct{} { return k.changes.Next() }
 
 // Start checks the number of partitions if the store answers, and starts to join, send heartbeats
 // and claim. It returns at once; NotReadyReasons lists what is still missing.
-func (k *Keeper) Start(ctx context.Context) error {
+func (k *Manager) Start(ctx context.Context) error {
 	k.started = uptime.Now()
 	if err := k.checkCount(ctx); err != nil {
 		return err
@@ -147,7 +147,7 @@
 // Stop hands over every partition, leaves the cell and ends all loops. If ctx ends first, or the
 // store is unavailable, the remaining partitions are finished or dropped, and other members take
 // them over as those of a dead holder.
-func (k *Keeper) Stop(ctx context.Context) error {
+func (k *Manager) Stop(ctx context.Context) error {
 	k.mu.Lock()
 	k.leaving = true
 	k.mu.Unlock()
@@ -173,7 +173,7 @@
 	return nil
 }
 
-func (k *Keeper) waitHandedOver(ctx context.Context) error {
+func (k *Manager) waitHandedOver(ctx context.Context) error {
 	tick := time.NewTicker(k.config.Heartbeat / 10)
 	defer tick.Stop()
 	reached := uptime.Now()
@@ -197,14 +197,14 @@
 	}
 }
 
-func (k *Keeper) storeReached() bool {
+func (k *Manager) storeReached() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.canMove()
 }
 
 // releaseInPlace lets the components finish the work in progress when a handover is not possible.
-func (k *Keeper) releaseInPlace(ctx context.Context) {
+func (k *Manager) releaseInPlace(ctx context.Context) {
 	var finished sync.WaitGroup
 	k.mu.Lock()
 	for _, s := range k.slots {
@@ -228,7 +228,7 @@
 }
 
 // idle reports whether this process owns no partition and has no step running.
-func (k *Keeper) idle() bool {
+func (k *Manager) idle() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range k.slots {
@@ -240,7 +240,7 @@
 }
 
 // Check implements Authorizer.
-func (k *Keeper) Check(id int) (Grant, error) {
+func (k *Manager) Check(id int) (Grant, error) {
 	now := uptime.Now()
 	k.mu.Lock()
 	if id < 0 || id >= len(k.slots) || !k.slots[id].acts() {
@@ -251,7 +251,7 @@
 	k.mu.Unlock()
 	if !grant.Until.After(now) {
 		k.metrics.expired.Inc()
-		return Grant{}, result.New(result.RightLapsed, result.RanNo, "partition %d epoch %d", id, grant.Epoch)
+		return Grant{}, result.New(result.AuthorityExpired, result.RanNo, "partition %d epoch %d", id, grant.Epoch)
 	}
 	return grant.onGoClock(now), nil
 }
@@ -265,20 +265,20 @@
 }
 
 // currentGrant returns the grant for a slot on the clock of its users. The lock is held.
-func (k *Keeper) currentGrant(s *slot) Grant {
+func (k *Manager) currentGrant(s *slot) Grant {
 	now := uptime.Now()
 	return k.grant(now, s).onGoClock(now)
 }
 
 // grant computes the authority over a slot's partition. The lock is held.
-func (k *Keeper) grant(now time.Time, s *slot) Grant {
+func (k *Manager) grant(now time.Time, s *slot) Grant {
 	g := Grant{Partition: s.id, Epoch: s.record.Epoch}
-	k.session.Right(func(h *right.Holder) { g.Until = h.Until(now, s.session) })
+	k.session.WithAuthority(func(h *right.Authority) { g.Until = h.Until(now, s.session) })
 	return g
 }
 
 // Held implements Authorizer.
-func (k *Keeper) Held() []int {
+func (k *Manager) Held() []int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []int
@@ -291,7 +291,7 @@
 }
 
 // NotReadyReasons lists what this process still lacks for full operation, for /readyz.
-func (k *Keeper) Lacks() []string {
+func (k *Manager) NotReadyReasons() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := append([]string(nil), k.notReady...)
@@ -306,21 +306,21 @@
 	return out
 }
 
-func (k *Keeper) wakeDecide() {
+func (k *Manager) wakeDecide() {
 	select {
 	case k.decideNow <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Keeper) wakeRenewal() {
+func (k *Manager) wakeRenewal() {
 	select {
 	case k.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Keeper) memberID() right.Subject {
+func (k *Manager) memberID() right.MemberID {
 	self := k.session.Self()
-	return right.Subject{Name: self.Name, Incarnation: self.Incarnation}
+	return right.MemberID{Name: self.Name, Incarnation: self.Incarnation}
 }
--- a/internal/hold/manager_test.go
+++ b/internal/hold/manager_test.go
@@ -22,7 +22,7 @@
 		is.True(c.allHeld())
 		for _, n := range c.nodes {
 			is.True(len(n.Held()) > 0) // each member has its share
-			is.Equal(n.Lacks(), nil)
+			is.Equal(n.NotReadyReasons(), nil)
 		}
 	})
 }
@@ -32,7 +32,7 @@
 		is := is.New(c.t)
 		a := c.start("a")
 		c.waitAllHeld(10 * time.Second)
-		is.True(a.component.acquisition(3).Fresh)
+		is.True(a.component.acquisition(3).NeverHeld)
 		is.Equal(a.component.acquisition(3).Epoch, uint64(1))
 	})
 }
@@ -47,7 +47,7 @@
 		time.Sleep(time.Second)
 		for _, id := range b.Held() {
 			acquired := b.component.acquisition(id)
-			is.True(acquired.SignedOff)
+			is.True(acquired.HandedOver)
 			is.True(strings.Contains(string(acquired.State), a.Self().Incarnation))
 			is.Equal(acquired.Epoch, uint64(2))
 		}
@@ -68,7 +68,7 @@
 		c.net.set(b.addr, nil, nil)
 		c.waitAllHeld(time.Second)
 		for _, id := range moved {
-			is.True(a.component.acquisition(id).SignedOff)
+			is.True(a.component.acquisition(id).HandedOver)
 		}
 	})
 }
--- a/internal/hold/measure_test.go
+++ b/internal/hold/measure_test.go
@@ -125,7 +125,7 @@
 		for _, id := range moved {
 			for _, n := range c.nodes {
 				if n != leaving && slices.Contains(n.Held(), id) {
-					gaps = append(gaps, n.component.acquisition(id).TakenAt.Sub(leaving.component.releasedAt(id)))
+					gaps = append(gaps, n.component.acquisition(id).AcquiredAt.Sub(leaving.component.releasedAt(id)))
 				}
 			}
 		}
@@ -185,8 +185,8 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	c := newTestCell(b, DefaultConfig())
 	n := c.build("a", "a:1")
-	host := &heartbeatHost{n.Keeper}
-	beat := heartbeat.Beat{Status: host.Status(), Asks: host.Asks()}
+	host := &heartbeatHost{n.Manager}
+	beat := heartbeat.Request{Status: host.Status(), PromiseRequests: host.PromiseRequests()}
 	encoded, err := cbor.Marshal(beat)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/hold/outage_test.go
+++ b/internal/hold/outage_test.go
@@ -20,7 +20,7 @@
 	list []view.Partition
 }
 
-func (d *delegateRecorder) Cover(partitions []view.Partition) {
+func (d *delegateRecorder) SetRenewals(partitions []view.Partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list = partitions
@@ -38,7 +38,7 @@
 		delegates := map[string]*delegateRecorder{}
 		c.prepare = func(n *node) {
 			delegates[n.name] = &delegateRecorder{}
-			n.SetDeputy(delegates[n.name])
+			n.SetDelegate(delegates[n.name])
 		}
 		startMembers(c, "a", "b", "c")
 		dead := c.nodes["b"].Held()
@@ -56,10 +56,10 @@
 			return delegate != nil
 		})
 		c.wait(c.config.Term, "renewal is promised", func() bool {
-			_, err := delegate.CheckCover(dead[0])
+			_, err := delegate.CheckRenewal(dead[0])
 			return err == nil
 		})
-		grant, err := delegate.CheckCover(dead[0])
+		grant, err := delegate.CheckRenewal(dead[0])
 		is.NoErr(err)
 		is.Equal(grant.Epoch, delegate.Table().Partitions[dead[0]].Epoch)            // the dead holder's epoch
 		is.Equal(len(delegates["a"].delegated())*len(delegates["c"].delegated()), 0) // a single delegate
@@ -82,16 +82,16 @@
 		c.engine.SetFaults(memstore.Faults{Refuse: true})
 		time.Sleep(2 * c.config.Term)
 		d := c.start("d")
-		is.True(strings.Contains(strings.Join(d.Lacks(), ";"), "members"))
+		is.True(strings.Contains(strings.Join(d.NotReadyReasons(), ";"), "members"))
 		c.wait(c.config.Term, "the table comes from the seed", func() bool {
 			return len(d.Table().Members) == 2 && len(d.Table().Partitions) == c.config.Partitions
 		})
-		notReady := strings.Join(d.Lacks(), ";")
+		notReady := strings.Join(d.NotReadyReasons(), ";")
 		is.True(strings.Contains(notReady, "membership"))
 		is.True(strings.Contains(notReady, "those of a peer are in use"))
 		is.True(strings.Contains(notReady, "number of partitions"))
 		c.engine.SetFaults(memstore.Faults{})
-		c.wait(4*time.Second, "d has joined and is ready", func() bool { return len(d.Lacks()) == 0 })
+		c.wait(4*time.Second, "d has joined and is ready", func() bool { return len(d.NotReadyReasons()) == 0 })
 		c.wait(2*c.config.Term, "d has a share", func() bool { return len(d.Held()) > 0 && c.allHeld() })
 	})
 }
@@ -140,7 +140,7 @@
 		b.component.failRelease.Store(true)
 		is.NoErr(b.Stop(context.Background()))
 		for _, id := range held {
-			is.True(!c.nodes["a"].component.acquisition(id).SignedOff)
+			is.True(!c.nodes["a"].component.acquisition(id).HandedOver)
 		}
 		c.kill(b)
 		c.waitAllHeld(c.config.Term)
@@ -163,7 +163,7 @@
 		is.NoErr(err)
 		c.kill(b)
 		c.waitAllHeld(recoveryTerms * c.config.Term)
-		is.True(!a.component.acquisition(id).SignedOff)
+		is.True(!a.component.acquisition(id).HandedOver)
 		is.Equal(a.component.acquisition(id).State, nil)
 	})
 }
@@ -203,7 +203,7 @@
 		delegates := map[string]*delegateRecorder{}
 		c.prepare = func(n *node) {
 			delegates[n.name] = &delegateRecorder{}
-			n.SetDeputy(delegates[n.name])
+			n.SetDelegate(delegates[n.name])
 		}
 		startMembers(c, "a", "b", "c")
 		b := c.nodes["b"]
@@ -228,7 +228,7 @@
 		})
 		for range 10 { // the outage continues
 			time.Sleep(c.config.Term)
-			grant, err := b.CheckCover(id)
+			grant, err := b.CheckRenewal(id)
 			is.NoErr(err)
 			is.Equal(grant.Epoch, epoch)
 			_, err = b.Check(id)
@@ -276,7 +276,7 @@
 		c.engine.SetFaults(memstore.Faults{})
 		time.Sleep(2 * c.config.Term)
 		is.Equal(d.Held(), nil)
-		is.True(strings.Contains(strings.Join(d.Lacks(), ";"), "configured 32, the store holds 16"))
+		is.True(strings.Contains(strings.Join(d.NotReadyReasons(), ";"), "configured 32, the store holds 16"))
 		is.Equal(len(c.nodes["a"].Held()), c.config.Partitions)
 	})
 }
@@ -292,7 +292,7 @@
 		later.startUsing(c.useEvery)
 		time.Sleep(3 * c.config.Term)
 		is.Equal(later.Held(), nil)
-		is.True(strings.Contains(strings.Join(later.Lacks(), ";"), "lives as"))
+		is.True(strings.Contains(strings.Join(later.NotReadyReasons(), ";"), "lives as"))
 		is.Equal(older.Held(), held)
 		c.kill(older)
 		c.nodes["b"] = later
--- a/internal/hold/report.go
+++ b/internal/hold/report.go
@@ -12,11 +12,11 @@
 
 // SettingsRevisions returns the settings revision that each registered member has reported as in
 // force, including this process. A member that has not reported counts as having none.
-func (k *Keeper) Applied() map[string]int64 {
+func (k *Manager) AppliedRevisions() map[string]int64 {
 	applied := map[string]int64{}
 	for _, m := range k.Table().Members {
 		applied[m.Name] = 0
-		if h, ok := k.heartbeats.Heard(m.Name); ok && h.Status.Member.Incarnation == m.Incarnation {
+		if h, ok := k.heartbeats.Contact(m.Name); ok && h.Status.Member.Incarnation == m.Incarnation {
 			applied[m.Name] = h.Status.SettingsRevision
 		}
 	}
@@ -26,7 +26,7 @@
 
 // StoreAvailable reports whether a majority of the members is connected to the store, according to
 // their heartbeats.
-func (k *Keeper) StoreUp() bool {
+func (k *Manager) StoreUp() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.storeAvailable()
@@ -34,7 +34,7 @@
 
 // StoreAge returns the time since the last successful renewal was sent to the store, or since the
 // start of this process if there was none.
-func (k *Keeper) StoreAge() time.Duration {
+func (k *Manager) StoreAge() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if age := k.storeAge(); age >= 0 {
--- a/internal/hold/steps.go
+++ b/internal/hold/steps.go
@@ -17,7 +17,7 @@
 )
 
 // decideAll starts the next step of every partition that has no step running.
-func (k *Keeper) decideAll(ctx context.Context) {
+func (k *Manager) decideAll(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.decisionInput()
@@ -37,7 +37,7 @@
 }
 
 // begin starts a step in its own goroutine. The lock is held.
-func (k *Keeper) begin(ctx context.Context, s *slot, next step, to string, rec view.Partition) {
+func (k *Manager) begin(ctx context.Context, s *slot, next step, to string, rec view.Partition) {
 	var run func()
 	switch next {
 	case stepNone:
@@ -72,11 +72,11 @@
 }
 
 // decisionInput collects the input of the decisions. The lock is held.
-func (k *Keeper) decisionInput() decisionInput {
+func (k *Manager) decisionInput() decisionInput {
 	return decisionInput{
 		self: k.memberID(), leaving: k.leaving, canMove: k.canMove(), eligible: k.eligible(),
 		registered: k.cache.registered, reachable: k.reachable, mayFence: k.mayFence,
-		fenced: func(s right.Subject) bool {
+		fenced: func(s right.MemberID) bool {
 			f := k.fencings[s]
 			return f != nil && f.voterRecord == k.cache.voterRecords[s].Revision && f.answers.Done(uptime.Now())
 		},
@@ -85,7 +85,7 @@
 
 // mayFence applies the grace period to a holder without a member key. A process that has just
 // started has not received any heartbeat yet and waits. The lock is held.
-func (k *Keeper) mayFence(s right.Subject) bool {
+func (k *Manager) mayFence(s right.MemberID) bool {
 	if uptime.Since(k.started) < 2*k.config.Suspect {
 		return false
 	}
@@ -95,7 +95,7 @@
 // eligible lists the members that may receive partitions: registered members that are not leaving,
 // and holders that may merely be late to register after an outage. Counting the latter keeps
 // partitions from moving twice. The lock is held.
-func (k *Keeper) eligible() []string {
+func (k *Manager) eligible() []string {
 	out := k.cache.remaining()
 	for s := range k.cache.unregistered {
 		if _, present := k.cache.members[s.Name]; !present && !k.mayFence(s) {
@@ -107,13 +107,13 @@
 }
 
 // canMove reports whether this process is connected to the store and its session is confirmed.
-func (k *Keeper) canMove() bool {
-	_, answers := k.session.Renewed()
+func (k *Manager) canMove() bool {
+	_, answers := k.session.LastRenewal()
 	age := k.storeAge()
 	return answers && age >= 0 && age < k.config.maxRenewalAge() && k.confirmed > 0
 }
 
-func (k *Keeper) countHeld() int {
+func (k *Manager) countHeld() int {
 	n := 0
 	for _, s := range k.slots {
 		if s.acts() {
@@ -125,7 +125,7 @@
 
 // claim writes this process into the record of a partition for which no process has authority: it
 // was never held, was released, or its holder is fenced.
-func (k *Keeper) claim(ctx context.Context, s *slot, old view.Partition, recordRevision platform.Revision) {
+func (k *Manager) claim(ctx context.Context, s *slot, old view.Partition, recordRevision platform.Revision) {
 	if !wait.For(ctx, rand.N(k.config.Spread+1)) {
 		return
 	}
@@ -143,7 +143,7 @@
 		}
 		conditions = append(conditions,
 			platform.Condition{Key: member.Key(old.Holder), ModRevision: holder},
-			platform.Condition{Key: member.CharterKey(old.Holder, old.Incarnation), ModRevision: recordRevision})
+			platform.Condition{Key: member.VoterRecordKey(old.Holder, old.Incarnation), ModRevision: recordRevision})
 	}
 	k.metrics.claims.Inc()
 	rec, err := k.writeRecord(ctx, record{Partition: next}, conditions)
@@ -160,7 +160,7 @@
 // writeRecord moves a partition's record if the conditions hold. If the reply is lost, the watch
 // resolves the outcome, or the next attempt does: it fails on the revision if this one took effect.
 // After platform.ErrUnavailable and errMoved the write certainly had no effect.
-func (k *Keeper) writeRecord(ctx context.Context, next record, conditions []platform.Condition) (view.Partition, error) {
+func (k *Manager) writeRecord(ctx context.Context, next record, conditions []platform.Condition) (view.Partition, error) {
 	change := next.change()
 	callCtx, cancel := context.WithTimeout(ctx, k.config.Term)
 	defer cancel()
@@ -188,7 +188,7 @@
 }
 
 // applyFound updates the cache with what a refused transaction found. The lock is held.
-func (k *Keeper) applyFound(conditions []platform.Condition, reply platform.TxnReply) {
+func (k *Manager) applyFound(conditions []platform.Condition, reply platform.TxnReply) {
 	found := map[string]bool{}
 	for _, rec := range reply.Found {
 		found[rec.Key] = true
@@ -205,7 +205,7 @@
 }
 
 // acquire activates a partition whose record names this process.
-func (k *Keeper) acquire(ctx context.Context, s *slot, rec view.Partition, neverHeld bool) {
+func (k *Manager) acquire(ctx context.Context, s *slot, rec view.Partition, neverHeld bool) {
 	k.mu.Lock()
 	s.event(eventAcquire)
 	s.record = rec
@@ -225,7 +225,7 @@
 // activate lets the components start work for a partition in state acquiring. The record counts for
 // the confirmed session only while the cache still contains it: the cache was read after that
 // session began.
-func (k *Keeper) activate(ctx context.Context, s *slot, states map[string][]byte, handedOver, neverHeld bool) {
+func (k *Manager) activate(ctx context.Context, s *slot, states map[string][]byte, handedOver, neverHeld bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	k.mu.Lock()
@@ -233,7 +233,7 @@
 	if k.cache.partitions[s.id] == s.record {
 		s.session = k.confirmed
 	}
-	acquisition := Takeover{Grant: k.currentGrant(s), SignedOff: handedOver, Fresh: neverHeld, TakenAt: time.Now()}
+	acquisition := Acquisition{Grant: k.currentGrant(s), HandedOver: handedOver, NeverHeld: neverHeld, AcquiredAt: time.Now()}
 	k.mu.Unlock()
 	k.acquireComponents(ctx, acquisition, states)
 	k.mu.Lock()
@@ -243,7 +243,7 @@
 }
 
 // acquireComponents calls the components in reverse order of their release.
-func (k *Keeper) acquireComponents(ctx context.Context, t Takeover, states map[string][]byte) {
+func (k *Manager) acquireComponents(ctx context.Context, t Acquisition, states map[string][]byte) {
 	for i := len(k.components) - 1; i >= 0; i-- {
 		r := k.components[i]
 		t.State = states[r.Name()]
@@ -255,7 +255,7 @@
 }
 
 // drop lets the components discard a partition that another member holds.
-func (k *Keeper) drop(s *slot) {
+func (k *Manager) drop(s *slot) {
 	k.mu.Lock()
 	if !s.owned() {
 		k.mu.Unlock()
@@ -272,7 +272,7 @@
 }
 
 // dropAll drops all partitions that have no step running, without waiting for the other steps.
-func (k *Keeper) dropAll() {
+func (k *Manager) dropAll() {
 	k.mu.Lock()
 	var owned []*slot
 	for _, s := range k.slots {
--- a/internal/hold/suspended_test.go
+++ b/internal/hold/suspended_test.go
@@ -31,7 +31,7 @@
 		for _, n := range []*node{a, b} {
 			for _, id := range n.Held() {
 				_, err := n.Check(id)
-				is.Equal(result.CodeOf(err), result.RightLapsed)
+				is.Equal(result.CodeOf(err), result.AuthorityExpired)
 			}
 		}
 		time.Sleep(2 * c.config.Term)
--- a/internal/hold/sweep.go
+++ b/internal/hold/sweep.go
@@ -23,7 +23,7 @@
 // deleteUnusedRecords discards what is known of incarnations that have ended and hold nothing. One
 // member deletes their voter records from the store, so that these do not accumulate with every
 // start of a process.
-func (k *Keeper) deleteUnusedRecords(ctx context.Context) error {
+func (k *Manager) deleteUnusedRecords(ctx context.Context) error {
 	k.mu.Lock()
 	used := k.usedMembers()
 	now := uptime.Now()
@@ -34,11 +34,11 @@
 			k.unusedSince[s] = now
 		}
 	}
-	maps.DeleteFunc(k.unusedSince, func(s right.Subject, _ time.Time) bool { return k.cache.voterRecords[s].Charter == nil })
-	maps.DeleteFunc(k.fencings, func(s right.Subject, f *fencing) bool { return !used[s] && !f.running })
+	maps.DeleteFunc(k.unusedSince, func(s right.MemberID, _ time.Time) bool { return k.cache.voterRecords[s].VoterRecord == nil })
+	maps.DeleteFunc(k.fencings, func(s right.MemberID, f *fencing) bool { return !used[s] && !f.running })
 	txn := k.deleteUnusedTxn(now)
 	k.mu.Unlock()
-	k.heartbeats.Forget(func(h heartbeat.Heard) bool { return now.Sub(h.At) > unusedTerms*k.config.Term })
+	k.heartbeats.Forget(func(h heartbeat.Contact) bool { return now.Sub(h.ReceivedAt) > unusedTerms*k.config.Term })
 	if len(txn.Then) == 0 {
 		return nil
 	}
@@ -47,10 +47,10 @@
 }
 
 // usedMembers are the incarnations that are registered or hold a partition. The lock is held.
-func (k *Keeper) usedMembers() map[right.Subject]bool {
-	used := map[right.Subject]bool{k.memberID(): true}
+func (k *Manager) usedMembers() map[right.MemberID]bool {
+	used := map[right.MemberID]bool{k.memberID(): true}
 	for _, e := range k.cache.members {
-		used[right.Subject{Name: e.Member.Name, Incarnation: e.Member.Incarnation}] = true
+		used[right.MemberID{Name: e.Member.Name, Incarnation: e.Member.Incarnation}] = true
 	}
 	for _, p := range k.cache.partitions {
 		used[holderOf(p)] = true
@@ -61,7 +61,7 @@
 // deleteUnusedTxn deletes voter records that have been unused for long, if this member is
 // responsible for it. Its conditions fail if one of their members has registered again, since that
 // writes the voter record. The lock is held.
-func (k *Keeper) deleteUnusedTxn(now time.Time) platform.Txn {
+func (k *Manager) deleteUnusedTxn(now time.Time) platform.Txn {
 	var txn platform.Txn
 	remaining := k.cache.remaining()
 	if len(remaining) == 0 || slices.Min(remaining) != k.session.Self().Name {
@@ -74,7 +74,7 @@
 		if now.Sub(since) < unusedTerms*k.config.Term {
 			continue
 		}
-		key := member.CharterKey(s.Name, s.Incarnation)
+		key := member.VoterRecordKey(s.Name, s.Incarnation)
 		txn.If = append(txn.If, platform.Condition{Key: key, ModRevision: k.cache.voterRecords[s].Revision})
 		txn.Then = append(txn.Then, platform.Write{Key: key, Delete: true})
 	}
--- a/internal/holder/burst_test.go
+++ b/internal/holder/burst_test.go
@@ -118,15 +118,15 @@
 	return r, err
 }
 
-func (o directHosts) Pace(ctx context.Context, to host.Info, epoch uint64, run host.Run, percent int) (r host.Reply, err error) {
-	err = o.call(ctx, to, func(h *hostsim.Host) { r = h.Pace(epoch, run, percent) })
+func (o directHosts) Throttle(ctx context.Context, to host.Info, epoch uint64, run host.Run, percent int) (r host.Reply, err error) {
+	err = o.call(ctx, to, func(h *hostsim.Host) { r = h.Throttle(epoch, run, percent) })
 	return r, err
 }
 
-func (o directHosts) Look(ctx context.Context, to host.Info, epoch uint64, l host.Look) (v host.View, err error) {
+func (o directHosts) Poll(ctx context.Context, to host.Info, epoch uint64, l host.Poll) (v host.View, err error) {
 	err = o.call(ctx, to, func(h *hostsim.Host) {
 		answer := make(chan host.View, 1)
-		h.Look(epoch, l, func(v host.View) { answer <- v })
+		h.Poll(epoch, l, func(v host.View) { answer <- v })
 		select {
 		case v = <-answer:
 		case <-ctx.Done():
@@ -244,11 +244,11 @@
 		Store: c.store.Client("a"), Health: health, Hosts: directHosts{c.fleet, resources}, Peers: networkPort{c.network, "holder"}, Log: discardLogger(),
 		Self: "holder", Addr: "holder", Shards: func() []linkshard.Member { return c.shards }, Tuning: engine.DefaultTuning(),
 		Bounds: engine.Bounds{
-			LeaseLimit: hostsim.DefaultBounds.LeaseLimit, StopTakes: hostsim.DefaultBounds.StopTakes, GangWait: hostsim.DefaultBounds.GangWait, RememberEnded: time.Hour,
+			MaxLease: hostsim.DefaultBounds.MaxLease, MaxStopTime: hostsim.DefaultBounds.MaxStopTime, GangTimeout: hostsim.DefaultBounds.GangTimeout, EndedJobTTL: time.Hour,
 		},
 		HostPrefix: prefix, HostOf: func(key string) host.ID { return host.ID(key[len(prefix):]) },
 		DecodeHost: func(rec platform.Record) (host.Info, error) { return listed[host.ID(rec.Key[len(prefix):])], nil },
-		Catalog:    func() *catalog.Catalog { return &catalog.Catalog{} }, Lanes: func() map[string]string { return nil },
+		Catalog:    func() *catalog.Catalog { return &catalog.Catalog{} }, PolicyMembers: func() map[string]string { return nil },
 		Metrics: NewMetrics(prometheus.NewRegistry()), Busy: func() bool { return false },
 		Event: func(e engine.Event) {
 			if e.What == "job ended" && e.Why == string(record.StateCompleted) {
@@ -281,11 +281,11 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for n := 0; time.Since(c.startedAt) < d; n++ {
 		id := fmt.Sprint("job-", n)
-		job := &record.Job{ID: id, Queue: "ticket", Service: "s", Rules: catalog.Rules{Attempts: 3, Stretch: 1.5, TargetMillis: 250}, Graph: spec.Graph{
+		job := &record.Job{ID: id, Queue: "ticket", Service: "s", Rules: catalog.Rules{MaxAttempts: 3, CriticalPathFactor: 1.5, TargetMillis: 250}, Graph: spec.Graph{
 			Command: string(make([]byte, 150)),
 			Steps:   []spec.Step{{Count: tasksPerJob, Size: spec.Resources{MilliCPU: 8000, MemoryMiB: 8192}, EstimateMillis: taskRunTime.Milliseconds()}},
 		}}
-		c.fleet.Know(job)
+		c.fleet.AddJob(job)
 		c.mu.Lock()
 		c.arrived[id] = time.Now()
 		c.mu.Unlock()
@@ -304,7 +304,7 @@
 func (c *burstCell) notifyHolder(job *record.Job) {
 	for range 20 {
 		ctx, cancel := context.WithTimeout(c.t.Context(), 2500*time.Millisecond)
-		err := networkPort{c.network, "front"}.Call(ctx, "holder", peer.KindAccepted, Accepted{Job: *job, Fresh: false}, &Empty{})
+		err := networkPort{c.network, "front"}.Call(ctx, "holder", peer.KindJobAccepted, JobAccepted{Job: *job, Fresh: false}, &Empty{})
 		cancel()
 		if err == nil {
 			return
@@ -395,7 +395,7 @@
 				c.stop()
 				c.store.Close()
 				time.Sleep(10 * time.Second) // open calls and runs end
-				for _, wrong := range c.fleet.Judge().Wrong() {
+				for _, wrong := range c.fleet.Checker().Violations() {
 					t.Error(wrong)
 				}
 				is.True(before >= 0.95)
--- a/internal/holder/commit.go
+++ b/internal/holder/commit.go
@@ -58,7 +58,7 @@
 	h.cfg.Metrics.observeCommit(start, len(groups), err)
 	switch {
 	case err == nil:
-		h.cfg.Health.Note(true, time.Now())
+		h.cfg.Health.RecordCall(true, time.Now())
 	case errors.Is(err, ledger.ErrDeposed):
 		h.cancel(err)
 	case h.ctx.Err() == nil:
--- a/internal/holder/dump.go
+++ b/internal/holder/dump.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(held) == 0 {
-		return nil, result.New(result.HolderAway, result.RanNo, "this process holds no partition")
+		return nil, result.New(result.HolderUnreachable, result.RanNo, "this process holds no partition")
 	}
 	return nil, result.New(result.JobUnknown, result.RanNo, "job %s", id)
 }
--- a/internal/holder/follow.go
+++ b/internal/holder/follow.go
@@ -55,7 +55,7 @@
 		state.jobsRevision = h.listAll(record.JobPrefix(p), func(rec platform.Record) error {
 			j, err := record.DecodeJob(rec.Value)
 			if err == nil {
-				j.ID = record.IDOf(rec.Key)
+				j.ID = record.JobIDOf(rec.Key)
 				state.jobs = append(state.jobs, j)
 			}
 			return err
@@ -66,7 +66,7 @@
 		h.listAll(record.ProgressPrefix(p), func(rec platform.Record) error {
 			done, err := record.DecodeProgress(rec.Value)
 			if err == nil {
-				state.progress[record.IDOf(rec.Key)] = done
+				state.progress[record.JobIDOf(rec.Key)] = done
 			}
 			return err
 		})
@@ -114,7 +114,7 @@
 	now := time.Now()
 	var reconcileDeadline time.Time
 	if previous.Epoch > 0 {
-		lease := float64(h.cfg.Bounds.LeaseLimit) * (1 + h.cfg.Tuning.ClockDrift)
+		lease := float64(h.cfg.Bounds.MaxLease) * (1 + h.cfg.Tuning.ClockDrift)
 		reconcileDeadline = start.Add(authorityDuration + time.Duration(lease) + reconcileMargin)
 	}
 	wall := now.UnixMilli()
@@ -145,7 +145,7 @@
 		ctx, cancel := context.WithTimeout(h.ctx, readTimeout)
 		records, revision, err := h.cfg.Store.List(ctx, prefix)
 		cancel()
-		h.cfg.Health.Note(err == nil, time.Now())
+		h.cfg.Health.RecordCall(err == nil, time.Now())
 		if err != nil {
 			wait.For(h.ctx, readRetryDelay)
 			continue
@@ -164,7 +164,7 @@
 func (h *Holder) followHosts() {
 	f := follow.Follower{
 		Store: h.cfg.Store, Health: h.cfg.Health, Prefix: h.cfg.HostPrefix, After: h.hostsRevision,
-		Wait: time.Second, Rest: hostsPollPause,
+		Wait: time.Second, PollPause: hostsPollPause,
 		List:   h.applyHostList,
 		Change: h.applyHostChange,
 	}
@@ -212,7 +212,7 @@
 func (h *Holder) followJobs() {
 	p := h.ledger.Holder().Partition
 	f := follow.Follower{
-		Store: h.cfg.Store, Health: h.cfg.Health, Prefix: record.JobPrefix(p), After: h.jobsRevision, Rest: jobsPollPause,
+		Store: h.cfg.Store, Health: h.cfg.Health, Prefix: record.JobPrefix(p), After: h.jobsRevision, PollPause: jobsPollPause,
 		List: func(records []platform.Record) {
 			for _, rec := range records {
 				h.applyJob(rec)
@@ -228,9 +228,9 @@
 }
 
 func (h *Holder) applyJob(rec platform.Record) {
-	id := record.IDOf(rec.Key)
+	id := record.JobIDOf(rec.Key)
 	h.mu.Lock()
-	known := h.engine.Knows(id)
+	known := h.engine.HasJob(id)
 	h.mu.Unlock()
 	if known {
 		return
--- a/internal/holder/follow_test.go
+++ b/internal/holder/follow_test.go
@@ -27,7 +27,7 @@
 // idleHosts are hosts without runs that answer every poll.
 type idleHosts struct{ host.Client }
 
-func (idleHosts) Look(_ context.Context, _ host.Info, _ uint64, l host.Look) (host.View, error) {
+func (idleHosts) Poll(_ context.Context, _ host.Info, _ uint64, l host.Poll) (host.View, error) {
 	time.Sleep(l.Wait)
 	return host.View{Clock: 1}, nil
 }
@@ -53,9 +53,9 @@
 	log.SetOutput(&out)
 	h := New(Config{
 		Store: store.Client("a"), Health: health, Hosts: hosts, Log: logrus.NewEntry(log), Tuning: engine.DefaultTuning(),
-		Bounds: engine.Bounds{LeaseLimit: 6 * time.Second}, HostPrefix: prefix, DecodeHost: decodeHost,
+		Bounds: engine.Bounds{MaxLease: 6 * time.Second}, HostPrefix: prefix, DecodeHost: decodeHost,
 		HostOf:  func(key string) host.ID { return host.ID(strings.TrimPrefix(key, prefix)) },
-		Catalog: func() *catalog.Catalog { return &catalog.Catalog{} }, Lanes: func() map[string]string { return nil },
+		Catalog: func() *catalog.Catalog { return &catalog.Catalog{} }, PolicyMembers: func() map[string]string { return nil },
 		Shards: func() []linkshard.Member { return nil }, Self: "a", Busy: func() bool { return false },
 		Metrics: NewMetrics(prometheus.NewRegistry()),
 	}, l)
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -73,16 +73,16 @@
 	// WaveState returns the write that reports the progress of one.
 	Machines   upkeep.Service
 	WavePrefix string
-	DecodeWave func(platform.Record) (upkeep.Wave, error)
+	DecodeWave func(platform.Record) (upkeep.Rollout, error)
 	WaveState  func(upkeep.Progress) platform.Write
 	// DutyLease is the minimum time between the previous holder's last order to a machine
 	// and the next holder's first one.
 	DutyLease time.Duration
 	Catalog   func() *catalog.Catalog
 	// PolicyMembers returns the members that can query the policy service, with their addresses.
-	Lanes   func() map[string]string
-	Metrics *Metrics
-	Event   func(engine.Event)
+	PolicyMembers func() map[string]string
+	Metrics       *Metrics
+	Event         func(engine.Event)
 	// Busy reports whether this process is short of processor time.
 	Busy func() bool
 }
@@ -237,7 +237,7 @@
 
 func (h *Holder) decide() (engine.Orders, time.Time) {
 	c := h.cfg.Catalog()
-	members := h.cfg.Lanes()
+	members := h.cfg.PolicyMembers()
 	names := make([]string, 0, len(members))
 	for name := range members {
 		names = append(names, name)
@@ -248,7 +248,7 @@
 	h.hostCount.Store(int64(h.engine.Hosts()))
 	h.engine.SetCatalog(c, now)
 	h.engine.SetMembers(names)
-	h.engine.SetProved(h.ledger.LastConfirmed().Add(authorityDuration))
+	h.engine.SetAuthority(h.ledger.LastConfirmed().Add(authorityDuration))
 	orders, due := h.engine.Next(now)
 	h.cfg.Metrics.observeDecision(time.Since(now))
 	return orders, due
@@ -257,10 +257,10 @@
 // dispatchOrders starts the execution of the orders without waiting for any result.
 func (h *Holder) dispatchOrders(o engine.Orders) {
 	h.router.Do(h.ctx, h.hostCalls(o))
-	for _, a := range o.Asks {
+	for _, a := range o.Queries {
 		h.calls.Go(func() { h.queryPolicy(a) })
 	}
-	for _, u := range o.Upkeeps {
+	for _, u := range o.MachineOrders {
 		h.calls.Go(func() { h.startMaintenance(u) })
 	}
 	if o.ListMachines {
@@ -278,7 +278,7 @@
 // the engine and have to be called with the lock held.
 func (h *Holder) hostCalls(o engine.Orders) []linkshard.Call {
 	e := h.engine
-	calls := make([]linkshard.Call, 0, len(o.Stops)+len(o.Starts)+len(o.Paces)+len(o.Looks))
+	calls := make([]linkshard.Call, 0, len(o.Stops)+len(o.Starts)+len(o.Throttles)+len(o.Polls))
 	for _, s := range o.Stops {
 		calls = append(calls, linkshard.Call{To: s.To, Stop: &s.Run, Done: func(x linkshard.Outcome, now time.Time) {
 			e.Stopped(s, x.Reply, x.Err, now)
@@ -289,29 +289,29 @@
 			e.Started(s, x.Reply, x.Err, now)
 		}})
 	}
-	for _, p := range o.Paces {
-		pace := &linkshard.Pace{Run: p.Run, Percent: p.Percent}
-		calls = append(calls, linkshard.Call{To: p.To, Pace: pace, Done: func(x linkshard.Outcome, now time.Time) {
-			e.Paced(p, x.Reply, x.Err, now)
+	for _, p := range o.Throttles {
+		pace := &linkshard.Throttle{Run: p.Run, Percent: p.Percent}
+		calls = append(calls, linkshard.Call{To: p.To, Throttle: pace, Done: func(x linkshard.Outcome, now time.Time) {
+			e.HandleThrottleResult(p, x.Reply, x.Err, now)
 		}})
 	}
-	for _, l := range o.Looks {
-		calls = append(calls, linkshard.Call{To: l.To, Look: &l.Look, Done: func(x linkshard.Outcome, now time.Time) {
-			e.Viewed(l, x.Sent, x.View, x.Err, now)
+	for _, l := range o.Polls {
+		calls = append(calls, linkshard.Call{To: l.To, Poll: &l.Poll, Done: func(x linkshard.Outcome, now time.Time) {
+			e.Polled(l, x.Sent, x.View, x.Err, now)
 		}})
 	}
 	return calls
 }
 
 // queryPolicy queries the policy service through the member that the engine selected.
-func (h *Holder) queryPolicy(o engine.AskOrder) {
-	timeout := o.Patience
+func (h *Holder) queryPolicy(o engine.QueryOrder) {
+	timeout := o.Timeout
 	if h.cfg.Busy() {
 		timeout += busyTimeoutExtension
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, timeout)
 	defer cancel()
-	var reply advice.Answer
-	err := h.cfg.Peers.Call(ctx, h.cfg.Lanes()[o.Lane], peer.KindAdvise, PolicyQuery{Step: o.Step, Hosts: o.Hosts}, &reply)
-	h.updateEngine(func(e *engine.Engine, now time.Time) { e.Advised(o, reply, err, now) })
+	var reply advice.Reply
+	err := h.cfg.Peers.Call(ctx, h.cfg.PolicyMembers()[o.Member], peer.KindPolicyQuery, PolicyQuery{Step: o.Step, Hosts: o.Hosts}, &reply)
+	h.updateEngine(func(e *engine.Engine, now time.Time) { e.PolicyAnswered(o, reply, err, now) })
 }
--- a/internal/holder/messages.go
+++ b/internal/holder/messages.go
@@ -20,21 +20,21 @@
 }
 
 // ServePolicyQueries registers the handler that forwards policy queries of holders to service.
-func ServeAdvice(mux *peer.Mux, service advice.Service) {
-	peer.Handle(mux, peer.KindAdvise, func(ctx context.Context, query PolicyQuery) (advice.Answer, error) {
-		reply, err := service.Advise(ctx, query.Step, query.Hosts)
+func ServePolicyQueries(mux *peer.Mux, service advice.Service) {
+	peer.Handle(mux, peer.KindPolicyQuery, func(ctx context.Context, query PolicyQuery) (advice.Reply, error) {
+		reply, err := service.Query(ctx, query.Step, query.Hosts)
 		switch {
 		case errors.Is(err, advice.ErrBusy):
-			return advice.Answer{}, result.New(result.AdviceBusy, result.RanNo, "%v", err)
+			return advice.Reply{}, result.New(result.PolicyBusy, result.RanNo, "%v", err)
 		case err != nil:
-			return advice.Answer{}, result.New(result.AdviceFailed, result.RanUnknown, "%v", err)
+			return advice.Reply{}, result.New(result.PolicyQueryFailed, result.RanUnknown, "%v", err)
 		}
 		return reply, nil
 	})
 }
 
 // JobAccepted notifies the holder that a job of its partition was accepted and stored.
-type Accepted struct {
+type JobAccepted struct {
 	Partition int        `cbor:"1,keyasint"`
 	Job       record.Job `cbor:"2,keyasint"`
 	// Age is the time since the job was accepted.
@@ -55,10 +55,10 @@
 // JobReply reports the state of a job. Found is false if the holder has no such job or the
 // account has no access to it.
 type JobReply struct {
-	Known bool         `cbor:"1,keyasint"`
+	Found bool         `cbor:"1,keyasint"`
 	State record.State `cbor:"2,keyasint"`
 	// AccessChecked is true if the holder verified that the account has access to the job.
-	Checked bool `cbor:"3,keyasint,omitempty"`
+	AccessChecked bool `cbor:"3,keyasint,omitempty"`
 }
 
 // PendingRequest asks for the number of jobs of a queue that have not started.
--- a/internal/holder/metrics.go
+++ b/internal/holder/metrics.go
@@ -60,10 +60,10 @@
 // Load summarizes the work of the holders of this process since it was last taken.
 type Load struct {
 	// DecisionTime is the total duration of decisions.
-	Deciding time.Duration
+	DecisionTime time.Duration
 	// LongestWait is the longest wait of an update for the engine's lock, OldestJobAge the
 	// largest age of an accepted job when the engine received it.
-	LongestWait, OldestJob time.Duration
+	LongestWait, OldestJobAge time.Duration
 }
 
 // NewMetrics returns the metrics, registered with reg.
@@ -142,7 +142,7 @@
 	m.decisions.Observe(took.Seconds())
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.load.Deciding += took
+	m.load.DecisionTime += took
 }
 
 func (m *Metrics) observeWait(d time.Duration) {
@@ -156,7 +156,7 @@
 	m.jobAge.Observe(age.Seconds())
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.load.OldestJob = max(m.load.OldestJob, age)
+	m.load.OldestJobAge = max(m.load.OldestJobAge, age)
 }
 
 func (m *Metrics) observeCommit(start time.Time, records int, err error) {
--- a/internal/holder/metrics_test.go
+++ b/internal/holder/metrics_test.go
@@ -37,9 +37,9 @@
 func TestCrashesAreCountedByHowTheyWereSeen(t *testing.T) {
 	is := is.New(t)
 	m := NewMetrics(prometheus.NewRegistry())
-	for _, how := range []string{crashloop.HowProven, crashloop.HowUnsure, crashloop.HowProven} {
+	for _, how := range []string{crashloop.ObservedAtEnd, crashloop.ObservedNever, crashloop.ObservedAtEnd} {
 		m.countEvent(engine.Event{What: eventCrash, Kind: how})
 	}
-	is.Equal(testutil.ToFloat64(m.crashes.WithLabelValues(crashloop.HowProven)), 2.0)
-	is.Equal(testutil.ToFloat64(m.crashes.WithLabelValues(crashloop.HowUnsure)), 1.0)
+	is.Equal(testutil.ToFloat64(m.crashes.WithLabelValues(crashloop.ObservedAtEnd)), 2.0)
+	is.Equal(testutil.ToFloat64(m.crashes.WithLabelValues(crashloop.ObservedNever)), 1.0)
 }
--- a/internal/holder/table.go
+++ b/internal/holder/table.go
@@ -28,10 +28,10 @@
 // NewTable returns an empty table and registers its message handlers on mux.
 func NewTable(cfg Config, mux *peer.Mux) *Table {
 	t := &Table{cfg: cfg, holders: map[int]*Holder{}}
-	peer.Handle(mux, peer.KindAccepted, t.onAccepted)
-	peer.Handle(mux, peer.KindState, t.onState)
+	peer.Handle(mux, peer.KindJobAccepted, t.onAccepted)
+	peer.Handle(mux, peer.KindJobState, t.onState)
 	peer.Handle(mux, peer.KindCancelJob, t.onCancel)
-	peer.Handle(mux, peer.KindPending, t.onPending)
+	peer.Handle(mux, peer.KindPendingJobs, t.onPending)
 	peer.Handle(mux, peer.KindHostReport, t.onHostReport)
 	return t
 }
@@ -59,10 +59,10 @@
 	if h := t.holders[partition]; h != nil {
 		return h, nil
 	}
-	return nil, result.New(result.HolderAway, result.RanNo, "partition %d is not held here", partition).Later(retryDelay)
+	return nil, result.New(result.HolderUnreachable, result.RanNo, "partition %d is not held here", partition).WithRetryAfter(retryDelay)
 }
 
-func (t *Table) onAccepted(_ context.Context, a Accepted) (Empty, error) {
+func (t *Table) onAccepted(_ context.Context, a JobAccepted) (Empty, error) {
 	h, err := t.holder(a.Partition)
 	if err != nil {
 		return Empty{}, err
@@ -87,11 +87,11 @@
 func (h *Holder) state(req JobRequest) JobReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.engine.Open(req.Job, req.Account) {
+	if !h.engine.AccessibleTo(req.Job, req.Account) {
 		return JobReply{}
 	}
 	s, _ := h.engine.State(req.Job)
-	return JobReply{Known: true, State: s, Checked: true}
+	return JobReply{Found: true, State: s, AccessChecked: true}
 }
 
 func (t *Table) onCancel(ctx context.Context, req JobRequest) (JobReply, error) {
@@ -106,7 +106,7 @@
 func (h *Holder) cancelJob(ctx context.Context, req JobRequest) (JobReply, error) {
 	id, known := req.Job, false
 	h.updateEngine(func(e *engine.Engine, now time.Time) {
-		if e.Open(id, req.Account) {
+		if e.AccessibleTo(id, req.Account) {
 			_, known = e.Cancel(id, now)
 		}
 	})
@@ -119,14 +119,14 @@
 		batchStored := h.batchStored
 		h.mu.Unlock()
 		if s.Final() {
-			return JobReply{Known: true, State: s, Checked: true}, nil
+			return JobReply{Found: true, State: s, AccessChecked: true}, nil
 		}
 		select {
 		case <-batchStored:
 		case <-ctx.Done():
-			return JobReply{}, result.New(result.JobStoreUnknown, result.RanUnknown, "the cancellation is not stored yet").Later(retryDelay)
+			return JobReply{}, result.New(result.JobStoreUnknown, result.RanUnknown, "the cancellation is not stored yet").WithRetryAfter(retryDelay)
 		case <-h.ctx.Done():
-			return JobReply{}, result.New(result.HolderAway, result.RanUnknown, "the partition was lost while the cancellation was stored").Later(retryDelay)
+			return JobReply{}, result.New(result.HolderUnreachable, result.RanUnknown, "the partition was lost while the cancellation was stored").WithRetryAfter(retryDelay)
 		}
 	}
 }
@@ -138,18 +138,18 @@
 		return Empty{}, err
 	}
 	if epoch := h.ledger.Holder().Epoch; r.Epoch != epoch {
-		return Empty{}, result.New(result.HolderAway, result.RanNo, "partition %d is held with epoch %d, not %d", r.Partition, epoch, r.Epoch)
+		return Empty{}, result.New(result.HolderUnreachable, result.RanNo, "partition %d is held with epoch %d, not %d", r.Partition, epoch, r.Epoch)
 	}
 	return Empty{}, h.router.Report(r)
 }
 
-// UnderWay returns the number of host calls whose outcome is pending, and whether this
+// PendingCalls returns the number of host calls whose outcome is pending, and whether this
 // process holds any partition.
-func (t *Table) UnderWay() (calls int, holds bool) {
+func (t *Table) PendingCalls() (calls int, holds bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, h := range t.holders {
-		calls += h.router.UnderWay()
+		calls += h.router.PendingCalls()
 	}
 	return calls, len(t.holders) > 0
 }
--- a/internal/holder/upkeep.go
+++ b/internal/holder/upkeep.go
@@ -51,6 +51,6 @@
 	ctx, cancel := context.WithTimeout(h.ctx, machineCallTimeout)
 	defer cancel()
 	self := h.ledger.Holder()
-	out, err := h.cfg.Machines.Begin(ctx, o.Machine, o.Wave, self.Name, self.Epoch)
-	h.updateEngine(func(e *engine.Engine, now time.Time) { e.Upkept(o, out, err, now) })
+	out, err := h.cfg.Machines.StartMaintenance(ctx, o.Machine, o.Rollout, self.Name, self.Epoch)
+	h.updateEngine(func(e *engine.Engine, now time.Time) { e.HandleUpkeepResult(o, out, err, now) })
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -18,10 +18,10 @@
 // ID identifies a host. A host that crashed returns under the same id or another one.
 type ID string
 
-// Life identifies one incarnation of a host: the Unix millisecond of its start, by the host's own
+// Incarnation identifies one incarnation of a host: the Unix millisecond of its start, by the host's own
 // wall clock. Zero is an unknown incarnation. Values are compared for equality only, because the
 // wall clock may jump.
-type Life int64
+type Incarnation int64
 
 // Millis is a reading of one host's own monotonic clock, in milliseconds. Readings of different
 // hosts cannot be compared.
@@ -29,14 +29,14 @@
 
 // Info is a host's description of itself.
 type Info struct {
-	ID   ID
-	Life Life
-	// Beat increases each time the host sends this description. The content may be as old as the
+	ID          ID
+	Incarnation Incarnation
+	// HeartbeatSeq increases each time the host sends this description. The content may be as old as the
 	// last increase.
-	Beat    int64
-	Addr    string // host:port of its calls
-	Zone    string // availability zone
-	Service string
+	HeartbeatSeq int64
+	Addr         string // host:port of its calls
+	Zone         string // availability zone
+	Service      string
 	// Kind and Rack are also among the labels.
 	Kind, Rack string
 	Labels     []string
@@ -66,11 +66,11 @@
 // Start is an order to start a run.
 type Start struct {
 	Run
-	// Life is the incarnation that has to start the run. Another incarnation under the same id
+	// Incarnation is the incarnation that has to start the run. Another incarnation under the same id
 	// starts with a new clock and without an epoch, so neither of them prevents it from carrying
 	// out a late start. Zero is for a host that does not report its incarnation.
-	Life    Life
-	Command string
+	Incarnation Incarnation
+	Command     string
 	// Deadline is a time on the host's clock: a start that arrives later is refused. A start also
 	// extends the host's lease to at least this time.
 	Deadline Millis
@@ -86,13 +86,13 @@
 
 // The reasons of a host. In all of these cases nothing was started.
 const (
-	RefusedFenced    Refusal = "fenced"    // it has received a higher epoch
-	RefusedOld       Refusal = "old"       // a run with this number or a higher one was stopped or has ended there
-	RefusedLate      Refusal = "late"      // it arrived after its deadline
-	RefusedFull      Refusal = "full"      // not enough free capacity
-	RefusedTicket    Refusal = "ticket"    // the ticket is missing or has expired
-	RefusedUnhealthy Refusal = "unhealthy" // the host is not healthy
-	RefusedInvalid   Refusal = "invalid"   // the host cannot interpret it
+	RefusedFenced       Refusal = "fenced"    // it has received a higher epoch
+	RefusedSuperseded   Refusal = "old"       // a run with this number or a higher one was stopped or has ended there
+	RefusedPastDeadline Refusal = "late"      // it arrived after its deadline
+	RefusedNoCapacity   Refusal = "full"      // not enough free capacity
+	RefusedTicket       Refusal = "ticket"    // the ticket is missing or has expired
+	RefusedUnhealthy    Refusal = "unhealthy" // the host is not healthy
+	RefusedInvalid      Refusal = "invalid"   // the host cannot interpret it
 )
 
 // Reply is the reply to a start, a stop or a throttle.
@@ -103,13 +103,13 @@
 	Refused Refusal
 }
 
-// Look requests a view of what runs on a host. With a Lease it also renews the host's lease.
-type Look struct {
-	// Seen acknowledges the end records up to this number. The numbers belong to one incarnation:
+// Poll requests a view of what runs on a host. With a Lease it also renews the host's lease.
+type Poll struct {
+	// AckedEnds acknowledges the end records up to this number. The numbers belong to one incarnation:
 	// another one under the same id has end records of its own with the same numbers, which must
 	// not be acknowledged.
-	Seen int64
-	Life Life
+	AckedEnds   int64
+	Incarnation Incarnation
 	// Lease is the time, on the host's clock, until which everything on the host may run; zero
 	// does not renew the lease.
 	Lease Millis
@@ -129,34 +129,34 @@
 	Gauge float64
 }
 
-// How is the way in which a run ended.
-type How string
+// EndReason is the way in which a run ended.
+type EndReason string
 
 // The ways in which a run ends.
 const (
-	EndDone    How = "done"
-	EndFailed  How = "failed"  // caused by the run or by the host
-	EndStopped How = "stopped" // on request
-	EndLapsed  How = "lapsed"  // its lease expired
-	EndBroken  How = "broken"  // another member of the gang ended
-	EndAlone   How = "alone"   // it waited too long for the other members
+	EndDone         EndReason = "done"
+	EndFailed       EndReason = "failed"  // caused by the run or by the host
+	EndStopped      EndReason = "stopped" // on request
+	EndLeaseExpired EndReason = "lapsed"  // its lease expired
+	EndGangBroken   EndReason = "broken"  // another member of the gang ended
+	EndGangTimeout  EndReason = "alone"   // it waited too long for the other members
 )
 
 // End is the end record of a run. Numbers increase from 1 in each incarnation of a host.
 type End struct {
 	Number int64
 	Run
-	How        How
+	EndReason  EndReason
 	Checkpoint string
 }
 
 // View is the state that a host reports: all runs, and the end records that are not acknowledged
 // (the oldest few hundred of them).
 type View struct {
-	Clock   Millis
-	Life    Life
-	Running []Running
-	Ended   []End
+	Clock       Millis
+	Incarnation Incarnation
+	Running     []Running
+	Ended       []End
 	// Fenced is true if the host has received a higher epoch; all other fields are then empty.
 	Fenced bool
 }
@@ -164,16 +164,16 @@
 // Errors of a call. After ErrNotSent and ErrOtherIncarnation the call has had no effect and never
 // will; after ErrLost it may take effect, even seconds later.
 var (
-	ErrNotSent   = errors.New("host: not reachable, nothing was sent")
-	ErrLost      = errors.New("host: request sent, no reply")
-	ErrOtherLife = errors.New("host: another incarnation of the host replied")
-	// ErrBroken is an ErrLost whose connection broke before the reply. The process at the other
+	ErrNotSent          = errors.New("host: not reachable, nothing was sent")
+	ErrLost             = errors.New("host: request sent, no reply")
+	ErrOtherIncarnation = errors.New("host: another incarnation of the host replied")
+	// ErrConnectionBroken is an ErrLost whose connection broke before the reply. The process at the other
 	// end existed until then; a host that is disconnected or without power does not break
 	// connections.
-	ErrBroken = fmt.Errorf("%w: connection broken", ErrLost)
-	// ErrRefused is an ErrNotSent for which the host's machine refused the connection, because
+	ErrConnectionBroken = fmt.Errorf("%w: connection broken", ErrLost)
+	// ErrConnectionRefused is an ErrNotSent for which the host's machine refused the connection, because
 	// the host's process is gone.
-	ErrRefused = fmt.Errorf("%w: connection refused", ErrNotSent)
+	ErrConnectionRefused = fmt.Errorf("%w: connection refused", ErrNotSent)
 )
 
 // Client makes calls to hosts. Each call is sent at most once.
@@ -182,10 +182,10 @@
 	// zero.
 	Start(ctx context.Context, to Info, epoch uint64, s Start) (Reply, error)
 	Stop(ctx context.Context, to Info, epoch uint64, r Run) (Reply, error)
-	// Look never lets an incarnation other than l.Incarnation delete end records, unless that is
+	// Poll never lets an incarnation other than l.Incarnation delete end records, unless that is
 	// zero. It may omit the acknowledgement if it is not certain of the incarnation; the host
 	// then reports the end records again.
-	Look(ctx context.Context, to Info, epoch uint64, l Look) (View, error)
-	// Pace throttles a run to a percentage of its speed, 0 to 100.
-	Pace(ctx context.Context, to Info, epoch uint64, r Run, percent int) (Reply, error)
+	Poll(ctx context.Context, to Info, epoch uint64, l Poll) (View, error)
+	// Throttle throttles a run to a percentage of its speed, 0 to 100.
+	Throttle(ctx context.Context, to Info, epoch uint64, r Run, percent int) (Reply, error)
 }
--- a/internal/hostcall/hostcall.go
+++ b/internal/hostcall/hostcall.go
@@ -63,12 +63,12 @@
 	})
 }
 
-// Pace implements host.Client. It is sent once, as the next one corrects a lost one.
-func (c *Caller) Pace(ctx context.Context, to host.Info, epoch uint64, r host.Run, percent int) (host.Reply, error) {
+// Throttle implements host.Client. It is sent once, as the next one corrects a lost one.
+func (c *Caller) Throttle(ctx context.Context, to host.Info, epoch uint64, r host.Run, percent int) (host.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	started := time.Now()
-	reply, err := c.hosts.Pace(ctx, to, epoch, r, percent)
+	reply, err := c.hosts.Throttle(ctx, to, epoch, r, percent)
 	c.metrics.called("pace", started, reply, err)
 	return reply, err
 }
@@ -124,7 +124,7 @@
 	switch {
 	case errors.Is(err, host.ErrNotSent):
 		return "not-sent"
-	case errors.Is(err, host.ErrOtherLife):
+	case errors.Is(err, host.ErrOtherIncarnation):
 		return "other-life"
 	case err != nil:
 		return "lost"
--- a/internal/hostcall/poll.go
+++ b/internal/hostcall/poll.go
@@ -70,9 +70,9 @@
 	return now.Sub(l.lastLoss) < lossyPeriod, l.repoll
 }
 
-// Look implements host.Client. It polls again over a new connection when the open ones may have
+// Poll implements host.Client. It polls again over a new connection when the open ones may have
 // become silent, or answers are lost.
-func (c *Caller) Look(ctx context.Context, to host.Info, epoch uint64, l host.Look) (host.View, error) {
+func (c *Caller) Poll(ctx context.Context, to host.Info, epoch uint64, l host.Poll) (host.View, error) {
 	inFlight := time.Duration(c.pollsInFlight.Add(1))
 	defer c.pollsInFlight.Add(-1)
 	for {
@@ -88,14 +88,14 @@
 }
 
 // pollOnce polls once. It reports whether the poll was cancelled to be repeated.
-func (c *Caller) pollOnce(ctx context.Context, to host.Info, epoch uint64, l host.Look, now time.Time) (view host.View, retry bool, err error) {
+func (c *Caller) pollOnce(ctx context.Context, to host.Info, epoch uint64, l host.Poll, now time.Time) (view host.View, retry bool, err error) {
 	slack := pollSlack
 	lossy, repoll := c.lossTracker.recentLoss(now)
 	if lossy && c.mayRepeat() {
 		l.Wait = min(l.Wait, lossyPollWait)
 		slack = lossyPollSlack
 	}
-	renewed := c.health.Renewed()
+	renewed := c.health.PollsRepeated()
 	ctx, cancel := context.WithTimeout(ctx, l.Wait+slack)
 	defer cancel()
 	go func() {
@@ -107,7 +107,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	view, err = c.hosts.Look(ctx, to, epoch, l)
+	view, err = c.hosts.Poll(ctx, to, epoch, l)
 	return view, err != nil && (isClosed(renewed) || isClosed(repoll)), err
 }
 
--- a/internal/hostcall/poll_test.go
+++ b/internal/hostcall/poll_test.go
@@ -27,7 +27,7 @@
 	lastWait   atomic.Int64 // wait of the last poll, in nanoseconds
 }
 
-func (s *unresponsiveHosts) Look(ctx context.Context, _ host.Info, _ uint64, l host.Look) (host.View, error) {
+func (s *unresponsiveHosts) Poll(ctx context.Context, _ host.Info, _ uint64, l host.Poll) (host.View, error) {
 	s.polls.Add(1)
 	s.lastWait.Store(int64(l.Wait))
 	if !s.responsive.Load() {
@@ -44,7 +44,7 @@
 		event    func(c *Caller)
 		lastWait time.Duration // wait of the second poll
 	}{
-		"connections became silent": {func(c *Caller) { c.health.Renew() }, 2 * time.Second},
+		"connections became silent": {func(c *Caller) { c.health.RepeatPolls() }, 2 * time.Second},
 		"answers are lost":          {func(c *Caller) { c.lossTracker.record(time.Now()) }, lossyPollWait},
 	}
 	for name, tc := range tests {
@@ -56,7 +56,7 @@
 				ended := make(chan struct{})
 				started := time.Now()
 				go func() {
-					_, err := c.Look(t.Context(), host.Info{ID: "h"}, 1, host.Look{Wait: 2 * time.Second})
+					_, err := c.Poll(t.Context(), host.Info{ID: "h"}, 1, host.Poll{Wait: 2 * time.Second})
 					if err != nil {
 						t.Error(err)
 					}
--- a/internal/hostcall/repeat.go
+++ b/internal/hostcall/repeat.go
@@ -47,7 +47,7 @@
 // counts only while no other copy may have been carried out; otherwise the outcome is host.ErrLost.
 // It is host.ErrNotSent when no copy reached its host.
 func (c *Caller) sendCopies(ctx context.Context, to host.Info, send func(context.Context) (host.Reply, error)) (host.Reply, error) {
-	c.copies.Earn(copyBudgetPercent)
+	c.copies.Deposit(copyBudgetPercent)
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout+lateAnswerWait)
 	o := order{ctx: ctx, cancel: cancel, send: send, answers: make(chan copyResult, maxOrderCopies)}
 	reply, err := c.await(ctx, &o, to)
@@ -78,7 +78,7 @@
 				return host.Reply{}, o.failure(a.err)
 			}
 		case <-next.C:
-			if o.copies == maxOrderCopies || !c.mayRepeat() || !c.copies.Spend() {
+			if o.copies == maxOrderCopies || !c.mayRepeat() || !c.copies.TryWithdraw() {
 				continue
 			}
 			if r, ok := c.hosts.(Reconnecter); ok {
@@ -157,13 +157,13 @@
 func (o *order) settles(a copyResult) bool {
 	o.pending--
 	switch {
-	case errors.Is(a.err, host.ErrOtherLife):
+	case errors.Is(a.err, host.ErrOtherIncarnation):
 		return true // nothing can run there
 	case errors.Is(a.err, host.ErrNotSent):
 		return o.pending == 0 && !o.lost
 	case a.err != nil:
 		o.lost = true
-		o.broken = o.broken || errors.Is(a.err, host.ErrBroken)
+		o.broken = o.broken || errors.Is(a.err, host.ErrConnectionBroken)
 		return false
 	case a.reply.Refused == "", a.reply.Refused == host.RefusedFenced:
 		return true
@@ -204,7 +204,7 @@
 // failure returns the error of an order that no copy has settled.
 func (o *order) failure(last error) error {
 	if o.broken {
-		return fmt.Errorf("%w: %d copies", host.ErrBroken, o.copies)
+		return fmt.Errorf("%w: %d copies", host.ErrConnectionBroken, o.copies)
 	}
 	if last != nil && !errors.Is(last, host.ErrNotSent) {
 		return last
--- a/internal/hostcall/repeat_test.go
+++ b/internal/hostcall/repeat_test.go
@@ -47,30 +47,30 @@
 		lossy   bool
 	}{
 		"answered":                             {copies: []copyOutcome{{after: 2 * ms}}, sent: 1, within: 2 * ms},
-		"refused":                              {copies: []copyOutcome{{after: 2 * ms, refused: host.RefusedFull}}, refused: host.RefusedFull, sent: 1, within: 2 * ms},
+		"refused":                              {copies: []copyOutcome{{after: 2 * ms, refused: host.RefusedNoCapacity}}, refused: host.RefusedNoCapacity, sent: 1, within: 2 * ms},
 		"lost, then answered":                  {copies: []copyOutcome{noAnswer, {after: 2 * ms}}, sent: 2, within: 70 * ms, lossy: true},
 		"lost twice, then answered":            {copies: []copyOutcome{noAnswer, noAnswer, {after: 2 * ms}}, sent: 3, within: 190 * ms, lossy: true},
 		"lost for good":                        {copies: []copyOutcome{noAnswer, noAnswer, noAnswer}, want: host.ErrLost, sent: 3, within: orderTimeout},
 		"slow, answered after a copy was sent": {copies: []copyOutcome{{after: 80 * ms}, {after: 40 * ms}}, sent: 2, within: 80 * ms},
 		"answered after its copy":              {copies: []copyOutcome{{after: 100 * ms}, {after: 2 * ms}}, sent: 2, within: 70 * ms},
 		"done, but the answer got lost, and its copy is too old": {
-			copies: []copyOutcome{noAnswer, {after: 2 * ms, refused: host.RefusedOld}, {after: 2 * ms, refused: host.RefusedOld}},
+			copies: []copyOutcome{noAnswer, {after: 2 * ms, refused: host.RefusedSuperseded}, {after: 2 * ms, refused: host.RefusedSuperseded}},
 			want:   host.ErrLost, sent: 3, within: orderTimeout,
 		},
 		"lost, then fenced":               {copies: []copyOutcome{noAnswer, {after: 2 * ms, refused: host.RefusedFenced}}, refused: host.RefusedFenced, sent: 2, within: 70 * ms, lossy: true},
-		"lost, then another incarnation":  {copies: []copyOutcome{noAnswer, {after: 2 * ms, err: host.ErrOtherLife}}, want: host.ErrOtherLife, sent: 2, within: 70 * ms},
+		"lost, then another incarnation":  {copies: []copyOutcome{noAnswer, {after: 2 * ms, err: host.ErrOtherIncarnation}}, want: host.ErrOtherIncarnation, sent: 2, within: 70 * ms},
 		"host not reached":                {copies: []copyOutcome{{after: ms, err: host.ErrNotSent}}, want: host.ErrNotSent, sent: 1, within: ms},
 		"lost, then host not reached":     {copies: []copyOutcome{noAnswer, {after: ms, err: host.ErrNotSent}, {after: ms, err: host.ErrNotSent}}, want: host.ErrLost, sent: 3, within: orderTimeout},
 		"no connection is made":           {copies: []copyOutcome{noConnection, noConnection, noConnection}, want: host.ErrNotSent, sent: 3, within: orderTimeout},
 		"lost, then no connection":        {copies: []copyOutcome{noAnswer, noConnection, noConnection}, want: host.ErrLost, sent: 3, within: orderTimeout},
 		"no connection, then lost":        {copies: []copyOutcome{noConnection, noConnection, noAnswer}, want: host.ErrLost, sent: 3, within: orderTimeout},
-		"no connection, then refused":     {copies: []copyOutcome{noConnection, {after: 2 * ms, refused: host.RefusedFull}, noConnection}, refused: host.RefusedFull, sent: 3, within: orderTimeout},
+		"no connection, then refused":     {copies: []copyOutcome{noConnection, {after: 2 * ms, refused: host.RefusedNoCapacity}, noConnection}, refused: host.RefusedNoCapacity, sent: 3, within: orderTimeout},
 		"lost at once":                    {copies: []copyOutcome{{after: 10 * ms, err: host.ErrLost}}, want: host.ErrLost, sent: 1, within: 10 * ms},
-		"the connection breaks":           {copies: []copyOutcome{{after: 10 * ms, err: host.ErrBroken}}, want: host.ErrBroken, sent: 1, within: 10 * ms},
-		"broken, then connection refused": {copies: []copyOutcome{{after: 80 * ms, err: host.ErrBroken}, {after: 40 * ms, err: host.ErrRefused}}, want: host.ErrBroken, sent: 2, within: 100 * ms},
-		"connection refused":              {copies: []copyOutcome{{after: ms, err: host.ErrRefused}}, want: host.ErrRefused, sent: 1, within: ms},
+		"the connection breaks":           {copies: []copyOutcome{{after: 10 * ms, err: host.ErrConnectionBroken}}, want: host.ErrConnectionBroken, sent: 1, within: 10 * ms},
+		"broken, then connection refused": {copies: []copyOutcome{{after: 80 * ms, err: host.ErrConnectionBroken}, {after: 40 * ms, err: host.ErrConnectionRefused}}, want: host.ErrConnectionBroken, sent: 2, within: 100 * ms},
+		"connection refused":              {copies: []copyOutcome{{after: ms, err: host.ErrConnectionRefused}}, want: host.ErrConnectionRefused, sent: 1, within: ms},
 		"both fail, one unsent":           {copies: []copyOutcome{{after: 80 * ms, err: host.ErrLost}, {after: 40 * ms, err: host.ErrNotSent}}, want: host.ErrLost, sent: 2, within: 100 * ms},
-		"refused twice":                   {copies: []copyOutcome{{after: 90 * ms, refused: host.RefusedFull}, {after: 2 * ms, refused: host.RefusedFull}}, refused: host.RefusedFull, sent: 2, within: 90 * ms},
+		"refused twice":                   {copies: []copyOutcome{{after: 90 * ms, refused: host.RefusedNoCapacity}, {after: 2 * ms, refused: host.RefusedNoCapacity}}, refused: host.RefusedNoCapacity, sent: 2, within: 90 * ms},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/hostsim/calls.go
+++ b/internal/hostsim/calls.go
@@ -9,7 +9,7 @@
 // not arrive: its connection ended with that incarnation.
 func (h *Host) Start(epoch uint64, s host.Start) (reply host.Reply) {
 	h.withLock(func() {
-		if !h.up || !h.isIncarnation(s.Life) {
+		if !h.up || !h.isIncarnation(s.Incarnation) {
 			return
 		}
 		reply = h.start(epoch, s)
@@ -20,14 +20,14 @@
 	return reply
 }
 
-// IsLife reports whether the host is up in an incarnation; zero matches any.
-func (h *Host) IsLife(incarnation host.Life) (is bool) {
+// IsIncarnation reports whether the host is up in an incarnation; zero matches any.
+func (h *Host) IsIncarnation(incarnation host.Incarnation) (is bool) {
 	h.withLock(func() { is = h.up && h.isIncarnation(incarnation) })
 	return is
 }
 
-func (h *Host) isIncarnation(incarnation host.Life) bool {
-	return incarnation == 0 || incarnation == h.info.Life || h.fleet.CarriesOver
+func (h *Host) isIncarnation(incarnation host.Incarnation) bool {
+	return incarnation == 0 || incarnation == h.info.Incarnation || h.fleet.AcceptEarlierStarts
 }
 
 func (h *Host) start(epoch uint64, s host.Start) host.Reply {
@@ -42,11 +42,11 @@
 	}
 	switch {
 	case s.Deadline <= h.clock():
-		reply.Refused = host.RefusedLate
+		reply.Refused = host.RefusedPastDeadline
 		return reply
 	case s.No <= h.highestEnded[s.Task]:
 		h.grant(s.Deadline)
-		reply.Refused = host.RefusedOld
+		reply.Refused = host.RefusedSuperseded
 		return reply
 	}
 	rec := h.fleet.jobs[s.Task.Job]
@@ -54,13 +54,13 @@
 		h.fleet.checker.violationf("UNASKED start of %v", s.Task)
 		return reply
 	}
-	if rec.Rules.Advice != nil && s.Ticket != TicketOf(s.Task.StepID, h.info.ID) {
+	if rec.Rules.PolicyQuery != nil && s.Ticket != TicketOf(s.Task.StepID, h.info.ID) {
 		reply.Refused = host.RefusedTicket
 		return reply
 	}
 	if h.lacksCapacity(rec.Graph.Steps[s.Task.Step]) {
 		h.grant(s.Deadline)
-		reply.Refused = host.RefusedFull
+		reply.Refused = host.RefusedNoCapacity
 		return reply
 	}
 	h.grant(s.Deadline)
@@ -82,8 +82,8 @@
 // TicketOf returns the ticket that the simulated policy service issues for a step on a host.
 func TicketOf(step spec.StepID, h host.ID) string { return step.String() + string(h) }
 
-// Pace carries out a throttle that has arrived. It takes effect at once.
-func (h *Host) Pace(epoch uint64, which host.Run, percent int) (reply host.Reply) {
+// Throttle carries out a throttle that has arrived. It takes effect at once.
+func (h *Host) Throttle(epoch uint64, which host.Run, percent int) (reply host.Reply) {
 	h.withLock(func() { reply = h.setSpeed(epoch, which, percent) })
 	return reply
 }
@@ -97,7 +97,7 @@
 	h.epoch = epoch
 	r := h.runs[which]
 	if r == nil {
-		reply.Refused = host.RefusedOld
+		reply.Refused = host.RefusedSuperseded
 		return reply
 	}
 	r.accrued, r.speedSetAt = r.workDone(h.fleet.clock.Now()), h.fleet.clock.Now()
@@ -113,11 +113,11 @@
 func (h *Host) tail(r *run) float64 {
 	ratio := baseTail
 	for _, other := range h.sorted() {
-		if other.step.Filler {
-			ratio += h.fleet.Harm[other.step.Image] * float64(other.speed) / fullSpeed
+		if other.step.Backfill {
+			ratio += h.fleet.BackfillImpact[other.step.Image] * float64(other.speed) / fullSpeed
 		}
 	}
-	return ratio * float64(r.step.TailTargetMillis)
+	return ratio * float64(r.step.TailLatencyTargetMillis)
 }
 
 // baseTail is the tail latency of a serving task without backfill tasks, as a fraction of its
@@ -155,7 +155,7 @@
 	}
 	r.stopping = true
 	r.gen++
-	h.fleet.after(h.fleet.Bounds.StopTakes/2, func() {
+	h.fleet.after(h.fleet.Bounds.MaxStopTime/2, func() {
 		if h.runs[which] == r && h.up {
 			h.end(r, host.EndStopped)
 		}
@@ -163,13 +163,13 @@
 	return reply
 }
 
-// Look carries out a poll that has arrived. The answer is delayed if the poll waits for an end
+// Poll carries out a poll that has arrived. The answer is delayed if the poll waits for an end
 // record.
-func (h *Host) Look(epoch uint64, l host.Look, answer func(host.View)) {
+func (h *Host) Poll(epoch uint64, l host.Poll, answer func(host.View)) {
 	h.withLock(func() { h.poll(epoch, l, answer) })
 }
 
-func (h *Host) poll(epoch uint64, l host.Look, answer func(host.View)) {
+func (h *Host) poll(epoch uint64, l host.Poll, answer func(host.View)) {
 	if epoch < h.epoch {
 		answer(host.View{Clock: h.clock(), Fenced: true})
 		return
@@ -178,8 +178,8 @@
 	if l.Lease > 0 {
 		h.grant(l.Lease)
 	}
-	if l.Life == 0 || l.Life == h.info.Life { // as host.Client guarantees
-		h.forget(l.Seen)
+	if l.Incarnation == 0 || l.Incarnation == h.info.Incarnation { // as host.Client guarantees
+		h.forget(l.AckedEnds)
 	}
 	if l.Wait == 0 || len(h.ends) > 0 {
 		answer(h.view())
@@ -208,10 +208,10 @@
 const maxListedEnds = 500
 
 func (h *Host) view() host.View {
-	v := host.View{Clock: h.clock(), Life: h.reportedIncarnation(), Ended: append([]host.End(nil), h.ends[:min(len(h.ends), maxListedEnds)]...)}
+	v := host.View{Clock: h.clock(), Incarnation: h.reportedIncarnation(), Ended: append([]host.End(nil), h.ends[:min(len(h.ends), maxListedEnds)]...)}
 	for _, r := range h.sorted() {
 		row := host.Running{Run: r.Run, Percent: h.percent(r), Gauge: float64(r.step.Size.MilliCPU)}
-		if r.step.TailTargetMillis > 0 {
+		if r.step.TailLatencyTargetMillis > 0 {
 			row.Gauge = h.tail(r)
 		}
 		v.Running = append(v.Running, row)
@@ -219,11 +219,11 @@
 	return v
 }
 
-func (h *Host) reportedIncarnation() host.Life {
-	if h.fleet.Lifeless {
+func (h *Host) reportedIncarnation() host.Incarnation {
+	if h.fleet.OmitIncarnation {
 		return 0
 	}
-	return h.info.Life
+	return h.info.Incarnation
 }
 
 func (h *Host) percent(r *run) float64 {
@@ -240,13 +240,13 @@
 	return min(100, 100*float64(r.workDone(h.fleet.clock.Now()))/float64(took))
 }
 
-// Tails returns the tail latency of each serving task on the host as a fraction of its target.
-func (h *Host) Tails() map[host.Run]float64 {
+// TailLatencies returns the tail latency of each serving task on the host as a fraction of its target.
+func (h *Host) TailLatencies() map[host.Run]float64 {
 	out := map[host.Run]float64{}
 	h.withLock(func() {
 		for key, r := range h.runs {
-			if r.step.TailTargetMillis > 0 {
-				out[key] = h.tail(r) / float64(r.step.TailTargetMillis)
+			if r.step.TailLatencyTargetMillis > 0 {
+				out[key] = h.tail(r) / float64(r.step.TailLatencyTargetMillis)
 			}
 		}
 	})
--- a/internal/hostsim/capacity.go
+++ b/internal/hostsim/capacity.go
@@ -44,13 +44,13 @@
 // allocated returns the sum of the resources of the runs on the host.
 func (h *Host) allocated() (sum spec.Resources) {
 	for _, r := range h.runs {
-		sum = sum.Add(r.step.Booked())
+		sum = sum.Add(r.step.Allocation())
 	}
 	return sum
 }
 
-// Over reports whether the runs on the host exceed its capacity.
-func (h *Host) Over() (over bool) {
+// Overcommitted reports whether the runs on the host exceed its capacity.
+func (h *Host) Overcommitted() (over bool) {
 	h.withLock(func() { over = h.up && !h.allocated().Fits(h.size) })
 	return over
 }
@@ -58,15 +58,15 @@
 // lacksCapacity reports whether a host that enforces its capacity has to refuse a start, and
 // counts the refusals.
 func (h *Host) lacksCapacity(step spec.Step) bool {
-	if !h.fleet.Guards || h.allocated().Add(step.Booked()).Fits(h.size) {
+	if !h.fleet.EnforceCapacity || h.allocated().Add(step.Allocation()).Fits(h.size) {
 		return false
 	}
 	h.fleet.checker.refusedFull++
 	return true
 }
 
-// RefusedForRoom returns the number of starts that hosts refused for lack of capacity.
-func (j *Judge) RefusedForRoom() int {
+// RefusedForCapacity returns the number of starts that hosts refused for lack of capacity.
+func (j *Checker) RefusedForCapacity() int {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	return j.refusedFull
--- a/internal/hostsim/checker.go
+++ b/internal/hostsim/checker.go
@@ -8,11 +8,11 @@
 	"pulleyquay/internal/spec"
 )
 
-// Judge records what happens on the hosts and checks the invariants: no host over its capacity,
+// Checker records what happens on the hosts and checks the invariants: no host over its capacity,
 // no task on two hosts at once or again after its completion was acknowledged, no step before the
 // steps it depends on, no start beyond the limit on failures. It is guarded by the fleet's
 // lock.
-type Judge struct {
+type Checker struct {
 	fleet     *Fleet
 	startedAt time.Time
 
@@ -39,8 +39,8 @@
 	violations  []string
 }
 
-func newChecker(f *Fleet) *Judge {
-	return &Judge{
+func newChecker(f *Fleet) *Checker {
+	return &Checker{
 		fleet: f, startedAt: f.clock.Now(),
 		running: map[spec.StepTask]map[*Host]int{}, isDone: map[spec.StepTask]bool{},
 		doneAcknowledged: map[spec.StepTask]bool{}, failed: map[spec.StepTask]map[int]bool{},
@@ -51,35 +51,35 @@
 // maxViolations bounds the recorded violations.
 const maxViolations = 100
 
-func (j *Judge) violationf(format string, args ...any) {
+func (j *Checker) violationf(format string, args ...any) {
 	if len(j.violations) < maxViolations {
 		j.violations = append(j.violations, fmt.Sprintf("%v: ", j.fleet.clock.Now().Sub(j.startedAt))+fmt.Sprintf(format, args...))
 	}
 }
 
-// Wrong returns the violations of invariants, the first hundred of them.
-func (j *Judge) Wrong() []string {
+// Violations returns the violations of invariants, the first hundred of them.
+func (j *Checker) Violations() []string {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	return append([]string(nil), j.violations...)
 }
 
-// Breach records a violation that was detected elsewhere.
-func (j *Judge) Breach(format string, args ...any) {
+// RecordViolation records a violation that was detected elsewhere.
+func (j *Checker) RecordViolation(format string, args ...any) {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	j.violationf(format, args...)
 }
 
 // Starts returns the number of runs that were started.
-func (j *Judge) Starts() int {
+func (j *Checker) Starts() int {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	return j.starts
 }
 
 // JobDone reports whether all tasks of a job have ended as done.
-func (j *Judge) JobDone(id string) bool {
+func (j *Checker) JobDone(id string) bool {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	rec := j.fleet.jobs[id]
@@ -94,7 +94,7 @@
 	return true
 }
 
-func (j *Judge) stepDone(id string, step int) bool {
+func (j *Checker) stepDone(id string, step int) bool {
 	for k := range j.fleet.jobs[id].Graph.Steps[step].Count {
 		if !j.isDone[spec.StepTask{StepID: spec.StepID{Job: id, Step: step}, Index: k}] {
 			return false
@@ -104,7 +104,7 @@
 }
 
 // recordStart checks a run that has just started.
-func (j *Judge) recordStart(h *Host, r *run, epoch uint64) {
+func (j *Checker) recordStart(h *Host, r *run, epoch uint64) {
 	j.starts++
 	r.record = j.recordArrival(h, r.Run)
 	r.record.fate, r.record.startedAt = fateRunning, j.fleet.clock.Now()
@@ -129,7 +129,7 @@
 			j.violationf("ORDER %v starts before step %d is done", r.Task, before)
 		}
 	}
-	if maxAttempts := j.fleet.jobs[r.Task.Job].Rules.Attempts; len(j.failed[r.Task]) >= maxAttempts && !r.step.LongRunning {
+	if maxAttempts := j.fleet.jobs[r.Task.Job].Rules.MaxAttempts; len(j.failed[r.Task]) >= maxAttempts && !r.step.LongRunning {
 		j.violationf("BUDGET %v starts after %d failures", r.Run, len(j.failed[r.Task]))
 	}
 	j.checkCrashLimit(r, epoch)
@@ -140,8 +140,8 @@
 }
 
 // checkDisruption checks an order that ends a task of a step with a disruption budget.
-func (j *Judge) checkDisruption(h *Host, r *run) {
-	if r.step.MayMiss == 0 || r.stopping {
+func (j *Checker) checkDisruption(h *Host, r *run) {
+	if r.step.MaxUnavailable == 0 || r.stopping {
 		return
 	}
 	absent := r.step.Count - 1
@@ -152,21 +152,21 @@
 			}
 		}
 	}
-	if absent >= r.step.MayMiss {
+	if absent >= r.step.MaxUnavailable {
 		j.violationf("AVAIL %v is stopped on %s while %d others of its step are absent", r.Run, h.info.ID, absent)
 	}
 }
 
-func (j *Judge) recordEnd(h *Host, r *run, f fate) {
+func (j *Checker) recordEnd(h *Host, r *run, f fate) {
 	j.running[r.Task][h]--
 	r.record.fate, r.record.endedAt, r.record.hostDisconnected = f, j.fleet.clock.Now(), h.link.disconnected
 }
 
-func (j *Judge) recordDone(t spec.StepTask) { j.isDone[t] = true }
+func (j *Checker) recordDone(t spec.StepTask) { j.isDone[t] = true }
 
 // recordFailure records that a run is reported as failed. All members of a gang's run count as
 // one failure.
-func (j *Judge) recordFailure(r *run) {
+func (j *Checker) recordFailure(r *run) {
 	t := r.Task
 	if r.step.Gang {
 		t.Index = 0
@@ -178,8 +178,8 @@
 }
 
 // recordAck records an end that the holder has acknowledged.
-func (j *Judge) recordAck(e host.End) {
-	switch e.How {
+func (j *Checker) recordAck(e host.End) {
+	switch e.EndReason {
 	case host.EndDone:
 		j.doneAcknowledged[e.Task] = true
 	case host.EndFailed:
@@ -191,7 +191,7 @@
 }
 
 // Started reports whether any task of a job has ever been started.
-func (j *Judge) Started(job string) bool {
+func (j *Checker) Started(job string) bool {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	for t := range j.running {
--- a/internal/hostsim/checker_test.go
+++ b/internal/hostsim/checker_test.go
@@ -28,7 +28,7 @@
 	if change != nil {
 		change(&step)
 	}
-	tr.fleet.Know(&record.Job{ID: "job", Rules: catalog.Rules{Attempts: 2}, Graph: spec.Graph{Steps: []spec.Step{step}}})
+	tr.fleet.AddJob(&record.Job{ID: "job", Rules: catalog.Rules{MaxAttempts: 2}, Graph: spec.Graph{Steps: []spec.Step{step}}})
 	return tr
 }
 
@@ -81,8 +81,8 @@
 		},
 		"hosts crashed while disconnected": {
 			setup: func(tr *testFleet) {
-				tr.hosts[0].Cut(true)
-				tr.hosts[1].Cut(true)
+				tr.hosts[0].SetDisconnected(true)
+				tr.hosts[1].SetDisconnected(true)
 				tr.crashUnder(0, 1, 1)
 				tr.crashUnder(1, 1, 2)
 			}, why: reasonTask1,
@@ -108,7 +108,7 @@
 			setup: func(tr *testFleet) {
 				for i := range 2 {
 					tr.start(1, i, 1, i+1)
-					tr.hosts[i].TakeDown()
+					tr.hosts[i].Decommission()
 				}
 			}, why: reasonTask1, wantViolation: true,
 		},
@@ -138,9 +138,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				tr := newTestFleet(tc.change)
 				tc.setup(tr)
-				before := len(tr.fleet.Judge().Wrong())
-				tr.fleet.Judge().GaveUpFor("job", tc.why)
-				is.New(t).Equal(len(tr.fleet.Judge().Wrong()) > before, tc.wantViolation)
+				before := len(tr.fleet.Checker().Violations())
+				tr.fleet.Checker().CheckFailedJob("job", tc.why)
+				is.New(t).Equal(len(tr.fleet.Checker().Violations()) > before, tc.wantViolation)
 			})
 		})
 	}
@@ -192,7 +192,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tr := newTestFleet(tc.change)
-				tr.fleet.Crashes = crashTask1
+				tr.fleet.CrashAfter = crashTask1
 				if tc.setup != nil {
 					tc.setup(tr)
 				}
@@ -204,8 +204,8 @@
 					tr.start(epoch, i, 1, i+1)
 					time.Sleep(100 * time.Millisecond)
 				}
-				is.New(t).Equal(strings.Contains(strings.Join(tr.fleet.Judge().Wrong(), "\n"), "BUDGET"), tc.wantViolation)
-				is.New(t).Equal(tr.fleet.Judge().HostsStruck(), tc.starts)
+				is.New(t).Equal(strings.Contains(strings.Join(tr.fleet.Checker().Violations(), "\n"), "BUDGET"), tc.wantViolation)
+				is.New(t).Equal(tr.fleet.Checker().HostsCrashedByTasks(), tc.starts)
 			})
 		})
 	}
@@ -215,7 +215,7 @@
 
 func (tr *testFleet) disconnectAll() {
 	for _, h := range tr.hosts {
-		h.Cut(true)
+		h.SetDisconnected(true)
 	}
 }
 
@@ -224,17 +224,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tr := newTestFleet(nil)
-		j := tr.fleet.Judge()
-		j.Ordered("h03", host.Run{Task: taskNo(1), No: 1})
-		j.Ordered("h00", host.Run{Task: taskNo(1), No: 2})
+		j := tr.fleet.Checker()
+		j.RecordOrder("h03", host.Run{Task: taskNo(1), No: 1})
+		j.RecordOrder("h00", host.Run{Task: taskNo(1), No: 2})
 		time.Sleep(time.Second)
 		tr.start(1, 0, 1, 2)
-		j.Answered("h00", host.Run{Task: taskNo(1), No: 2})
+		j.RecordReply("h00", host.Run{Task: taskNo(1), No: 2})
 		time.Sleep(100 * time.Millisecond)
-		tr.hosts[0].Cut(true)
+		tr.hosts[0].SetDisconnected(true)
 		tr.hosts[0].Restart()
-		j.GaveUpFor("job", reasonTask1)
-		text := strings.Join(j.Wrong(), "\n")
+		j.CheckFailedJob("job", reasonTask1)
+		text := strings.Join(j.Violations(), "\n")
 		for _, part := range []string{
 			"LOST job job", "1 hosts have crashed under task job/0/0/1", "run 1 on h03/", "ordered at 0s, never arrived, its host is up",
 			"run 2 on h00/", "began at 1s, answered, host crashed at 1.1s, while disconnected",
@@ -252,10 +252,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				tr := newTestFleet(nil)
-				tr.fleet.KeepsID = keepsID
+				tr.fleet.KeepID = keepsID
 				reset := false
 				tr.hosts[0].OnReset(func() { reset = true })
-				tr.hosts[0].Cut(true)
+				tr.hosts[0].SetDisconnected(true)
 				tr.hosts[0].Restart()
 				is.True(!reset && !tr.hosts[0].Refusing()) // nothing reaches the caller
 				time.Sleep(restartDelay + time.Millisecond)
@@ -264,10 +264,10 @@
 					next = tr.fleet.Host("h00.1")
 				}
 				is.True(next.Listed() && !next.Reachable())
-				is.True(!tr.hosts[0].OtherLife())
-				tr.hosts[0].Cut(false)
+				is.True(!tr.hosts[0].OtherIncarnation())
+				tr.hosts[0].SetDisconnected(false)
 				is.True(next.Reachable())
-				is.Equal(tr.hosts[0].OtherLife(), !keepsID)
+				is.Equal(tr.hosts[0].OtherIncarnation(), !keepsID)
 			})
 		})
 	}
--- a/internal/hostsim/crash.go
+++ b/internal/hostsim/crash.go
@@ -55,9 +55,9 @@
 // stays disconnected in its next incarnation, and resets no connections.
 func (h *Host) Restart() { h.withLock(func() { h.restart(nil) }) }
 
-// RestartDark is the same for a power loss: no connections are reset, and no calls are refused
+// RestartAfterPowerLoss is the same for a power loss: no connections are reset, and no calls are refused
 // while the machine is off.
-func (h *Host) RestartDark() {
+func (h *Host) RestartAfterPowerLoss() {
 	h.withLock(func() {
 		if h.up {
 			h.resetCallbacks = nil
@@ -81,7 +81,7 @@
 	h.resetCallbacks = nil
 	h.fleet.after(h.fleet.restartDelay(), func() {
 		h.refusing = false
-		if h.fleet.KeepsID {
+		if h.fleet.KeepID {
 			h.restartSameID()
 			return
 		}
@@ -103,15 +103,15 @@
 	h.up, h.listed = true, true
 	h.info.Draining, h.info.Remaining = false, 0
 	h.bootedAt, h.rate = h.fleet.clock.Now(), 1
-	h.info.Life = host.Life(h.bootedAt.UnixMilli())
+	h.info.Incarnation = host.Incarnation(h.bootedAt.UnixMilli())
 	h.epoch, h.lease, h.n = 0, 0, 0
 	h.highestEnded, h.ends, h.waitingPolls = map[spec.StepTask]int{}, nil, nil
 }
 
 // restartDelay is how long a crashed host takes to start again.
 func (f *Fleet) restartDelay() time.Duration {
-	if f.BackAfter > 0 {
-		return f.BackAfter
+	if f.RestartDelay > 0 {
+		return f.RestartDelay
 	}
 	return restartDelay
 }
@@ -141,10 +141,10 @@
 
 // scheduleCrash schedules the crash that a run causes, if its task crashes hosts.
 func (h *Host) scheduleCrash(r *run) {
-	if h.fleet.Crashes == nil {
+	if h.fleet.CrashAfter == nil {
 		return
 	}
-	after := h.fleet.Crashes(r.Task)
+	after := h.fleet.CrashAfter(r.Task)
 	if after <= 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 
 // crashForRun crashes the host because of a run.
 func (h *Host) crashForRun(r *run) {
-	if !h.fleet.DarkCrashes {
+	if !h.fleet.PowerLossCrashes {
 		h.restart(r)
 		return
 	}
@@ -167,18 +167,18 @@
 }
 
 // recordCrash counts a crash of a host; by is the run that caused it, or nil.
-func (j *Judge) recordCrash(by *run) {
+func (j *Checker) recordCrash(by *run) {
 	j.crashes++
 	if by != nil {
 		j.taskCrashes++
 	}
 }
 
-// GaveUpFor checks a job that is reported as failed. A task of the job, or a gang, has to be
+// CheckFailedJob checks a job that is reported as failed. A task of the job, or a gang, has to be
 // reported as failed as often as is allowed, or enough hosts have to have crashed while a run of
 // the same task was present and had not ended. why is the reason in the job's record; if it says
 // that hosts crash under a task, the task has to be the one it names.
-func (j *Judge) GaveUpFor(id, why string) {
+func (j *Checker) CheckFailedJob(id, why string) {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	suspects := j.tasksOf(id)
@@ -209,7 +209,7 @@
 }
 
 // tasksOf returns, in order, the tasks of a job that hosts were ordered to start.
-func (j *Judge) tasksOf(id string) (out []spec.StepTask) {
+func (j *Checker) tasksOf(id string) (out []spec.StepTask) {
 	for t := range j.records {
 		if t.Job == id {
 			out = append(out, t)
@@ -223,7 +223,7 @@
 
 // attemptsExhausted reports whether a task, or its gang, was reported as failed as often as is
 // allowed. It is false for a long-running task, which may fail at any time.
-func (j *Judge) attemptsExhausted(t spec.StepTask) bool {
+func (j *Checker) attemptsExhausted(t spec.StepTask) bool {
 	rec := j.fleet.jobs[t.Job]
 	if rec == nil || rec.Graph.Steps[t.Step].LongRunning {
 		return false
@@ -231,15 +231,15 @@
 	if rec.Graph.Steps[t.Step].Gang {
 		t.Index = 0
 	}
-	return len(j.listed[t]) >= rec.Rules.Attempts
+	return len(j.listed[t]) >= rec.Rules.MaxAttempts
 }
 
 // checkCrashLimit checks the start of a task that crashes hosts. It makes no difference whether
 // anybody has observed the crashes, or the start. Late orders of a previous holder are allowed
 // for speculative tasks.
-func (j *Judge) checkCrashLimit(r *run, epoch uint64) {
+func (j *Checker) checkCrashLimit(r *run, epoch uint64) {
 	j.epoch = max(j.epoch, epoch)
-	if j.fleet.Crashes == nil || j.fleet.Crashes(r.Task) <= 0 || r.step.Speculative && epoch < j.epoch {
+	if j.fleet.CrashAfter == nil || j.fleet.CrashAfter(r.Task) <= 0 || r.step.Speculative && epoch < j.epoch {
 		return
 	}
 	if j.crashesUnder(r.Task) < maxCrashes {
@@ -252,14 +252,14 @@
 }
 
 // HostsCrashed returns the number of incarnations of hosts that have ended in a crash.
-func (j *Judge) HostsCrashed() int {
+func (j *Checker) HostsCrashed() int {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	return j.crashes
 }
 
-// HostsStruck returns the number of crashes that were caused by a task.
-func (j *Judge) HostsStruck() int {
+// HostsCrashedByTasks returns the number of crashes that were caused by a task.
+func (j *Checker) HostsCrashedByTasks() int {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	return j.taskCrashes
--- a/internal/hostsim/fleet.go
+++ b/internal/hostsim/fleet.go
@@ -32,11 +32,11 @@
 
 // Bounds are the time limits of the platform's hosts.
 type Bounds struct {
-	LeaseLimit, StopTakes, GangWait time.Duration
+	MaxLease, MaxStopTime, GangTimeout time.Duration
 }
 
 // DefaultBounds are the limits at the users' first sites.
-var DefaultBounds = Bounds{LeaseLimit: 6 * time.Second, StopTakes: 200 * time.Millisecond, GangWait: 3 * time.Second}
+var DefaultBounds = Bounds{MaxLease: 6 * time.Second, MaxStopTime: 200 * time.Millisecond, GangTimeout: 3 * time.Second}
 
 // Fleet is a set of hosts. It is safe for concurrent use.
 type Fleet struct {
@@ -44,36 +44,36 @@
 	// SpreadOfWork is the additional work of the last member of a gang relative to the first, as
 	// a fraction of the step's estimate per member. Set it before use.
 	SpreadOfWork float64
-	// Harm is, for each image of backfill tasks, the increase in tail latency of the serving
+	// BackfillImpact is, for each image of backfill tasks, the increase in tail latency of the serving
 	// tasks on the same host at full speed, as a fraction of the target. Set it before use.
-	Harm map[string]float64
-	// Work returns the run time of a task on a host of normal speed; nil uses the task's
+	BackfillImpact map[string]float64
+	// RunTime returns the run time of a task on a host of normal speed; nil uses the task's
 	// estimate. Set it before use.
-	Work func(spec.StepTask) time.Duration
+	RunTime func(spec.StepTask) time.Duration
 
-	// Crashes returns the time after which a task crashes the host that has started it; zero
+	// CrashAfter returns the time after which a task crashes the host that has started it; zero
 	// means never. Set it before use.
-	Crashes func(spec.StepTask) time.Duration
-	// DarkCrashes makes crashes caused by tasks power losses: no connections are reset.
-	DarkCrashes bool
+	CrashAfter func(spec.StepTask) time.Duration
+	// PowerLossCrashes makes crashes caused by tasks power losses: no connections are reset.
+	PowerLossCrashes bool
 
-	// KeepsID makes crashed hosts start again under the same id, after BackAfter; zero is some
+	// KeepID makes crashed hosts start again under the same id, after BackAfter; zero is some
 	// seconds. Set both before use.
-	KeepsID   bool
-	BackAfter time.Duration
+	KeepID       bool
+	RestartDelay time.Duration
 
-	// CarriesOver makes hosts carry out starts that were sent to an earlier incarnation under the
+	// AcceptEarlierStarts makes hosts carry out starts that were sent to an earlier incarnation under the
 	// same id. Set it before use.
-	CarriesOver bool
+	AcceptEarlierStarts bool
 
-	// Lifeless makes hosts omit their incarnation in their views.
-	Lifeless bool
+	// OmitIncarnation makes hosts omit their incarnation in their views.
+	OmitIncarnation bool
 
-	// Guards makes hosts refuse starts for which they lack capacity. Set it before use.
-	Guards bool
+	// EnforceCapacity makes hosts refuse starts for which they lack capacity. Set it before use.
+	EnforceCapacity bool
 
 	clock   Clock
-	checker *Judge
+	checker *Checker
 
 	mu    sync.Mutex
 	hosts map[host.ID]*Host
@@ -95,11 +95,11 @@
 	return f
 }
 
-// Judge returns the checker of the fleet.
-func (f *Fleet) Judge() *Judge { return f.checker }
+// Checker returns the checker of the fleet.
+func (f *Fleet) Checker() *Checker { return f.checker }
 
-// Know gives the hosts the description of a job. Orders to start tasks contain only the job's id.
-func (f *Fleet) Know(j *record.Job) {
+// AddJob gives the hosts the description of a job. Orders to start tasks contain only the job's id.
+func (f *Fleet) AddJob(j *record.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[j.ID] = j
@@ -131,7 +131,7 @@
 }
 
 func (f *Fleet) add(info host.Info) *Host {
-	info.Life = host.Life(f.clock.Now().UnixMilli())
+	info.Incarnation = host.Incarnation(f.clock.Now().UnixMilli())
 	h := &Host{
 		fleet: f, info: info, link: &link{}, size: info.Size, up: true, listed: true, rate: 1,
 		// Hosts have been up for different times, so their clocks differ.
@@ -176,7 +176,7 @@
 	for _, h := range f.sorted() {
 		if h.listed {
 			info := h.info
-			info.Beat = int64(f.clock.Now().Sub(f.checker.startedAt) / heartbeatInterval)
+			info.HeartbeatSeq = int64(f.clock.Now().Sub(f.checker.startedAt) / heartbeatInterval)
 			out = append(out, info)
 		}
 	}
--- a/internal/hostsim/host.go
+++ b/internal/hostsim/host.go
@@ -47,8 +47,8 @@
 	speed         int           // in percent of full speed
 	accrued       time.Duration // work done before speedSetAt
 	speedSetAt    time.Time
-	how           host.How // how it ends by itself
-	gen           int      // invalidates scheduled ends
+	how           host.EndReason // how it ends by itself
+	gen           int            // invalidates scheduled ends
 	stopping      bool
 	finished      bool // its work is done; a gang's member waits for the others
 	record        *startRecord
@@ -101,12 +101,14 @@
 // SetAddr changes the address of the host, before it is listed.
 func (h *Host) SetAddr(addr string) { h.withLock(func() { h.info.Addr = addr }) }
 
-// Cut disconnects the host and all later incarnations on its machine, or connects them again. The
+// SetDisconnected disconnects the host and all later incarnations on its machine, or connects them again. The
 // host keeps running.
-func (h *Host) Cut(disconnected bool) { h.withLock(func() { h.link.disconnected = disconnected }) }
+func (h *Host) SetDisconnected(disconnected bool) {
+	h.withLock(func() { h.link.disconnected = disconnected })
+}
 
-// List adds the host to the platform's list, or removes it.
-func (h *Host) List(listed bool) { h.withLock(func() { h.listed = listed }) }
+// SetListed adds the host to the platform's list, or removes it.
+func (h *Host) SetListed(listed bool) { h.withLock(func() { h.listed = listed }) }
 
 // Drain makes the host report that it will leave.
 func (h *Host) Drain(remaining time.Duration) {
@@ -122,18 +124,18 @@
 	})
 }
 
-// Slow multiplies the run time of tasks that start from now on.
-func (h *Host) Slow(factor float64) { h.withLock(func() { h.slow = factor }) }
+// SetSlowdown multiplies the run time of tasks that start from now on.
+func (h *Host) SetSlowdown(factor float64) { h.withLock(func() { h.slow = factor }) }
 
-// Fail sets whether every task that starts from now on fails.
-func (h *Host) Fail(failTasks bool) { h.withLock(func() { h.failTasks = failTasks }) }
+// SetFailTasks sets whether every task that starts from now on fails.
+func (h *Host) SetFailTasks(failTasks bool) { h.withLock(func() { h.failTasks = failTasks }) }
 
-// Stall stops the progress of all tasks. Turned off again, it has an effect only on tasks that
+// SetStalled stops the progress of all tasks. Turned off again, it has an effect only on tasks that
 // start from now on.
-func (h *Host) Stall(stalled bool) { h.withLock(func() { h.stalled = stalled }) }
+func (h *Host) SetStalled(stalled bool) { h.withLock(func() { h.stalled = stalled }) }
 
-// TakeDown ends the host for good by an order of the scheduler.
-func (h *Host) TakeDown() {
+// Decommission ends the host for good by an order of the scheduler.
+func (h *Host) Decommission() {
 	h.withLock(func() {
 		for _, r := range h.sorted() {
 			h.fleet.checker.checkDisruption(h, r)
@@ -146,12 +148,12 @@
 // Crash ends the host for good, with all that runs on it.
 func (h *Host) Crash() { h.withLock(func() { h.crash(nil) }) }
 
-// Reborn ends the host's incarnation; from now on another one answers at its address.
-func (h *Host) Reborn() {
+// ReplaceIncarnation ends the host's incarnation; from now on another one answers at its address.
+func (h *Host) ReplaceIncarnation() {
 	h.Crash()
 	h.withLock(func() {
 		h.link.disconnected = false
-		if h.fleet.KeepsID {
+		if h.fleet.KeepID {
 			h.restartSameID()
 			return
 		}
@@ -159,8 +161,8 @@
 	})
 }
 
-// OtherLife reports whether another incarnation answers at the host's address.
-func (h *Host) OtherLife() (other bool) {
+// OtherIncarnation reports whether another incarnation answers at the host's address.
+func (h *Host) OtherIncarnation() (other bool) {
 	h.withLock(func() { other = h.replaced && !h.link.disconnected })
 	return other
 }
@@ -170,7 +172,7 @@
 	r.stopping = true
 	for _, m := range h.members(r) {
 		if m.on != h {
-			m.on.end(m.run, host.EndBroken)
+			m.on.end(m.run, host.EndGangBroken)
 		}
 	}
 }
@@ -182,7 +184,7 @@
 // grant renews the host's lease.
 func (h *Host) grant(until host.Millis) {
 	h.expire()
-	h.lease = max(h.lease, min(until, h.clock()+host.Millis(h.fleet.Bounds.LeaseLimit.Milliseconds())))
+	h.lease = max(h.lease, min(until, h.clock()+host.Millis(h.fleet.Bounds.MaxLease.Milliseconds())))
 	wait := time.Duration(float64(h.lease-h.clock())/h.rate+1) * time.Millisecond
 	h.fleet.after(wait, h.expire)
 }
@@ -193,7 +195,7 @@
 		return
 	}
 	for _, r := range h.sorted() {
-		h.end(r, host.EndLapsed)
+		h.end(r, host.EndLeaseExpired)
 	}
 }
 
--- a/internal/hostsim/quota.go
+++ b/internal/hostsim/quota.go
@@ -31,9 +31,9 @@
 	f.quotas[account] = append(granted, grantedQuota{Quota: q})
 }
 
-// RunningOf returns the resources of a client account's runs on hosts that are up, whether or not
+// AllocatedTo returns the resources of a client account's runs on hosts that are up, whether or not
 // they are reachable.
-func (f *Fleet) RunningOf(account string) spec.Resources {
+func (f *Fleet) AllocatedTo(account string) spec.Resources {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runningOf(account)
--- a/internal/hostsim/records.go
+++ b/internal/hostsim/records.go
@@ -36,8 +36,8 @@
 	hostDisconnected   bool // it ended while its host was disconnected
 }
 
-// Ordered records that a start is being sent to a host, for the text of violations.
-func (j *Judge) Ordered(to host.ID, r host.Run) {
+// RecordOrder records that a start is being sent to a host, for the text of violations.
+func (j *Checker) RecordOrder(to host.ID, r host.Run) {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	j.ordersRecorded = true
@@ -48,8 +48,8 @@
 	j.add(&startRecord{Run: r, incarnation: incarnation, ordered: j.fleet.clock.Now()})
 }
 
-// Answered records that the sender of a start has received the host's reply.
-func (j *Judge) Answered(by host.ID, r host.Run) {
+// RecordReply records that the sender of a start has received the host's reply.
+func (j *Checker) RecordReply(by host.ID, r host.Run) {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	if rec := j.lastOf(r, by); rec != nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Shown records that a view with these runs was received.
-func (j *Judge) Shown(by host.ID, rows []host.Running) {
+// RecordReported records that a view with these runs was received.
+func (j *Checker) RecordReported(by host.ID, rows []host.Running) {
 	j.fleet.mu.Lock()
 	defer j.fleet.mu.Unlock()
 	for _, row := range rows {
@@ -68,10 +68,10 @@
 	}
 }
 
-func (j *Judge) add(rec *startRecord) { j.records[rec.Task] = append(j.records[rec.Task], rec) }
+func (j *Checker) add(rec *startRecord) { j.records[rec.Task] = append(j.records[rec.Task], rec) }
 
 // lastOf returns the last record of a run on any incarnation of a host, or nil.
-func (j *Judge) lastOf(r host.Run, on host.ID) *startRecord {
+func (j *Checker) lastOf(r host.Run, on host.ID) *startRecord {
 	of := j.records[r.Task]
 	for i := len(of) - 1; i >= 0; i-- {
 		id, _, _ := strings.Cut(of[i].incarnation, "/")
@@ -84,7 +84,7 @@
 
 // recordArrival returns the record of a start that has arrived at a host: that of its order, if
 // the order was recorded and has no result yet, or a new one.
-func (j *Judge) recordArrival(h *Host, r host.Run) *startRecord {
+func (j *Checker) recordArrival(h *Host, r host.Run) *startRecord {
 	rec := j.lastOf(r, h.info.ID)
 	if rec == nil || rec.fate != fateOrdered {
 		rec = &startRecord{Run: r}
@@ -95,17 +95,17 @@
 }
 
 // recordRefusal records why a host did not carry out a start.
-func (j *Judge) recordRefusal(h *Host, r host.Run, why host.Refusal) {
+func (j *Checker) recordRefusal(h *Host, r host.Run, why host.Refusal) {
 	rec := j.recordArrival(h, r)
 	rec.fate, rec.endedAt = fateRefused+fate(why), j.fleet.clock.Now()
 }
 
 // incarnationName returns the name of one incarnation of a host.
-func (h *Host) incarnationName() string { return fmt.Sprintf("%s/%d", h.info.ID, h.info.Life) }
+func (h *Host) incarnationName() string { return fmt.Sprintf("%s/%d", h.info.ID, h.info.Incarnation) }
 
 // crashesUnder counts the incarnations of hosts that crashed while a run of the task was present
 // and had not ended.
-func (j *Judge) crashesUnder(t spec.StepTask) int {
+func (j *Checker) crashesUnder(t spec.StepTask) int {
 	incarnations := map[string]bool{}
 	for _, rec := range j.records[t] {
 		if rec.fate == fateCrashed {
@@ -116,7 +116,7 @@
 }
 
 // describeStarts lists what became of each start of a task.
-func (j *Judge) describeStarts(t spec.StepTask) string {
+func (j *Checker) describeStarts(t spec.StepTask) string {
 	if len(j.records[t]) == 0 {
 		return "never started"
 	}
@@ -131,7 +131,7 @@
 	return strings.Join(parts, "; ")
 }
 
-func (j *Judge) describeStart(rec *startRecord) string {
+func (j *Checker) describeStart(rec *startRecord) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "run %d on %s", rec.No, rec.incarnation)
 	if !rec.ordered.IsZero() {
@@ -166,7 +166,7 @@
 
 // describeIncarnation states whether an incarnation of a host has ended, for a run that did not
 // end with it.
-func (j *Judge) describeIncarnation(incarnation string) string {
+func (j *Checker) describeIncarnation(incarnation string) string {
 	end, over := j.incarnations[incarnation]
 	if !over {
 		return ", its host is up"
--- a/internal/hostsim/work.go
+++ b/internal/hostsim/work.go
@@ -42,9 +42,9 @@
 		return
 	}
 	gen := r.gen
-	h.fleet.after(h.fleet.Bounds.GangWait, func() {
+	h.fleet.after(h.fleet.Bounds.GangTimeout, func() {
 		if h.runs[r.Run] == r && r.gen == gen && r.workStartedAt.IsZero() && h.up {
-			h.end(r, host.EndAlone)
+			h.end(r, host.EndGangTimeout)
 		}
 	})
 }
@@ -52,8 +52,8 @@
 // runTime returns how long a run works on this host.
 func (h *Host) runTime(r *run) time.Duration {
 	took := float64(r.step.Estimate())
-	if h.fleet.Work != nil {
-		took = float64(h.fleet.Work(r.Task))
+	if h.fleet.RunTime != nil {
+		took = float64(h.fleet.RunTime(r.Task))
 	}
 	if r.step.Gang {
 		took *= 1 + h.fleet.SpreadOfWork*float64(r.Task.Index)
@@ -64,8 +64,8 @@
 	return time.Duration(took)
 }
 
-// Hopeless is the prefix of the ids of jobs of which every task fails.
-const Hopeless = "hopeless"
+// AlwaysFailsPrefix is the prefix of the ids of jobs of which every task fails.
+const AlwaysFailsPrefix = "hopeless"
 
 // failsNow reports whether a run that begins its work will fail.
 func (h *Host) failsNow(r *run) bool {
@@ -73,7 +73,7 @@
 		h.fleet.failNext--
 		return true
 	}
-	return h.failTasks || len(r.Task.Job) >= len(Hopeless) && r.Task.Job[:len(Hopeless)] == Hopeless
+	return h.failTasks || len(r.Task.Job) >= len(AlwaysFailsPrefix) && r.Task.Job[:len(AlwaysFailsPrefix)] == AlwaysFailsPrefix
 }
 
 // beginWork begins the work of a run.
@@ -135,7 +135,7 @@
 }
 
 // finish ends a run by itself, with its gang.
-func (h *Host) finish(r *run, how host.How) {
+func (h *Host) finish(r *run, how host.EndReason) {
 	if !r.step.Gang {
 		h.end(r, how)
 		return
@@ -145,13 +145,13 @@
 		case how == host.EndDone || m.run == r:
 			m.on.end(m.run, how)
 		default:
-			m.on.end(m.run, host.EndBroken)
+			m.on.end(m.run, host.EndGangBroken)
 		}
 	}
 }
 
 // end removes a run and adds its end record.
-func (h *Host) end(r *run, how host.How) {
+func (h *Host) end(r *run, how host.EndReason) {
 	delete(h.runs, r.Run)
 	h.highestEnded[r.Task] = max(h.highestEnded[r.Task], r.No)
 	h.n++
@@ -160,7 +160,7 @@
 		checkpoint = "c"
 		h.fleet.saved[r.Task] = r.workDone(h.fleet.clock.Now())
 	}
-	h.ends = append(h.ends, host.End{Number: h.n, Run: r.Run, How: how, Checkpoint: checkpoint})
+	h.ends = append(h.ends, host.End{Number: h.n, Run: r.Run, EndReason: how, Checkpoint: checkpoint})
 	h.fleet.checker.recordEnd(h, r, fate(how))
 	switch how {
 	case host.EndDone:
--- a/internal/httponce/connection.go
+++ b/internal/httponce/connection.go
@@ -50,7 +50,7 @@
 }
 
 func newConnection(conn net.Conn, count *traffic.Counter) *connection {
-	count.Opened()
+	count.ConnOpened()
 	counting := &countingConn{Conn: conn, traffic: count}
 	limit := &io.LimitedReader{R: counting}
 	return &connection{
@@ -61,12 +61,12 @@
 
 // checkServer returns an error unless the connection leads to the process of the binding. A
 // connection without a known process first sends the binding's Ask.
-func (cn *connection) checkServer(ctx context.Context, binding *Bound) error {
+func (cn *connection) checkServer(ctx context.Context, binding *Binding) error {
 	if binding == nil {
 		return nil
 	}
 	if cn.serverID == 0 {
-		r, err := cn.roundTripTracked(ctx, binding.Ask)
+		r, err := cn.roundTripTracked(ctx, binding.Probe)
 		if err != nil {
 			return err
 		}
@@ -75,19 +75,19 @@
 		}
 	}
 	switch cn.serverID {
-	case binding.Mark:
+	case binding.ServerID:
 		return nil
 	case 0:
-		return ErrNoMark
+		return ErrUnknownServer
 	}
-	return ErrOtherMark
+	return ErrOtherServer
 }
 
 // roundTripTracked makes one request and records the process that its answer identifies.
-func (cn *connection) roundTripTracked(ctx context.Context, m Marked) (reply, error) {
+func (cn *connection) roundTripTracked(ctx context.Context, m TrackedRequest) (reply, error) {
 	r, err := cn.roundTrip(ctx, m.Request, m.Body(cn.serverID), m.MaxBody)
-	if err == nil && m.Mark != nil {
-		cn.serverID = m.Mark(r.Answer)
+	if err == nil && m.ServerID != nil {
+		cn.serverID = m.ServerID(r.Answer)
 	}
 	return r, err
 }
@@ -150,7 +150,7 @@
 // close closes the connection and reports whether a byte of the last request may have been written.
 func (cn *connection) close() (sent bool) {
 	sent = cn.conn.blockWrites()
-	cn.conn.closedOnce.Do(cn.conn.traffic.Closed)
+	cn.conn.closedOnce.Do(cn.conn.traffic.ConnClosed)
 	_ = cn.conn.Close() // no data is left to be lost on it
 	return sent
 }
@@ -199,7 +199,7 @@
 	c.written = true
 	c.mu.Unlock()
 	n, err := c.Conn.Write(b)
-	c.traffic.Sent(n)
+	c.traffic.AddSent(n)
 	if first && n == 0 && err != nil {
 		c.mu.Lock()
 		c.written = false
@@ -211,7 +211,7 @@
 // Read counts received bytes.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.traffic.Received(n)
+	c.traffic.AddReceived(n)
 	return n, err
 }
 
--- a/internal/httponce/httponce.go
+++ b/internal/httponce/httponce.go
@@ -124,41 +124,41 @@
 // most maxBody bytes, or a *Failure. The request's body is the parameter; one set in req is
 // ignored. Do waits for one of the address's connections until ctx ends.
 func (c *Client) Do(ctx context.Context, addr string, req *http.Request, body []byte, maxBody int64) (Answer, error) {
-	return c.DoMarked(ctx, addr, Marked{Request: req, Body: func(int64) []byte { return body }, MaxBody: maxBody})
+	return c.DoTracked(ctx, addr, TrackedRequest{Request: req, Body: func(int64) []byte { return body }, MaxBody: maxBody})
 }
 
-// Marked is a request whose body depends on the connection over which it is sent. A connection ends
+// TrackedRequest is a request whose body depends on the connection over which it is sent. A connection ends
 // with the process at its other end, so what an answer on it has shown of that process (the mark)
 // holds for the next request on the same connection, and for no other.
-type Marked struct {
+type TrackedRequest struct {
 	Request *http.Request
 	// Body returns the request's body for a connection with the given mark. A new connection has no
 	// mark, which is zero.
 	Body func(mark int64) []byte
-	// Mark returns the connection's mark from now on; nil keeps the present one.
-	Mark    func(Answer) int64
-	MaxBody int64
-	// Bound, unless nil, restricts the request to connections with one mark.
-	Bound *Bound
+	// ServerID returns the connection's mark from now on; nil keeps the present one.
+	ServerID func(Answer) int64
+	MaxBody  int64
+	// Binding, unless nil, restricts the request to connections with one mark.
+	Binding *Binding
 }
 
-// Bound restricts a request to the process that a mark identifies.
-type Bound struct {
-	Mark int64
-	// Ask is sent first over a connection without a mark, and sets its mark. It must be harmless to
+// Binding restricts a request to the process that a mark identifies.
+type Binding struct {
+	ServerID int64
+	// Probe is sent first over a connection without a mark, and sets its mark. It must be harmless to
 	// any process that receives it.
-	Ask Marked
+	Probe TrackedRequest
 }
 
 // Causes of a failure whose request is bound to a process: another one answers at the address, or
 // its answer does not identify it.
 var (
-	ErrOtherMark = errors.New("another process answers there")
-	ErrNoMark    = errors.New("it is not known which process answers there")
+	ErrOtherServer   = errors.New("another process answers there")
+	ErrUnknownServer = errors.New("it is not known which process answers there")
 )
 
-// DoMarked is Do for a request whose body depends on the connection.
-func (c *Client) DoMarked(ctx context.Context, addr string, m Marked) (Answer, error) {
+// DoTracked is Do for a request whose body depends on the connection.
+func (c *Client) DoTracked(ctx context.Context, addr string, m TrackedRequest) (Answer, error) {
 	p := c.pool(addr)
 	if err := p.slots.Acquire(ctx, 1); err != nil {
 		return Answer{}, &Failure{Err: err}
@@ -169,7 +169,7 @@
 		if err != nil {
 			return Answer{}, &Failure{Err: err}
 		}
-		if err := cn.checkServer(ctx, m.Bound); err != nil {
+		if err := cn.checkServer(ctx, m.Binding); err != nil {
 			cn.close()
 			if cn.reused && ctx.Err() == nil {
 				continue // a new connection may lead to the right process
--- a/internal/httponce/httponce_test.go
+++ b/internal/httponce/httponce_test.go
@@ -274,7 +274,7 @@
 		})
 	}
 	calls.Wait()
-	proxy.Mute()
+	proxy.Blackhole()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := c.Do(ctx, proxy.Addr, request(http.MethodGet), nil, limit)
@@ -341,10 +341,10 @@
 	for i := range int64(4) {
 		u, err := url.Parse("http://" + s.addr + "/")
 		is.NoErr(err)
-		_, err = client.DoMarked(t.Context(), s.addr, httponce.Marked{
-			Request: &http.Request{Method: http.MethodPost, URL: u, Header: http.Header{}},
-			Body:    func(mark int64) []byte { marks = append(marks, mark); return []byte("x") },
-			Mark:    func(httponce.Answer) int64 { return 10 + i },
+		_, err = client.DoTracked(t.Context(), s.addr, httponce.TrackedRequest{
+			Request:  &http.Request{Method: http.MethodPost, URL: u, Header: http.Header{}},
+			Body:     func(mark int64) []byte { marks = append(marks, mark); return []byte("x") },
+			ServerID: func(httponce.Answer) int64 { return 10 + i },
 		})
 		is.NoErr(err)
 		time.Sleep(20 * time.Millisecond) // until the end of a connection is seen
@@ -363,11 +363,11 @@
 		err     error
 	}{
 		"no connection yet":                {current: 7, want: 7, paths: "/ask /do"},
-		"another process":                  {current: 8, want: 7, paths: "/ask", err: httponce.ErrOtherMark},
+		"another process":                  {current: 8, want: 7, paths: "/ask", err: httponce.ErrOtherServer},
 		"connection to the process":        {initial: 7, current: 7, want: 7, paths: "/ask /do"},
 		"connection to an earlier process": {initial: 6, current: 7, want: 7, paths: "/ask /ask /do"},
-		"connection to its successor":      {initial: 8, current: 8, want: 7, paths: "/ask /ask", err: httponce.ErrOtherMark},
-		"the answer sets no mark":          {current: 0, want: 7, paths: "/ask", err: httponce.ErrNoMark},
+		"connection to its successor":      {initial: 8, current: 8, want: 7, paths: "/ask /ask", err: httponce.ErrOtherServer},
+		"the answer sets no mark":          {current: 0, want: 7, paths: "/ask", err: httponce.ErrUnknownServer},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -382,22 +382,22 @@
 			})
 			client := httponce.New(httponce.Options{})
 			defer client.Close()
-			request := func(path string, mark int64) httponce.Marked {
+			request := func(path string, mark int64) httponce.TrackedRequest {
 				u, err := url.Parse("http://" + s.addr + path)
 				is.NoErr(err)
-				return httponce.Marked{
-					Request: &http.Request{Method: http.MethodPost, URL: u, Header: http.Header{}},
-					Body:    func(int64) []byte { return []byte("x") },
-					Mark:    func(httponce.Answer) int64 { return mark },
+				return httponce.TrackedRequest{
+					Request:  &http.Request{Method: http.MethodPost, URL: u, Header: http.Header{}},
+					Body:     func(int64) []byte { return []byte("x") },
+					ServerID: func(httponce.Answer) int64 { return mark },
 				}
 			}
 			if tc.initial != 0 {
-				_, err := client.DoMarked(t.Context(), s.addr, request("/ask", tc.initial))
+				_, err := client.DoTracked(t.Context(), s.addr, request("/ask", tc.initial))
 				is.NoErr(err)
 			}
 			bound := request("/do", 0)
-			bound.Mark, bound.Bound = nil, &httponce.Bound{Mark: tc.want, Ask: request("/ask", tc.current)}
-			_, err := client.DoMarked(t.Context(), s.addr, bound)
+			bound.ServerID, bound.Binding = nil, &httponce.Binding{ServerID: tc.want, Probe: request("/ask", tc.current)}
+			_, err := client.DoTracked(t.Context(), s.addr, bound)
 			is.True(errors.Is(err, tc.err))
 			var f *httponce.Failure
 			is.True(tc.err == nil || errors.As(err, &f) && !f.Sent) // no part of it was sent
--- a/internal/job/apply_test.go
+++ b/internal/job/apply_test.go
@@ -28,8 +28,8 @@
 }
 
 // reportOf returns a report of an attempt at task 0, on a host of partition 1 at epoch 1.
-func reportOf(j *job, attempt int, state taskmsg.RunState, exit int) taskmsg.RunNews {
-	return taskmsg.RunNews{
+func reportOf(j *job, attempt int, state taskmsg.RunState, exit int) taskmsg.RunReport {
+	return taskmsg.RunReport{
 		Run:   worker.Attempt{Task: spec.TaskID{Job: j.id()}, Attempt: attempt},
 		State: state, ExitCode: exit, Worker: "w", Zone: "z", Partition: 1, Epoch: 1,
 	}
@@ -66,8 +66,8 @@
 		{"running after its end was reported", true, false, []step{{old, taskmsg.RunLost, 0}, running}, reportOrphan, taskPending, 0, 0, false},
 		{"unknown run after recovery", false, false, []step{running}, reportOrphan, taskPending, 0, 0, true},
 		{"requested, runs", false, true, []step{{0, taskmsg.RunRunning, 0}}, reportApplied, taskRunning, 0, 1, false},
-		{"requested, never ran", false, true, []step{{0, taskmsg.RunNever, 0}}, reportAcked, taskPending, 0, 0, true},
-		{"never ran, reported twice", false, true, []step{{0, taskmsg.RunNever, 0}, {0, taskmsg.RunNever, 0}}, reportAcked, taskPending, 0, 0, true},
+		{"requested, never ran", false, true, []step{{0, taskmsg.RunNotStarted, 0}}, reportAcked, taskPending, 0, 0, true},
+		{"never ran, reported twice", false, true, []step{{0, taskmsg.RunNotStarted, 0}, {0, taskmsg.RunNotStarted, 0}}, reportAcked, taskPending, 0, 0, true},
 		{"another attempt than the requested one", false, true, []step{running}, reportOrphan, taskRequested, 0, 1, false},
 		{"end of another attempt", false, true, []step{{old, taskmsg.RunLost, 0}}, reportAcked, taskRequested, 0, 1, false},
 		{"failed, reported twice", false, true, []step{{0, taskmsg.RunFinished, 3}, {0, taskmsg.RunFinished, 3}}, reportApplied, taskPending, 1, 0, true},
--- a/internal/job/bench_test.go
+++ b/internal/job/bench_test.go
@@ -63,7 +63,7 @@
 		p.Holder, p.Incarnation, p.Addr, p.Epoch = name, name, name, 1
 		table.Partitions = append(table.Partitions, view.Partition{ID: 100 + i, Holder: name, Incarnation: name, Addr: name, Epoch: 1})
 		digests[name] = taskmsg.Digest{
-			Workers: 1000, Free: size.Times(1 << 20), Largest: size,
+			Workers: 1000, Free: size.Times(1 << 20), LargestFree: size,
 			Sizes: []taskmsg.Size{{Size: size, Workers: 1000, Generation: 2}, {Size: size, Workers: 1000, Generation: 1, AcceleratorKind: "a"}},
 		}
 	}
@@ -213,7 +213,7 @@
 			table := o.m.cfg.Source.Table()
 			full := o.m.cfg.Digests()
 			for name, d := range full {
-				d.Free, d.Largest = spec.Resources{}, spec.Resources{}
+				d.Free, d.LargestFree = spec.Resources{}, spec.Resources{}
 				full[name] = d
 			}
 			for range jobs {
--- a/internal/job/cell_test.go
+++ b/internal/job/cell_test.go
@@ -54,7 +54,7 @@
 	case r.epochs[p] == 0:
 		return hold.Grant{}, result.New(result.NotHolder, result.RanNo, "partition %d", p)
 	case !time.Now().Before(until):
-		return hold.Grant{}, result.New(result.RightLapsed, result.RanNo, "partition %d", p)
+		return hold.Grant{}, result.New(result.AuthorityExpired, result.RanNo, "partition %d", p)
 	}
 	return hold.Grant{Partition: p, Epoch: r.epochs[p], Until: until}, nil
 }
@@ -85,7 +85,7 @@
 	is     *is.I
 	engine *memstore.Engine
 	store  *memstore.Client
-	judge  *judge.Judge
+	judge  *judge.Checker
 	sim    *workersim.Fleet
 
 	mu           sync.Mutex
--- a/internal/job/commit_test.go
+++ b/internal/job/commit_test.go
@@ -47,7 +47,7 @@
 		{"store down", faults(memstore.Faults{Refuse: true}), 0, is(platform.ErrUnavailable), ""},
 		{"reply lost", faults(memstore.Faults{LoseAnswers: 1}), 0, is(nil), "v"},
 		{"request lost", faults(memstore.Faults{LoseRequests: 1}), 0, is(nil), "v"},
-		{"all replies lost", faults(memstore.Faults{LoseAnswers: memstore.All}), 0, is(platform.ErrUnknownOutcome), "v"},
+		{"all replies lost", faults(memstore.Faults{LoseAnswers: memstore.EveryCall}), 0, is(platform.ErrUnknownOutcome), "v"},
 		{"no reply", faults(memstore.Faults{Hang: true}), 0, is(platform.ErrUnknownOutcome), ""},
 	}
 	for _, tt := range cases {
