--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -26,26 +26,26 @@
 
 // recordHostLoss attributes the loss of a host to a task. It returns the error that the job fails
 // with, or nil.
-func (o *jobOwner) recordHostLoss(j *job, index int, n taskmsg.RunNews, now time.Time) *result.Error {
-	o.hostLosses.Forget(now)
+func (o *jobOwner) recordHostLoss(j *job, index int, n taskmsg.RunReport, now time.Time) *result.Error {
+	o.hostLosses.Expire(now)
 	isNew := o.hostLosses.Add(n.Worker, n.Zone, now)
-	together := o.hostLosses.Together(n.Worker, n.Zone, now, 0, 0)
+	together := o.hostLosses.RackFailed(n.Worker, n.Zone, now, 0, 0)
 	if together && isNew {
-		o.retractAttributions(o.hostLosses.With(n.Zone, now))
+		o.retractAttributions(o.hostLosses.InRack(n.Zone, now))
 	}
 	t := &j.tasks[index]
-	e := crashloop.Evidence{Run: n.Run.Attempt, Host: n.Worker, Machine: n.Worker, Unknown: t.runningSince.IsZero(), Unsure: n.Sight() == taskmsg.SightNone, Proven: n.Sight() == taskmsg.SightCrash}
-	if !e.Unknown {
-		e.Ran = now.Sub(t.runningSince)
+	e := crashloop.Evidence{Run: n.Run.Attempt, Host: n.Worker, Machine: n.Worker, RunTimeUnknown: t.runningSince.IsZero(), Unconfirmed: n.LossEvidence() == taskmsg.EvidenceNone, Proven: n.LossEvidence() == taskmsg.EvidenceCrash}
+	if !e.RunTimeUnknown {
+		e.RunTime = now.Sub(t.runningSince)
 	}
-	c := crashloop.Judge(e, baselineLossRate)
+	c := crashloop.Assess(e, baselineLossRate)
 	if together || c.Excused {
 		return nil
 	}
-	if j.isService() && e.Ran >= crashloop.ProvenAfter {
+	if j.isService() && e.RunTime >= crashloop.HistoryResetAfter {
 		delete(j.rec.Crashes, index)
 	}
-	if j.rec.Crashes[index].Has(c.Run) {
+	if j.rec.Crashes[index].HasRun(c.Run) {
 		return o.updateAttribution(j, index, n) // already reported to a previous job owner
 	}
 	if j.rec.Crashes == nil {
@@ -59,15 +59,15 @@
 // updateAttribution applies later evidence about a run whose host loss was attributed to its task:
 // that the run was present, or that it was present when the host crashed. It returns the error that
 // the job fails with, or nil.
-func (o *jobOwner) updateAttribution(j *job, index int, n taskmsg.RunNews) *result.Error {
+func (o *jobOwner) updateAttribution(j *job, index int, n taskmsg.RunReport) *result.Error {
 	history := j.rec.Crashes[index]
-	at := slices.IndexFunc(history, func(c crashloop.Crash) bool { return c.Run == n.Run.Attempt && sightOf(c) < n.Sight() })
+	at := slices.IndexFunc(history, func(c crashloop.Crash) bool { return c.Run == n.Run.Attempt && sightOf(c) < n.LossEvidence() })
 	if at < 0 {
 		return nil
 	}
-	proven := n.Sight() == taskmsg.SightCrash
+	proven := n.LossEvidence() == taskmsg.EvidenceCrash
 	history = slices.Clone(history)
-	history[at].Unsure, history[at].Unheard, history[at].Proven = false, !proven, proven
+	history[at].Unconfirmed, history[at].LegacyUnproven, history[at].Proven = false, !proven, proven
 	j.rec.Crashes[index] = history
 	o.markChanged(j)
 	return j.crashLoopError(index)
@@ -77,24 +77,24 @@
 // task, or nil.
 func (j *job) crashLoopError(index int) *result.Error {
 	confirmed := slices.DeleteFunc(slices.Clone(j.rec.Crashes[index]), isUnconfirmed)
-	if j.isService() || confirmed.Standing() < crashloop.GivenUp {
+	if j.isService() || confirmed.Suspicion() < crashloop.Failed {
 		return nil
 	}
 	return result.New(result.JobCrashesHosts, result.RanYes, "task %d: %s", index, confirmed)
 }
 
 // sightOf returns the evidence recorded for a crash.
-func sightOf(c crashloop.Crash) taskmsg.Sight {
+func sightOf(c crashloop.Crash) taskmsg.LossEvidence {
 	switch {
 	case c.Proven:
-		return taskmsg.SightCrash
-	case c.Unsure:
-		return taskmsg.SightNone
+		return taskmsg.EvidenceCrash
+	case c.Unconfirmed:
+		return taskmsg.EvidenceNone
 	}
-	return taskmsg.SightThere
+	return taskmsg.EvidencePresent
 }
 
-func isUnconfirmed(c crashloop.Crash) bool { return c.Unsure }
+func isUnconfirmed(c crashloop.Crash) bool { return c.Unconfirmed }
 
 // trimHistory returns the history with space for one more crash. It drops the oldest unconfirmed
 // crash, or the oldest one if all are confirmed.
@@ -113,7 +113,7 @@
 		for index, history := range j.rec.Crashes {
 			kept := history
 			for _, name := range workers {
-				kept = kept.Without(name)
+				kept = kept.WithoutHost(name)
 			}
 			if len(kept) < len(history) {
 				j.rec.Crashes[index] = kept
@@ -133,7 +133,7 @@
 	}
 	unconfirmed := 0
 	for _, c := range history {
-		if c.Unsure {
+		if c.Unconfirmed {
 			unconfirmed++
 		}
 	}
--- a/internal/job/crash_test.go
+++ b/internal/job/crash_test.go
@@ -115,7 +115,7 @@
 	for lost := range n {
 		report := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
 		report.Worker, report.Zone = distinctWorkers(lost)
-		report.Unseen = true
+		report.EndUnconfirmed = true
 		o.applyReport(report, now)
 		if j.ending() {
 			t.Fatalf("ended after %d losses: %s", lost+1, j.rec.Reason)
@@ -188,8 +188,8 @@
 		ran  time.Duration
 		kept int // losses on record
 	}{
-		"within the history reset": {crashloop.ProvenAfter - time.Second, 4},
-		"past the history reset":   {crashloop.ProvenAfter, 1},
+		"within the history reset": {crashloop.HistoryResetAfter - time.Second, 4},
+		"past the history reset":   {crashloop.HistoryResetAfter, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -215,14 +215,14 @@
 func TestLossesWithoutCrashEvidence(t *testing.T) {
 	for name, tc := range map[string]struct {
 		workers   func(n int) (worker, zone string)
-		first     taskmsg.Sight // evidence reported first
-		delayed   taskmsg.Sight // evidence reported last
-		maxLosses int           // losses until the job fails; zero for never
+		first     taskmsg.LossEvidence // evidence reported first
+		delayed   taskmsg.LossEvidence // evidence reported last
+		maxLosses int                  // losses until the job fails; zero for never
 	}{
-		"reported at once":         {workers: distinctWorkers, first: taskmsg.SightThere, delayed: taskmsg.SightThere, maxLosses: 5},
-		"each on a different host": {workers: distinctWorkers, delayed: taskmsg.SightThere, maxLosses: 5},
-		"all on one host":          {workers: func(int) (string, string) { return "w", "z" }, delayed: taskmsg.SightThere},
-		"crash confirmed later":    {workers: distinctWorkers, delayed: taskmsg.SightCrash, maxLosses: 3},
+		"reported at once":         {workers: distinctWorkers, first: taskmsg.EvidencePresent, delayed: taskmsg.EvidencePresent, maxLosses: 5},
+		"each on a different host": {workers: distinctWorkers, delayed: taskmsg.EvidencePresent, maxLosses: 5},
+		"all on one host":          {workers: func(int) (string, string) { return "w", "z" }, delayed: taskmsg.EvidencePresent},
+		"crash confirmed later":    {workers: distinctWorkers, delayed: taskmsg.EvidenceCrash, maxLosses: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -232,7 +232,7 @@
 				report := reportOf(j, o.newAttempt(j, 0).Attempt, taskmsg.RunLost, 0)
 				report.Worker, report.Zone = tc.workers(lost)
 				for s := tc.first; s <= tc.delayed; s++ {
-					report.Saw(s)
+					report.SetEvidence(s)
 					o.applyReport(report, now)
 				}
 				now = now.Add(time.Minute)
@@ -242,7 +242,7 @@
 			is.Equal(j.ending(), tc.maxLosses > 0)
 			if tc.maxLosses > 0 {
 				is.Equal(lost, tc.maxLosses)
-				is.Equal(strings.Contains(j.rec.Reason, crashloop.HowProven), tc.delayed == taskmsg.SightCrash)
+				is.Equal(strings.Contains(j.rec.Reason, crashloop.ObservedAtEnd), tc.delayed == taskmsg.EvidenceCrash)
 			}
 		})
 	}
--- a/internal/job/explain.go
+++ b/internal/job/explain.go
@@ -9,16 +9,16 @@
 // explain reports where a job runs and what it waits for, as recorded by the job owner.
 func (o *jobOwner) explain(j *job) *jobmsg.Explanation {
 	e := &jobmsg.Explanation{
-		Sites:     j.visiblePlacements(),
-		Decisions: append([]jobmsg.Decision(nil), j.log.entries...),
+		Placements: j.visiblePlacements(),
+		Decisions:  append([]jobmsg.Decision(nil), j.log.entries...),
 	}
 	waiting := j.waiting() + j.throttled
 	if waiting == 0 {
 		return e
 	}
 	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
-	if o.ledger.Room(j.rec.Job.Team, values.Quota, j.rec.Job.Task.Size, 1) == 0 {
-		e.Waits = append(e.Waits, jobmsg.Wait{Tasks: waiting, For: "the quota of team " + j.rec.Job.Team, Freed: "the end of other work of the team, or a larger quota in branch " + j.rec.Job.Branch})
+	if o.ledger.MaxTasks(j.rec.Job.Team, values.Quota, j.rec.Job.Task.Size, 1) == 0 {
+		e.Waits = append(e.Waits, jobmsg.Wait{Tasks: waiting, For: "the quota of team " + j.rec.Job.Team, FreedBy: "the end of other work of the team, or a larger quota in branch " + j.rec.Job.Branch})
 	}
 	members := make([]string, 0, len(j.holderReplies))
 	for name := range j.holderReplies {
@@ -37,24 +37,24 @@
 func (m *holderReply) waitReason(name string, tasks int) (jobmsg.Wait, bool) {
 	switch {
 	case m.err != nil:
-		return jobmsg.Wait{Tasks: tasks, For: "an answer of holder " + name, Freed: m.err.Error(), Holder: name}, true
+		return jobmsg.Wait{Tasks: tasks, For: "an answer of holder " + name, FreedBy: m.err.Error(), Holder: name}, true
 	case m.refusal != nil:
-		return jobmsg.Wait{Tasks: tasks, For: "room on the workers of holder " + name, Freed: "the end of work there", Holder: name, ByRule: m.refusal.ByRule}, true
+		return jobmsg.Wait{Tasks: tasks, For: "room on the workers of holder " + name, FreedBy: "the end of work there", Holder: name, ByRule: m.refusal.ByRule}, true
 	}
 	return jobmsg.Wait{}, false
 }
 
 // visiblePlacements lists the placements; for a gang that does not run completely it lists none.
-func (j *job) visiblePlacements() []jobmsg.Site {
+func (j *job) visiblePlacements() []jobmsg.Placement {
 	if j.isGang() && !j.gang.is(gangRunning) {
-		return []jobmsg.Site{}
+		return []jobmsg.Placement{}
 	}
 	return j.placements()
 }
 
 // placements lists the hosts that run tasks of the job.
-func (j *job) placements() []jobmsg.Site {
-	byWorker := map[string]*jobmsg.Site{}
+func (j *job) placements() []jobmsg.Placement {
+	byWorker := map[string]*jobmsg.Placement{}
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.at == nil {
@@ -62,12 +62,12 @@
 		}
 		s := byWorker[t.at.worker]
 		if s == nil {
-			s = &jobmsg.Site{Worker: t.at.worker, Zone: t.at.zone, Partition: t.at.partition}
+			s = &jobmsg.Placement{Worker: t.at.worker, Zone: t.at.zone, Partition: t.at.partition}
 			byWorker[t.at.worker] = s
 		}
 		s.Tasks = append(s.Tasks, i)
 	}
-	out := make([]jobmsg.Site, 0, len(byWorker))
+	out := make([]jobmsg.Placement, 0, len(byWorker))
 	for _, s := range byWorker {
 		out = append(out, *s)
 	}
--- a/internal/job/failures_test.go
+++ b/internal/job/failures_test.go
@@ -62,10 +62,10 @@
 // A run of a gang must count as one failure.
 func TestGangRunFailsOnce(t *testing.T) {
 	const members = 5
-	start := func(o *jobOwner, j *job) []taskmsg.RunNews {
+	start := func(o *jobOwner, j *job) []taskmsg.RunReport {
 		o.fireGangEvent(j, gangEventHold)
 		o.fireGangEvent(j, gangEventStart)
-		var failed []taskmsg.RunNews
+		var failed []taskmsg.RunReport
 		for i := range j.tasks {
 			slot := o.newAttempt(j, i)
 			n := reportOf(j, slot.Attempt, taskmsg.RunRunning, 0)
--- a/internal/job/faults_test.go
+++ b/internal/job/faults_test.go
@@ -59,7 +59,7 @@
 				time.Sleep(3 * time.Second) // the store's lease on a's membership
 				b.acquire(0, 1)
 				s := b.await(job.ID, jobmsg.StateFinished, failoverTime+30*time.Second)
-				c.is.Equal(s.Counts.Finished, tasks)
+				c.is.Equal(s.TaskCounts.Finished, tasks)
 				c.assertNoViolations()
 				c.is.True(c.judge.Starts() <= tt.maxStarts)
 			})
@@ -79,7 +79,7 @@
 		time.Sleep(3 * time.Second)
 		a.acquire(2, 3)
 		s := a.await(job.ID, jobmsg.StateFinished, failoverTime+60*time.Second)
-		c.is.Equal(s.Counts.Finished, 32)
+		c.is.Equal(s.TaskCounts.Finished, 32)
 		c.assertNoViolations()
 	})
 }
@@ -116,8 +116,8 @@
 		{"starts not sent", peerFault{kind: peer.KindPlace, times: 5}},
 		{"replies to starts", peerFault{kind: peer.KindPlace, times: 5, after: true}},
 		{"all replies to starts for a while", peerFault{kind: peer.KindPlace, times: 50, after: true}},
-		{"run reports not sent", peerFault{kind: peer.KindTaskNews, times: 10}},
-		{"replies to run reports", peerFault{kind: peer.KindTaskNews, times: 10, after: true}},
+		{"run reports not sent", peerFault{kind: peer.KindTaskUpdates, times: 10}},
+		{"replies to run reports", peerFault{kind: peer.KindTaskUpdates, times: 10, after: true}},
 		{"inventories", peerFault{kind: peer.KindInventory, times: 10}},
 		{"replies to stops", peerFault{kind: peer.KindStopTasks, times: 5, after: true}},
 	}
@@ -152,7 +152,7 @@
 		{"three replies lost", memstore.Faults{LoseAnswers: 3}, 0, "", true},
 		{"slow", memstore.Faults{RequestDelayMS: 500, AnswerDelayMS: 500}, 0, "", true},
 		{"down", memstore.Faults{Refuse: true}, result.JobNotRecorded, result.RanNo, false},
-		{"all replies lost", memstore.Faults{LoseAnswers: memstore.All}, result.JobRecordUnknown, result.RanUnknown, true},
+		{"all replies lost", memstore.Faults{LoseAnswers: memstore.EveryCall}, result.JobRecordUnknown, result.RanUnknown, true},
 		{"silent", memstore.Faults{Hang: true}, result.JobRecordUnknown, result.RanUnknown, true},
 		{"arrives after the caller gave up", memstore.Faults{RequestDelayMS: 9000}, result.JobRecordUnknown, result.RanUnknown, true},
 	}
--- a/internal/job/fits.go
+++ b/internal/job/fits.go
@@ -45,10 +45,10 @@
 		capacity += int64(s.Workers) * maxFits(j.Task.Size, s.Size)
 	}
 	if !feasible {
-		return result.New(result.JobNeverFits, result.RanNo, "%s", explainInfeasible(j.Task, sizes)).At("task")
+		return result.New(result.JobNeverFits, result.RanNo, "%s", explainInfeasible(j.Task, sizes)).AtField("task")
 	}
 	if j.Kind == spec.KindGang && capacity < int64(j.Tasks) {
-		return result.New(result.JobNeverFits, result.RanNo, "all %d tasks must start together, but all workers, empty, hold %d", j.Tasks, capacity).At("tasks")
+		return result.New(result.JobNeverFits, result.RanNo, "all %d tasks must start together, but all workers, empty, hold %d", j.Tasks, capacity).AtField("tasks")
 	}
 	return nil
 }
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -18,7 +18,7 @@
 func gangJob(c *cell, partitionID, tasks int, run time.Duration) spec.Job {
 	j := batch(partitionID, tasks, run)
 	j.Kind = spec.KindGang
-	c.judge.Gang(j.ID, tasks)
+	c.judge.ExpectGang(j.ID, tasks)
 	return j
 }
 
@@ -30,7 +30,7 @@
 		if err != nil || s.State.Final() {
 			continue
 		}
-		if n := s.Counts.Running; n > 0 && n+s.Counts.Finished < tasks && s.Counts.Waiting > 0 {
+		if n := s.TaskCounts.Running; n > 0 && n+s.TaskCounts.Finished < tasks && s.TaskCounts.Waiting > 0 {
 			c.t.Fatalf("gang runs partially, %d of %d tasks: %+v", n, tasks, s)
 		}
 	}
@@ -45,7 +45,7 @@
 		c.is.NoErr(err)
 		a.await(job.ID, jobmsg.StateRunning, 5*time.Second)
 		s := a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
-		c.is.Equal(s.Counts.Finished, 30)
+		c.is.Equal(s.TaskCounts.Finished, 30)
 		c.is.Equal(c.judge.Starts(), 30)
 		c.assertNoViolations()
 	})
@@ -132,8 +132,8 @@
 		disturb func(c *cell, a, b *placer)
 		broken  float64 // tries stopped after a start
 	}{
-		{"a reservation request is not sent", &peerFault{to: "b", kind: peer.KindGangHold, times: 1}, nil, 0},
-		{"the reply to a reservation request is lost", &peerFault{to: "b", kind: peer.KindGangHold, times: 2, after: true}, nil, 0},
+		{"a reservation request is not sent", &peerFault{to: "b", kind: peer.KindGangReserve, times: 1}, nil, 0},
+		{"the reply to a reservation request is lost", &peerFault{to: "b", kind: peer.KindGangReserve, times: 2, after: true}, nil, 0},
 		{"a start is not sent", &peerFault{to: "b", kind: peer.KindGangEnd, times: 1}, nil, 1},
 		{"the reply to a start is lost", &peerFault{to: "b", kind: peer.KindGangEnd, times: 1, after: true}, nil, 1},
 		{"both replies to starts are lost", &peerFault{kind: peer.KindGangEnd, times: 2, after: true}, nil, 1},
@@ -164,7 +164,7 @@
 				}
 				assertNeverPartial(c, a, job.ID, tasks, 2*time.Minute)
 				s := a.await(job.ID, jobmsg.StateFinished, 2*time.Minute)
-				c.is.Equal(s.Counts.Finished, tasks)
+				c.is.Equal(s.TaskCounts.Finished, tasks)
 				c.is.Equal(testutil.ToFloat64(a.jobs.metrics.gangs.WithLabelValues("broken")), tt.broken)
 				c.assertNoViolations()
 			})
@@ -202,7 +202,7 @@
 				b.acquire(0, 1)
 				assertNeverPartial(c, b, job.ID, tasks, failoverTime)
 				s := b.await(job.ID, jobmsg.StateFinished, 3*time.Minute)
-				c.is.Equal(s.Counts.Finished, tasks)
+				c.is.Equal(s.TaskCounts.Finished, tasks)
 				c.assertNoViolations()
 			})
 		})
@@ -245,6 +245,6 @@
 func (p *placer) worker(id string) string {
 	r, err := p.explain(id)
 	p.c.is.NoErr(err)
-	p.c.is.True(len(r.Explain.Sites) > 0)
-	return r.Explain.Sites[0].Worker
+	p.c.is.True(len(r.Explain.Placements) > 0)
+	return r.Explain.Placements[0].Worker
 }
--- a/internal/job/gangtry.go
+++ b/internal/job/gangtry.go
@@ -85,14 +85,14 @@
 func (t *gangTry) reserveAt(p *gangPart) {
 	want := append(append([]taskmsg.Slot(nil), p.slots...), t.unreserved...)
 	requestedAt := time.Now()
-	var reply taskmsg.GangHeld
-	req := taskmsg.GangHold{Home: t.o.identity(), Shape: t.shape, Slots: want, HoldMS: gangReservationTTL.Milliseconds(), Gather: t.gather, Try: t.number}
-	err := t.o.callHolder(p.target.addr, peer.KindGangHold, gangCallTimeout, req, &reply)
+	var reply taskmsg.GangReserveReply
+	req := taskmsg.GangReserveRequest{Home: t.o.identity(), Shape: t.shape, Slots: want, ReservationMS: gangReservationTTL.Milliseconds(), AccumulateCapacity: t.gather, Try: t.number}
+	err := t.o.callHolder(p.target.addr, peer.KindGangReserve, gangCallTimeout, req, &reply)
 	t.recordReply(p.target, reply.Refusal, err)
 	switch {
 	case err == nil:
-		p.slots, p.reservedAt = reply.Held, requestedAt
-		t.unreserved = subtractSlots(want, reply.Held)
+		p.slots, p.reservedAt = reply.Reserved, requestedAt
+		t.unreserved = subtractSlots(want, reply.Reserved)
 	case !certainlyNotStarted(err):
 		p.slots, p.unconfirmed = nil, true
 		t.unreserved = want
@@ -102,7 +102,7 @@
 // releaseUnconfirmed makes a holder whose reply was lost release what it may have reserved.
 func (t *gangTry) releaseUnconfirmed(p *gangPart) bool {
 	var reply taskmsg.PlaceReply
-	req := taskmsg.GangEnd{Home: t.o.identity(), Job: t.j.id(), Try: t.number}
+	req := taskmsg.GangFinishRequest{Home: t.o.identity(), Job: t.j.id(), Try: t.number}
 	p.unconfirmed = t.o.callHolder(p.target.addr, peer.KindGangEnd, gangCallTimeout, req, &reply) != nil
 	return !p.unconfirmed
 }
@@ -200,7 +200,7 @@
 // part are ordered to start.
 func (t *gangTry) endAll(start bool) ([]taskmsg.PlaceReply, []error) {
 	replies, errs := make([]taskmsg.PlaceReply, len(t.parts)), make([]error, len(t.parts))
-	req := taskmsg.GangEnd{Home: t.o.identity(), Job: t.j.id(), Start: start, Try: t.number}
+	req := taskmsg.GangFinishRequest{Home: t.o.identity(), Job: t.j.id(), Start: start, Try: t.number}
 	var wait sync.WaitGroup
 	for i, p := range t.parts {
 		if len(p.slots) == 0 && (start || !(p.unconfirmed || t.gather)) {
--- a/internal/job/gangtry_test.go
+++ b/internal/job/gangtry_test.go
@@ -22,23 +22,23 @@
 
 func (s *scriptedPeers) Call(_ context.Context, addr string, kind peer.Kind, req, resp any) error {
 	switch m := req.(type) {
-	case taskmsg.GangHold:
+	case taskmsg.GangReserveRequest:
 		s.order = append(s.order, addr+" hold")
-		reply := resp.(*taskmsg.GangHeld)
+		reply := resp.(*taskmsg.GangReserveReply)
 		for _, slot := range m.Slots {
 			if !s.held[addr][slot.Index] && len(s.held[addr]) < s.room[addr] {
 				s.held[addr][slot.Index] = true
 			}
 			if s.held[addr][slot.Index] {
-				reply.Held = append(reply.Held, slot)
+				reply.Reserved = append(reply.Reserved, slot)
 			}
 		}
 		if s.lose[addr] > 0 {
 			s.lose[addr]--
-			*reply = taskmsg.GangHeld{}
+			*reply = taskmsg.GangReserveReply{}
 			return result.New(result.PeerLost, result.RanUnknown, "lost")
 		}
-	case taskmsg.GangEnd:
+	case taskmsg.GangFinishRequest:
 		if !m.Start {
 			s.order = append(s.order, addr+" release")
 			s.held[addr] = map[int]bool{}
--- a/internal/job/invariants_test.go
+++ b/internal/job/invariants_test.go
@@ -107,7 +107,7 @@
 	if j.Kind != spec.KindService || sn.cancelled[j.ID] || st.State.Final() || want > randomQuota {
 		return ""
 	}
-	if st.Counts.Running != j.Tasks {
+	if st.TaskCounts.Running != j.Tasks {
 		return fmt.Sprintf("service %s: %+v", j.ID, st)
 	}
 	return ""
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -23,7 +23,7 @@
 		c.is.NoErr(err)
 		c.is.Equal(again.Job, s.Job)
 		s = a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
-		c.is.Equal(s.Counts.Finished, 20)
+		c.is.Equal(s.TaskCounts.Finished, 20)
 		c.assertNoViolations()
 		c.is.Equal(c.judge.Starts(), 20)
 	})
--- a/internal/job/manager.go
+++ b/internal/job/manager.go
@@ -34,8 +34,8 @@
 
 // Config holds the dependencies of a Manager. All fields are required.
 type Config struct {
-	Source view.Source
-	Right  hold.Right
+	Source     view.Source
+	Authorizer hold.Authorizer
 	// Store must resolve lost replies and group commits: package confirm below groupcommit.
 	Store platform.Store
 	Peers peer.Caller
@@ -65,7 +65,7 @@
 	owners map[int]*jobOwner
 }
 
-var _ hold.Resident = (*Manager)(nil)
+var _ hold.Component = (*Manager)(nil)
 
 // New returns a Manager without job owners and starts watching the partition table. Close stops it.
 func New(cfg Config) *Manager {
@@ -109,7 +109,7 @@
 // Acquire implements hold.Resident. It starts the job owner, which reads the job records and asks
 // every holder for an inventory of their runs before it restarts any of them. It returns at once;
 // until the records are read, requests are refused with JobHomeRecovering.
-func (m *Manager) Acquire(_ context.Context, t hold.Takeover) error {
+func (m *Manager) Acquire(_ context.Context, t hold.Acquisition) error {
 	o := newJobOwner(m, t)
 	m.mu.Lock()
 	old := m.owners[t.Partition]
@@ -178,7 +178,7 @@
 func (m *Manager) authorizedOwner(partition int) (*jobOwner, error) {
 	o := m.jobOwner(partition)
 	if o == nil {
-		return nil, result.New(result.JobHomeMoved, result.RanNo, "partition %d is not held here", partition).Later(time.Second)
+		return nil, result.New(result.JobHomeMoved, result.RanNo, "partition %d is not held here", partition).WithRetryAfter(time.Second)
 	}
 	if err := o.checkAuthority(); err != nil {
 		return nil, err
--- a/internal/job/news.go
+++ b/internal/job/news.go
@@ -20,17 +20,17 @@
 
 // ReportRuns applies run reports of a holder. The end of a run is acknowledged only once it is in the
 // store; until then the holder repeats its report.
-func (m *Manager) ReportRuns(_ context.Context, reports taskmsg.News) (taskmsg.NewsReply, error) {
+func (m *Manager) ReportRuns(_ context.Context, reports taskmsg.RunReports) (taskmsg.RunReportsReply, error) {
 	o, err := m.authorizedOwner(reports.HomePartition)
 	if err != nil {
-		return taskmsg.NewsReply{}, err
+		return taskmsg.RunReportsReply{}, err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.phase == phaseLoading || o.phase == phaseEnded {
-		return taskmsg.NewsReply{}, result.New(result.JobHomeRecovering, result.RanNo, "the home is %s", phaseNames[o.phase]).Later(retryLoading)
+		return taskmsg.RunReportsReply{}, result.New(result.JobHomeRecovering, result.RanNo, "the home is %s", phaseNames[o.phase]).WithRetryAfter(retryLoading)
 	}
-	var reply taskmsg.NewsReply
+	var reply taskmsg.RunReportsReply
 	now := time.Now()
 	for _, n := range reports.Runs {
 		switch o.applyReport(n, now) {
@@ -46,7 +46,7 @@
 }
 
 // applyReport applies the reported state of one run.
-func (o *jobOwner) applyReport(n taskmsg.RunNews, now time.Time) reportOutcome {
+func (o *jobOwner) applyReport(n taskmsg.RunReport, now time.Time) reportOutcome {
 	j := o.jobs[n.Run.Task.Job]
 	index := n.Run.Task.Index
 	switch {
@@ -72,7 +72,7 @@
 
 // unknownRunOutcome is the outcome for a run that the job owner does not know: a running one is
 // stopped, and an end needs no record.
-func unknownRunOutcome(n taskmsg.RunNews) reportOutcome {
+func unknownRunOutcome(n taskmsg.RunReport) reportOutcome {
 	if n.State == taskmsg.RunRunning {
 		return reportOrphan
 	}
@@ -81,7 +81,7 @@
 
 // applyToFinalJob is the outcome for a run of a job that has ended. The host may delete the end
 // record once the job's end is recorded.
-func (o *jobOwner) applyToFinalJob(j *job, n taskmsg.RunNews) reportOutcome {
+func (o *jobOwner) applyToFinalJob(j *job, n taskmsg.RunReport) reportOutcome {
 	if n.State != taskmsg.RunRunning && j.dirty {
 		return reportApplied
 	}
@@ -90,7 +90,7 @@
 
 // applyRunning applies a report that a run is running. A run that this job owner did not order, or
 // that was reported as ended, must not be taken for the task's current one.
-func (o *jobOwner) applyRunning(j *job, index int, n taskmsg.RunNews) reportOutcome {
+func (o *jobOwner) applyRunning(j *job, index int, n taskmsg.RunReport) reportOutcome {
 	t := &j.tasks[index]
 	if t.active() && n.Run.Attempt == t.attempt {
 		if t.at == nil || n.Epoch >= t.epoch {
@@ -112,7 +112,7 @@
 func (o *jobOwner) recovering(j *job) bool { return j.inherited && o.phase != phaseReady }
 
 // adopt records a run that a previous job owner started as the task's current one.
-func (o *jobOwner) adopt(j *job, index int, n taskmsg.RunNews) {
+func (o *jobOwner) adopt(j *job, index int, n taskmsg.RunReport) {
 	j.tasks[index] = task{attempt: n.Run.Attempt, state: taskRequested}
 	j.active++
 	o.releaseUnreported(j, 1)
@@ -122,7 +122,7 @@
 }
 
 // applyEnd applies a report that a run has ended, once per attempt.
-func (o *jobOwner) applyEnd(j *job, index int, n taskmsg.RunNews, now time.Time) reportOutcome {
+func (o *jobOwner) applyEnd(j *job, index int, n taskmsg.RunReport, now time.Time) reportOutcome {
 	t := &j.tasks[index]
 	switch {
 	case t.active() && n.Run.Attempt == t.attempt:
@@ -142,7 +142,7 @@
 }
 
 // handleEnd decides what follows from the end of a task's current attempt.
-func (o *jobOwner) handleEnd(j *job, index int, n taskmsg.RunNews, now time.Time) {
+func (o *jobOwner) handleEnd(j *job, index int, n taskmsg.RunReport, now time.Time) {
 	j.tasks[index].wasPreempted = n.State == taskmsg.RunPreempted
 	switch {
 	case n.State == taskmsg.RunFinished && n.ExitCode == 0 && j.rec.Job.Kind != spec.KindService:
@@ -164,11 +164,11 @@
 }
 
 // lossReason describes the evidence of a lost run, for the decision log.
-func lossReason(n taskmsg.RunNews) string {
-	switch n.Sight() {
-	case taskmsg.SightCrash:
+func lossReason(n taskmsg.RunReport) string {
+	switch n.LossEvidence() {
+	case taskmsg.EvidenceCrash:
 		return "worker " + n.Worker + " has crashed"
-	case taskmsg.SightThere:
+	case taskmsg.EvidencePresent:
 		return "worker " + n.Worker + " has started again, and the run may have ended before"
 	}
 	return "worker " + n.Worker + " is gone, or was cut off until the lease was over"
@@ -176,7 +176,7 @@
 
 // endOutcome decides whether the host may delete the end record: every change of the job's record
 // that followed from the end must be in the store.
-func (o *jobOwner) endOutcome(j *job, index int, n taskmsg.RunNews) reportOutcome {
+func (o *jobOwner) endOutcome(j *job, index int, n taskmsg.RunReport) reportOutcome {
 	if n.State != taskmsg.RunFinished || !j.dirty {
 		return reportAcked
 	}
--- a/internal/job/outage_test.go
+++ b/internal/job/outage_test.go
@@ -14,7 +14,7 @@
 // unknown before stays so.
 func TestSubmitWhileStoreIsAway(t *testing.T) {
 	for name, faults := range map[string]memstore.Faults{
-		"refuses": {Refuse: true}, "hangs": {Hang: true}, "loses replies": {LoseAnswers: memstore.All},
+		"refuses": {Refuse: true}, "hangs": {Hang: true}, "loses replies": {LoseAnswers: memstore.EveryCall},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/job/owner.go
+++ b/internal/job/owner.go
@@ -82,8 +82,8 @@
 	ledger            *fairshare.Ledger
 	queue             *fairshare.Queue
 	health            *health.Jobs
-	hostLosses        crashloop.Losses // recent host failures
-	replaceThrottle   *health.Pacer
+	hostLosses        crashloop.HostFailures // recent host failures
+	replaceThrottle   *health.ReplacementQueue
 	gangMachine       *fsm.FSM // shared by all gangs
 	locations         map[string]*location
 	unackedStarts     map[worker.Attempt]*unackedStart
@@ -108,7 +108,7 @@
 	Jobs int            `json:"jobs"`
 }
 
-func newJobOwner(m *Manager, t hold.Takeover) *jobOwner {
+func newJobOwner(m *Manager, t hold.Acquisition) *jobOwner {
 	ctx, cancel := context.WithCancel(context.Background())
 	o := &jobOwner{
 		m: m, partition: t.Partition, epoch: t.Epoch,
@@ -117,7 +117,7 @@
 		jobMachine: newJobMachine(),
 		jobs:       map[string]*job{}, live: map[string]*job{}, changed: map[string]*job{}, waiting: map[string]*job{}, stopping: map[string]*job{}, unplannedServices: map[string]*job{},
 		ledger: fairshare.NewLedger(), queue: fairshare.NewQueue(fairshare.DefaultConfig()),
-		health: health.NewJobs(health.DefaultConfig()), replaceThrottle: health.NewPacer(replacePerSecond, replaceBurst),
+		health: health.NewJobs(health.DefaultConfig()), replaceThrottle: health.NewReplacementQueue(replacePerSecond, replaceBurst),
 		gangMachine: newGangMachine(),
 		locations:   map[string]*location{}, unackedStarts: map[worker.Attempt]*unackedStart{},
 		refusals: map[refusalKey]*refusal{}, requested: map[string]*requestedCapacity{}, callsInFlight: map[string]int{}, inventoryEpochs: map[int]uint64{},
@@ -231,12 +231,12 @@
 // checkAuthority returns nil if this process currently has the authority to act for the job owner's
 // epoch.
 func (o *jobOwner) checkAuthority() error {
-	grant, err := o.m.cfg.Right.Check(o.partition)
+	grant, err := o.m.cfg.Authorizer.Check(o.partition)
 	if err != nil {
 		return err
 	}
 	if grant.Epoch != o.epoch {
-		return result.New(result.JobHomeMoved, result.RanNo, "partition %d is held with epoch %d, not %d", o.partition, grant.Epoch, o.epoch).Later(time.Second)
+		return result.New(result.JobHomeMoved, result.RanNo, "partition %d is held with epoch %d, not %d", o.partition, grant.Epoch, o.epoch).WithRetryAfter(time.Second)
 	}
 	return nil
 }
--- a/internal/job/place.go
+++ b/internal/job/place.go
@@ -66,7 +66,7 @@
 func (o *jobOwner) shape(j *job, values settings.Values) taskmsg.Shape {
 	return taskmsg.Shape{
 		Job: j.id(), Kind: j.rec.Job.Kind, Urgent: j.rec.Job.Urgent, Task: j.rec.Job.Task,
-		Avoid: o.health.Avoid(j.id()), Zones: maps.Clone(j.zones),
+		Avoid: o.health.Avoid(j.id()), RunningByZone: maps.Clone(j.zones),
 		Policy: taskmsg.Policy{
 			Name: values.Placement.Policy, SpreadZones: values.Placement.SpreadZones,
 			SpreadRacks: values.Placement.SpreadRacks,
@@ -102,7 +102,7 @@
 	switch k {
 	case peer.KindPlace:
 		return "place"
-	case peer.KindGangHold:
+	case peer.KindGangReserve:
 		return "gang-hold"
 	case peer.KindGangEnd:
 		return "gang-end"
--- a/internal/job/placer_test.go
+++ b/internal/job/placer_test.go
@@ -53,11 +53,11 @@
 	reg := prometheus.NewRegistry()
 	p.reg = reg
 	p.fleet = fleet.New(fleet.Config{
-		Name: name, Partitions: testPartitions, Lease: testLease, Hosts: c.Hosts, Right: p.authority,
+		Name: name, Partitions: testPartitions, Lease: testLease, Hosts: c.Hosts, Authorizer: p.authority,
 		Client: c.sim.Caller(name), Peers: peers, View: c, Registerer: reg, Log: entry,
 	})
 	p.jobs = New(Config{
-		Source: c, Right: p.authority, Store: p.newStore(reg), Peers: peers, Values: c.branch, Digests: c.digests,
+		Source: c, Authorizer: p.authority, Store: p.newStore(reg), Peers: peers, Values: c.branch, Digests: c.digests,
 		PartitionKey: partitionKey, Registerer: reg, Log: entry,
 		StoreAge: func() time.Duration { return time.Duration(p.storeAge.Load()) },
 	})
@@ -108,7 +108,7 @@
 }
 
 // claim updates a partition's record in the store and in the table.
-func (c *cell) claim(p *placer, id int) hold.Takeover {
+func (c *cell) claim(p *placer, id int) hold.Acquisition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	rec := &c.table.Partitions[id]
@@ -126,7 +126,7 @@
 	p.authority.mu.Lock()
 	p.authority.epochs[id] = rec.Epoch
 	p.authority.mu.Unlock()
-	return hold.Takeover{Grant: hold.Grant{Partition: id, Epoch: rec.Epoch}, Fresh: fresh, TakenAt: time.Now()}
+	return hold.Acquisition{Grant: hold.Grant{Partition: id, Epoch: rec.Epoch}, NeverHeld: fresh, AcquiredAt: time.Now()}
 }
 
 // kill ends a process without notifying any other; its member record is removed.
--- a/internal/job/plan.go
+++ b/internal/job/plan.go
@@ -121,7 +121,7 @@
 		j.log.add(m.now, "waiting", reasonNoCapacity)
 		return
 	}
-	n = o.ledger.Room(j.rec.Job.Team, values.Quota, j.rec.Job.Task.Size, min(n, len(j.ready)))
+	n = o.ledger.MaxTasks(j.rec.Job.Team, values.Quota, j.rec.Job.Task.Size, min(n, len(j.ready)))
 	if n == 0 {
 		if len(j.ready) > 0 {
 			j.log.add(m.now, "waiting", reasonNoQuota)
--- a/internal/job/policy_test.go
+++ b/internal/job/policy_test.go
@@ -36,7 +36,7 @@
 		for {
 			s, err := a.get(job.ID)
 			c.is.NoErr(err)
-			if s.Counts.Running == 6 {
+			if s.TaskCounts.Running == 6 {
 				break
 			}
 			if time.Since(began) > urgentStartLimit {
@@ -47,7 +47,7 @@
 		a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
 		s, err := b.get(filler.ID)
 		c.is.NoErr(err)
-		c.is.Equal(s.Counts.Failures, 0) // a preemption does not count as a failure
+		c.is.Equal(s.TaskCounts.Failures, 0) // a preemption does not count as a failure
 		c.assertNoViolations()
 	})
 }
@@ -191,11 +191,11 @@
 				time.Sleep(20 * time.Second)
 				r, err := a.explain(job.ID)
 				c.is.NoErr(err)
-				c.is.True(len(r.Explain.Sites) > 0)
+				c.is.True(len(r.Explain.Placements) > 0)
 				c.is.True(len(r.Explain.Decisions) > 0)
 				found := false
 				for _, w := range r.Explain.Waits {
-					found = found || w.For == tt.want && w.Freed != ""
+					found = found || w.For == tt.want && w.FreedBy != ""
 				}
 				if !found {
 					t.Errorf("%+v", r.Explain)
@@ -227,7 +227,7 @@
 		for _, filler := range fillers {
 			s, err := a.get(filler.ID)
 			c.is.NoErr(err)
-			waiting += s.Counts.Waiting
+			waiting += s.TaskCounts.Waiting
 		}
 		c.is.True(waiting > 0) // otherwise the capacity became free by itself
 		c.assertNoViolations()
--- a/internal/job/query.go
+++ b/internal/job/query.go
@@ -44,7 +44,7 @@
 }
 
 func (o *jobOwner) loadingError() *result.Error {
-	return result.New(result.JobHomeRecovering, result.RanNo, "the home in partition %d does not know all its jobs yet", o.partition).Later(retryLoading)
+	return result.New(result.JobHomeRecovering, result.RanNo, "the home in partition %d does not know all its jobs yet", o.partition).WithRetryAfter(retryLoading)
 }
 
 // Get returns one job of any job owner of this process.
@@ -56,7 +56,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !j.recordConfirmed {
-		return jobmsg.GetReply{}, result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took job %s", req.ID).Later(retryStore)
+		return jobmsg.GetReply{}, result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took job %s", req.ID).WithRetryAfter(retryStore)
 	}
 	reply := jobmsg.GetReply{Status: o.status(j)}
 	if req.Explain {
@@ -159,11 +159,11 @@
 		Partition: o.partition, Epoch: o.epoch, Generation: j.rec.Generation,
 	}
 	for _, n := range j.rec.Failures {
-		s.Counts.Failures += n
+		s.TaskCounts.Failures += n
 	}
-	s.Counts.Finished = j.rec.Done.count()
-	j.count(&s.Counts)
-	if n := len(j.log.entries); s.Reason == "" && !j.rec.State.Final() && s.Counts.Waiting > 0 && n > 0 {
+	s.TaskCounts.Finished = j.rec.Done.count()
+	j.count(&s.TaskCounts)
+	if n := len(j.log.entries); s.Reason == "" && !j.rec.State.Final() && s.TaskCounts.Waiting > 0 && n > 0 {
 		s.Reason = j.log.entries[n-1].What + ": " + j.log.entries[n-1].Why
 	}
 	return s
@@ -171,7 +171,7 @@
 
 // count counts the tasks by state. The tasks of a gang count as running only once all of them run;
 // until then they count as starting, or as stopping while the gang is being stopped.
-func (j *job) count(c *jobmsg.Counts) {
+func (j *job) count(c *jobmsg.TaskCounts) {
 	running := &c.Running
 	switch {
 	case j.isGang() && j.gang.is(gangStopping):
--- a/internal/job/queue.go
+++ b/internal/job/queue.go
@@ -104,10 +104,10 @@
 	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
 	e := fairshare.Entry{
 		Job: j.id(), Team: j.rec.Job.Team, Urgent: j.rec.Job.Urgent, Priority: values.Task.Priority,
-		Since: j.waitingSince, Size: j.rec.Job.Task.Size, Pending: len(j.ready),
+		WaitingSince: j.waitingSince, Size: j.rec.Job.Task.Size, Pending: len(j.ready),
 	}
 	if j.isGang() && j.gang.is(gangIdle) {
-		e.Whole, e.Pending, e.NotBefore = true, len(j.tasks)-j.done, j.gang.notBefore
+		e.AllOrNothing, e.Pending, e.NotBefore = true, len(j.tasks)-j.done, j.gang.notBefore
 		if j.active > 0 {
 			e.Pending = 0 // the previous try is still being stopped
 		}
@@ -137,8 +137,8 @@
 // requestedFrom returns the capacity requested from a holder since its digest last changed.
 func (o *jobOwner) requestedFrom(target holder, now time.Time) *requestedCapacity {
 	a := o.requested[target.member]
-	if a == nil || a.free != target.digest.Free || a.largest != target.digest.Largest || now.Sub(a.since) > requestedLifetime {
-		a = &requestedCapacity{free: target.digest.Free, largest: target.digest.Largest, since: now}
+	if a == nil || a.free != target.digest.Free || a.largest != target.digest.LargestFree || now.Sub(a.since) > requestedLifetime {
+		a = &requestedCapacity{free: target.digest.Free, largest: target.digest.LargestFree, since: now}
 		o.requested[target.member] = a
 	}
 	return a
@@ -151,7 +151,7 @@
 		return assumedSlots, true
 	}
 	feasible = slices.ContainsFunc(target.digest.Sizes, func(s taskmsg.Size) bool { return fitsMachine(t, s) })
-	if !feasible || !t.Size.Fits(target.digest.Largest) {
+	if !feasible || !t.Size.Fits(target.digest.LargestFree) {
 		return 0, feasible
 	}
 	return int(maxFits(t.Size, target.digest.Free.Sub(o.requestedFrom(target, now).requested))), feasible
--- a/internal/job/quota_test.go
+++ b/internal/job/quota_test.go
@@ -145,7 +145,7 @@
 				time.Sleep(time.Minute)
 				c.is.Equal(c.judge.Starts(), 0)
 				_, err = a.submit(batch(0, 4, time.Second))
-				c.is.Equal(result.CodeOf(err), result.RightLapsed)
+				c.is.Equal(result.CodeOf(err), result.AuthorityExpired)
 				c.is.Equal(result.From(err).Ran, result.RanNo)
 				a.authority.restore()
 				a.await(job.ID, jobmsg.StateFinished, 20*time.Second)
@@ -226,7 +226,7 @@
 					time.Sleep(time.Second)
 				}
 				a.kill()
-				for _, kind := range []peer.Kind{peer.KindInventory, peer.KindTaskNews} {
+				for _, kind := range []peer.Kind{peer.KindInventory, peer.KindTaskUpdates} {
 					c.addFault(&peerFault{kind: kind, times: -1})
 				}
 				time.AfterFunc(5*time.Second, c.clearFaults)
--- a/internal/job/reconcile.go
+++ b/internal/job/reconcile.go
@@ -259,7 +259,7 @@
 	if len(runs) == 0 {
 		return reply, result.New(result.Internal, result.RanNo, "nothing to stop")
 	}
-	req := taskmsg.StopRequest{Home: o.identity(), Runs: runs, Mode: worker.Kill, Reason: reason}
+	req := taskmsg.StopRequest{Home: o.identity(), Runs: runs, Mode: worker.ModeStop, Reason: reason}
 	err := o.callHolder(addr, peer.KindStopTasks, placeTimeout, req, &reply)
 	return reply, err
 }
--- a/internal/job/refusal.go
+++ b/internal/job/refusal.go
@@ -57,7 +57,7 @@
 	switch {
 	case r == nil:
 		return notRefused
-	case r.until.After(now) && r.free == target.digest.Free && r.largest == target.digest.Largest:
+	case r.until.After(now) && r.free == target.digest.Free && r.largest == target.digest.LargestFree:
 		return backingOff
 	}
 	return previouslyRefused
@@ -73,7 +73,7 @@
 	}
 	r.backoff = min(max(2*r.backoff, refusalBackoffMin), refusalBackoffMax)
 	r.until = now.Add(r.backoff)
-	r.free, r.largest = target.digest.Free, target.digest.Largest
+	r.free, r.largest = target.digest.Free, target.digest.LargestFree
 }
 
 // clearRefusal is called when a holder has started all requested tasks.
--- a/internal/job/register.go
+++ b/internal/job/register.go
@@ -9,5 +9,5 @@
 	peer.Handle(mux, peer.KindJobList, m.List)
 	peer.Handle(mux, peer.KindJobCancel, m.Cancel)
 	peer.Handle(mux, peer.KindJobUpdate, m.Update)
-	peer.Handle(mux, peer.KindTaskNews, m.ReportRuns)
+	peer.Handle(mux, peer.KindTaskUpdates, m.ReportRuns)
 }
--- a/internal/job/service_test.go
+++ b/internal/job/service_test.go
@@ -30,7 +30,7 @@
 	p.c.t.Helper()
 	for deadline := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
 		s, err := p.get(id)
-		if err == nil && s.Counts == (jobmsg.Counts{Running: n, Failures: s.Counts.Failures}) {
+		if err == nil && s.TaskCounts == (jobmsg.TaskCounts{Running: n, Failures: s.TaskCounts.Failures}) {
 			return s
 		}
 		if time.Now().After(deadline) {
@@ -117,7 +117,7 @@
 				c.is.NoErr(err)
 				a.awaitReplicas(job.ID, 6, 5*time.Second)
 				for _, h := range c.Hosts() { // slow hosts, so that the steps of the rollout can be told apart
-					c.sim.Worker(h.Addr).SetFaults(workersim.Faults{Slow: 150 * time.Millisecond})
+					c.sim.Worker(h.Addr).SetFaults(workersim.Faults{Delay: 150 * time.Millisecond})
 				}
 				starts := c.judge.Starts()
 				next := job
@@ -182,7 +182,7 @@
 	}{
 		{"reply lost", memstore.Faults{LoseAnswers: 1}, 0, 2},
 		{"down", memstore.Faults{Refuse: true}, result.JobNotRecorded, 1},
-		{"all replies lost", memstore.Faults{LoseAnswers: memstore.All}, result.JobRecordUnknown, 2},
+		{"all replies lost", memstore.Faults{LoseAnswers: memstore.EveryCall}, result.JobRecordUnknown, 2},
 		{"silent", memstore.Faults{Hang: true}, result.JobRecordUnknown, 1},
 	}
 	for _, tt := range cases {
--- a/internal/job/simulation_test.go
+++ b/internal/job/simulation_test.go
@@ -117,10 +117,10 @@
 		faults := []memstore.Faults{{Refuse: true}, {Hang: true}, {LoseAnswers: s.b%4 + 1}, {LoseRequests: s.b%4 + 1}, {RequestDelayMS: int64(s.b%6) * 700}}
 		sn.live(s.c).store.SetFaults(faults[s.a%len(faults)])
 	case actPeerFault:
-		kinds := []peer.Kind{peer.KindPlace, peer.KindTaskNews, peer.KindStopTasks, peer.KindInventory, peer.KindGangHold, peer.KindGangEnd}
+		kinds := []peer.Kind{peer.KindPlace, peer.KindTaskUpdates, peer.KindStopTasks, peer.KindInventory, peer.KindGangReserve, peer.KindGangEnd}
 		sn.addFault(&peerFault{kind: kinds[s.a%len(kinds)], times: s.b%4 + 1, after: s.c%2 == 0})
 	case actWorkerFault:
-		faults := []workersim.Faults{{Unreachable: true}, {LoseAnswers: 2}, {Slow: 300 * time.Millisecond}}
+		faults := []workersim.Faults{{Unreachable: true}, {LoseAnswers: 2}, {Delay: 300 * time.Millisecond}}
 		hosts := sn.Hosts()
 		sim := sn.sim.Worker(hosts[s.b%len(hosts)].Addr)
 		if s.a%4 == 3 {
@@ -279,7 +279,7 @@
 	state, fleetErr := from.fleet.Release(ctx, id)
 	from.authority.revoke(id)
 	t := sn.claim(to, id)
-	t.SignedOff = jobsErr == nil && fleetErr == nil
+	t.HandedOver = jobsErr == nil && fleetErr == nil
 	t.State = state
 	sn.is.NoErr(to.fleet.Acquire(context.Background(), t))
 	t.State = nil
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -54,7 +54,7 @@
 	select {
 	case <-j.firstWriteDone:
 	case <-ctx.Done():
-		return jobmsg.Status{}, result.New(result.JobRecordUnknown, result.RanUnknown, "the caller's time ran out before the store answered").Later(retryLoading)
+		return jobmsg.Status{}, result.New(result.JobRecordUnknown, result.RanUnknown, "the caller's time ran out before the store answered").WithRetryAfter(retryLoading)
 	}
 	return o.submitReply(j)
 }
@@ -79,7 +79,7 @@
 	}
 	if j := o.jobs[s.ID]; j != nil {
 		if j.rec.Submission != fingerprint(s) {
-			return nil, false, result.New(result.JobIDReused, result.RanNo, "job %s was submitted before with another specification", s.ID).At("id")
+			return nil, false, result.New(result.JobIDReused, result.RanNo, "job %s was submitted before with another specification", s.ID).AtField("id")
 		}
 		return j, false, nil
 	}
@@ -90,7 +90,7 @@
 		return nil, false, err
 	}
 	if !known {
-		return nil, false, result.New(result.JobBranchUnknown, result.RanNo, "no branch %q in the settings", s.Branch).At("branch")
+		return nil, false, result.New(result.JobBranchUnknown, result.RanNo, "no branch %q in the settings", s.Branch).AtField("branch")
 	}
 	if err := checkQuota(s, values.Quota); err != nil {
 		return nil, false, err
@@ -99,7 +99,7 @@
 		return nil, false, err
 	}
 	if len(o.live) >= maxLiveJobs {
-		return nil, false, result.New(result.JobTooMany, result.RanNo, "the home of team %s holds %d jobs", s.Team, len(o.live)).Later(retryTooMany)
+		return nil, false, result.New(result.JobTooMany, result.RanNo, "the home of team %s holds %d jobs", s.Team, len(o.live)).WithRetryAfter(retryTooMany)
 	}
 	j = newJob(&record{Job: s, Submitted: now.UnixMilli(), State: jobmsg.StateWaiting, OriginEpoch: o.epoch, Generation: 1, TaskGeneration: 1, Submission: fingerprint(s)})
 	j.firstWriteDone = make(chan struct{})
@@ -115,16 +115,16 @@
 	if m.cfg.StoreAge == nil || m.cfg.StoreAge() <= storeUnavailableAfter {
 		return nil
 	}
-	return result.New(result.JobNotRecorded, result.RanNo, "the platform's store has not answered for %s", m.cfg.StoreAge().Round(time.Second)).Later(retryStore)
+	return result.New(result.JobNotRecorded, result.RanNo, "the platform's store has not answered for %s", m.cfg.StoreAge().Round(time.Second)).WithRetryAfter(retryStore)
 }
 
 // checkAccepting returns nil if the job owner accepts jobs.
 func (o *jobOwner) checkAccepting() error {
 	switch {
 	case o.released:
-		return result.New(result.JobHomeMoved, result.RanNo, "the home is being handed over").Later(retryLoading)
+		return result.New(result.JobHomeMoved, result.RanNo, "the home is being handed over").WithRetryAfter(retryLoading)
 	case o.phase == phaseLoading || o.phase == phaseEnded:
-		return result.New(result.JobHomeRecovering, result.RanNo, "the home is %s", phaseNames[o.phase]).Later(retryLoading)
+		return result.New(result.JobHomeRecovering, result.RanNo, "the home is %s", phaseNames[o.phase]).WithRetryAfter(retryLoading)
 	}
 	return nil
 }
@@ -174,9 +174,9 @@
 func submitRefusal(err error) *result.Error {
 	switch {
 	case errors.Is(err, errFenced):
-		return result.New(result.JobHomeMoved, result.RanNo, "another process has taken the home over").Later(retryLoading)
+		return result.New(result.JobHomeMoved, result.RanNo, "another process has taken the home over").WithRetryAfter(retryLoading)
 	case errors.Is(err, platform.ErrUnavailable):
-		return result.New(result.JobNotRecorded, result.RanNo, "the platform's store is not reached; the job was not accepted").Later(retryStore)
+		return result.New(result.JobNotRecorded, result.RanNo, "the platform's store is not reached; the job was not accepted").WithRetryAfter(retryStore)
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 		return jobmsg.Status{}, j.refusal
 	}
 	if !j.recordConfirmed {
-		return jobmsg.Status{}, result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took job %s; submit it again with this identifier", j.id()).Later(retryStore)
+		return jobmsg.Status{}, result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took job %s; submit it again with this identifier", j.id()).WithRetryAfter(retryStore)
 	}
 	return o.status(j), nil
 }
--- a/internal/job/transition.go
+++ b/internal/job/transition.go
@@ -24,7 +24,7 @@
 	wasPreempted := t.wasPreempted
 	*t = task{attempt: int(o.epoch)<<attemptShift | o.startCounter, state: taskRequested, wasPreempted: wasPreempted}
 	j.active++
-	return taskmsg.Slot{Index: index, Attempt: t.attempt, Spared: wasPreempted}
+	return taskmsg.Slot{Index: index, Attempt: t.attempt, PreemptionExempt: wasPreempted}
 }
 
 // markRunning records that the current attempt of a task runs on a host.
@@ -120,7 +120,7 @@
 		j.throttled++
 	}
 	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
-	o.replaceThrottle.Add(health.Lost{
+	o.replaceThrottle.Add(health.LostTask{
 		Task: spec.TaskID{Job: j.id(), Index: index}, Kind: j.rec.Job.Kind,
 		Urgent: j.rec.Job.Urgent, Priority: values.Task.Priority, At: now,
 	})
@@ -128,7 +128,7 @@
 
 // replaceLost requeues the lost tasks that the rate limit admits now.
 func (o *jobOwner) replaceLost(now time.Time) {
-	for _, l := range o.replaceThrottle.Take(now) {
+	for _, l := range o.replaceThrottle.TakeDue(now) {
 		j := o.live[l.Task.Job]
 		if j == nil || j.ending() {
 			continue
@@ -152,7 +152,7 @@
 // handleFailure counts a run that ended with an exit code other than zero. Finite work ends when a
 // task has failed as often as the branch allows, or when the job has failed on different hosts; a
 // service is restarted without limit, at growing intervals.
-func (o *jobOwner) handleFailure(j *job, index int, n taskmsg.RunNews, now time.Time) {
+func (o *jobOwner) handleFailure(j *job, index int, n taskmsg.RunReport, now time.Time) {
 	if !o.countFailure(j, index, n.Run.Attempt) {
 		o.requeue(j, index, failureBackoff(j.rec.Failures[index]), now)
 		return
@@ -204,7 +204,7 @@
 }
 
 // failureError returns the error that a failure ends the job with, or nil.
-func (o *jobOwner) failureError(j *job, index int, n taskmsg.RunNews, healthErr *result.Error) *result.Error {
+func (o *jobOwner) failureError(j *job, index int, n taskmsg.RunReport, healthErr *result.Error) *result.Error {
 	if j.isService() {
 		return nil
 	}
--- a/internal/job/update.go
+++ b/internal/job/update.go
@@ -59,10 +59,10 @@
 		return nil, nil, nil // also the reply to a repeated update
 	}
 	if req.Generation != 0 && req.Generation != j.rec.Generation {
-		return nil, nil, result.New(result.JobChanged, result.RanNo, "the job is at generation %d, not %d", j.rec.Generation, req.Generation).At("generation")
+		return nil, nil, result.New(result.JobChanged, result.RanNo, "the job is at generation %d, not %d", j.rec.Generation, req.Generation).AtField("generation")
 	}
 	if !known {
-		return nil, nil, result.New(result.JobBranchUnknown, result.RanNo, "no branch %q in the settings", req.Job.Branch).At("branch")
+		return nil, nil, result.New(result.JobBranchUnknown, result.RanNo, "no branch %q in the settings", req.Job.Branch).AtField("branch")
 	}
 	if err := checkQuota(req.Job, values.Quota); err != nil {
 		return nil, nil, err
@@ -74,7 +74,7 @@
 		return nil, nil, err
 	}
 	if j.flushing || j.dirty || !j.recordConfirmed || o.flushBackoff > 0 {
-		return nil, nil, result.New(result.JobNotRecorded, result.RanNo, "an earlier change of the job is not in the store yet").Later(updateRetry)
+		return nil, nil, result.New(result.JobNotRecorded, result.RanNo, "an earlier change of the job is not in the store yet").WithRetryAfter(updateRetry)
 	}
 	next := o.recordWithSpec(j, req.Job)
 	value, err := encodeRecord(next)
@@ -140,7 +140,7 @@
 		o.applySpec(j, next)
 		return nil
 	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, errFenced):
-		return result.New(result.JobNotRecorded, result.RanNo, "the store did not take the change of job %s", j.id()).Later(retryStore)
+		return result.New(result.JobNotRecorded, result.RanNo, "the store did not take the change of job %s", j.id()).WithRetryAfter(retryStore)
 	}
 	// The flush writes the job again. If the change is in the store, the flush gets a conflict and
 	// applies the change.
@@ -159,7 +159,7 @@
 }
 
 func errUpdateUnknown(id string) error {
-	return result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took the change of job %s; ask again", id).Later(retryStore)
+	return result.New(result.JobRecordUnknown, result.RanUnknown, "the store has not said whether it took the change of job %s; ask again", id).WithRetryAfter(retryStore)
 }
 
 // applySpec puts the recorded specification in force. Other parts of the record, which may have
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -63,7 +63,7 @@
 	case j.Kind == spec.KindService && j.DeadlineUnixMilli != 0:
 		return invalid("deadline_unix_ms", "a service has no deadline")
 	case j.DeadlineUnixMilli != 0 && j.DeadlineUnixMilli <= now.UnixMilli()+j.Task.RunMillis:
-		return result.New(result.JobDeadlinePassed, result.RanNo, "the declared run time ends after the deadline").At("deadline_unix_ms")
+		return result.New(result.JobDeadlinePassed, result.RanNo, "the declared run time ends after the deadline").AtField("deadline_unix_ms")
 	}
 	return nil
 }
@@ -76,7 +76,7 @@
 	sec, nsec := u.Time().UnixTime()
 	createdAt := time.Unix(sec, nsec)
 	if createdAt.Before(now.Add(-retention / 2)) {
-		return result.New(result.JobIDTooOld, result.RanNo, "minted %s ago; a new job needs a new identifier", now.Sub(createdAt).Round(time.Second)).At("id")
+		return result.New(result.JobIDTooOld, result.RanNo, "minted %s ago; a new job needs a new identifier", now.Sub(createdAt).Round(time.Second)).AtField("id")
 	}
 	if createdAt.After(now.Add(clockSkew)) {
 		return invalid("id", "minted %s in the future", createdAt.Sub(now).Round(time.Second))
@@ -96,7 +96,7 @@
 }
 
 func invalid(field, format string, args ...any) *result.Error {
-	return result.New(result.JobInvalid, result.RanNo, format, args...).At(field)
+	return result.New(result.JobInvalid, result.RanNo, format, args...).AtField(field)
 }
 
 // checkQuota refuses a job that the quota can never admit: one task, or for a gang all tasks, must
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -135,7 +135,7 @@
 		return job, err
 	}
 	if id != "" && job.ID != "" && id != job.ID {
-		return job, result.New(result.BadInput, result.RanNo, "the body's id differs from the one in the path or the Idempotency-Key header").At("id")
+		return job, result.New(result.BadInput, result.RanNo, "the body's id differs from the one in the path or the Idempotency-Key header").AtField("id")
 	}
 	if job.ID == "" {
 		job.ID = id
@@ -159,7 +159,7 @@
 	e := result.New(result.BadInput, result.RanNo, "%v", err)
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return e.At(wrongType.Field)
+		return e.AtField(wrongType.Field)
 	}
 	return e
 }
@@ -174,7 +174,7 @@
 	req := jobmsg.UpdateRequest{Job: job}
 	if s := r.URL.Query().Get("generation"); s != "" {
 		if req.Generation, err = strconv.Atoi(s); err != nil || req.Generation < 1 {
-			return response{}, result.New(result.BadInput, result.RanNo, "generation is a number from 1").At("generation")
+			return response{}, result.New(result.BadInput, result.RanNo, "generation is a number from 1").AtField("generation")
 		}
 	}
 	status, err := callOwner[jobmsg.Status](ctx, a.ownerClient, job.Team, peer.KindJobUpdate, req, job.ID)
@@ -214,7 +214,7 @@
 	if s := q.Get("limit"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 1 || n > jobmsg.MaxListLimit {
-			return response{}, result.New(result.BadInput, result.RanNo, "limit is a number from 1 to %d", jobmsg.MaxListLimit).At("limit")
+			return response{}, result.New(result.BadInput, result.RanNo, "limit is a number from 1 to %d", jobmsg.MaxListLimit).AtField("limit")
 		}
 		req.Limit = n
 	}
--- a/internal/jobapi/owners.go
+++ b/internal/jobapi/owners.go
@@ -57,7 +57,7 @@
 // changed.
 func retryable(e *result.Error) bool {
 	switch e.Code {
-	case result.NotHolder, result.RightLapsed, result.JobHomeMoved, result.JobHomeRecovering,
+	case result.NotHolder, result.AuthorityExpired, result.JobHomeMoved, result.JobHomeRecovering,
 		result.PeerNotReached, result.PeerLost, result.Stopping:
 		return true
 	}
@@ -77,14 +77,14 @@
 		return e
 	}
 	return result.New(result.JobRecordUnknown, result.RanUnknown,
-		"an earlier try for job %s may have been accepted; now: %s", id, e.Error()).Later(retryNoHolder)
+		"an earlier try for job %s may have been accepted; now: %s", id, e.Error()).WithRetryAfter(retryNoHolder)
 }
 
 // ownerAddr returns the address of the process that owns a team's jobs.
 func (c ownerClient) ownerAddr(team string) (string, error) {
 	table := c.source.Table()
 	if table == nil || len(table.Partitions) == 0 {
-		return "", result.New(result.NotReady, result.RanNo, "the partitions are not known yet").Later(retryNoHolder)
+		return "", result.New(result.NotReady, result.RanNo, "the partitions are not known yet").WithRetryAfter(retryNoHolder)
 	}
 	id := partition.OfTeam(team, len(table.Partitions))
 	for _, p := range table.Partitions {
@@ -92,7 +92,7 @@
 			return p.Addr, nil
 		}
 	}
-	return "", result.New(result.JobHomeMoved, result.RanNo, "nobody holds partition %d, the home of team %s", id, team).Later(retryNoHolder)
+	return "", result.New(result.JobHomeMoved, result.RanNo, "nobody holds partition %d, the home of team %s", id, team).WithRetryAfter(retryNoHolder)
 }
 
 // holders returns the addresses of all processes that hold partitions, in a fixed order, and
@@ -152,7 +152,7 @@
 		return none, failure
 	}
 	if !all {
-		return none, result.New(result.JobHomeMoved, result.RanUnknown, "not every home is held at the moment, and those that are do not know job %q", id).Later(retryNoHolder)
+		return none, result.New(result.JobHomeMoved, result.RanUnknown, "not every home is held at the moment, and those that are do not know job %q", id).WithRetryAfter(retryNoHolder)
 	}
 	return none, result.New(result.JobNotFound, result.RanUnknown, "no home knows job %q", id)
 }
@@ -185,7 +185,7 @@
 		addrs, all = []string{addr}, true
 	}
 	if !all {
-		return jobmsg.ListReply{}, result.New(result.JobHomeMoved, result.RanNo, "not every home is held at the moment").Later(retryNoHolder)
+		return jobmsg.ListReply{}, result.New(result.JobHomeMoved, result.RanNo, "not every home is held at the moment").WithRetryAfter(retryNoHolder)
 	}
 	replies, errs := callAll[jobmsg.ListReply](ctx, c.peers, addrs, peer.KindJobList, req)
 	var merged jobmsg.ListReply
--- a/internal/jobmsg/jobmsg.go
+++ b/internal/jobmsg/jobmsg.go
@@ -26,8 +26,8 @@
 	Job spec.Job `cbor:"1,keyasint"`
 }
 
-// Counts holds the number of tasks of a job by state.
-type Counts struct {
+// TaskCounts holds the number of tasks of a job by state.
+type TaskCounts struct {
 	Waiting  int `cbor:"1,keyasint,omitempty" json:"waiting"`
 	Starting int `cbor:"2,keyasint,omitempty" json:"starting"` // start requested, outcome not known yet
 	Running  int `cbor:"3,keyasint,omitempty" json:"running"`
@@ -39,9 +39,9 @@
 
 // Status is a job as callers see it.
 type Status struct {
-	Job    spec.Job `cbor:"1,keyasint" json:"job"`
-	State  State    `cbor:"2,keyasint" json:"state"`
-	Counts Counts   `cbor:"3,keyasint" json:"tasks"`
+	Job        spec.Job   `cbor:"1,keyasint" json:"job"`
+	State      State      `cbor:"2,keyasint" json:"state"`
+	TaskCounts TaskCounts `cbor:"3,keyasint" json:"tasks"`
 	// Reason states why the job ended, or what it waits for.
 	Reason string `cbor:"4,keyasint,omitempty" json:"reason,omitempty"`
 	// Code is the result code that belongs to Reason; zero if there is none.
@@ -105,7 +105,7 @@
 }
 
 // Placement is a host that runs tasks of a job.
-type Site struct {
+type Placement struct {
 	Worker    string `cbor:"1,keyasint" json:"worker"`
 	Zone      string `cbor:"2,keyasint" json:"zone"`
 	Partition int    `cbor:"3,keyasint" json:"partition"`
@@ -123,10 +123,10 @@
 
 // Wait is a resource or event that a job waits for.
 type Wait struct {
-	Tasks  int    `cbor:"1,keyasint" json:"tasks"`
-	For    string `cbor:"2,keyasint" json:"for"`
-	Freed  string `cbor:"3,keyasint,omitempty" json:"freed_by,omitempty"`
-	Holder string `cbor:"4,keyasint,omitempty" json:"holder,omitempty"`
+	Tasks   int    `cbor:"1,keyasint" json:"tasks"`
+	For     string `cbor:"2,keyasint" json:"for"`
+	FreedBy string `cbor:"3,keyasint,omitempty" json:"freed_by,omitempty"`
+	Holder  string `cbor:"4,keyasint,omitempty" json:"holder,omitempty"`
 	// ByRule counts the hosts that each rule of the holder's placement decision excluded.
 	ByRule map[string]int `cbor:"5,keyasint,omitempty" json:"refused_by_rule,omitempty"`
 }
@@ -134,7 +134,7 @@
 // Explanation states why a job runs where it does, or what it waits for and what would free that,
 // as recorded by the job owner.
 type Explanation struct {
-	Sites     []Site     `cbor:"1,keyasint" json:"sites"`
-	Waits     []Wait     `cbor:"2,keyasint" json:"waits"`
-	Decisions []Decision `cbor:"3,keyasint" json:"decisions"`
+	Placements []Placement `cbor:"1,keyasint" json:"sites"`
+	Waits      []Wait      `cbor:"2,keyasint" json:"waits"`
+	Decisions  []Decision  `cbor:"3,keyasint" json:"decisions"`
 }
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -22,8 +22,8 @@
 	RuleSharedEpoch Rule = "shared-epoch"
 	// RulePartialGang: some tasks of a gang ran without the others.
 	RulePartialGang Rule = "gang-partly"
-	// RuleRanTwice: a non-idempotent request was executed more than once.
-	RuleRanTwice Rule = "ran-twice"
+	// RuleRepeatedExecution: a non-idempotent request was executed more than once.
+	RuleRepeatedExecution Rule = "ran-twice"
 	// RuleSlots: an executor had more concurrent requests than slots.
 	RuleSlots Rule = "slots"
 	// RuleConnections: an executor had more open connections than it allows.
@@ -53,9 +53,9 @@
 	maxViolations = 200
 )
 
-// Judge is a checker: it records runs and executions and checks the invariants. Its methods are safe for
+// Checker is a checker: it records runs and executions and checks the invariants. Its methods are safe for
 // concurrent use and never call back, so simulations may call them with locks held.
-type Judge struct {
+type Checker struct {
 	// GangGrace and LeavingGrace may be set before use.
 	GangGrace    time.Duration
 	LeavingGrace time.Duration
@@ -75,8 +75,8 @@
 }
 
 // New returns a checker with an empty record and the default grace periods.
-func New() *Judge {
-	return &Judge{
+func New() *Checker {
+	return &Checker{
 		GangGrace:       DefaultGangGrace,
 		LeavingGrace:    DefaultLeavingGrace,
 		workers:         map[string]*workerState{},
@@ -91,14 +91,14 @@
 // Violations returns the violations recorded so far, and those that depend on the current
 // time, such as gangs that are still incomplete. An empty result means that all
 // invariants hold.
-func (j *Judge) Violations(now time.Time) []Violation {
+func (j *Checker) Violations(now time.Time) []Violation {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	out := append([]Violation(nil), j.violations...)
 	return append(out, j.partialGangs(now)...)
 }
 
-func (j *Judge) addViolation(rule Rule, on string, at time.Time, format string, args ...any) {
+func (j *Checker) addViolation(rule Rule, on string, at time.Time, format string, args ...any) {
 	j.violationCount++
 	if len(j.violations) < maxViolations {
 		j.violations = append(j.violations, Violation{rule, on, at, fmt.Sprintf(format, args...)})
--- a/internal/judge/record.go
+++ b/internal/judge/record.go
@@ -55,7 +55,7 @@
 
 // Record returns the record at the given time, with the runs per task and the executions
 // per key if details is true.
-func (j *Judge) Record(now time.Time, details bool) Record {
+func (j *Checker) Record(now time.Time, details bool) Record {
 	violations := j.Violations(now)
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -80,7 +80,7 @@
 	return r
 }
 
-func (j *Judge) detail(r *Record, now time.Time, details bool) {
+func (j *Checker) detail(r *Record, now time.Time, details bool) {
 	if details {
 		r.Tasks, r.Keys = map[string][]RunRecord{}, map[string][]Execution{}
 	}
--- a/internal/judge/requests.go
+++ b/internal/judge/requests.go
@@ -30,7 +30,7 @@
 }
 
 // Executor registers an executor with its limits.
-func (j *Judge) Executor(name string, slots, connections int) {
+func (j *Checker) Executor(name string, slots, connections int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.executors[name] = &executorState{slots: slots, connections: connections}
@@ -38,7 +38,7 @@
 
 // Leaving records that the executor's responses announce its departure from now on, or
 // no longer announce it.
-func (j *Judge) Leaving(name string, leaving bool) {
+func (j *Checker) Leaving(name string, leaving bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	e := j.executors[name]
@@ -50,7 +50,7 @@
 
 // Execute records the start of an execution. The key may be empty. The caller passes the
 // returned value to Executed at the end of the execution.
-func (j *Judge) Execute(name, key, method, path string, at time.Time) *Execution {
+func (j *Checker) Execute(name, key, method, path string, at time.Time) *Execution {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	e := j.executors[name]
@@ -70,12 +70,12 @@
 	return x
 }
 
-func (j *Judge) recordKey(key string, x *Execution) {
+func (j *Checker) recordKey(key string, x *Execution) {
 	if key == "" {
 		return
 	}
 	if before := j.keys[key]; len(before) > 0 && !idempotent(x.Method) {
-		j.addViolation(RuleRanTwice, key, x.At, "%s on %s after %s", x.Method, x.Executor, before[0].Executor)
+		j.addViolation(RuleRepeatedExecution, key, x.At, "%s on %s after %s", x.Method, x.Executor, before[0].Executor)
 	}
 	j.keys[key] = append(j.keys[key], x)
 }
@@ -85,7 +85,7 @@
 }
 
 // Executed records the end of an execution.
-func (j *Judge) Executed(x *Execution, at time.Time) {
+func (j *Checker) Executed(x *Execution, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	x.Done = true
@@ -96,8 +96,8 @@
 	}
 }
 
-// Connected records that a connection was opened or closed.
-func (j *Judge) Connected(name string, open bool, at time.Time) {
+// RecordConnection records that a connection was opened or closed.
+func (j *Checker) RecordConnection(name string, open bool, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	e := j.executors[name]
@@ -113,7 +113,7 @@
 }
 
 // Executions returns copies of the executions of a key, in the order of their starts.
-func (j *Judge) Executions(key string) []Execution {
+func (j *Checker) Executions(key string) []Execution {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var out []Execution
--- a/internal/judge/tasks.go
+++ b/internal/judge/tasks.go
@@ -44,15 +44,15 @@
 	peak    int
 }
 
-// Worker registers a worker of the given size.
-func (j *Judge) Worker(name string, size spec.Resources) {
+// AddWorker registers a worker of the given size.
+func (j *Checker) AddWorker(name string, size spec.Resources) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.workers[name] = &workerState{size: size}
 }
 
 // RecordClaim records a claim that the worker has accepted.
-func (j *Judge) RecordClaim(name string, epoch uint64, holder string, at time.Time) {
+func (j *Checker) RecordClaim(name string, epoch uint64, holder string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	w := j.workers[name]
@@ -62,14 +62,14 @@
 	w.epoch, w.holder = epoch, holder
 }
 
-// Gang sets how many tasks a gang has, so that a partially started gang can be detected.
-func (j *Judge) Gang(job string, tasks int) {
+// ExpectGang sets how many tasks a gang has, so that a partially started gang can be detected.
+func (j *Checker) ExpectGang(job string, tasks int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.gang(job).tasks = tasks
 }
 
-func (j *Judge) gang(job string) *gangState {
+func (j *Checker) gang(job string) *gangState {
 	g := j.gangs[job]
 	if g == nil {
 		g = &gangState{running: map[int]int{}}
@@ -78,9 +78,9 @@
 	return g
 }
 
-// Start records that a run started at p.Started and will end at p.Until unless its
+// RecordStart records that a run started at p.Started and will end at p.Until unless its
 // lease is renewed. The caller keeps p for Renew and End and must not change it.
-func (j *Judge) Start(p *RunRecord, kind spec.Kind) {
+func (j *Checker) RecordStart(p *RunRecord, kind spec.Kind) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.starts++
@@ -99,7 +99,7 @@
 	}
 }
 
-func (j *Judge) allocate(p *RunRecord) {
+func (j *Checker) allocate(p *RunRecord) {
 	w := j.workers[p.Worker]
 	w.used = w.used.Add(p.Size)
 	w.peak = w.peak.Max(w.used)
@@ -116,8 +116,8 @@
 	g.peak = max(g.peak, len(g.running))
 }
 
-// Renew sets the new end times of the given runs.
-func (j *Judge) Renew(runs []*RunRecord, until []time.Time) {
+// RecordRenewals sets the new end times of the given runs.
+func (j *Checker) RecordRenewals(runs []*RunRecord, until []time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for i, p := range runs {
@@ -125,8 +125,8 @@
 	}
 }
 
-// End records that a run ended at the given time.
-func (j *Judge) End(p *RunRecord, at time.Time, state worker.State, exitCode int) {
+// RecordEnd records that a run ended at the given time.
+func (j *Checker) RecordEnd(p *RunRecord, at time.Time, state worker.State, exitCode int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.ends++
@@ -142,7 +142,7 @@
 
 // RecordUsage records a worker's real usage. Usage above the worker's size counts as
 // overload. It is no violation, because reporting lag makes it unavoidable for a time.
-func (j *Judge) RecordUsage(name string, usage spec.Resources) {
+func (j *Checker) RecordUsage(name string, usage spec.Resources) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if w := j.workers[name]; !usage.Fits(w.size) {
@@ -150,7 +150,7 @@
 	}
 }
 
-func (j *Judge) partialGangs(now time.Time) []Violation {
+func (j *Checker) partialGangs(now time.Time) []Violation {
 	var out []Violation
 	for job, g := range j.gangs {
 		if g.tasks == 0 || g.first.IsZero() || g.peak >= g.tasks || now.Sub(g.first) <= j.GangGrace {
@@ -162,7 +162,7 @@
 }
 
 // Runs returns copies of all runs of a task, in the order of their starts.
-func (j *Judge) Runs(task spec.TaskID) []RunRecord {
+func (j *Checker) Runs(task spec.TaskID) []RunRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var out []RunRecord
@@ -173,7 +173,7 @@
 }
 
 // Starts returns the number of runs started so far.
-func (j *Judge) Starts() int {
+func (j *Checker) Starts() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.starts
--- a/internal/lateness/lateness.go
+++ b/internal/lateness/lateness.go
@@ -106,7 +106,7 @@
 }
 
 // MaxLateness returns the maximum lateness among the recent timers.
-func (l *Timers) Latest() time.Duration {
+func (l *Timers) MaxLateness() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	latest := time.Duration(0)
--- a/internal/linkshard/batch.go
+++ b/internal/linkshard/batch.go
@@ -30,14 +30,14 @@
 				ID: n.id, Host: index, Run: steps.row(c.Start.Run), Command: commands.index(c.Start.Command),
 				Deadline: c.Start.Deadline, Checkpoint: c.Start.Checkpoint, Ticket: c.Start.Ticket,
 			})
-			b.StartIncarnations = append(b.StartIncarnations, c.Start.Life)
+			b.StartIncarnations = append(b.StartIncarnations, c.Start.Incarnation)
 		case c.Stop != nil:
 			b.Stops = append(b.Stops, stopRow{ID: n.id, Host: index, Run: steps.row(*c.Stop)})
-		case c.Look != nil:
-			b.Polls = append(b.Polls, pollRow{ID: n.id, Host: index, Seen: c.Look.Seen, Lease: c.Look.Lease, Wait: c.Look.Wait.Milliseconds()})
-			b.PollIncarnations = append(b.PollIncarnations, c.Look.Life)
-		case c.Pace != nil:
-			b.Paces = append(b.Paces, paceRow{ID: n.id, Host: index, Run: steps.row(c.Pace.Run), Percent: c.Pace.Percent})
+		case c.Poll != nil:
+			b.Polls = append(b.Polls, pollRow{ID: n.id, Host: index, AckedEnds: c.Poll.AckedEnds, Lease: c.Poll.Lease, Wait: c.Poll.Wait.Milliseconds()})
+			b.PollIncarnations = append(b.PollIncarnations, c.Poll.Incarnation)
+		case c.Throttle != nil:
+			b.Throttles = append(b.Throttles, throttleRow{ID: n.id, Host: index, Run: steps.row(c.Throttle.Run), Percent: c.Throttle.Percent})
 		}
 	}
 	b.Steps, b.Commands = steps.values, commands.values
@@ -70,17 +70,17 @@
 			err = commandErr
 		}
 		add(r.ID, r.Host, Call{Start: &host.Start{
-			Run: run, Life: incarnationAt(b.StartIncarnations, i), Command: command, Deadline: r.Deadline, Checkpoint: r.Checkpoint, Ticket: r.Ticket,
+			Run: run, Incarnation: incarnationAt(b.StartIncarnations, i), Command: command, Deadline: r.Deadline, Checkpoint: r.Checkpoint, Ticket: r.Ticket,
 		}}, err)
 	}
 	for i, r := range b.Polls {
-		add(r.ID, r.Host, Call{Look: &host.Look{
-			Seen: r.Seen, Life: incarnationAt(b.PollIncarnations, i), Lease: r.Lease, Wait: time.Duration(r.Wait) * time.Millisecond,
+		add(r.ID, r.Host, Call{Poll: &host.Poll{
+			AckedEnds: r.AckedEnds, Incarnation: incarnationAt(b.PollIncarnations, i), Lease: r.Lease, Wait: time.Duration(r.Wait) * time.Millisecond,
 		}}, nil)
 	}
-	for _, r := range b.Paces {
+	for _, r := range b.Throttles {
 		run, err := runOf(b.Steps, r.Run)
-		add(r.ID, r.Host, Call{Pace: &Pace{Run: run, Percent: r.Percent}}, err)
+		add(r.ID, r.Host, Call{Throttle: &Throttle{Run: run, Percent: r.Percent}}, err)
 	}
 	return out, failed
 }
@@ -107,10 +107,10 @@
 			row.Running = append(row.Running, runningRow{Run: steps.row(v.Run), Checkpoint: v.Checkpoint, Percent: v.Percent, Gauge: v.Gauge})
 		}
 		for _, v := range o.View.Ended {
-			row.Ended = append(row.Ended, endRow{Number: v.Number, Run: steps.row(v.Run), How: v.How, Checkpoint: v.Checkpoint})
+			row.Ended = append(row.Ended, endRow{Number: v.Number, Run: steps.row(v.Run), EndReason: v.EndReason, Checkpoint: v.Checkpoint})
 		}
 		r.Views = append(r.Views, row)
-		r.ViewIncarnations = append(r.ViewIncarnations, o.View.Life)
+		r.ViewIncarnations = append(r.ViewIncarnations, o.View.Incarnation)
 	}
 	r.Steps = steps.values
 	return r
@@ -129,7 +129,7 @@
 		if err != nil {
 			return nil, err
 		}
-		view.Life = incarnationAt(r.ViewIncarnations, i)
+		view.Incarnation = incarnationAt(r.ViewIncarnations, i)
 		out = append(out, numberedOutcome{id: row.ID, isPoll: true, outcome: Outcome{View: view, Err: row.Failure.err()}})
 	}
 	return out, nil
@@ -137,7 +137,7 @@
 
 // incarnationAt returns the incarnation at an index of a list, or none where the sender's version
 // does not send incarnations.
-func incarnationAt(incarnations []host.Life, index int) host.Life {
+func incarnationAt(incarnations []host.Incarnation, index int) host.Incarnation {
 	if index >= len(incarnations) {
 		return 0
 	}
@@ -158,7 +158,7 @@
 		if err != nil {
 			return v, err
 		}
-		v.Ended = append(v.Ended, host.End{Number: x.Number, Run: run, How: x.How, Checkpoint: x.Checkpoint})
+		v.Ended = append(v.Ended, host.End{Number: x.Number, Run: run, EndReason: x.EndReason, Checkpoint: x.Checkpoint})
 	}
 	return v, nil
 }
--- a/internal/linkshard/batch_test.go
+++ b/internal/linkshard/batch_test.go
@@ -29,15 +29,15 @@
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
 		c.Start = &host.Start{
-			Run: run, Life: host.Life(rapid.Int64Min(0).Draw(t, "life")), Command: rapid.SampledFrom([]string{"", "run a", "run b"}).Draw(t, "command"),
+			Run: run, Incarnation: host.Incarnation(rapid.Int64Min(0).Draw(t, "life")), Command: rapid.SampledFrom([]string{"", "run a", "run b"}).Draw(t, "command"),
 			Deadline: host.Millis(rapid.Int64Range(0, 1<<40).Draw(t, "deadline")), Checkpoint: rapid.String().Draw(t, "checkpoint"), Ticket: rapid.String().Draw(t, "ticket"),
 		}
 	case 1:
 		c.Stop = &run
 	case 2:
-		c.Look = &host.Look{Seen: rapid.Int64().Draw(t, "seen"), Lease: host.Millis(rapid.Int64().Draw(t, "lease")), Wait: time.Duration(rapid.IntRange(0, 2000).Draw(t, "wait")) * time.Millisecond, Life: host.Life(rapid.Int64Min(0).Draw(t, "life"))}
+		c.Poll = &host.Poll{AckedEnds: rapid.Int64().Draw(t, "seen"), Lease: host.Millis(rapid.Int64().Draw(t, "lease")), Wait: time.Duration(rapid.IntRange(0, 2000).Draw(t, "wait")) * time.Millisecond, Incarnation: host.Incarnation(rapid.Int64Min(0).Draw(t, "life"))}
 	default:
-		c.Pace = &Pace{Run: run, Percent: rapid.IntRange(0, 100).Draw(t, "percent")}
+		c.Throttle = &Throttle{Run: run, Percent: rapid.IntRange(0, 100).Draw(t, "percent")}
 	}
 	return c
 }
@@ -69,16 +69,16 @@
 		for i := range rapid.IntRange(0, 10).Draw(t, "outcomes") {
 			f := numberedOutcome{id: uint64(i), isPoll: rapid.Bool().Draw(t, "poll")}
 			if !f.isPoll {
-				f.outcome.Reply = host.Reply{Clock: host.Millis(i), Refused: rapid.SampledFrom([]host.Refusal{"", host.RefusedFull}).Draw(t, "refused")}
+				f.outcome.Reply = host.Reply{Clock: host.Millis(i), Refused: rapid.SampledFrom([]host.Refusal{"", host.RefusedNoCapacity}).Draw(t, "refused")}
 				list = append(list, f)
 				continue
 			}
-			f.outcome.View = host.View{Clock: host.Millis(i), Life: host.Life(rapid.Int64Min(0).Draw(t, "life")), Fenced: rapid.Bool().Draw(t, "fenced")}
+			f.outcome.View = host.View{Clock: host.Millis(i), Incarnation: host.Incarnation(rapid.Int64Min(0).Draw(t, "life")), Fenced: rapid.Bool().Draw(t, "fenced")}
 			for range rapid.IntRange(0, 4).Draw(t, "running") {
 				f.outcome.View.Running = append(f.outcome.View.Running, host.Running{Run: drawRun(t), Checkpoint: "c", Percent: 41.5, Gauge: 7})
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "ended") {
-				f.outcome.View.Ended = append(f.outcome.View.Ended, host.End{Number: 9, Run: drawRun(t), How: host.EndDone, Checkpoint: "d"})
+				f.outcome.View.Ended = append(f.outcome.View.Ended, host.End{Number: 9, Run: drawRun(t), EndReason: host.EndDone, Checkpoint: "d"})
 			}
 			list = append(list, f)
 		}
@@ -105,7 +105,7 @@
 		"host":    {Polls: []pollRow{{Host: 0}}},
 		"step":    {Hosts: host, Stops: []stopRow{{Run: runRow{Step: 1}}}, Steps: step},
 		"command": {Hosts: host, Starts: []startRow{{}}, Steps: step},
-		"below":   {Hosts: host, Paces: []paceRow{{Run: runRow{Step: -1}}}, Steps: step},
+		"below":   {Hosts: host, Throttles: []throttleRow{{Run: runRow{Step: -1}}}, Steps: step},
 	} {
 		_, err := b.calls()
 		if err == nil {
@@ -130,8 +130,8 @@
 	for i := range starts {
 		to := host.Info{ID: host.ID([]string{"a1b2c3d4e5f60718", "b1b2c3d4e5f60718", "c1b2c3d4e5f60718"}[i%3]), Addr: "10.1.2.34:8167"}
 		calls = append(calls, numberedCall{uint64(100000 + 2*i), Call{To: to, Start: &host.Start{Run: run(i), Command: string(make([]byte, 150)), Deadline: 486000, Ticket: "00000bb87a21d94b"}}},
-			numberedCall{uint64(100001 + 2*i), Call{To: to, Look: &host.Look{Seen: 57, Lease: 486000, Wait: 2 * time.Second}}})
-		view := host.View{Clock: 482113, Ended: []host.End{{Number: 58, Run: run(i), How: host.EndDone}}}
+			numberedCall{uint64(100001 + 2*i), Call{To: to, Poll: &host.Poll{AckedEnds: 57, Lease: 486000, Wait: 2 * time.Second}}})
+		view := host.View{Clock: 482113, Ended: []host.End{{Number: 58, Run: run(i), EndReason: host.EndDone}}}
 		for k := range 3 {
 			view.Running = append(view.Running, host.Running{Run: run(k), Percent: 41, Gauge: 16000})
 		}
@@ -166,13 +166,13 @@
 // otherwise unchanged.
 func TestMembersWithoutIncarnations(t *testing.T) {
 	is := is.New(t)
-	b := newBatch([]numberedCall{{1, Call{To: host.Info{ID: "h1"}, Look: &host.Look{Seen: 7, Life: 5}}}})
+	b := newBatch([]numberedCall{{1, Call{To: host.Info{ID: "h1"}, Poll: &host.Poll{AckedEnds: 7, Incarnation: 5}}}})
 	b.PollIncarnations = nil
 	calls, err := b.calls()
 	is.NoErr(err)
-	is.Equal(*calls[0].call.Look, host.Look{Seen: 7})
+	is.Equal(*calls[0].call.Poll, host.Poll{AckedEnds: 7})
 
-	r := newReport(0, 3, []numberedOutcome{{id: 1, isPoll: true, outcome: Outcome{View: host.View{Clock: 9, Life: 5}}}})
+	r := newReport(0, 3, []numberedOutcome{{id: 1, isPoll: true, outcome: Outcome{View: host.View{Clock: 9, Incarnation: 5}}}})
 	r.ViewIncarnations = nil
 	list, err := r.outcomes()
 	is.NoErr(err)
--- a/internal/linkshard/linkshard.go
+++ b/internal/linkshard/linkshard.go
@@ -20,17 +20,17 @@
 
 // Call is one call to a host. Exactly one of Start, Stop, Look and Pace is set.
 type Call struct {
-	To    host.Info
-	Start *host.Start
-	Stop  *host.Run
-	Look  *host.Look
-	Pace  *Pace
+	To       host.Info
+	Start    *host.Start
+	Stop     *host.Run
+	Poll     *host.Poll
+	Throttle *Throttle
 	// Done processes the outcome; it is called once, by Config.Apply.
 	Done func(o Outcome, now time.Time)
 }
 
-// Pace limits a run to a share of its speed, in percent.
-type Pace struct {
+// Throttle limits a run to a share of its speed, in percent.
+type Throttle struct {
 	Run     host.Run
 	Percent int
 }
@@ -53,10 +53,10 @@
 		o.Reply, o.Err = hosts.Start(ctx, c.To, epoch, *c.Start)
 	case c.Stop != nil:
 		o.Reply, o.Err = hosts.Stop(ctx, c.To, epoch, *c.Stop)
-	case c.Pace != nil:
-		o.Reply, o.Err = hosts.Pace(ctx, c.To, epoch, c.Pace.Run, c.Pace.Percent)
-	case c.Look != nil:
-		o.View, o.Err = hosts.Look(ctx, c.To, epoch, *c.Look)
+	case c.Throttle != nil:
+		o.Reply, o.Err = hosts.Throttle(ctx, c.To, epoch, c.Throttle.Run, c.Throttle.Percent)
+	case c.Poll != nil:
+		o.View, o.Err = hosts.Poll(ctx, c.To, epoch, *c.Poll)
 	}
 	return o
 }
--- a/internal/linkshard/messages.go
+++ b/internal/linkshard/messages.go
@@ -19,19 +19,19 @@
 	Holder      string        `cbor:"3,keyasint"`
 	ReportEvery time.Duration `cbor:"4,keyasint"`
 
-	Hosts    []hostRow     `cbor:"5,keyasint"`
-	Steps    []spec.StepID `cbor:"6,keyasint,omitempty"`
-	Commands []string      `cbor:"7,keyasint,omitempty"`
-	Starts   []startRow    `cbor:"8,keyasint,omitempty"`
-	Stops    []stopRow     `cbor:"9,keyasint,omitempty"`
-	Polls    []pollRow     `cbor:"10,keyasint,omitempty"`
-	Paces    []paceRow     `cbor:"11,keyasint,omitempty"`
+	Hosts     []hostRow     `cbor:"5,keyasint"`
+	Steps     []spec.StepID `cbor:"6,keyasint,omitempty"`
+	Commands  []string      `cbor:"7,keyasint,omitempty"`
+	Starts    []startRow    `cbor:"8,keyasint,omitempty"`
+	Stops     []stopRow     `cbor:"9,keyasint,omitempty"`
+	Polls     []pollRow     `cbor:"10,keyasint,omitempty"`
+	Throttles []throttleRow `cbor:"11,keyasint,omitempty"`
 	// PollIncarnations and StartIncarnations are the incarnations that the polls and the starts are
 	// meant for, in their order. They are separate from the rows, as members of versions before and
 	// after a change of the rows could not read each other's. A sender of an earlier version omits
 	// them, which specifies no incarnation.
-	PollIncarnations  []host.Life `cbor:"12,keyasint,omitempty"`
-	StartIncarnations []host.Life `cbor:"13,keyasint,omitempty"`
+	PollIncarnations  []host.Incarnation `cbor:"12,keyasint,omitempty"`
+	StartIncarnations []host.Incarnation `cbor:"13,keyasint,omitempty"`
 }
 
 type hostRow struct {
@@ -65,15 +65,15 @@
 }
 
 type pollRow struct {
-	_     struct{} `cbor:",toarray"`
-	ID    uint64
-	Host  int
-	Seen  int64
-	Lease host.Millis
-	Wait  int64 // milliseconds
+	_         struct{} `cbor:",toarray"`
+	ID        uint64
+	Host      int
+	AckedEnds int64
+	Lease     host.Millis
+	Wait      int64 // milliseconds
 }
 
-type paceRow struct {
+type throttleRow struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
 	Host    int
@@ -90,7 +90,7 @@
 	Views     []viewRow     `cbor:"5,keyasint,omitempty"`
 	// ViewIncarnations are the incarnations that the views report, in their order; see
 	// Batch.PollIncarnations.
-	ViewIncarnations []host.Life `cbor:"6,keyasint,omitempty"`
+	ViewIncarnations []host.Incarnation `cbor:"6,keyasint,omitempty"`
 }
 
 type replyRow struct {
@@ -123,7 +123,7 @@
 	_          struct{} `cbor:",toarray"`
 	Number     int64
 	Run        runRow
-	How        host.How
+	EndReason  host.EndReason
 	Checkpoint string
 }
 
@@ -149,13 +149,13 @@
 	switch {
 	case err == nil:
 		return failureNone
-	case errors.Is(err, host.ErrRefused):
+	case errors.Is(err, host.ErrConnectionRefused):
 		return failureRefused
 	case errors.Is(err, host.ErrNotSent):
 		return failureNotSent
-	case errors.Is(err, host.ErrOtherLife):
+	case errors.Is(err, host.ErrOtherIncarnation):
 		return failureOtherIncarnation
-	case errors.Is(err, host.ErrBroken):
+	case errors.Is(err, host.ErrConnectionBroken):
 		return failureBroken
 	}
 	return failureLost
@@ -168,11 +168,11 @@
 	case failureNotSent:
 		return fmt.Errorf("%w: %w", host.ErrNotSent, errReported)
 	case failureOtherIncarnation:
-		return fmt.Errorf("%w: %w", host.ErrOtherLife, errReported)
+		return fmt.Errorf("%w: %w", host.ErrOtherIncarnation, errReported)
 	case failureRefused:
-		return fmt.Errorf("%w: %w", host.ErrRefused, errReported)
+		return fmt.Errorf("%w: %w", host.ErrConnectionRefused, errReported)
 	case failureBroken:
-		return fmt.Errorf("%w: %w", host.ErrBroken, errReported)
+		return fmt.Errorf("%w: %w", host.ErrConnectionBroken, errReported)
 	}
 	return fmt.Errorf("%w: %w", host.ErrLost, errReported)
 }
--- a/internal/linkshard/router.go
+++ b/internal/linkshard/router.go
@@ -248,8 +248,8 @@
 		p.firstSentAt = now
 	}
 	p.expiresAt = now.Add(orderTimeout)
-	if p.call.Look != nil {
-		p.expiresAt = now.Add(2*p.call.Look.Wait + pollSlack)
+	if p.call.Poll != nil {
+		p.expiresAt = now.Add(2*p.call.Poll.Wait + pollSlack)
 	}
 }
 
@@ -259,8 +259,8 @@
 	outcome Outcome
 }
 
-// UnderWay returns how many calls wait for their outcome, queued or at shards.
-func (r *Router) UnderWay() int {
+// PendingCalls returns how many calls wait for their outcome, queued or at shards.
+func (r *Router) PendingCalls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.calls)
--- a/internal/linkshard/router_test.go
+++ b/internal/linkshard/router_test.go
@@ -143,11 +143,11 @@
 	return c.arrive(ctx, epoch)
 }
 
-func (c hostsFrom) Pace(ctx context.Context, _ host.Info, epoch uint64, _ host.Run, _ int) (host.Reply, error) {
+func (c hostsFrom) Throttle(ctx context.Context, _ host.Info, epoch uint64, _ host.Run, _ int) (host.Reply, error) {
 	return c.arrive(ctx, epoch)
 }
 
-func (c hostsFrom) Look(ctx context.Context, _ host.Info, epoch uint64, l host.Look) (host.View, error) {
+func (c hostsFrom) Poll(ctx context.Context, _ host.Info, epoch uint64, l host.Poll) (host.View, error) {
 	time.Sleep(l.Wait)
 	r, err := c.arrive(ctx, epoch)
 	return host.View{Clock: r.Clock, Fenced: r.Refused == host.RefusedFenced}, err
@@ -299,7 +299,7 @@
 				r := newFixture(t, 4, 200)
 				var calls []Call
 				for i := range polls {
-					calls = append(calls, r.call(i, Call{Look: &host.Look{Wait: 2 * time.Second}}))
+					calls = append(calls, r.call(i, Call{Poll: &host.Poll{Wait: 2 * time.Second}}))
 				}
 				r.router.Do(r.ctx, calls)
 				time.Sleep(200 * time.Millisecond)
@@ -382,7 +382,7 @@
 // call that the first may have made, except for a fencing refusal, which means that a later holder
 // has taken over.
 func TestRefusalsOfPossiblySentCalls(t *testing.T) {
-	refused := host.Reply{Refused: host.RefusedFull}
+	refused := host.Reply{Refused: host.RefusedNoCapacity}
 	tests := map[string]struct {
 		outcome      Outcome
 		possiblySent bool
@@ -390,16 +390,16 @@
 		refused      host.Refusal
 	}{
 		"done":                               {Outcome{}, true, failureNone, ""},
-		"refused":                            {Outcome{Reply: refused}, false, failureNone, host.RefusedFull},
+		"refused":                            {Outcome{Reply: refused}, false, failureNone, host.RefusedNoCapacity},
 		"refused, possibly sent":             {Outcome{Reply: refused}, true, failureLost, ""},
-		"too old, possibly sent":             {Outcome{Reply: host.Reply{Refused: host.RefusedOld}}, true, failureLost, ""},
+		"too old, possibly sent":             {Outcome{Reply: host.Reply{Refused: host.RefusedSuperseded}}, true, failureLost, ""},
 		"fenced, possibly sent":              {Outcome{Reply: host.Reply{Refused: host.RefusedFenced}}, true, failureNone, host.RefusedFenced},
 		"not sent":                           {Outcome{Err: host.ErrNotSent}, false, failureNotSent, ""},
 		"not sent, possibly sent by another": {Outcome{Err: host.ErrNotSent}, true, failureLost, ""},
-		"another incarnation, possibly sent": {Outcome{Err: host.ErrOtherLife}, true, failureOtherIncarnation, ""},
-		"broken, possibly sent":              {Outcome{Err: host.ErrBroken}, true, failureBroken, ""},
-		"connection refused":                 {Outcome{Err: host.ErrRefused}, false, failureRefused, ""},
-		"connection refused, possibly sent":  {Outcome{Err: host.ErrRefused}, true, failureLost, ""},
+		"another incarnation, possibly sent": {Outcome{Err: host.ErrOtherIncarnation}, true, failureOtherIncarnation, ""},
+		"broken, possibly sent":              {Outcome{Err: host.ErrConnectionBroken}, true, failureBroken, ""},
+		"connection refused":                 {Outcome{Err: host.ErrConnectionRefused}, false, failureRefused, ""},
+		"connection refused, possibly sent":  {Outcome{Err: host.ErrConnectionRefused}, true, failureLost, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -444,7 +444,7 @@
 		is := is.New(t)
 		r := newFixture(t, 4, 200)
 		started := time.Now()
-		r.router.Do(r.ctx, []Call{r.call(0, Call{Look: &host.Look{Wait: 2 * time.Second}})})
+		r.router.Do(r.ctx, []Call{r.call(0, Call{Poll: &host.Poll{Wait: 2 * time.Second}})})
 		time.Sleep(2100 * time.Millisecond)
 		synctest.Wait()
 		r.mu.Lock()
@@ -483,7 +483,7 @@
 		reports := 0
 		peer.Handle(mux, peer.KindHostReport, func(context.Context, Report) (Empty, error) {
 			reports++
-			return Empty{}, result.New(result.HolderAway, result.RanNo, "not held")
+			return Empty{}, result.New(result.HolderUnreachable, result.RanNo, "not held")
 		})
 		r.network.Local["holder"] = mux
 		r.start(0, 1)
--- a/internal/linkshard/server.go
+++ b/internal/linkshard/server.go
@@ -60,7 +60,7 @@
 	for _, n := range calls {
 		go func() {
 			o := perform(context.Background(), s.hosts, b.Epoch, &n.call)
-			r.add(numberedOutcome{n.id, n.call.Look != nil, o}, b.ReportEvery)
+			r.add(numberedOutcome{n.id, n.call.Poll != nil, o}, b.ReportEvery)
 		}()
 	}
 	return Empty{}, nil
@@ -147,7 +147,7 @@
 		if err == nil {
 			return
 		}
-		if result.CodeOf(err) == result.HolderAway {
+		if result.CodeOf(err) == result.HolderUnreachable {
 			return // the holding is over; the next holder polls the hosts itself
 		}
 		if !wait.For(ctx, reportRetryDelay) {
--- a/internal/member/keys.go
+++ b/internal/member/keys.go
@@ -20,15 +20,15 @@
 // Key returns the store key of a member.
 func Key(name string) string { return Prefix + name }
 
-// CharterKey returns the store key of an incarnation's voter record.
-func CharterKey(name, incarnation string) string {
+// VoterRecordKey returns the store key of an incarnation's voter record.
+func VoterRecordKey(name, incarnation string) string {
 	return Prefix + name + "/" + incarnation
 }
 
-// Charter records the voter set of a member's incarnation: during a store outage, the voters'
+// VoterRecord records the voter set of a member's incarnation: during a store outage, the voters'
 // promises may extend the incarnation's authority.
-type Charter struct {
-	right.Electorate
+type VoterRecord struct {
+	right.VoterSet
 	// Lease is the store lease of the session's member key. It identifies the attempt to join
 	// that succeeded, if the reply to an attempt was lost.
 	Lease platform.LeaseID `json:"lease"`
@@ -39,7 +39,7 @@
 	Name        string
 	Incarnation string // empty for a member
 	Member      *view.Member
-	Charter     *Charter
+	VoterRecord *VoterRecord
 	Revision    platform.Revision
 }
 
@@ -52,8 +52,8 @@
 	}
 	var err error
 	if isVoterRecord {
-		entry.Charter = &Charter{}
-		err = json.Unmarshal(rec.Value, entry.Charter)
+		entry.VoterRecord = &VoterRecord{}
+		err = json.Unmarshal(rec.Value, entry.VoterRecord)
 	} else {
 		entry.Member = &view.Member{}
 		err = json.Unmarshal(rec.Value, entry.Member)
@@ -64,8 +64,8 @@
 	return entry, nil
 }
 
-// IsCharter reports whether the entry's key is the key of a voter record.
-func (e Entry) IsCharter() bool { return e.Incarnation != "" }
+// IsVoterRecord reports whether the entry's key is the key of a voter record.
+func (e Entry) IsVoterRecord() bool { return e.Incarnation != "" }
 
 // mustJSON encodes values of this package's types, which can't fail.
 func mustJSON(v any) []byte {
--- a/internal/member/session.go
+++ b/internal/member/session.go
@@ -18,7 +18,7 @@
 
 // States of this process's membership.
 const (
-	StateOutside   = "outside" // has not joined, or another process has the name
+	StateNotJoined = "outside" // has not joined, or another process has the name
 	StateJoined    = "joined"
 	StateLeaseLost = "lost" // the store lease has ended; promises may still extend the authority
 	StateLeaving   = "leaving"
@@ -40,7 +40,7 @@
 
 	mu             sync.Mutex
 	self           view.Member
-	authority      *right.Holder
+	authority      *right.Authority
 	states         *fsm.FSM
 	lease          platform.LeaseID
 	grantSent      map[platform.LeaseID]time.Time // when the request for each lease was sent
@@ -54,13 +54,13 @@
 // NewSession returns a session of a process that has not joined.
 func NewSession(store platform.Store, self view.Member, times right.Times) *Session {
 	return &Session{
-		store: store, times: times, self: self, authority: right.NewHolder(times),
+		store: store, times: times, self: self, authority: right.NewAuthority(times),
 		grantSent: map[platform.LeaseID]time.Time{},
-		states: fsm.NewFSM(StateOutside, fsm.Events{
-			{Name: eventJoin, Src: []string{StateOutside, StateLeaseLost, StateJoined}, Dst: StateJoined},
+		states: fsm.NewFSM(StateNotJoined, fsm.Events{
+			{Name: eventJoin, Src: []string{StateNotJoined, StateLeaseLost, StateJoined}, Dst: StateJoined},
 			{Name: eventLeaseLost, Src: []string{StateJoined, StateLeaving}, Dst: StateLeaseLost},
-			{Name: eventLeave, Src: []string{StateJoined, StateLeaseLost, StateOutside}, Dst: StateLeaving},
-			{Name: eventLeft, Src: []string{StateLeaving, StateLeaseLost, StateOutside, StateJoined}, Dst: StateLeft},
+			{Name: eventLeave, Src: []string{StateJoined, StateLeaseLost, StateNotJoined}, Dst: StateLeaving},
+			{Name: eventLeft, Src: []string{StateLeaving, StateLeaseLost, StateNotJoined, StateJoined}, Dst: StateLeft},
 		}, fsm.Callbacks{}),
 	}
 }
@@ -81,8 +81,8 @@
 	}
 	s.mu.Lock()
 	s.grantSent[lease] = sent
-	voterRecord := Charter{Electorate: right.Electorate{Session: s.session + 1, Voters: voters}, Lease: lease}
-	if current := s.authority.Electorate(); current.Session > 0 {
+	voterRecord := VoterRecord{VoterSet: right.VoterSet{Session: s.session + 1, Voters: voters}, Lease: lease}
+	if current := s.authority.VoterSet(); current.Session > 0 {
 		// The voter set changes only under an active session.
 		voterRecord.Voters = current.Voters
 	}
@@ -101,8 +101,8 @@
 	return nil
 }
 
-func (s *Session) joinTxn(voterRecord Charter) platform.Txn {
-	key, voterRecordKey := Key(s.self.Name), CharterKey(s.self.Name, s.self.Incarnation)
+func (s *Session) joinTxn(voterRecord VoterRecord) platform.Txn {
+	key, voterRecordKey := Key(s.self.Name), VoterRecordKey(s.self.Name, s.self.Incarnation)
 	return platform.Txn{
 		If: []platform.Condition{{Key: key}, {Key: voterRecordKey, ModRevision: s.voterRecordMod}},
 		Then: []platform.Write{
@@ -129,7 +129,7 @@
 		}
 		switch {
 		case entry.Name != s.self.Name:
-		case !entry.IsCharter():
+		case !entry.IsVoterRecord():
 			member = entry
 		case entry.Incarnation == s.self.Incarnation:
 			voterRecord = entry
@@ -137,28 +137,28 @@
 	}
 	s.mu.Lock()
 	s.voterRecordMod = voterRecord.Revision
-	if voterRecord.Charter != nil {
-		s.session = voterRecord.Charter.Session
+	if voterRecord.VoterRecord != nil {
+		s.session = voterRecord.VoterRecord.Session
 	}
 	s.mu.Unlock()
 	if member.Member == nil {
 		return false, nil
 	}
-	if member.Member.Incarnation != s.self.Incarnation || voterRecord.Charter == nil {
+	if member.Member.Incarnation != s.self.Incarnation || voterRecord.VoterRecord == nil {
 		return false, result.New(result.NameTaken, result.RanNo, "member %s lives as %s at %s",
 			s.self.Name, member.Member.Incarnation, member.Member.Addr)
 	}
-	s.recordJoin(*voterRecord.Charter, member.Revision, voterRecord.Revision)
+	s.recordJoin(*voterRecord.VoterRecord, member.Revision, voterRecord.Revision)
 	return true, nil
 }
 
-func (s *Session) recordJoin(voterRecord Charter, memberMod, voterRecordMod platform.Revision) {
+func (s *Session) recordJoin(voterRecord VoterRecord, memberMod, voterRecordMod platform.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.memberMod, s.voterRecordMod = memberMod, voterRecordMod
 	s.lease, s.session = voterRecord.Lease, voterRecord.Session
 	if s.authority.Session() != voterRecord.Session {
-		s.authority.Created(s.grantSent[voterRecord.Lease], voterRecord.Electorate)
+		s.authority.BeginSession(s.grantSent[voterRecord.Lease], voterRecord.VoterSet)
 		s.lastRenewal = s.grantSent[voterRecord.Lease]
 	}
 	clear(s.grantSent)
@@ -178,7 +178,7 @@
 	defer s.mu.Unlock()
 	switch {
 	case err == nil:
-		s.authority.Renewed(sent)
+		s.authority.RecordRenewal(sent)
 		s.lastRenewal = sent
 	case errors.Is(err, platform.ErrLeaseGone):
 		s.transition(eventLeaseLost)
@@ -189,18 +189,18 @@
 // SetVoters changes the voter set to the given voters, if it differs and may be changed now.
 func (s *Session) SetVoters(ctx context.Context, voters []right.Voter) error {
 	s.mu.Lock()
-	current := s.authority.Electorate()
-	if s.states.Current() != StateJoined || slices.Equal(current.Voters, voters) || !s.authority.MayChange(uptime.Now()) {
+	current := s.authority.VoterSet()
+	if s.states.Current() != StateJoined || slices.Equal(current.Voters, voters) || !s.authority.MayChangeVoters(uptime.Now()) {
 		s.mu.Unlock()
 		return nil
 	}
-	next := right.Electorate{Session: current.Session, Voters: voters}
-	s.authority.Changing(next)
+	next := right.VoterSet{Session: current.Session, Voters: voters}
+	s.authority.BeginVoterChange(next)
 	txn := platform.Txn{
 		If: s.sessionConditions(),
 		Then: []platform.Write{{
-			Key:   CharterKey(s.self.Name, s.self.Incarnation),
-			Value: mustJSON(Charter{Electorate: next, Lease: s.lease}),
+			Key:   VoterRecordKey(s.self.Name, s.self.Incarnation),
+			Value: mustJSON(VoterRecord{VoterSet: next, Lease: s.lease}),
 		}},
 	}
 	s.mu.Unlock()
@@ -212,15 +212,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.voterRecordMod = reply.Revision
-	s.authority.Settled(next)
+	s.authority.EndVoterChange(next)
 	return nil
 }
 
-// SettleVoters determines the outcome of a voter set change whose reply was lost. It does
+// ResolveVoterChange determines the outcome of a voter set change whose reply was lost. It does
 // nothing if no change is pending.
-func (s *Session) SettleVoters(ctx context.Context) error {
+func (s *Session) ResolveVoterChange(ctx context.Context) error {
 	s.mu.Lock()
-	open := s.authority.Open()
+	open := s.authority.VoterChangePending()
 	s.mu.Unlock()
 	if !open {
 		return nil
@@ -230,11 +230,11 @@
 
 // rewriteVoterRecord rewrites the voter record to determine which voter set the store holds.
 func (s *Session) rewriteVoterRecord(ctx context.Context) error {
-	key := CharterKey(s.self.Name, s.self.Incarnation)
+	key := VoterRecordKey(s.self.Name, s.self.Incarnation)
 	// Rewriting the voter record with its previous value decides the race with a delayed
 	// change: one of the two transactions fails its conditions.
 	s.mu.Lock()
-	current := Charter{Electorate: s.authority.Electorate(), Lease: s.lease}
+	current := VoterRecord{VoterSet: s.authority.VoterSet(), Lease: s.lease}
 	txn := platform.Txn{If: s.sessionConditions(), Then: []platform.Write{{Key: key, Value: mustJSON(current)}}}
 	s.mu.Unlock()
 	reply, err := s.store.Commit(ctx, txn)
@@ -246,16 +246,16 @@
 	defer s.mu.Unlock()
 	if reply.Applied {
 		s.voterRecordMod = reply.Revision
-		s.authority.Settled(current.Electorate)
+		s.authority.EndVoterChange(current.VoterSet)
 		return nil
 	}
 	for _, rec := range reply.Found {
 		entry, err := Decode(rec)
-		if err != nil || entry.Charter == nil || entry.Incarnation != s.self.Incarnation {
+		if err != nil || entry.VoterRecord == nil || entry.Incarnation != s.self.Incarnation {
 			continue
 		}
 		s.voterRecordMod = entry.Revision
-		s.authority.Settled(entry.Charter.Electorate)
+		s.authority.EndVoterChange(entry.VoterRecord.VoterSet)
 	}
 	return nil
 }
@@ -265,7 +265,7 @@
 func (s *Session) sessionConditions() []platform.Condition {
 	return []platform.Condition{
 		{Key: Key(s.self.Name), ModRevision: s.memberMod},
-		{Key: CharterKey(s.self.Name, s.self.Incarnation), ModRevision: s.voterRecordMod},
+		{Key: VoterRecordKey(s.self.Name, s.self.Incarnation), ModRevision: s.voterRecordMod},
 	}
 }
 
--- a/internal/member/session_test.go
+++ b/internal/member/session_test.go
@@ -53,7 +53,7 @@
 
 // until returns the end of the authority in the current session, and the session.
 func (f *fixture) until() (until time.Time, session uint64) {
-	f.Right(func(h *right.Holder) { until, session = h.Until(time.Now(), h.Session()), h.Session() })
+	f.WithAuthority(func(h *right.Authority) { until, session = h.Until(time.Now(), h.Session()), h.Session() })
 	return until, session
 }
 
@@ -117,29 +117,29 @@
 				f.client.SetFaults(tt.change)
 				voters = append(voters, other)
 				retry(t.Context(), is, func(ctx context.Context) error {
-					if err := f.SettleVoters(ctx); err != nil {
+					if err := f.ResolveVoterChange(ctx); err != nil {
 						return err
 					}
 					return f.SetVoters(ctx, voters)
 				})
-				retry(t.Context(), is, func(ctx context.Context) error { return f.SettleVoters(ctx) })
+				retry(t.Context(), is, func(ctx context.Context) error { return f.ResolveVoterChange(ctx) })
 				f.client.SetFaults(memstore.Faults{})
 				retry(t.Context(), is, func(ctx context.Context) error { return f.SetVoters(ctx, voters) })
 				is.Equal(f.voterRecord(t, is).Voters, voters)
-				f.Right(func(h *right.Holder) { is.Equal(h.Electorate(), f.voterRecord(t, is).Electorate) })
+				f.WithAuthority(func(h *right.Authority) { is.Equal(h.VoterSet(), f.voterRecord(t, is).VoterSet) })
 			})
 		})
 	}
 }
 
 // voterRecord reads the session's voter record from the store.
-func (f *fixture) voterRecord(t *testing.T, is *is.I) Charter {
-	records, _, err := f.engine.Client("reader").List(t.Context(), CharterKey(f.self.Name, f.self.Incarnation))
+func (f *fixture) voterRecord(t *testing.T, is *is.I) VoterRecord {
+	records, _, err := f.engine.Client("reader").List(t.Context(), VoterRecordKey(f.self.Name, f.self.Incarnation))
 	is.NoErr(err)
 	is.Equal(len(records), 1)
 	entry, err := Decode(records[0])
 	is.NoErr(err)
-	return *entry.Charter
+	return *entry.VoterRecord
 }
 
 func TestNameBelongsToTheActiveProcess(t *testing.T) {
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -65,8 +65,8 @@
 	return s.states.Current()
 }
 
-// Right calls fn with the authority of this process, under the session's lock.
-func (s *Session) Right(fn func(*right.Holder)) {
+// WithAuthority calls fn with the authority of this process, under the session's lock.
+func (s *Session) WithAuthority(fn func(*right.Authority)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fn(s.authority)
@@ -80,9 +80,9 @@
 	return platform.Condition{Key: Key(s.self.Name), ModRevision: s.memberMod}
 }
 
-// Renewed returns when the last successful renewal was sent, and whether the last call to the
+// LastRenewal returns when the last successful renewal was sent, and whether the last call to the
 // store was answered.
-func (s *Session) Renewed() (at time.Time, answered bool) {
+func (s *Session) LastRenewal() (at time.Time, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastRenewal, !s.storeFailing
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -104,7 +104,7 @@
 func (a API) current(r *http.Request) (*settings.Tree, string, error) {
 	tree := a.Current()
 	if tree == nil {
-		return nil, "", result.New(result.NotReady, result.RanNo, "this entry has learned no settings yet").Later(time.Second)
+		return nil, "", result.New(result.NotReady, result.RanNo, "this entry has learned no settings yet").WithRetryAfter(time.Second)
 	}
 	path := r.URL.Query().Get("path")
 	if path == "" {
@@ -210,7 +210,7 @@
 		return nil, missing("revision")
 	}
 	if intent.WaitMillis < 0 || intent.WaitMillis > maxWait.Milliseconds() {
-		return nil, result.New(result.BadInput, result.RanNo, "0 to %d milliseconds are allowed", maxWait.Milliseconds()).At("wait_ms")
+		return nil, result.New(result.BadInput, result.RanNo, "0 to %d milliseconds are allowed", maxWait.Milliseconds()).AtField("wait_ms")
 	}
 	if intent.ChangeID == "" {
 		id, err := uuid.NewV7()
@@ -225,7 +225,7 @@
 }
 
 func missing(field string) *result.Error {
-	return result.New(result.BadInput, result.RanNo, "missing").At(field)
+	return result.New(result.BadInput, result.RanNo, "missing").AtField(field)
 }
 
 // readBody decodes a JSON body and refuses unknown fields and data after the object.
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -14,8 +14,8 @@
 // Full is all of a host's processors, or all of a task's speed, in percent.
 const Full = 100
 
-// Policy holds the thresholds and steps of a throttle.
-type Policy struct {
+// Params holds the thresholds and steps of a throttle.
+type Params struct {
 	// CutAbove is the ratio of tail to target from which the share is reduced. It is less
 	// than one, as the figures are inexact.
 	CutAbove float64
@@ -30,8 +30,8 @@
 	// FastStep and SlowStep are the increments of the share, in percent: FastStep up to the
 	// safe share, SlowStep beyond.
 	FastStep, SlowStep int
-	// Near is the safe share, as a fraction of the share at which the tail was last too long.
-	Near float64
+	// SafeFraction is the safe share, as a fraction of the share at which the tail was last too long.
+	SafeFraction float64
 	// SettlingTime is the time until a change is visible in the figures: until the host has applied
 	// it, plus the period that a figure covers.
 	SettlingTime time.Duration
@@ -40,42 +40,42 @@
 	RaiseInterval, ProbeInterval time.Duration
 }
 
-// DefaultPolicy returns the values in use. SettlingTime is the platform's 100 ms until a
+// DefaultParams returns the values in use. SettlingTime is the platform's 100 ms until a
 // changed speed takes effect, the 500 ms that a figure covers, and a round trip. The other
 // values come from BenchmarkPolicies.
-func DefaultPolicy() Policy {
-	return Policy{
-		CutAbove: 0.9, RaiseBelow: 0.75, MaxCutFactor: 0.4, FarCutFactor: 0.5, MinShare: 4, FastStep: 20, SlowStep: 5, Near: 0.8,
+func DefaultParams() Params {
+	return Params{
+		CutAbove: 0.9, RaiseBelow: 0.75, MaxCutFactor: 0.4, FarCutFactor: 0.5, MinShare: 4, FastStep: 20, SlowStep: 5, SafeFraction: 0.8,
 		SettlingTime: 650 * time.Millisecond, RaiseInterval: 700 * time.Millisecond, ProbeInterval: 3 * time.Second,
 	}
 }
 
-// Governor limits the speed of the backfill tasks of one host.
-type Governor struct {
-	params          Policy
+// Throttle limits the speed of the backfill tasks of one host.
+type Throttle struct {
+	params          Params
 	share           int
 	excessiveShare  int // share at which the tail was last too long; Full+1 if it never was
 	changed         time.Time
 	consecutiveCuts int
 }
 
-// NewGovernor returns a throttle with an initial share, in percent of the host's processors,
+// NewThrottle returns a throttle with an initial share, in percent of the host's processors,
 // that is known to be safe on other hosts, or Full if none is known.
-func NewGovernor(p Policy, share int) *Governor {
-	return &Governor{params: p, share: min(max(share, 0), Full), excessiveShare: Full + 1}
+func NewThrottle(p Params, share int) *Throttle {
+	return &Throttle{params: p, share: min(max(share, 0), Full), excessiveShare: Full + 1}
 }
 
 // Share returns the share of the host's processors that backfill tasks may use, in percent.
-func (t *Governor) Share() int { return t.share }
+func (t *Throttle) Share() int { return t.share }
 
-// TooMuch returns the share at which the tail was last too long, in percent; more than Full
+// ExcessiveShare returns the share at which the tail was last too long, in percent; more than Full
 // if it never was.
-func (t *Governor) TooMuch() int { return t.excessiveShare }
+func (t *Throttle) ExcessiveShare() int { return t.excessiveShare }
 
 // Observe processes the worst ratio of tail to target at now. Used is the percentage of the
 // host's processors that backfill tasks may use, less than the share if they request less.
 // It reports whether the share has changed.
-func (t *Governor) Observe(ratio float64, used int, now time.Time) bool {
+func (t *Throttle) Observe(ratio float64, used int, now time.Time) bool {
 	if !t.changed.IsZero() && now.Sub(t.changed) < t.params.SettlingTime {
 		return false
 	}
@@ -90,7 +90,7 @@
 	return true
 }
 
-func (t *Governor) cut(ratio float64, used int, now time.Time) {
+func (t *Throttle) cut(ratio float64, used int, now time.Time) {
 	if used > 0 {
 		t.excessiveShare = used
 	}
@@ -102,8 +102,8 @@
 	t.changed = now
 }
 
-func (t *Governor) raise(now time.Time) bool {
-	safeShare := int(float64(t.excessiveShare) * t.params.Near)
+func (t *Throttle) raise(now time.Time) bool {
+	safeShare := int(float64(t.excessiveShare) * t.params.SafeFraction)
 	interval, step, limit := t.params.RaiseInterval, t.params.FastStep, min(safeShare, Full)
 	if t.share >= safeShare {
 		interval, step, limit = t.params.ProbeInterval, t.params.SlowStep, Full
@@ -120,9 +120,9 @@
 	return true
 }
 
-// Idle sets the share to Full, for a host without serving tasks, and reports whether the share
+// LiftLimit sets the share to Full, for a host without serving tasks, and reports whether the share
 // has changed.
-func (t *Governor) Idle(now time.Time) bool {
+func (t *Throttle) LiftLimit(now time.Time) bool {
 	if t.share == Full {
 		return false
 	}
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -128,7 +128,7 @@
 			for seed := range uint64(10) {
 				model := tc.hostModel
 				model.rnd = rand.New(rand.NewPCG(seed, 1))
-				out := model.run(NewGovernor(DefaultPolicy(), Full), time.Minute)
+				out := model.run(NewThrottle(DefaultParams(), Full), time.Minute)
 				if out.backfillSpeed < tc.minSpeed {
 					t.Errorf("seed %d: backfill tasks ran at %.2f of full speed, want %.2f", seed, out.backfillSpeed, tc.minSpeed)
 				}
@@ -140,23 +140,23 @@
 
 func TestOverloadWithoutBackfillKeepsItPaused(t *testing.T) {
 	is := is.New(t)
-	throttle := NewGovernor(DefaultPolicy(), Full)
+	throttle := NewThrottle(DefaultParams(), Full)
 	now := time.Unix(1_800_000_000, 0)
 	for range 40 {
 		now = now.Add(figureInterval)
 		throttle.Observe(1.5, throttle.Share(), now)
 	}
 	is.Equal(throttle.Share(), 0)
-	is.True(throttle.Idle(now)) // no serving tasks are left
+	is.True(throttle.LiftLimit(now)) // no serving tasks are left
 	is.Equal(throttle.Share(), Full)
-	is.True(!throttle.Idle(now))
+	is.True(!throttle.LiftLimit(now))
 }
 
 func TestInitialShareIsClamped(t *testing.T) {
 	is := is.New(t)
-	is.Equal(NewGovernor(DefaultPolicy(), 30).Share(), 30)
-	is.Equal(NewGovernor(DefaultPolicy(), -5).Share(), 0)
-	is.Equal(NewGovernor(DefaultPolicy(), 500).Share(), Full)
+	is.Equal(NewThrottle(DefaultParams(), 30).Share(), 30)
+	is.Equal(NewThrottle(DefaultParams(), -5).Share(), 0)
+	is.Equal(NewThrottle(DefaultParams(), 500).Share(), Full)
 }
 
 // fixed is the simple policy of a constant share.
@@ -185,7 +185,7 @@
 // speed of backfill tasks, and the time over the targets because of them.
 func BenchmarkPolicies(b *testing.B) {
 	throttlers := map[string]func() throttler{
-		"governor": func() throttler { return NewGovernor(DefaultPolicy(), Full) },
+		"governor": func() throttler { return NewThrottle(DefaultParams(), Full) },
 		"fixed-30": func() throttler { return fixed(30) },
 		"stop":     func() throttler { return &stopper{Full} },
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -160,7 +160,7 @@
 	case l.requestSlots <- struct{}{}:
 	default:
 		refusal := result.New(result.NotReady, result.RanNo, "%d requests of this peer are being handled", maxInbound)
-		go l.reply(f, frameError, encodeError(refusal.Later(time.Second)))
+		go l.reply(f, frameError, encodeError(refusal.WithRetryAfter(time.Second)))
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -31,12 +31,12 @@
 	mux  *Mux
 	log  *logrus.Entry
 
-	// Silent is called after a silent link has been replaced by a new link to the same
+	// OnSilentLink is called after a silent link has been replaced by a new link to the same
 	// address. It may be nil.
-	Silent func()
-	// Count receives the kind and the size in bytes of each message; a response counts
+	OnSilentLink func()
+	// OnTraffic receives the kind and the size in bytes of each message; a response counts
 	// under the kind of its request. It may be nil.
-	Count func(kind Kind, in, out int)
+	OnTraffic func(kind Kind, in, out int)
 
 	mu        sync.Mutex
 	links     map[string]*link // by the peer's address
@@ -147,13 +147,13 @@
 	l.close(errLinkSilent)
 	n.addLink(addr, replacement)
 	n.log.WithField("peer", addr).Warn("peer link had fallen silent; replaced")
-	if n.Silent != nil {
-		n.Silent()
+	if n.OnSilentLink != nil {
+		n.OnSilentLink()
 	}
 }
 
-// Try checks all links for silence in the background and replaces those that are silent.
-func (n *Node) Try() {
+// ReplaceSilentLinks checks all links for silence in the background and replaces those that are silent.
+func (n *Node) ReplaceSilentLinks() {
 	for _, l := range n.liveLinks() {
 		go l.replaceIfSilent()
 	}
@@ -170,7 +170,7 @@
 		return nil, result.New(result.PeerVersion, result.RanNo, "%s does not speak %s", addr, Subprotocol)
 	}
 	l := newLink(conn, n.mux, nil)
-	l.onTraffic = n.Count
+	l.onTraffic = n.OnTraffic
 	l.onGoAway = func() { n.retire(l) }
 	go n.runLink(l)
 	hello, err := cbor.Marshal(n.self)
@@ -260,7 +260,7 @@
 	}
 	var l *link
 	l = newLink(conn, n.mux, func(h Hello) error { return n.acceptHello(h, l) })
-	l.onTraffic = n.Count
+	l.onTraffic = n.OnTraffic
 	l.onGoAway = func() { n.retire(l) }
 	n.runLink(l)
 }
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -53,7 +53,7 @@
 		return r, nil
 	})
 	Handle(mux, kindFail, func(context.Context, echo) (echo, error) {
-		return echo{}, result.New(result.TooLarge, result.RanNo, "no").Later(3 * time.Second).At("a.b")
+		return echo{}, result.New(result.TooLarge, result.RanNo, "no").WithRetryAfter(3 * time.Second).AtField("a.b")
 	})
 	s.Server = httptest.NewUnstartedServer(nil)
 	s.node = NewNode(Hello{Name: "s", Addr: s.Listener.Addr().String()}, mux, discardLogger())
@@ -228,7 +228,7 @@
 	proxy := proxytest.New(t, "", s.addr())
 	c := newClient(t)
 	replaced := make(chan struct{}, 10)
-	c.Silent = func() { replaced <- struct{}{} }
+	c.OnSilentLink = func() { replaced <- struct{}{} }
 	call := func(timeout time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
@@ -236,7 +236,7 @@
 	}
 	is.NoErr(call(time.Second))
 	time.Sleep(silenceTimeout) // the link receives nothing meanwhile
-	proxy.Mute()
+	proxy.Blackhole()
 	start := time.Now()
 	err := call(10 * time.Second)
 	is.Equal(result.CodeOf(err), result.PeerLost) // the request may have been handled
@@ -251,7 +251,7 @@
 	is := is.New(t)
 	s := newServer(t)
 	c := newClient(t)
-	c.Silent = func() { t.Error("link was replaced as silent") }
+	c.OnSilentLink = func() { t.Error("link was replaced as silent") }
 	ctx, cancel := context.WithTimeout(t.Context(), 6*silenceTimeout)
 	defer cancel()
 	err := c.Call(ctx, s.addr(), kindBlock, echo{}, &echo{})
--- a/internal/platform/budget/budget.go
+++ b/internal/platform/budget/budget.go
@@ -64,8 +64,8 @@
 	}, nil
 }
 
-// Share sets the number of processes among which the limits are divided.
-func (s *Store) Share(processes int) {
+// SetProcesses sets the number of processes among which the limits are divided.
+func (s *Store) SetProcesses(processes int) {
 	s.reads.share(processes)
 	s.writes.share(processes)
 }
@@ -80,7 +80,7 @@
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if n := processes(); n > 0 {
-			s.Share(n)
+			s.SetProcesses(n)
 		}
 		select {
 		case <-ticker.C:
--- a/internal/platform/budget/budget_test.go
+++ b/internal/platform/budget/budget_test.go
@@ -41,7 +41,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		_, s := newStore(t, budget.Options{Limits: budget.Limits{WritesPerSecond: 20, ReadsPerSecond: 100, Watches: 1}})
-		s.Share(2) // 10 writes and 50 reads per second, and a burst of one second's calls
+		s.SetProcesses(2) // 10 writes and 50 reads per second, and a burst of one second's calls
 		start := time.Now()
 		for range 30 {
 			_, err := s.Commit(t.Context(), put)
@@ -162,7 +162,7 @@
 		_, s := newStore(t, budget.Options{Limits: budget.Limits{WritesPerSecond: 120, ReadsPerSecond: 60, Watches: 1}})
 		ctx, cancel := context.WithCancel(t.Context())
 		var members atomic.Int64
-		s.Share(6)
+		s.SetProcesses(6)
 		go s.Follow(ctx, func() int { return int(members.Load()) })
 		for _, step := range []struct{ members, writes float64 }{{0, 20}, {3, 40}, {0, 40}, {12, 10}, {500, 0.24}} {
 			members.Store(int64(step.members))
--- a/internal/platform/budget/limits.go
+++ b/internal/platform/budget/limits.go
@@ -61,7 +61,7 @@
 		if ctx.Err() != nil {
 			return fmt.Errorf("%w: %w", platform.ErrUnavailable, ctx.Err())
 		}
-		refusal := result.New(result.StoreBudget, result.RanNo, "%s calls: %v", c, err).Later(time.Second)
+		refusal := result.New(result.StoreBudget, result.RanNo, "%s calls: %v", c, err).WithRetryAfter(time.Second)
 		return fmt.Errorf("%w: %w", platform.ErrUnavailable, refusal)
 	}
 	return nil
--- a/internal/platform/confirm/confirm_test.go
+++ b/internal/platform/confirm/confirm_test.go
@@ -64,7 +64,7 @@
 		"reply late":                    {memstore.Faults{AnswerDelayMS: 2500}, 20 * time.Second, nil, "new"},
 		"request late":                  {memstore.Faults{RequestDelayMS: 2500}, 20 * time.Second, nil, "new"},
 		"hangs beyond deadline":         {memstore.Faults{Hang: true}, 2 * time.Second, platform.ErrUnknownOutcome, "old"},
-		"replies lost beyond deadline":  {memstore.Faults{LoseAnswers: memstore.All}, 2 * time.Second, platform.ErrUnknownOutcome, "new"},
+		"replies lost beyond deadline":  {memstore.Faults{LoseAnswers: memstore.EveryCall}, 2 * time.Second, platform.ErrUnknownOutcome, "new"},
 		"request late, beyond deadline": {memstore.Faults{RequestDelayMS: 2500}, 2 * time.Second, platform.ErrUnknownOutcome, "new"},
 	}
 	for name, test := range tests {
@@ -131,7 +131,7 @@
 		engine, s := newStore(t, confirm.Options{})
 		_, err := s.Commit(t.Context(), put("old"))
 		is.NoErr(err)
-		engine.Client("a").SetFaults(memstore.Faults{LoseAnswers: memstore.All})
+		engine.Client("a").SetFaults(memstore.Faults{LoseAnswers: memstore.EveryCall})
 		time.AfterFunc(time.Second, func() {
 			_, err := engine.Client("b").Commit(context.Background(), put("other"))
 			is.NoErr(err)
--- a/internal/platform/confirm/property_test.go
+++ b/internal/platform/confirm/property_test.go
@@ -40,8 +40,8 @@
 				Hang:           rapid.IntRange(0, 5).Draw(t, "hang") == 0,
 				RequestDelayMS: millis("request delay", 3000),
 				AnswerDelayMS:  millis("answer delay", 3000),
-				LoseAnswers:    rapid.IntRange(memstore.All, 3).Draw(t, "lose answers"),
-				LoseRequests:   rapid.IntRange(memstore.All, 2).Draw(t, "lose requests"),
+				LoseAnswers:    rapid.IntRange(memstore.EveryCall, 3).Draw(t, "lose answers"),
+				LoseRequests:   rapid.IntRange(memstore.EveryCall, 2).Draw(t, "lose requests"),
 			}
 		} else {
 			s.deadline = time.Duration(1+millis("deadline", 15000)) * time.Millisecond
--- a/internal/platform/follow/follow.go
+++ b/internal/platform/follow/follow.go
@@ -31,8 +31,8 @@
 	Wait time.Duration
 	// After is the revision after which to follow; 0 starts with a list.
 	After platform.Revision
-	// Rest is the pause between two polls, so that the changes in between are returned together.
-	Rest time.Duration
+	// PollPause is the pause between two polls, so that the changes in between are returned together.
+	PollPause time.Duration
 	// List is called with all records, at the start and whenever changes may have been missed; Change
 	// is called with one change.
 	List   func([]platform.Record)
@@ -80,7 +80,7 @@
 		if len(batch.Changes) >= fullBatch {
 			continue // more changes are pending: a pause would let the backlog grow
 		}
-		if !wait.For(ctx, f.Rest) {
+		if !wait.For(ctx, f.PollPause) {
 			return true
 		}
 	}
@@ -110,7 +110,7 @@
 	defer cancel()
 	ctx, cancelPoll := context.WithCancelCause(ctx)
 	defer cancelPoll(nil)
-	restored, renewed := f.Health.Restored(), f.Health.Renewed()
+	restored, renewed := f.Health.Restored(), f.Health.PollsRepeated()
 	go func() {
 		select {
 		case <-restored:
@@ -124,7 +124,7 @@
 	if err == nil || errors.Is(err, platform.ErrCompacted) {
 		// A failed poll is not recorded, as the store closes polls that wait. The list that follows
 		// shows whether the store replies.
-		f.Health.Note(true, time.Now())
+		f.Health.RecordCall(true, time.Now())
 	} else if cause := context.Cause(ctx); errors.Is(cause, errRenewed) {
 		err = cause
 	}
@@ -134,6 +134,6 @@
 // note records the outcome of a call, unless the caller cancelled it.
 func (f *Follower) note(ctx context.Context, err error) {
 	if ctx.Err() == nil || err == nil {
-		f.Health.Note(err == nil, time.Now())
+		f.Health.RecordCall(err == nil, time.Now())
 	}
 }
--- a/internal/platform/follow/follow_test.go
+++ b/internal/platform/follow/follow_test.go
@@ -39,7 +39,7 @@
 		defer cancel()
 		seen := map[string]time.Duration{} // delay of each change
 		f := Follower{
-			Store: pagingStore{store.Client("a"), 400}, Health: NewHealth(nil), Prefix: "h/", Wait: time.Second, Rest: 400 * time.Millisecond,
+			Store: pagingStore{store.Client("a"), 400}, Health: NewHealth(nil), Prefix: "h/", Wait: time.Second, PollPause: 400 * time.Millisecond,
 			List: func([]platform.Record) {},
 			Change: func(c platform.Change) {
 				var at int64
@@ -79,7 +79,7 @@
 		defer cancel()
 		lists, last := 0, ""
 		f := Follower{
-			Store: c, Health: NewHealth(nil), Prefix: "h/", Wait: time.Second, Rest: 100 * time.Millisecond,
+			Store: c, Health: NewHealth(nil), Prefix: "h/", Wait: time.Second, PollPause: 100 * time.Millisecond,
 			List:   func(records []platform.Record) { lists++; last = fmt.Sprint(len(records)) },
 			Change: func(c platform.Change) { last = string(c.Value) },
 		}
@@ -153,7 +153,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		is.Equal(last, "")
-		health.Renew()
+		health.RepeatPolls()
 		synctest.Wait()
 		is.Equal(last, "new")
 		is.Equal(lists, 1) // it continued from its revision without a list
--- a/internal/platform/follow/health.go
+++ b/internal/platform/follow/health.go
@@ -32,8 +32,8 @@
 	return &Health{restored: make(chan struct{}), renewed: make(chan struct{}), onChange: onChange}
 }
 
-// Note records the outcome of a call that ended at now.
-func (h *Health) Note(replied bool, now time.Time) {
+// RecordCall records the outcome of a call that ended at now.
+func (h *Health) RecordCall(replied bool, now time.Time) {
 	h.mu.Lock()
 	var changed, up bool
 	var outage time.Duration
@@ -55,8 +55,8 @@
 	}
 }
 
-// Asked records that a call was sent to which an available store replies at once.
-func (h *Health) Asked(now time.Time) {
+// RecordSend records that a call was sent to which an available store replies at once.
+func (h *Health) RecordSend(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.waitingSince.IsZero() {
@@ -64,9 +64,9 @@
 	}
 }
 
-// Silent returns for how long calls have been waiting without a reply to any of them; 0 if none
+// UnansweredFor returns for how long calls have been waiting without a reply to any of them; 0 if none
 // waits. It detects an unresponsive store before the first call times out.
-func (h *Health) Silent(now time.Time) time.Duration {
+func (h *Health) UnansweredFor(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.waitingSince.IsZero() {
@@ -75,15 +75,15 @@
 	return now.Sub(h.waitingSince)
 }
 
-// Age returns the time since the store's last reply.
-func (h *Health) Age(now time.Time) time.Duration {
+// SinceLastReply returns the time since the store's last reply.
+func (h *Health) SinceLastReply(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return now.Sub(h.replied)
 }
 
-// Failing returns for how long calls have failed; 0 if the last call did not.
-func (h *Health) Failing(now time.Time) time.Duration {
+// FailingFor returns for how long calls have failed; 0 if the last call did not.
+func (h *Health) FailingFor(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.failing {
@@ -99,17 +99,17 @@
 	return h.restored
 }
 
-// Renew makes followers repeat their pending polls, as the connections of these may have become
+// RepeatPolls makes followers repeat their pending polls, as the connections of these may have become
 // silent.
-func (h *Health) Renew() {
+func (h *Health) RepeatPolls() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	close(h.renewed)
 	h.renewed = make(chan struct{})
 }
 
-// Renewed returns a channel that is closed at the next call of Renew.
-func (h *Health) Renewed() <-chan struct{} {
+// PollsRepeated returns a channel that is closed at the next call of Renew.
+func (h *Health) PollsRepeated() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.renewed
--- a/internal/platform/hostcache/hostcache.go
+++ b/internal/platform/hostcache/hostcache.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Lacks reports the reason for which the process is not ready: no list has been read yet.
-func (c *Cache) Lacks() []string {
+// NotReadyReasons reports the reason for which the process is not ready: no list has been read yet.
+func (c *Cache) NotReadyReasons() []string {
 	if c.hosts.Load() == nil {
 		return []string{"host list: the platform has not answered"}
 	}
--- a/internal/platform/hostcache/hostcache_test.go
+++ b/internal/platform/hostcache/hostcache_test.go
@@ -42,7 +42,7 @@
 		defer cancel()
 		go c.Run(ctx)
 		synctest.Wait()
-		is.Equal(len(c.Lacks()), 1)
+		is.Equal(len(c.NotReadyReasons()), 1)
 
 		list.set([]platform.Host{{Name: "w1"}}, nil)
 		time.Sleep(2 * time.Second)
@@ -51,6 +51,6 @@
 		list.set(nil, errors.New("down"))
 		time.Sleep(time.Minute)
 		is.Equal(len(c.Hosts()), 1)
-		is.Equal(len(c.Lacks()), 0)
+		is.Equal(len(c.NotReadyReasons()), 0)
 	})
 }
--- a/internal/platform/hosthttp/client.go
+++ b/internal/platform/hosthttp/client.go
@@ -113,7 +113,7 @@
 		return nil, result.New(result.HostListMalformed, result.RanNo, "%v", err)
 	}
 	if reply.Hosts == nil {
-		return nil, result.New(result.HostListMalformed, result.RanNo, "no hosts in the reply").At("hosts")
+		return nil, result.New(result.HostListMalformed, result.RanNo, "no hosts in the reply").AtField("hosts")
 	}
 	for _, h := range reply.Hosts {
 		if h.Name == "" || h.Addr == "" || (h.Role != platform.RoleWorker && h.Role != platform.RoleExecutor) {
--- a/internal/platform/memstore/faults.go
+++ b/internal/platform/memstore/faults.go
@@ -6,8 +6,8 @@
 	"pulleyquay/internal/platform"
 )
 
-// All makes a counted fault affect every call until it is switched off.
-const All = -1
+// EveryCall makes a counted fault affect every call until it is switched off.
+const EveryCall = -1
 
 // Faults are the faults between clients and the store. The zero value is a healthy store. Counts are
 // of the next writes; All means every write.
@@ -121,7 +121,7 @@
 		*count--
 		return true
 	}
-	return *count == All
+	return *count == EveryCall
 }
 
 // notifyFaultsChanged wakes the client's waiting calls after a change of its faults. The engine's
--- a/internal/platform/memstore/linear_test.go
+++ b/internal/platform/memstore/linear_test.go
@@ -52,8 +52,8 @@
 				Hang:           rapid.IntRange(0, 4).Draw(t, "hang") == 0,
 				RequestDelayMS: millis("request delay", 800),
 				AnswerDelayMS:  millis("answer delay", 800),
-				LoseAnswers:    rapid.IntRange(memstore.All, 3).Draw(t, "lose answers"),
-				LoseRequests:   rapid.IntRange(memstore.All, 3).Draw(t, "lose requests"),
+				LoseAnswers:    rapid.IntRange(memstore.EveryCall, 3).Draw(t, "lose answers"),
+				LoseRequests:   rapid.IntRange(memstore.EveryCall, 3).Draw(t, "lose requests"),
 			}
 		}
 		return a
--- a/internal/platform/resend/resend.go
+++ b/internal/platform/resend/resend.go
@@ -46,9 +46,9 @@
 	store   platform.Store
 	health  *follow.Health
 	latency Latency
-	// Overtaken, if not nil, is called when a later copy got a reply and an earlier one did not: the
+	// OnReplyLost, if not nil, is called when a later copy got a reply and an earlier one did not: the
 	// earlier reply was lost, or the connection is dead.
-	Overtaken func()
+	OnReplyLost func()
 }
 
 // New returns a sender that records the store's replies in health.
@@ -79,7 +79,7 @@
 		go c.awaitAbandoned(cancel)
 		return reply, err
 	}
-	if err == nil && c.overtaken && s.Overtaken != nil {
+	if err == nil && c.overtaken && s.OnReplyLost != nil {
 		go c.awaitOvertaken(cancel)
 		return reply, nil
 	}
@@ -87,8 +87,8 @@
 	return reply, err
 }
 
-// Usual returns how long a reply is worth waiting for, by the latency measured so far.
-func (s *Sender) Usual() time.Duration { return s.latency.Wait() }
+// UsualLatency returns how long a reply is worth waiting for, by the latency measured so far.
+func (s *Sender) UsualLatency() time.Duration { return s.latency.Wait() }
 
 // copies is one transaction in progress.
 type copies struct {
@@ -170,7 +170,7 @@
 	f := &flight{sent: time.Now(), cancel: cancel}
 	c.inFlight = append(c.inFlight, f)
 	c.sent++
-	c.sender.health.Asked(f.sent)
+	c.sender.health.RecordSend(f.sent)
 	go func() {
 		defer cancel()
 		reply, err := c.sender.store.Commit(ctx, c.txn)
@@ -190,14 +190,14 @@
 	}
 	switch {
 	case a.err == nil:
-		c.sender.health.Note(true, now)
+		c.sender.health.RecordCall(true, now)
 		c.sender.latency.Observe(now.Sub(a.of.sent))
 		c.overtaken = oldest != a.of
 		return Reply{TxnReply: a.reply, Repeated: c.sent > 1}, true, nil
 	case errors.Is(a.err, platform.ErrRefused):
 		return Reply{}, true, a.err
 	}
-	c.sender.health.Note(false, now)
+	c.sender.health.RecordCall(false, now)
 	if !errors.Is(a.err, platform.ErrUnavailable) {
 		c.mayHaveApplied = true
 	}
@@ -220,7 +220,7 @@
 				return
 			}
 		case <-timer.C:
-			c.sender.Overtaken()
+			c.sender.OnReplyLost()
 			return
 		}
 	}
@@ -282,7 +282,7 @@
 func (c *copies) recordSilence() {
 	now := time.Now()
 	if now.Sub(c.inFlight[0].sent) >= c.unresponsiveAfter() {
-		c.sender.health.Note(false, now)
+		c.sender.health.RecordCall(false, now)
 	}
 }
 
--- a/internal/platform/resend/resend_test.go
+++ b/internal/platform/resend/resend_test.go
@@ -91,7 +91,7 @@
 		b := newFixture(t)
 		b.warm(t)
 		var overtaken atomic.Int64
-		b.Overtaken = func() { overtaken.Add(1) }
+		b.OnReplyLost = func() { overtaken.Add(1) }
 		b.store.lostReplies.Store(1)
 		start := time.Now()
 		reply, err := b.create(t.Context())
@@ -114,7 +114,7 @@
 		b := newFixture(t)
 		b.warm(t)
 		var overtaken atomic.Int64
-		b.Overtaken = func() { overtaken.Add(1) }
+		b.OnReplyLost = func() { overtaken.Add(1) }
 		b.store.delayedReplies.Store(1)
 		start := time.Now()
 		_, err := b.create(t.Context())
@@ -150,7 +150,7 @@
 					maxCalls *= 2 // one more copy during the wait
 				}
 				is.True(b.store.calls.Load() <= maxCalls) // no further copies once the latency has been measured
-				is.Equal(b.health.Failing(time.Now()), time.Duration(0))
+				is.Equal(b.health.FailingFor(time.Now()), time.Duration(0))
 			})
 		})
 	}
--- a/internal/problem/problem_test.go
+++ b/internal/problem/problem_test.go
@@ -21,8 +21,8 @@
 		retryAfter string
 	}{
 		{"plain", result.New(result.NotFound, result.RanNo, "no such branch"), http.StatusNotFound, result.RanNo, ""},
-		{"retry is rounded up", result.New(result.NotReady, result.RanNo, "x").Later(1100 * time.Millisecond), 503, result.RanNo, "2"},
-		{"retry is at least one", result.New(result.NotReady, result.RanNo, "x").Later(time.Millisecond), 503, result.RanNo, "1"},
+		{"retry is rounded up", result.New(result.NotReady, result.RanNo, "x").WithRetryAfter(1100 * time.Millisecond), 503, result.RanNo, "2"},
+		{"retry is at least one", result.New(result.NotReady, result.RanNo, "x").WithRetryAfter(time.Millisecond), 503, result.RanNo, "1"},
 		{"missing ran is unknown", &result.Error{Code: result.Internal}, 500, result.RanUnknown, ""},
 		{"unregistered code", &result.Error{Code: 999999, Ran: result.RanNo}, 500, result.RanNo, ""},
 	}
@@ -30,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			rec := httptest.NewRecorder()
-			problem.Write(rec, c.err.At("some/field"))
+			problem.Write(rec, c.err.AtField("some/field"))
 			is.Equal(rec.Code, c.status)
 			is.Equal(rec.Header().Get("Content-Type"), problem.ContentType)
 			is.Equal(rec.Header().Get("Retry-After"), c.retryAfter)
--- a/internal/proxytest/proxytest.go
+++ b/internal/proxytest/proxytest.go
@@ -15,15 +15,15 @@
 type Mode struct {
 	// Delay delays every chunk in both directions.
 	Delay time.Duration
-	// Up and Down say whether bytes are forwarded to and from the target. The connection
+	// ForwardUp and Down say whether bytes are forwarded to and from the target. The connection
 	// stays open if they are not.
-	Up, Down bool
+	ForwardUp, ForwardDown bool
 	// Refuse resets open connections and closes new ones immediately.
 	Refuse bool
 }
 
-// Open is the mode without faults.
-var Open = Mode{Up: true, Down: true}
+// NoFaults is the mode without faults.
+var NoFaults = Mode{ForwardUp: true, ForwardDown: true}
 
 // Proxy forwards TCP connections to one address and injects faults. It is safe for
 // concurrent use.
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	p := &Proxy{
-		Addr: l.Addr().String(), target: target, listener: l, mode: Open,
+		Addr: l.Addr().String(), target: target, listener: l, mode: NoFaults,
 		changed: make(chan struct{}), conns: map[net.Conn]struct{}{}, blackholed: make(chan struct{}),
 	}
 	t.Cleanup(p.close)
@@ -90,9 +90,9 @@
 	}
 }
 
-// Mute permanently drops all further bytes of the currently open connections without
+// Blackhole permanently drops all further bytes of the currently open connections without
 // closing them. New connections are not affected.
-func (p *Proxy) Mute() {
+func (p *Proxy) Blackhole() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	close(p.blackholed)
@@ -142,8 +142,14 @@
 	defer p.track(client, false)
 	defer p.track(server, false)
 	ended := make(chan struct{}, 2)
-	go func() { p.copy(server, client, blackholed, func(m Mode) bool { return m.Up }); ended <- struct{}{} }()
-	go func() { p.copy(client, server, blackholed, func(m Mode) bool { return m.Down }); ended <- struct{}{} }()
+	go func() {
+		p.copy(server, client, blackholed, func(m Mode) bool { return m.ForwardUp })
+		ended <- struct{}{}
+	}()
+	go func() {
+		p.copy(client, server, blackholed, func(m Mode) bool { return m.ForwardDown })
+		ended <- struct{}{}
+	}()
 	<-ended
 }
 
--- a/internal/record/former_test.go
+++ b/internal/record/former_test.go
@@ -45,13 +45,13 @@
 func TestRecordsForTheVersionBefore(t *testing.T) {
 	is := is.New(t)
 	var c previousCrash
-	value, err := Encode(crashloop.Judge(crashloop.Evidence{Run: 1, Host: "a"}, 1e-6))
+	value, err := Encode(crashloop.Assess(crashloop.Evidence{Run: 1, Host: "a"}, 1e-6))
 	is.NoErr(err)
 	is.NoErr(cbor.Unmarshal(value, &c))
 	is.True(c.Unheard) // the previous version treats crashes without the flag as confirmed
 
 	var r previousRoster
-	value, err = Encode(Roster{Hosts: []RosterHost{{ID: "a"}}, Lost: []string{"b"}})
+	value, err = Encode(Roster{Hosts: []RosterHost{{ID: "a"}}, UnattributedFailures: []string{"b"}})
 	is.NoErr(err)
 	is.NoErr(cbor.Unmarshal(value, &r))
 	is.Equal(len(r.Hosts), 1)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -57,19 +57,19 @@
 	// Account is the client account that owns the job, also once the job has ended; empty for
 	// queues that need no key and for jobs of versions without client accounts.
 	Account string `cbor:"10,keyasint,omitempty"`
-	// Largest is the maximum size of the job's tasks in each dimension. It is set once the job
+	// MaxTaskSize is the maximum size of the job's tasks in each dimension. It is set once the job
 	// is final, as a task may still be running then.
-	Largest spec.Resources `cbor:"11,keyasint,omitzero"`
+	MaxTaskSize spec.Resources `cbor:"11,keyasint,omitzero"`
 	// RunningAtEnd is the total size of the tasks that may still have been running when the
 	// end was recorded, on hosts that had been ordered to stop them. BackfillAtEnd is the part
 	// of it that belongs to backfill tasks.
-	Left        spec.Resources `cbor:"12,keyasint,omitzero"`
-	LeftFillers spec.Resources `cbor:"13,keyasint,omitzero"`
+	RunningAtEnd  spec.Resources `cbor:"12,keyasint,omitzero"`
+	BackfillAtEnd spec.Resources `cbor:"13,keyasint,omitzero"`
 }
 
-// Open reports whether a client account may read and cancel the job. Account is empty for
+// AccessibleTo reports whether a client account may read and cancel the job. Account is empty for
 // callers without one.
-func (j *Job) Open(account string) bool { return j.Account == "" || j.Account == account }
+func (j *Job) AccessibleTo(account string) bool { return j.Account == "" || j.Account == account }
 
 // Progress is the recorded progress of the steps of a job that has not ended.
 type Progress struct {
@@ -88,7 +88,7 @@
 	// Crashed has the host crashes attributed to each task, also for the tasks of a gang.
 	Crashed map[int]crashloop.History `cbor:"5,keyasint,omitempty"`
 	// CurrentRuns has the current runs of the tasks in Crashed.
-	Trying map[int]RunOn `cbor:"6,keyasint,omitempty"`
+	CurrentRuns map[int]RunOn `cbor:"6,keyasint,omitempty"`
 }
 
 // RunOn is a run and the host on which it was ordered.
@@ -96,7 +96,7 @@
 	Run  int    `cbor:"1,keyasint"`
 	Host string `cbor:"2,keyasint"`
 	// Observed is true once the run is known to exist on the host.
-	Seen bool `cbor:"3,keyasint,omitempty"`
+	Observed bool `cbor:"3,keyasint,omitempty"`
 }
 
 // JobPrefix returns the key prefix of the records of a partition's jobs.
@@ -120,7 +120,7 @@
 }
 
 // JobIDOf returns the job id from a key of a job record or of a progress record.
-func IDOf(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
+func JobIDOf(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
 // Encode returns the CBOR encoding in which records are stored.
 func Encode(v any) ([]byte, error) { return cbor.Marshal(v) }
@@ -156,7 +156,7 @@
 func (b Bitmap) Set(i int) { b[i/8] |= 1 << (i % 8) }
 
 // SetFailed records the numbers of the failed runs of a task.
-func (s *StepProgress) Fail(task int, runs []int) {
+func (s *StepProgress) SetFailed(task int, runs []int) {
 	if len(runs) == 0 {
 		return
 	}
@@ -167,16 +167,16 @@
 }
 
 // SetCrashes records the host crashes attributed to a task and its current run; nil for none.
-func (s *StepProgress) Crash(task int, h crashloop.History, present *RunOn) {
+func (s *StepProgress) SetCrashes(task int, h crashloop.History, present *RunOn) {
 	if len(h) == 0 {
 		return
 	}
 	if s.Crashed == nil {
-		s.Crashed, s.Trying = map[int]crashloop.History{}, map[int]RunOn{}
+		s.Crashed, s.CurrentRuns = map[int]crashloop.History{}, map[int]RunOn{}
 	}
 	s.Crashed[task] = h
 	if present != nil {
-		s.Trying[task] = *present
+		s.CurrentRuns[task] = *present
 	}
 }
 
@@ -186,10 +186,10 @@
 	Hosts []RosterHost `cbor:"1,keyasint"`
 	// CapacityRatio is the smallest fraction of its previous capacity to which a host was
 	// recently reduced; zero if none was.
-	Shrunk float64 `cbor:"2,keyasint,omitempty"`
+	CapacityRatio float64 `cbor:"2,keyasint,omitempty"`
 	// UnattributedFailures are the hosts that recently failed without the failure being
 	// attributed to a task.
-	Lost []string `cbor:"4,keyasint,omitempty"`
+	UnattributedFailures []string `cbor:"4,keyasint,omitempty"`
 }
 
 // RosterHost is a host in a roster.
@@ -200,8 +200,8 @@
 	// be running on it, and nothing is started on it until it is stored as open again.
 	Closed bool         `cbor:"3,keyasint,omitempty"`
 	Tasks  []RosterTask `cbor:"4,keyasint,omitempty"`
-	// Life is the incarnation of the host that last answered the holder; zero if unknown.
-	Life int64 `cbor:"5,keyasint,omitempty"`
+	// Incarnation is the incarnation of the host that last answered the holder; zero if unknown.
+	Incarnation int64 `cbor:"5,keyasint,omitempty"`
 }
 
 // RosterTask identifies a run of a task that may be on a closed host.
@@ -213,7 +213,7 @@
 	// Run is the number of the run.
 	Run int `cbor:"5,keyasint,omitempty"`
 	// Unconfirmed is true if the start was not acknowledged and the host has never reported the run.
-	Unsure bool `cbor:"6,keyasint,omitempty"`
+	Unconfirmed bool `cbor:"6,keyasint,omitempty"`
 }
 
 // RosterKey returns the key of the single roster record of a partition.
--- a/internal/request/flight.go
+++ b/internal/request/flight.go
@@ -37,7 +37,7 @@
 func (h *Home) startFlight(work dispatch.Work, onDone func(*flight)) *flight {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &flight{cancel: cancel, done: make(chan struct{}), waiters: 1}
-	work.Begin, work.Unsent = f.begin, f.undoBegin
+	work.BeforeSend, work.NotSent = f.begin, f.undoBegin
 	go func() {
 		defer cancel()
 		answer, err := h.cfg.Dispatcher.Do(ctx, work)
@@ -129,7 +129,7 @@
 	defer f.mu.Unlock()
 	if f.handedOver {
 		return result.New(result.HomeMoved, result.RanNo, "the partition was handed over while the request waited").
-			Later(movedRetryDelay)
+			WithRetryAfter(movedRetryDelay)
 	}
 	return result.From(err)
 }
@@ -166,5 +166,5 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return result.New(late, ran, "no answer before the deadline")
 	}
-	return result.New(result.CallerGone, ran, "the caller went away")
+	return result.New(result.CallerDisconnected, ran, "the caller went away")
 }
--- a/internal/request/handover.go
+++ b/internal/request/handover.go
@@ -49,14 +49,14 @@
 
 // Acquire implements hold.Component. Without a readable handover state, all keys minted before
 // the acquisition have an unknown outcome.
-func (h *Home) Acquire(_ context.Context, t hold.Takeover) error {
+func (h *Home) Acquire(_ context.Context, t hold.Acquisition) error {
 	p := &partitionState{services: map[string]*keyTable{}, flights: map[*flight]struct{}{}}
 	switch {
-	case t.Fresh:
-	case t.SignedOff && p.decode(t.State) == nil:
+	case t.NeverHeld:
+	case t.HandedOver && p.decode(t.State) == nil:
 	default:
 		p.services = map[string]*keyTable{}
-		p.unknownUntil = t.TakenAt.Add(maxKeyAhead + clockMargin)
+		p.unknownUntil = t.AcquiredAt.Add(maxKeyAhead + clockMargin)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/request/home.go
+++ b/internal/request/home.go
@@ -28,7 +28,7 @@
 
 // Config contains the dependencies of a Home.
 type Config struct {
-	Right      hold.Right
+	Authorizer hold.Authorizer
 	Dispatcher Dispatcher
 	// Settings returns a service's effective values, or false if there is no such service.
 	Settings func(service string) (settings.Values, bool)
@@ -110,12 +110,12 @@
 
 // abandoned reports whether a flight was cancelled, unsent, because all of its callers left.
 func abandoned(e *result.Error) bool {
-	return e.Code == result.CallerGone && e.Ran == result.RanNo
+	return e.Code == result.CallerDisconnected && e.Ran == result.RanNo
 }
 
 // joinOrStart returns the flight of the key, and starts it if the key is new.
 func (h *Home) joinOrStart(msg requestmsg.Serve, work dispatch.Work, values settings.Values) (*flight, error) {
-	if _, err := h.cfg.Right.Check(msg.Partition); err != nil {
+	if _, err := h.cfg.Authorizer.Check(msg.Partition); err != nil {
 		return nil, errHomeMoved(msg.Partition, err.Error())
 	}
 	now := time.Now()
@@ -154,7 +154,7 @@
 // not know whether the request ran.
 func errHomeMoved(partition int, detail string) *result.Error {
 	return result.New(result.HomeMoved, result.RanUnknown, "partition %d: %s", partition, detail).
-		Later(movedRetryDelay)
+		WithRetryAfter(movedRetryDelay)
 }
 
 // movedRetryDelay is the Retry-After for a key whose home is changing.
--- a/internal/request/home_test.go
+++ b/internal/request/home_test.go
@@ -31,8 +31,8 @@
 
 // Do implements Dispatcher.
 func (e *echo) Do(_ context.Context, w dispatch.Work) (executor.Answer, error) {
-	if !w.Begin() {
-		return executor.Answer{}, result.New(result.CallerGone, result.RanNo, "cancelled")
+	if !w.BeforeSend() {
+		return executor.Answer{}, result.New(result.CallerDisconnected, result.RanNo, "cancelled")
 	}
 	e.count++
 	if e.hold != nil {
@@ -48,16 +48,16 @@
 	values settings.Values
 }
 
-func newFixture(t *testing.T, acquisition hold.Takeover) *fixture {
+func newFixture(t *testing.T, acquisition hold.Acquisition) *fixture {
 	b := &fixture{values: settings.Defaults()}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	b.Home = New(Config{
-		Right: &requesttest.Right{}, Dispatcher: &b.echo,
+		Authorizer: &requesttest.Authorizer{}, Dispatcher: &b.echo,
 		Settings: func(string) (settings.Values, bool) { return b.values, true },
 		Log:      logrus.NewEntry(log), Metrics: prometheus.NewRegistry(),
 	})
-	acquisition.TakenAt = time.Now()
+	acquisition.AcquiredAt = time.Now()
 	if err := b.Acquire(t.Context(), acquisition); err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 func TestKeysAreKeptForTheWindowAndNeverRunAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newFixture(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Acquisition{NeverHeld: true})
 		key := keyAt(time.Now(), 1)
 		_, err := b.serve(key, "x")
 		is.Equal(err, nil)
@@ -106,7 +106,7 @@
 func TestLongerWindowDoesNotReviveForgottenKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newFixture(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Acquisition{NeverHeld: true})
 		b.values.Request.KeyWindowMS = 10000
 		key := keyAt(time.Now(), 1)
 		_, err := b.serve(key, "x")
@@ -133,7 +133,7 @@
 	for _, tc := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			b := newFixture(t, hold.Takeover{Fresh: true})
+			b := newFixture(t, hold.Acquisition{NeverHeld: true})
 			key := keyAt(time.Now().Add(tc.ahead), 1)
 			_, err := b.serve(key, "x")
 			if tc.ran == "" {
@@ -153,7 +153,7 @@
 func TestNewKeysAfterAFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newFixture(t, hold.Takeover{})
+		b := newFixture(t, hold.Acquisition{})
 		_, err := b.serve(keyAt(time.Now().Add(maxKeyAhead), 1), "x")
 		is.Equal(err.Code, result.KeyOutcomeUnknown) // the previous home may have accepted it
 		time.Sleep(maxKeyAhead + clockMargin + time.Millisecond)
@@ -165,7 +165,7 @@
 func TestFullTableRefusesNewKeysAndKeepsOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newFixture(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Acquisition{NeverHeld: true})
 		b.values.Request.KeyLimit = 3
 		for n := range byte(3) {
 			_, err := b.serve(keyAt(time.Now(), n), "x")
@@ -184,7 +184,7 @@
 func TestLargeAnswersAreNotKeptForEver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newFixture(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Acquisition{NeverHeld: true})
 		large := string(make([]byte, 1<<20))
 		for n := range byte(keptAnswersLimit>>20 + 1) {
 			body, err := b.serve(keyAt(time.Now(), n), large)
@@ -204,7 +204,7 @@
 func TestAnswersOfDroppedPartitionsTakeNoMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newFixture(t, hold.Takeover{Fresh: true})
+		b := newFixture(t, hold.Acquisition{NeverHeld: true})
 		b.echo.hold = make(chan struct{})
 		got := make(chan string, 1)
 		go func() {
@@ -224,11 +224,11 @@
 		is := is.New(t)
 		old := keyAt(time.Now(), 1)
 		time.Sleep(time.Second)
-		first := newFixture(t, hold.Takeover{}) // acquired after the holder had failed
+		first := newFixture(t, hold.Acquisition{}) // acquired after the holder had failed
 		time.Sleep(10 * time.Second)
 		state, err := first.Release(t.Context(), 0)
 		is.NoErr(err)
-		second := newFixture(t, hold.Takeover{SignedOff: true, State: state})
+		second := newFixture(t, hold.Acquisition{HandedOver: true, State: state})
 		_, refusal := second.serve(old, "x")
 		is.Equal(refusal.Code, result.KeyOutcomeUnknown)
 		is.Equal(second.echo.count, 0)
@@ -256,7 +256,7 @@
 	}{{"no key", uuid.Nil, result.RanNo}, {"key", uuid.Must(uuid.NewV7()), result.RanUnknown}} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newFixture(t, hold.Takeover{})
+			b := newFixture(t, hold.Acquisition{})
 			b.cfg.Settings = func(string) (settings.Values, bool) { return settings.Values{}, false }
 			_, err := b.Serve(context.Background(), requestmsg.Serve{Service: "ledger", Key: tc.key, Timeout: time.Second})
 			is.Equal(result.From(err).Code, result.UnknownService)
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -127,7 +127,7 @@
 	minted := mintedAt(key)
 	if ahead := minted.Sub(now); ahead > maxKeyAhead {
 		return result.New(result.KeyFromFuture, ranOfFutureKey(ahead), "%s ahead of %s", ahead, now.UTC().Format(time.RFC3339Nano)).
-			Later(ahead - maxKeyAhead)
+			WithRetryAfter(ahead - maxKeyAhead)
 	}
 	if !minted.After(now.Add(-keyWindow(limits))) || !minted.After(t.expiredUntil) {
 		return result.New(result.KeyExpired, result.RanUnknown, "minted at %s", minted.UTC().Format(time.RFC3339Nano))
@@ -137,7 +137,7 @@
 			"minted before the home of its partition changed at %s", p.unknownUntil.UTC().Format(time.RFC3339Nano))
 	}
 	if int64(len(t.records)) >= limits.KeyLimit {
-		return result.New(result.KeyTableFull, result.RanNo, "%d keys", len(t.records)).Later(t.retryDelay(now))
+		return result.New(result.KeyTableFull, result.RanNo, "%d keys", len(t.records)).WithRetryAfter(t.retryDelay(now))
 	}
 	return nil
 }
--- a/internal/requesttest/cell_test.go
+++ b/internal/requesttest/cell_test.go
@@ -56,7 +56,7 @@
 // placer simulates a process that can hold partitions.
 type placer struct {
 	name       string
-	right      *requesttest.Right
+	right      *requesttest.Authorizer
 	home       *request.Home
 	dispatcher *dispatch.Dispatcher
 }
@@ -70,7 +70,7 @@
 // newCell starts the executors and the placers, and assigns the partitions to the placers in
 // turn. change modifies the settings.
 func newCell(t *testing.T, placers, executors int, change ...func(*settings.Values)) *cell {
-	c := &cell{t: t, executors: &requesttest.Executors{Time: 10 * time.Millisecond}, values: settings.Defaults(), disconnected: map[string]chan struct{}{}}
+	c := &cell{t: t, executors: &requesttest.Executors{ExecutionTime: 10 * time.Millisecond}, values: settings.Defaults(), disconnected: map[string]chan struct{}{}}
 	for _, fn := range change {
 		fn(&c.values)
 	}
@@ -97,14 +97,14 @@
 }
 
 func (c *cell) newPlacer(name string, local peer.Local) *placer {
-	p := &placer{name: name, right: &requesttest.Right{}}
+	p := &placer{name: name, right: &requesttest.Authorizer{}}
 	p.dispatcher = dispatch.New(dispatch.Config{
-		Hosts: c.hostList, Settings: c.settingsOf, Right: p.right, Client: c.executors, Peers: c.caller(local),
+		Hosts: c.hostList, Settings: c.settingsOf, Authorizer: p.right, Client: c.executors, Peers: c.caller(local),
 		Remotes:    func() []dispatch.Remote { return c.remotes(name) },
 		Partitions: partitions, Log: quiet(), Metrics: prometheus.NewRegistry(),
 	})
 	p.home = request.New(request.Config{
-		Right: p.right, Dispatcher: p.dispatcher, Settings: c.settingsOf, Log: quiet(), Metrics: prometheus.NewRegistry(),
+		Authorizer: p.right, Dispatcher: p.dispatcher, Settings: c.settingsOf, Log: quiet(), Metrics: prometheus.NewRegistry(),
 	})
 	mux := peer.NewMux()
 	peer.Handle(mux, peer.KindServe, p.home.Serve)
@@ -122,12 +122,12 @@
 	for id := range partitions {
 		p := c.placers[id%len(c.placers)]
 		c.table.Partitions = append(c.table.Partitions, view.Partition{ID: id, Holder: p.name, Addr: p.name, Epoch: 1})
-		p.acquire(c.t, hold.Takeover{Grant: hold.Grant{Partition: id, Epoch: 1}, Fresh: true, TakenAt: time.Now()})
+		p.acquire(c.t, hold.Acquisition{Grant: hold.Grant{Partition: id, Epoch: 1}, NeverHeld: true, AcquiredAt: time.Now()})
 	}
 }
 
-func (p *placer) acquire(t *testing.T, acquisition hold.Takeover) {
-	for _, r := range []hold.Resident{p.home, p.dispatcher} {
+func (p *placer) acquire(t *testing.T, acquisition hold.Acquisition) {
+	for _, r := range []hold.Component{p.home, p.dispatcher} {
 		if err := r.Acquire(t.Context(), acquisition); err != nil {
 			t.Fatal(err)
 		}
@@ -147,8 +147,8 @@
 	old.home.Drop(id)
 	old.dispatcher.Drop(id)
 	c.placers[to].right.SetRevoked(id, false)
-	c.placers[to].acquire(c.t, hold.Takeover{
-		Grant: hold.Grant{Partition: id, Epoch: 2}, TakenAt: time.Now(), Fresh: c.claimNeverHeld,
+	c.placers[to].acquire(c.t, hold.Acquisition{
+		Grant: hold.Grant{Partition: id, Epoch: 2}, AcquiredAt: time.Now(), NeverHeld: c.claimNeverHeld,
 	})
 }
 
@@ -163,7 +163,7 @@
 	old := c.holder(id)
 	c.mu.Unlock()
 	states := make([][]byte, 2)
-	for i, r := range []hold.Resident{old.home, old.dispatcher} {
+	for i, r := range []hold.Component{old.home, old.dispatcher} {
 		state, err := r.Release(ctx, id)
 		if err != nil {
 			c.t.Fatal(err)
@@ -173,8 +173,8 @@
 	old.right.SetRevoked(id, true)
 	next := c.placers[to]
 	next.right.SetRevoked(id, false)
-	for i, r := range []hold.Resident{next.home, next.dispatcher} {
-		t := hold.Takeover{Grant: hold.Grant{Partition: id, Epoch: 2}, SignedOff: true, State: states[i], TakenAt: time.Now()}
+	for i, r := range []hold.Component{next.home, next.dispatcher} {
+		t := hold.Acquisition{Grant: hold.Grant{Partition: id, Epoch: 2}, HandedOver: true, State: states[i], AcquiredAt: time.Now()}
 		if err := r.Acquire(c.t.Context(), t); err != nil {
 			c.t.Fatal(err)
 		}
--- a/internal/requesttest/outcome_test.go
+++ b/internal/requesttest/outcome_test.go
@@ -34,7 +34,7 @@
 	s.home = 1 - s.holder
 	s.part = s.home // partitions are assigned in turn
 	s.key = keyIn(s.part)
-	c.executors.Time = 200 * time.Millisecond
+	c.executors.ExecutionTime = 200 * time.Millisecond
 	time.Sleep(2 * heartbeatEvery) // the home receives the holder's free slots
 	return s
 }
@@ -92,7 +92,7 @@
 	{point: "queued", fault: "deadline", fillSlots: true, timeout: "40",
 		code: result.DeadlineQueued, ran: result.RanNo, runs: 0, retryRuns: 1},
 	{point: "queued", fault: "caller left or entry killed", fillSlots: true, after: soon, inject: func(s *scenario) { s.cancelCaller() },
-		code: result.CallerGone, ran: result.RanUnknown, runs: 0, retryRuns: 1},
+		code: result.CallerDisconnected, ran: result.RanUnknown, runs: 0, retryRuns: 1},
 	{point: "queued", fault: "home killed", fillSlots: true, after: soon, inject: (*scenario).killHome,
 		code: result.HomeNotReached, ran: result.RanUnknown, runs: 0, retry: result.HomeNotReached},
 	{point: "queued", fault: "home killed and failed over", fillSlots: true, after: soon, inject: func(s *scenario) { s.killHome(); s.failOverHome() },
@@ -105,16 +105,16 @@
 		code: result.ExecutorNotReached, ran: result.RanNo, retry: result.ExecutorNotReached},
 	{point: "connecting", fault: "home killed while the holder connects", after: time.Nanosecond, inject: (*scenario).killHome,
 		code: result.HomeNotReached, ran: result.RanUnknown, runs: 1, retry: result.HomeNotReached, retryRuns: 1},
-	{point: "mid-write", fault: "executor killed or disconnected", executor: requesttest.CutBefore,
+	{point: "mid-write", fault: "executor killed or disconnected", executor: requesttest.LoseRequest,
 		code: result.ExecutorLost, ran: result.RanUnknown, retry: result.ExecutorLost},
-	{point: "awaiting", fault: "executor killed or disconnected", executor: requesttest.CutAfter,
+	{point: "awaiting", fault: "executor killed or disconnected", executor: requesttest.LoseAnswer,
 		code: result.ExecutorLost, ran: result.RanUnknown, runs: 1, retry: result.ExecutorLost, retryRuns: 1},
 	{point: "awaiting", fault: "executor paused", executor: requesttest.Hang, timeout: "1000",
 		code: result.DeadlineRunning, ran: result.RanUnknown, retry: result.DeadlineRunning},
 	{point: "awaiting", fault: "deadline", timeout: "100",
 		code: result.DeadlineRunning, ran: result.RanUnknown, runs: 1, retryRuns: 1},
 	{point: "awaiting", fault: "caller left or entry killed", after: soon, inject: func(s *scenario) { s.cancelCaller() },
-		code: result.CallerGone, ran: result.RanUnknown, runs: 1, retryRuns: 1},
+		code: result.CallerDisconnected, ran: result.RanUnknown, runs: 1, retryRuns: 1},
 	{point: "awaiting", fault: "home killed", after: soon, inject: (*scenario).killHome,
 		code: result.HomeNotReached, ran: result.RanUnknown, runs: 1, retry: result.HomeNotReached, retryRuns: 1},
 	{point: "awaiting", fault: "home killed and failed over", after: soon, inject: func(s *scenario) { s.killHome(); s.failOverHome() },
@@ -132,7 +132,7 @@
 	{point: "answering", fault: "home killed", after: 200*time.Millisecond - time.Nanosecond, inject: (*scenario).killHome,
 		code: result.HomeNotReached, ran: result.RanUnknown, runs: 1, retry: result.HomeNotReached, retryRuns: 1},
 	{point: "answering", fault: "caller left or entry killed", after: 200*time.Millisecond - time.Nanosecond, inject: func(s *scenario) { s.cancelCaller() },
-		code: result.CallerGone, ran: result.RanUnknown, runs: 1, retryRuns: 1},
+		code: result.CallerDisconnected, ran: result.RanUnknown, runs: 1, retryRuns: 1},
 	{point: "answering", fault: "none", runs: 1, retryRuns: 1},
 }
 
--- a/internal/requesttest/overload_test.go
+++ b/internal/requesttest/overload_test.go
@@ -29,7 +29,7 @@
 		c := newCell(t, overloadPlacers, overloadExecutors)
 		defer c.stop()
 		rng := rand.New(rand.NewPCG(7, 7))
-		gap := float64(c.executors.Time) / (overloadExecutors * 8 * load)
+		gap := float64(c.executors.ExecutionTime) / (overloadExecutors * 8 * load)
 		var mu sync.Mutex
 		answered := 0
 		var wg sync.WaitGroup
--- a/internal/requesttest/path_bench_test.go
+++ b/internal/requesttest/path_bench_test.go
@@ -72,15 +72,15 @@
 	b.Cleanup(client.Close)
 	d := dispatch.New(dispatch.Config{
 		Hosts: func() []platform.Host { return hosts }, Settings: defaultValues,
-		Remotes: func() []dispatch.Remote { return nil },
-		Right:   &requesttest.Right{}, Client: client, Partitions: partitions, Log: quiet(), Metrics: prometheus.NewRegistry(),
+		Remotes:    func() []dispatch.Remote { return nil },
+		Authorizer: &requesttest.Authorizer{}, Client: client, Partitions: partitions, Log: quiet(), Metrics: prometheus.NewRegistry(),
 	})
 	home := request.New(request.Config{
-		Right: &requesttest.Right{}, Dispatcher: d, Settings: defaultValues, Log: quiet(), Metrics: prometheus.NewRegistry(),
+		Authorizer: &requesttest.Authorizer{}, Dispatcher: d, Settings: defaultValues, Log: quiet(), Metrics: prometheus.NewRegistry(),
 	})
 	for id := range partitions {
-		for _, r := range []hold.Resident{home, d} {
-			if err := r.Acquire(context.Background(), hold.Takeover{Grant: hold.Grant{Partition: id}, Fresh: true, TakenAt: time.Now()}); err != nil {
+		for _, r := range []hold.Component{home, d} {
+			if err := r.Acquire(context.Background(), hold.Acquisition{Grant: hold.Grant{Partition: id}, NeverHeld: true, AcquiredAt: time.Now()}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -223,13 +223,13 @@
 			return []platform.Host{{Name: "executor-0", Addr: "executor-0", Role: platform.RoleExecutor, Service: "ledger"}}
 		},
 		Settings: defaultValues, Remotes: func() []dispatch.Remote { return nil },
-		Right: &requesttest.Right{}, Client: instantClient{}, Partitions: 1, Log: quiet(), Metrics: prometheus.NewRegistry(),
+		Authorizer: &requesttest.Authorizer{}, Client: instantClient{}, Partitions: 1, Log: quiet(), Metrics: prometheus.NewRegistry(),
 	})
 	home := request.New(request.Config{
-		Right: &requesttest.Right{}, Dispatcher: d, Settings: defaultValues, Log: quiet(), Metrics: prometheus.NewRegistry(),
+		Authorizer: &requesttest.Authorizer{}, Dispatcher: d, Settings: defaultValues, Log: quiet(), Metrics: prometheus.NewRegistry(),
 	})
-	for _, r := range []hold.Resident{home, d} {
-		if err := r.Acquire(context.Background(), hold.Takeover{Fresh: true, TakenAt: time.Now()}); err != nil {
+	for _, r := range []hold.Component{home, d} {
+		if err := r.Acquire(context.Background(), hold.Acquisition{NeverHeld: true, AcquiredAt: time.Now()}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/requesttest/property_test.go
+++ b/internal/requesttest/property_test.go
@@ -72,7 +72,7 @@
 		})
 		defer c.stop()
 		c.claimNeverHeld = claimNeverHeld
-		c.executors.Time = 25 * time.Millisecond
+		c.executors.ExecutionTime = 25 * time.Millisecond
 		p := &planRunner{cell: c}
 		c.executors.FaultOf = p.fault
 		for i := range planKeys {
--- a/internal/requesttest/requesttest.go
+++ b/internal/requesttest/requesttest.go
@@ -16,14 +16,14 @@
 	"pulleyquay/internal/result"
 )
 
-// Right is a hold.Authorizer whose partitions are set by the test.
-type Right struct {
+// Authorizer is a hold.Authorizer whose partitions are set by the test.
+type Authorizer struct {
 	mu      sync.Mutex
 	revoked map[int]bool
 }
 
 // SetRevoked revokes the authority for a partition, or grants it again.
-func (r *Right) SetRevoked(partition int, revoked bool) {
+func (r *Authorizer) SetRevoked(partition int, revoked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.revoked == nil {
@@ -33,7 +33,7 @@
 }
 
 // Check implements hold.Authorizer.
-func (r *Right) Check(partition int) (hold.Grant, error) {
+func (r *Authorizer) Check(partition int) (hold.Grant, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.revoked[partition] {
@@ -43,7 +43,7 @@
 }
 
 // Held implements hold.Authorizer.
-func (r *Right) Held() []int { return nil }
+func (r *Authorizer) Held() []int { return nil }
 
 // Fault is a fault of an executor for one request.
 type Fault int
@@ -53,10 +53,10 @@
 	NoFault Fault = iota
 	// Refuse fails before a byte was sent.
 	Refuse
-	// CutBefore loses the request after a byte was sent; it does not run.
-	CutBefore
-	// CutAfter runs the request and breaks the connection at once.
-	CutAfter
+	// LoseRequest loses the request after a byte was sent; it does not run.
+	LoseRequest
+	// LoseAnswer runs the request and breaks the connection at once.
+	LoseAnswer
 	// Hang never answers.
 	Hang
 	// Fail runs the request and answers with status 500.
@@ -65,8 +65,8 @@
 	Truncate
 	// Oversize runs the request and answers more than the limit.
 	Oversize
-	// Leave runs the request and signals that the executor is leaving.
-	Leave
+	// SignalLeaving runs the request and signals that the executor is leaving.
+	SignalLeaving
 )
 
 // Run is one request that an executor has run.
@@ -79,10 +79,10 @@
 
 // Executors is an executor.Client whose executors take a fixed time and record what they ran.
 type Executors struct {
-	// Time is the execution time of a request.
-	Time time.Duration
-	// TimeOf, if set, returns the execution time of a request at an executor.
-	TimeOf func(addr string) time.Duration
+	// ExecutionTime is the execution time of a request.
+	ExecutionTime time.Duration
+	// ExecutionTimeOf, if set, returns the execution time of a request at an executor.
+	ExecutionTimeOf func(addr string) time.Duration
 	// FaultOf returns the fault of a request; nil means no faults.
 	FaultOf func(addr string, req executor.Request) Fault
 
@@ -113,7 +113,7 @@
 	}
 	x.begin(addr)
 	switch fault {
-	case CutBefore:
+	case LoseRequest:
 		x.finish(addr)
 		return executor.Answer{}, &executor.Failure{Sent: true, Err: errFake}
 	case Hang:
@@ -127,7 +127,7 @@
 		x.finish(addr)
 		close(ended)
 	})
-	if fault == CutAfter {
+	if fault == LoseAnswer {
 		return executor.Answer{}, &executor.Failure{Sent: true, Err: errFake}
 	}
 	select {
@@ -147,11 +147,11 @@
 // executionTime returns the execution time of a request. After CutAfter the executor stops at the
 // deadline in the request.
 func (x *Executors) executionTime(addr string, req executor.Request, fault Fault) time.Duration {
-	duration := x.Time
-	if x.TimeOf != nil {
-		duration = x.TimeOf(addr)
+	duration := x.ExecutionTime
+	if x.ExecutionTimeOf != nil {
+		duration = x.ExecutionTimeOf(addr)
 	}
-	if ms, err := strconv.ParseInt(req.Header.Get(TimeoutHeader), 10, 64); err == nil && fault == CutAfter {
+	if ms, err := strconv.ParseInt(req.Header.Get(TimeoutHeader), 10, 64); err == nil && fault == LoseAnswer {
 		duration = min(duration, time.Duration(ms)*time.Millisecond)
 	}
 	return duration
@@ -163,7 +163,7 @@
 	if fault == Fail {
 		status = http.StatusInternalServerError
 	}
-	return executor.Answer{Status: status, Body: []byte(req.Path), Leaving: fault == Leave}
+	return executor.Answer{Status: status, Body: []byte(req.Path), Leaving: fault == SignalLeaving}
 }
 
 func (x *Executors) begin(addr string) {
--- a/internal/requesttest/serve_test.go
+++ b/internal/requesttest/serve_test.go
@@ -112,7 +112,7 @@
 		c := newCell(t, 3, 6)
 		defer c.stop()
 		key := newKey()
-		c.executors.FaultOf = faultOnce(requesttest.CutAfter)
+		c.executors.FaultOf = faultOnce(requesttest.LoseAnswer)
 		for range 3 {
 			got := c.do(t.Context(), http.MethodPost, "/tickets", "", entry.KeyHeader, key).failure()
 			is.Equal(got.Code, result.ExecutorLost)
--- a/internal/result/codes_request.go
+++ b/internal/result/codes_request.go
@@ -21,7 +21,7 @@
 	EntryFull          Code = 2015
 	DeadlineQueued     Code = 2020
 	DeadlineRunning    Code = 2021
-	CallerGone         Code = 2022
+	CallerDisconnected Code = 2022
 	ExecutorNotReached Code = 2023
 	ExecutorLost       Code = 2024
 	AnswerTooLarge     Code = 2025
@@ -53,7 +53,7 @@
 		Info{EntryFull, "entry-full", http.StatusServiceUnavailable, "this entry host serves as many requests as it can"},
 		Info{DeadlineQueued, "deadline-queued", http.StatusGatewayTimeout, "the deadline passed before dispatch"},
 		Info{DeadlineRunning, "deadline-running", http.StatusGatewayTimeout, "the deadline passed after dispatch"},
-		Info{CallerGone, "caller-gone", statusClientClosedRequest, "the caller went away"},
+		Info{CallerDisconnected, "caller-gone", statusClientClosedRequest, "the caller went away"},
 		Info{ExecutorNotReached, "executor-not-reached", http.StatusBadGateway, "no byte was sent to an executor"},
 		Info{ExecutorLost, "executor-lost", http.StatusBadGateway, "sent to an executor, no whole answer came back"},
 		Info{AnswerTooLarge, "answer-too-large", http.StatusBadGateway, "the executor's answer is over the limit in settings"},
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -82,15 +82,15 @@
 	return &Error{Code: c, Ran: ran, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Later returns a copy of e with the delay before a retry.
-func (e *Error) Later(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e with the delay before a retry.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// At returns a copy of e with the path of the offending field.
-func (e *Error) At(field string) *Error {
+// AtField returns a copy of e with the path of the offending field.
+func (e *Error) AtField(field string) *Error {
 	c := *e
 	c.Field = field
 	return &c
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -20,15 +20,15 @@
 // New returns a full budget: a burst of ten retries.
 func New() *Budget { return &Budget{hundredths: maxBudget} }
 
-// Earn credits the budget for one request, with the given percentage of a retry.
-func (b *Budget) Earn(percent int64) {
+// Deposit credits the budget for one request, with the given percentage of a retry.
+func (b *Budget) Deposit(percent int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hundredths = min(b.hundredths+percent, maxBudget)
 }
 
-// Spend withdraws one retry from the budget. It reports whether the budget sufficed.
-func (b *Budget) Spend() bool {
+// TryWithdraw withdraws one retry from the budget. It reports whether the budget sufficed.
+func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.hundredths < retryCost {
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -12,11 +12,11 @@
 	const requests, percent = 1000, 10
 	retries := 0
 	for range requests {
-		b.Earn(percent)
-		if b.Spend() {
+		b.Deposit(percent)
+		if b.TryWithdraw() {
 			retries++
 		}
 	}
 	is.Equal(retries, 10+requests*percent/100-1) // burst plus 10 %, less one retry not fully credited
-	is.True(!b.Spend())
+	is.True(!b.TryWithdraw())
 }
--- a/internal/right/authority.go
+++ b/internal/right/authority.go
@@ -6,7 +6,7 @@
 )
 
 // Authority computes until when one member may act. It is not safe for concurrent use.
-type Holder struct {
+type Authority struct {
 	times   Times
 	session uint64
 	// lease is the earliest time at which the store lease can end.
@@ -15,7 +15,7 @@
 	outageEnd time.Time
 	// voterSets are the sets that the store may contain now: one, or two while the outcome of a
 	// change is unknown. Promises count only if they form a majority in each set.
-	voterSets []Electorate
+	voterSets []VoterSet
 	promised  map[string]time.Time // by incarnation
 	// previousUntil is the end of the promised authority of the previous session.
 	previousUntil time.Time
@@ -25,23 +25,23 @@
 }
 
 // NewAuthority returns an Authority that grants nothing yet.
-func NewHolder(times Times) *Holder {
-	return &Holder{times: times, promised: map[string]time.Time{}}
+func NewAuthority(times Times) *Authority {
+	return &Authority{times: times, promised: map[string]time.Time{}}
 }
 
 // BeginSession records that the store has the member key and the voter set of a new session, under
 // a lease that was requested at sent.
-func (h *Holder) Created(sent time.Time, e Electorate) {
+func (h *Authority) BeginSession(sent time.Time, e VoterSet) {
 	h.previousUntil = h.promisedUntil()
 	h.session = e.Session
-	h.voterSets = []Electorate{e}
+	h.voterSets = []VoterSet{e}
 	h.promised = map[string]time.Time{}
 	h.fenced = false
-	h.Renewed(sent)
+	h.RecordRenewal(sent)
 }
 
 // RecordRenewal records that the store has confirmed a lease renewal sent at sent.
-func (h *Holder) Renewed(sent time.Time) {
+func (h *Authority) RecordRenewal(sent time.Time) {
 	if end := sent.Add(h.times.minusMargin(h.times.Term)); end.After(h.lease) {
 		h.lease = end
 	}
@@ -52,7 +52,7 @@
 
 // RecordPromise records that a voter has promised d in reply to a request sent at sent for the
 // given session.
-func (h *Holder) RecordPromise(voter string, session uint64, sent time.Time, d time.Duration) {
+func (h *Authority) RecordPromise(voter string, session uint64, sent time.Time, d time.Duration) {
 	if session != h.session {
 		return
 	}
@@ -63,37 +63,37 @@
 
 // MarkFenced records that this process's own vote has been given to a claimant. No promise counts
 // any more in this session; authority that was already granted runs until its end.
-func (h *Holder) MarkFenced() { h.fenced = true }
+func (h *Authority) MarkFenced() { h.fenced = true }
 
 // BeginVoterChange records that a change to next is about to be written. Call EndVoterChange once
 // the outcome is known.
-func (h *Holder) Changing(next Electorate) {
+func (h *Authority) BeginVoterChange(next VoterSet) {
 	h.voterSets = append(h.voterSets, next)
 }
 
 // EndVoterChange records which voter set the store has.
-func (h *Holder) Settled(e Electorate) { h.voterSets = []Electorate{e} }
+func (h *Authority) EndVoterChange(e VoterSet) { h.voterSets = []VoterSet{e} }
 
 // MayChangeVoters is false while authority granted by promises may still be in use: a change of the
 // voter set has to wait until that has expired.
-func (h *Holder) MayChange(now time.Time) bool {
+func (h *Authority) MayChangeVoters(now time.Time) bool {
 	return len(h.voterSets) == 1 && !now.Before(h.grantedUntil) && !now.Before(h.previousUntil)
 }
 
 // Session returns the current session, zero before the first.
-func (h *Holder) Session() uint64 { return h.session }
+func (h *Authority) Session() uint64 { return h.session }
 
 // VoterSet returns the last voter set that is known to be in the store.
-func (h *Holder) Electorate() Electorate {
+func (h *Authority) VoterSet() VoterSet {
 	if len(h.voterSets) == 0 {
-		return Electorate{}
+		return VoterSet{}
 	}
 	return h.voterSets[0]
 }
 
 // Until returns the end of the authority over a partition that was confirmed in the given session.
 // The authority has expired if the end is not after now.
-func (h *Holder) Until(now time.Time, session uint64) time.Time {
+func (h *Authority) Until(now time.Time, session uint64) time.Time {
 	switch {
 	case session == 0 || session > h.session:
 		return time.Time{}
@@ -113,10 +113,10 @@
 }
 
 // Lease returns the end of the authority by store lease.
-func (h *Holder) Lease() time.Time { return h.lease }
+func (h *Authority) Lease() time.Time { return h.lease }
 
 // LatestEnd returns the latest end of any authority that may be in use.
-func (h *Holder) LatestEnd() time.Time {
+func (h *Authority) LatestEnd() time.Time {
 	out := h.grantedUntil
 	for _, t := range []time.Time{h.lease, h.previousUntil} {
 		if t.After(out) {
@@ -127,7 +127,7 @@
 }
 
 // promisedUntil returns until when a majority of every voter set has promised.
-func (h *Holder) promisedUntil() time.Time {
+func (h *Authority) promisedUntil() time.Time {
 	if h.fenced || len(h.voterSets) == 0 {
 		return time.Time{}
 	}
@@ -143,7 +143,7 @@
 // majorityUntil returns until when a majority of the voter set has promised. The promise of a
 // single voter to itself does not count: if that process died, no other could confirm to a claimant
 // that the promise has expired.
-func (h *Holder) majorityUntil(e Electorate) time.Time {
+func (h *Authority) majorityUntil(e VoterSet) time.Time {
 	if len(e.Voters) < minVoters {
 		return time.Time{}
 	}
@@ -156,14 +156,14 @@
 }
 
 // VoterChangePending reports whether the outcome of a change of the voter set is unknown.
-func (h *Holder) Open() bool { return len(h.voterSets) > 1 }
+func (h *Authority) VoterChangePending() bool { return len(h.voterSets) > 1 }
 
 // NewDelegate returns the authority to renew task leases on behalf of a dead member. It rests on
 // promises of that member's voter set only and ends an outage limit after the member's last known
 // renewal.
-func NewDelegate(times Times, e Electorate, renewed time.Time) *Holder {
-	h := NewHolder(times)
-	h.session, h.voterSets = e.Session, []Electorate{e}
+func NewDelegate(times Times, e VoterSet, renewed time.Time) *Authority {
+	h := NewAuthority(times)
+	h.session, h.voterSets = e.Session, []VoterSet{e}
 	h.outageEnd = renewed.Add(times.minusMargin(times.OutageLimit))
 	return h
 }
--- a/internal/right/blocking_test.go
+++ b/internal/right/blocking_test.go
@@ -22,7 +22,7 @@
 	start := time.Now()
 	times := Times{Term: 3 * time.Second, Margin: 10, OutageLimit: time.Hour}
 	dead, survivor := Voter{Incarnation: "1"}, Voter{Incarnation: "2"}
-	f := NewFencing(times, Electorate{Session: 1, Voters: []Voter{dead, survivor}}, start)
+	f := NewFencing(times, VoterSet{Session: 1, Voters: []Voter{dead, survivor}}, start)
 	is.True(!f.Done(start))
 	f.RecordAnswer(survivor, FenceAnswer{Incarnation: "2"})
 	is.True(f.Done(start))
--- a/internal/right/fence.go
+++ b/internal/right/fence.go
@@ -15,7 +15,7 @@
 // Fencing collects the replies to the fence requests for one session.
 type Fencing struct {
 	times    Times
-	voterSet Electorate
+	voterSet VoterSet
 	// since is when the claimant first observed that the member key was missing.
 	since    time.Time
 	fenced   map[string]bool // voters that replied themselves, by incarnation
@@ -23,7 +23,7 @@
 }
 
 // NewFencing starts fencing a session whose member key was first observed missing at since.
-func NewFencing(times Times, e Electorate, since time.Time) *Fencing {
+func NewFencing(times Times, e VoterSet, since time.Time) *Fencing {
 	return &Fencing{
 		times: times, voterSet: e, since: since,
 		fenced: map[string]bool{}, resolved: map[string]bool{},
@@ -31,7 +31,7 @@
 }
 
 // VoterSet returns the voters to ask.
-func (f *Fencing) Electorate() Electorate { return f.voterSet }
+func (f *Fencing) VoterSet() VoterSet { return f.voterSet }
 
 // Pending lists the voters whose replies are still needed.
 func (f *Fencing) Pending() []Voter {
--- a/internal/right/model_test.go
+++ b/internal/right/model_test.go
@@ -32,7 +32,7 @@
 type chooser func(label string, n int) int
 
 type modelRecord struct {
-	holder Subject
+	holder MemberID
 	epoch  uint64
 	mod    int
 }
@@ -45,7 +45,7 @@
 }
 
 type modelVoterRecord struct {
-	Electorate
+	VoterSet
 	lease int
 	mod   int
 }
@@ -54,7 +54,7 @@
 type modelStore struct {
 	revision     int
 	members      map[string]modelMember
-	voterRecords map[Subject]modelVoterRecord
+	voterRecords map[MemberID]modelVoterRecord
 	partitions   [modelPartitions]modelRecord
 }
 
@@ -71,7 +71,7 @@
 
 // authorityUse is an interval of true time in which a process may act.
 type authorityUse struct {
-	by    Subject
+	by    MemberID
 	epoch uint64
 	until time.Duration
 }
@@ -87,7 +87,7 @@
 	procs         []*modelProc
 	started       int
 	inFlight      []func()
-	uses          [modelPartitions]map[Subject]authorityUse
+	uses          [modelPartitions]map[MemberID]authorityUse
 	epochs        [modelPartitions]uint64
 	violations    []string
 	trace         []string
@@ -100,13 +100,13 @@
 	m := &model{
 		choose: choose, injectedFault: v, up: true,
 		times: Times{Term: modelTerm, Margin: modelMargin, OutageLimit: time.Minute},
-		store: modelStore{members: map[string]modelMember{}, voterRecords: map[Subject]modelVoterRecord{}},
+		store: modelStore{members: map[string]modelMember{}, voterRecords: map[MemberID]modelVoterRecord{}},
 	}
 	if v.noClockMargin {
 		m.times.Margin = 0
 	}
 	for i := range m.uses {
-		m.uses[i] = map[Subject]authorityUse{}
+		m.uses[i] = map[MemberID]authorityUse{}
 	}
 	for i := range modelProcs {
 		m.procs = append(m.procs, m.newProc(fmt.Sprintf("p%d", i)))
@@ -120,11 +120,11 @@
 func (m *model) newProc(name string) *modelProc {
 	m.started++
 	return &modelProc{
-		m: m, id: Subject{Name: name, Incarnation: fmt.Sprintf("%04d", m.started)},
+		m: m, id: MemberID{Name: name, Incarnation: fmt.Sprintf("%04d", m.started)},
 		rate: modelRates[m.choose("rate", len(modelRates))], started: m.now,
-		holder: NewHolder(m.times), promises: NewVoterState(), sent: map[int]time.Time{},
-		owned: map[int]modelOwned{}, fencings: map[Subject]*modelFencing{},
-		view: modelStore{members: map[string]modelMember{}, voterRecords: map[Subject]modelVoterRecord{}},
+		holder: NewAuthority(m.times), promises: NewVoterState(), sent: map[int]time.Time{},
+		owned: map[int]modelOwned{}, fencings: map[MemberID]*modelFencing{},
+		view: modelStore{members: map[string]modelMember{}, voterRecords: map[MemberID]modelVoterRecord{}},
 	}
 }
 
--- a/internal/right/modelproc_test.go
+++ b/internal/right/modelproc_test.go
@@ -8,12 +8,12 @@
 // without their I/O.
 type modelProc struct {
 	m       *model
-	id      Subject
+	id      MemberID
 	rate    int64 // rate of its clock, in per mille
 	started time.Duration
 	dead    bool
 
-	holder         *Holder
+	holder         *Authority
 	promises       *VoterState
 	joined         bool
 	lease          int
@@ -23,7 +23,7 @@
 	confirmed      uint64
 	sent           map[int]time.Time // when each lease was requested
 	owned          map[int]modelOwned
-	fencings       map[Subject]*modelFencing
+	fencings       map[MemberID]*modelFencing
 	view           modelStore // the state that it read last
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	asked, voters := p.clock(), p.voters()
-	if old := p.holder.Electorate(); old.Session > 0 {
+	if old := p.holder.VoterSet(); old.Session > 0 {
 		voters = old.Voters
 	}
 	voterRecordMod := p.voterRecordMod
@@ -89,7 +89,7 @@
 			return
 		}
 		mod := m.store.next()
-		voterRecord = modelVoterRecord{Electorate{Session: voterRecord.Session + 1, Voters: voters}, lease, mod}
+		voterRecord = modelVoterRecord{VoterSet{Session: voterRecord.Session + 1, Voters: voters}, lease, mod}
 		m.store.voterRecords[p.id] = voterRecord
 		m.store.members[p.id.Name] = modelMember{p.id.Incarnation, mod, lease, m.lease()}
 		m.logf("%v joined session %d voters %v", p.id, voterRecord.Session, voters)
@@ -108,7 +108,7 @@
 		if p.m.injectedFault.countFromReply {
 			sent = p.clock()
 		}
-		p.holder.Created(sent, voterRecord.Electorate)
+		p.holder.BeginSession(sent, voterRecord.VoterSet)
 	}
 }
 
@@ -129,7 +129,7 @@
 			if m.injectedFault.countFromReply {
 				sent = p.clock()
 			}
-			p.holder.Renewed(sent)
+			p.holder.RecordRenewal(sent)
 		})
 	})
 }
@@ -140,13 +140,13 @@
 	if !p.joined {
 		return
 	}
-	next := p.holder.Electorate()
-	if !p.holder.Open() {
-		if !p.holder.MayChange(p.clock()) {
+	next := p.holder.VoterSet()
+	if !p.holder.VoterChangePending() {
+		if !p.holder.MayChangeVoters(p.clock()) {
 			return
 		}
 		next.Voters = p.voters()
-		p.holder.Changing(next)
+		p.holder.BeginVoterChange(next)
 	}
 	memberMod, voterRecordMod, lease := p.memberMod, p.voterRecordMod, p.lease
 	m.sendToStore(func() {
@@ -159,7 +159,7 @@
 		p.reply(func() {
 			if voterRecord.Session == p.holder.Session() && voterRecord.mod > p.voterRecordMod {
 				p.voterRecordMod = voterRecord.mod
-				p.holder.Settled(voterRecord.Electorate)
+				p.holder.EndVoterChange(voterRecord.VoterSet)
 			}
 		})
 	})
@@ -223,13 +223,13 @@
 func (p *modelProc) fence(id int) {
 	m := p.m
 	s := p.view.partitions[id].holder
-	if s == (Subject{}) || s == p.id || p.view.members[s.Name].incarnation == s.Incarnation {
+	if s == (MemberID{}) || s == p.id || p.view.members[s.Name].incarnation == s.Incarnation {
 		return
 	}
 	voterRecord := p.view.voterRecords[s]
 	f := p.fencings[s]
 	if f == nil || f.voterRecord != voterRecord.mod {
-		f = &modelFencing{voterRecord.mod, NewFencing(m.times, voterRecord.Electorate, p.clock())}
+		f = &modelFencing{voterRecord.mod, NewFencing(m.times, voterRecord.VoterSet, p.clock())}
 		p.fencings[s] = f
 	}
 	pending := f.fencing.Pending()
@@ -276,7 +276,7 @@
 	p.setVoters()
 }
 
-func (p *modelProc) onFence(s Subject, session uint64) FenceAnswer {
+func (p *modelProc) onFence(s MemberID, session uint64) FenceAnswer {
 	now := p.clock()
 	answer := FenceAnswer{Incarnation: p.id.Incarnation, Remaining: p.promises.Fence(now, s, session)}
 	answer.Age = (p.m.now - p.started) * time.Duration(p.rate) / 1000
@@ -295,7 +295,7 @@
 		return
 	}
 	holderMod := 0
-	if old.holder != (Subject{}) {
+	if old.holder != (MemberID{}) {
 		if member, ok := p.view.members[old.holder.Name]; ok {
 			if member.incarnation == old.holder.Incarnation {
 				return
@@ -313,12 +313,12 @@
 		if me.mod != memberMod || me.incarnation != p.id.Incarnation || s.partitions[id].mod != old.mod {
 			return
 		}
-		if old.holder != (Subject{}) && (s.members[old.holder.Name].mod != holderMod || s.voterRecords[old.holder].mod != voterRecordMod) {
+		if old.holder != (MemberID{}) && (s.members[old.holder.Name].mod != holderMod || s.voterRecords[old.holder].mod != voterRecordMod) {
 			return
 		}
 		rec := modelRecord{p.id, old.epoch + 1, s.next()}
 		s.partitions[id] = rec
-		if old.holder != (Subject{}) {
+		if old.holder != (MemberID{}) {
 			m.takenOver++
 		}
 		m.logf("%v claimed %d at epoch %d from %v", p.id, id, rec.epoch, old.holder)
@@ -326,7 +326,7 @@
 	})
 }
 
-func (p *modelProc) mayClaim(s Subject) bool {
+func (p *modelProc) mayClaim(s MemberID) bool {
 	f := p.fencings[s]
 	switch {
 	case p.m.injectedFault.skipFence:
--- a/internal/right/right.go
+++ b/internal/right/right.go
@@ -23,7 +23,7 @@
 // VoterSet names the voters that may extend one member's authority while the store is unavailable.
 // The store keeps it under the member's incarnation, and only that member changes it, in a
 // transaction that requires its member key.
-type Electorate struct {
+type VoterSet struct {
 	// Session counts how often the member has created its key. A fence of a session covers all
 	// lower ones.
 	Session uint64  `cbor:"1,keyasint" json:"session"`
@@ -31,7 +31,7 @@
 }
 
 // MemberID identifies the member whose authority is promised or fenced.
-type Subject struct {
+type MemberID struct {
 	Name        string `cbor:"1,keyasint" json:"name"`
 	Incarnation string `cbor:"2,keyasint" json:"incarnation"`
 }
--- a/internal/right/right_test.go
+++ b/internal/right/right_test.go
@@ -10,13 +10,13 @@
 var (
 	testTimes = Times{Term: 3 * time.Second, Margin: 10, OutageLimit: time.Minute}
 	baseTime  = time.Unix(1000, 0)
-	memberA   = Subject{Name: "a", Incarnation: "1"}
+	memberA   = MemberID{Name: "a", Incarnation: "1"}
 )
 
 func at(ms int) time.Time { return baseTime.Add(time.Duration(ms) * time.Millisecond) }
 
-func voterSetOf(session uint64, names ...string) Electorate {
-	e := Electorate{Session: session}
+func voterSetOf(session uint64, names ...string) VoterSet {
+	e := VoterSet{Session: session}
 	for _, n := range names {
 		e.Voters = append(e.Voters, Voter{Name: n, Incarnation: n + "1", Addr: n})
 	}
@@ -25,12 +25,12 @@
 
 func TestLeaseIsCountedFromTheSendLessTheMargin(t *testing.T) {
 	is := is.New(t)
-	h := NewHolder(testTimes)
+	h := NewAuthority(testTimes)
 	is.True(h.Until(at(0), 0).IsZero())
-	h.Created(at(0), voterSetOf(1, "a", "b", "c"))
+	h.BeginSession(at(0), voterSetOf(1, "a", "b", "c"))
 	is.Equal(h.Until(at(10), 1), at(2970))
-	h.Renewed(at(500))
-	h.Renewed(at(100)) // a delayed older reply does not shorten the authority
+	h.RecordRenewal(at(500))
+	h.RecordRenewal(at(100)) // a delayed older reply does not shorten the authority
 	is.Equal(h.Until(at(600), 1), at(3470))
 }
 
@@ -54,8 +54,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			h := NewHolder(testTimes)
-			h.Created(at(0), voterSetOf(1, tt.voters...))
+			h := NewAuthority(testTimes)
+			h.BeginSession(at(0), voterSetOf(1, tt.voters...))
 			for _, v := range tt.promised {
 				h.RecordPromise(v, 1, at(10000), testTimes.Term)
 			}
@@ -65,33 +65,33 @@
 }
 
 func TestAuthorityThatNoLongerCounts(t *testing.T) {
-	promised := func(h *Holder, session uint64, from time.Time) {
+	promised := func(h *Authority, session uint64, from time.Time) {
 		h.RecordPromise("a1", session, from, testTimes.Term)
 		h.RecordPromise("b1", session, from, testTimes.Term)
 	}
 	tests := []struct {
 		name string
-		do   func(h *Holder)
+		do   func(h *Authority)
 		want time.Time
 	}{
-		{"promises to another session", func(h *Holder) { promised(h, 2, at(9000)) }, time.Time{}},
-		{"own vote given to a claimant", func(h *Holder) { promised(h, 1, at(9000)); h.MarkFenced() }, time.Time{}},
-		{"pending change needs both majorities", func(h *Holder) {
+		{"promises to another session", func(h *Authority) { promised(h, 2, at(9000)) }, time.Time{}},
+		{"own vote given to a claimant", func(h *Authority) { promised(h, 1, at(9000)); h.MarkFenced() }, time.Time{}},
+		{"pending change needs both majorities", func(h *Authority) {
 			promised(h, 1, at(9000))
-			h.Changing(voterSetOf(1, "a", "c", "d"))
+			h.BeginVoterChange(voterSetOf(1, "a", "c", "d"))
 		}, time.Time{}},
-		{"change resolved to the old voter set", func(h *Holder) {
+		{"change resolved to the old voter set", func(h *Authority) {
 			promised(h, 1, at(9000))
-			h.Changing(voterSetOf(1, "a", "c", "d"))
-			h.Settled(voterSetOf(1, "a", "b", "c"))
+			h.BeginVoterChange(voterSetOf(1, "a", "c", "d"))
+			h.EndVoterChange(voterSetOf(1, "a", "b", "c"))
 		}, at(11970)},
-		{"outage limit", func(h *Holder) { promised(h, 1, at(58000)) }, at(59400)},
+		{"outage limit", func(h *Authority) { promised(h, 1, at(58000)) }, at(59400)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			h := NewHolder(testTimes)
-			h.Created(at(0), voterSetOf(1, "a", "b", "c"))
+			h := NewAuthority(testTimes)
+			h.BeginSession(at(0), voterSetOf(1, "a", "b", "c"))
 			tt.do(h)
 			is.Equal(h.Until(at(9010), 1), tt.want)
 		})
@@ -100,17 +100,17 @@
 
 func TestPartitionOfThePreviousSessionKeepsItsPromisedEnd(t *testing.T) {
 	is := is.New(t)
-	h := NewHolder(testTimes)
+	h := NewAuthority(testTimes)
 	e := voterSetOf(1, "a", "b", "c")
-	h.Created(at(0), e)
+	h.BeginSession(at(0), e)
 	h.RecordPromise("a1", 1, at(9000), testTimes.Term)
 	h.RecordPromise("b1", 1, at(9000), testTimes.Term)
 	e.Session = 2
-	h.Created(at(9500), e)
+	h.BeginSession(at(9500), e)
 	is.Equal(h.Until(at(9600), 1), at(11970)) // not confirmed yet: end of the promises
 	is.Equal(h.Until(at(9600), 2), at(12470)) // confirmed: end of the new lease
 	e.Session = 3
-	h.Created(at(9700), e)
+	h.BeginSession(at(9700), e)
 	is.True(h.Until(at(9800), 1).IsZero())
 }
 
@@ -118,8 +118,8 @@
 // new set complete a fence while authority that the old set promised is still valid.
 func TestVoterSetChangeWaitsForPromisedAuthority(t *testing.T) {
 	is := is.New(t)
-	h := NewHolder(testTimes)
-	h.Created(at(0), voterSetOf(1, "a", "d"))
+	h := NewAuthority(testTimes)
+	h.BeginSession(at(0), voterSetOf(1, "a", "d"))
 	h.RecordPromise("a1", 1, at(2960), testTimes.Term)
 	h.RecordPromise("d1", 1, at(2960), testTimes.Term)
 	until := h.Until(at(2980), 1)
@@ -131,9 +131,9 @@
 	f.RecordAnswer(next.Voters[2], FenceAnswer{Incarnation: "c1"})
 	is.True(f.Done(at(3010))) // complete although until has not been reached
 
-	is.True(!h.MayChange(at(3000)))
-	is.True(!h.MayChange(at(5929)))
-	is.True(h.MayChange(at(5930)))
+	is.True(!h.MayChangeVoters(at(3000)))
+	is.True(!h.MayChangeVoters(at(5929)))
+	is.True(h.MayChangeVoters(at(5930)))
 }
 
 func TestVoterFencesAfterItsPromise(t *testing.T) {
--- a/internal/right/voter.go
+++ b/internal/right/voter.go
@@ -8,7 +8,7 @@
 // forgotten fence a session could receive promises again. VoterState is not safe for concurrent
 // use.
 type VoterState struct {
-	byMember map[Subject]promise
+	byMember map[MemberID]promise
 }
 
 type promise struct {
@@ -17,10 +17,10 @@
 }
 
 // NewVoterState returns the state of a voter that has made no promise.
-func NewVoterState() *VoterState { return &VoterState{byMember: map[Subject]promise{}} }
+func NewVoterState() *VoterState { return &VoterState{byMember: map[MemberID]promise{}} }
 
 // Ask promises d from now on, or refuses because the session is fenced.
-func (p *VoterState) Ask(now time.Time, s Subject, session uint64, d time.Duration) bool {
+func (p *VoterState) Ask(now time.Time, s MemberID, session uint64, d time.Duration) bool {
 	entry := p.byMember[s]
 	if session <= entry.fenced {
 		return false
@@ -34,7 +34,7 @@
 
 // Fence refuses all further promises to sessions up to the given one and returns the remaining time
 // of the promises already made.
-func (p *VoterState) Fence(now time.Time, s Subject, session uint64) time.Duration {
+func (p *VoterState) Fence(now time.Time, s MemberID, session uint64) time.Duration {
 	entry := p.byMember[s]
 	entry.fenced = max(entry.fenced, session)
 	p.byMember[s] = entry
@@ -42,6 +42,6 @@
 }
 
 // Fenced reports whether the session receives no more promises.
-func (p *VoterState) Fenced(s Subject, session uint64) bool {
+func (p *VoterState) Fenced(s MemberID, session uint64) bool {
 	return session <= p.byMember[s].fenced
 }
--- a/internal/runtimes/runtimes.go
+++ b/internal/runtimes/runtimes.go
@@ -15,9 +15,9 @@
 // minSamples is the number of ended tasks from which on the statistics are used.
 const minSamples = 12
 
-// Learner estimates run times from the tasks that have ended, by queue. It is not safe for concurrent
+// Estimator estimates run times from the tasks that have ended, by queue. It is not safe for concurrent
 // use.
-type Learner struct{ queues map[string]*queueStats }
+type Estimator struct{ queues map[string]*queueStats }
 
 // queueStats are running means of logarithms, because run times differ by factors.
 type queueStats struct {
@@ -28,11 +28,11 @@
 	runTime, runTimeSq, logError, logErrorSq float64
 }
 
-// NewLearner returns a learner without samples, which estimates the declared run times.
-func NewLearner() *Learner { return &Learner{queues: map[string]*queueStats{}} }
+// NewEstimator returns a learner without samples, which estimates the declared run times.
+func NewEstimator() *Estimator { return &Estimator{queues: map[string]*queueStats{}} }
 
-// Ended adds the sample of a task that has run at full speed until it finished.
-func (l *Learner) Ended(queue string, declared, runTime time.Duration) {
+// AddSample adds the sample of a task that has run at full speed until it finished.
+func (l *Estimator) AddSample(queue string, declared, runTime time.Duration) {
 	if declared <= 0 || runTime <= 0 {
 		return
 	}
@@ -50,10 +50,10 @@
 	f.logErrorSq += step * (logError*logError - f.logErrorSq)
 }
 
-// Expect estimates the run time of a task: the weighted geometric mean of the declared run time,
+// ExpectedRunTime estimates the run time of a task: the weighted geometric mean of the declared run time,
 // corrected for the queue's mean error, and the typical run time of the queue. The weights follow from
 // the accuracy of each in the past.
-func (l *Learner) Expect(queue string, declared time.Duration) time.Duration {
+func (l *Estimator) ExpectedRunTime(queue string, declared time.Duration) time.Duration {
 	f := l.queues[queue]
 	if f == nil || f.n < minSamples || declared <= 0 {
 		return declared
--- a/internal/runtimes/runtimes_test.go
+++ b/internal/runtimes/runtimes_test.go
@@ -15,15 +15,15 @@
 // second half of the tasks, as logarithms.
 func simulate(spread, estimateError, bias float64, n int) (declaredError, expectedError float64) {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	l := NewLearner()
+	l := NewEstimator()
 	for i := range n {
 		took := math.Exp(1 + spread*rnd.NormFloat64())
 		declared := time.Duration(took * math.Exp(estimateError*rnd.NormFloat64()) * bias * float64(time.Second))
 		if i >= n/2 {
 			declaredError += math.Abs(math.Log(declared.Seconds()/took)) / float64(n/2)
-			expectedError += math.Abs(math.Log(l.Expect("q", declared).Seconds()/took)) / float64(n/2)
+			expectedError += math.Abs(math.Log(l.ExpectedRunTime("q", declared).Seconds()/took)) / float64(n/2)
 		}
-		l.Ended("q", declared, time.Duration(took*float64(time.Second)))
+		l.AddSample("q", declared, time.Duration(took*float64(time.Second)))
 	}
 	return declaredError, expectedError
 }
@@ -52,15 +52,15 @@
 
 func TestTooFewSamples(t *testing.T) {
 	is := is.New(t)
-	l := NewLearner()
-	is.Equal(l.Expect("q", time.Second), time.Second)
+	l := NewEstimator()
+	is.Equal(l.ExpectedRunTime("q", time.Second), time.Second)
 	for range minSamples - 1 {
-		l.Ended("q", time.Second, 3*time.Second)
+		l.AddSample("q", time.Second, 3*time.Second)
 	}
-	is.Equal(l.Expect("q", time.Second), time.Second)
-	l.Ended("q", time.Second, 3*time.Second)
-	is.True(math.Abs(l.Expect("q", time.Second).Seconds()-3) < 0.001)
-	is.Equal(l.Expect("other", time.Second), time.Second)
-	l.Ended("q", 0, time.Second) // ignored
-	is.Equal(l.Expect("q", 0), time.Duration(0))
+	is.Equal(l.ExpectedRunTime("q", time.Second), time.Second)
+	l.AddSample("q", time.Second, 3*time.Second)
+	is.True(math.Abs(l.ExpectedRunTime("q", time.Second).Seconds()-3) < 0.001)
+	is.Equal(l.ExpectedRunTime("other", time.Second), time.Second)
+	l.AddSample("q", 0, time.Second) // ignored
+	is.Equal(l.ExpectedRunTime("q", 0), time.Duration(0))
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -35,17 +35,17 @@
 
 // benchRequests returns requests for different shapes, with sizes between a tenth of a core and
 // a quarter of a worker.
-func benchRequests() []Ask {
+func benchRequests() []Request {
 	sizes := []spec.Resources{
 		resources(100, 256, 0), resources(500, 1024, 0), resources(1000, 2048, 0), resources(2000, 8192, 0), resources(4000, 4096, 0),
 		resources(8000, 32768, 0), resources(16000, 16384, 0), resources(1500, 1500, 0), resources(4000, 16384, 1), resources(8000, 32768, 2),
 	}
-	var out []Ask
+	var out []Request
 	for i, s := range sizes {
 		a := requestFor(s)
 		a.Shape.Job = fmt.Sprint("job", i)
 		a.Shape.Policy.SpreadZones = i%3 == 0
-		a.Shape.Zones = map[string]int{}
+		a.Shape.RunningByZone = map[string]int{}
 		if i%2 == 0 {
 			a.Shape.Policy.Name = settings.PolicyWaiting
 		}
@@ -58,7 +58,7 @@
 // the end of a random run.
 type loadedCell struct {
 	cell     *Cell
-	requests []Ask
+	requests []Request
 	random   *rand.Rand
 	runs     []Run
 	next     int
@@ -80,7 +80,7 @@
 	return l
 }
 
-func (l *loadedCell) place(a *Ask, choose func(Ask) (Choice, *taskmsg.Refusal)) bool {
+func (l *loadedCell) place(a *Request, choose func(Request) (Choice, *taskmsg.Refusal)) bool {
 	choice, refusal := choose(*a)
 	if refusal != nil {
 		return false
@@ -95,7 +95,7 @@
 }
 
 // replaceRun places one task and ends another.
-func (l *loadedCell) replaceRun(choose func(Ask) (Choice, *taskmsg.Refusal)) {
+func (l *loadedCell) replaceRun(choose func(Request) (Choice, *taskmsg.Refusal)) {
 	if l.place(&l.requests[l.next%len(l.requests)], choose) || len(l.runs) > 0 {
 		i := l.random.IntN(len(l.runs))
 		l.cell.Unreserve(l.runs[i].Attempt)
@@ -113,7 +113,7 @@
 				l := newLoad(n)
 				choose := l.cell.Select
 				if method == "scan" {
-					choose = func(a Ask) (Choice, *taskmsg.Refusal) { return l.cell.selectByScan(&a) }
+					choose = func(a Request) (Choice, *taskmsg.Refusal) { return l.cell.selectByScan(&a) }
 				}
 				h := hdrhistogram.New(1, int64(time.Second), 3)
 				b.ReportAllocs()
--- a/internal/scheduler/cell.go
+++ b/internal/scheduler/cell.go
@@ -143,7 +143,7 @@
 		return result.New(result.WorkerClosed, result.RanNo, "worker %s is %s", name, w.Status)
 	}
 	if alloc, dup := c.runs[r.Attempt]; dup {
-		return result.New(result.RunBooked, result.RanNo, "%s attempt %d is booked on %s", r.Attempt.Task, r.Attempt.Attempt, alloc.owner.Info.Name)
+		return result.New(result.RunAlreadyRecorded, result.RanNo, "%s attempt %d is booked on %s", r.Attempt.Task, r.Attempt.Attempt, alloc.owner.Info.Name)
 	}
 	if free := w.free(); !r.Size.Fits(free) {
 		return result.New(result.WorkerFull, result.RanNo, "worker %s has %v left, the run needs %v", name, free, r.Size)
--- a/internal/scheduler/cell_property_test.go
+++ b/internal/scheduler/cell_property_test.go
@@ -212,7 +212,7 @@
 	if w == "" {
 		return
 	}
-	m.cell.Preempted(victims)
+	m.cell.RecordPreemption(victims)
 	for _, v := range victims {
 		if m.runs[v.Attempt] == nil || m.runs[v.Attempt].worker != w || v.Urgent || v.Held {
 			t.Fatalf("victim %v must not be preempted", v)
@@ -223,7 +223,7 @@
 }
 
 func (m *model) setStatus(t *rapid.T) {
-	s := rapid.SampledFrom([]Status{StatusReady, StatusReady, StatusReady, StatusLeaving}).Draw(t, "status")
+	s := rapid.SampledFrom([]Status{StatusReady, StatusReady, StatusReady, StatusDraining}).Draw(t, "status")
 	if err := m.cell.SetStatus(m.drawWorker(t), s); err != nil {
 		t.Fatal(err)
 	}
