--- a/internal/scheduler/dedication.go
+++ b/internal/scheduler/dedication.go
@@ -29,7 +29,7 @@
 // dedicate chooses a worker for a refused request, unless the bound on dedicated workers is
 // reached. Only workers are eligible on which the job fits once all work but services has
 // ended; of these it chooses the one with the smallest shortage.
-func (c *Cell) dedicate(a *Ask, now time.Time) {
+func (c *Cell) dedicate(a *Request, now time.Time) {
 	if d, ok := c.dedicated[a.Shape.Job]; ok {
 		d.until = now.Add(dedicationTimeout)
 		c.dedicated[a.Shape.Job] = d
--- a/internal/scheduler/dedication_test.go
+++ b/internal/scheduler/dedication_test.go
@@ -12,7 +12,7 @@
 // roundsUntilPlaced keeps a cell of n workers full of small tasks: each one that ends is
 // replaced before the large task is requested again. It returns the number of rounds until the
 // large task was placed, or limit.
-func roundsUntilPlaced(t *testing.T, large Ask, n, limit int) int {
+func roundsUntilPlaced(t *testing.T, large Request, n, limit int) int {
 	is := is.New(t)
 	c := NewCell(1)
 	c.UsageLag = 0
@@ -60,7 +60,7 @@
 }
 
 func TestDedicate(t *testing.T) {
-	full := func() (*Cell, Ask) {
+	full := func() (*Cell, Request) {
 		c := NewCell(1)
 		c.Upsert(readyWorker("w", "a", resources(1000, 1000, 0)))
 		_ = c.Reserve("w", run("job", 1, resources(600, 600, 0)), start)
@@ -71,15 +71,15 @@
 	other := requestFor(resources(100, 100, 0))
 	cases := []struct {
 		name      string
-		change    func(c *Cell, large *Ask)
+		change    func(c *Cell, large *Request)
 		after     time.Duration
 		dedicated bool
 	}{
-		{"dedicated", func(*Cell, *Ask) {}, dedicationTimeout - 1, true},
-		{"not for work that is not aged", func(_ *Cell, large *Ask) { large.Shape.Aged = false }, 0, false},
-		{"not for an infeasible task", func(_ *Cell, large *Ask) { large.Shape.Task.Size = resources(1001, 0, 0) }, 0, false},
-		{"after the time-out", func(*Cell, *Ask) {}, dedicationTimeout, false},
-		{"not where services leave too little", func(c *Cell, _ *Ask) {
+		{"dedicated", func(*Cell, *Request) {}, dedicationTimeout - 1, true},
+		{"not for work that is not aged", func(_ *Cell, large *Request) { large.Shape.Aged = false }, 0, false},
+		{"not for an infeasible task", func(_ *Cell, large *Request) { large.Shape.Task.Size = resources(1001, 0, 0) }, 0, false},
+		{"after the time-out", func(*Cell, *Request) {}, dedicationTimeout, false},
+		{"not where services leave too little", func(c *Cell, _ *Request) {
 			s := run("service", 2, resources(200, 200, 0))
 			s.Kind = spec.KindService
 			_ = c.Reserve("w", s, start)
--- a/internal/scheduler/digest.go
+++ b/internal/scheduler/digest.go
@@ -17,7 +17,7 @@
 		d.Workers++
 		free := w.free().Max(zero)
 		d.Free = d.Free.Add(free)
-		d.Largest = d.Largest.Max(free)
+		d.LargestFree = d.LargestFree.Max(free)
 	}
 	return d
 }
--- a/internal/scheduler/filters.go
+++ b/internal/scheduler/filters.go
@@ -22,7 +22,7 @@
 // hardwareFilter checks only properties of a worker that never change.
 type hardwareFilter struct {
 	rule   string
-	admits func(*Ask, *taskmsg.Size) bool
+	admits func(*Request, *taskmsg.Size) bool
 }
 
 // hardwareFilters in the order of evaluation. A worker counts for the first rule that rejects
@@ -33,16 +33,16 @@
 	{RuleLabels, admitsLabels},
 }
 
-func admitsAcceleratorKind(a *Ask, s *taskmsg.Size) bool {
+func admitsAcceleratorKind(a *Request, s *taskmsg.Size) bool {
 	t := &a.Shape.Task
 	return t.Size.Accelerators == 0 || t.AcceleratorKind == "" || t.AcceleratorKind == s.AcceleratorKind
 }
 
-func admitsGeneration(a *Ask, s *taskmsg.Size) bool {
+func admitsGeneration(a *Request, s *taskmsg.Size) bool {
 	return s.Generation >= a.Shape.Task.MinGeneration
 }
 
-func admitsLabels(a *Ask, s *taskmsg.Size) bool {
+func admitsLabels(a *Request, s *taskmsg.Size) bool {
 	for name, value := range a.Shape.Task.Labels {
 		if have, ok := s.Labels[name]; !ok || have != value {
 			return false
@@ -54,7 +54,7 @@
 // capacityFilter checks the current state of a worker against one request.
 type capacityFilter struct {
 	rule   string
-	admits func(*Ask, *record) bool
+	admits func(*Request, *record) bool
 }
 
 // capacityFilters in the order of evaluation, after the status and hardware filters.
@@ -65,19 +65,19 @@
 	{RuleProcessors, admitsProcessors},
 }
 
-func admitsAvoid(a *Ask, w *record) bool {
+func admitsAvoid(a *Request, w *record) bool {
 	return !slices.Contains(a.Shape.Avoid, w.Info.Name)
 }
 
-func admitsAccelerators(a *Ask, w *record) bool {
+func admitsAccelerators(a *Request, w *record) bool {
 	return a.size().Accelerators <= w.free().Accelerators
 }
 
-func admitsMemory(a *Ask, w *record) bool {
+func admitsMemory(a *Request, w *record) bool {
 	return a.size().MemoryMiB <= w.free().MemoryMiB
 }
 
-func admitsProcessors(a *Ask, w *record) bool {
+func admitsProcessors(a *Request, w *record) bool {
 	return a.size().MilliCPU <= w.free().MilliCPU
 }
 
@@ -88,10 +88,10 @@
 }
 
 // hardwareMatches reports whether every hardware filter admits the machine type.
-func hardwareMatches(a *Ask, m *taskmsg.Size) bool { return rejectingHardwareRule(a, m) == "" }
+func hardwareMatches(a *Request, m *taskmsg.Size) bool { return rejectingHardwareRule(a, m) == "" }
 
 // rejectingHardwareRule returns the first hardware rule that rejects the machine type, or "".
-func rejectingHardwareRule(a *Ask, m *taskmsg.Size) string {
+func rejectingHardwareRule(a *Request, m *taskmsg.Size) string {
 	for _, f := range hardwareFilters {
 		if !f.admits(a, m) {
 			return f.rule
@@ -101,7 +101,7 @@
 }
 
 // rejectingRule returns the first rule that rejects the worker, or "".
-func rejectingRule(a *Ask, w *record) string {
+func rejectingRule(a *Request, w *record) string {
 	if w.Status != StatusReady {
 		return RuleStatus
 	}
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -20,8 +20,8 @@
 	return Worker{Info: worker.Info{Name: name, Rack: "r-" + name, Zone: zone, Size: size}, Status: StatusReady}
 }
 
-func requestFor(size spec.Resources) Ask {
-	return Ask{Shape: taskmsg.Shape{
+func requestFor(size spec.Resources) Request {
+	return Request{Shape: taskmsg.Shape{
 		Job: "job", Kind: spec.KindBatch, Task: spec.Task{Size: size},
 		Policy: taskmsg.Policy{Name: settings.PolicyPacking},
 	}}
--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -30,7 +30,7 @@
 	w := readyWorker(workerName(i), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.SampledFrom(sizes).Draw(t, "size"))
 	w.Info.Rack = fmt.Sprint("rack", i/3)
 	w.Info.Generation = rapid.IntRange(1, 2).Draw(t, "generation")
-	w.Status = rapid.SampledFrom([]Status{StatusReady, StatusReady, StatusReady, StatusLeaving}).Draw(t, "status")
+	w.Status = rapid.SampledFrom([]Status{StatusReady, StatusReady, StatusReady, StatusDraining}).Draw(t, "status")
 	if w.Info.Size.Accelerators > 0 {
 		w.Info.AcceleratorKind = rapid.SampledFrom([]string{"x", "y"}).Draw(t, "kind")
 	}
@@ -40,7 +40,7 @@
 	return w
 }
 
-func randomRequest(t *rapid.T) Ask {
+func randomRequest(t *rapid.T) Request {
 	a := requestFor(resources(rapid.Int64Range(0, 1200).Draw(t, "cpu"), rapid.Int64Range(0, 1500).Draw(t, "mem"), rapid.Int64Range(0, 3).Draw(t, "acc")))
 	a.Shape.Task.AcceleratorKind = rapid.SampledFrom([]string{"", "", "x", "z"}).Draw(t, "ask-kind")
 	a.Shape.Task.MinGeneration = rapid.IntRange(0, 2).Draw(t, "ask-generation")
@@ -54,7 +54,7 @@
 	a.Shape.Policy.SpreadZones = rapid.Bool().Draw(t, "spread-zones")
 	a.Shape.Policy.SpreadRacks = rapid.Bool().Draw(t, "spread-racks")
 	a.Shape.Policy.Name = rapid.SampledFrom([]string{settings.PolicyPacking, settings.PolicyWaiting}).Draw(t, "policy")
-	a.Shape.Zones = map[string]int{"a": rapid.IntRange(0, 2).Draw(t, "in-a")}
+	a.Shape.RunningByZone = map[string]int{"a": rapid.IntRange(0, 2).Draw(t, "in-a")}
 	return a
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-func compareWithScan(t *rapid.T, c *Cell, a Ask) {
+func compareWithScan(t *rapid.T, c *Cell, a Request) {
 	want, wantRefusal := c.selectByScan(&a)
 	got, refusal := c.Select(a)
 	if (refusal == nil) != (wantRefusal == nil) {
--- a/internal/scheduler/never.go
+++ b/internal/scheduler/never.go
@@ -16,7 +16,7 @@
 	if len(machineTypes) == 0 {
 		return nil
 	}
-	request := &Ask{Shape: taskmsg.Shape{Task: *task}}
+	request := &Request{Shape: taskmsg.Shape{Task: *task}}
 	var matching []taskmsg.Size
 	for _, m := range machineTypes {
 		if hardwareMatches(request, &m) {
--- a/internal/scheduler/overload.go
+++ b/internal/scheduler/overload.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Step is the action against one run on an overloaded worker.
-type Step struct {
+// Action is the action against one run on an overloaded worker.
+type Action struct {
 	Run
 	Mode worker.StopMode
 }
@@ -36,28 +36,28 @@
 // Overload is an overloaded worker with the actions against the overload, in order of
 // execution.
 type Overload struct {
-	Worker string
-	Excess spec.Resources
-	Since  time.Time
-	Steps  []Step
+	Worker  string
+	Excess  spec.Resources
+	Since   time.Time
+	Actions []Action
 }
 
-// Over lists the workers whose last report was above their size. Runs are throttled against an
+// Overloaded lists the workers whose last report was above their size. Runs are throttled against an
 // excess of processors, checkpointed after two report lags and stopped after four. An excess of
 // memory can not be reduced by throttling, so the first action against it is a checkpoint. The
 // least urgent runs are affected first, as many as are needed to cover the excess; services are
 // affected last.
-func (c *Cell) Over(now time.Time) []Overload {
+func (c *Cell) Overloaded(now time.Time) []Overload {
 	var out []Overload
 	for _, w := range c.order {
 		if w.overload.since.IsZero() {
 			continue
 		}
 		out = append(out, Overload{
-			Worker: w.Info.Name,
-			Excess: w.overload.excess,
-			Since:  w.overload.since,
-			Steps:  actionsFor(w, c.enforcementMode(w, now)),
+			Worker:  w.Info.Name,
+			Excess:  w.overload.excess,
+			Since:   w.overload.since,
+			Actions: actionsFor(w, c.enforcementMode(w, now)),
 		})
 	}
 	return out
@@ -68,11 +68,11 @@
 	lags := int(now.Sub(w.overload.since) / c.UsageLag)
 	switch {
 	case lags >= 4:
-		return worker.Kill
+		return worker.ModeStop
 	case lags >= 2 || w.overload.excess.MemoryMiB > 0:
-		return worker.Checkpoint
+		return worker.ModeCheckpoint
 	}
-	return worker.Throttle
+	return worker.ModeThrottle
 }
 
 // throttleDivisor is the factor by which throttling is expected to reduce the processor usage
@@ -81,21 +81,21 @@
 
 // actionsFor selects the least urgent runs until their part of the observed usage covers the
 // excess.
-func actionsFor(w *record, mode worker.StopMode) []Step {
+func actionsFor(w *record, mode worker.StopMode) []Action {
 	runs := slices.DeleteFunc(w.copyRuns(), func(r Run) bool { return r.Held })
 	slices.SortFunc(runs, byUrgency)
-	var actions []Step
+	var actions []Action
 	var freed spec.Resources
 	for _, r := range runs {
 		if w.overload.excess.Fits(freed) {
 			break
 		}
 		reduction := usageShare(w.observed, r.Size, w.declared)
-		if mode == worker.Throttle {
+		if mode == worker.ModeThrottle {
 			reduction.MilliCPU /= throttleDivisor
 		}
 		freed = freed.Add(reduction)
-		actions = append(actions, Step{Run: r, Mode: mode})
+		actions = append(actions, Action{Run: r, Mode: mode})
 	}
 	return actions
 }
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -20,13 +20,13 @@
 		steps int
 	}{
 		{"within its size", size, 0, "", 0},
-		{"processors", resources(1100, 1000, 0), 0, worker.Throttle, 1},
-		{"processors, after two lags", resources(1100, 1000, 0), 4 * time.Second, worker.Checkpoint, 1},
-		{"processors, after four lags", resources(1100, 1000, 0), 8 * time.Second, worker.Kill, 1},
-		{"memory is not throttled", resources(1000, 1001, 0), 0, worker.Checkpoint, 1},
-		{"memory, after four lags", resources(1000, 1001, 0), 8 * time.Second, worker.Kill, 1},
-		{"more than one run throttled", resources(1500, 1000, 0), 0, worker.Throttle, 2},
-		{"more than one run checkpointed", resources(1600, 1000, 0), 4 * time.Second, worker.Checkpoint, 2},
+		{"processors", resources(1100, 1000, 0), 0, worker.ModeThrottle, 1},
+		{"processors, after two lags", resources(1100, 1000, 0), 4 * time.Second, worker.ModeCheckpoint, 1},
+		{"processors, after four lags", resources(1100, 1000, 0), 8 * time.Second, worker.ModeStop, 1},
+		{"memory is not throttled", resources(1000, 1001, 0), 0, worker.ModeCheckpoint, 1},
+		{"memory, after four lags", resources(1000, 1001, 0), 8 * time.Second, worker.ModeStop, 1},
+		{"more than one run throttled", resources(1500, 1000, 0), 0, worker.ModeThrottle, 2},
+		{"more than one run checkpointed", resources(1600, 1000, 0), 4 * time.Second, worker.ModeCheckpoint, 2},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -40,20 +40,20 @@
 			}
 			c.Observe("w", tt.usage, start)
 			c.Observe("w", tt.usage, start.Add(tt.after))
-			over := c.Over(start.Add(tt.after))
+			over := c.Overloaded(start.Add(tt.after))
 			if tt.mode == "" {
 				is.Equal(len(over), 0)
 				return
 			}
-			is.Equal(len(over[0].Steps), tt.steps)
-			for _, s := range over[0].Steps {
+			is.Equal(len(over[0].Actions), tt.steps)
+			for _, s := range over[0].Actions {
 				is.Equal(s.Mode, tt.mode)
 				is.True(!s.Urgent) // the least urgent first
 			}
 			_, refusal := c.Select(requestFor(resources(0, 0, 0)))
 			is.True(refusal != nil) // an overloaded worker takes no new work
 			c.Observe("w", size, start.Add(time.Minute))
-			is.Equal(len(c.Over(start.Add(time.Minute))), 0)
+			is.Equal(len(c.Overloaded(start.Add(time.Minute))), 0)
 		})
 	}
 }
--- a/internal/scheduler/scan_test.go
+++ b/internal/scheduler/scan_test.go
@@ -4,7 +4,7 @@
 
 // selectByScan evaluates every worker. It is the reference for tests and benchmarks of the
 // index.
-func (c *Cell) selectByScan(a *Ask) (Choice, *taskmsg.Refusal) {
+func (c *Cell) selectByScan(a *Request) (Choice, *taskmsg.Refusal) {
 	s := search{cell: c, request: a, size: a.size(), scorers: scorersOf(&a.Shape.Policy)}
 	for _, g := range c.index.order {
 		if g.ready > 0 && hardwareMatches(a, &g.size) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -19,9 +19,9 @@
 const (
 	StatusUnclaimed Status = iota // its inventory is unknown, so nothing is placed
 	StatusReady
-	StatusLeaving  // draining
-	StatusSetAside // excluded, since tasks of several jobs failed there; takes only probes
-	StatusOver     // observed usage above its size
+	StatusDraining   // draining
+	StatusExcluded   // excluded, since tasks of several jobs failed there; takes only probes
+	StatusOverloaded // observed usage above its size
 )
 
 // Worker is the description of a worker.
@@ -32,26 +32,26 @@
 	Status    Status
 }
 
-// Ask is a request for one placement.
-type Ask struct {
+// Request is a request for one placement.
+type Request struct {
 	Shape taskmsg.Shape
 }
 
 // size returns the declared resources of the task.
-func (a *Ask) size() spec.Resources { return a.Shape.Task.Size }
+func (a *Request) size() spec.Resources { return a.Shape.Task.Size }
 
 // NewRun returns the run for one slot of a shape.
 func NewRun(shape *taskmsg.Shape, home int, slot taskmsg.Slot) Run {
-	request := Ask{Shape: *shape}
+	request := Request{Shape: *shape}
 	return Run{
-		Attempt:     worker.Attempt{Task: spec.TaskID{Job: shape.Job, Index: slot.Index}, Attempt: slot.Attempt},
-		Home:        home,
-		Kind:        shape.Kind,
-		Size:        request.size(),
-		Priority:    shape.Policy.Priority,
-		Urgent:      shape.Urgent,
-		MinReplicas: shape.Policy.MinReplicas,
-		Spared:      slot.Spared,
+		Attempt:          worker.Attempt{Task: spec.TaskID{Job: shape.Job, Index: slot.Index}, Attempt: slot.Attempt},
+		Home:             home,
+		Kind:             shape.Kind,
+		Size:             request.size(),
+		Priority:         shape.Policy.Priority,
+		Urgent:           shape.Urgent,
+		MinReplicas:      shape.Policy.MinReplicas,
+		PreemptionExempt: slot.PreemptionExempt,
 	}
 }
 
@@ -75,6 +75,6 @@
 	// with the replicas in this cell alone, which errs on the safe side. A service whose
 	// minimum is unknown (zero) is never preempted.
 	MinReplicas int64
-	// Spared runs are not preempted, because the previous attempt of the task was.
-	Spared bool
+	// PreemptionExempt runs are not preempted, because the previous attempt of the task was.
+	PreemptionExempt bool
 }
--- a/internal/scheduler/scores.go
+++ b/internal/scheduler/scores.go
@@ -21,7 +21,7 @@
 type scorer struct {
 	name   string
 	weight float64
-	score  func(*Ask, *candidate) float64
+	score  func(*Request, *candidate) float64
 	// fixed scorers depend neither on the worker's free resources nor on its rack.
 	fixed bool
 }
@@ -66,7 +66,7 @@
 )
 
 // totalScore returns the weighted sum of the scores of a candidate.
-func totalScore(scorers []scorer, a *Ask, c *candidate) float64 {
+func totalScore(scorers []scorer, a *Request, c *candidate) float64 {
 	var sum float64
 	for i := range scorers {
 		sum += scorers[i].weight * scorers[i].score(a, c)
@@ -76,7 +76,7 @@
 
 // upperBound returns the highest totalScore that any worker of a group can have: fixed scorers
 // count with their score, the others with 1.
-func upperBound(scorers []scorer, a *Ask, c *candidate) float64 {
+func upperBound(scorers []scorer, a *Request, c *candidate) float64 {
 	var sum float64
 	for i := range scorers {
 		score := 1.0
@@ -92,10 +92,10 @@
 }
 
 // scoreRacks prefers racks with few runs of the job.
-func scoreRacks(_ *Ask, c *candidate) float64 { return 1 / float64(1+c.rackRuns) }
+func scoreRacks(_ *Request, c *candidate) float64 { return 1 / float64(1+c.rackRuns) }
 
 // scoreZones prefers the zones with the fewest runs of the job.
-func scoreZones(a *Ask, c *candidate) float64 {
+func scoreZones(a *Request, c *candidate) float64 {
 	if !a.Shape.Policy.SpreadZones || c.zoneMax == c.zoneMin {
 		return 1
 	}
@@ -106,7 +106,7 @@
 // these the workers with many for tasks that need many. Tasks without accelerators that are
 // placed there nevertheless prefer workers on which the free accelerators keep their fraction
 // of processors and memory.
-func scoreAccelerators(a *Ask, c *candidate) float64 {
+func scoreAccelerators(a *Request, c *candidate) float64 {
 	have := c.size.Size.Accelerators
 	if have == 0 {
 		return 1
@@ -124,31 +124,31 @@
 }
 
 // scoreBestFit prefers the candidate with the least resources left over.
-func scoreBestFit(a *Ask, c *candidate) float64 {
+func scoreBestFit(a *Request, c *candidate) float64 {
 	cpu, mem := remainingFractions(a, c)
 	return 1 - (cpu+mem)/2
 }
 
 // scoreLeastUsed prefers the candidate with the most left over of its scarcest resource.
-func scoreLeastUsed(a *Ask, c *candidate) float64 {
+func scoreLeastUsed(a *Request, c *candidate) float64 {
 	cpu, mem := remainingFractions(a, c)
 	return min(cpu, mem)
 }
 
 // scoreBalance prefers candidates where processors and memory are used up evenly.
-func scoreBalance(a *Ask, c *candidate) float64 {
+func scoreBalance(a *Request, c *candidate) float64 {
 	cpu, mem := remainingFractions(a, c)
 	return 1 - max(cpu-mem, mem-cpu)
 }
 
 // scoreGeneration preserves newer processors for tasks that request them.
-func scoreGeneration(a *Ask, c *candidate) float64 {
+func scoreGeneration(a *Request, c *candidate) float64 {
 	return 1 / float64(1+max(0, c.size.Generation-a.Shape.Task.MinGeneration))
 }
 
 // remainingFractions returns the fractions of processors and memory that are left over after
 // the placement.
-func remainingFractions(a *Ask, c *candidate) (cpu, mem float64) {
+func remainingFractions(a *Request, c *candidate) (cpu, mem float64) {
 	left := c.free.Sub(a.size())
 	return fraction(left.MilliCPU, c.size.Size.MilliCPU), fraction(left.MemoryMiB, c.size.Size.MemoryMiB)
 }
--- a/internal/scheduler/scores_test.go
+++ b/internal/scheduler/scores_test.go
@@ -15,39 +15,39 @@
 	cases := []struct {
 		name          string
 		first, second spec.Resources // resources in use
-		change        func(a *Ask, first, second *Worker)
+		change        func(a *Request, first, second *Worker)
 	}{
-		{"packing prefers the fuller worker", resources(0, 0, 0), resources(500, 500, 0), func(*Ask, *Worker, *Worker) {}},
-		{"waiting prefers the emptier worker", resources(500, 500, 0), resources(0, 0, 0), func(a *Ask, _, _ *Worker) {
+		{"packing prefers the fuller worker", resources(0, 0, 0), resources(500, 500, 0), func(*Request, *Worker, *Worker) {}},
+		{"waiting prefers the emptier worker", resources(500, 500, 0), resources(0, 0, 0), func(a *Request, _, _ *Worker) {
 			a.Shape.Policy.Name = settings.PolicyWaiting
 		}},
-		{"balance before fit", resources(700, 100, 0), resources(0, 0, 0), func(*Ask, *Worker, *Worker) {}},
-		{"accelerators are preserved", resources(500, 500, 0), resources(0, 0, 0), func(_ *Ask, first, _ *Worker) { first.Info.Size.Accelerators = 8 }},
-		{"no accelerators needed, where most are in use", resources(0, 0, 0), resources(0, 0, 6), func(_ *Ask, first, second *Worker) {
+		{"balance before fit", resources(700, 100, 0), resources(0, 0, 0), func(*Request, *Worker, *Worker) {}},
+		{"accelerators are preserved", resources(500, 500, 0), resources(0, 0, 0), func(_ *Request, first, _ *Worker) { first.Info.Size.Accelerators = 8 }},
+		{"no accelerators needed, where most are in use", resources(0, 0, 0), resources(0, 0, 6), func(_ *Request, first, second *Worker) {
 			first.Info.Size.Accelerators, second.Info.Size.Accelerators = 8, 8
 		}},
-		{"few accelerators before many", resources(0, 0, 0), resources(0, 0, 6), func(a *Ask, first, second *Worker) {
+		{"few accelerators before many", resources(0, 0, 0), resources(0, 0, 6), func(a *Request, first, second *Worker) {
 			first.Info.Size.Accelerators, second.Info.Size.Accelerators = 8, 8
 			a.Shape.Task.Size.Accelerators = 2
 		}},
-		{"new processors are preserved", resources(0, 0, 0), resources(0, 0, 0), func(_ *Ask, first, second *Worker) {
+		{"new processors are preserved", resources(0, 0, 0), resources(0, 0, 0), func(_ *Request, first, second *Worker) {
 			first.Info.Generation, second.Info.Generation = 3, 1
 		}},
-		{"zones before fit", resources(500, 500, 0), resources(0, 0, 0), func(a *Ask, _, second *Worker) {
+		{"zones before fit", resources(500, 500, 0), resources(0, 0, 0), func(a *Request, _, second *Worker) {
 			a.Shape.Policy.SpreadZones = true
-			a.Shape.Zones = map[string]int{"a": 1}
+			a.Shape.RunningByZone = map[string]int{"a": 1}
 			second.Info.Zone = "b"
 		}},
-		{"fit if zones have equally many runs", resources(0, 0, 0), resources(500, 500, 0), func(a *Ask, _, second *Worker) {
+		{"fit if zones have equally many runs", resources(0, 0, 0), resources(500, 500, 0), func(a *Request, _, second *Worker) {
 			a.Shape.Policy.SpreadZones = true
-			a.Shape.Zones = map[string]int{"a": 1, "b": 1}
+			a.Shape.RunningByZone = map[string]int{"a": 1, "b": 1}
 			second.Info.Zone = "b"
 		}},
-		{"racks before fit", resources(500, 500, 0), resources(0, 0, 0), func(a *Ask, _, _ *Worker) { a.Shape.Policy.SpreadRacks = true }},
+		{"racks before fit", resources(500, 500, 0), resources(0, 0, 0), func(a *Request, _, _ *Worker) { a.Shape.Policy.SpreadRacks = true }},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
-			for _, choose := range []func(*Cell, Ask) string{byIndex, byScan} {
+			for _, choose := range []func(*Cell, Request) string{byIndex, byScan} {
 				is := is.New(t)
 				c := NewCell(1)
 				first, second, request := readyWorker("first", "a", big), readyWorker("second", "a", big), requestFor(resources(100, 100, 0))
@@ -62,12 +62,12 @@
 	}
 }
 
-func byIndex(c *Cell, a Ask) string {
+func byIndex(c *Cell, a Request) string {
 	choice, _ := c.Select(a)
 	return choice.Worker
 }
 
-func byScan(c *Cell, a Ask) string {
+func byScan(c *Cell, a Request) string {
 	choice, _ := c.selectByScan(&a)
 	return choice.Worker
 }
@@ -82,7 +82,7 @@
 	}
 	a := requestFor(resources(100, 100, 0))
 	a.Shape.Policy.SpreadZones = true
-	a.Shape.Zones = map[string]int{"a": 2}
+	a.Shape.RunningByZone = map[string]int{"a": 2}
 	var runs []Run
 	for i := range 7 {
 		runs = append(runs, run("job", i, a.size()))
@@ -94,5 +94,5 @@
 		zones[c.workers[p.Worker].Info.Zone]++
 	}
 	is.Equal(zones, map[string]int{"a": 3, "b": 3, "c": 3})
-	is.Equal(a.Shape.Zones, map[string]int{"a": 2}) // the caller's map is not modified
+	is.Equal(a.Shape.RunningByZone, map[string]int{"a": 2}) // the caller's map is not modified
 }
--- a/internal/scheduler/select.go
+++ b/internal/scheduler/select.go
@@ -23,15 +23,15 @@
 	samplesInBestBucket = 4
 )
 
-// Placed is a run with the worker on which it was allocated.
-type Placed struct {
+// Placement is a run with the worker on which it was allocated.
+type Placement struct {
 	Run
 	Choice
 }
 
 // Select chooses the best worker for one task, or returns how many workers each rule rejected.
 // It does not allocate anything.
-func (c *Cell) Select(a Ask) (Choice, *taskmsg.Refusal) {
+func (c *Cell) Select(a Request) (Choice, *taskmsg.Refusal) {
 	s := c.newSearch(&a)
 	w, score := s.best()
 	if w == nil {
@@ -44,9 +44,9 @@
 // has room for one. The refusal is that of the first run that was not placed. A run that is
 // already allocated is skipped and missing from the result. If an aged job finds no room, a
 // worker is dedicated to it.
-func (c *Cell) Place(a Ask, runs []Run, now time.Time) ([]Placed, *taskmsg.Refusal) {
-	a.Shape.Zones = copyZones(a.Shape.Zones)
-	placed := make([]Placed, 0, len(runs))
+func (c *Cell) Place(a Request, runs []Run, now time.Time) ([]Placement, *taskmsg.Refusal) {
+	a.Shape.RunningByZone = copyZones(a.Shape.RunningByZone)
+	placed := make([]Placement, 0, len(runs))
 	s := c.newSearch(&a)
 	for _, r := range runs {
 		if _, dup := c.runs[r.Attempt]; dup {
@@ -65,8 +65,8 @@
 			c.endDedication(w.dedicatedTo)
 		}
 		s.last, s.limit = w, maxCandidatesRepeat
-		placed = append(placed, Placed{Run: r, Choice: Choice{Worker: w.Info.Name, Score: score}})
-		a.Shape.Zones[w.Info.Zone]++
+		placed = append(placed, Placement{Run: r, Choice: Choice{Worker: w.Info.Name, Score: score}})
+		a.Shape.RunningByZone[w.Info.Zone]++
 		if a.Shape.Policy.SpreadZones {
 			s.rank()
 		}
@@ -77,7 +77,7 @@
 // search is the state of the decisions for one request.
 type search struct {
 	cell     *Cell
-	request  *Ask
+	request  *Request
 	size     spec.Resources
 	levels   levels
 	scorers  []scorer
@@ -111,7 +111,7 @@
 
 // newSearch reuses the memory of the previous search of the cell; there is at most one search
 // at a time.
-func (c *Cell) newSearch(a *Ask) *search {
+func (c *Cell) newSearch(a *Request) *search {
 	s := &c.scratch
 	size := a.size()
 	*s = search{
@@ -140,13 +140,13 @@
 
 // candidateIn returns what all candidates in a group have in common.
 func (s *search) candidateIn(g *group) candidate {
-	return candidate{size: &g.size, zoneRuns: s.request.Shape.Zones[g.zone], zoneMin: s.minRuns, zoneMax: s.maxRuns}
+	return candidate{size: &g.size, zoneRuns: s.request.Shape.RunningByZone[g.zone], zoneMin: s.minRuns, zoneMax: s.maxRuns}
 }
 
 // zoneRange returns the fewest and the most runs of the job in any one zone.
 func (s *search) zoneRange() (minRuns, maxRuns int) {
 	for i := range s.groups {
-		n := s.request.Shape.Zones[s.groups[i].zone]
+		n := s.request.Shape.RunningByZone[s.groups[i].zone]
 		if i == 0 || n < minRuns {
 			minRuns = n
 		}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -7,11 +7,11 @@
 		return "unclaimed"
 	case StatusReady:
 		return "ready"
-	case StatusLeaving:
+	case StatusDraining:
 		return "leaving"
-	case StatusSetAside:
+	case StatusExcluded:
 		return "set-aside"
-	case StatusOver:
+	case StatusOverloaded:
 		return "over"
 	}
 	return "unknown"
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -33,7 +33,7 @@
 // ones, least urgent first, no replica of a service at its minimum, no task that was preempted
 // recently. It compares a limited number of suitable workers, starting at a random one, and
 // returns "" only after examining all workers. The caller confirms the choice with Preempted.
-func (c *Cell) Victims(a Ask) (string, []Run) {
+func (c *Cell) Victims(a Request) (string, []Run) {
 	var best *record
 	var bestRuns []Run
 	n := len(c.order)
@@ -55,8 +55,8 @@
 	return best.Info.Name, bestRuns
 }
 
-// Preempted records that the runs are being preempted.
-func (c *Cell) Preempted(runs []Run) {
+// RecordPreemption records that the runs are being preempted.
+func (c *Cell) RecordPreemption(runs []Run) {
 	for _, r := range runs {
 		c.recentVictims.tasks.Add(r.Attempt.Task, struct{}{})
 	}
@@ -64,7 +64,7 @@
 
 // victimsOn chooses victims on one worker; ok is false if no choice of victims makes enough
 // room.
-func (c *Cell) victimsOn(a *Ask, w *record) (runs []Run, ok bool) {
+func (c *Cell) victimsOn(a *Request, w *record) (runs []Run, ok bool) {
 	if !fitsWhenIdle(a, w) {
 		return nil, false
 	}
@@ -87,17 +87,17 @@
 }
 
 // fitsWhenIdle reports whether the worker would admit the request if nothing ran on it.
-func fitsWhenIdle(a *Ask, w *record) bool {
+func fitsWhenIdle(a *Request, w *record) bool {
 	open := w.Status == StatusReady && (w.dedicatedTo == "" || w.dedicatedTo == a.Shape.Job)
 	return open && admitsAvoid(a, w) && hardwareMatches(a, &w.group.size) && a.size().Fits(w.Info.Size)
 }
 
 // preemptibleRuns returns the runs on w that may be preempted for the request, least urgent
 // first.
-func (c *Cell) preemptibleRuns(a *Ask, w *record) []Run {
+func (c *Cell) preemptibleRuns(a *Request, w *record) []Run {
 	var out []Run
 	for _, alloc := range w.runs {
-		if !alloc.Held && !alloc.Spared && isPreemptible(&alloc.Run, a) && !c.recentVictims.tasks.Contains(alloc.Attempt.Task) {
+		if !alloc.Held && !alloc.PreemptionExempt && isPreemptible(&alloc.Run, a) && !c.recentVictims.tasks.Contains(alloc.Attempt.Task) {
 			out = append(out, alloc.Run)
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 // isPreemptible reports whether r is less urgent than the request.
-func isPreemptible(r *Run, a *Ask) bool {
+func isPreemptible(r *Run, a *Request) bool {
 	if r.Urgent != a.Shape.Urgent {
 		return a.Shape.Urgent
 	}
--- a/internal/scheduler/victims_test.go
+++ b/internal/scheduler/victims_test.go
@@ -13,34 +13,34 @@
 	half := resources(500, 500, 0)
 	cases := []struct {
 		name   string
-		change func(a *Ask, first, second *Run)
+		change func(a *Request, first, second *Run)
 		want   []int // indexes of the victims
 	}{
-		{"one is enough", func(*Ask, *Run, *Run) {}, []int{0}},
-		{"both are needed", func(a *Ask, _, _ *Run) { a.Shape.Task.Size = resources(600, 0, 0) }, []int{0, 1}},
-		{"infeasible task", func(a *Ask, _, _ *Run) { a.Shape.Task.Size = resources(1001, 0, 0) }, nil},
-		{"lowest priority first", func(_ *Ask, first, _ *Run) { first.Priority = 1 }, []int{1}},
-		{"not as urgent", func(_ *Ask, first, _ *Run) { first.Urgent = true }, []int{1}},
-		{"gang after batch", func(_ *Ask, first, _ *Run) { first.Kind = spec.KindGang }, []int{1}},
-		{"held runs are not preempted", func(_ *Ask, first, _ *Run) { first.Held = true }, []int{1}},
-		{"spared runs are not preempted", func(_ *Ask, first, _ *Run) { first.Spared = true }, []int{1}},
-		{"priority without urgency", func(a *Ask, first, _ *Run) {
+		{"one is enough", func(*Request, *Run, *Run) {}, []int{0}},
+		{"both are needed", func(a *Request, _, _ *Run) { a.Shape.Task.Size = resources(600, 0, 0) }, []int{0, 1}},
+		{"infeasible task", func(a *Request, _, _ *Run) { a.Shape.Task.Size = resources(1001, 0, 0) }, nil},
+		{"lowest priority first", func(_ *Request, first, _ *Run) { first.Priority = 1 }, []int{1}},
+		{"not as urgent", func(_ *Request, first, _ *Run) { first.Urgent = true }, []int{1}},
+		{"gang after batch", func(_ *Request, first, _ *Run) { first.Kind = spec.KindGang }, []int{1}},
+		{"held runs are not preempted", func(_ *Request, first, _ *Run) { first.Held = true }, []int{1}},
+		{"spared runs are not preempted", func(_ *Request, first, _ *Run) { first.PreemptionExempt = true }, []int{1}},
+		{"priority without urgency", func(a *Request, first, _ *Run) {
 			a.Shape.Urgent, a.Shape.Policy.Priority, first.Priority = false, 1, 1
 		}, []int{1}},
-		{"equally urgent runs are not preempted", func(a *Ask, _, _ *Run) { a.Shape.Urgent = false }, nil},
-		{"service at its minimum", func(a *Ask, first, second *Run) {
+		{"equally urgent runs are not preempted", func(a *Request, _, _ *Run) { a.Shape.Urgent = false }, nil},
+		{"service at its minimum", func(a *Request, first, second *Run) {
 			first.Kind, first.MinReplicas = spec.KindService, 1
 			second.Urgent = true
 		}, nil},
-		{"service above its minimum", func(_ *Ask, first, second *Run) {
+		{"service above its minimum", func(_ *Request, first, second *Run) {
 			first.Kind, first.MinReplicas = spec.KindService, 1
 			second.Kind, second.MinReplicas = spec.KindService, 1
 		}, []int{0}},
-		{"service of unknown minimum", func(_ *Ask, first, second *Run) {
+		{"service of unknown minimum", func(_ *Request, first, second *Run) {
 			first.Kind = spec.KindService
 			second.Urgent = true
 		}, nil},
-		{"down to the minimum and not below", func(a *Ask, first, second *Run) {
+		{"down to the minimum and not below", func(a *Request, first, second *Run) {
 			a.Shape.Task.Size = resources(600, 0, 0)
 			first.Kind, first.MinReplicas = spec.KindService, 1
 			second.Kind, second.MinReplicas = spec.KindService, 1
@@ -78,7 +78,7 @@
 	a.Shape.Urgent = true
 	_, victims := c.Victims(a)
 	is.Equal(len(victims), 1)
-	c.Preempted(victims)
+	c.RecordPreemption(victims)
 	c.Unreserve(first.Attempt)
 	first.Attempt.Attempt++
 	is.NoErr(c.Reserve("w", first, start))
--- a/internal/settings/bench_test.go
+++ b/internal/settings/bench_test.go
@@ -119,7 +119,7 @@
 	perSize(b, func(b *testing.B, n int) {
 		engine := memstore.New()
 		store := &countingStore{Client: engine.Client("bench")}
-		k := NewKeeper(KeeperConfig{Store: store, Log: discardLog()})
+		k := NewManager(ManagerConfig{Store: store, Log: discardLog()})
 		ctx := context.Background()
 		if _, err := k.refresh(ctx); err != nil {
 			b.Fatal(err)
@@ -149,7 +149,7 @@
 		var calls int64
 		for b.Loop() {
 			store := &countingStore{Client: memstore.New().Client("bench")}
-			k := NewKeeper(KeeperConfig{Store: store, Log: discardLog()})
+			k := NewManager(ManagerConfig{Store: store, Log: discardLog()})
 			if _, err := k.Change(context.Background(), edit(0, file)); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/settings/catchup.go
+++ b/internal/settings/catchup.go
@@ -102,12 +102,12 @@
 
 // catchUpLoop queries peers whenever the process has no revision, or lacks one that is known to exist, for longer
 // than the store's watch should take to deliver it.
-func (k *Keeper) catchUpLoop(ctx context.Context) {
+func (k *Manager) catchUpLoop(ctx context.Context) {
 	if k.cfg.Caller == nil {
 		return
 	}
 	for ctx.Err() == nil {
-		for _, revision := range k.cfg.Known() {
+		for _, revision := range k.cfg.MemberRevisions() {
 			k.replica.observe(revision)
 		}
 		if k.replica.ready() == nil {
@@ -122,7 +122,7 @@
 }
 
 // catchUp fetches from each peer in turn until the replica is ready.
-func (k *Keeper) catchUp(ctx context.Context) {
+func (k *Manager) catchUp(ctx context.Context) {
 	addrs := k.cfg.Peers()
 	if k.Current() == nil {
 		addrs = k.replica.rankByRevision(ctx, k.cfg.Caller, addrs)
--- a/internal/settings/cell_test.go
+++ b/internal/settings/cell_test.go
@@ -57,7 +57,7 @@
 type cell struct {
 	engine    *memstore.Engine
 	network   *fakeNetwork
-	managers  []*Keeper
+	managers  []*Manager
 	stops     []context.CancelFunc
 	followers []*Follower
 	cancel    context.CancelFunc
@@ -75,7 +75,7 @@
 func newCell(placers, entries int) *cell {
 	c := &cell{engine: memstore.New(), network: &fakeNetwork{muxes: peer.Local{}}, applied: map[string][]int64{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.managers, c.stops = make([]*Keeper, placers), make([]context.CancelFunc, placers)
+	c.managers, c.stops = make([]*Manager, placers), make([]context.CancelFunc, placers)
 	for i := range placers {
 		c.start(i)
 	}
@@ -94,8 +94,8 @@
 func (c *cell) startWith(i int, store platform.Store) {
 	c.kill(i)
 	ctx, cancel := context.WithCancel(c.ctx)
-	k := NewKeeper(KeeperConfig{Store: store, Caller: c.network, Log: discardLog(),
-		Peers: func() []string { return c.addrs(i) }, Applied: c.appliedRevisions})
+	k := NewManager(ManagerConfig{Store: store, Caller: c.network, Log: discardLog(),
+		Peers: func() []string { return c.addrs(i) }, AppliedRevisions: c.appliedRevisions})
 	c.recordApplied(k.OnApply, placerAddr(i))
 	mux := peer.NewMux()
 	k.Serve(mux)
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -37,7 +37,7 @@
 func prepare(c Change) (prepared, error) {
 	p := prepared{Change: c}
 	if _, err := uuid.Parse(c.ID); err != nil {
-		return p, result.New(result.BadInput, result.RanNo, "the change id is no UUID: %v", err).At("change_id")
+		return p, result.New(result.BadInput, result.RanNo, "the change id is no UUID: %v", err).AtField("change_id")
 	}
 	if c.Rollback {
 		p.digest = sha256.Sum256([]byte("rollback " + strconv.FormatInt(c.RollbackTo, 10)))
@@ -59,7 +59,7 @@
 // Change makes an operator's change: it validates the change as a whole against the head and accepts it by one
 // compare-and-swap, or returns the reason for the refusal. After an error with ran: unknown
 // (SettingsOutcomeUnknown), sending the change again with the same id determines the outcome.
-func (k *Keeper) Change(ctx context.Context, c Change) (Accepted, error) {
+func (k *Manager) Change(ctx context.Context, c Change) (Accepted, error) {
 	accepted, err := k.change(ctx, c)
 	if err != nil {
 		k.counters.changes.WithLabelValues(strconv.Itoa(int(result.CodeOf(err)))).Inc()
@@ -72,7 +72,7 @@
 	return accepted, nil
 }
 
-func (k *Keeper) change(ctx context.Context, c Change) (Accepted, error) {
+func (k *Manager) change(ctx context.Context, c Change) (Accepted, error) {
 	p, err := prepare(c)
 	if err != nil {
 		return Accepted{}, err
@@ -85,7 +85,7 @@
 
 // attempt is the processing of one change until it is accepted or refused.
 type attempt struct {
-	k *Keeper
+	k *Manager
 	p prepared
 	// uncertain is true while the outcome of a swap that was sent is unknown. Such a swap can still take effect as
 	// long as the head has not moved.
@@ -114,15 +114,15 @@
 			return Accepted{}, err
 		}
 		if !a.uncertain {
-			return Accepted{}, a.withUncertainOutcome(result.New(result.SettingsStoreDown, result.RanNo, "%v", err).Later(storeDownRetryAfter))
+			return Accepted{}, a.withUncertainOutcome(result.New(result.SettingsStoreDown, result.RanNo, "%v", err).WithRetryAfter(storeDownRetryAfter))
 		}
 		wait.For(ctx, retryBackoff.NextBackOff())
 		if ctx.Err() != nil {
 			return Accepted{}, result.New(result.SettingsOutcomeUnknown, result.RanUnknown,
-				"sent to the store, which then gave no answer (%v); repeat the change with id %s", err, a.p.ID).Later(storeDownRetryAfter)
+				"sent to the store, which then gave no answer (%v); repeat the change with id %s", err, a.p.ID).WithRetryAfter(storeDownRetryAfter)
 		}
 	}
-	return Accepted{}, a.withUncertainOutcome(result.New(result.SettingsContention, result.RanNo, "%d other changes came first", maxConflicts).Later(storeDownRetryAfter))
+	return Accepted{}, a.withUncertainOutcome(result.New(result.SettingsContention, result.RanNo, "%d other changes came first", maxConflicts).WithRetryAfter(storeDownRetryAfter))
 }
 
 // withUncertainOutcome returns a refusal that doesn't cover earlier submissions of the same change: unless this
@@ -233,7 +233,7 @@
 	}
 	if h.Digest != a.p.digest {
 		return Accepted{}, false, result.New(result.SettingsChangeIDReused, result.RanNo,
-			"the id belongs to revision %d, another change", h.Revision).At("change_id")
+			"the id belongs to revision %d, another change", h.Revision).AtField("change_id")
 	}
 	return Accepted{Revision: h.Revision, ChangeID: a.p.ID, Repeated: !a.uncertain}, true, nil
 }
@@ -244,9 +244,9 @@
 	base, head := a.p.Base, s.tree.Revision
 	switch {
 	case base > head:
-		return result.New(result.SettingsBaseAhead, result.RanNo, "against revision %d, the head is %d", base, head).At("revision")
+		return result.New(result.SettingsBaseAhead, result.RanNo, "against revision %d, the head is %d", base, head).AtField("revision")
 	case base < head-HistoryLimit:
-		return a.withUncertainOutcome(result.New(result.SettingsBaseTooOld, result.RanNo, "against revision %d, the head is %d and %d are kept", base, head, HistoryLimit).At("revision"))
+		return a.withUncertainOutcome(result.New(result.SettingsBaseTooOld, result.RanNo, "against revision %d, the head is %d and %d are kept", base, head, HistoryLimit).AtField("revision"))
 	}
 	since, complete := a.k.replica.historyRange(base+1, head)
 	if !complete {
@@ -274,7 +274,7 @@
 		by = "an unnamed operator"
 	}
 	return result.New(result.SettingsConflict, result.RanNo,
-		"revision %d by %s touched %s; read it again and decide anew", h.Revision, by, path).At(path)
+		"revision %d by %s touched %s; read it again and decide anew", h.Revision, by, path).AtField(path)
 }
 
 // newHead returns the head that results from the change, with its root and the nodes that are new.
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -30,7 +30,7 @@
 	}
 	first := faults[0]
 	name := strings.TrimPrefix(first.Namespace(), reflect.TypeFor[Values]().Name()+".")
-	return violationError(first, name).At(path + ":" + name)
+	return violationError(first, name).AtField(path + ":" + name)
 }
 
 // violationError returns the error for one violated rule.
--- a/internal/settings/collect.go
+++ b/internal/settings/collect.go
@@ -23,8 +23,8 @@
 const collectInterval = 10 * time.Minute
 
 // runCollector collects every collectInterval while Collector selects this member.
-func (k *Keeper) runCollector(ctx context.Context) {
-	if k.cfg.Collector == nil {
+func (k *Manager) runCollector(ctx context.Context) {
+	if k.cfg.IsCollector == nil {
 		return
 	}
 	for {
@@ -32,7 +32,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !k.cfg.Collector() {
+		if !k.cfg.IsCollector() {
 			continue
 		}
 		if n, err := k.Collect(ctx); err != nil {
@@ -50,7 +50,7 @@
 // change swapped in the meantime makes the deletion fail, and a change swapped later contains its branches in the
 // swap itself. Branches written ahead of a large change's swap may be deleted; the deletion then also writes
 // settings/collected, on which that swap is conditional, so that the swap fails and the branches are written again.
-func (k *Keeper) Collect(ctx context.Context) (int, error) {
+func (k *Manager) Collect(ctx context.Context) (int, error) {
 	heads, _, err := k.list(ctx, headKey)
 	if err != nil || len(heads) == 0 {
 		return 0, err
@@ -79,7 +79,7 @@
 }
 
 // retainedRoots returns the roots of the head and of all revisions in the history.
-func (k *Keeper) retainedRoots(ctx context.Context, head platform.Record) ([]Hash, error) {
+func (k *Manager) retainedRoots(ctx context.Context, head platform.Record) ([]Hash, error) {
 	last, err := decodeHead(head.Value)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 }
 
 // listShard adds the stored branches of one shard.
-func (k *Keeper) listShard(ctx context.Context, shard int, into map[Hash]storedBranch) error {
+func (k *Manager) listShard(ctx context.Context, shard int, into map[Hash]storedBranch) error {
 	records, _, err := k.list(ctx, fmt.Sprintf("%s%x", branchPrefix, shard))
 	if err != nil {
 		return err
@@ -156,7 +156,7 @@
 }
 
 // sweep deletes the branches that were not marked and returns how many were deleted.
-func (k *Keeper) sweep(ctx context.Context, head platform.Record, stored map[Hash]storedBranch) (int, error) {
+func (k *Manager) sweep(ctx context.Context, head platform.Record, stored map[Hash]storedBranch) (int, error) {
 	var writes []platform.Write
 	for hash, b := range stored {
 		if !b.reached {
--- a/internal/settings/dump.go
+++ b/internal/settings/dump.go
@@ -22,7 +22,7 @@
 }
 
 // Dump returns the state of the Manager for /debug/state.
-func (k *Keeper) Dump() any {
+func (k *Manager) Dump() any {
 	d := k.replica.dump()
 	d.Followers = k.followers.live(time.Now())
 	return d
--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -50,7 +50,7 @@
 			at = next
 		}
 		if at.edit != nil {
-			return nil, result.New(result.SettingsBadPath, result.RanNo, "the branch is named twice").At(edits[i].Path)
+			return nil, result.New(result.SettingsBadPath, result.RanNo, "the branch is named twice").AtField(edits[i].Path)
 		}
 		at.edit = &edits[i]
 	}
@@ -71,7 +71,7 @@
 		return nil, nil, err
 	}
 	if trie.edit != nil && trie.edit.Overrides == nil {
-		return nil, nil, result.New(result.SettingsBranchInUse, result.RanNo, "the root stays").At(Root)
+		return nil, nil, result.New(result.SettingsBranchInUse, result.RanNo, "the root stays").AtField(Root)
 	}
 	var w rewrite
 	root, err = w.branch(Root, t.rootNode(), trie, &builtIn)
@@ -89,7 +89,7 @@
 	var overrides Overrides
 	switch {
 	case old == nil && (e.edit == nil || e.edit.Overrides == nil):
-		return nil, result.New(result.SettingsUnknownBranch, result.RanNo, "no such branch, and the change does not create it").At(path)
+		return nil, result.New(result.SettingsUnknownBranch, result.RanNo, "no such branch, and the change does not create it").AtField(path)
 	case e.edit == nil:
 		overrides = old.overrides
 	case e.edit.Overrides != nil:
@@ -102,7 +102,7 @@
 	}
 	if e.edit != nil && e.edit.Overrides == nil {
 		if len(children) > 0 {
-			return nil, result.New(result.SettingsBranchInUse, result.RanNo, "%s and %d more children stay", children[0].name, len(children)-1).At(path)
+			return nil, result.New(result.SettingsBranchInUse, result.RanNo, "%s and %d more children stay", children[0].name, len(children)-1).AtField(path)
 		}
 		return nil, nil
 	}
@@ -141,7 +141,7 @@
 		}
 	}
 	if len(out) > MaxChildren {
-		return nil, result.New(result.SettingsTooLarge, result.RanNo, "%d children, %d allowed", len(out), MaxChildren).At(path)
+		return nil, result.New(result.SettingsTooLarge, result.RanNo, "%d children, %d allowed", len(out), MaxChildren).AtField(path)
 	}
 	slices.SortFunc(out, func(a, b link) int { return strings.Compare(a.name, b.name) })
 	return out, nil
@@ -212,9 +212,9 @@
 func addBranchPath(path string, err error) error {
 	e := result.From(err)
 	if e.Field == "" {
-		return e.At(path)
+		return e.AtField(path)
 	}
-	return e.At(path + ":" + e.Field)
+	return e.AtField(path + ":" + e.Field)
 }
 
 // Parse parses the file format into a validated tree of revision 1. The root may be omitted.
--- a/internal/settings/history.go
+++ b/internal/settings/history.go
@@ -8,7 +8,7 @@
 )
 
 // loadHistory reads the history from the store into memory.
-func (k *Keeper) loadHistory(ctx context.Context) error {
+func (k *Manager) loadHistory(ctx context.Context) error {
 	records, _, err := k.list(ctx, historyPrefix)
 	if err != nil {
 		return err
@@ -25,7 +25,7 @@
 
 // History returns the retained revisions, newest first. If some of them aren't in memory and the store can't be
 // read, it fails with SettingsStoreDown.
-func (k *Keeper) History(ctx context.Context) ([]Head, error) {
+func (k *Manager) History(ctx context.Context) ([]Head, error) {
 	s := k.replica.snapshot()
 	if s.tree == nil {
 		return nil, result.New(result.NotReady, result.RanNo, "no settings learned yet")
@@ -34,7 +34,7 @@
 	heads, complete := k.replica.historyRange(from, s.tree.Revision)
 	if !complete {
 		if err := k.loadHistory(ctx); err != nil {
-			return nil, result.New(result.SettingsStoreDown, result.RanNo, "%v", err).Later(storeDownRetryAfter)
+			return nil, result.New(result.SettingsStoreDown, result.RanNo, "%v", err).WithRetryAfter(storeDownRetryAfter)
 		}
 		heads = k.replica.cachedHistory(from, s.tree.Revision)
 	}
@@ -68,7 +68,7 @@
 }
 
 // treeAt returns the root node of a revision in the history, reading from the store what isn't in memory.
-func (k *Keeper) treeAt(ctx context.Context, revision int64) (*node, error) {
+func (k *Manager) treeAt(ctx context.Context, revision int64) (*node, error) {
 	if revision == 0 {
 		return emptyRoot, nil
 	}
@@ -82,7 +82,7 @@
 	}
 	if len(heads) == 0 {
 		return nil, result.New(result.SettingsNoSuchRevision, result.RanNo,
-			"revision %d is not among the last %d", revision, HistoryLimit).At("revision")
+			"revision %d is not among the last %d", revision, HistoryLimit).AtField("revision")
 	}
 	pool := map[Hash][]byte{emptyRoot.hash: emptyRoot.encode()}
 	for {
--- a/internal/settings/http_test.go
+++ b/internal/settings/http_test.go
@@ -21,10 +21,10 @@
 	server := httptest.NewServer(storehttp.Handler(engine))
 	t.Cleanup(server.Close)
 	ctx := t.Context() // canceled before the cleanups run
-	keeper := func(name string) *Keeper {
+	keeper := func(name string) *Manager {
 		client, err := etcdhttp.New(etcdhttp.Options{Endpoints: []string{strings.TrimPrefix(server.URL, "http://")}, Name: name})
 		is.NoErr(err)
-		k := NewKeeper(KeeperConfig{Store: client, Log: discardLog()})
+		k := NewManager(ManagerConfig{Store: client, Log: discardLog()})
 		done := make(chan struct{})
 		go func() { defer close(done); k.Run(ctx) }()
 		t.Cleanup(func() { <-done; client.Close() })
--- a/internal/settings/manager.go
+++ b/internal/settings/manager.go
@@ -30,80 +30,80 @@
 	headPollInterval = 3 * time.Second
 )
 
-// KeeperConfig holds the dependencies of a Manager. Store and Log are required.
-type KeeperConfig struct {
+// ManagerConfig holds the dependencies of a Manager. Store and Log are required.
+type ManagerConfig struct {
 	Store platform.Store
 	// Caller and Peers are used to fetch a revision that the store doesn't deliver. Peers returns the addresses of
 	// other placers, which may be outdated.
 	Caller peer.Caller
 	Peers  func() []string
-	// Known returns the Revision of every live member as heartbeats report it. When the watch lags behind one of
+	// MemberRevisions returns the Revision of every live member as heartbeats report it. When the watch lags behind one of
 	// them, the revision is fetched from peers. It may be nil if ObserveRevision is called for each heartbeat.
-	Known func() map[string]int64
-	// Applied returns the AppliedRevision of each live member, including this one, for changes with a wait.
-	Applied func() map[string]int64
-	// Collector reports whether this member is the one that collects unreferenced branches. It is called every
+	MemberRevisions func() map[string]int64
+	// AppliedRevisions returns the AppliedRevision of each live member, including this one, for changes with a wait.
+	AppliedRevisions func() map[string]int64
+	// IsCollector reports whether this member is the one that collects unreferenced branches. It is called every
 	// collectInterval; nil disables collection.
-	Collector func() bool
-	Log       logrus.FieldLogger
-	Metrics   prometheus.Registerer
+	IsCollector func() bool
+	Log         logrus.FieldLogger
+	Metrics     prometheus.Registerer
 	// Now is the wall clock for the history's timestamps; time.Now if nil.
 	Now func() time.Time
 }
 
 // Manager keeps a placer's settings up to date and makes operators' changes.
-type Keeper struct {
-	cfg       KeeperConfig
+type Manager struct {
+	cfg       ManagerConfig
 	replica   *replica
 	followers *followers
 	counters  *counters
 }
 
-// NewKeeper returns a Manager without settings; Run loads them.
-func NewKeeper(cfg KeeperConfig) *Keeper {
+// NewManager returns a Manager without settings; Run loads them.
+func NewManager(cfg ManagerConfig) *Manager {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
 	if cfg.Peers == nil {
 		cfg.Peers = func() []string { return nil }
 	}
-	if cfg.Known == nil {
-		cfg.Known = func() map[string]int64 { return nil }
+	if cfg.MemberRevisions == nil {
+		cfg.MemberRevisions = func() map[string]int64 { return nil }
 	}
-	if cfg.Applied == nil {
-		cfg.Applied = func() map[string]int64 { return nil }
+	if cfg.AppliedRevisions == nil {
+		cfg.AppliedRevisions = func() map[string]int64 { return nil }
 	}
-	k := &Keeper{cfg: cfg, replica: newReplica(), followers: newFollowers()}
+	k := &Manager{cfg: cfg, replica: newReplica(), followers: newFollowers()}
 	k.counters = newCounters(cfg.Metrics, k.replica)
 	return k
 }
 
 // Current returns the active tree, or nil before the first one was loaded.
-func (k *Keeper) Current() *Tree { return k.replica.current.Load() }
+func (k *Manager) Current() *Tree { return k.replica.current.Load() }
 
 // Ready returns why the process can't act on settings yet, or nil.
-func (k *Keeper) Ready() error { return k.replica.ready() }
+func (k *Manager) Ready() error { return k.replica.ready() }
 
 // OnApply registers a function that is called with each tree that becomes active, in order. Call it before Run; fn
 // must not block.
-func (k *Keeper) OnApply(fn func(*Tree)) { k.replica.onApply = append(k.replica.onApply, fn) }
+func (k *Manager) OnApply(fn func(*Tree)) { k.replica.onApply = append(k.replica.onApply, fn) }
 
 // ObserveRevision records that the revision is active in another process, as that process's heartbeat reports. If
 // the watch lags behind it, the revision is fetched from peers.
-func (k *Keeper) ObserveRevision(revision int64) { k.replica.observe(revision) }
+func (k *Manager) ObserveRevision(revision int64) { k.replica.observe(revision) }
 
 // Revision returns the active revision, -1 before the first.
-func (k *Keeper) Revision() int64 { return k.replica.revision() }
+func (k *Manager) Revision() int64 { return k.replica.revision() }
 
 // AppliedRevision returns the lowest of the revisions active in this process and in the entries that poll it. A
 // change with a wait waits for this value. It must not be passed to ObserveRevision: a lagging entry would hide
 // from other placers a revision that this one has.
-func (k *Keeper) AppliedRevision() int64 {
+func (k *Manager) AppliedRevision() int64 {
 	return k.followers.lowestRevision(k.replica.revision(), time.Now())
 }
 
 // Run loads the settings and follows the head until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	var parts sync.WaitGroup
 	parts.Go(func() { k.catchUpLoop(ctx) })
 	parts.Go(func() { k.runCollector(ctx) })
@@ -112,7 +112,7 @@
 }
 
 // followHead reads the head and watches for changes, repeatedly until ctx ends.
-func (k *Keeper) followHead(ctx context.Context) {
+func (k *Manager) followHead(ctx context.Context) {
 	retryBackoff := newRetryBackoff()
 	for ctx.Err() == nil {
 		before := k.replica.revision()
@@ -135,7 +135,7 @@
 var errSilent = errors.New("settings: the watch is silent")
 
 // watch processes the changes after rev until the watch ends or pollHead finds it silent.
-func (k *Keeper) watch(ctx context.Context, rev platform.Revision) error {
+func (k *Manager) watch(ctx context.Context, rev platform.Revision) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	done := make(chan struct{})
@@ -152,7 +152,7 @@
 
 // pollHead reads the head periodically. When a read returns a revision that the watch has not delivered, pollHead
 // cancels the watch, so that it is restarted.
-func (k *Keeper) pollHead(ctx context.Context, cancelWatch context.CancelCauseFunc) {
+func (k *Manager) pollHead(ctx context.Context, cancelWatch context.CancelCauseFunc) {
 	for {
 		wait.For(ctx, headPollInterval)
 		if ctx.Err() != nil {
@@ -168,7 +168,7 @@
 }
 
 // refresh reads the head from the store and activates it. It returns the store's revision from which to watch.
-func (k *Keeper) refresh(ctx context.Context) (platform.Revision, error) {
+func (k *Manager) refresh(ctx context.Context) (platform.Revision, error) {
 	records, rev, err := k.list(ctx, headKey)
 	if err == nil && k.Current() == nil {
 		records, err = k.verifyHead(ctx, records)
@@ -184,7 +184,7 @@
 
 // verifyHead checks by a transaction without writes that the head that was read isn't stale, and returns the current
 // one. Only a starting process needs it: later, a stale head is recognized because it is lower than the active one.
-func (k *Keeper) verifyHead(ctx context.Context, records []platform.Record) ([]platform.Record, error) {
+func (k *Manager) verifyHead(ctx context.Context, records []platform.Record) ([]platform.Record, error) {
 	present := platform.Condition{Key: headKey}
 	if len(records) > 0 {
 		present.ModRevision = records[0].ModRevision
@@ -197,7 +197,7 @@
 }
 
 // list is one read with callTimeout.
-func (k *Keeper) list(ctx context.Context, prefix string) ([]platform.Record, platform.Revision, error) {
+func (k *Manager) list(ctx context.Context, prefix string) ([]platform.Record, platform.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.counters.reads.Inc()
@@ -206,7 +206,7 @@
 
 // processBatch processes one batch of a watch. It processes branches before the head, since a head's branches are
 // usually in the same batch.
-func (k *Keeper) processBatch(ctx context.Context, b platform.Batch) {
+func (k *Manager) processBatch(ctx context.Context, b platform.Batch) {
 	var head *platform.Record
 	for i := range b.Changes {
 		c := &b.Changes[i]
@@ -227,7 +227,7 @@
 }
 
 // cacheRecord stores a watched branch or history entry in the replica.
-func (k *Keeper) cacheRecord(r platform.Record) {
+func (k *Manager) cacheRecord(r platform.Record) {
 	if hash, ok := hashOfKey(r.Key); ok {
 		k.replica.addToPool(hash, r.Value)
 		return
@@ -238,7 +238,7 @@
 }
 
 // applyRecord activates the head in a record.
-func (k *Keeper) applyRecord(ctx context.Context, r platform.Record) error {
+func (k *Manager) applyRecord(ctx context.Context, r platform.Record) error {
 	h, err := decodeHead(r.Value)
 	if err != nil {
 		return err
@@ -247,7 +247,7 @@
 }
 
 // applyHead activates a head after fetching its missing branches.
-func (k *Keeper) applyHead(ctx context.Context, h Head, mod platform.Revision) error {
+func (k *Manager) applyHead(ctx context.Context, h Head, mod platform.Revision) error {
 	if h.Revision < k.replica.revision() {
 		k.counters.behind.Inc()
 		return nil
@@ -266,7 +266,7 @@
 }
 
 // fetch reads the missing branches from the store into pool.
-func (k *Keeper) fetch(ctx context.Context, missing []Hash, pool map[Hash][]byte) error {
+func (k *Manager) fetch(ctx context.Context, missing []Hash, pool map[Hash][]byte) error {
 	if len(missing) >= bulkFetchThreshold {
 		records, _, err := k.list(ctx, branchPrefix)
 		if err != nil {
--- a/internal/settings/manager_test.go
+++ b/internal/settings/manager_test.go
@@ -74,7 +74,7 @@
 func TestSilentWatchWithoutPeers(t *testing.T) {
 	inBubble(t, 1, 0, func(is *is.I, c *cell) {
 		c.client(0).SetFaults(memstore.Faults{WatchDelayMS: 60000})
-		other := NewKeeper(KeeperConfig{Store: c.engine.Client("other"), Log: discardLog()})
+		other := NewManager(ManagerConfig{Store: c.engine.Client("other"), Log: discardLog()})
 		_, err := other.Change(c.ctx, edit(0, `{"/a":{}}`))
 		is.NoErr(err)
 		time.Sleep(propagationLimit)
@@ -94,8 +94,8 @@
 		{"answer lost", memstore.Faults{LoseAnswers: 1}, 0, "", 1},
 		{"answer lost twice", memstore.Faults{LoseAnswers: 2}, 0, "", 1},
 		{"request lost", memstore.Faults{LoseRequests: 1}, 0, "", 1},
-		{"each answer lost", memstore.Faults{LoseAnswers: memstore.All}, 0, "", 1},
-		{"each request lost", memstore.Faults{LoseRequests: memstore.All}, result.SettingsOutcomeUnknown, result.RanUnknown, 0},
+		{"each answer lost", memstore.Faults{LoseAnswers: memstore.EveryCall}, 0, "", 1},
+		{"each request lost", memstore.Faults{LoseRequests: memstore.EveryCall}, result.SettingsOutcomeUnknown, result.RanUnknown, 0},
 		{"slow request", memstore.Faults{RequestDelayMS: 300}, 0, "", 1},
 		{"arrives after the caller's timeout", memstore.Faults{RequestDelayMS: 2500}, result.SettingsOutcomeUnknown, result.RanUnknown, 1},
 		{"store refuses", memstore.Faults{Refuse: true}, result.SettingsStoreDown, result.RanNo, 0},
--- a/internal/settings/overrides.go
+++ b/internal/settings/overrides.go
@@ -76,7 +76,7 @@
 		return err
 	}
 	if open != json.Delim('{') {
-		return result.New(result.SettingsWrongType, result.RanNo, "an object is wanted, not %v", open).At(field)
+		return result.New(result.SettingsWrongType, result.RanNo, "an object is wanted, not %v", open).AtField(field)
 	}
 	seen := map[string]bool{}
 	for d.More() {
@@ -86,7 +86,7 @@
 		}
 		name := token.(string) // the decoder yields only strings for names
 		if seen[name] {
-			return result.New(result.SettingsDuplicate, result.RanNo, "given twice").At(joinName(field, name))
+			return result.New(result.SettingsDuplicate, result.RanNo, "given twice").AtField(joinName(field, name))
 		}
 		seen[name] = true
 		if err := fn(name); err != nil {
@@ -139,7 +139,7 @@
 			return item, nil
 		}
 	}
-	return override{}, result.New(result.SettingsWrongType, result.RanNo, "%s is wanted, not %s", f.expectedType(), asJSON(value)).At(name)
+	return override{}, result.New(result.SettingsWrongType, result.RanNo, "%s is wanted, not %s", f.expectedType(), asJSON(value)).AtField(name)
 }
 
 // asJSON returns a refused value as JSON, for the error text.
@@ -166,7 +166,7 @@
 }
 
 func unknownName(name string) *result.Error {
-	return result.New(result.SettingsUnknownName, result.RanNo, "no setting is called %s", name).At(name)
+	return result.New(result.SettingsUnknownName, result.RanNo, "no setting is called %s", name).AtField(name)
 }
 
 func expectEOF(d *json.Decoder) error {
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -33,16 +33,16 @@
 		return nil, nil
 	}
 	if !strings.HasPrefix(path, "/") {
-		return nil, result.New(result.SettingsBadPath, result.RanNo, "%q does not start with a slash", path).At(path)
+		return nil, result.New(result.SettingsBadPath, result.RanNo, "%q does not start with a slash", path).AtField(path)
 	}
 	segments := strings.Split(path[1:], "/")
 	if len(segments) > MaxDepth {
-		return nil, result.New(result.SettingsBadPath, result.RanNo, "%q has over %d segments", path, MaxDepth).At(path)
+		return nil, result.New(result.SettingsBadPath, result.RanNo, "%q has over %d segments", path, MaxDepth).AtField(path)
 	}
 	for _, s := range segments {
 		if !segmentForm.MatchString(s) {
 			return nil, result.New(result.SettingsBadPath, result.RanNo,
-				"segment %q of %q: lower-case letters, digits, underscore and hyphen are allowed, 63 at most", s, path).At(path)
+				"segment %q of %q: lower-case letters, digits, underscore and hyphen are allowed, 63 at most", s, path).AtField(path)
 		}
 	}
 	return segments, nil
--- a/internal/settings/random_test.go
+++ b/internal/settings/random_test.go
@@ -45,7 +45,7 @@
 
 // planFaults are the faults that steps select by index.
 var planFaults = []memstore.Faults{
-	{Refuse: true}, {Hang: true}, {LoseAnswers: 1}, {LoseAnswers: memstore.All}, {LoseRequests: 1}, {StaleReads: true},
+	{Refuse: true}, {Hang: true}, {LoseAnswers: 1}, {LoseAnswers: memstore.EveryCall}, {LoseRequests: 1}, {StaleReads: true},
 	{BreakWatches: true}, {WatchDelayMS: 30000}, {RequestDelayMS: 2500}, {RequestDelayMS: 100, AnswerDelayMS: 100},
 	{AnswerDelayMS: 3000}, {StaleReads: true, WatchDelayMS: 1000},
 }
@@ -284,7 +284,7 @@
 // exactly the result of its changes, and must still be restorable from the store.
 func (r *run) checkReplay(heads []Head) {
 	trees := map[int64]*Tree{0: Empty()}
-	fresh := NewKeeper(KeeperConfig{Store: r.c.engine.Client("fresh"), Log: discardLog()})
+	fresh := NewManager(ManagerConfig{Store: r.c.engine.Client("fresh"), Log: discardLog()})
 	if _, err := fresh.refresh(r.c.ctx); err != nil {
 		r.violation("fresh process: %v", err)
 		return
--- a/internal/settings/serve.go
+++ b/internal/settings/serve.go
@@ -14,7 +14,7 @@
 
 // Serve registers the handlers of KindSettings, KindSettingsChange and
 // KindSettingsHistory.
-func (k *Keeper) Serve(mux *peer.Mux) {
+func (k *Manager) Serve(mux *peer.Mux) {
 	peer.Handle(mux, peer.KindSettings, k.query)
 	peer.Handle(mux, peer.KindSettingsChange, k.Change)
 	peer.Handle(mux, peer.KindSettingsHistory, func(ctx context.Context, _ HistoryRequest) (HistoryReply, error) {
@@ -28,7 +28,7 @@
 }
 
 // query replies at once when a newer tree is active, else when one becomes active or the wait ends.
-func (k *Keeper) query(ctx context.Context, query FetchRequest) (FetchReply, error) {
+func (k *Manager) query(ctx context.Context, query FetchRequest) (FetchReply, error) {
 	k.replica.observe(query.Have)
 	if query.Follower != "" && query.WaitMillis > 0 { // a follower that does not wait is querying all placers
 		k.followers.recordPoll(query.Follower, query.Have, time.Now())
--- a/internal/settings/swap.go
+++ b/internal/settings/swap.go
@@ -20,7 +20,7 @@
 // swapTxn returns the transaction that moves the head. It contains the new branches. When they exceed the limits,
 // swapTxn writes them ahead, and the transaction is conditional on no collection since, which could have deleted
 // them as unreferenced.
-func (k *Keeper) swapTxn(ctx context.Context, s snapshot, h Head, fresh []*node) (platform.Txn, error) {
+func (k *Manager) swapTxn(ctx context.Context, s snapshot, h Head, fresh []*node) (platform.Txn, error) {
 	writes := branchWrites(fresh)
 	for _, w := range writes[:min(len(writes), txnWrites)] {
 		if hash, ok := hashOfKey(w.Key); ok {
@@ -76,7 +76,7 @@
 
 // writeAhead stores branches that no head references yet. It returns the condition that guarantees that they have
 // not been collected.
-func (k *Keeper) writeAhead(ctx context.Context, chunks [][]platform.Write) (platform.Condition, error) {
+func (k *Manager) writeAhead(ctx context.Context, chunks [][]platform.Write) (platform.Condition, error) {
 	guard := platform.Condition{Key: collectedKey}
 	records, _, err := k.list(ctx, collectedKey)
 	if err != nil {
@@ -94,7 +94,7 @@
 }
 
 // commit is one transaction with callTimeout.
-func (k *Keeper) commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (k *Manager) commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.counters.writes.Inc()
@@ -102,7 +102,7 @@
 }
 
 // applyFoundHead activates the head that was found by a failed swap.
-func (k *Keeper) applyFoundHead(ctx context.Context, s snapshot, reply platform.TxnReply) error {
+func (k *Manager) applyFoundHead(ctx context.Context, s snapshot, reply platform.TxnReply) error {
 	i := slices.IndexFunc(reply.Found, func(r platform.Record) bool { return r.Key == headKey })
 	if i < 0 {
 		if s.mod != 0 {
@@ -130,7 +130,7 @@
 }
 
 // activateOwn activates the revision that this process has just made.
-func (k *Keeper) activateOwn(h Head, mod platform.Revision, root *node) {
+func (k *Manager) activateOwn(h Head, mod platform.Revision, root *node) {
 	r := k.replica
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,12 +144,12 @@
 
 // waitApplied waits until every member has applied the revision, and returns the members that have not when the limit
 // is reached.
-func (k *Keeper) waitApplied(ctx context.Context, revision int64, limit time.Duration) []string {
+func (k *Manager) waitApplied(ctx context.Context, revision int64, limit time.Duration) []string {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
 		var behind []string
-		for name, applied := range k.cfg.Applied() {
+		for name, applied := range k.cfg.AppliedRevisions() {
 			if applied < revision {
 				behind = append(behind, name)
 			}
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	return nil, result.New(result.SettingsUnknownBranch, result.RanNo,
-		"no branch %s in revision %d", path, t.Revision).At(path)
+		"no branch %s in revision %d", path, t.Revision).AtField(path)
 }
 
 // Explained is one effective setting with its origin.
--- a/internal/spec/graph.go
+++ b/internal/spec/graph.go
@@ -26,8 +26,8 @@
 // Occurrences returns the number of times that the job's steps run, at least one.
 func (g *Graph) Occurrences() int { return max(g.Repeat.Times, 1) }
 
-// Largest returns the component-wise maximum of the steps' task sizes.
-func (g *Graph) Largest() (most Resources) {
+// MaxTaskSize returns the component-wise maximum of the steps' task sizes.
+func (g *Graph) MaxTaskSize() (most Resources) {
 	for i := range g.Steps {
 		most = most.Max(g.Steps[i].Size)
 	}
@@ -58,8 +58,8 @@
 	Label string `cbor:"7,keyasint,omitempty" json:"label,omitempty"`
 	// DataRack is the rack that stores the step's data; tasks run much slower on other racks.
 	DataRack string `cbor:"8,keyasint,omitempty" json:"data_rack,omitempty"`
-	// MostPerHost bounds the step's tasks on one host; zero means no bound.
-	MostPerHost int `cbor:"9,keyasint,omitempty" json:"most_per_host,omitempty"`
+	// MaxPerHost bounds the step's tasks on one host; zero means no bound.
+	MaxPerHost int `cbor:"9,keyasint,omitempty" json:"most_per_host,omitempty"`
 	// Checkpointing tasks save checkpoints and can resume on another host.
 	Checkpointing bool `cbor:"10,keyasint,omitempty" json:"checkpointing,omitempty"`
 	// Speculative tasks may run in several copies at once; the first copy to end determines the result.
@@ -68,29 +68,29 @@
 	LongRunning bool `cbor:"12,keyasint,omitempty" json:"long_running,omitempty"`
 	// Image names the program that the tasks run; tasks with the same image behave alike.
 	Image string `cbor:"13,keyasint,omitempty" json:"image,omitempty"`
-	// TailTargetMillis is the upper bound for the tail response time of a serving task; zero for tasks that answer no
+	// TailLatencyTargetMillis is the upper bound for the tail response time of a serving task; zero for tasks that answer no
 	// requests.
-	TailTargetMillis int64 `cbor:"14,keyasint,omitempty" json:"tail_target_ms,omitempty"`
-	// Filler marks backfill (best-effort) tasks. They don't count against a host's processors: they get the
+	TailLatencyTargetMillis int64 `cbor:"14,keyasint,omitempty" json:"tail_target_ms,omitempty"`
+	// Backfill marks backfill (best-effort) tasks. They don't count against a host's processors: they get the
 	// processor time that the other tasks leave unused.
-	Filler bool `cbor:"15,keyasint,omitempty" json:"filler,omitempty"`
-	// MayMiss is how many tasks of a long-running step may be unavailable at the same time because of the scheduler's
+	Backfill bool `cbor:"15,keyasint,omitempty" json:"filler,omitempty"`
+	// MaxUnavailable is how many tasks of a long-running step may be unavailable at the same time because of the scheduler's
 	// own orders.
-	MayMiss int `cbor:"16,keyasint,omitempty" json:"may_miss,omitempty"`
+	MaxUnavailable int `cbor:"16,keyasint,omitempty" json:"may_miss,omitempty"`
 }
 
-// AtOnce returns the minimum resources with which the step makes progress: those of one task, or of the whole gang.
-func (s *Step) AtOnce() Resources {
+// MinResources returns the minimum resources with which the step makes progress: those of one task, or of the whole gang.
+func (s *Step) MinResources() Resources {
 	if s.Gang {
 		return s.Size.Times(int64(s.Count))
 	}
 	return s.Size
 }
 
-// Booked returns the resources that a task of the step is allocated on a host. Backfill tasks are allocated no
+// Allocation returns the resources that a task of the step is allocated on a host. Backfill tasks are allocated no
 // processors.
-func (s *Step) Booked() Resources {
-	if !s.Filler {
+func (s *Step) Allocation() Resources {
+	if !s.Backfill {
 		return s.Size
 	}
 	return Resources{MemoryMiB: s.Size.MemoryMiB, Accelerators: s.Size.Accelerators}
--- a/internal/spec/spec.go
+++ b/internal/spec/spec.go
@@ -41,8 +41,8 @@
 	return r.MilliCPU <= capacity.MilliCPU && r.MemoryMiB <= capacity.MemoryMiB && r.Accelerators <= capacity.Accelerators
 }
 
-// Holds returns how many tasks of a size fit into r at once; Unbounded for a size of zero.
-func (r Resources) Holds(size Resources) int {
+// FitCount returns how many tasks of a size fit into r at once; Unbounded for a size of zero.
+func (r Resources) FitCount(size Resources) int {
 	n := int64(Unbounded)
 	for _, d := range [][2]int64{
 		{size.MilliCPU, r.MilliCPU}, {size.MemoryMiB, r.MemoryMiB}, {size.Accelerators, r.Accelerators},
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -50,12 +50,12 @@
 // Check returns an error with the path of the field if settings are contradictory.
 func (c Config) Check() error {
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		return result.New(result.ConfigValue, result.RanNo, "%v", err).At("listen")
+		return result.New(result.ConfigValue, result.RanNo, "%v", err).AtField("listen")
 	}
 	names := map[string]bool{}
 	for _, g := range c.Groups {
 		if names[g.Name] {
-			return result.New(result.ConfigContradiction, result.RanNo, "two groups are named %q", g.Name).At("groups.name")
+			return result.New(result.ConfigContradiction, result.RanNo, "two groups are named %q", g.Name).AtField("groups.name")
 		}
 		names[g.Name] = true
 		if err := g.check(); err != nil {
@@ -68,13 +68,13 @@
 func (g Group) check() error {
 	switch {
 	case g.Role == platform.RoleWorker && (g.Service != "" || g.Slots != 0 || g.Connections != 0):
-		return result.New(result.ConfigContradiction, result.RanNo, "group %q: workers have no service, slots or connections", g.Name).At("groups.service")
+		return result.New(result.ConfigContradiction, result.RanNo, "group %q: workers have no service, slots or connections", g.Name).AtField("groups.service")
 	case g.Role == platform.RoleWorker && (g.Size.MilliCPU <= 0 || g.Size.MemoryMiB <= 0):
-		return result.New(result.ConfigContradiction, result.RanNo, "group %q: workers need processors and memory", g.Name).At("groups.size")
+		return result.New(result.ConfigContradiction, result.RanNo, "group %q: workers need processors and memory", g.Name).AtField("groups.size")
 	case g.Role == platform.RoleExecutor && (g.Service == "" || g.Slots < 1 || g.Connections < 1):
-		return result.New(result.ConfigContradiction, result.RanNo, "group %q: executors need a service, slots and connections", g.Name).At("groups.service")
+		return result.New(result.ConfigContradiction, result.RanNo, "group %q: executors need a service, slots and connections", g.Name).AtField("groups.service")
 	case g.Role == platform.RoleExecutor && !g.Size.IsZero():
-		return result.New(result.ConfigContradiction, result.RanNo, "group %q: executors have no size", g.Name).At("groups.size")
+		return result.New(result.ConfigContradiction, result.RanNo, "group %q: executors have no size", g.Name).AtField("groups.size")
 	}
 	return nil
 }
--- a/internal/standin/handler.go
+++ b/internal/standin/handler.go
@@ -76,7 +76,7 @@
 		http.Error(w, "tasks must be a number above zero", http.StatusBadRequest)
 		return
 	}
-	s.judge.Gang(r.PathValue("job"), tasks)
+	s.judge.ExpectGang(r.PathValue("job"), tasks)
 }
 
 func (s *Standin) record(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -20,7 +20,7 @@
 // Standin runs all parts of the stand-in in one process.
 type Standin struct {
 	config        Config
-	judge         *judge.Judge
+	judge         *judge.Checker
 	hostList      *hostlist.List
 	store         http.Handler
 	workers       *workersim.Fleet
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -93,7 +93,7 @@
 
 	is.Equal(request(is, s, "PUT", "/faults/workers/lake-00", `{"unreachable": true}`), http.StatusOK)
 	_, err = client.Claim(ctx, hosts["lake-00"].Addr, worker.ClaimRequest{Epoch: 2})
-	is.True(errors.Is(err, worker.ErrLost)) // the connection was closed
+	is.True(errors.Is(err, worker.ErrNoReply)) // the connection was closed
 	is.Equal(request(is, s, "PUT", "/faults/workers/lake-00", `{}`), http.StatusOK)
 	is.Equal(request(is, s, "POST", "/restart/lake-00", ""), http.StatusOK)
 	is.Equal(fetchRecord(is, s).Running, 0)
@@ -113,7 +113,7 @@
 	is.NoErr(err)
 	r := fetchRecord(is, s)
 	is.Equal(len(r.Keys["k"]), 2)
-	is.Equal(r.Violations[0].Rule, judge.RuleRanTwice)
+	is.Equal(r.Violations[0].Rule, judge.RuleRepeatedExecution)
 }
 
 func TestBadInputIsRefused(t *testing.T) {
--- a/internal/standin/storehttp/faults_test.go
+++ b/internal/standin/storehttp/faults_test.go
@@ -37,8 +37,8 @@
 		"hanging":       {memstore.Faults{Hang: true}, unavailable, unknown, false, ended},
 		"requests late": {memstore.Faults{RequestDelayMS: late}, unavailable, unknown, true, ended},
 		"replies late":  {memstore.Faults{AnswerDelayMS: late}, unavailable, unknown, true, ended},
-		"requests lost": {memstore.Faults{LoseRequests: memstore.All}, nil, unknown, false, ended},
-		"replies lost":  {memstore.Faults{LoseAnswers: memstore.All}, nil, unknown, true, ended},
+		"requests lost": {memstore.Faults{LoseRequests: memstore.EveryCall}, nil, unknown, false, ended},
+		"replies lost":  {memstore.Faults{LoseAnswers: memstore.EveryCall}, nil, unknown, true, ended},
 		"stale reads":   {memstore.Faults{StaleReads: true}, nil, nil, true, ended},
 		"watches break": {memstore.Faults{BreakWatches: true}, nil, nil, true, unavailable},
 	}
--- a/internal/taskmsg/taskmsg.go
+++ b/internal/taskmsg/taskmsg.go
@@ -40,8 +40,8 @@
 	Policy Policy    `cbor:"5,keyasint"`
 	// Avoid lists workers that are excluded because the job has failed on them.
 	Avoid []string `cbor:"6,keyasint,omitempty"`
-	// Zones counts the job's running tasks by availability zone, for spreading.
-	Zones map[string]int `cbor:"7,keyasint,omitempty"`
+	// RunningByZone counts the job's running tasks by availability zone, for spreading.
+	RunningByZone map[string]int `cbor:"7,keyasint,omitempty"`
 	// Aged is true if the job has waited so long that a holder without free capacity
 	// reserves a worker for it.
 	Aged bool `cbor:"8,keyasint,omitempty"`
@@ -51,9 +51,9 @@
 type Slot struct {
 	Index   int `cbor:"1,keyasint"`
 	Attempt int `cbor:"2,keyasint"`
-	// Spared is true if the task's previous attempt was preempted. This attempt is then
+	// PreemptionExempt is true if the task's previous attempt was preempted. This attempt is then
 	// exempt from preemption.
-	Spared bool `cbor:"3,keyasint,omitempty"`
+	PreemptionExempt bool `cbor:"3,keyasint,omitempty"`
 }
 
 // PlaceRequest requests that a holder start tasks on its workers.
@@ -101,31 +101,31 @@
 	Refusal *Refusal     `cbor:"2,keyasint,omitempty"`
 }
 
-// GangHold requests that a holder reserve capacity for as many of the given slots of a
+// GangReserveRequest requests that a holder reserve capacity for as many of the given slots of a
 // gang as it can, without starting them. The reservation has a time limit.
-type GangHold struct {
-	Home   Home   `cbor:"1,keyasint"`
-	Shape  Shape  `cbor:"2,keyasint"`
-	Slots  []Slot `cbor:"3,keyasint"`
-	HoldMS int64  `cbor:"4,keyasint"`
-	// Gather is set for a gang that has waited long. The holder then reserves capacity
+type GangReserveRequest struct {
+	Home          Home   `cbor:"1,keyasint"`
+	Shape         Shape  `cbor:"2,keyasint"`
+	Slots         []Slot `cbor:"3,keyasint"`
+	ReservationMS int64  `cbor:"4,keyasint"`
+	// AccumulateCapacity is set for a gang that has waited long. The holder then reserves capacity
 	// that becomes free for this gang, and refuses less urgent starts, until all slots
 	// are reserved or the reservation expires.
-	Gather bool `cbor:"5,keyasint,omitempty"`
+	AccumulateCapacity bool `cbor:"5,keyasint,omitempty"`
 	// Try is the ascending number of the job owner's try to start the gang. The
 	// reservation of a later try replaces that of an earlier one. A delayed message of
 	// an earlier try is refused.
 	Try int `cbor:"6,keyasint"`
 }
 
-// GangHeld is the reply to a reservation request: the slots with reserved capacity.
-type GangHeld struct {
-	Held    []Slot   `cbor:"1,keyasint"`
-	Refusal *Refusal `cbor:"2,keyasint,omitempty"`
+// GangReserveReply is the reply to a reservation request: the slots with reserved capacity.
+type GangReserveReply struct {
+	Reserved []Slot   `cbor:"1,keyasint"`
+	Refusal  *Refusal `cbor:"2,keyasint,omitempty"`
 }
 
-// GangEnd starts the tasks of a gang's reserved slots, or releases the reservation.
-type GangEnd struct {
+// GangFinishRequest starts the tasks of a gang's reserved slots, or releases the reservation.
+type GangFinishRequest struct {
 	Home  Home   `cbor:"1,keyasint"`
 	Job   string `cbor:"2,keyasint"`
 	Start bool   `cbor:"3,keyasint"`
@@ -153,16 +153,16 @@
 
 // The states in run reports and inventories.
 const (
-	RunRunning   RunState = 1
-	RunFinished  RunState = 2 // exited by itself; ExitCode is valid
-	RunStopped   RunState = 3 // stopped on request; no longer runs
-	RunLost      RunState = 4 // worker lost and its lease definitely expired
-	RunPreempted RunState = 5 // preempted; no longer runs
-	RunNever     RunState = 6 // a start of unknown outcome that turned out not to have happened
+	RunRunning    RunState = 1
+	RunFinished   RunState = 2 // exited by itself; ExitCode is valid
+	RunStopped    RunState = 3 // stopped on request; no longer runs
+	RunLost       RunState = 4 // worker lost and its lease definitely expired
+	RunPreempted  RunState = 5 // preempted; no longer runs
+	RunNotStarted RunState = 6 // a start of unknown outcome that turned out not to have happened
 )
 
-// RunNews is a report of the state of one run.
-type RunNews struct {
+// RunReport is a report of the state of one run.
+type RunReport struct {
 	Run       worker.Attempt `cbor:"1,keyasint"`
 	State     RunState       `cbor:"2,keyasint"`
 	ExitCode  int            `cbor:"3,keyasint,omitempty"`
@@ -173,53 +173,55 @@
 	// The next two fields encode the evidence about a lost run. Members of versions without
 	// the second field read the first alone; if it is set, they do not attribute the loss of
 	// the host to the run's task.
-	Unseen bool `cbor:"8,keyasint,omitempty"`
-	There  bool `cbor:"9,keyasint,omitempty"`
+	EndUnconfirmed bool `cbor:"8,keyasint,omitempty"`
+	WasPresent     bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Sight is the evidence about a run that was lost with its worker, for crash attribution.
-type Sight int
+// LossEvidence is the evidence about a run that was lost with its worker, for crash attribution.
+type LossEvidence int
 
 // The evidence, from the weakest to the strongest.
 const (
-	// SightNone means that the worker may only be unresponsive, or that the run was never
+	// EvidenceNone means that the worker may only be unresponsive, or that the run was never
 	// reported by it.
-	SightNone Sight = iota
-	// SightThere means that the run was present on the worker, which has since started a new
+	EvidenceNone LossEvidence = iota
+	// EvidencePresent means that the run was present on the worker, which has since started a new
 	// incarnation. The run may have ended before the previous incarnation did, without a
 	// report of that.
-	SightThere
-	// SightCrash means that the run was present when the worker's previous incarnation ended.
-	SightCrash
+	EvidencePresent
+	// EvidenceCrash means that the run was present when the worker's previous incarnation ended.
+	EvidenceCrash
 )
 
 // String returns the evidence as it is logged.
-func (s Sight) String() string { return [...]string{"none", "there", "crash"}[s] }
+func (s LossEvidence) String() string { return [...]string{"none", "there", "crash"}[s] }
 
-// Saw sets the evidence about a lost run.
-func (n *RunNews) Saw(s Sight) { n.Unseen, n.There = s < SightCrash, s == SightThere }
+// SetEvidence sets the evidence about a lost run.
+func (n *RunReport) SetEvidence(s LossEvidence) {
+	n.EndUnconfirmed, n.WasPresent = s < EvidenceCrash, s == EvidencePresent
+}
 
-// Sight returns the evidence about a lost run.
-func (n RunNews) Sight() Sight {
+// LossEvidence returns the evidence about a lost run.
+func (n RunReport) LossEvidence() LossEvidence {
 	switch {
-	case !n.Unseen:
-		return SightCrash
-	case n.There:
-		return SightThere
+	case !n.EndUnconfirmed:
+		return EvidenceCrash
+	case n.WasPresent:
+		return EvidencePresent
 	}
-	return SightNone
+	return EvidenceNone
 }
 
-// News is sent by a holder to the job owner of HomePartition. The holder repeats it until
+// RunReports is sent by a holder to the job owner of HomePartition. The holder repeats it until
 // it is acknowledged.
-type News struct {
-	HomePartition int       `cbor:"1,keyasint"`
-	Runs          []RunNews `cbor:"2,keyasint"`
+type RunReports struct {
+	HomePartition int         `cbor:"1,keyasint"`
+	Runs          []RunReport `cbor:"2,keyasint"`
 }
 
-// NewsReply lists the runs whose end the job owner has recorded, so that the worker may
+// RunReportsReply lists the runs whose end the job owner has recorded, so that the worker may
 // delete its records of them.
-type NewsReply struct {
+type RunReportsReply struct {
 	Acked []worker.Attempt `cbor:"1,keyasint,omitempty"`
 	// Orphans do not belong to any job of the job owner; the holder stops them.
 	Orphans []worker.Attempt `cbor:"2,keyasint,omitempty"`
@@ -243,7 +245,7 @@
 // InventoryReply lists the runs of one home partition's jobs that a holder has recorded.
 type InventoryReply struct {
 	Partitions []WorkerPartition `cbor:"1,keyasint"`
-	Runs       []RunNews         `cbor:"2,keyasint"`
+	Runs       []RunReport       `cbor:"2,keyasint"`
 }
 
 // Digest is a summary of a holder's free capacity. It is sent with the holder's heartbeats
@@ -251,8 +253,8 @@
 type Digest struct {
 	Workers int            `cbor:"1,keyasint" json:"workers"`
 	Free    spec.Resources `cbor:"2,keyasint" json:"free"`
-	// Largest is the largest free amount on any one worker, per component.
-	Largest spec.Resources `cbor:"3,keyasint" json:"largest"`
+	// LargestFree is the largest free amount on any one worker, per component.
+	LargestFree spec.Resources `cbor:"3,keyasint" json:"largest"`
 	// Sizes lists the distinct types of workers, to detect tasks that fit none of them.
 	Sizes []Size `cbor:"4,keyasint" json:"sizes"`
 }
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -21,15 +21,15 @@
 	open    atomic.Int64 // connections
 }
 
-// Message counts one message, with the numbers of bytes received and sent.
-func (c *Counter) Message(in, out int) {
-	c.Received(in)
-	c.Sent(out)
+// CountMessage counts one message, with the numbers of bytes received and sent.
+func (c *Counter) CountMessage(in, out int) {
+	c.AddReceived(in)
+	c.AddSent(out)
 	c.units.Add(1)
 }
 
-// Opened counts a connection as open until Closed is called.
-func (c *Counter) Opened() {
+// ConnOpened counts a connection as open until Closed is called.
+func (c *Counter) ConnOpened() {
 	if c == nil {
 		return
 	}
@@ -37,22 +37,22 @@
 	c.open.Add(1)
 }
 
-// Closed counts a connection as closed.
-func (c *Counter) Closed() {
+// ConnClosed counts a connection as closed.
+func (c *Counter) ConnClosed() {
 	if c != nil {
 		c.open.Add(-1)
 	}
 }
 
-// Received counts received bytes.
-func (c *Counter) Received(n int) {
+// AddReceived counts received bytes.
+func (c *Counter) AddReceived(n int) {
 	if c != nil {
 		c.in.Add(int64(n))
 	}
 }
 
-// Sent counts sent bytes.
-func (c *Counter) Sent(n int) {
+// AddSent counts sent bytes.
+func (c *Counter) AddSent(n int) {
 	if c != nil {
 		c.out.Add(int64(n))
 	}
@@ -60,7 +60,7 @@
 
 // Conn returns conn with its traffic counted, and counts it as open until it is closed.
 func (c *Counter) Conn(conn net.Conn) net.Conn {
-	c.Opened()
+	c.ConnOpened()
 	return &countedConn{Conn: conn, counter: c}
 }
 
@@ -89,18 +89,18 @@
 
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.counter.Received(n)
+	c.counter.AddReceived(n)
 	return n, err
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.counter.Sent(n)
+	c.counter.AddSent(n)
 	return n, err
 }
 
 func (c *countedConn) Close() error {
-	c.once.Do(c.counter.Closed)
+	c.once.Do(c.counter.ConnClosed)
 	return c.Conn.Close()
 }
 
@@ -125,8 +125,8 @@
 	}
 }
 
-// Of returns the counter of a purpose, and creates it if there is none.
-func (m *Meter) Of(purpose string) *Counter {
+// ForPurpose returns the counter of a purpose, and creates it if there is none.
+func (m *Meter) ForPurpose(purpose string) *Counter {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.counters[purpose]
@@ -137,21 +137,21 @@
 	return c
 }
 
-// Reading is the state of one counter.
-type Reading struct {
+// CounterState is the state of one counter.
+type CounterState struct {
 	Purpose   string
 	In, Out   int64 // bytes
 	Units     int64
 	OpenConns int64
 }
 
-// Read returns the state of all counters, sorted by purpose.
-func (m *Meter) Read() []Reading {
+// Snapshot returns the state of all counters, sorted by purpose.
+func (m *Meter) Snapshot() []CounterState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make([]Reading, 0, len(m.counters))
+	out := make([]CounterState, 0, len(m.counters))
 	for _, c := range m.counters {
-		out = append(out, Reading{c.purpose, c.in.Load(), c.out.Load(), c.units.Load(), c.open.Load()})
+		out = append(out, CounterState{c.purpose, c.in.Load(), c.out.Load(), c.units.Load(), c.open.Load()})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Purpose < out[b].Purpose })
 	return out
@@ -166,7 +166,7 @@
 
 // Collect implements prometheus.Collector.
 func (m *Meter) Collect(ch chan<- prometheus.Metric) {
-	for _, r := range m.Read() {
+	for _, r := range m.Snapshot() {
 		ch <- prometheus.MustNewConstMetric(m.bytes, prometheus.CounterValue, float64(r.In), r.Purpose, "in")
 		ch <- prometheus.MustNewConstMetric(m.bytes, prometheus.CounterValue, float64(r.Out), r.Purpose, "out")
 		ch <- prometheus.MustNewConstMetric(m.units, prometheus.CounterValue, float64(r.Units), r.Purpose)
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -17,7 +17,7 @@
 	m := NewMeter()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	counted := m.Of("callers").Listener(l)
+	counted := m.ForPurpose("callers").Listener(l)
 	done := make(chan error, 1)
 	go func() {
 		conn, err := counted.Accept()
@@ -31,19 +31,19 @@
 	}()
 	raw, err := net.Dial("tcp", l.Addr().String())
 	is.NoErr(err)
-	conn := m.Of("hosts").Conn(raw)
+	conn := m.ForPurpose("hosts").Conn(raw)
 	_, err = conn.Write([]byte("hello"))
 	is.NoErr(err)
 	back, err := io.ReadAll(conn)
 	is.NoErr(err)
 	is.Equal(string(back), "hello")
 	is.NoErr(<-done)
-	is.Equal(m.Read()[1], Reading{Purpose: "hosts", In: 5, Out: 5, Units: 1, OpenConns: 1})
+	is.Equal(m.Snapshot()[1], CounterState{Purpose: "hosts", In: 5, Out: 5, Units: 1, OpenConns: 1})
 	is.NoErr(conn.Close())
 	_ = conn.Close() // a second close changes nothing
 	is.NoErr(counted.Close())
-	m.Of("beats").Message(0, 40)
-	is.Equal(m.Read(), []Reading{
+	m.ForPurpose("beats").CountMessage(0, 40)
+	is.Equal(m.Snapshot(), []CounterState{
 		{Purpose: "beats", Out: 40, Units: 1}, {Purpose: "callers", In: 5, Out: 5, Units: 1}, {Purpose: "hosts", In: 5, Out: 5, Units: 1},
 	})
 	reg := prometheus.NewRegistry()
--- a/internal/upkeep/planner.go
+++ b/internal/upkeep/planner.go
@@ -27,14 +27,14 @@
 	maxMissingLists = 2
 )
 
-// Cell gives a planner control of the hosts of a cell.
-type Cell interface {
-	// Empty cordons a host and evicts its runs; it reports whether the host is drained.
-	Empty(h host.ID) bool
-	// MayEnd reports whether the runs that are left on a host may be terminated with it.
-	MayEnd(h host.ID) bool
-	// Keep makes a cordoned host schedulable again.
-	Keep(h host.ID)
+// HostControl gives a planner control of the hosts of a cell.
+type HostControl interface {
+	// Drain cordons a host and evicts its runs; it reports whether the host is drained.
+	Drain(h host.ID) bool
+	// MayTerminate reports whether the runs that are left on a host may be terminated with it.
+	MayTerminate(h host.ID) bool
+	// Uncordon makes a cordoned host schedulable again.
+	Uncordon(h host.ID)
 	// Load is a measure of the work on a host; the least loaded host is drained first.
 	Load(h host.ID) int
 }
@@ -66,7 +66,7 @@
 
 // rolloutState is a requested rollout with its progress.
 type rolloutState struct {
-	Wave
+	Rollout
 	targets   []*target
 	completed bool
 	// unsaved is true if the stored progress is out of date.
@@ -76,14 +76,14 @@
 // Order takes a machine down.
 type Order struct {
 	Machine MachineID
-	Wave    int64
+	Rollout int64
 	Host    host.ID // the incarnation that the maintenance ends
 }
 
 // Progress is the stored progress of a rollout.
 type Progress struct {
-	Wave      int64       `cbor:"1,keyasint"`
-	Begun     []MachineID `cbor:"2,keyasint"`
+	Rollout   int64       `cbor:"1,keyasint"`
+	Started   []MachineID `cbor:"2,keyasint"`
 	Completed bool        `cbor:"3,keyasint"`
 }
 
@@ -105,22 +105,22 @@
 func NewPlanner(from time.Time, stored []Progress) *Planner {
 	p := &Planner{from: from, rollouts: map[int64]*rolloutState{}, stored: map[int64]Progress{}, machines: map[MachineID]Machine{}}
 	for _, s := range stored {
-		p.stored[s.Wave] = s
+		p.stored[s.Rollout] = s
 	}
 	return p
 }
 
 // SetWave adds a rollout that an operator has requested.
-func (p *Planner) SetWave(w Wave) {
+func (p *Planner) SetWave(w Rollout) {
 	if p.rollouts[w.ID] != nil {
 		return // a rollout does not change
 	}
-	w.AtOnce = max(w.AtOnce, 1)
+	w.MaxUnavailable = max(w.MaxUnavailable, 1)
 	saved := p.stored[w.ID]
-	added := &rolloutState{Wave: w, completed: saved.Completed, unsaved: !saved.Completed}
+	added := &rolloutState{Rollout: w, completed: saved.Completed, unsaved: !saved.Completed}
 	for _, id := range w.Machines {
 		m := &target{id: id}
-		if slices.Contains(saved.Begun, id) {
+		if slices.Contains(saved.Started, id) {
 			m.phase = down
 		}
 		added.targets = append(added.targets, m)
@@ -128,9 +128,9 @@
 	p.rollouts[w.ID] = added
 }
 
-// Listed replaces the list of machines by one that was requested at asked. After an error the
+// UpdateMachines replaces the list of machines by one that was requested at asked. After an error the
 // previous list stays in use.
-func (p *Planner) Listed(machines []Machine, err error, asked, now time.Time) {
+func (p *Planner) UpdateMachines(machines []Machine, err error, asked, now time.Time) {
 	p.listPending = false
 	p.nextListAt = now.Add(listInterval)
 	if err != nil {
@@ -162,9 +162,9 @@
 	return false
 }
 
-// Next returns the machines to take down now, and whether the machines should be
+// Plan returns the machines to take down now, and whether the machines should be
 // listed.
-func (p *Planner) Next(cell Cell, now time.Time) (orders []Order, list bool) {
+func (p *Planner) Plan(cell HostControl, now time.Time) (orders []Order, list bool) {
 	if !p.Active() || now.Before(p.from) {
 		return nil, false
 	}
@@ -195,7 +195,7 @@
 }
 
 // reconcile updates the machines of a rollout from the last list of machines.
-func (p *Planner) reconcile(w *rolloutState, cell Cell, now time.Time) {
+func (p *Planner) reconcile(w *rolloutState, cell HostControl, now time.Time) {
 	for _, m := range w.targets {
 		listed := p.machines[m.id]
 		back := listed.Up && (listed.Host != m.host || now.Sub(m.since) > maxDowntime)
@@ -210,15 +210,15 @@
 }
 
 // remove takes a machine out of its rollout.
-func (m *target) remove(cell Cell) {
+func (m *target) remove(cell HostControl) {
 	if m.phase == draining {
-		cell.Keep(m.host)
+		cell.Uncordon(m.host)
 	}
 	m.phase = removed
 }
 
 // advance starts drains and returns the orders that are due for a rollout's machines.
-func (p *Planner) advance(w *rolloutState, cell Cell, now time.Time) []Order {
+func (p *Planner) advance(w *rolloutState, cell HostControl, now time.Time) []Order {
 	var orders []Order
 	for _, m := range w.targets {
 		if m.phase == draining && p.machines[m.id].Host != m.host {
@@ -234,27 +234,27 @@
 			m.phase, m.since = ordered, now
 		}
 		m.orderPending = true
-		orders = append(orders, Order{Machine: m.id, Wave: w.ID, Host: m.host})
+		orders = append(orders, Order{Machine: m.id, Rollout: w.ID, Host: m.host})
 	}
 	p.startDrains(w, cell, now)
 	return orders
 }
 
 // mayTakeDown reports whether a machine may be taken down now.
-func (p *Planner) mayTakeDown(m *target, cell Cell, now time.Time) bool {
-	return cell.Empty(m.host) || now.Sub(m.since) > drainTimeout && cell.MayEnd(m.host)
+func (p *Planner) mayTakeDown(m *target, cell HostControl, now time.Time) bool {
+	return cell.Drain(m.host) || now.Sub(m.since) > drainTimeout && cell.MayTerminate(m.host)
 }
 
 // startDrains begins to drain hosts, the least loaded first, up to the rollout's limit of
 // machines that may be unavailable at once.
-func (p *Planner) startDrains(w *rolloutState, cell Cell, now time.Time) {
+func (p *Planner) startDrains(w *rolloutState, cell HostControl, now time.Time) {
 	unavailable := 0
 	var candidates []*target
 	for _, m := range w.targets {
 		switch {
 		case m.phase == draining || m.phase == ordered || m.phase == down:
 			unavailable++
-		case m.phase == waiting && p.machines[m.id].InUpkeep:
+		case m.phase == waiting && p.machines[m.id].InMaintenance:
 			unavailable++ // taken down by an order of a previous holder that was not saved
 		case m.phase == waiting && p.machines[m.id].Up && !now.Before(m.notBefore):
 			candidates = append(candidates, m)
@@ -263,9 +263,9 @@
 	sort.SliceStable(candidates, func(a, b int) bool {
 		return cell.Load(p.machines[candidates[a].id].Host) < cell.Load(p.machines[candidates[b].id].Host)
 	})
-	for _, m := range candidates[:max(min(len(candidates), w.AtOnce-unavailable), 0)] {
+	for _, m := range candidates[:max(min(len(candidates), w.MaxUnavailable-unavailable), 0)] {
 		m.phase, m.since, m.host = draining, now, p.machines[m.id].Host
-		cell.Empty(m.host)
+		cell.Drain(m.host)
 	}
 }
 
@@ -279,11 +279,11 @@
 	w.completed, w.unsaved = true, true
 }
 
-// Answered records the outcome of an order. An outcome "begun" does not tell whether the
+// RecordOutcome records the outcome of an order. An outcome "begun" does not tell whether the
 // order's host was affected: the maintenance may have started, and ended, before that
 // host came up.
-func (p *Planner) Answered(o Order, out Outcome, err error, cell Cell, now time.Time) {
-	w := p.rollouts[o.Wave]
+func (p *Planner) RecordOutcome(o Order, out Outcome, err error, cell HostControl, now time.Time) {
+	w := p.rollouts[o.Rollout]
 	if w == nil {
 		return
 	}
@@ -295,41 +295,41 @@
 	m.orderPending, m.notBefore = false, now.Add(retryDelay)
 	switch {
 	case err != nil: // the order is repeated; until then the machine counts as unavailable
-	case out == Begun:
+	case out == Started:
 		m.phase, m.since, w.unsaved = down, now, true
-		cell.Keep(m.host)
-	case out == NotInWave:
+		cell.Uncordon(m.host)
+	case out == NotInRollout:
 		m.phase = draining
 		m.remove(cell)
 	case out == Busy:
-		cell.Keep(m.host)
+		cell.Uncordon(m.host)
 		m.phase = waiting
 	}
 }
 
-// Changed returns the progress that has changed since the last call. The caller retains it
+// TakeProgress returns the progress that has changed since the last call. The caller retains it
 // until it is stored.
-func (p *Planner) Changed() []Progress {
+func (p *Planner) TakeProgress() []Progress {
 	var out []Progress
 	for _, w := range p.rollouts {
 		if !w.unsaved {
 			continue
 		}
 		w.unsaved = false
-		s := Progress{Wave: w.ID, Completed: w.completed}
+		s := Progress{Rollout: w.ID, Completed: w.completed}
 		for _, m := range w.targets {
 			if m.phase == down || m.phase == done {
-				s.Begun = append(s.Begun, m.id)
+				s.Started = append(s.Started, m.id)
 			}
 		}
 		out = append(out, s)
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Wave < out[b].Wave })
+	sort.Slice(out, func(a, b int) bool { return out[a].Rollout < out[b].Rollout })
 	return out
 }
 
-// Behind reports whether any progress has changed since it was last returned.
-func (p *Planner) Behind() bool {
+// HasUnsavedProgress reports whether any progress has changed since it was last returned.
+func (p *Planner) HasUnsavedProgress() bool {
 	for _, w := range p.rollouts {
 		if w.unsaved {
 			return true
--- a/internal/upkeep/planner_test.go
+++ b/internal/upkeep/planner_test.go
@@ -56,12 +56,12 @@
 	return out
 }
 
-func (s *simulation) Empty(h host.ID) bool {
+func (s *simulation) Drain(h host.ID) bool {
 	s.cordoned[h] = true
 	return !s.now.Before(s.busyUntil[h])
 }
-func (s *simulation) MayEnd(host.ID) bool { return s.mayEnd }
-func (s *simulation) Keep(h host.ID)      { delete(s.cordoned, h) }
+func (s *simulation) MayTerminate(host.ID) bool { return s.mayEnd }
+func (s *simulation) Uncordon(h host.ID)        { delete(s.cordoned, h) }
 func (s *simulation) Load(h host.ID) int {
 	return int(max(s.busyUntil[h].Sub(s.now), 0) / time.Millisecond)
 }
@@ -74,8 +74,8 @@
 		if m.removed {
 			continue
 		}
-		if m.InUpkeep && !s.now.Before(m.upAt) {
-			m.InUpkeep, m.Up = false, true
+		if m.InMaintenance && !s.now.Before(m.upAt) {
+			m.InMaintenance, m.Up = false, true
 			m.incarnations++
 			m.Host = host.ID(fmt.Sprintf("%s-%d", id, m.incarnations))
 		}
@@ -90,25 +90,25 @@
 	m := s.machines[o.Machine]
 	switch {
 	case m == nil || m.removed:
-		return NotInWave
-	case slices.Contains(m.maintained, o.Wave):
-		return Begun
+		return NotInRollout
+	case slices.Contains(m.maintained, o.Rollout):
+		return Started
 	case !m.Up:
 		return Busy
 	}
 	if s.now.Before(s.busyUntil[m.Host]) && !s.mayEnd {
 		s.violations = append(s.violations, fmt.Sprintf("%s is taken down while runs are left on its host", o.Machine))
 	}
-	m.maintained = append(m.maintained, o.Wave)
-	m.Up, m.InUpkeep, m.upAt = false, true, s.now.Add(maintenanceTime)
+	m.maintained = append(m.maintained, o.Rollout)
+	m.Up, m.InMaintenance, m.upAt = false, true, s.now.Add(maintenanceTime)
 	downNow := 0
 	for _, other := range s.machines {
-		if other.InUpkeep && !other.removed {
+		if other.InMaintenance && !other.removed {
 			downNow++
 		}
 	}
 	s.maxDown = max(s.maxDown, downNow)
-	return Begun
+	return Started
 }
 
 // faults are the probabilities of failed calls to the service for machines.
@@ -117,16 +117,16 @@
 // run runs a planner for a duration d and checks the rollouts that it reports as completed.
 func (s *simulation) run(p *Planner, d time.Duration, rnd *rand.Rand, f faults) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(100 * time.Millisecond) {
-		orders, list := p.Next(s, s.now)
+		orders, list := p.Plan(s, s.now)
 		for _, o := range orders {
 			switch {
 			case rnd.Float64() < f.lostRequests:
-				p.Answered(o, 0, ErrUnsure, s, s.now)
+				p.RecordOutcome(o, 0, ErrOutcomeUnknown, s, s.now)
 			case rnd.Float64() < f.lostReplies:
 				s.startMaintenance(o)
-				p.Answered(o, 0, ErrUnsure, s, s.now)
+				p.RecordOutcome(o, 0, ErrOutcomeUnknown, s, s.now)
 			default:
-				p.Answered(o, s.startMaintenance(o), nil, s, s.now)
+				p.RecordOutcome(o, s.startMaintenance(o), nil, s, s.now)
 			}
 		}
 		if list {
@@ -134,7 +134,7 @@
 			if rnd.Float64() < f.lostLists {
 				err = errors.New("no reply")
 			}
-			p.Listed(s.list(), err, s.now, s.now)
+			p.UpdateMachines(s.list(), err, s.now, s.now)
 		}
 		for _, w := range p.rollouts {
 			if w.completed {
@@ -178,13 +178,13 @@
 					s.busyUntil[m.Host] = s.now.Add(time.Duration(rnd.IntN(6000)) * time.Millisecond)
 				}
 				p := NewPlanner(s.now, nil)
-				p.SetWave(Wave{ID: 7, Machines: s.ids(), AtOnce: 2})
+				p.SetWave(Rollout{ID: 7, Machines: s.ids(), MaxUnavailable: 2})
 				s.run(p, 4*time.Second, rnd, tc.faults)
 				if tc.inject != nil {
 					tc.inject(s)
 				}
 				s.run(p, 20*time.Second, rnd, tc.faults)
-				s.machines["m4"].Up = !s.machines["m4"].InUpkeep // the machine comes up again
+				s.machines["m4"].Up = !s.machines["m4"].InMaintenance // the machine comes up again
 				s.run(p, 160*time.Second, rnd, tc.faults)
 				is.Equal(s.violations, nil)
 				is.True(s.maxDown <= 2)
@@ -204,12 +204,12 @@
 			rnd := rand.New(rand.NewPCG(1, 3))
 			s := newSimulation(6)
 			p := NewPlanner(s.now, nil)
-			w := Wave{ID: 7, Machines: s.ids(), AtOnce: 2}
+			w := Rollout{ID: 7, Machines: s.ids(), MaxUnavailable: 2}
 			p.SetWave(w)
 			s.run(p, 3*time.Second, rnd, faults{})
 			var stored []Progress
 			if saved {
-				stored = p.Changed()
+				stored = p.TakeProgress()
 			}
 			next := NewPlanner(s.now.Add(6*time.Second), stored)
 			next.SetWave(w)
@@ -230,12 +230,12 @@
 func TestCompletedRolloutIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(2)
-	p := NewPlanner(s.now, []Progress{{Wave: 7, Begun: s.ids(), Completed: true}})
-	p.SetWave(Wave{ID: 7, Machines: s.ids(), AtOnce: 1})
-	orders, list := p.Next(s, s.now)
+	p := NewPlanner(s.now, []Progress{{Rollout: 7, Started: s.ids(), Completed: true}})
+	p.SetWave(Rollout{ID: 7, Machines: s.ids(), MaxUnavailable: 1})
+	orders, list := p.Plan(s, s.now)
 	is.Equal(len(orders), 0)
 	is.True(!list)
-	is.True(!p.Behind())
+	is.True(!p.HasUnsavedProgress())
 }
 
 // TestDrainTimeout checks that a rollout does not wait forever for runs that may be
@@ -248,7 +248,7 @@
 			s.mayEnd = mayEnd
 			s.busyUntil["m0-0"] = s.now.Add(time.Hour)
 			p := NewPlanner(s.now, nil)
-			p.SetWave(Wave{ID: 1, Machines: s.ids(), AtOnce: 1})
+			p.SetWave(Rollout{ID: 1, Machines: s.ids(), MaxUnavailable: 1})
 			s.run(p, drainTimeout+10*time.Second, rand.New(rand.NewPCG(1, 3)), faults{})
 			is.Equal(completed(p), mayEnd)
 			is.Equal(s.violations, nil)
--- a/internal/upkeep/port.go
+++ b/internal/upkeep/port.go
@@ -23,40 +23,40 @@
 	// Up is true while a host runs on the machine. A machine that is not up may be moving to
 	// another pool, down for maintenance, or broken.
 	Up bool
-	// InUpkeep is true while the machine is down for maintenance.
-	InUpkeep bool
+	// InMaintenance is true while the machine is down for maintenance.
+	InMaintenance bool
 	// Host is the current incarnation of the host on the machine.
 	Host host.ID
 }
 
-// Wave is an operator's request for the maintenance of a set of machines.
-type Wave struct {
+// Rollout is an operator's request for the maintenance of a set of machines.
+type Rollout struct {
 	ID       int64
 	Machines []MachineID
-	// Within is the time within which the operator wants the rollout completed.
-	Within time.Duration
-	// AtOnce is the largest number of machines that may be unavailable for it at a time.
-	AtOnce int
+	// CompleteWithin is the time within which the operator wants the rollout completed.
+	CompleteWithin time.Duration
+	// MaxUnavailable is the largest number of machines that may be unavailable for it at a time.
+	MaxUnavailable int
 }
 
 // Outcome is the platform's reply to an order.
 type Outcome int
 
 const (
-	Begun     Outcome = iota // the maintenance has started, now or before
-	Busy                     // the machine is not up, or leaving; retry later
-	NotInWave                // the machine is no longer part of the rollout or of the platform
-	Fenced                   // an order with a higher epoch was received before
+	Started      Outcome = iota // the maintenance has started, now or before
+	Busy                        // the machine is not up, or leaving; retry later
+	NotInRollout                // the machine is no longer part of the rollout or of the platform
+	Fenced                      // an order with a higher epoch was received before
 )
 
 // String returns the name used in the log.
 func (o Outcome) String() string {
 	switch o {
-	case Begun:
+	case Started:
 		return "begun"
 	case Busy:
 		return "busy"
-	case NotInWave:
+	case NotInRollout:
 		return "not in the wave"
 	case Fenced:
 		return "fenced"
@@ -64,14 +64,14 @@
 	return "unknown"
 }
 
-// ErrUnsure means that the order may have been carried out or may still be. The order can
+// ErrOutcomeUnknown means that the order may have been carried out or may still be. The order can
 // be repeated, as maintenance that has started is not started again.
-var ErrUnsure = errors.New("upkeep: outcome unknown")
+var ErrOutcomeUnknown = errors.New("upkeep: outcome unknown")
 
 // Service is a client of the platform's service for machines.
 type Service interface {
 	// Machines lists all machines.
 	Machines(ctx context.Context) ([]Machine, error)
-	// Begin takes a machine down for its maintenance. Everything on it is terminated at once.
-	Begin(ctx context.Context, m MachineID, wave int64, holder string, epoch uint64) (Outcome, error)
+	// StartMaintenance takes a machine down for its maintenance. Everything on it is terminated at once.
+	StartMaintenance(ctx context.Context, m MachineID, wave int64, holder string, epoch uint64) (Outcome, error)
 }
--- a/internal/view/broadcast.go
+++ b/internal/view/broadcast.go
@@ -19,7 +19,7 @@
 }
 
 // Notify closes the channel that Next has returned since the previous call.
-func (b *Broadcast) Tell() {
+func (b *Broadcast) Notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next != nil {
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -83,7 +83,7 @@
 }
 
 // NotReadyReasons returns the reasons why the follower is not ready; nil once it is.
-func (f *Follower) Lacks() []string {
+func (f *Follower) NotReadyReasons() []string {
 	switch t := f.table.Load(); {
 	case t == nil:
 		return []string{"members and partitions: no placer has answered"}
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -32,7 +32,7 @@
 		Revision: revision, Members: []Member{{Name: "a", Addr: "a"}, {Name: "b", Addr: "b"}},
 		Partitions: []Partition{{ID: 0}},
 	})
-	p.changes.Tell()
+	p.changes.Notify()
 }
 
 // TestFollowerOfNewPlacer checks that a follower is not ready with a table without partitions,
@@ -48,10 +48,10 @@
 		go f.Run(ctx)
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(f.Table().Revision, int64(1))
-		is.Equal(len(f.Lacks()), 1)
+		is.Equal(len(f.NotReadyReasons()), 1)
 		a.set(2)
 		synctest.Wait()
-		is.Equal(len(f.Lacks()), 0)
+		is.Equal(len(f.NotReadyReasons()), 0)
 		cancel()
 		time.Sleep(pollTimeout)
 	})
@@ -62,14 +62,14 @@
 		is := is.New(t)
 		a, b := newPlacer(5), newPlacer(3)
 		f := NewFollower(peer.Local{"a": a.mux, "b": b.mux}, []string{"a"}, logrus.NewEntry(logrus.New()))
-		is.Equal(len(f.Lacks()), 1)
+		is.Equal(len(f.NotReadyReasons()), 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go f.Run(ctx)
 
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(f.Table().Revision, int64(5))
-		is.Equal(len(f.Lacks()), 0)
+		is.Equal(len(f.NotReadyReasons()), 0)
 
 		time.Sleep(3 * time.Second) // b was polled as well
 		is.Equal(f.Table().Revision, int64(5))
@@ -123,12 +123,12 @@
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(f.Table().Partitions[0].Holder, "old")
 		a.table.Store(table(9, Partition{ID: 0, Holder: "new", ModRevision: 8}, Partition{ID: 1, Holder: "x", ModRevision: 5}))
-		a.changes.Tell()
+		a.changes.Notify()
 		synctest.Wait()
 		is.Equal(f.Table().Partitions[0].Holder, "new")
 		// A table with a later revision that lacks the change does not revert it.
 		a.table.Store(table(11, Partition{ID: 0, Holder: "old", ModRevision: 4}, Partition{ID: 1, Holder: "y", ModRevision: 10}))
-		a.changes.Tell()
+		a.changes.Notify()
 		synctest.Wait()
 		is.Equal(f.Table().Partitions[0].Holder, "new")
 		is.Equal(f.Table().Partitions[1].Holder, "y")
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -58,9 +58,9 @@
 	LeaseUntil Millis `json:"lease_until,omitempty"`
 }
 
-// Ending returns the run with only its identity and outcome, the form used in an
+// EndRecord returns the run with only its identity and outcome, the form used in an
 // OrderReply. The receiver has the other fields from the start or the inventory.
-func (r Run) Ending() Run {
+func (r Run) EndRecord() Run {
 	return Run{Task: r.Task, Attempt: r.Attempt, Home: r.Home, State: r.State, ExitCode: r.ExitCode}
 }
 
@@ -71,20 +71,20 @@
 	Holder    string `json:"holder"`
 }
 
-// Life identifies an incarnation of a worker: one run of its process. Zero means that the
+// Incarnation identifies an incarnation of a worker: one run of its process. Zero means that the
 // incarnation is not reported.
-type Life int64
+type Incarnation int64
 
 // ClaimReply is the worker's inventory: all runs that are running or whose end is not yet
 // acknowledged.
 type ClaimReply struct {
 	Info Info `json:"info"`
-	// Life is the replying incarnation and Up its uptime; zero if they are not reported.
-	Life  Life           `json:"life,omitempty"`
-	Up    Millis         `json:"up_ms,omitempty"`
-	Now   Millis         `json:"now"`
-	Runs  []Run          `json:"runs"`
-	Usage spec.Resources `json:"usage"`
+	// Incarnation is the replying incarnation and Up its uptime; zero if they are not reported.
+	Incarnation Incarnation    `json:"life,omitempty"`
+	Uptime      Millis         `json:"up_ms,omitempty"`
+	Now         Millis         `json:"now"`
+	Runs        []Run          `json:"runs"`
+	Usage       spec.Resources `json:"usage"`
 }
 
 // Start orders one run.
@@ -105,9 +105,9 @@
 
 // The stop modes, in order of increasing severity.
 const (
-	Throttle   StopMode = "throttle"
-	Checkpoint StopMode = "checkpoint"
-	Kill       StopMode = "stop"
+	ModeThrottle   StopMode = "throttle"
+	ModeCheckpoint StopMode = "checkpoint"
+	ModeStop       StopMode = "stop"
 )
 
 // Attempt identifies one run.
@@ -126,9 +126,9 @@
 type Order struct {
 	Partition int    `json:"partition"`
 	Epoch     uint64 `json:"epoch"`
-	// Life is the incarnation that the order is for. Another incarnation refuses the whole
+	// Incarnation is the incarnation that the order is for. Another incarnation refuses the whole
 	// order, because its clock and its claims start afresh. Zero means any incarnation.
-	Life Life `json:"life,omitempty"`
+	Incarnation Incarnation `json:"life,omitempty"`
 	// Expires is a time by the worker's own clock, computed from Now of the last reply.
 	// The worker refuses the whole order if it arrives later.
 	Expires Millis `json:"expires"`
@@ -159,11 +159,11 @@
 // Errors of a worker client. After ErrLost or any other error the outcome of an order is
 // unknown until a new claim returns the inventory.
 var (
-	ErrFenced     = errors.New("worker: a higher epoch has claimed it")
-	ErrExpired    = errors.New("worker: order came after its expiry")
-	ErrNotClaimed = errors.New("worker: not claimed since its start, or another life is meant")
-	ErrNotReached = errors.New("worker: not reached, nothing was sent")
-	ErrLost       = errors.New("worker: sent, no answer")
+	ErrFenced      = errors.New("worker: a higher epoch has claimed it")
+	ErrExpired     = errors.New("worker: order came after its expiry")
+	ErrNotClaimed  = errors.New("worker: not claimed since its start, or another life is meant")
+	ErrUnreachable = errors.New("worker: not reached, nothing was sent")
+	ErrNoReply     = errors.New("worker: sent, no answer")
 )
 
 // Client calls workers by address. It must not retry a call.
--- a/internal/worker/workerhttp/client.go
+++ b/internal/worker/workerhttp/client.go
@@ -77,7 +77,7 @@
 func (c *Client) post(ctx context.Context, addr, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return fmt.Errorf("%w: %w", worker.ErrNotReached, err)
+		return fmt.Errorf("%w: %w", worker.ErrUnreachable, err)
 	}
 	req := &http.Request{
 		Method: http.MethodPost,
@@ -92,7 +92,7 @@
 		return decodeRefusal(response)
 	}
 	if err := json.Unmarshal(response.Body, out); err != nil {
-		return fmt.Errorf("%w: %w", worker.ErrLost, err)
+		return fmt.Errorf("%w: %w", worker.ErrNoReply, err)
 	}
 	return nil
 }
@@ -100,9 +100,9 @@
 func transportError(err error) error {
 	var f *httponce.Failure
 	if errors.As(err, &f) && !f.Sent {
-		return fmt.Errorf("%w: %w", worker.ErrNotReached, err)
+		return fmt.Errorf("%w: %w", worker.ErrUnreachable, err)
 	}
-	return fmt.Errorf("%w: %w", worker.ErrLost, err)
+	return fmt.Errorf("%w: %w", worker.ErrNoReply, err)
 }
 
 func decodeRefusal(response httponce.Answer) error {
@@ -114,5 +114,5 @@
 			}
 		}
 	}
-	return fmt.Errorf("%w: status %d", worker.ErrLost, response.Status)
+	return fmt.Errorf("%w: status %d", worker.ErrNoReply, response.Status)
 }
--- a/internal/worker/workersim/faults.go
+++ b/internal/worker/workersim/faults.go
@@ -13,15 +13,15 @@
 	FailAfter time.Duration `json:"fail_after_ns,omitempty"`
 	// Unreachable refuses connections. Running tasks continue.
 	Unreachable bool `json:"unreachable,omitempty"`
-	// Slow delays the effect of each call by this much. The effect still occurs if the
+	// Delay delays the effect of each call by this much. The effect still occurs if the
 	// caller cancels earlier.
-	Slow time.Duration `json:"slow_ns,omitempty"`
+	Delay time.Duration `json:"slow_ns,omitempty"`
 	// LoseAnswers is the number of replies to drop after their calls have taken effect; a
 	// negative number drops all.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// Lifeless has the worker omit its incarnation from replies and accept orders for any
+	// OmitIncarnation has the worker omit its incarnation from replies and accept orders for any
 	// incarnation.
-	Lifeless bool `json:"lifeless,omitempty"`
+	OmitIncarnation bool `json:"lifeless,omitempty"`
 	// UsageLag is the age of the reported usage.
 	UsageLag time.Duration `json:"usage_lag_ns,omitempty"`
 	// RealSizePercent is the real usage of a task as a percentage of its declared size,
--- a/internal/worker/workersim/fleet.go
+++ b/internal/worker/workersim/fleet.go
@@ -12,7 +12,7 @@
 // Fleet is a set of simulated workers by address. It implements worker.Client for the
 // caller named "".
 type Fleet struct {
-	Judge *judge.Judge
+	Checker *judge.Checker
 
 	mu            sync.Mutex
 	workers       map[string]*Worker
@@ -26,22 +26,22 @@
 
 // The network faults.
 const (
-	CutNone   Cut = 0
-	CutBefore Cut = 1 // requests do not reach the worker: ErrNotReached
-	CutAnswer Cut = 2 // the call takes effect but its reply is lost: ErrLost
+	NetworkOK   Cut = 0
+	DropRequest Cut = 1 // requests do not reach the worker: ErrNotReached
+	DropReply   Cut = 2 // the call takes effect but its reply is lost: ErrLost
 )
 
 // AnyAddr in Fleet.Cut means all workers.
 const AnyAddr = "*"
 
 // NewFleet returns a fleet without workers that reports to j.
-func NewFleet(j *judge.Judge) *Fleet {
-	return &Fleet{Judge: j, workers: map[string]*Worker{}, networkFaults: map[route]Cut{}}
+func NewFleet(j *judge.Checker) *Fleet {
+	return &Fleet{Checker: j, workers: map[string]*Worker{}, networkFaults: map[route]Cut{}}
 }
 
 // Add creates a worker at the address.
 func (f *Fleet) Add(addr string, info worker.Info) *Worker {
-	w := New(info, f.Judge)
+	w := New(info, f.Checker)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[addr] = w
@@ -64,7 +64,7 @@
 	}
 	f.mu.Unlock()
 	for _, w := range workers {
-		w.Settle()
+		w.Advance()
 	}
 }
 
@@ -115,22 +115,22 @@
 func call[T any](ctx context.Context, c caller, addr string, do func(*Worker) (T, error)) (T, error) {
 	var none T
 	w, fault := c.fleet.lookup(c.name, addr)
-	if w == nil || fault == CutBefore || w.Faults().Unreachable || ctx.Err() != nil {
-		return none, worker.ErrNotReached
+	if w == nil || fault == DropRequest || w.Faults().Unreachable || ctx.Err() != nil {
+		return none, worker.ErrUnreachable
 	}
-	if delay := w.Faults().Slow; delay > 0 {
+	if delay := w.Faults().Delay; delay > 0 {
 		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			time.AfterFunc(delay, func() { _, _ = do(w) })
-			return none, worker.ErrLost
+			return none, worker.ErrNoReply
 		}
 	}
 	reply, err := do(w)
-	if w.dropReply() || fault == CutAnswer {
-		return none, worker.ErrLost
+	if w.dropReply() || fault == DropReply {
+		return none, worker.ErrNoReply
 	}
 	return reply, err
 }
--- a/internal/worker/workersim/worker.go
+++ b/internal/worker/workersim/worker.go
@@ -41,11 +41,11 @@
 // the clock.
 type Worker struct {
 	info  worker.Info
-	judge *judge.Judge
+	judge *judge.Checker
 
 	mu          sync.Mutex
 	boot        time.Time
-	incarnation worker.Life
+	incarnation worker.Incarnation
 	faults      Faults
 	claimed     bool
 	epoch       uint64
@@ -60,11 +60,11 @@
 
 var incarnations incarnationCounter
 
-func (c *incarnationCounter) next() worker.Life { return worker.Life(c.last.Add(1)) }
+func (c *incarnationCounter) next() worker.Incarnation { return worker.Incarnation(c.last.Add(1)) }
 
 // New returns a worker that starts now, without runs and unclaimed.
-func New(info worker.Info, j *judge.Judge) *Worker {
-	j.Worker(info.Name, info.Size)
+func New(info worker.Info, j *judge.Checker) *Worker {
+	j.AddWorker(info.Name, info.Size)
 	return &Worker{info: info, judge: j, boot: time.Now(), incarnation: incarnations.next(), runs: map[worker.Attempt]*run{}}
 }
 
@@ -83,8 +83,8 @@
 	w.judge.RecordClaim(w.info.Name, req.Epoch, req.Holder, now)
 	w.claimed, w.epoch, w.holder = true, req.Epoch, req.Holder
 	reply := worker.ClaimReply{Info: w.info, Now: w.clock(now), Usage: w.reportedUsage(now)}
-	if !w.faults.Lifeless {
-		reply.Life, reply.Up = w.incarnation, max(1, worker.Millis(now.Sub(w.boot).Milliseconds()))
+	if !w.faults.OmitIncarnation {
+		reply.Incarnation, reply.Uptime = w.incarnation, max(1, worker.Millis(now.Sub(w.boot).Milliseconds()))
 	}
 	for _, id := range w.startOrder {
 		reply.Runs = append(reply.Runs, w.runs[id].Run)
@@ -128,7 +128,7 @@
 	switch {
 	case o.Epoch < w.epoch:
 		return worker.ErrFenced
-	case o.Life != 0 && o.Life != w.incarnation && !w.faults.Lifeless:
+	case o.Incarnation != 0 && o.Incarnation != w.incarnation && !w.faults.OmitIncarnation:
 		return worker.ErrNotClaimed
 	case w.clock(now) > o.Expires:
 		return worker.ErrExpired
@@ -144,7 +144,7 @@
 		if r := w.runs[id]; r.State == worker.StateRunning {
 			reply.Running++
 		} else {
-			reply.Ended = append(reply.Ended, r.Run.Ending())
+			reply.Ended = append(reply.Ended, r.Run.EndRecord())
 		}
 	}
 }
@@ -175,7 +175,7 @@
 	}
 	w.runs[id] = r
 	w.startOrder = append(w.startOrder, id)
-	w.judge.Start(r.record, s.Kind)
+	w.judge.RecordStart(r.record, s.Kind)
 	return worker.StartResult{Started: true}
 }
 
@@ -184,7 +184,7 @@
 	if r == nil || r.State != worker.StateRunning {
 		return
 	}
-	if s.Mode == worker.Throttle {
+	if s.Mode == worker.ModeThrottle {
 		r.throttled = true
 		return
 	}
@@ -218,12 +218,12 @@
 		}
 		records, ends = append(records, r.record), append(ends, r.end())
 	}
-	w.judge.Renew(records, ends)
+	w.judge.RecordRenewals(records, ends)
 }
 
 func (w *Worker) end(r *run, at time.Time, state worker.State, exitCode int) {
 	r.State, r.ExitCode = state, exitCode
-	w.judge.End(r.record, at, state, exitCode)
+	w.judge.RecordEnd(r.record, at, state, exitCode)
 }
 
 // end returns when the run ends unless its lease is renewed.
@@ -239,8 +239,8 @@
 	return worker.Millis(clockOffset + t.Sub(w.boot).Milliseconds())
 }
 
-// Settle applies all due events, so that the checker's record is current.
-func (w *Worker) Settle() {
+// Advance applies all due events, so that the checker's record is current.
+func (w *Worker) Advance() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(time.Now())
--- a/internal/worker/workersim/workersim_test.go
+++ b/internal/worker/workersim/workersim_test.go
@@ -78,12 +78,12 @@
 			start("b", 0, 2, small)
 		}, ""},
 		{"gang started partially", func(f *workersim.Fleet, start func(string, int, int, spec.Resources)) {
-			f.Judge.Gang("j", 2)
+			f.Checker.ExpectGang("j", 2)
 			start("a", 0, 1, small)
 			time.Sleep(3 * time.Second)
 		}, judge.RulePartialGang},
 		{"gang started completely", func(f *workersim.Fleet, start func(string, int, int, spec.Resources)) {
-			f.Judge.Gang("j", 2)
+			f.Checker.ExpectGang("j", 2)
 			start("a", 0, 1, small)
 			start("b", 1, 1, small)
 			time.Sleep(3 * time.Second)
@@ -99,7 +99,7 @@
 				f, start := fleet(is)
 				c.run(f, start)
 				var got judge.Rule
-				for _, v := range f.Judge.Violations(time.Now()) {
+				for _, v := range f.Checker.Violations(time.Now()) {
 					got = v.Rule
 				}
 				is.Equal(got, c.want)
@@ -124,20 +124,20 @@
 			is.Equal(f.Worker("a").Runs()[0].ExitCode, 1)
 		}},
 		{"unreachable", workersim.Faults{Unreachable: true}, 0, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
-			is.True(errors.Is(err, worker.ErrNotReached))
+			is.True(errors.Is(err, worker.ErrUnreachable))
 			is.Equal(len(f.Worker("a").Runs()), 0)
 		}},
-		{"one caller disconnected", workersim.Faults{}, workersim.CutBefore, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
-			is.True(errors.Is(err, worker.ErrNotReached))
+		{"one caller disconnected", workersim.Faults{}, workersim.DropRequest, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
+			is.True(errors.Is(err, worker.ErrUnreachable))
 			_, err = f.Caller("q").Order(ctx, "a", o)
 			is.NoErr(err)
 		}},
-		{"replies dropped", workersim.Faults{}, workersim.CutAnswer, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
-			is.True(errors.Is(err, worker.ErrLost))
+		{"replies dropped", workersim.Faults{}, workersim.DropReply, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
+			is.True(errors.Is(err, worker.ErrNoReply))
 			is.Equal(len(f.Worker("a").Runs()), 1)
 		}},
-		{"slower than the caller's timeout", workersim.Faults{Slow: 5 * time.Second}, 0, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
-			is.True(errors.Is(err, worker.ErrLost))
+		{"slower than the caller's timeout", workersim.Faults{Delay: 5 * time.Second}, 0, func(is *is.I, f *workersim.Fleet, _ worker.OrderReply, err error) {
+			is.True(errors.Is(err, worker.ErrNoReply))
 			is.Equal(len(f.Worker("a").Runs()), 0)
 			time.Sleep(6 * time.Second)
 			is.Equal(len(f.Worker("a").Runs()), 1) // the call took effect later
--- a/internal/worker/workertest/workertest.go
+++ b/internal/worker/workertest/workertest.go
@@ -158,20 +158,20 @@
 func orderForOtherIncarnation(is *is.I, x Target) {
 	before, err := x.claim(1)
 	is.NoErr(err)
-	is.True(before.Life != 0)
-	o := worker.Order{Epoch: 1, Life: before.Life, Expires: 1 << 50, Starts: []worker.Start{start(0, 0)}}
+	is.True(before.Incarnation != 0)
+	o := worker.Order{Epoch: 1, Incarnation: before.Incarnation, Expires: 1 << 50, Starts: []worker.Start{start(0, 0)}}
 	x.Restart()
 	_, err = x.order(o)
 	is.True(errors.Is(err, worker.ErrNotClaimed))
 	c, err := x.claim(1)
 	is.NoErr(err)
-	is.True(c.Life != before.Life)
+	is.True(c.Incarnation != before.Incarnation)
 	_, err = x.order(o)
 	is.True(errors.Is(err, worker.ErrNotClaimed)) // even though it is claimed under the same epoch
 	c, err = x.claim(1)
 	is.NoErr(err)
 	is.Equal(len(c.Runs), 0)
-	o.Life = c.Life
+	o.Incarnation = c.Incarnation
 	r, err := x.order(o)
 	is.NoErr(err)
 	is.Equal(r.Running, 1)
@@ -211,9 +211,9 @@
 		Starts: []worker.Start{start(0, 0), start(1, 0), start(2, 0)}})
 	is.NoErr(err)
 	r, err := x.order(worker.Order{Epoch: 1, Expires: c.Now + longLease, Stops: []worker.Stop{
-		{Attempt: attempt(0), Mode: worker.Throttle},
-		{Attempt: attempt(1), Mode: worker.Checkpoint},
-		{Attempt: attempt(2), Mode: worker.Kill},
+		{Attempt: attempt(0), Mode: worker.ModeThrottle},
+		{Attempt: attempt(1), Mode: worker.ModeCheckpoint},
+		{Attempt: attempt(2), Mode: worker.ModeStop},
 	}})
 	is.NoErr(err)
 	is.Equal(r.Running, 1) // a throttled run continues
@@ -228,7 +228,7 @@
 	x.LoseReply()
 	_, err = x.order(worker.Order{Epoch: 1, Expires: c.Now + longLease, RenewMillis: longLease,
 		Starts: []worker.Start{start(0, 0)}})
-	is.True(errors.Is(err, worker.ErrLost))
+	is.True(errors.Is(err, worker.ErrNoReply))
 	c, err = x.claim(1)
 	is.NoErr(err)
 	is.Equal(len(c.Runs), 1)
@@ -237,7 +237,7 @@
 func unreachableAddress(is *is.I, x Target) {
 	x.Addr = x.UnreachableAddr
 	_, err := x.claim(1)
-	is.True(errors.Is(err, worker.ErrNotReached))
+	is.True(errors.Is(err, worker.ErrUnreachable))
 	_, err = x.order(worker.Order{Epoch: 1})
-	is.True(errors.Is(err, worker.ErrNotReached))
+	is.True(errors.Is(err, worker.ErrUnreachable))
 }
--- a/test/e2e/harness/calls.go
+++ b/test/e2e/harness/calls.go
@@ -142,7 +142,7 @@
 	Eventually(c.t, limit, what, func() error {
 		s, err := c.Job(h, id)
 		if err == nil && !cond(s) {
-			err = fmt.Errorf("job is %s, tasks %+v, %s", s.State, s.Counts, s.Reason)
+			err = fmt.Errorf("job is %s, tasks %+v, %s", s.State, s.TaskCounts, s.Reason)
 		}
 		return err
 	})
--- a/test/e2e/worker_test.go
+++ b/test/e2e/worker_test.go
@@ -31,7 +31,7 @@
 			c.Platform.WorkerFaults(faulty, workersim.Faults{LoseAnswers: 10})
 		}},
 		{"is slower than its callers wait", func(c *harness.Cell) {
-			c.Platform.WorkerFaults(faulty, workersim.Faults{Slow: 4 * time.Second})
+			c.Platform.WorkerFaults(faulty, workersim.Faults{Delay: 4 * time.Second})
 			time.Sleep(harness.TaskLease)
 			c.Platform.WorkerFaults(faulty, workersim.Faults{})
 		}},
--- a/test/soak/cell_test.go
+++ b/test/soak/cell_test.go
@@ -51,7 +51,7 @@
 	c := &cell{t: t, platform: fake.New(), bin: bin, conds: conds}
 	t.Cleanup(c.platform.Close)
 	c.platform.Seed(conds.seed)
-	c.platform.Fleet.KeepsID, c.platform.Fleet.BackAfter = conds.keepsID, 700*time.Millisecond
+	c.platform.Fleet.KeepID, c.platform.Fleet.RestartDelay = conds.keepsID, 700*time.Millisecond
 	c.platform.SetCallFaults(conds.callFaults)
 	c.addHosts(hosts)
 	for i, h := range c.platform.Hosts() {
@@ -129,13 +129,13 @@
 
 // testCatalog returns a catalog with queues of the kinds in the users' specification.
 func testCatalog(version int64) *catalog.Catalog {
-	advice := func(decide, each float64) *catalog.Advice {
-		return &catalog.Advice{DecideMillis: decide, PerHostMillis: each, ValidMillis: 1500}
+	advice := func(decide, each float64) *catalog.PolicyQuery {
+		return &catalog.PolicyQuery{DecideMillis: decide, PerHostMillis: each, ValidMillis: 1500}
 	}
-	queue := func(name string, priority, attempts int, stretch float64, target int64, a *catalog.Advice) catalog.Queue {
+	queue := func(name string, priority, attempts int, stretch float64, target int64, a *catalog.PolicyQuery) catalog.Queue {
 		return catalog.Queue{
 			Name: name, Host: "cell.example", Prefix: "/" + name + "/", Service: "s", TimeoutMillis: 3000,
-			Rules: catalog.Rules{Priority: priority, Attempts: attempts, Stretch: stretch, TargetMillis: target, Advice: a},
+			Rules: catalog.Rules{Priority: priority, MaxAttempts: attempts, CriticalPathFactor: stretch, TargetMillis: target, PolicyQuery: a},
 		}
 	}
 	return &catalog.Catalog{
--- a/test/soak/conditions_test.go
+++ b/test/soak/conditions_test.go
@@ -35,11 +35,11 @@
 }{
 	{"none", fake.CallFaults{}},
 	{"requests and answers lost, calls delayed", fake.CallFaults{
-		LoseRequests: 0.06, LoseAnswers: 0.1, Late: 0.06, LateLeast: minCallDelay, LateMost: maxCallDelay,
+		LoseRequests: 0.06, LoseAnswers: 0.1, DelayRequests: 0.06, MinDelay: minCallDelay, MaxDelay: maxCallDelay,
 	}},
 	{"requests lost", fake.CallFaults{LoseRequests: 0.2}},
 	{"answers lost", fake.CallFaults{LoseAnswers: 0.3}},
-	{"orders delayed", fake.CallFaults{Late: 0.25, LateLeast: minCallDelay, LateMost: maxCallDelay, SpareLooks: true}},
+	{"orders delayed", fake.CallFaults{DelayRequests: 0.25, MinDelay: minCallDelay, MaxDelay: maxCallDelay, OrdersOnly: true}},
 }
 
 // conditionsOf returns the conditions of a seed; successive seeds differ in them.
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -37,7 +37,7 @@
 func (s *faultSeries) link(m proxytest.Mode) func() {
 	p := s.proxy()
 	p.Set(m)
-	return func() { p.Set(proxytest.Open) }
+	return func() { p.Set(proxytest.NoFaults) }
 }
 
 func (s *faultSeries) store(f memstore.Faults) func() {
@@ -72,15 +72,15 @@
 
 // disconnect stops all calls to the host, in both directions, until reconnected.
 func disconnect(h *fake.HostServer) func() {
-	h.Cut(true)
-	return func() { h.Cut(false) }
+	h.SetDisconnected(true)
+	return func() { h.SetDisconnected(false) }
 }
 
 // restartDisconnected disconnects a host, and has it lose power and restart meanwhile.
 func restartDisconnected(h *fake.HostServer) func() {
-	h.Cut(true)
-	h.RestartDark()
-	return func() { h.Cut(false) }
+	h.SetDisconnected(true)
+	h.RestartAfterPowerLoss()
+	return func() { h.SetDisconnected(false) }
 }
 
 // noEnd is the end of a fault that needs none.
@@ -117,23 +117,23 @@
 		}
 	}},
 	{"link delayed", func(s *faultSeries) func() {
-		return s.link(proxytest.Mode{Delay: 80 * time.Millisecond, Up: true, Down: true})
+		return s.link(proxytest.Mode{Delay: 80 * time.Millisecond, ForwardUp: true, ForwardDown: true})
 	}},
 	{"link reset", func(s *faultSeries) func() { s.proxy().Reset(); return noEnd }},
 	{"link refused", func(s *faultSeries) func() { return s.link(proxytest.Mode{Refuse: true}) }},
 	{"link silent", func(s *faultSeries) func() { return s.link(proxytest.Mode{}) }},
-	{"link one way up", func(s *faultSeries) func() { return s.link(proxytest.Mode{Up: true}) }},
-	{"link one way down", func(s *faultSeries) func() { return s.link(proxytest.Mode{Down: true}) }},
+	{"link one way up", func(s *faultSeries) func() { return s.link(proxytest.Mode{ForwardUp: true}) }},
+	{"link one way down", func(s *faultSeries) func() { return s.link(proxytest.Mode{ForwardDown: true}) }},
 	{"open connections become silent", func(s *faultSeries) func() {
 		n := s.node()
-		n.store.Mute()
-		n.peer.Mute()
+		n.store.Blackhole()
+		n.peer.Blackhole()
 		return noEnd
 	}},
 	{"all open connections become silent", func(s *faultSeries) func() {
 		for _, n := range s.c.nodes {
-			n.store.Mute()
-			n.peer.Mute()
+			n.store.Blackhole()
+			n.peer.Blackhole()
 		}
 		return noEnd
 	}},
@@ -150,33 +150,33 @@
 	{"host restarts", func(s *faultSeries) func() { s.l.host().Restart(); return noEnd }},
 	{"hosts lose power and restart", func(s *faultSeries) func() {
 		for range 4 {
-			s.l.host().RestartDark()
+			s.l.host().RestartAfterPowerLoss()
 		}
 		return noEnd
 	}},
 	{"host disconnected", func(s *faultSeries) func() { return disconnect(s.l.host()) }},
 	{"host disconnected from the store as well", func(s *faultSeries) func() {
 		h := s.l.host()
-		h.CutFromStore(true)
+		h.SetStoreDisconnected(true)
 		reconnect := disconnect(h)
-		return func() { reconnect(); h.CutFromStore(false) }
+		return func() { reconnect(); h.SetStoreDisconnected(false) }
 	}},
 	{"host restarts while disconnected", func(s *faultSeries) func() { return restartDisconnected(s.l.host()) }},
 	{"connections to a host reset", func(s *faultSeries) func() { s.l.host().Reset(); return noEnd }},
 	{"connections to all hosts reset", func(s *faultSeries) func() { s.eachHost((*fake.HostServer).Reset); return noEnd }},
-	{"connections to a host become silent", func(s *faultSeries) func() { s.l.host().Silence(); return noEnd }},
-	{"connections to all hosts become silent", func(s *faultSeries) func() { s.eachHost((*fake.HostServer).Silence); return noEnd }},
+	{"connections to a host become silent", func(s *faultSeries) func() { s.l.host().SilenceConnections(); return noEnd }},
+	{"connections to all hosts become silent", func(s *faultSeries) func() { s.eachHost((*fake.HostServer).SilenceConnections); return noEnd }},
 	{"calls to a host lost", func(s *faultSeries) func() {
 		return s.callFaults(fake.CallFaults{LoseRequests: 0.5, LoseAnswers: 0.2})
 	}},
 	{"answers of a host lost", func(s *faultSeries) func() { return s.callFaults(fake.CallFaults{LoseAnswers: 0.7}) }},
 	{"calls to a host delayed", func(s *faultSeries) func() {
-		return s.callFaults(fake.CallFaults{Late: 0.7, LateLeast: minCallDelay, LateMost: maxCallDelay})
+		return s.callFaults(fake.CallFaults{DelayRequests: 0.7, MinDelay: minCallDelay, MaxDelay: maxCallDelay})
 	}},
 	{"host fails every task", func(s *faultSeries) func() {
 		h := s.l.host().Host()
-		h.Fail(true)
-		return func() { h.Fail(false) }
+		h.SetFailTasks(true)
+		return func() { h.SetFailTasks(false) }
 	}},
 	{"configuration changes", func(s *faultSeries) func() {
 		s.c.platform.SetCatalog(testCatalog(time.Now().UnixMilli()))
--- a/test/soak/load_test.go
+++ b/test/soak/load_test.go
@@ -79,7 +79,7 @@
 	var steps []map[string]any
 	w.queue, steps = l.drawSteps()
 	w.body, _ = json.Marshal(map[string]any{"spec": "x", "steps": steps}) // can not fail for plain data
-	l.c.platform.Fleet.Know(jobRecord(w, steps))
+	l.c.platform.Fleet.AddJob(jobRecord(w, steps))
 	return w
 }
 
@@ -206,27 +206,27 @@
 	status, body := l.call(http.MethodGet, w, nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	judge := l.c.platform.Fleet.Judge()
+	judge := l.c.platform.Fleet.Checker()
 	if status == http.StatusGone && w.accepted {
-		judge.Breach("LOST job %s was accepted and is unknown to the node", w.id)
+		judge.RecordViolation("LOST job %s was accepted and is unknown to the node", w.id)
 	}
 	if status != http.StatusOK {
 		return false
 	}
 	var answer struct{ State record.State }
 	if err := json.Unmarshal(body, &answer); err != nil {
-		judge.Breach("the state of job %s is not valid JSON: %q", w.id, body)
+		judge.RecordViolation("the state of job %s is not valid JSON: %q", w.id, body)
 		return true
 	}
 	switch {
 	case w.state.Final() && answer.State != w.state:
-		judge.Breach("job %s was reported as %s and is now reported as %s", w.id, w.state, answer.State)
+		judge.RecordViolation("job %s was reported as %s and is now reported as %s", w.id, w.state, answer.State)
 	case answer.State == record.StateCompleted && !judge.JobDone(w.id):
-		judge.Breach("MIXED job %s is reported as completed, but not all its tasks are done", w.id)
+		judge.RecordViolation("MIXED job %s is reported as completed, but not all its tasks are done", w.id)
 	case answer.State == record.StateFailed && w.state != record.StateFailed:
-		judge.GaveUpFor(w.id, l.endReason(w.id))
+		judge.CheckFailedJob(w.id, l.endReason(w.id))
 	case answer.State == record.StateCancelled && !w.cancel:
-		judge.Breach("LOST job %s is reported as cancelled without a cancel request", w.id)
+		judge.RecordViolation("LOST job %s is reported as cancelled without a cancel request", w.id)
 	}
 	w.state = answer.State
 	return w.state.Final()
@@ -241,7 +241,7 @@
 	}
 	rec, err := record.DecodeJob(value)
 	if err != nil {
-		l.c.platform.Fleet.Judge().Breach("the record of job %s can not be decoded: %v", id, err)
+		l.c.platform.Fleet.Checker().RecordViolation("the record of job %s can not be decoded: %v", id, err)
 		return ""
 	}
 	return rec.Why
@@ -257,7 +257,7 @@
 		}
 		for !l.poll(w) {
 			if time.Now().After(deadline) {
-				l.c.platform.Fleet.Judge().Breach("LOST job %s of %s is %q at the end", w.id, w.queue, w.state)
+				l.c.platform.Fleet.Checker().RecordViolation("LOST job %s of %s is %q at the end", w.id, w.queue, w.state)
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -267,10 +267,10 @@
 
 // checkRefused checks that no task of a job that was refused by every answer has started.
 func (l *load) checkRefused() {
-	judge := l.c.platform.Fleet.Judge()
+	judge := l.c.platform.Fleet.Checker()
 	for _, w := range l.jobs {
 		if !w.accepted && !w.unknown && judge.Started(w.id) {
-			judge.Breach("REFUSED job %s was refused by every answer and has started", w.id)
+			judge.RecordViolation("REFUSED job %s was refused by every answer and has started", w.id)
 		}
 	}
 }
--- a/test/soak/report_test.go
+++ b/test/soak/report_test.go
@@ -24,10 +24,10 @@
 			accepted++
 		}
 	}
-	judge := l.c.platform.Fleet.Judge()
+	judge := l.c.platform.Fleet.Checker()
 	t.Logf("%d jobs, %d accepted, %d starts, %d hosts crashed", len(l.jobs), accepted, judge.Starts(), judge.HostsCrashed())
 	t.Log("in the logs:", l.c.countInLogs("start unanswered", "run lost", "crash held against task", "job-crashes-hosts"))
-	violations := judge.Wrong()
+	violations := judge.Violations()
 	for _, v := range violations {
 		t.Error(v)
 	}
--- a/test/soak/together_test.go
+++ b/test/soak/together_test.go
@@ -36,13 +36,13 @@
 	case 1:
 		h.Restart()
 	case 2:
-		h.RestartDark()
+		h.RestartAfterPowerLoss()
 	case 3:
 		reconnect := disconnect(h)
 		pause()
 		reconnect()
 	default:
-		h.Cut(true)
+		h.SetDisconnected(true)
 		pause()
 		reconnect := restartDisconnected(h)
 		pause()
