--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -77,7 +77,8 @@
 
 // Job is the progress of a submitted job.
 type Job struct {
-	// Tried jobs were sent to the store by this process, Relayed ones to peers.
+	// Tried is true once this process has sent the job to the store, Relayed once it has sent
+	// the job to a peer.
 	Tried, Relayed bool
 	// OutcomeUnknown is true if an unanswered call may have stored the job or may still store it.
 	OutcomeUnknown bool
--- a/internal/advice/lanes.go
+++ b/internal/advice/lanes.go
@@ -17,8 +17,8 @@
 type querySlot struct {
 	name string
 	// busyUntil is the expected time of the reply to the last query of the queue.
-	busyUntil time.Time
-	sent      int // queries sent and not yet answered
+	busyUntil   time.Time
+	outstanding int // queries sent and not yet answered
 	// failures counts consecutive failures; after the last one, at failedAt, the query slot
 	// is not used until backoffUntil.
 	failures               int
@@ -48,51 +48,51 @@
 func NewQuerySlots() *QuerySlots { return &QuerySlots{} }
 
 // SetMembers replaces the set of members. Members that stay keep their state.
-func (l *QuerySlots) SetMembers(names []string) {
+func (q *QuerySlots) SetMembers(names []string) {
 	old := map[string]*querySlot{}
-	for _, x := range l.slots {
-		old[x.name] = x
+	for _, slot := range q.slots {
+		old[slot.name] = slot
 	}
-	l.slots = l.slots[:0]
+	q.slots = q.slots[:0]
 	sorted := append([]string(nil), names...)
 	sort.Strings(sorted)
 	for _, name := range sorted {
-		x := old[name]
-		if x == nil {
-			x = &querySlot{name: name}
+		slot := old[name]
+		if slot == nil {
+			slot = &querySlot{name: name}
 		}
-		l.slots = append(l.slots, x)
+		q.slots = append(q.slots, slot)
 	}
 }
 
 // Assign adds a query of the given duration to the query slot that will answer it first.
 // It returns the member's name and the expected time of the reply, or false if the
 // backlogs of all query slots that the query may use are too long.
-func (l *QuerySlots) Assign(duration time.Duration, now time.Time) (name string, answered time.Time, ok bool) {
-	leastLoaded := l.leastLoaded(duration, now)
-	if leastLoaded == nil {
+func (q *QuerySlots) Assign(duration time.Duration, now time.Time) (name string, replyAt time.Time, ok bool) {
+	slot := q.leastLoaded(duration, now)
+	if slot == nil {
 		return "", time.Time{}, false
 	}
-	if leastLoaded.busyUntil.Before(now) {
-		leastLoaded.busyUntil = now
+	if slot.busyUntil.Before(now) {
+		slot.busyUntil = now
 	}
-	leastLoaded.busyUntil = leastLoaded.busyUntil.Add(duration)
-	leastLoaded.sent++
-	return leastLoaded.name, leastLoaded.busyUntil, true
+	slot.busyUntil = slot.busyUntil.Add(duration)
+	slot.outstanding++
+	return slot.name, slot.busyUntil, true
 }
 
 // MayAssign reports whether a query slot may take a query of the given duration now.
-func (l *QuerySlots) MayAssign(duration time.Duration, now time.Time) bool {
-	return l.leastLoaded(duration, now) != nil
+func (q *QuerySlots) MayAssign(duration time.Duration, now time.Time) bool {
+	return q.leastLoaded(duration, now) != nil
 }
 
 // HalfIdle reports whether at least half of the query slots for a query of the given duration
 // have no outstanding queries.
-func (l *QuerySlots) HalfIdle(duration time.Duration, now time.Time) bool {
-	slots, _ := l.eligible(duration, now)
+func (q *QuerySlots) HalfIdle(duration time.Duration, now time.Time) bool {
+	slots, _ := q.eligible(duration, now)
 	idle := 0
-	for _, x := range slots {
-		if x.sent == 0 {
+	for _, slot := range slots {
+		if slot.outstanding == 0 {
 			idle++
 		}
 	}
@@ -101,21 +101,21 @@
 
 // leastLoaded returns the query slot with the shortest backlog for a query of the given
 // duration, or nil if none may take the query now.
-func (l *QuerySlots) leastLoaded(duration time.Duration, now time.Time) *querySlot {
-	slots, backlog := l.eligible(duration, now)
-	var leastLoaded *querySlot
-	for _, x := range slots {
-		if x.sent >= maxOutstanding || x.failures > 0 && x.sent > 0 {
+func (q *QuerySlots) leastLoaded(duration time.Duration, now time.Time) *querySlot {
+	slots, backlog := q.eligible(duration, now)
+	var best *querySlot
+	for _, slot := range slots {
+		if slot.outstanding >= maxOutstanding || slot.failures > 0 && slot.outstanding > 0 {
 			continue // after a failure a query slot gets one query at a time
 		}
-		if leastLoaded == nil || x.busyUntil.Before(leastLoaded.busyUntil) {
-			leastLoaded = x
+		if best == nil || slot.busyUntil.Before(best.busyUntil) {
+			best = slot
 		}
 	}
-	if leastLoaded == nil || leastLoaded.busyUntil.Sub(now) > backlog {
+	if best == nil || best.busyUntil.Sub(now) > backlog {
 		return nil
 	}
-	return leastLoaded
+	return best
 }
 
 // Division of the query slots: the first seventh serves short queries only, the slots up
@@ -127,8 +127,8 @@
 
 // eligible returns the query slots for queries of the given duration, and their largest
 // permitted backlog. Queries of all durations share the slots if there are few.
-func (l *QuerySlots) eligible(duration time.Duration, now time.Time) ([]*querySlot, time.Duration) {
-	slots := l.usable(now)
+func (q *QuerySlots) eligible(duration time.Duration, now time.Time) ([]*querySlot, time.Duration) {
+	slots := q.usable(now)
 	n := len(slots)
 	if n < mediumDivisor {
 		return slots, longBacklog
@@ -146,15 +146,15 @@
 
 // usable returns the query slots without failures, followed by those whose back-off after
 // a failure has ended.
-func (l *QuerySlots) usable(now time.Time) []*querySlot {
-	working := make([]*querySlot, 0, len(l.slots))
+func (q *QuerySlots) usable(now time.Time) []*querySlot {
+	working := make([]*querySlot, 0, len(q.slots))
 	var failed []*querySlot
-	for _, x := range l.slots {
+	for _, slot := range q.slots {
 		switch {
-		case x.failures == 0:
-			working = append(working, x)
-		case !now.Before(x.backoffUntil):
-			failed = append(failed, x)
+		case slot.failures == 0:
+			working = append(working, slot)
+		case !now.Before(slot.backoffUntil):
+			failed = append(failed, slot)
 		}
 	}
 	return append(working, failed...)
@@ -162,22 +162,22 @@
 
 // RecordReply records at now the reply to a query sent at sent, or its failure. A failure
 // of a query that was sent before the query slot's last failure is ignored.
-func (l *QuerySlots) RecordReply(name string, failed bool, sent, now time.Time) {
-	for _, x := range l.slots {
-		if x.name != name {
+func (q *QuerySlots) RecordReply(name string, failed bool, sent, now time.Time) {
+	for _, slot := range q.slots {
+		if slot.name != name {
 			continue
 		}
-		x.sent = max(x.sent-1, 0)
-		if x.sent == 0 && x.busyUntil.After(now) {
-			x.busyUntil = now
+		slot.outstanding = max(slot.outstanding-1, 0)
+		if slot.outstanding == 0 && slot.busyUntil.After(now) {
+			slot.busyUntil = now
 		}
 		switch {
 		case !failed:
-			x.failures = 0
-		case x.failures == 0 || !sent.Before(x.failedAt):
-			x.backoffUntil = now.Add(initialBackoff << min(x.failures, maxDoublings))
-			x.failedAt = now
-			x.failures++
+			slot.failures = 0
+		case slot.failures == 0 || !sent.Before(slot.failedAt):
+			slot.backoffUntil = now.Add(initialBackoff << min(slot.failures, maxDoublings))
+			slot.failedAt = now
+			slot.failures++
 		}
 	}
 }
--- a/internal/advice/port.go
+++ b/internal/advice/port.go
@@ -30,7 +30,7 @@
 
 // Service is a client of the policy service.
 type Service interface {
-	// Query returns which of the hosts may run the step. The reply takes the time given in
-	// the queue's settings, once the queries that wait already have been answered.
+	// Query returns which of the hosts may run the step. The service takes the time
+	// given in the queue's settings to answer, after it has answered the queries that wait.
 	Query(ctx context.Context, step spec.StepID, hosts []host.ID) (Reply, error)
 }
--- a/internal/cell/claimer.go
+++ b/internal/cell/claimer.go
@@ -93,69 +93,69 @@
 	peer.Handle(mux, peer.KindHolderStatus, c.onHolderStatus)
 	peer.Handle(mux, peer.KindHandover, c.onHandover)
 	go c.Lateness.Run(ctx)
-	for _, w := range c.monitors {
-		c.running.Go(func() { c.monitor(ctx, w) })
+	for _, mon := range c.monitors {
+		c.running.Go(func() { c.monitor(ctx, mon) })
 	}
 }
 
-func (w *holderMonitor) isHeld() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.held
+func (mon *holderMonitor) isHeld() bool {
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	return mon.held
 }
 
-func (w *holderMonitor) isInContact(epoch uint64, limit time.Duration, now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.held || w.epoch == epoch && now.Sub(w.lastContact) < limit
+func (mon *holderMonitor) isInContact(epoch uint64, limit time.Duration, now time.Time) bool {
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	return mon.held || mon.epoch == epoch && now.Sub(mon.lastContact) < limit
 }
 
-func (w *holderMonitor) invite(epoch uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.invitedEpoch = epoch
+func (mon *holderMonitor) invite(epoch uint64) {
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	mon.invitedEpoch = epoch
 }
 
 // trackEpoch resets the monitor if the holder has changed. The new holder has the full silence
 // limit to reply to a heartbeat.
-func (w *holderMonitor) trackEpoch(epoch uint64, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.epoch != epoch {
-		w.epoch, w.lastContact, w.chainChangedAt, w.chainRevision = epoch, now, time.Time{}, 0
-		w.refused, w.replaced, w.storeOutage = false, false, 0
+func (mon *holderMonitor) trackEpoch(epoch uint64, now time.Time) {
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	if mon.epoch != epoch {
+		mon.epoch, mon.lastContact, mon.chainChangedAt, mon.chainRevision = epoch, now, time.Time{}, 0
+		mon.refused, mon.replaced, mon.storeOutage = false, false, 0
 	}
 }
 
 // monitor sends heartbeats to one partition's holder and claims the partition if the holder is
 // considered dead.
-func (c *Claimer) monitor(ctx context.Context, w *holderMonitor) {
+func (c *Claimer) monitor(ctx context.Context, mon *holderMonitor) {
 	for ctx.Err() == nil {
-		h, _ := c.View.Holder(w.partition)
-		w.trackEpoch(h.Epoch, time.Now())
+		h, _ := c.View.Holder(mon.partition)
+		mon.trackEpoch(h.Epoch, time.Now())
 		if c.Health.SinceLastReply(time.Now()) > time.Hour {
 			wait.For(ctx, MinHeartbeatInterval/4) // no information before the store's first reply
 			continue
 		}
 		if h.Epoch > 0 && h.Incarnation != c.Self.Incarnation {
-			go c.sendHeartbeat(ctx, w, h)
+			go c.sendHeartbeat(ctx, mon, h)
 		}
-		if c.isLeaving() || !c.isHolderDead(ctx, w, c.evidence(w, h)) {
-			c.waitForChange(ctx, w, h.Epoch)
+		if c.isLeaving() || !c.isHolderDead(ctx, mon, c.evidence(mon, h)) {
+			c.waitForChange(ctx, mon, h.Epoch)
 			continue
 		}
-		c.claim(ctx, w, h)
+		c.claim(ctx, mon, h)
 	}
 }
 
 // waitForChange waits until the next heartbeat is due, the holder has changed or a handover is
 // requested.
-func (c *Claimer) waitForChange(ctx context.Context, w *holderMonitor, epoch uint64) {
+func (c *Claimer) waitForChange(ctx context.Context, mon *holderMonitor, epoch uint64) {
 	timer := time.NewTimer(heartbeatInterval(c.View.Size()))
 	defer timer.Stop()
 	for {
 		changed := c.View.Changed()
-		if h, _ := c.View.Holder(w.partition); h.Epoch != epoch || w.isInvited(epoch) {
+		if h, _ := c.View.Holder(mon.partition); h.Epoch != epoch || mon.isInvited(epoch) {
 			return
 		}
 		select {
@@ -168,39 +168,39 @@
 	}
 }
 
-func (w *holderMonitor) isInvited(epoch uint64) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.invitedEpoch == epoch && epoch != 0
+func (mon *holderMonitor) isInvited(epoch uint64) bool {
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	return mon.invitedEpoch == epoch && epoch != 0
 }
 
 // sendHeartbeat sends one heartbeat and processes the reply. Heartbeats may overlap; each reply
 // is processed on arrival.
-func (c *Claimer) sendHeartbeat(ctx context.Context, w *holderMonitor, h ledger.Holder) {
+func (c *Claimer) sendHeartbeat(ctx context.Context, mon *holderMonitor, h ledger.Holder) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply HeartbeatReply
 	err := c.Peers.Call(ctx, h.Addr, peer.KindMemberHeartbeat, Heartbeat{
-		Partition: w.partition, From: c.Self.Name, FromAddr: c.Self.Addr, Catalog: c.CatalogVersion(),
+		Partition: mon.partition, From: c.Self.Name, FromAddr: c.Self.Addr, Catalog: c.CatalogVersion(),
 		Members: c.Health.FailingFor(time.Now()) > 0,
 	}, &reply)
 	if err == nil && reply.Incarnation == h.Incarnation {
 		c.applyReply(reply)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.epoch != h.Epoch {
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	if mon.epoch != h.Epoch {
 		return
 	}
 	switch {
 	case err != nil:
-		w.refused = result.CodeOf(err) == result.PeerNotReached && ctx.Err() == nil
+		mon.refused = result.CodeOf(err) == result.PeerNotReached && ctx.Err() == nil
 	case reply.Incarnation != h.Incarnation:
-		w.replaced = true
+		mon.replaced = true
 	default:
-		w.refused, w.storeOutage = false, reply.StoreOutage
+		mon.refused, mon.storeOutage = false, reply.StoreOutage
 		if reply.Holds {
-			w.lastContact = time.Now()
+			mon.lastContact = time.Now()
 		}
 	}
 }
--- a/internal/cell/heartbeat.go
+++ b/internal/cell/heartbeat.go
@@ -22,7 +22,8 @@
 	Members bool `cbor:"5,keyasint,omitempty"`
 }
 
-// HeartbeatReply is the reply of the process at the holder's address, which may be another one.
+// HeartbeatReply is the reply of the process at the holder's address, which may not be the
+// holder.
 type HeartbeatReply struct {
 	Incarnation string `cbor:"1,keyasint"`
 	// Holds is true if the replying process is the holder.
--- a/internal/cell/slow_test.go
+++ b/internal/cell/slow_test.go
@@ -29,28 +29,28 @@
 
 // otherMembers reply after a delay per member and record handover requests.
 type otherMembers struct {
-	answers map[string]time.Duration // delay by address; members without one never reply
+	replyDelays map[string]time.Duration // by address; members without one never reply
 
-	mu      sync.Mutex
-	invited []string
-	at      time.Time
+	mu        sync.Mutex
+	invited   []string
+	invitedAt time.Time
 }
 
 func (o *otherMembers) Call(ctx context.Context, addr string, kind peer.Kind, _, _ any) error {
-	after, ok := o.answers[addr]
+	delay, ok := o.replyDelays[addr]
 	if !ok {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	select {
-	case <-time.After(after):
+	case <-time.After(delay):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	if kind == peer.KindHandover {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.invited, o.at = append(o.invited, addr), time.Now()
+		o.invited, o.invitedAt = append(o.invited, addr), time.Now()
 	}
 	return nil
 }
@@ -63,19 +63,19 @@
 		view.members[name] = Member{Name: name, Incarnation: name + "-1", Addr: name}
 	}
 	view.UpdateHolder(ledger.Holder{Epoch: 3, Name: "a", Incarnation: "a-1", Addr: "a"})
-	w := &holderMonitor{}
-	c := &Claimer{Lateness: &lateness.Timers{}, Self: view.members["a"], View: view, Peers: others, Log: logrus.NewEntry(log), monitors: []*holderMonitor{w}}
-	return c, w
+	mon := &holderMonitor{}
+	c := &Claimer{Lateness: &lateness.Timers{}, Self: view.members["a"], View: view, Peers: others, Log: logrus.NewEntry(log), monitors: []*holderMonitor{mon}}
+	return c, mon
 }
 
 // TestSlowHolderHandsItsPartitionOver guards against a holder that keeps its partition although
-// its host has become several times slower: it answers heartbeats, but decides seconds late.
+// its host has become several times slower: it replyDelays heartbeats, but decides seconds late.
 func TestSlowHolderHandsItsPartitionOver(t *testing.T) {
 	tests := map[string]struct {
-		answers map[string]time.Duration
-		slow    bool
-		want    string
-		weak    []string // members with less processor time than the holder
+		replyDelays map[string]time.Duration
+		slow        bool
+		want        string
+		weak        []string // members with less processor time than the holder
 	}{
 		"to the member that replies first": {map[string]time.Duration{"b": 40 * time.Millisecond, "c": 5 * time.Millisecond, "d": 90 * time.Millisecond}, true, "c", nil},
 		"not to an unresponsive member":    {map[string]time.Duration{"d": 200 * time.Millisecond}, true, "d", nil},
@@ -88,8 +88,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				others := &otherMembers{answers: tc.answers}
-				c, w := slowClaimer(others)
+				others := &otherMembers{replyDelays: tc.replyDelays}
+				c, mon := slowClaimer(others)
 				c.Self.Cores = 0.8
 				for name, m := range c.View.members {
 					m.Cores = 0.8
@@ -101,7 +101,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				start := time.Now()
-				go c.handOverWhenSlow(ctx, w)
+				go c.handOverWhenSlow(ctx, mon)
 				if tc.slow {
 					simulateSlowHost(c.Lateness)
 				}
@@ -113,7 +113,7 @@
 					return
 				}
 				is.Equal(others.invited[0], tc.want)
-				is.True(others.at.Sub(start) >= minTenure) // no earlier handover
+				is.True(others.invitedAt.Sub(start) >= minTenure) // no earlier handover
 			})
 		})
 	}
@@ -122,14 +122,14 @@
 // TestSlowProcessTakesNoPartition checks that a slow process refuses a handover request.
 func TestSlowProcessTakesNoPartition(t *testing.T) {
 	is := is.New(t)
-	c, w := slowClaimer(&otherMembers{})
+	c, mon := slowClaimer(&otherMembers{})
 	req := HandoverRequest{Holder: ledger.Holder{Epoch: 3, Name: "b", Incarnation: "b-1"}}
 	_, err := c.onHandover(t.Context(), req)
 	is.NoErr(err)
-	is.True(w.isInvited(3))
+	is.True(mon.isInvited(3))
 	simulateSlowHost(c.Lateness)
-	w.invite(0)
+	mon.invite(0)
 	_, err = c.onHandover(t.Context(), req)
 	is.True(errors.Is(err, &result.Error{Code: result.NotReady}))
-	is.True(!w.isInvited(3))
+	is.True(!mon.isInvited(3))
 }
--- a/internal/cell/succession.go
+++ b/internal/cell/succession.go
@@ -14,8 +14,8 @@
 	silenceThreshold = 700 * time.Millisecond
 	// rankDelay is the election delay per rank among the candidates.
 	rankDelay = 150 * time.Millisecond
-	// stalledWritesThreshold is how long the holder must not have written before a member
-	// that cannot query others claims the partition.
+	// stalledWritesThreshold is the time without a write of the holder after which a member that
+	// cannot query others claims the partition.
 	stalledWritesThreshold = 2 * time.Second
 	// storeOutageThreshold is how long a holder may be without the store before a member that
 	// reaches the store claims the partition. It exceeds the latency of a store that is merely
@@ -60,18 +60,18 @@
 
 // Dead reports whether the evidence suffices to claim the partition. A false positive moves the
 // partition needlessly, but does not endanger safety.
-func (v Evidence) Dead() bool {
+func (e Evidence) Dead() bool {
 	switch {
-	case v.Holder.Epoch == 0, v.Replaced, v.HolderStoreOutage >= storeOutageThreshold:
+	case e.Holder.Epoch == 0, e.Replaced, e.HolderStoreOutage >= storeOutageThreshold:
 		return true
-	case v.InContact > 0:
+	case e.InContact > 0:
 		return false
-	case v.Refused && (v.Agreeing > 0 || v.Others == 0):
+	case e.Refused && (e.Agreeing > 0 || e.Others == 0):
 		return true
-	case v.Silence >= v.Limit && v.Agreeing > 0 && 2*v.Agreeing >= v.Others:
+	case e.Silence >= e.Limit && e.Agreeing > 0 && 2*e.Agreeing >= e.Others:
 		return true
 	}
-	return v.Silence >= v.Limit && v.WritesStalled >= stalledWritesThreshold
+	return e.Silence >= e.Limit && e.WritesStalled >= stalledWritesThreshold
 }
 
 // Candidates returns the members that may succeed the holder, in order of preference: members
@@ -122,11 +122,11 @@
 			rank = i
 		}
 	}
-	wait := time.Duration(min(rank, maxRank)) * rankDelay
-	if self.weak(members) {
-		wait += weakDelay
+	delay := time.Duration(min(rank, maxRank)) * rankDelay
+	if self.isMuchWeaker(members) {
+		delay += weakDelay
 	}
-	return wait
+	return delay
 }
 
 // maxRank bounds the number of better candidates that a member waits for.
@@ -137,9 +137,9 @@
 // holder performs poorly.
 const weakDelay = 1200 * time.Millisecond
 
-// weak reports whether another member, including the failed holder, has much more processor
-// time.
-func (m Member) weak(members []Member) bool {
+// isMuchWeaker reports whether one of the members, which include the failed holder, has much
+// more processor time.
+func (m Member) isMuchWeaker(members []Member) bool {
 	for _, other := range members {
 		if other.Cores > strongerFactor*m.Cores {
 			return true
--- a/internal/cell/takeover.go
+++ b/internal/cell/takeover.go
@@ -14,16 +14,16 @@
 
 // claim claims a partition, after the election delay unless a handover was requested, and runs
 // it if the claim succeeds.
-func (c *Claimer) claim(ctx context.Context, w *holderMonitor, previous ledger.Holder) {
+func (c *Claimer) claim(ctx context.Context, mon *holderMonitor, previous ledger.Holder) {
 	if previous.Epoch == 0 {
 		wait.For(ctx, firstClaimDelay-time.Since(c.started))
 	}
-	if !w.isInvited(previous.Epoch) && !c.waitClaimDelay(ctx, w, previous) {
+	if !mon.isInvited(previous.Epoch) && !c.waitClaimDelay(ctx, mon, previous) {
 		return
 	}
 	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	l, current, err := ledger.Claim(claimCtx, c.Writes, previous, ledger.Holder{
-		Partition: w.partition, Name: c.Self.Name, Incarnation: c.Self.Incarnation, Addr: c.Self.Addr,
+		Partition: mon.partition, Name: c.Self.Name, Incarnation: c.Self.Incarnation, Addr: c.Self.Addr,
 	})
 	cancel()
 	switch {
@@ -36,18 +36,18 @@
 		return
 	}
 	c.View.UpdateHolder(current)
-	c.Log.WithFields(logrus.Fields{"partition": w.partition, "epoch": current.Epoch, "from": previous.Name}).Info("partition claimed")
-	c.runPartition(ctx, w, l, previous)
+	c.Log.WithFields(logrus.Fields{"partition": mon.partition, "epoch": current.Epoch, "from": previous.Name}).Info("partition claimed")
+	c.runPartition(ctx, mon, l, previous)
 }
 
 // waitClaimDelay waits for this member's election delay. It returns false if another member
 // has claimed the partition meanwhile or ctx has ended.
-func (c *Claimer) waitClaimDelay(ctx context.Context, w *holderMonitor, previous ledger.Holder) bool {
+func (c *Claimer) waitClaimDelay(ctx context.Context, mon *holderMonitor, previous ledger.Holder) bool {
 	ctx, cancel := context.WithTimeout(ctx, ClaimDelay(c.View.Members(time.Now()), previous.Name, c.Self))
 	defer cancel()
 	for {
 		changed := c.View.Changed()
-		if h, _ := c.View.Holder(w.partition); h.Epoch != previous.Epoch {
+		if h, _ := c.View.Holder(mon.partition); h.Epoch != previous.Epoch {
 			return false
 		}
 		select {
@@ -59,32 +59,32 @@
 }
 
 // runPartition runs a claimed partition until it is lost or handed over.
-func (c *Claimer) runPartition(ctx context.Context, w *holderMonitor, l *ledger.Ledger, previous ledger.Holder) {
+func (c *Claimer) runPartition(ctx context.Context, mon *holderMonitor, l *ledger.Ledger, previous ledger.Holder) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w.mu.Lock()
-	w.held, w.stop = true, cancel
-	w.mu.Unlock()
+	mon.mu.Lock()
+	mon.held, mon.stop = true, cancel
+	mon.mu.Unlock()
 	go c.yieldToStronger(ctx, cancel)
-	go c.handOverWhenSlow(ctx, w)
+	go c.handOverWhenSlow(ctx, mon)
 	err := c.Hold(ctx, l, previous)
-	w.mu.Lock()
-	w.held, w.stop = false, nil
-	w.mu.Unlock()
+	mon.mu.Lock()
+	mon.held, mon.stop = false, nil
+	mon.mu.Unlock()
 	if ctx.Err() != nil {
-		c.handOverPartition(context.WithoutCancel(ctx), w)
+		c.handOverPartition(context.WithoutCancel(ctx), mon)
 	}
-	c.Log.WithError(err).WithFields(logrus.Fields{"partition": w.partition, "epoch": l.Holder().Epoch}).Warn("partition not held any more")
+	c.Log.WithError(err).WithFields(logrus.Fields{"partition": mon.partition, "epoch": l.Holder().Epoch}).Warn("partition not held any more")
 }
 
 // Leave stops claiming and hands all held partitions over. It returns when other members have
 // claimed them or ctx ends.
 func (c *Claimer) Leave(ctx context.Context) {
 	c.leaveOnce.Do(func() { close(c.leaving) })
-	for _, w := range c.monitors {
-		w.mu.Lock()
-		stop := w.stop
-		w.mu.Unlock()
+	for _, mon := range c.monitors {
+		mon.mu.Lock()
+		stop := mon.stop
+		mon.mu.Unlock()
 		if stop == nil {
 			continue
 		}
@@ -92,11 +92,11 @@
 	}
 	released := make(chan struct{})
 	go func() {
-		for _, w := range c.monitors {
-			for w.isHeld() {
+		for _, mon := range c.monitors {
+			for mon.isHeld() {
 				wait.For(ctx, MinHeartbeatInterval/20)
 			}
-			c.awaitSuccessor(ctx, w)
+			c.awaitSuccessor(ctx, mon)
 		}
 		close(released)
 	}()
@@ -107,10 +107,10 @@
 }
 
 // awaitSuccessor waits until another process is the holder of the partition or ctx ends.
-func (c *Claimer) awaitSuccessor(ctx context.Context, w *holderMonitor) {
+func (c *Claimer) awaitSuccessor(ctx context.Context, mon *holderMonitor) {
 	for ctx.Err() == nil {
 		changed := c.View.Changed()
-		if h, ok := c.View.Holder(w.partition); !ok || h.Incarnation != c.Self.Incarnation {
+		if h, ok := c.View.Holder(mon.partition); !ok || h.Incarnation != c.Self.Incarnation {
 			return
 		}
 		select {
@@ -140,8 +140,8 @@
 
 // handOverPartition asks the candidates, in order of preference, to claim a partition that this
 // process has stopped running, until one of them does.
-func (c *Claimer) handOverPartition(ctx context.Context, w *holderMonitor) {
-	h, ok := c.View.Holder(w.partition)
+func (c *Claimer) handOverPartition(ctx context.Context, mon *holderMonitor) {
+	h, ok := c.View.Holder(mon.partition)
 	if !ok || h.Incarnation != c.Self.Incarnation {
 		return
 	}
@@ -175,6 +175,7 @@
 		}
 	}
 }
+
 func (c *Claimer) isLeaving() bool {
 	select {
 	case <-c.leaving:
--- a/internal/cell/view.go
+++ b/internal/cell/view.go
@@ -44,20 +44,21 @@
 
 func memberKey(name string) string { return memberPrefix + name }
 
-// View has the known members and holders of the cell. It is safe for concurrent use.
+// View is the state of the cell as observed by this process: its members and holders. It is
+// safe for concurrent use.
 type View struct {
 	mu      sync.Mutex
 	members map[string]Member
 	// reported are members that peers reported while the store did not answer, with their
 	// expiry.
-	reported map[string]reported
+	reported map[string]reportedMember
 	holders  map[int]ledger.Holder
 	changed  chan struct{}
 }
 
-type reported struct {
-	member Member
-	until  time.Time
+type reportedMember struct {
+	member    Member
+	expiresAt time.Time
 }
 
 // reportedMemberTTL is how long a member is kept that was only reported by a peer. Heartbeats
@@ -67,7 +68,7 @@
 // NewView returns a view without members and holders.
 func NewView() *View {
 	return &View{
-		members: map[string]Member{}, reported: map[string]reported{}, holders: map[int]ledger.Holder{},
+		members: map[string]Member{}, reported: map[string]reportedMember{}, holders: map[int]ledger.Holder{},
 		changed: make(chan struct{}),
 	}
 }
@@ -94,9 +95,9 @@
 	for _, m := range v.members {
 		out = append(out, m)
 	}
-	for name, h := range v.reported {
-		if _, known := v.members[name]; !known && now.Before(h.until) {
-			out = append(out, h.member)
+	for name, r := range v.reported {
+		if _, known := v.members[name]; !known && now.Before(r.expiresAt) {
+			out = append(out, r.member)
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
@@ -130,8 +131,8 @@
 	return h, ok
 }
 
-// UpdateHolder records a holder read from the store or reported by a peer if its epoch is higher than
-// that of the known holder, or equal to it while the known revision is zero.
+// UpdateHolder records a holder read from the store or reported by a peer if its epoch is higher
+// than that of the known holder, or equal to it while the known revision is zero.
 func (v *View) UpdateHolder(h ledger.Holder) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -230,10 +231,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, m := range members {
-		v.reported[m.Name] = reported{m, now.Add(reportedMemberTTL)}
+		v.reported[m.Name] = reportedMember{m, now.Add(reportedMemberTTL)}
 	}
-	for name, h := range v.reported {
-		if now.After(h.until) {
+	for name, r := range v.reported {
+		if now.After(r.expiresAt) {
 			delete(v.reported, name)
 		}
 	}
--- a/internal/heartbeat/service.go
+++ b/internal/heartbeat/service.go
@@ -25,8 +25,8 @@
 	Urgent() bool
 	// GrantPromise decides whether to grant a promise.
 	GrantPromise(promise PromiseRequest) bool
-	// HandleReply processes the reply to a heartbeat that was sent at sent.
-	HandleReply(sent time.Time, reply Reply)
+	// HandleReply processes the reply to a heartbeat that was sent at sentAt.
+	HandleReply(sentAt time.Time, reply Reply)
 	// Targets returns the addresses to send heartbeats to.
 	Targets() []string
 	// Table returns the table for a process that has none, or nil.
@@ -124,12 +124,12 @@
 	return out
 }
 
-// Forget removes the members for which gone returns true.
-func (s *Service) Forget(gone func(Contact) bool) {
+// Forget removes the members for which ended returns true.
+func (s *Service) Forget(ended func(Contact) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, contact := range s.contacts {
-		if gone(*contact) {
+		if ended(*contact) {
 			delete(s.contacts, name)
 		}
 	}
@@ -174,14 +174,14 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*s.interval)
 	defer cancel()
 	s.sent.Inc()
-	sent := uptime.Now()
+	sentAt := uptime.Now()
 	var reply Reply
 	if err := s.peers.Call(ctx, addr, peer.KindHeartbeat, heartbeat, &reply); err != nil {
 		s.failed.Inc()
 		return
 	}
 	s.record(reply.Status, nil)
-	s.placer.HandleReply(sent, reply)
+	s.placer.HandleReply(sentAt, reply)
 }
 
 func (s *Service) handle(_ context.Context, heartbeat Request) (Reply, error) {
--- a/internal/heartbeat/service_test.go
+++ b/internal/heartbeat/service_test.go
@@ -89,6 +89,6 @@
 	s.record(Status{Member: view.Member{Name: "b", Incarnation: "3"}}, nil)
 	contact, _ = s.Contact("b")
 	is.Equal(contact.Status.Member.Incarnation, "3")
-	s.Forget(func(h Contact) bool { return h.Status.Member.Name == "b" })
+	s.Forget(func(c Contact) bool { return c.Status.Member.Name == "b" })
 	is.Equal(len(s.Contacts()), 0)
 }
--- a/internal/holder/burst_test.go
+++ b/internal/holder/burst_test.go
@@ -37,12 +37,12 @@
 const (
 	burstHosts         = 120
 	burstShards        = 16
-	baseJobsPerSecond  = 40 // a second
+	baseJobsPerSecond  = 40
 	burstFactor        = 2.3
 	tasksPerJob        = 4
 	taskRunTime        = 640 * time.Millisecond
 	latencyLimit       = taskRunTime*3/2 + 250*time.Millisecond
-	linkBytesPerSecond = 2e6 / 8 // a second, each way
+	linkBytesPerSecond = 2e6 / 8 // each way
 	// An HTTP request and its response together have about 1,400 bytes and cost the caller
 	// 0.15 ms of a core. A message between members has 60 bytes of framing and costs each
 	// side 0.05 ms. The holder has 0.12 of a core.
@@ -87,20 +87,20 @@
 
 const oneWayLatency = time.Millisecond
 
-func (o directHosts) call(ctx context.Context, to host.Info, deliver func(*hostsim.Host)) error {
-	if o.caller != nil {
-		o.caller.core.occupy(requestCPUTime)
-		o.caller.out.occupy(transferTime(requestBytes))
+func (d directHosts) call(ctx context.Context, to host.Info, deliver func(*hostsim.Host)) error {
+	if d.caller != nil {
+		d.caller.core.occupy(requestCPUTime)
+		d.caller.out.occupy(transferTime(requestBytes))
 	}
 	time.Sleep(oneWayLatency)
 	if ctx.Err() != nil {
 		return host.ErrLost
 	}
-	deliver(o.fleet.Host(to.ID))
+	deliver(d.fleet.Host(to.ID))
 	time.Sleep(oneWayLatency)
-	if o.caller != nil {
-		o.caller.in.occupy(transferTime(requestBytes))
-		o.caller.core.occupy(requestCPUTime)
+	if d.caller != nil {
+		d.caller.in.occupy(transferTime(requestBytes))
+		d.caller.core.occupy(requestCPUTime)
 	}
 	if ctx.Err() != nil {
 		return host.ErrLost
@@ -108,27 +108,27 @@
 	return nil
 }
 
-func (o directHosts) Start(ctx context.Context, to host.Info, epoch uint64, s host.Start) (r host.Reply, err error) {
-	err = o.call(ctx, to, func(h *hostsim.Host) { r = h.Start(epoch, s) })
+func (d directHosts) Start(ctx context.Context, to host.Info, epoch uint64, s host.Start) (r host.Reply, err error) {
+	err = d.call(ctx, to, func(h *hostsim.Host) { r = h.Start(epoch, s) })
 	return r, err
 }
 
-func (o directHosts) Stop(ctx context.Context, to host.Info, epoch uint64, run host.Run) (r host.Reply, err error) {
-	err = o.call(ctx, to, func(h *hostsim.Host) { r = h.Stop(epoch, run) })
+func (d directHosts) Stop(ctx context.Context, to host.Info, epoch uint64, run host.Run) (r host.Reply, err error) {
+	err = d.call(ctx, to, func(h *hostsim.Host) { r = h.Stop(epoch, run) })
 	return r, err
 }
 
-func (o directHosts) Throttle(ctx context.Context, to host.Info, epoch uint64, run host.Run, percent int) (r host.Reply, err error) {
-	err = o.call(ctx, to, func(h *hostsim.Host) { r = h.Throttle(epoch, run, percent) })
+func (d directHosts) Throttle(ctx context.Context, to host.Info, epoch uint64, run host.Run, percent int) (r host.Reply, err error) {
+	err = d.call(ctx, to, func(h *hostsim.Host) { r = h.Throttle(epoch, run, percent) })
 	return r, err
 }
 
-func (o directHosts) Poll(ctx context.Context, to host.Info, epoch uint64, l host.Poll) (v host.View, err error) {
-	err = o.call(ctx, to, func(h *hostsim.Host) {
-		answer := make(chan host.View, 1)
-		h.Poll(epoch, l, func(v host.View) { answer <- v })
+func (d directHosts) Poll(ctx context.Context, to host.Info, epoch uint64, poll host.Poll) (v host.View, err error) {
+	err = d.call(ctx, to, func(h *hostsim.Host) {
+		reply := make(chan host.View, 1)
+		h.Poll(epoch, poll, func(v host.View) { reply <- v })
 		select {
-		case v = <-answer:
+		case v = <-reply:
 		case <-ctx.Done():
 		}
 	})
@@ -140,7 +140,7 @@
 	mu              sync.Mutex
 	muxes           peer.Local
 	holderResources *processResources
-	disconnect      map[string]bool // members without connection to the others
+	disconnected    map[string]bool // members without connection to the others
 }
 
 // register sets the mux that receives the calls to a member.
@@ -150,12 +150,12 @@
 	n.muxes[addr] = mux
 }
 
-// route returns the destination of calls between two members, the resources of the present
+// route returns the destination of calls between two members, the resources of the current
 // holder, and whether either member is disconnected.
-func (n *network) route(from, to string) (dest peer.Local, holderResources *processResources, disconnect bool) {
+func (n *network) route(from, to string) (dest peer.Local, holderResources *processResources, disconnected bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return peer.Local{to: n.muxes[to]}, n.holderResources, n.disconnect[from] || n.disconnect[to]
+	return peer.Local{to: n.muxes[to]}, n.holderResources, n.disconnected[from] || n.disconnected[to]
 }
 
 // networkPort is one member's connection to the network.
@@ -164,9 +164,9 @@
 	addr string
 }
 
-func (e networkPort) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
-	dest, holderResources, disconnect := e.route(e.addr, addr)
-	if disconnect {
+func (p networkPort) Call(ctx context.Context, addr string, kind peer.Kind, req, resp any) error {
+	dest, holderResources, disconnected := p.route(p.addr, addr)
+	if disconnected {
 		<-ctx.Done()
 		return result.New(result.PeerLost, result.RanUnknown, "disconnected")
 	}
@@ -175,7 +175,7 @@
 		return err
 	}
 	link := &holderResources.out
-	if e.addr != "holder" {
+	if p.addr != "holder" {
 		link = &holderResources.in
 	}
 	holderResources.core.occupy(messageCPUTime)
@@ -206,7 +206,7 @@
 func newBurstCell(t *testing.T, shards int) *burstCell {
 	c := &burstCell{
 		t: t, store: memstore.New(), fleet: hostsim.NewFleet(hostsim.RealClock{}), arrived: map[string]time.Time{}, finished: map[string]time.Time{},
-		network: &network{muxes: peer.Local{}, disconnect: map[string]bool{}},
+		network: &network{muxes: peer.Local{}, disconnected: map[string]bool{}},
 	}
 	c.fleet.Add(burstHosts, "s", spec.Resources{MilliCPU: 64000, MemoryMiB: 262144})
 	c.shards = []linkshard.Member{{Name: "holder", Addr: "holder", Cores: 0.12, LinkMbps: 2}}
@@ -331,10 +331,11 @@
 	return float64(inTime) / float64(submitted)
 }
 
-// TestBurstOnABoundedHolder checks that the cell completes as many jobs in time as before
-// from five seconds after a burst, a store outage, the loss of a third of the link shards or
-// of the holder on. A holder without link shards, which makes all calls over its own link,
-// completed none of the jobs submitted later than 5 s after the burst.
+// TestBurstOnABoundedHolder checks that, from five seconds after the end of a fault on, the
+// cell completes as many jobs in time as before it. The faults are a burst, a store outage,
+// and the loss of a third of the link shards or of the holder. A holder without link shards,
+// which makes all calls over its own link, completed none of the jobs submitted later than 5 s
+// after the burst.
 func TestBurstOnABoundedHolder(t *testing.T) {
 	const (
 		faultAt       = 6 * time.Second
@@ -349,11 +350,11 @@
 		}
 		return baseJobsPerSecond
 	}
-	disconnect := func(c *burstCell, disconnect bool) {
+	setDisconnected := func(c *burstCell, disconnected bool) {
 		c.network.mu.Lock()
 		defer c.network.mu.Unlock()
 		for i := 0; i < burstShards; i += 3 {
-			c.network.disconnect[fmt.Sprint("m", i)] = disconnect
+			c.network.disconnected[fmt.Sprint("m", i)] = disconnected
 		}
 	}
 	tests := map[string]struct {
@@ -364,8 +365,8 @@
 		minServed float64
 	}{
 		"burst":                              {burstRate, func(*burstCell) {}, func(*burstCell) {}, 0.9},
-		"a third of the shards disconnected": {baseRate, func(c *burstCell) { disconnect(c, true) }, func(c *burstCell) { disconnect(c, false) }, 0.7},
-		"burst on fewer shards":              {burstRate, func(c *burstCell) { disconnect(c, true) }, func(c *burstCell) { disconnect(c, false) }, 0.6},
+		"a third of the shards disconnected": {baseRate, func(c *burstCell) { setDisconnected(c, true) }, func(c *burstCell) { setDisconnected(c, false) }, 0.7},
+		"burst on fewer shards":              {burstRate, func(c *burstCell) { setDisconnected(c, true) }, func(c *burstCell) { setDisconnected(c, false) }, 0.6},
 		"store unavailable":                  {baseRate, func(c *burstCell) { c.store.SetFaults(memstore.Faults{Hang: true}) }, func(c *burstCell) { c.store.SetFaults(memstore.Faults{}) }, 0},
 		"holder replaced in a burst": {burstRate, func(c *burstCell) {
 			c.stop()
@@ -394,9 +395,9 @@
 				t.Logf("completed in time: %.3f before the fault, %.3f during it, %.3f from %v after it", before, during, after, recoveryTime)
 				c.stop()
 				c.store.Close()
-				time.Sleep(10 * time.Second) // open calls and runs end
-				for _, wrong := range c.fleet.Checker().Violations() {
-					t.Error(wrong)
+				time.Sleep(10 * time.Second) // pending calls and runs end
+				for _, violation := range c.fleet.Checker().Violations() {
+					t.Error(violation)
 				}
 				is.True(before >= 0.95)
 				is.True(during >= tc.minServed)
--- a/internal/holder/dump.go
+++ b/internal/holder/dump.go
@@ -41,8 +41,8 @@
 	held := slices.Collect(maps.Values(t.holders))
 	t.mu.Unlock()
 	for _, h := range held {
-		if x, known := h.explain(id); known {
-			return x, nil
+		if explanation, ok := h.explain(id); ok {
+			return explanation, nil
 		}
 	}
 	if len(held) == 0 {
--- a/internal/holder/follow.go
+++ b/internal/holder/follow.go
@@ -64,9 +64,9 @@
 	reads.Go(func() {
 		state.progress = map[string]*record.Progress{}
 		h.listAll(record.ProgressPrefix(p), func(rec platform.Record) error {
-			done, err := record.DecodeProgress(rec.Value)
+			progress, err := record.DecodeProgress(rec.Value)
 			if err == nil {
-				state.progress[record.JobIDOf(rec.Key)] = done
+				state.progress[record.JobIDOf(rec.Key)] = progress
 			}
 			return err
 		})
@@ -230,9 +230,9 @@
 func (h *Holder) applyJob(rec platform.Record) {
 	id := record.JobIDOf(rec.Key)
 	h.mu.Lock()
-	known := h.engine.HasJob(id)
+	exists := h.engine.HasJob(id)
 	h.mu.Unlock()
-	if known {
+	if exists {
 		return
 	}
 	j, err := record.DecodeJob(rec.Value)
--- a/internal/holder/follow_test.go
+++ b/internal/holder/follow_test.go
@@ -27,8 +27,8 @@
 // idleHosts are hosts without runs that answer every poll.
 type idleHosts struct{ host.Client }
 
-func (idleHosts) Poll(_ context.Context, _ host.Info, _ uint64, l host.Poll) (host.View, error) {
-	time.Sleep(l.Wait)
+func (idleHosts) Poll(_ context.Context, _ host.Info, _ uint64, poll host.Poll) (host.View, error) {
+	time.Sleep(poll.Wait)
 	return host.View{Clock: 1}, nil
 }
 
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -159,11 +159,11 @@
 	onAcquired()
 	defer onLost()
 	var loops sync.WaitGroup
-	work := []func(){h.decideLoop, h.commitLoop, h.followHosts, h.followJobs, h.reportAccounts, func() { h.router.Run(h.ctx) }}
+	loopFuncs := []func(){h.decideLoop, h.commitLoop, h.followHosts, h.followJobs, h.reportAccounts, func() { h.router.Run(h.ctx) }}
 	if h.cfg.Machines != nil {
-		work = append(work, h.followRollouts)
+		loopFuncs = append(loopFuncs, h.followRollouts)
 	}
-	for _, loop := range work {
+	for _, loop := range loopFuncs {
 		loops.Go(loop)
 	}
 	loops.Wait()
@@ -257,8 +257,8 @@
 // dispatchOrders starts the execution of the orders without waiting for any result.
 func (h *Holder) dispatchOrders(o engine.Orders) {
 	h.router.Do(h.ctx, h.hostCalls(o))
-	for _, a := range o.Queries {
-		h.calls.Go(func() { h.queryPolicy(a) })
+	for _, q := range o.Queries {
+		h.calls.Go(func() { h.queryPolicy(q) })
 	}
 	for _, u := range o.MachineOrders {
 		h.calls.Go(func() { h.startMaintenance(u) })
@@ -290,14 +290,14 @@
 		}})
 	}
 	for _, p := range o.Throttles {
-		pace := &linkshard.Throttle{Run: p.Run, Percent: p.Percent}
-		calls = append(calls, linkshard.Call{To: p.To, Throttle: pace, Done: func(x linkshard.Outcome, now time.Time) {
+		throttle := &linkshard.Throttle{Run: p.Run, Percent: p.Percent}
+		calls = append(calls, linkshard.Call{To: p.To, Throttle: throttle, Done: func(x linkshard.Outcome, now time.Time) {
 			e.HandleThrottleResult(p, x.Reply, x.Err, now)
 		}})
 	}
-	for _, l := range o.Polls {
-		calls = append(calls, linkshard.Call{To: l.To, Poll: &l.Poll, Done: func(x linkshard.Outcome, now time.Time) {
-			e.Polled(l, x.Sent, x.View, x.Err, now)
+	for _, p := range o.Polls {
+		calls = append(calls, linkshard.Call{To: p.To, Poll: &p.Poll, Done: func(x linkshard.Outcome, now time.Time) {
+			e.Polled(p, x.Sent, x.View, x.Err, now)
 		}})
 	}
 	return calls
--- a/internal/holder/table.go
+++ b/internal/holder/table.go
@@ -104,13 +104,13 @@
 
 // cancelJob cancels a job and waits until its final state is stored.
 func (h *Holder) cancelJob(ctx context.Context, req JobRequest) (JobReply, error) {
-	id, known := req.Job, false
+	id, accessible := req.Job, false
 	h.updateEngine(func(e *engine.Engine, now time.Time) {
 		if e.AccessibleTo(id, req.Account) {
-			_, known = e.Cancel(id, now)
+			_, accessible = e.Cancel(id, now)
 		}
 	})
-	if !known {
+	if !accessible {
 		return JobReply{}, nil
 	}
 	for {
--- a/internal/holder/upkeep.go
+++ b/internal/holder/upkeep.go
@@ -31,12 +31,12 @@
 }
 
 func (h *Holder) applyRollout(rec platform.Record) {
-	w, err := h.cfg.DecodeWave(rec)
+	rollout, err := h.cfg.DecodeWave(rec)
 	if err != nil {
 		h.log.WithError(err).Error("cannot decode a maintenance rollout")
 		return
 	}
-	h.updateEngine(func(e *engine.Engine, _ time.Time) { e.SetWave(w) })
+	h.updateEngine(func(e *engine.Engine, _ time.Time) { e.SetWave(rollout) })
 }
 
 func (h *Holder) listMachines() {
--- a/internal/ledger/suspended_test.go
+++ b/internal/ledger/suspended_test.go
@@ -12,7 +12,7 @@
 	"pulleyquay/internal/uptime"
 )
 
-// TestConfirmationAgesWhileSuspended guards against two holders that give orders at a time. A
+// TestConfirmationAgesWhileSuspended guards against two holders that give orders at the same time. A
 // holder whose machine is suspended for seconds is replaced, but the monotonic clock stops
 // meanwhile. Measured by it, the holder's authority would last for the rest of its three
 // seconds after the resumption.
--- a/internal/member/session.go
+++ b/internal/member/session.go
@@ -38,17 +38,17 @@
 	store platform.Store
 	times right.Times
 
-	mu             sync.Mutex
-	self           view.Member
-	authority      *right.Authority
-	states         *fsm.FSM
-	lease          platform.LeaseID
-	grantSent      map[platform.LeaseID]time.Time // when the request for each lease was sent
-	memberMod      platform.Revision
-	voterRecordMod platform.Revision
-	session        uint64
-	lastRenewal    time.Time // when the last successful renewal was sent
-	storeFailing   bool      // the last call to the store was not answered
+	mu                  sync.Mutex
+	self                view.Member
+	authority           *right.Authority
+	states              *fsm.FSM
+	lease               platform.LeaseID
+	grantSent           map[platform.LeaseID]time.Time // when the request for each lease was sent
+	memberRevision      platform.Revision
+	voterRecordRevision platform.Revision
+	session             uint64
+	lastRenewal         time.Time // when the last successful renewal was sent
+	storeFailing        bool      // the last call to the store was not answered
 }
 
 // NewSession returns a session of a process that has not joined.
@@ -104,7 +104,7 @@
 func (s *Session) joinTxn(voterRecord VoterRecord) platform.Txn {
 	key, voterRecordKey := Key(s.self.Name), VoterRecordKey(s.self.Name, s.self.Incarnation)
 	return platform.Txn{
-		If: []platform.Condition{{Key: key}, {Key: voterRecordKey, ModRevision: s.voterRecordMod}},
+		If: []platform.Condition{{Key: key}, {Key: voterRecordKey, ModRevision: s.voterRecordRevision}},
 		Then: []platform.Write{
 			{Key: key, Value: mustJSON(s.self), Lease: voterRecord.Lease},
 			{Key: voterRecordKey, Value: mustJSON(voterRecord)},
@@ -136,7 +136,7 @@
 		}
 	}
 	s.mu.Lock()
-	s.voterRecordMod = voterRecord.Revision
+	s.voterRecordRevision = voterRecord.Revision
 	if voterRecord.VoterRecord != nil {
 		s.session = voterRecord.VoterRecord.Session
 	}
@@ -152,10 +152,10 @@
 	return true, nil
 }
 
-func (s *Session) recordJoin(voterRecord VoterRecord, memberMod, voterRecordMod platform.Revision) {
+func (s *Session) recordJoin(voterRecord VoterRecord, memberRevision, voterRecordRevision platform.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.memberMod, s.voterRecordMod = memberMod, voterRecordMod
+	s.memberRevision, s.voterRecordRevision = memberRevision, voterRecordRevision
 	s.lease, s.session = voterRecord.Lease, voterRecord.Session
 	if s.authority.Session() != voterRecord.Session {
 		s.authority.BeginSession(s.grantSent[voterRecord.Lease], voterRecord.VoterSet)
@@ -211,7 +211,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.voterRecordMod = reply.Revision
+	s.voterRecordRevision = reply.Revision
 	s.authority.EndVoterChange(next)
 	return nil
 }
@@ -220,9 +220,9 @@
 // nothing if no change is pending.
 func (s *Session) ResolveVoterChange(ctx context.Context) error {
 	s.mu.Lock()
-	open := s.authority.VoterChangePending()
+	pending := s.authority.VoterChangePending()
 	s.mu.Unlock()
-	if !open {
+	if !pending {
 		return nil
 	}
 	return s.rewriteVoterRecord(ctx)
@@ -245,7 +245,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if reply.Applied {
-		s.voterRecordMod = reply.Revision
+		s.voterRecordRevision = reply.Revision
 		s.authority.EndVoterChange(current.VoterSet)
 		return nil
 	}
@@ -254,7 +254,7 @@
 		if err != nil || entry.VoterRecord == nil || entry.Incarnation != s.self.Incarnation {
 			continue
 		}
-		s.voterRecordMod = entry.Revision
+		s.voterRecordRevision = entry.Revision
 		s.authority.EndVoterChange(entry.VoterRecord.VoterSet)
 	}
 	return nil
@@ -264,8 +264,8 @@
 // wrote them.
 func (s *Session) sessionConditions() []platform.Condition {
 	return []platform.Condition{
-		{Key: Key(s.self.Name), ModRevision: s.memberMod},
-		{Key: VoterRecordKey(s.self.Name, s.self.Incarnation), ModRevision: s.voterRecordMod},
+		{Key: Key(s.self.Name), ModRevision: s.memberRevision},
+		{Key: VoterRecordKey(s.self.Name, s.self.Incarnation), ModRevision: s.voterRecordRevision},
 	}
 }
 
--- a/internal/member/session_test.go
+++ b/internal/member/session_test.go
@@ -51,9 +51,9 @@
 	return right.Voter{Name: f.self.Name, Incarnation: f.self.Incarnation, Addr: f.self.Addr}
 }
 
-// until returns the end of the authority in the current session, and the session.
-func (f *fixture) until() (until time.Time, session uint64) {
-	f.WithAuthority(func(h *right.Authority) { until, session = h.Until(time.Now(), h.Session()), h.Session() })
+// authorityUntil returns the end of the authority in the current session, and the session.
+func (f *fixture) authorityUntil() (until time.Time, session uint64) {
+	f.WithAuthority(func(a *right.Authority) { until, session = a.Until(time.Now(), a.Session()), a.Session() })
 	return until, session
 }
 
@@ -75,12 +75,12 @@
 func TestSessionUnderFaults(t *testing.T) {
 	other := right.Voter{Name: "b", Incarnation: "1", Addr: "b"}
 	tests := []struct {
-		name    string
-		faults  memstore.Faults // while joining
-		commits int             // replies to commits lost while joining
-		change  memstore.Faults // while changing the voter set
-		expire  bool            // the lease expires between the two
-		session uint64
+		name              string
+		joinFaults        memstore.Faults
+		lostCommitReplies int             // while joining
+		changeFaults      memstore.Faults // while changing the voter set
+		expire            bool            // the lease expires after joining, before the change
+		session           uint64
 	}{
 		{"healthy", memstore.Faults{}, 0, memstore.Faults{}, false, 1},
 		{"reply to the grant lost", memstore.Faults{LoseAnswers: 1}, 0, memstore.Faults{}, false, 1},
@@ -98,8 +98,8 @@
 				engine := memstore.New()
 				defer engine.Close()
 				f := newFixture(engine, "a", "1")
-				f.client.SetFaults(tt.faults)
-				f.commits.loseReplies = tt.commits
+				f.client.SetFaults(tt.joinFaults)
+				f.commits.loseReplies = tt.lostCommitReplies
 				voters := []right.Voter{f.voter()}
 				retry(t.Context(), is, func(ctx context.Context) error { return f.Join(ctx, voters) })
 				f.client.SetFaults(memstore.Faults{})
@@ -110,11 +110,11 @@
 					retry(t.Context(), is, func(ctx context.Context) error { return f.Join(ctx, voters) })
 				}
 				is.NoErr(f.Renew(t.Context()))
-				until, session := f.until()
+				until, session := f.authorityUntil()
 				is.Equal(session, tt.session)
 				is.True(until.After(time.Now()))
 
-				f.client.SetFaults(tt.change)
+				f.client.SetFaults(tt.changeFaults)
 				voters = append(voters, other)
 				retry(t.Context(), is, func(ctx context.Context) error {
 					if err := f.ResolveVoterChange(ctx); err != nil {
@@ -126,7 +126,7 @@
 				f.client.SetFaults(memstore.Faults{})
 				retry(t.Context(), is, func(ctx context.Context) error { return f.SetVoters(ctx, voters) })
 				is.Equal(f.voterRecord(t, is).Voters, voters)
-				f.WithAuthority(func(h *right.Authority) { is.Equal(h.VoterSet(), f.voterRecord(t, is).VoterSet) })
+				f.WithAuthority(func(a *right.Authority) { is.Equal(a.VoterSet(), f.voterRecord(t, is).VoterSet) })
 			})
 		})
 	}
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -26,7 +26,7 @@
 	}
 	if reply.Applied {
 		s.mu.Lock()
-		s.memberMod = reply.Revision
+		s.memberRevision = reply.Revision
 		s.mu.Unlock()
 	}
 	return nil
@@ -77,7 +77,7 @@
 func (s *Session) Condition() platform.Condition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return platform.Condition{Key: Key(s.self.Name), ModRevision: s.memberMod}
+	return platform.Condition{Key: Key(s.self.Name), ModRevision: s.memberRevision}
 }
 
 // LastRenewal returns when the last successful renewal was sent, and whether the last call to the
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -55,7 +55,7 @@
 	params          Params
 	share           int
 	excessiveShare  int // share at which the tail was last too long; Full+1 if it never was
-	changed         time.Time
+	changedAt       time.Time
 	consecutiveCuts int
 }
 
@@ -76,12 +76,12 @@
 // host's processors that backfill tasks may use, less than the share if they request less.
 // It reports whether the share has changed.
 func (t *Throttle) Observe(ratio float64, used int, now time.Time) bool {
-	if !t.changed.IsZero() && now.Sub(t.changed) < t.params.SettlingTime {
+	if !t.changedAt.IsZero() && now.Sub(t.changedAt) < t.params.SettlingTime {
 		return false
 	}
 	switch {
 	case ratio >= t.params.CutAbove && t.share > 0:
-		t.cut(ratio, min(used, t.share), now)
+		t.reduce(ratio, min(used, t.share), now)
 	case ratio < t.params.RaiseBelow && t.share < Full:
 		return t.raise(now)
 	default:
@@ -90,7 +90,7 @@
 	return true
 }
 
-func (t *Throttle) cut(ratio float64, used int, now time.Time) {
+func (t *Throttle) reduce(ratio float64, used int, now time.Time) {
 	if used > 0 {
 		t.excessiveShare = used
 	}
@@ -99,7 +99,7 @@
 	if t.share < t.params.MinShare {
 		t.share = 0
 	}
-	t.changed = now
+	t.changedAt = now
 }
 
 func (t *Throttle) raise(now time.Time) bool {
@@ -108,7 +108,7 @@
 	if t.share >= safeShare {
 		interval, step, limit = t.params.ProbeInterval, t.params.SlowStep, Full
 	}
-	if now.Sub(t.changed) < interval {
+	if now.Sub(t.changedAt) < interval {
 		return false
 	}
 	if t.share >= t.excessiveShare {
@@ -116,7 +116,7 @@
 	}
 	t.consecutiveCuts = 0
 	t.share = min(t.share+step, max(limit, t.params.MinShare))
-	t.changed = now
+	t.changedAt = now
 	return true
 }
 
@@ -126,6 +126,6 @@
 	if t.share == Full {
 		return false
 	}
-	t.share, t.excessiveShare, t.changed = Full, Full+1, now
+	t.share, t.excessiveShare, t.changedAt = Full, Full+1, now
 	return true
 }
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -16,7 +16,7 @@
 	// ratio that a backfill task at full speed adds, each at a time.
 	baseline, interference func(t time.Duration) float64
 	noise                  float64
-	// dropEvery drops each n-th figure; zero drops none.
+	// Every dropEvery-th figure is lost; none if it is zero.
 	dropEvery int
 }
 
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -22,8 +22,8 @@
 // OfExecutor returns the partition of an executor.
 func OfExecutor(name string, count int) int { return of("executor/", name, count) }
 
-func of(space, name string, count int) int {
-	return int(xxhash.Sum64String(space+name) % uint64(count))
+func of(prefix, name string, count int) int {
+	return int(xxhash.Sum64String(prefix+name) % uint64(count))
 }
 
 // Owner returns the member that should hold the partition, by rendezvous hashing, or "" if
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// names returns the names from the format for the numbers 1 to n.
+// names returns n names, made with format from the numbers 1 to n.
 func names(format string, n int) []string {
 	out := make([]string, n)
 	for i := range out {
@@ -60,9 +60,9 @@
 				for range b.N {
 					largest, smallest = 0, 0
 					for cell := range cells {
-						m, l := spread(count, names(fmt.Sprintf("cell-%d-host-%%d", cell), n))
-						largest += float64(m*n) / float64(count*cells)
-						smallest += float64(l*n) / float64(count*cells)
+						most, least := spread(count, names(fmt.Sprintf("cell-%d-host-%%d", cell), n))
+						largest += float64(most*n) / float64(count*cells)
+						smallest += float64(least*n) / float64(count*cells)
 					}
 				}
 				b.ReportMetric(largest, "most/mean")
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -166,8 +166,9 @@
 	s.Failed[task] = runs
 }
 
-// SetCrashes records the host crashes attributed to a task and its current run; nil for none.
-func (s *StepProgress) SetCrashes(task int, h crashloop.History, present *RunOn) {
+// SetCrashes records the host crashes attributed to a task, and its current run unless
+// that is nil.
+func (s *StepProgress) SetCrashes(task int, h crashloop.History, current *RunOn) {
 	if len(h) == 0 {
 		return
 	}
@@ -175,8 +176,8 @@
 		s.Crashed, s.CurrentRuns = map[int]crashloop.History{}, map[int]RunOn{}
 	}
 	s.Crashed[task] = h
-	if present != nil {
-		s.CurrentRuns[task] = *present
+	if current != nil {
+		s.CurrentRuns[task] = *current
 	}
 }
 
--- a/internal/upkeep/planner.go
+++ b/internal/upkeep/planner.go
@@ -9,18 +9,17 @@
 )
 
 const (
-	// listInterval is how often the machines are listed while a rollout is active; each
-	// listing is charged for.
+	// listInterval is how often the machines are listed while a rollout is active; the
+	// platform charges for each listing.
 	listInterval = 1500 * time.Millisecond
-	// retryDelay is the pause before an order is repeated whose reply was lost or said that
-	// the machine is busy.
+	// retryDelay is the pause before an order is repeated, after a lost reply or the reply Busy.
 	retryDelay = time.Second
 	// drainTimeout is how long a host may drain before the runs that are left on it may be
 	// terminated with it. It is long, as lost work costs more than a late rollout.
 	drainTimeout = 30 * time.Second
-	// maxDowntime is the time after which a machine that is still up with the same host is
-	// considered to have had its maintenance before that host came up: the order was a
-	// repetition.
+	// maxDowntime is the time after the reply Started by which the host has ended. A machine
+	// that is then still up with the same host is considered to have had its maintenance
+	// before that host came up: the order was a repetition.
 	maxDowntime = 6 * time.Second
 	// maxMissingLists is the number of consecutive lists without a machine after which the
 	// machine is considered removed from the platform.
@@ -73,7 +72,7 @@
 	unsaved bool
 }
 
-// Order takes a machine down.
+// Order is an order to take a machine down for its maintenance.
 type Order struct {
 	Machine MachineID
 	Rollout int64
@@ -91,13 +90,13 @@
 // passed in, and orders are returned. It is not safe for concurrent use.
 type Planner struct {
 	// from is when the first order may be given: by then, no previous holder can give orders.
-	from        time.Time
-	rollouts    map[int64]*rolloutState
-	stored      map[int64]Progress
-	machines    map[MachineID]Machine
-	listed      time.Time // when the current list was requested
-	listPending bool
-	nextListAt  time.Time
+	from            time.Time
+	rollouts        map[int64]*rolloutState
+	stored          map[int64]Progress
+	machines        map[MachineID]Machine
+	listRequestedAt time.Time // of the current list
+	listPending     bool
+	nextListAt      time.Time
 }
 
 // NewPlanner returns a planner that gives no order before from. Stored is the progress
@@ -111,26 +110,26 @@
 }
 
 // SetWave adds a rollout that an operator has requested.
-func (p *Planner) SetWave(w Rollout) {
-	if p.rollouts[w.ID] != nil {
+func (p *Planner) SetWave(r Rollout) {
+	if p.rollouts[r.ID] != nil {
 		return // a rollout does not change
 	}
-	w.MaxUnavailable = max(w.MaxUnavailable, 1)
-	saved := p.stored[w.ID]
-	added := &rolloutState{Rollout: w, completed: saved.Completed, unsaved: !saved.Completed}
-	for _, id := range w.Machines {
+	r.MaxUnavailable = max(r.MaxUnavailable, 1)
+	saved := p.stored[r.ID]
+	added := &rolloutState{Rollout: r, completed: saved.Completed, unsaved: !saved.Completed}
+	for _, id := range r.Machines {
 		m := &target{id: id}
 		if slices.Contains(saved.Started, id) {
 			m.phase = down
 		}
 		added.targets = append(added.targets, m)
 	}
-	p.rollouts[w.ID] = added
+	p.rollouts[r.ID] = added
 }
 
-// UpdateMachines replaces the list of machines by one that was requested at asked. After an error the
-// previous list stays in use.
-func (p *Planner) UpdateMachines(machines []Machine, err error, asked, now time.Time) {
+// UpdateMachines replaces the list of machines by one that was requested at requestedAt. After
+// an error the previous list stays in use.
+func (p *Planner) UpdateMachines(machines []Machine, err error, requestedAt, now time.Time) {
 	p.listPending = false
 	p.nextListAt = now.Add(listInterval)
 	if err != nil {
@@ -140,9 +139,9 @@
 	for _, m := range machines {
 		p.machines[m.ID] = m
 	}
-	p.listed = asked
-	for _, w := range p.rollouts {
-		for _, m := range w.targets {
+	p.listRequestedAt = requestedAt
+	for _, r := range p.rollouts {
+		for _, m := range r.targets {
 			if _, found := p.machines[m.id]; found {
 				m.missing = 0
 			} else {
@@ -154,8 +153,8 @@
 
 // Active reports whether any rollout is not completed.
 func (p *Planner) Active() bool {
-	for _, w := range p.rollouts {
-		if !w.completed {
+	for _, r := range p.rollouts {
+		if !r.completed {
 			return true
 		}
 	}
@@ -171,13 +170,13 @@
 	if !p.listPending && !now.Before(p.nextListAt) {
 		p.listPending, list = true, true
 	}
-	if p.listed.Before(p.from) || p.listed.IsZero() {
+	if p.listRequestedAt.Before(p.from) || p.listRequestedAt.IsZero() {
 		return nil, list // the list may predate orders of a previous holder
 	}
-	for _, w := range p.activeRollouts() {
-		p.reconcile(w, cell, now)
-		orders = append(orders, p.advance(w, cell, now)...)
-		w.updateCompleted()
+	for _, r := range p.activeRollouts() {
+		p.reconcile(r, cell, now)
+		orders = append(orders, p.advance(r, cell, now)...)
+		r.updateCompleted()
 	}
 	return orders, list
 }
@@ -185,9 +184,9 @@
 // activeRollouts returns the rollouts that are not completed, sorted by ID.
 func (p *Planner) activeRollouts() []*rolloutState {
 	var out []*rolloutState
-	for _, w := range p.rollouts {
-		if !w.completed {
-			out = append(out, w)
+	for _, r := range p.rollouts {
+		if !r.completed {
+			out = append(out, r)
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
@@ -195,15 +194,15 @@
 }
 
 // reconcile updates the machines of a rollout from the last list of machines.
-func (p *Planner) reconcile(w *rolloutState, cell HostControl, now time.Time) {
-	for _, m := range w.targets {
-		listed := p.machines[m.id]
-		back := listed.Up && (listed.Host != m.host || now.Sub(m.since) > maxDowntime)
+func (p *Planner) reconcile(r *rolloutState, cell HostControl, now time.Time) {
+	for _, m := range r.targets {
+		machine := p.machines[m.id]
+		back := machine.Up && (machine.Host != m.host || now.Sub(m.since) > maxDowntime)
 		switch {
 		case m.phase == done || m.phase == removed:
 		case m.missing >= maxMissingLists && !m.orderPending:
 			m.remove(cell)
-		case m.phase == down && back && m.since.Before(p.listed):
+		case m.phase == down && back && m.since.Before(p.listRequestedAt):
 			m.phase = done
 		}
 	}
@@ -218,9 +217,9 @@
 }
 
 // advance starts drains and returns the orders that are due for a rollout's machines.
-func (p *Planner) advance(w *rolloutState, cell HostControl, now time.Time) []Order {
+func (p *Planner) advance(r *rolloutState, cell HostControl, now time.Time) []Order {
 	var orders []Order
-	for _, m := range w.targets {
+	for _, m := range r.targets {
 		if m.phase == draining && p.machines[m.id].Host != m.host {
 			m.phase = waiting // another incarnation runs on the machine
 		}
@@ -234,9 +233,9 @@
 			m.phase, m.since = ordered, now
 		}
 		m.orderPending = true
-		orders = append(orders, Order{Machine: m.id, Rollout: w.ID, Host: m.host})
+		orders = append(orders, Order{Machine: m.id, Rollout: r.ID, Host: m.host})
 	}
-	p.startDrains(w, cell, now)
+	p.startDrains(r, cell, now)
 	return orders
 }
 
@@ -247,10 +246,10 @@
 
 // startDrains begins to drain hosts, the least loaded first, up to the rollout's limit of
 // machines that may be unavailable at once.
-func (p *Planner) startDrains(w *rolloutState, cell HostControl, now time.Time) {
+func (p *Planner) startDrains(r *rolloutState, cell HostControl, now time.Time) {
 	unavailable := 0
 	var candidates []*target
-	for _, m := range w.targets {
+	for _, m := range r.targets {
 		switch {
 		case m.phase == draining || m.phase == ordered || m.phase == down:
 			unavailable++
@@ -263,40 +262,39 @@
 	sort.SliceStable(candidates, func(a, b int) bool {
 		return cell.Load(p.machines[candidates[a].id].Host) < cell.Load(p.machines[candidates[b].id].Host)
 	})
-	for _, m := range candidates[:max(min(len(candidates), w.MaxUnavailable-unavailable), 0)] {
+	for _, m := range candidates[:max(min(len(candidates), r.MaxUnavailable-unavailable), 0)] {
 		m.phase, m.since, m.host = draining, now, p.machines[m.id].Host
 		cell.Drain(m.host)
 	}
 }
 
 // updateCompleted completes a rollout when every machine is up again or was removed.
-func (w *rolloutState) updateCompleted() {
-	for _, m := range w.targets {
+func (r *rolloutState) updateCompleted() {
+	for _, m := range r.targets {
 		if m.phase != done && m.phase != removed {
 			return
 		}
 	}
-	w.completed, w.unsaved = true, true
+	r.completed, r.unsaved = true, true
 }
 
-// RecordOutcome records the outcome of an order. An outcome "begun" does not tell whether the
-// order's host was affected: the maintenance may have started, and ended, before that
-// host came up.
+// RecordOutcome records the outcome of an order. Started does not tell whether the order's host
+// was affected: the maintenance may have started, and ended, before that host came up.
 func (p *Planner) RecordOutcome(o Order, out Outcome, err error, cell HostControl, now time.Time) {
-	w := p.rollouts[o.Rollout]
-	if w == nil {
+	r := p.rollouts[o.Rollout]
+	if r == nil {
 		return
 	}
-	i := slices.IndexFunc(w.targets, func(m *target) bool { return m.id == o.Machine })
+	i := slices.IndexFunc(r.targets, func(m *target) bool { return m.id == o.Machine })
 	if i < 0 {
 		return
 	}
-	m := w.targets[i]
+	m := r.targets[i]
 	m.orderPending, m.notBefore = false, now.Add(retryDelay)
 	switch {
 	case err != nil: // the order is repeated; until then the machine counts as unavailable
 	case out == Started:
-		m.phase, m.since, w.unsaved = down, now, true
+		m.phase, m.since, r.unsaved = down, now, true
 		cell.Uncordon(m.host)
 	case out == NotInRollout:
 		m.phase = draining
@@ -311,13 +309,13 @@
 // until it is stored.
 func (p *Planner) TakeProgress() []Progress {
 	var out []Progress
-	for _, w := range p.rollouts {
-		if !w.unsaved {
+	for _, r := range p.rollouts {
+		if !r.unsaved {
 			continue
 		}
-		w.unsaved = false
-		s := Progress{Rollout: w.ID, Completed: w.completed}
-		for _, m := range w.targets {
+		r.unsaved = false
+		s := Progress{Rollout: r.ID, Completed: r.completed}
+		for _, m := range r.targets {
 			if m.phase == down || m.phase == done {
 				s.Started = append(s.Started, m.id)
 			}
@@ -330,8 +328,8 @@
 
 // HasUnsavedProgress reports whether any progress has changed since it was last returned.
 func (p *Planner) HasUnsavedProgress() bool {
-	for _, w := range p.rollouts {
-		if w.unsaved {
+	for _, r := range p.rollouts {
+		if r.unsaved {
 			return true
 		}
 	}
--- a/internal/upkeep/planner_test.go
+++ b/internal/upkeep/planner_test.go
@@ -24,16 +24,16 @@
 // simulation simulates the platform's machines and the hosts' runs in virtual time, and
 // checks the planner's orders.
 type simulation struct {
-	now        time.Time
-	machines   map[MachineID]*machine
-	busyUntil  map[host.ID]time.Time // time at which the last run on a host ends
-	cordoned   map[host.ID]bool
-	mayEnd     bool
-	maxDown    int // largest number of machines down for the rollout at the same time
-	violations []string
+	now          time.Time
+	machines     map[MachineID]*machine
+	busyUntil    map[host.ID]time.Time // time at which the last run on a host ends
+	cordoned     map[host.ID]bool
+	mayTerminate bool
+	maxDown      int // largest number of machines down for the rollout at the same time
+	violations   []string
 }
 
-const maintenanceTime = 2 * time.Second
+const maintenanceDuration = 2 * time.Second
 
 func newSimulation(n int) *simulation {
 	s := &simulation{
@@ -60,13 +60,13 @@
 	s.cordoned[h] = true
 	return !s.now.Before(s.busyUntil[h])
 }
-func (s *simulation) MayTerminate(host.ID) bool { return s.mayEnd }
+func (s *simulation) MayTerminate(host.ID) bool { return s.mayTerminate }
 func (s *simulation) Uncordon(h host.ID)        { delete(s.cordoned, h) }
 func (s *simulation) Load(h host.ID) int {
 	return int(max(s.busyUntil[h].Sub(s.now), 0) / time.Millisecond)
 }
 
-// list returns the platform's list of machines.
+// list ends the maintenance that is due and returns the platform's list of machines.
 func (s *simulation) list() []Machine {
 	var out []Machine
 	for _, id := range s.ids() {
@@ -96,11 +96,11 @@
 	case !m.Up:
 		return Busy
 	}
-	if s.now.Before(s.busyUntil[m.Host]) && !s.mayEnd {
+	if s.now.Before(s.busyUntil[m.Host]) && !s.mayTerminate {
 		s.violations = append(s.violations, fmt.Sprintf("%s is taken down while runs are left on its host", o.Machine))
 	}
 	m.maintained = append(m.maintained, o.Rollout)
-	m.Up, m.InMaintenance, m.upAt = false, true, s.now.Add(maintenanceTime)
+	m.Up, m.InMaintenance, m.upAt = false, true, s.now.Add(maintenanceDuration)
 	downNow := 0
 	for _, other := range s.machines {
 		if other.InMaintenance && !other.removed {
@@ -111,7 +111,7 @@
 	return Started
 }
 
-// faults are the probabilities of failed calls to the service for machines.
+// faults are the probabilities of failed calls to the machine service.
 type faults struct{ lostReplies, lostRequests, lostLists float64 }
 
 // run runs a planner for a duration d and checks the rollouts that it reports as completed.
@@ -136,18 +136,18 @@
 			}
 			p.UpdateMachines(s.list(), err, s.now, s.now)
 		}
-		for _, w := range p.rollouts {
-			if w.completed {
-				s.checkCompleted(w)
+		for _, r := range p.rollouts {
+			if r.completed {
+				s.checkCompleted(r)
 			}
 		}
 	}
 }
 
-func (s *simulation) checkCompleted(w *rolloutState) {
-	for _, id := range w.Machines {
-		if m := s.machines[id]; m != nil && !m.removed && !slices.Contains(m.maintained, w.ID) {
-			s.violations = append(s.violations, fmt.Sprintf("rollout %d is completed without maintenance of %s", w.ID, id))
+func (s *simulation) checkCompleted(r *rolloutState) {
+	for _, id := range r.Machines {
+		if m := s.machines[id]; m != nil && !m.removed && !slices.Contains(m.maintained, r.ID) {
+			s.violations = append(s.violations, fmt.Sprintf("rollout %d is completed without maintenance of %s", r.ID, id))
 		}
 	}
 }
@@ -204,15 +204,15 @@
 			rnd := rand.New(rand.NewPCG(1, 3))
 			s := newSimulation(6)
 			p := NewPlanner(s.now, nil)
-			w := Rollout{ID: 7, Machines: s.ids(), MaxUnavailable: 2}
-			p.SetWave(w)
+			r := Rollout{ID: 7, Machines: s.ids(), MaxUnavailable: 2}
+			p.SetWave(r)
 			s.run(p, 3*time.Second, rnd, faults{})
 			var stored []Progress
 			if saved {
 				stored = p.TakeProgress()
 			}
 			next := NewPlanner(s.now.Add(6*time.Second), stored)
-			next.SetWave(w)
+			next.SetWave(r)
 			before := s.maxDown
 			s.run(next, 5*time.Second, rnd, faults{})
 			is.Equal(s.maxDown, before) // the next holder gives no order before its start time
@@ -241,16 +241,16 @@
 // TestDrainTimeout checks that a rollout does not wait forever for runs that may be
 // terminated, and does wait for runs that may not.
 func TestDrainTimeout(t *testing.T) {
-	for _, mayEnd := range []bool{true, false} {
-		t.Run(fmt.Sprint("may terminate ", mayEnd), func(t *testing.T) {
+	for _, mayTerminate := range []bool{true, false} {
+		t.Run(fmt.Sprint("may terminate ", mayTerminate), func(t *testing.T) {
 			is := is.New(t)
 			s := newSimulation(1)
-			s.mayEnd = mayEnd
+			s.mayTerminate = mayTerminate
 			s.busyUntil["m0-0"] = s.now.Add(time.Hour)
 			p := NewPlanner(s.now, nil)
 			p.SetWave(Rollout{ID: 1, Machines: s.ids(), MaxUnavailable: 1})
 			s.run(p, drainTimeout+10*time.Second, rand.New(rand.NewPCG(1, 3)), faults{})
-			is.Equal(completed(p), mayEnd)
+			is.Equal(completed(p), mayTerminate)
 			is.Equal(s.violations, nil)
 		})
 	}
--- a/internal/upkeep/port.go
+++ b/internal/upkeep/port.go
@@ -73,5 +73,5 @@
 	// Machines lists all machines.
 	Machines(ctx context.Context) ([]Machine, error)
 	// StartMaintenance takes a machine down for its maintenance. Everything on it is terminated at once.
-	StartMaintenance(ctx context.Context, m MachineID, wave int64, holder string, epoch uint64) (Outcome, error)
+	StartMaintenance(ctx context.Context, m MachineID, rollout int64, holder string, epoch uint64) (Outcome, error)
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -21,7 +21,7 @@
 type Partition struct {
 	ID int `cbor:"1,keyasint" json:"id"`
 	// Holder, Incarnation and Addr are those of the member that holds the partition. Holder is
-	// empty after a graceful hand-over, until another member claims the partition.
+	// empty after a graceful handover, until another member claims the partition.
 	Holder      string `cbor:"2,keyasint" json:"holder"`
 	Incarnation string `cbor:"3,keyasint" json:"incarnation"`
 	Addr        string `cbor:"4,keyasint" json:"addr"`
