--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -72,7 +72,7 @@
 func newLoadTest(b *testing.B, n int, measureBytes bool) *loadTest {
 	j := judge.New()
 	tb := &testbed{
-		is: is.New(b), judge: j, sim: workersim.NewFleet(j), peers: peer.Local{}, all: map[string]platform.Host{},
+		is: is.New(b), checker: j, sim: workersim.NewFleet(j), peers: peer.Local{}, all: map[string]platform.Host{},
 		home: &fakeHome{states: map[worker.Attempt]taskmsg.RunState{}},
 	}
 	mux := peer.NewMux()
@@ -182,7 +182,7 @@
 	})
 }
 
-// stopAll stops the tasks and waits until the home has acknowledged all ends.
+// stopAll stops the tasks and waits until the job owner has acknowledged all ends.
 func (l *loadTest) stopAll(b *testing.B, jobs []taskmsg.PlaceRequest) {
 	b.Helper()
 	for _, req := range jobs {
@@ -197,7 +197,7 @@
 	waitFor(b, func() bool { return l.liveRuns() == 0 })
 }
 
-// liveRuns counts the runs whose end the home has not acknowledged.
+// liveRuns counts the runs whose end the job owner has not acknowledged.
 func (l *loadTest) liveRuns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,7 +212,7 @@
 
 const startsPerRound = 1024
 
-// BenchmarkStart measures one start from a home's request to the worker's reply, in
+// BenchmarkStart measures one start from a job owner's request to the worker's reply, in
 // rounds of 1,024 starts, for several numbers of workers and tasks per request.
 func BenchmarkStart(b *testing.B) {
 	for _, workers := range []int{48, 500} {
@@ -235,7 +235,7 @@
 }
 
 // BenchmarkStartBytes measures the bytes per run that finishes: start, end and
-// acknowledgement to and from the worker as JSON bodies, and the home's request
+// acknowledgement to and from the worker as JSON bodies, and the job owner's request
 // and the reply to it as CBOR.
 func BenchmarkStartBytes(b *testing.B) {
 	for _, size := range []int{1, 16, 256} {
@@ -310,7 +310,7 @@
 }
 
 // BenchmarkCancellationWave measures the concurrent cancellation of 256 jobs with 4,096
-// running tasks, until the home has acknowledged every end.
+// running tasks, until the job owner has acknowledged every end.
 func BenchmarkCancellationWave(b *testing.B) {
 	l := newLoadTest(b, 48, false)
 	for b.Loop() {
--- a/internal/fleet/claim.go
+++ b/internal/fleet/claim.go
@@ -73,8 +73,8 @@
 	previousBound := w.leasesEndBy
 	w.clock = clockAnchor{reading: reply.Now, at: now}
 	w.info, w.incarnation, w.usage = reply.Info, reply.Incarnation, reply.Usage
-	// The leases in the inventory were renewed before now; orders that are still
-	// in transit are covered by lostLeasesEndBy.
+	// The leases in the inventory were renewed before now. For orders that may still
+	// be in transit, lostLeasesEndBy is the bound.
 	w.leasesEndBy = later(w.lostLeasesEndBy, now.Add(f.timings.leaseBound()))
 	f.cell.Upsert(scheduler.Worker{Info: w.info, Addr: w.addr, Partition: w.heldPartition.id, Status: w.status()})
 	f.cell.Observe(w.name, w.usage, now)
@@ -125,9 +125,9 @@
 		case runRunning:
 			f.markMissing(r, previousBound, incarnationStart(reply, now))
 		case runEnded:
-			f.reportNewIncarnation(r, incarnationStart(reply, now))
+			f.handleNewIncarnation(r, incarnationStart(reply, now))
 		case runAcked:
-			f.reportNewIncarnation(r, incarnationStart(reply, now))
+			f.handleNewIncarnation(r, incarnationStart(reply, now))
 			if r.state == runAcked {
 				f.forgetRun(r)
 			}
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -38,15 +38,15 @@
 }
 
 // clockAnchor relates a worker's clock to this process's monotonic clock: the
-// worker read its clock before the reply with the reading was received, at time at.
+// worker's clock had reached reading when the reply with it was received, at time at.
 type clockAnchor struct {
 	reading worker.Millis
 	at      time.Time
 }
 
-// expiry returns a reading that the worker's clock reaches at until at the latest,
-// even if the clock is slow by the drift. The worker's clock is at or past
-// reading at the local time at, so at until it shows at least the result.
+// expiry converts a local time to the latest reading that the worker's clock has
+// certainly reached by then, even if it is slow by the drift: it had reached reading
+// at the local time at.
 func (c clockAnchor) expiry(until time.Time) worker.Millis {
 	d := until.Sub(c.at)
 	if d > 0 {
--- a/internal/fleet/crash.go
+++ b/internal/fleet/crash.go
@@ -7,23 +7,23 @@
 	"pulleyquay/internal/worker"
 )
 
-// Evidence about runs that were lost with their worker. Homes fail jobs because of crashes, so
-// a loss counts as a crash only if the run was present when the worker's incarnation ended: the
-// worker has confirmed it just before its next incarnation started. An unresponsive worker may
-// only be disconnected and answer again later. Ends of runs on it in the meantime are not
-// reported, so a run that a new incarnation does not list may have ended before the restart.
+// Evidence about runs that were lost with their worker. Job owners fail jobs because of
+// crashes, so a loss counts as a crash only if the run was present when the worker's incarnation
+// ended: the worker has confirmed it just before its next incarnation started. An unresponsive
+// worker may only be disconnected and answer again later. Ends of runs on it in the meantime are
+// not reported, so a run that a new incarnation does not list may have ended before the restart.
 
 const (
-	// recentReply is the maximum age of a worker's last reply for which a broken connection is
-	// taken to have failed during the order, and not before the order was sent.
-	recentReply = time.Second
+	// maxReplyAge is how recently a worker must have replied before an order is sent for a
+	// broken connection to count as broken during the order rather than before it.
+	maxReplyAge = time.Second
 	// presenceWindow is the maximum time between the last confirmation of a run and the start
 	// of the worker's next incarnation for which the run counts as present at the end of the
 	// previous one.
 	presenceWindow = 75 * time.Millisecond
 )
 
-// lossEvidence returns what is known about how the run was lost.
+// lossEvidence returns the evidence of how the run was lost.
 func (r *run) lossEvidence() taskmsg.LossEvidence {
 	switch {
 	case !r.startConfirmed || !r.newIncarnationSeen || r.crashExempt:
@@ -41,10 +41,10 @@
 	r.lostUnresponsive = true
 }
 
-// reportNewIncarnation handles that the worker has answered without a run that was declared lost
-// while the worker was unresponsive. The same incarnation would list the run until its end is
-// acknowledged, so this is a new one. The loss is reported to the home again.
-func (f *Fleet) reportNewIncarnation(r *run, startedAt time.Time) {
+// handleNewIncarnation handles a reply of the worker that does not list a run that was declared
+// lost while the worker was unresponsive. The same incarnation would list the run until its end is
+// acknowledged, so this is a new one. The loss is reported to the job owner again.
+func (f *Fleet) handleNewIncarnation(r *run, startedAt time.Time) {
 	if !r.lostUnresponsive || r.newIncarnationSeen {
 		return
 	}
@@ -57,7 +57,7 @@
 }
 
 // recordNewIncarnation records that a new incarnation of the worker, which started at startedAt,
-// has answered; startedAt is zero if not known.
+// has answered; startedAt is zero if the worker did not report it.
 func (r *run) recordNewIncarnation(startedAt time.Time) {
 	r.newIncarnationSeen = true
 	r.presentAtEnd = !startedAt.IsZero() && startedAt.Sub(r.managedWorker.confirmedAt) <= presenceWindow
--- a/internal/fleet/crash_test.go
+++ b/internal/fleet/crash_test.go
@@ -13,9 +13,10 @@
 
 // These tests guard against reporting runs as crashes that were lost in another way. Workers that
 // were only disconnected until their leases had expired answer again in the same incarnation, and
-// others leave as planned; homes would fail jobs whose tasks crashed no worker. A loss counts as a
-// crash only if the worker has reported the run just before its next incarnation started. If more
-// time lies between, the run may have ended before the restart without being reported.
+// others leave as planned; reported as crashes, these losses would fail jobs whose tasks crashed no
+// worker. A loss counts as a crash only if the worker has reported the run just before its next
+// incarnation started. If more time lies between, the run may have ended before the restart without
+// being reported.
 
 // lossCase is a sequence of events in which a run is lost.
 type lossCase struct {
@@ -160,7 +161,7 @@
 	b.is.Equal(b.home.lossEvidence(id), c.wantFinally)
 }
 
-// TestLaterEvidenceIsReportedToHome checks that evidence found before the home has
+// TestLaterEvidenceIsReportedToHome checks that evidence found before the job owner has
 // acknowledged a loss is reported to it as well.
 func TestLaterEvidenceIsReportedToHome(t *testing.T) {
 	noFaults, unreachable := workersim.Faults{}, workersim.Faults{Unreachable: true}
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -12,7 +12,7 @@
 )
 
 // DelegateAuthority is the authority to renew leases on behalf of a dead holder. It is
-// checked before each order, like hold.Right.
+// checked before each order, like hold.Authorizer.
 type DelegateAuthority interface {
 	CheckRenewal(partition int) (hold.Grant, error)
 }
--- a/internal/fleet/driver_test.go
+++ b/internal/fleet/driver_test.go
@@ -81,7 +81,7 @@
 	taskRunning
 )
 
-// driver is a home with one job whose tasks it keeps running. It starts the next attempt
+// driver is a job owner with one job whose tasks it keeps running. It starts the next attempt
 // as soon as the previous one is reported as ended, so that a wrong report results in a
 // task that runs twice.
 type driver struct {
--- a/internal/fleet/dump.go
+++ b/internal/fleet/dump.go
@@ -21,9 +21,9 @@
 	Workers    []taskmsg.WorkerState `json:"workers"`
 	// Runs counts runs by their state.
 	Runs map[string]int `json:"runs"`
-	// PendingUpdates counts the runs with updates that a home has not acknowledged, by home partition.
+	// PendingUpdates counts the runs with updates that a job owner has not acknowledged, by home partition.
 	PendingUpdates map[int]int `json:"news"`
-	// HomeEpochs are the highest known epochs of job homes, by partition.
+	// HomeEpochs are the highest observed epochs of job owners, by home partition.
 	HomeEpochs map[int]uint64 `json:"home_epochs"`
 }
 
@@ -55,7 +55,7 @@
 	for _, r := range f.runs {
 		s.Runs[r.state.String()]++
 	}
-	for id, h := range f.homes {
+	for id, h := range f.jobOwners {
 		s.HomeEpochs[id] = h.epoch
 		if len(h.pending) > 0 {
 			s.PendingUpdates[id] = len(h.pending)
--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -103,7 +103,7 @@
 func (s *simulation) collectViolations() []string {
 	s.b.sim.Settle()
 	out := s.violations
-	for _, v := range s.b.judge.Violations(time.Now()) {
+	for _, v := range s.b.checker.Violations(time.Now()) {
 		out = append(out, fmt.Sprintf("%s on %s: %s", v.Rule, v.On, v.Detail))
 	}
 	running := map[int]int{}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,11 @@
 // Package fleet manages the workers on behalf of a holder: it claims the workers
 // of the partitions this process holds, places tasks on them, renews their leases
-// and reports the outcome of each run to the job's home partition.
+// and reports the outcome of each run to the job's owner. A job belongs to the
+// home partition of its team; the holder of that partition runs the job owner (see
+// package job).
 //
 // All state is guarded by one mutex, which is also held for scheduling decisions.
-// Messages to workers and homes are sent without holding it, at most one at a time
+// Messages to workers and job owners are sent without holding it, at most one at a time
 // to each, so that what accumulates in the meantime is batched into the next message.
 package fleet
 
@@ -30,7 +32,8 @@
 // Bounds of a fleet.
 const (
 	defaultLease = 15 * time.Second
-	// maxTombstones bounds the tombstones for attempts that were stopped while unknown.
+	// maxTombstones bounds the tombstones for attempts whose stop was requested before
+	// they were recorded.
 	maxTombstones = 1 << 14
 	// maxConcurrentClaims bounds the claims in flight, so that a failover of many
 	// workers does not open that many connections at once.
@@ -66,7 +69,7 @@
 	Log        *logrus.Entry
 }
 
-// Fleet is a hold.Resident that manages the workers of the held partitions.
+// Fleet is a hold.Component that manages the workers of the held partitions.
 type Fleet struct {
 	cfg     Config
 	timings timings
@@ -83,7 +86,7 @@
 	partitions   map[int]*heldPartition
 	workers      map[string]*managedWorker
 	runs         map[worker.Attempt]*run
-	homes        map[int]*home
+	jobOwners    map[int]*jobOwner
 	tombstones   *lru.Cache[worker.Attempt, struct{}]
 	gangs        map[gangKey]*gangHold
 	waitingSlots []*waitingSlot
@@ -130,7 +133,7 @@
 		metrics: newMetrics(cfg.Registerer), ctx: ctx, cancel: cancel,
 		claims: make(chan struct{}, maxConcurrentClaims), claimMachine: newClaimMachine(),
 		cell: scheduler.NewCell(xxhash.Sum64String(cfg.Name)), partitions: map[int]*heldPartition{}, workers: map[string]*managedWorker{},
-		runs: map[worker.Attempt]*run{}, homes: map[int]*home{}, tombstones: tombstones,
+		runs: map[worker.Attempt]*run{}, jobOwners: map[int]*jobOwner{}, tombstones: tombstones,
 		gangs: map[gangKey]*gangHold{}, overCapacity: map[string]struct{}{}, health: health.NewWorkers(health.DefaultConfig()),
 		excludedWorkers: map[string]struct{}{}, delegations: map[int]view.Partition{}, delegated: map[string]*delegated{},
 		missingRuns: map[*run]time.Time{}, droppedPartitions: map[int]droppedPartition{},
@@ -181,7 +184,7 @@
 	for _, w := range f.workers {
 		f.startDriver(w, now)
 	}
-	for id, h := range f.homes {
+	for id, h := range f.jobOwners {
 		f.startUpdateSender(id, h, now)
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// TestRepeatedPlaceStartsOnce checks that a home may repeat a request, as it does
+// TestRepeatedPlaceStartsOnce checks that a job owner may repeat a request, as it does
 // after a lost reply.
 func TestRepeatedPlaceStartsOnce(t *testing.T) {
 	runTestbed(t, 2, func(b *testbed) {
@@ -67,7 +67,7 @@
 }
 
 // TestLostOrder loses an order with starts or the reply to it. After a lost reply the
-// home receives "unknown", and the outcome after a new claim of the same epoch.
+// job owner receives "unknown", and the outcome after a new claim of the same epoch.
 func TestLostOrder(t *testing.T) {
 	cases := []struct {
 		name string
@@ -102,7 +102,7 @@
 
 // TestSlowOrderIsNeverOrRunning delays an order so that the worker carries it out, or
 // refuses it as expired, possibly after the holder's time-out. The outcome that the
-// home finally receives must match what the worker does.
+// job owner finally receives must match what the worker does.
 func TestSlowOrderIsNeverOrRunning(t *testing.T) {
 	for _, slow := range []time.Duration{1500 * time.Millisecond, 2100 * time.Millisecond, 5 * time.Second} {
 		t.Run(slow.String(), func(t *testing.T) {
@@ -262,7 +262,7 @@
 	})
 }
 
-// TestOrphans checks that orphan runs, whose home does not know the job, are stopped.
+// TestOrphans checks that orphan runs, whose job the job owner does not have, are stopped.
 func TestOrphans(t *testing.T) {
 	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
@@ -282,7 +282,7 @@
 }
 
 // TestUpdatesAreRepeatedUntilAcknowledged checks that the end of a run is kept, and
-// reported again, until the home has acknowledged it.
+// reported again, until the job owner has acknowledged it.
 func TestUpdatesAreRepeatedUntilAcknowledged(t *testing.T) {
 	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
@@ -330,8 +330,8 @@
 // TestStartHungAcrossARestart guards against two runs of one task when an order reaches another
 // incarnation of a worker. A start is delayed on its way to a worker with a long uptime; the worker
 // restarts and is claimed again, the start is reported as lost once its lease has expired, and the
-// home starts the task elsewhere. When the order arrives, its expiry by the previous incarnation's
-// clock has not passed and the epoch is the same, so only the incarnation tells that it is obsolete.
+// job owner starts the task elsewhere. When the order arrives, its expiry by the previous incarnation's
+// clock has not passed and the epoch is the same, so only the incarnation identifies it as obsolete.
 func TestStartHungAcrossARestart(t *testing.T) {
 	runTestbed(t, 2, func(b *testbed) {
 		both := b.hosts
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -15,8 +15,8 @@
 
 // gangKey identifies a gang by its home partition and job.
 type gangKey struct {
-	home int
-	job  string
+	homePartition int
+	job           string
 }
 
 // gangHold is the capacity reserved on this holder's workers for tasks of a gang.
@@ -37,7 +37,7 @@
 // anything. A repeated request extends the hold.
 func (f *Fleet) holdGang(_ context.Context, req taskmsg.GangReserveRequest) (taskmsg.GangReserveReply, error) {
 	var reply taskmsg.GangReserveReply
-	err := f.serveHome(req.Home, func(now time.Time) error {
+	err := f.serveJobOwner(req.Home, func(now time.Time) error {
 		reply = f.updateGangHold(req, now)
 		return nil
 	})
@@ -108,7 +108,7 @@
 // be refused, so a repeated start returns their outcomes.
 func (f *Fleet) endGang(ctx context.Context, req taskmsg.GangFinishRequest) (taskmsg.PlaceReply, error) {
 	var call *pendingCall
-	err := f.serveHome(req.Home, func(now time.Time) (err error) {
+	err := f.serveJobOwner(req.Home, func(now time.Time) (err error) {
 		call, err = f.startGang(req, now)
 		return err
 	})
@@ -158,8 +158,8 @@
 func (f *Fleet) repeatGangStart(key gangKey) (*pendingCall, error) {
 	call := newPendingCall(0)
 	for id, r := range f.runs {
-		if r.home == key.home && id.Task.Job == key.job {
-			f.addKnownOutcome(call, taskmsg.Slot{Index: id.Task.Index, Attempt: id.Attempt}, r)
+		if r.homePartition == key.homePartition && id.Task.Job == key.job {
+			f.addRecordedOutcome(call, taskmsg.Slot{Index: id.Task.Index, Attempt: id.Attempt}, r)
 		}
 	}
 	if len(call.results) == 0 {
@@ -180,11 +180,11 @@
 	return ""
 }
 
-// expireGangHolds releases the holds that have expired, and those of homes that a
-// higher epoch has fenced.
+// expireGangHolds releases the holds that have expired, and those of job owners
+// that a higher epoch has fenced.
 func (f *Fleet) expireGangHolds(now time.Time) {
 	for key, g := range f.gangs {
-		if now.After(g.expires) || g.req.Home.Epoch < f.home(key.home).epoch {
+		if now.After(g.expires) || g.req.Home.Epoch < f.jobOwner(key.homePartition).epoch {
 			f.metrics.holdsExpired.Inc()
 			f.releaseGang(key)
 		}
--- a/internal/fleet/gang_test.go
+++ b/internal/fleet/gang_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestGangHoldOfAFencedHome checks that the capacity held for a home is released once
-// a higher epoch of the home sends a request.
+// TestGangHoldOfAFencedHome checks that the capacity held for a job owner is released once
+// a higher epoch of it sends a request.
 func TestGangHoldOfAFencedHome(t *testing.T) {
 	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
--- a/internal/fleet/gather.go
+++ b/internal/fleet/gather.go
@@ -22,7 +22,7 @@
 	return &taskmsg.Refusal{Workers: n, ByRule: map[string]int{ruleGathering: n}}
 }
 
-// anyTombstone reports whether the home has been informed that one of the held tasks
+// anyTombstone reports whether the job owner has been informed that one of the held tasks
 // will not be started here.
 func (f *Fleet) anyTombstone(g *gangHold) bool {
 	for id := range g.slots {
--- a/internal/fleet/gather_test.go
+++ b/internal/fleet/gather_test.go
@@ -58,7 +58,7 @@
 }
 
 // TestGangStoppedBeforeItsStart checks that a held task is not started after it has
-// been reported to the home as unknown.
+// been reported to the job owner as unknown.
 func TestGangStoppedBeforeItsStart(t *testing.T) {
 	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -46,7 +46,7 @@
 		return nil
 	}
 	for _, w := range due {
-		_ = f.cell.SetStatus(w.name, scheduler.StatusReady) // the worker is claimed, so the scheduler knows it
+		_ = f.cell.SetStatus(w.name, scheduler.StatusReady) // no error: a claimed worker is registered with the scheduler
 	}
 	placed, _ := f.cell.Place(scheduler.Request{Shape: *shape}, []scheduler.Run{run}, now)
 	for _, w := range due {
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -33,7 +33,7 @@
 	authorityTerm  = 6 * time.Second
 )
 
-// fakeAuthority is a hold.Right controlled by the test.
+// fakeAuthority is a hold.Authorizer controlled by the test.
 type fakeAuthority struct {
 	mu     sync.Mutex
 	epochs map[int]uint64
@@ -95,7 +95,7 @@
 	r.epochs[p] = epoch
 }
 
-// fakeHome is the home of all jobs: it records updates and acknowledges ends.
+// fakeHome is the owner of all jobs: it records updates and acknowledges ends.
 type fakeHome struct {
 	mu          sync.Mutex
 	states      map[worker.Attempt]taskmsg.RunState
@@ -173,14 +173,14 @@
 	h.unavailable = unavailable
 }
 
-// testbed is a cell of simulated workers with one home, for tests with fake time.
+// testbed is a cell of simulated workers with one job owner, for tests with fake time.
 type testbed struct {
-	t     *testing.T
-	is    *is.I
-	judge *judge.Checker
-	sim   *workersim.Fleet
-	home  *fakeHome
-	peers peer.Local
+	t       *testing.T
+	is      *is.I
+	checker *judge.Checker
+	sim     *workersim.Fleet
+	home    *fakeHome
+	peers   peer.Local
 
 	mu    sync.Mutex
 	hosts []platform.Host
@@ -194,7 +194,7 @@
 func newTestbed(t *testing.T, n int) *testbed {
 	j := judge.New()
 	b := &testbed{
-		t: t, is: is.New(t), judge: j, sim: workersim.NewFleet(j), peers: peer.Local{}, all: map[string]platform.Host{},
+		t: t, is: is.New(t), checker: j, sim: workersim.NewFleet(j), peers: peer.Local{}, all: map[string]platform.Host{},
 		home: &fakeHome{states: map[worker.Attempt]taskmsg.RunState{}, orphans: map[string]bool{}},
 	}
 	mux := peer.NewMux()
@@ -340,7 +340,7 @@
 func (b *testbed) requireNoViolations() {
 	b.t.Helper()
 	b.sim.Settle()
-	for _, v := range b.judge.Violations(time.Now()) {
+	for _, v := range b.checker.Violations(time.Now()) {
 		b.t.Errorf("%s on %s: %s", v.Rule, v.On, v.Detail)
 	}
 }
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -9,7 +9,7 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// Register adds the handlers for requests of job homes and operators.
+// Register adds the handlers for requests of job owners and operators.
 func (f *Fleet) Register(mux *peer.Mux) {
 	peer.Handle(mux, peer.KindPlace, f.place)
 	peer.Handle(mux, peer.KindGangReserve, f.holdGang)
@@ -19,13 +19,13 @@
 	peer.Handle(mux, peer.KindWorkers, f.listWorkers)
 }
 
-// inventory fences homes of lower epochs and lists what runs, or may run, of a
-// home's jobs. Starts in progress count as running; if one turns out not to have
-// happened, the home is sent an update.
+// inventory fences job owners of lower epochs and lists what runs, or may run, of the
+// requesting owner's jobs. Starts in progress count as running; if one turns out not to
+// have happened, the job owner is sent an update.
 func (f *Fleet) inventory(_ context.Context, req taskmsg.InventoryRequest) (taskmsg.InventoryReply, error) {
 	held := f.heldEpochs()
 	var reply taskmsg.InventoryReply
-	err := f.serveHome(req.Home, func(now time.Time) error {
+	err := f.serveJobOwner(req.Home, func(now time.Time) error {
 		reply = f.buildInventory(req.Home.Partition, held, now)
 		return nil
 	})
@@ -42,7 +42,7 @@
 	}
 	slices.SortFunc(reply.Partitions, func(a, b taskmsg.WorkerPartition) int { return a.ID - b.ID })
 	for _, r := range f.runs {
-		if r.home != home || r.state == runAcked || held[r.managedWorker.heldPartition.id] != r.managedWorker.heldPartition.epoch {
+		if r.homePartition != home || r.state == runAcked || held[r.managedWorker.heldPartition.id] != r.managedWorker.heldPartition.epoch {
 			continue
 		}
 		state := taskmsg.RunRunning
--- a/internal/fleet/managedworker.go
+++ b/internal/fleet/managedworker.go
@@ -12,8 +12,9 @@
 	"pulleyquay/internal/worker"
 )
 
-// managedWorker is the holder's state of one worker of a held partition at one
-// epoch. If another process holds the partition in between, new values are made.
+// managedWorker is the holder's state of one worker of a held partition under
+// one epoch. A partition that is acquired again gets new values, unless it returns under
+// the same epoch after a failed handover.
 type managedWorker struct {
 	name          string
 	addr          string
@@ -24,11 +25,12 @@
 	// listed is true while the host list contains the worker.
 	listed  bool
 	leaving bool
-	// overCapacity is true while the observed usage exceeds the worker's size,
-	// excluded from when tasks of different jobs failed on it until a probe succeeds.
+	// overCapacity is true while the observed usage exceeds the worker's size.
 	overCapacity bool
 	nextReliefAt time.Time // earliest time for further steps against the overload
-	excluded     bool
+	// excluded is true from when tasks of different jobs failed on the worker until a
+	// probe succeeds.
+	excluded bool
 	// removed is set when the partition is dropped or the worker removed: the
 	// reply to a call in flight must not change any state after that.
 	removed bool
@@ -42,7 +44,7 @@
 	// recorded as running.
 	confirmedAt time.Time
 	// restarted is true after the worker reported that it has not been claimed
-	// since its start: nothing sent before that can still take effect.
+	// since its start: nothing sent before the start can still take effect.
 	restarted bool
 	// leasesEndBy is an upper bound for the end of every lease on the worker. After
 	// it, if the authority is still held, nothing ordered so far can be running.
@@ -66,7 +68,7 @@
 	runUnknown                 // its order was not answered
 	runRunning
 	runMissing // missing on its worker; may be running elsewhere until its lease expires
-	runEnded   // ended; not yet acknowledged by the home
+	runEnded   // ended; not yet acknowledged by the job owner
 	runAcked   // acknowledged; the worker has not yet deleted its record
 )
 
@@ -78,7 +80,7 @@
 type run struct {
 	id            worker.Attempt
 	managedWorker *managedWorker
-	home          int
+	homePartition int
 	state         runState
 	// start is kept until the outcome of the start is known.
 	start *worker.Start
@@ -89,8 +91,8 @@
 	waiters []*pendingCall
 	// endsAt is the end by the declared run time; zero if there is none.
 	endsAt time.Time
-	// reported is true once a home has, or may have, been informed that the run is
-	// running: if it never started, that home is sent an update.
+	// reported is true once a job owner has, or may have, been informed that the run is
+	// running: if it never started, that job owner is sent an update.
 	reported bool
 	// startConfirmed is true once the worker has reported the run, or the connection broke
 	// during its start shortly after another reply of the worker.
@@ -108,7 +110,7 @@
 	preempted bool
 	// reliefMode is the most severe mode applied to it on a worker over capacity.
 	reliefMode worker.StopMode
-	// update is the state still to be reported to the home; zero for none.
+	// update is the state still to be reported to the job owner; zero for none.
 	update   taskmsg.RunState
 	exitCode int
 }
@@ -156,7 +158,7 @@
 	return n
 }
 
-// setStatus passes the worker's status to the scheduler, if it knows the worker.
+// setStatus passes the worker's status to the scheduler, if the worker is registered there.
 func (f *Fleet) setStatus(w *managedWorker) {
 	// The only possible error is a worker that was never claimed.
 	_ = f.cell.SetStatus(w.name, w.status())
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -17,7 +17,7 @@
 	health           *prometheus.CounterVec
 	delegateRenewals *prometheus.CounterVec
 	denied           prometheus.Counter
-	// holdsExpired counts gang holds released without a request: expired, or of a fenced home.
+	// holdsExpired counts gang holds released without a request: expired, or of a fenced job owner.
 	holdsExpired prometheus.Counter
 }
 
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -56,7 +56,7 @@
 	}
 	now := time.Now()
 	f.metrics.orders.WithLabelValues(callOutcomeLabel(err)).Inc()
-	out.brokeInFlight = err != nil && ctx.Err() == nil && sent.Sub(w.clock.at) <= recentReply
+	out.brokeInFlight = err != nil && ctx.Err() == nil && sent.Sub(w.clock.at) <= maxReplyAge
 	if err == nil && len(reply.Results) != len(out.starts) {
 		err = worker.ErrNoReply // not a reply to this order
 	}
@@ -190,8 +190,8 @@
 	if now.After(f.scarceUntil) {
 		return next
 	}
-	if fresh := now.Add(f.cell.UsageLag + f.timings.tick); started && fresh.Before(next) {
-		next = fresh
+	if usageAt := now.Add(f.cell.UsageLag + f.timings.tick); started && usageAt.Before(next) {
+		next = usageAt
 	}
 	for _, r := range w.runs {
 		if r.state == runRunning && r.endsAt.After(now) && r.endsAt.Before(next) {
--- a/internal/fleet/overcapacity.go
+++ b/internal/fleet/overcapacity.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		r.reliefMode = s.Mode
-		r.preempted = s.Mode != worker.ModeThrottle // so that its home starts it again elsewhere
+		r.preempted = s.Mode != worker.ModeThrottle // so that its job owner starts it again elsewhere
 		f.stopRun(r, s.Mode, "worker over capacity")
 		w.nextReliefAt = now.Add(f.cell.UsageLag + 2*overCheckInterval)
 	}
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -10,12 +10,12 @@
 	"pulleyquay/internal/worker"
 )
 
-// place handles a home's request to start tasks. It waits until the workers have
+// place handles a job owner's request to start tasks. It waits until the workers have
 // answered; if the caller disconnects before, the outcomes are sent as updates.
 func (f *Fleet) place(ctx context.Context, req taskmsg.PlaceRequest) (taskmsg.PlaceReply, error) {
 	call := newPendingCall(len(req.Slots))
 	var refusal *taskmsg.Refusal
-	err := f.serveHome(req.Home, func(now time.Time) error {
+	err := f.serveJobOwner(req.Home, func(now time.Time) error {
 		refusal = f.placeSlots(&req, call, now)
 		return nil
 	})
@@ -50,19 +50,19 @@
 
 // placeSlots selects a worker for each slot and queues the starts.
 func (f *Fleet) placeSlots(req *taskmsg.PlaceRequest, call *pendingCall, now time.Time) *taskmsg.Refusal {
-	unknown := f.unknownSlots(req, call)
-	if len(unknown) == 0 {
+	unrecorded := f.unrecordedSlots(req, call)
+	if len(unrecorded) == 0 {
 		return nil
 	}
 	if !req.Shape.Urgent && f.otherGangGathering(gangKey{req.Home.Partition, req.Shape.Job}) {
-		for _, s := range unknown {
+		for _, s := range unrecorded {
 			call.addResult(taskmsg.SlotResult{Slot: s, Outcome: taskmsg.OutcomeRefused})
 		}
 		return f.gangRefusal()
 	}
-	runs := make([]scheduler.Run, 0, len(unknown))
-	bySlot := make(map[worker.Attempt]taskmsg.Slot, len(unknown))
-	for _, s := range unknown {
+	runs := make([]scheduler.Run, 0, len(unrecorded))
+	bySlot := make(map[worker.Attempt]taskmsg.Slot, len(unrecorded))
+	for _, s := range unrecorded {
 		r := scheduler.NewRun(&req.Shape, req.Home.Partition, s)
 		runs = append(runs, r)
 		bySlot[r.Attempt] = s
@@ -76,8 +76,8 @@
 		call.expect(bySlot[p.Attempt], f.queueStart(&req.Shape, &p, now))
 		delete(bySlot, p.Attempt)
 	}
-	unplaced := unknown[:0]
-	for _, s := range unknown {
+	unplaced := unrecorded[:0]
+	for _, s := range unrecorded {
 		if _, ok := bySlot[attemptOf(&req.Shape, s)]; ok {
 			unplaced = append(unplaced, s)
 		}
@@ -101,27 +101,28 @@
 	return r
 }
 
-// unknownSlots adds the outcomes of slots that are known already, so that a repeated
-// request starts nothing twice, and returns the others.
-func (f *Fleet) unknownSlots(req *taskmsg.PlaceRequest, call *pendingCall) []taskmsg.Slot {
-	unknown := make([]taskmsg.Slot, 0, len(req.Slots))
+// unrecordedSlots returns the slots whose attempts have neither a record nor a tombstone.
+// For the others it adds the recorded outcome, so that a repeated request starts nothing
+// twice.
+func (f *Fleet) unrecordedSlots(req *taskmsg.PlaceRequest, call *pendingCall) []taskmsg.Slot {
+	unrecorded := make([]taskmsg.Slot, 0, len(req.Slots))
 	for _, s := range req.Slots {
 		id := attemptOf(&req.Shape, s)
 		r := f.runs[id]
 		switch {
 		case r != nil:
-			f.addKnownOutcome(call, s, r)
+			f.addRecordedOutcome(call, s, r)
 		case f.tombstones.Contains(id):
 			call.addResult(taskmsg.SlotResult{Slot: s, Outcome: taskmsg.OutcomeRefused})
 		default:
-			unknown = append(unknown, s)
+			unrecorded = append(unrecorded, s)
 		}
 	}
-	return unknown
+	return unrecorded
 }
 
-// addKnownOutcome adds what is known of a run that was requested before.
-func (f *Fleet) addKnownOutcome(call *pendingCall, s taskmsg.Slot, r *run) {
+// addRecordedOutcome adds the outcome so far of a run that was requested before.
+func (f *Fleet) addRecordedOutcome(call *pendingCall, s taskmsg.Slot, r *run) {
 	switch r.state {
 	case runQueued, runSent:
 		call.expect(s, r)
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -41,11 +41,11 @@
 				m.placeTasks(shapeOf("batch", 1000, 0), 8)
 				time.Sleep(20 * time.Second)
 				b.is.Equal(b.running(), 8)
-				asked := time.Now()
+				requestedAt := time.Now()
 				reply, err := m.place(context.Background(), urgentRequest("urgent", 2))
 				b.is.NoErr(err)
 				b.is.Equal(count(reply.Results, taskmsg.OutcomeStarted), 2)
-				b.is.True(time.Since(asked) <= preemptLimit)
+				b.is.True(time.Since(requestedAt) <= preemptLimit)
 				time.Sleep(time.Second)
 				preempted := 0
 				for i := range 8 {
@@ -162,7 +162,7 @@
 	})
 }
 
-// fakeDelegateAuthority is a CoverRight for a dead holder's partition, controlled by the test.
+// fakeDelegateAuthority is a DelegateAuthority for a dead holder's partition, controlled by the test.
 type fakeDelegateAuthority struct{ *fakeAuthority }
 
 func (c fakeDelegateAuthority) CheckRenewal(p int) (hold.Grant, error) { return c.Check(p) }
@@ -245,7 +245,7 @@
 }
 
 // TestHolderBehind checks that requests are refused until the table contains the
-// holder's own claim, and with it every earlier failover of a home.
+// holder's own claim, and with it every earlier failover of a job owner.
 func TestHolderBehind(t *testing.T) {
 	runTestbed(t, 1, func(b *testbed) {
 		m := b.member("a")
@@ -294,7 +294,7 @@
 }
 
 // TestNextHolderLearnsPriorities checks that the next holder preempts the runs of lowest
-// priority, which it knows from the workers' inventories alone.
+// priority, which only the workers' inventories report to it.
 func TestNextHolderLearnsPriorities(t *testing.T) {
 	runTestbed(t, 1, func(b *testbed) {
 		old := b.member("a")
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -24,7 +24,7 @@
 type waitingSlot struct {
 	pendingCall   *pendingCall
 	index         int // in the call's results
-	home          taskmsg.Home
+	jobOwner      taskmsg.Home
 	shape         *taskmsg.Shape
 	run           scheduler.Run
 	managedWorker *managedWorker // the worker that runs the victims
@@ -37,15 +37,15 @@
 // preempt stops less urgent runs for the slots that could not be placed, and returns
 // the slots for which there are no victims.
 func (f *Fleet) preempt(req *taskmsg.PlaceRequest, slots []taskmsg.Slot, call *pendingCall, now time.Time) []taskmsg.Slot {
-	ask := scheduler.Request{Shape: req.Shape}
+	request := scheduler.Request{Shape: req.Shape}
 	for i, s := range slots {
-		name, victims := f.cell.Victims(ask)
+		name, victims := f.cell.Victims(request)
 		w := f.workers[name]
 		if w == nil {
 			return slots[i:]
 		}
 		ws := &waitingSlot{
-			pendingCall: call, index: call.expectPreemption(s), home: req.Home, shape: &req.Shape, managedWorker: w,
+			pendingCall: call, index: call.expectPreemption(s), jobOwner: req.Home, shape: &req.Shape, managedWorker: w,
 			run:    scheduler.NewRun(&req.Shape, req.Home.Partition, s),
 			killAt: now.Add(checkpointGrace), until: now.Add(preemptTimeout),
 		}
@@ -77,8 +77,8 @@
 	return len(call.results) - 1
 }
 
-// refuseOne leaves one such slot refused.
-func (call *pendingCall) refuseOne() {
+// resolveRefused resolves one slot added by expectPreemption as refused.
+func (call *pendingCall) resolveRefused() {
 	call.outstanding--
 	if call.outstanding == 0 && !call.abandoned {
 		close(call.done)
@@ -95,7 +95,7 @@
 			continue
 		}
 		if now.After(ws.until) || !f.stillRequested(ws) {
-			ws.pendingCall.refuseOne()
+			ws.pendingCall.resolveRefused()
 			continue
 		}
 		f.expediteWaitingSlot(ws, now)
@@ -120,11 +120,12 @@
 	return true
 }
 
-// stillRequested reports whether the slot may still be started for its home: the caller
-// still waits, the home is not fenced, and the attempt is neither known nor stopped.
+// stillRequested reports whether the slot may still be started: the caller
+// still waits, the job owner is not fenced, and the attempt has neither a record nor a
+// tombstone.
 func (f *Fleet) stillRequested(ws *waitingSlot) bool {
 	id := ws.run.Attempt
-	return !ws.pendingCall.abandoned && ws.home.Epoch >= f.home(ws.home.Partition).epoch && f.runs[id] == nil && !f.tombstones.Contains(id)
+	return !ws.pendingCall.abandoned && ws.jobOwner.Epoch >= f.jobOwner(ws.jobOwner.Partition).epoch && f.runs[id] == nil && !f.tombstones.Contains(id)
 }
 
 // expediteWaitingSlot polls the worker that runs the victims, and kills victims whose
--- a/internal/fleet/resident.go
+++ b/internal/fleet/resident.go
@@ -30,7 +30,7 @@
 	// recorded. It stays true, since later runs are started by this process.
 	complete bool
 	// paused is set by Release: nothing is placed and no call begins. The state is
-	// kept until the table shows another holder, since the partition returns under
+	// kept until the table lists another holder, since the partition returns under
 	// the same epoch if the handover fails.
 	paused bool
 	// claimAfter is the earliest time for claims: by then all orders have expired
@@ -62,45 +62,45 @@
 	// It is false when the partition was not complete at this holder.
 	Complete bool     `json:"complete"`
 	Workers  []string `json:"workers"`
-	// Homes are the highest known home epochs, by partition.
+	// Homes are the highest observed epochs of job owners, by home partition.
 	Homes map[int]uint64 `json:"homes"`
 }
 
 // Acquire starts to claim the workers of a partition. It returns at once; the
 // claims continue in the background until each worker has answered.
 //
-// Every order of a previous holder expired before t was granted, so the leases that
+// Every order of a previous holder expired before acq was granted, so the leases that
 // those orders renewed expire within one lease duration, by any worker's clock.
 //
 // A partition that returns under the epoch it was released with continues with the
-// existing state: its homes see no change of holder and would not reconcile again.
-func (f *Fleet) Acquire(_ context.Context, t hold.Acquisition) error {
+// existing state: job owners see no change of holder and would not reconcile again.
+func (f *Fleet) Acquire(_ context.Context, acq hold.Acquisition) error {
 	now := time.Now()
-	if f.resume(t.Partition, t.Epoch) {
+	if f.resume(acq.Partition, acq.Epoch) {
 		f.syncHosts(f.cfg.Hosts(), now)
 		return nil
 	}
-	p := &heldPartition{id: t.Partition, epoch: t.Epoch, leasesEndBy: now.Add(f.timings.leaseBound()), awaited: map[string]struct{}{}}
+	p := &heldPartition{id: acq.Partition, epoch: acq.Epoch, leasesEndBy: now.Add(f.timings.leaseBound()), awaited: map[string]struct{}{}}
 	var state handoverState
-	if t.HandedOver && json.Unmarshal(t.State, &state) == nil {
+	if acq.HandedOver && json.Unmarshal(acq.State, &state) == nil {
 		p.awaitedAll = state.Complete
 		for _, name := range state.Workers {
 			p.awaited[name] = struct{}{}
 		}
 	}
-	if t.NeverHeld {
+	if acq.NeverHeld {
 		p.awaitedAll = true
 	}
 	f.mu.Lock()
 	for id, epoch := range state.Homes {
-		h := f.home(id)
+		h := f.jobOwner(id)
 		h.epoch = max(h.epoch, epoch)
 	}
-	f.dropPartition(t.Partition)
-	if old := f.droppedPartitions[t.Partition]; old.epoch == t.Epoch {
+	f.dropPartition(acq.Partition)
+	if old := f.droppedPartitions[acq.Partition]; old.epoch == acq.Epoch {
 		p.claimAfter = old.until
 	}
-	f.partitions[t.Partition] = p
+	f.partitions[acq.Partition] = p
 	f.mu.Unlock()
 	f.syncHosts(f.cfg.Hosts(), now)
 	return nil
@@ -196,7 +196,7 @@
 			state.Workers = append(state.Workers, w.name)
 		}
 	}
-	for id, h := range f.homes {
+	for id, h := range f.jobOwners {
 		if h.epoch > 0 {
 			state.Homes[id] = h.epoch
 		}
--- a/internal/fleet/runs.go
+++ b/internal/fleet/runs.go
@@ -8,7 +8,7 @@
 	"pulleyquay/internal/worker"
 )
 
-// pendingCall is a call of a home that waits for the outcomes of its slots.
+// pendingCall is a call of a job owner that waits for the outcomes of its slots.
 type pendingCall struct {
 	results     []taskmsg.SlotResult
 	slotIndex   map[worker.Attempt]int // index in results
@@ -24,7 +24,7 @@
 	}
 }
 
-// expect adds a slot whose outcome is not known yet.
+// expect adds a slot that waits for the outcome of its start.
 func (call *pendingCall) expect(slot taskmsg.Slot, r *run) {
 	call.slotIndex[r.id] = len(call.results)
 	call.results = append(call.results, taskmsg.SlotResult{Slot: slot})
@@ -32,7 +32,7 @@
 	r.waiters = append(r.waiters, call)
 }
 
-// addResult adds a slot whose outcome is known.
+// addResult adds a slot with its outcome.
 func (call *pendingCall) addResult(res taskmsg.SlotResult) { call.results = append(call.results, res) }
 
 // resolveWaiters passes the outcome of the run's start to every call that waits for it.
@@ -69,7 +69,7 @@
 
 // trackRun records a run in this package; its capacity is recorded by the scheduler.
 func (f *Fleet) trackRun(w *managedWorker, id worker.Attempt, home int, state runState) *run {
-	r := &run{id: id, managedWorker: w, home: home, state: state, startConfirmed: state == runRunning}
+	r := &run{id: id, managedWorker: w, homePartition: home, state: state, startConfirmed: state == runRunning}
 	f.runs[id] = r
 	w.runs[id] = r
 	return r
@@ -110,7 +110,7 @@
 	f.forgetRun(r)
 }
 
-// endRun records that a run has ended, frees its capacity and queues the update for its home.
+// endRun records that a run has ended, frees its capacity and queues the update for its job owner.
 func (f *Fleet) endRun(r *run, state taskmsg.RunState, exitCode int, now time.Time) {
 	if r.state >= runEnded {
 		return
@@ -173,8 +173,8 @@
 }
 
 // markMissing records that a run is no longer on its worker, whose present incarnation started at
-// startedAt. Its capacity there is free, but its home may start the task elsewhere only when its
-// lease has expired.
+// startedAt. Its capacity there is free, but the job owner may start the task elsewhere only when
+// the run's lease has expired.
 func (f *Fleet) markMissing(r *run, leasesEndBy, startedAt time.Time) {
 	f.resolveWaiters(r, taskmsg.OutcomeUnknown)
 	f.cell.Unreserve(r.id)
@@ -185,8 +185,9 @@
 	f.missingRuns[r] = leasesEndBy
 }
 
-// adopt records a run that this holder did not start. It is reported to its home,
-// which replies whether it knows the job. A run with a tombstone is killed.
+// adopt records a run that this holder did not start. It is reported to its job
+// owner, which replies whether the run belongs to one of its jobs. A run with a
+// tombstone is killed.
 func (f *Fleet) adopt(w *managedWorker, id worker.Attempt, report *worker.Run, now time.Time) *run {
 	r := f.trackRun(w, id, report.Home, runRunning)
 	if report.State != worker.StateRunning {
@@ -200,7 +201,7 @@
 	return r
 }
 
-// recordAdopted records in the scheduler a run that is known only from its worker.
+// recordAdopted records in the scheduler a run that only its worker has reported.
 func (f *Fleet) recordAdopted(r *run, report *worker.Run, now time.Time) {
 	started := now.Add(-time.Duration(r.managedWorker.clock.reading-report.Started) * time.Millisecond)
 	adopted := scheduler.Run{Attempt: r.id, Home: report.Home, Kind: report.Kind, Size: report.Size, Urgent: report.Urgent, Priority: report.Priority}
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// homeFailover starts a new home epoch, which reconciles before it starts anything.
+// homeFailover starts a job owner with a new epoch, which reconciles before it starts anything.
 func (s *simulation) homeFailover() {
 	s.workload.mu.Lock()
 	defer s.workload.mu.Unlock()
@@ -266,7 +266,7 @@
 	s.b.setEpoch(homePartition, s.workload.epoch)
 }
 
-// staleHome sends a request of a replaced home for a second run of a task.
+// staleHome sends a request of a replaced job owner for a second run of a task.
 func (s *simulation) staleHome(task int) {
 	s.workload.mu.Lock()
 	epoch := s.workload.epoch - 1
--- a/internal/fleet/stop.go
+++ b/internal/fleet/stop.go
@@ -8,13 +8,13 @@
 	"pulleyquay/internal/worker"
 )
 
-// stopTasks handles a home's request to stop runs. A run that is not recorded gets a
+// stopTasks handles a job owner's request to stop runs. A run that is not recorded gets a
 // tombstone: if a request to start it is still in transit it will not be started, and
 // if a worker that is claimed later lists it, it is killed. It is reported as unknown
 // only once all held partitions are complete.
 func (f *Fleet) stopTasks(_ context.Context, req taskmsg.StopRequest) (taskmsg.StopReply, error) {
 	var reply taskmsg.StopReply
-	err := f.serveHome(req.Home, func(now time.Time) error {
+	err := f.serveJobOwner(req.Home, func(now time.Time) error {
 		f.updateComplete(now)
 		complete := f.allComplete()
 		for _, id := range req.Runs {
@@ -26,7 +26,7 @@
 				}
 				continue
 			}
-			r.preempted = false // it now ends at the request of its home
+			r.preempted = false // it now ends at the job owner's request
 			f.stopRun(r, req.Mode, req.Reason)
 		}
 		return nil
--- a/internal/fleet/updates.go
+++ b/internal/fleet/updates.go
@@ -13,7 +13,7 @@
 	"pulleyquay/internal/worker"
 )
 
-// Limits for the status updates sent to homes.
+// Limits for the status updates sent to job owners.
 const (
 	maxRunsPerUpdate = 512
 	updateTimeout    = 2 * time.Second
@@ -21,51 +21,51 @@
 	updateRetryMax   = 2 * time.Second
 )
 
-// home is the holder's state of one home partition.
-type home struct {
-	// epoch is the highest home epoch seen in a request, the table or a handover.
+// jobOwner is the holder's state of the job owner of one home partition.
+type jobOwner struct {
+	// epoch is the job owner's highest epoch seen in a request, the table or a handover.
 	epoch uint64
-	// pending are the runs with an update for the home.
+	// pending are the runs with an update for the job owner.
 	pending map[worker.Attempt]*run
 	busy    bool
 	retryAt time.Time
 	backoff backoff.ExponentialBackOff
 }
 
-func (f *Fleet) home(id int) *home {
-	h := f.homes[id]
+func (f *Fleet) jobOwner(id int) *jobOwner {
+	h := f.jobOwners[id]
 	if h == nil {
-		h = &home{pending: map[worker.Attempt]*run{}, backoff: backoff.ExponentialBackOff{
+		h = &jobOwner{pending: map[worker.Attempt]*run{}, backoff: backoff.ExponentialBackOff{
 			InitialInterval: updateRetry, Multiplier: backoff.DefaultMultiplier,
 			RandomizationFactor: backoff.DefaultRandomizationFactor, MaxInterval: updateRetryMax,
 		}}
 		h.backoff.Reset()
-		f.homes[id] = h
+		f.jobOwners[id] = h
 	}
 	return h
 }
 
-// serveHome runs fn under the mutex unless the requesting home is fenced. The table
+// serveJobOwner runs fn under the mutex unless the requesting job owner is fenced. The table
 // is read before locking, since its source may have a lock of its own.
-func (f *Fleet) serveHome(from taskmsg.Home, fn func(now time.Time) error) error {
+func (f *Fleet) serveJobOwner(from taskmsg.Home, fn func(now time.Time) error) error {
 	table := f.cfg.View.Table()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.admitHome(from, table); err != nil {
+	if err := f.admitJobOwner(from, table); err != nil {
 		return err
 	}
 	return fn(time.Now())
 }
 
-// admitHome admits a home's request, or refuses it when a higher epoch of the home
+// admitJobOwner admits a job owner's request, or refuses it when a higher epoch of that owner
 // has sent a request before or holds the partition according to this process's
-// table. A new holder has not seen earlier requests, but its table contains every
-// home that acquired its partition before this process did (see requireOwnClaims).
-func (f *Fleet) admitHome(from taskmsg.Home, table *view.Table) error {
+// table. A new holder has not seen earlier requests, but its table contains every job
+// owner that acquired its partition before this process did (see requireOwnClaims).
+func (f *Fleet) admitJobOwner(from taskmsg.Home, table *view.Table) error {
 	if err := f.requireOwnClaims(table); err != nil {
 		return err
 	}
-	h := f.home(from.Partition)
+	h := f.jobOwner(from.Partition)
 	h.epoch = max(h.epoch, tableEpoch(table, from.Partition))
 	if from.Epoch < h.epoch {
 		return result.New(result.HomeFenced, result.RanNo, "home partition %d: epoch %d is below %d", from.Partition, from.Epoch, h.epoch)
@@ -75,7 +75,7 @@
 }
 
 // requireOwnClaims refuses requests until the table contains this process's own
-// claims, and with them every earlier failover or handover of a home.
+// claims, and with them every earlier failover or handover of a job owner.
 func (f *Fleet) requireOwnClaims(table *view.Table) error {
 	for _, p := range f.partitions {
 		if p.inTable {
@@ -99,8 +99,8 @@
 	return 0
 }
 
-// homeAddr returns the address of the holder of a partition, "" if it has none.
-func (f *Fleet) homeAddr(id int) string {
+// jobOwnerAddr returns the address of the holder of a partition, "" if it has none.
+func (f *Fleet) jobOwnerAddr(id int) string {
 	for _, p := range f.cfg.View.Table().Partitions {
 		if p.ID == id && p.Holder != "" {
 			return p.Addr
@@ -109,33 +109,33 @@
 	return ""
 }
 
-// queueUpdate queues a run's state for its home. A later state replaces an earlier one.
+// queueUpdate queues a run's state for its job owner. A later state replaces an earlier one.
 func (f *Fleet) queueUpdate(r *run, state taskmsg.RunState) {
 	r.update = state
 	r.reported = true
-	h := f.home(r.home)
+	h := f.jobOwner(r.homePartition)
 	h.pending[r.id] = r
-	f.startUpdateSender(r.home, h, time.Now())
+	f.startUpdateSender(r.homePartition, h, time.Now())
 }
 
 // dropUpdate discards a run's queued update.
 func (f *Fleet) dropUpdate(r *run) {
 	r.update = 0
-	if h := f.homes[r.home]; h != nil && h.pending[r.id] == r {
+	if h := f.jobOwners[r.homePartition]; h != nil && h.pending[r.id] == r {
 		delete(h.pending, r.id)
 	}
 }
 
-// startUpdateSender starts a sender for the home if updates are pending and none runs.
-func (f *Fleet) startUpdateSender(id int, h *home, now time.Time) {
+// startUpdateSender starts a sender for the job owner if updates are pending and none runs.
+func (f *Fleet) startUpdateSender(id int, h *jobOwner, now time.Time) {
 	if h.busy || len(h.pending) == 0 || now.Before(h.retryAt) {
 		return
 	}
 	h.busy = f.spawn(func() { f.sendUpdates(id, h) })
 }
 
-// sendUpdates sends the pending updates of one home, one message at a time.
-func (f *Fleet) sendUpdates(id int, h *home) {
+// sendUpdates sends the pending updates of one job owner, one message at a time.
+func (f *Fleet) sendUpdates(id int, h *jobOwner) {
 	for {
 		f.mu.Lock()
 		if len(h.pending) == 0 || time.Now().Before(h.retryAt) || f.ctx.Err() != nil {
@@ -145,14 +145,14 @@
 		}
 		update, sent := f.composeUpdate(id, h)
 		f.mu.Unlock()
-		reply, err := f.callHome(id, update)
+		reply, err := f.callJobOwner(id, update)
 		f.mu.Lock()
 		f.applyUpdateReply(h, sent, reply, err)
 		f.mu.Unlock()
 	}
 }
 
-// sentUpdate is what was sent about a run, to detect changes since then.
+// sentUpdate records what was sent about a run, to detect later changes.
 type sentUpdate struct {
 	run          *run
 	state        taskmsg.RunState
@@ -160,11 +160,11 @@
 }
 
 // superseded reports whether the run's update has changed since it was sent.
-func (t sentUpdate) superseded() bool {
-	return t.run.update != t.state || t.run.lossEvidence() != t.lossEvidence
+func (s sentUpdate) superseded() bool {
+	return s.run.update != s.state || s.run.lossEvidence() != s.lossEvidence
 }
 
-func (f *Fleet) composeUpdate(id int, h *home) (taskmsg.RunReports, []sentUpdate) {
+func (f *Fleet) composeUpdate(id int, h *jobOwner) (taskmsg.RunReports, []sentUpdate) {
 	n := min(len(h.pending), maxRunsPerUpdate)
 	update := taskmsg.RunReports{HomePartition: id, Runs: make([]taskmsg.RunReport, 0, n)}
 	sent := make([]sentUpdate, 0, n)
@@ -189,9 +189,9 @@
 	return update
 }
 
-func (f *Fleet) callHome(id int, update taskmsg.RunReports) (taskmsg.RunReportsReply, error) {
+func (f *Fleet) callJobOwner(id int, update taskmsg.RunReports) (taskmsg.RunReportsReply, error) {
 	var reply taskmsg.RunReportsReply
-	addr := f.homeAddr(id)
+	addr := f.jobOwnerAddr(id)
 	if addr == "" {
 		return reply, result.New(result.PeerNotReached, result.RanNo, "nobody holds partition %d", id)
 	}
@@ -201,9 +201,9 @@
 	return reply, err
 }
 
-// applyUpdateReply processes a home's reply. An update that a run is running needs
-// no acknowledgement; one that it has ended stays pending until it is acknowledged.
-func (f *Fleet) applyUpdateReply(h *home, sent []sentUpdate, reply taskmsg.RunReportsReply, err error) {
+// applyUpdateReply processes a job owner's reply. An update that reports a run as running
+// needs no acknowledgement; one that reports its end stays pending until acknowledged.
+func (f *Fleet) applyUpdateReply(h *jobOwner, sent []sentUpdate, reply taskmsg.RunReportsReply, err error) {
 	now := time.Now()
 	if err != nil {
 		f.metrics.updates.WithLabelValues("failed").Inc()
@@ -214,19 +214,19 @@
 	acked := attemptSet(reply.Acked)
 	orphans := attemptSet(reply.Orphans)
 	unacked := 0
-	for _, t := range sent {
-		if h.pending[t.run.id] != t.run || t.superseded() {
+	for _, s := range sent {
+		if h.pending[s.run.id] != s.run || s.superseded() {
 			continue // removed, or another update is pending
 		}
-		_, isAcked := acked[t.run.id]
-		_, isOrphan := orphans[t.run.id]
+		_, isAcked := acked[s.run.id]
+		_, isOrphan := orphans[s.run.id]
 		switch {
-		case t.run.state >= runEnded && (isAcked || isOrphan):
-			f.acknowledgeEnd(t.run)
-		case t.run.state < runEnded:
-			f.dropUpdate(t.run)
+		case s.run.state >= runEnded && (isAcked || isOrphan):
+			f.acknowledgeEnd(s.run)
+		case s.run.state < runEnded:
+			f.dropUpdate(s.run)
 			if isOrphan {
-				f.stopRun(t.run, worker.ModeStop, "unknown job")
+				f.stopRun(s.run, worker.ModeStop, "unknown job")
 			}
 		default:
 			unacked++
--- a/internal/job/cell_test.go
+++ b/internal/job/cell_test.go
@@ -36,7 +36,7 @@
 
 var testSize = spec.Resources{MilliCPU: 8000, MemoryMiB: 8000}
 
-// fakeAuthority is a hold.Right controlled by a test.
+// fakeAuthority is a hold.Authorizer controlled by a test.
 type fakeAuthority struct {
 	mu     sync.Mutex
 	epochs map[int]uint64
@@ -81,12 +81,12 @@
 // cell is a complete cell inside a synctest bubble: a store, simulated hosts, and placers whose
 // partitions a test assigns.
 type cell struct {
-	t      testing.TB
-	is     *is.I
-	engine *memstore.Engine
-	store  *memstore.Client
-	judge  *judge.Checker
-	sim    *workersim.Fleet
+	t       testing.TB
+	is      *is.I
+	engine  *memstore.Engine
+	store   *memstore.Client
+	checker *judge.Checker
+	sim     *workersim.Fleet
 
 	mu           sync.Mutex
 	hosts        []platform.Host
@@ -104,7 +104,7 @@
 func newCell(t testing.TB, workersPerPartition int) *cell {
 	j := judge.New()
 	c := &cell{
-		t: t, is: is.New(t), engine: memstore.New(), judge: j, sim: workersim.NewFleet(j),
+		t: t, is: is.New(t), engine: memstore.New(), checker: j, sim: workersim.NewFleet(j),
 		values: map[string]settings.Values{testBranch: settings.Defaults()}, muxes: peer.Local{},
 		placer: map[string]*placer{}, calls: map[peer.Kind]int{},
 	}
@@ -204,12 +204,12 @@
 func (c *cell) close() {
 	c.clearFaults()
 	c.mu.Lock()
-	left := make([]*placer, 0, len(c.placer))
+	remaining := make([]*placer, 0, len(c.placer))
 	for _, p := range c.placer {
-		left = append(left, p)
+		remaining = append(remaining, p)
 	}
 	c.mu.Unlock()
-	for _, p := range left {
+	for _, p := range remaining {
 		p.kill()
 	}
 	if c.bubble {
@@ -221,11 +221,11 @@
 // callsEnd is the time after which every call to the store has ended, with or without a reply.
 const callsEnd = 15 * time.Second
 
-// assertNoViolations fails the test if the judge found a violated invariant.
+// assertNoViolations fails the test if the checker found a violated invariant.
 func (c *cell) assertNoViolations() {
 	c.t.Helper()
 	c.sim.Settle()
-	for _, v := range c.judge.Violations(time.Now()) {
+	for _, v := range c.checker.Violations(time.Now()) {
 		c.t.Errorf("%s on %s: %s", v.Rule, v.On, v.Detail)
 	}
 }
--- a/internal/job/collect.go
+++ b/internal/job/collect.go
@@ -13,7 +13,7 @@
 )
 
 // collectGarbage deletes the records of jobs that ended longer ago than the retention period.
-// Because Submit refuses identifiers of that age, a deleted job can not be submitted and run a
+// Because Submit refuses identifiers of that age, a deleted job cannot be submitted and run a
 // second time.
 func (o *jobOwner) collectGarbage(now time.Time) {
 	o.mu.Lock()
--- a/internal/job/crash.go
+++ b/internal/job/crash.go
@@ -16,7 +16,7 @@
 // time; so does every host failure under a service, which is restarted without limit.
 
 // baselineLossRate is how often a host fails spontaneously, per second, under normal conditions. A
-// job owner can not measure the rate, as it sees only the hosts that run its own tasks, which are
+// job owner cannot measure the rate, as it sees only the hosts that run its own tasks, which are
 // too few.
 const baselineLossRate = 280.0 / 18000 / (24 * 60 * 60)
 
@@ -26,27 +26,27 @@
 
 // recordHostLoss attributes the loss of a host to a task. It returns the error that the job fails
 // with, or nil.
-func (o *jobOwner) recordHostLoss(j *job, index int, n taskmsg.RunReport, now time.Time) *result.Error {
+func (o *jobOwner) recordHostLoss(j *job, index int, report taskmsg.RunReport, now time.Time) *result.Error {
 	o.hostLosses.Expire(now)
-	isNew := o.hostLosses.Add(n.Worker, n.Zone, now)
-	together := o.hostLosses.RackFailed(n.Worker, n.Zone, now, 0, 0)
-	if together && isNew {
-		o.retractAttributions(o.hostLosses.InRack(n.Zone, now))
+	isNew := o.hostLosses.Add(report.Worker, report.Zone, now)
+	rackFailed := o.hostLosses.RackFailed(report.Worker, report.Zone, now, 0, 0)
+	if rackFailed && isNew {
+		o.retractAttributions(o.hostLosses.InRack(report.Zone, now))
 	}
 	t := &j.tasks[index]
-	e := crashloop.Evidence{Run: n.Run.Attempt, Host: n.Worker, Machine: n.Worker, RunTimeUnknown: t.runningSince.IsZero(), Unconfirmed: n.LossEvidence() == taskmsg.EvidenceNone, Proven: n.LossEvidence() == taskmsg.EvidenceCrash}
+	e := crashloop.Evidence{Run: report.Run.Attempt, Host: report.Worker, Machine: report.Worker, RunTimeUnknown: t.runningSince.IsZero(), Unconfirmed: report.LossEvidence() == taskmsg.EvidenceNone, Proven: report.LossEvidence() == taskmsg.EvidenceCrash}
 	if !e.RunTimeUnknown {
 		e.RunTime = now.Sub(t.runningSince)
 	}
 	c := crashloop.Assess(e, baselineLossRate)
-	if together || c.Excused {
+	if rackFailed || c.Excused {
 		return nil
 	}
 	if j.isService() && e.RunTime >= crashloop.HistoryResetAfter {
 		delete(j.rec.Crashes, index)
 	}
 	if j.rec.Crashes[index].HasRun(c.Run) {
-		return o.updateAttribution(j, index, n) // already reported to a previous job owner
+		return o.updateAttribution(j, index, report) // already reported to a previous job owner
 	}
 	if j.rec.Crashes == nil {
 		j.rec.Crashes = map[int]crashloop.History{}
@@ -59,13 +59,15 @@
 // updateAttribution applies later evidence about a run whose host loss was attributed to its task:
 // that the run was present, or that it was present when the host crashed. It returns the error that
 // the job fails with, or nil.
-func (o *jobOwner) updateAttribution(j *job, index int, n taskmsg.RunReport) *result.Error {
+func (o *jobOwner) updateAttribution(j *job, index int, report taskmsg.RunReport) *result.Error {
 	history := j.rec.Crashes[index]
-	at := slices.IndexFunc(history, func(c crashloop.Crash) bool { return c.Run == n.Run.Attempt && sightOf(c) < n.LossEvidence() })
+	at := slices.IndexFunc(history, func(c crashloop.Crash) bool {
+		return c.Run == report.Run.Attempt && recordedEvidence(c) < report.LossEvidence()
+	})
 	if at < 0 {
 		return nil
 	}
-	proven := n.LossEvidence() == taskmsg.EvidenceCrash
+	proven := report.LossEvidence() == taskmsg.EvidenceCrash
 	history = slices.Clone(history)
 	history[at].Unconfirmed, history[at].LegacyUnproven, history[at].Proven = false, !proven, proven
 	j.rec.Crashes[index] = history
@@ -83,8 +85,8 @@
 	return result.New(result.JobCrashesHosts, result.RanYes, "task %d: %s", index, confirmed)
 }
 
-// sightOf returns the evidence recorded for a crash.
-func sightOf(c crashloop.Crash) taskmsg.LossEvidence {
+// recordedEvidence returns the evidence recorded for a crash.
+func recordedEvidence(c crashloop.Crash) taskmsg.LossEvidence {
 	switch {
 	case c.Proven:
 		return taskmsg.EvidenceCrash
@@ -124,8 +126,8 @@
 }
 
 // crashBackoff is the delay before a lost task starts again. Tasks that may crash their hosts are
-// started at growing intervals; a service as after a failure. Finite work is delayed only by
-// unconfirmed losses, which never fail it, and not by a single one.
+// started at growing intervals. A service is delayed as after a failure; finite work only by
+// unconfirmed losses, which never fail it, from the second one on.
 func (j *job) crashBackoff(index int) time.Duration {
 	history := j.rec.Crashes[index]
 	if j.isService() {
--- a/internal/job/explain.go
+++ b/internal/job/explain.go
@@ -34,12 +34,12 @@
 }
 
 // waitReason describes what the job waits for according to a holder's last reply.
-func (m *holderReply) waitReason(name string, tasks int) (jobmsg.Wait, bool) {
+func (r *holderReply) waitReason(name string, tasks int) (jobmsg.Wait, bool) {
 	switch {
-	case m.err != nil:
-		return jobmsg.Wait{Tasks: tasks, For: "an answer of holder " + name, FreedBy: m.err.Error(), Holder: name}, true
-	case m.refusal != nil:
-		return jobmsg.Wait{Tasks: tasks, For: "room on the workers of holder " + name, FreedBy: "the end of work there", Holder: name, ByRule: m.refusal.ByRule}, true
+	case r.err != nil:
+		return jobmsg.Wait{Tasks: tasks, For: "an answer of holder " + name, FreedBy: r.err.Error(), Holder: name}, true
+	case r.refusal != nil:
+		return jobmsg.Wait{Tasks: tasks, For: "room on the workers of holder " + name, FreedBy: "the end of work there", Holder: name, ByRule: r.refusal.ByRule}, true
 	}
 	return jobmsg.Wait{}, false
 }
--- a/internal/job/faults_test.go
+++ b/internal/job/faults_test.go
@@ -61,7 +61,7 @@
 				s := b.await(job.ID, jobmsg.StateFinished, failoverTime+30*time.Second)
 				c.is.Equal(s.TaskCounts.Finished, tasks)
 				c.assertNoViolations()
-				c.is.True(c.judge.Starts() <= tt.maxStarts)
+				c.is.True(c.checker.Starts() <= tt.maxStarts)
 			})
 		})
 	}
@@ -103,7 +103,7 @@
 		c.clearFaults() // a's blocked messages arrive now
 		time.Sleep(30 * time.Second)
 		c.assertNoViolations()
-		c.is.Equal(c.judge.Starts(), 20)
+		c.is.Equal(c.checker.Starts(), 20)
 	})
 }
 
@@ -179,7 +179,7 @@
 				_, err = a.submit(job)
 				c.is.NoErr(err) // retry with the same identifier
 				a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
-				c.is.Equal(c.judge.Starts(), 5)
+				c.is.Equal(c.checker.Starts(), 5)
 				c.assertNoViolations()
 			})
 		})
@@ -204,7 +204,7 @@
 		s, err = a.get(job.ID)
 		c.is.NoErr(err)
 		c.is.True(s.Recorded)
-		c.is.Equal(c.judge.Starts(), 40)
+		c.is.Equal(c.checker.Starts(), 40)
 		c.assertNoViolations()
 	})
 }
@@ -248,7 +248,7 @@
 		time.Sleep(failoverTime)
 		_, err = b.get(job.ID)
 		c.is.Equal(result.CodeOf(err), result.JobNotFound)
-		c.is.Equal(c.judge.Starts(), 0)
+		c.is.Equal(c.checker.Starts(), 0)
 	})
 }
 
@@ -272,7 +272,7 @@
 			c.clearFaults()
 			b.acquire(0, 1)
 			b.await(job.ID, jobmsg.StateCancelled, failoverTime+10*time.Second)
-			c.is.Equal(c.judge.Record(time.Now(), false).Running, 0)
+			c.is.Equal(c.checker.Record(time.Now(), false).Running, 0)
 		})
 	}
 }
@@ -304,10 +304,10 @@
 				c.is.NoErr(err)
 				c.is.True(s.Recorded)
 				a.await(job.ID, jobmsg.StateCancelled, 30*time.Second)
-				starts := c.judge.Starts()
+				starts := c.checker.Starts()
 				time.Sleep(30 * time.Second)
-				c.is.Equal(c.judge.Starts(), starts)
-				c.is.Equal(c.judge.Record(time.Now(), false).Running, 0)
+				c.is.Equal(c.checker.Starts(), starts)
+				c.is.Equal(c.checker.Record(time.Now(), false).Running, 0)
 				c.assertNoViolations()
 			})
 		})
--- a/internal/job/fits.go
+++ b/internal/job/fits.go
@@ -32,12 +32,12 @@
 
 // checkFits refuses a job whose task fits no host even if that is empty, or a gang that exceeds the
 // capacity of all empty hosts together.
-func checkFits(j spec.Job, sizes []taskmsg.Size, complete bool) error {
-	if !complete || len(sizes) == 0 {
+func checkFits(j spec.Job, machineTypes []taskmsg.Size, complete bool) error {
+	if !complete || len(machineTypes) == 0 {
 		return nil
 	}
 	capacity, feasible := int64(0), false
-	for _, s := range sizes {
+	for _, s := range machineTypes {
 		if !fitsMachine(j.Task, s) {
 			continue
 		}
@@ -45,7 +45,7 @@
 		capacity += int64(s.Workers) * maxFits(j.Task.Size, s.Size)
 	}
 	if !feasible {
-		return result.New(result.JobNeverFits, result.RanNo, "%s", explainInfeasible(j.Task, sizes)).AtField("task")
+		return result.New(result.JobNeverFits, result.RanNo, "%s", explainInfeasible(j.Task, machineTypes)).AtField("task")
 	}
 	if j.Kind == spec.KindGang && capacity < int64(j.Tasks) {
 		return result.New(result.JobNeverFits, result.RanNo, "all %d tasks must start together, but all workers, empty, hold %d", j.Tasks, capacity).AtField("tasks")
@@ -87,11 +87,11 @@
 
 // explainInfeasible states, for each resource or rule that excludes hosts, what the task needs and
 // the maximum available.
-func explainInfeasible(t spec.Task, sizes []taskmsg.Size) string {
+func explainInfeasible(t spec.Task, machineTypes []taskmsg.Size) string {
 	largest := spec.Resources{}
 	generation, workers := 0, 0
 	refused := map[string]int{}
-	for _, s := range sizes {
+	for _, s := range machineTypes {
 		largest = largest.Max(s.Size)
 		generation = max(generation, s.Generation)
 		workers += s.Workers
--- a/internal/job/gang.go
+++ b/internal/job/gang.go
@@ -90,13 +90,13 @@
 
 // planGang reserves the quota of all unfinished tasks and starts a try to reserve capacity for
 // them.
-func (o *jobOwner) planGang(j *job, values settings.Values, m *passState) {
-	now := m.now
+func (o *jobOwner) planGang(j *job, values settings.Values, pass *passState) {
+	now := pass.now
 	if !j.gang.is(gangIdle) || j.active > 0 {
 		return
 	}
 	n := len(j.tasks) - j.done
-	if !o.gangLikelyFits(j, n, m.holders, now) {
+	if !o.gangLikelyFits(j, n, pass.holders, now) {
 		return
 	}
 	if err := o.ledger.Reserve(j.rec.Job.Team, j.ledgerAccountOf(j.rec.TaskGeneration), values.Quota, j.rec.Job.Task.Size, n); err != nil {
@@ -113,13 +113,13 @@
 	}
 	j.ready, j.delayed = nil, nil
 	o.updateWaiting(j)
-	try := newGangTry(o, j, o.shape(j, values), slots, orderHolders(m.holders), now)
+	try := newGangTry(o, j, o.shape(j, values), slots, orderHolders(pass.holders), now)
 	o.background.Go(try.run)
 }
 
-// gangLikelyFits reports whether the digests show enough free capacity for all tasks of a gang. As
-// digests are only hints, a try is made at intervals whatever they show, and always once the gang
-// has aged.
+// gangLikelyFits reports whether a try is worthwhile: the digests report enough free capacity for
+// all tasks of the gang, or the interval between probes has passed, as digests are only hints, or
+// the gang has aged.
 func (o *jobOwner) gangLikelyFits(j *job, n int, holders []holder, now time.Time) bool {
 	freeSlots := 0
 	for _, target := range holders {
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -14,11 +14,11 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// gangJob returns a gang of tasks of 1000 mCPU for the team of a partition.
+// gangJob returns a gang of tasks of 1000 MilliCPU each for the team of a partition.
 func gangJob(c *cell, partitionID, tasks int, run time.Duration) spec.Job {
 	j := batch(partitionID, tasks, run)
 	j.Kind = spec.KindGang
-	c.judge.ExpectGang(j.ID, tasks)
+	c.checker.ExpectGang(j.ID, tasks)
 	return j
 }
 
@@ -46,7 +46,7 @@
 		a.await(job.ID, jobmsg.StateRunning, 5*time.Second)
 		s := a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
 		c.is.Equal(s.TaskCounts.Finished, 30)
-		c.is.Equal(c.judge.Starts(), 30)
+		c.is.Equal(c.checker.Starts(), 30)
 		c.assertNoViolations()
 	})
 }
@@ -152,7 +152,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, a, b := twoPlacers(t, 2)
-				c.judge.GangGrace = failoverTime // a lost host's part remains until its leases expire
+				c.checker.GangGrace = failoverTime // a lost host's part remains until its leases expire
 				if tt.fault != nil {
 					c.addFault(tt.fault)
 				}
@@ -188,7 +188,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, a, b := twoPlacers(t, 2)
-				c.judge.GangGrace = failoverTime
+				c.checker.GangGrace = failoverTime
 				if tt.fault != nil {
 					c.addFault(tt.fault)
 				}
@@ -225,7 +225,7 @@
 		t.Run(tt.rule, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, a, _ := twoPlacers(t, 2)
-				c.judge.GangGrace = failoverTime
+				c.checker.GangGrace = failoverTime
 				c.setBranch(testBranch, func(v *settings.Values) { v.Task.GangLoss = tt.rule })
 				job := gangJob(c, 0, 24, time.Minute)
 				_, err := a.submit(job)
@@ -233,8 +233,8 @@
 				a.await(job.ID, jobmsg.StateRunning, 5*time.Second)
 				c.sim.Worker(a.worker(job.ID)).SetFaults(workersim.Faults{Unreachable: true})
 				a.await(job.ID, tt.state, 4*time.Minute)
-				c.is.True(c.judge.Starts() <= tt.maxStarts)
-				c.is.True(c.judge.Starts() >= tt.minStarts)
+				c.is.True(c.checker.Starts() <= tt.maxStarts)
+				c.is.True(c.checker.Starts() >= tt.minStarts)
 				c.assertNoViolations()
 			})
 		})
--- a/internal/job/gangtry.go
+++ b/internal/job/gangtry.go
@@ -111,8 +111,8 @@
 func (t *gangTry) recordReply(target holder, refusal *taskmsg.Refusal, err error) {
 	t.o.mu.Lock()
 	defer t.o.mu.Unlock()
-	m := t.j.lastReply(target.member)
-	m.refusal, m.err = refusal, err
+	last := t.j.lastReply(target.member)
+	last.refusal, last.err = refusal, err
 }
 
 // subtractSlots returns the slots of all without those in remove.
--- a/internal/job/gangtry_test.go
+++ b/internal/job/gangtry_test.go
@@ -14,10 +14,10 @@
 // scriptedPeers is a Caller that keeps the reservations of each holder. Like a real holder it
 // starts everything that it has reserved.
 type scriptedPeers struct {
-	room  map[string]int
-	held  map[string]map[int]bool
-	lose  map[string]int // replies to reservation requests still to be lost
-	order []string       // requests in order of arrival
+	capacity map[string]int
+	held     map[string]map[int]bool
+	lose     map[string]int // replies to reservation requests still to be lost
+	order    []string       // requests in order of arrival
 }
 
 func (s *scriptedPeers) Call(_ context.Context, addr string, kind peer.Kind, req, resp any) error {
@@ -26,7 +26,7 @@
 		s.order = append(s.order, addr+" hold")
 		reply := resp.(*taskmsg.GangReserveReply)
 		for _, slot := range m.Slots {
-			if !s.held[addr][slot.Index] && len(s.held[addr]) < s.room[addr] {
+			if !s.held[addr][slot.Index] && len(s.held[addr]) < s.capacity[addr] {
 				s.held[addr][slot.Index] = true
 			}
 			if s.held[addr][slot.Index] {
@@ -50,7 +50,7 @@
 // newScriptedTry returns a try of a gang of n tasks with scripted holders a and b.
 func newScriptedTry(t *testing.T, n int) (*gangTry, *scriptedPeers) {
 	o, j := newStaticOwner(t, phaseReady, false, spec.KindGang, n)
-	s := &scriptedPeers{room: map[string]int{}, held: map[string]map[int]bool{"a": {}, "b": {}}, lose: map[string]int{}}
+	s := &scriptedPeers{capacity: map[string]int{}, held: map[string]map[int]bool{"a": {}, "b": {}}, lose: map[string]int{}}
 	o.m.cfg.Peers = s
 	var slots []taskmsg.Slot
 	for i := range n {
@@ -65,9 +65,9 @@
 func TestSlotsAreReservedOnce(t *testing.T) {
 	try, s := newScriptedTry(t, 6)
 	is := try.o.m.cfg.Source.(*cell).is
-	s.room["a"], s.room["b"], s.lose["b"] = 2, 3, 1
+	s.capacity["a"], s.capacity["b"], s.lose["b"] = 2, 3, 1
 	is.True(!try.reserveAll())
-	s.room["a"] = 4 // two more than before
+	s.capacity["a"] = 4 // two more than before
 	is.True(try.reserveAll())
 	for i := range s.held["a"] {
 		is.True(!s.held["b"][i])
@@ -80,7 +80,7 @@
 func TestExpiringReservationIsNotStarted(t *testing.T) {
 	try, s := newScriptedTry(t, 4)
 	is := try.o.m.cfg.Source.(*cell).is
-	s.room["a"], s.room["b"] = 2, 2
+	s.capacity["a"], s.capacity["b"] = 2, 2
 	is.True(try.reserveAll())
 	try.parts[0].reservedAt = time.Now().Add(-gangReservationTTL)
 	is.True(!try.beginStart())
--- a/internal/job/holders.go
+++ b/internal/job/holders.go
@@ -62,11 +62,11 @@
 	}
 	var out []holder
 	for _, m := range t.Members {
-		d, known := digests[m.Name]
-		if m.Leaving || !holding[m.Incarnation] || (known && d.Workers == 0) {
+		d, hasDigest := digests[m.Name]
+		if m.Leaving || !holding[m.Incarnation] || (hasDigest && d.Workers == 0) {
 			continue
 		}
-		out = append(out, holder{m.Name, m.Incarnation, m.Addr, d, known})
+		out = append(out, holder{m.Name, m.Incarnation, m.Addr, d, hasDigest})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].member < out[b].member })
 	return out
--- a/internal/job/invariants_test.go
+++ b/internal/job/invariants_test.go
@@ -13,7 +13,7 @@
 // violation returns the first invariant that is violated now, or "".
 func (sn *simulation) violation() string {
 	sn.sim.Settle()
-	if v := sn.judge.Violations(time.Now()); len(v) > 0 {
+	if v := sn.checker.Violations(time.Now()); len(v) > 0 {
 		return fmt.Sprintf("%s on %s: %s", v[0].Rule, v[0].On, v[0].Detail)
 	}
 	used := map[string]int64{}
@@ -23,7 +23,7 @@
 			teams[id] = j.Team
 		}
 	}
-	for task, places := range sn.judge.Record(time.Now(), true).Tasks {
+	for task, places := range sn.checker.Record(time.Now(), true).Tasks {
 		finished := 0
 		for _, p := range places {
 			if !p.Ended && p.Until.After(time.Now()) {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -25,6 +25,6 @@
 		s = a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
 		c.is.Equal(s.TaskCounts.Finished, 20)
 		c.assertNoViolations()
-		c.is.Equal(c.judge.Starts(), 20)
+		c.is.Equal(c.checker.Starts(), 20)
 	})
 }
--- a/internal/job/load.go
+++ b/internal/job/load.go
@@ -94,7 +94,7 @@
 }()
 
 // reserveUnreported charges the team's quota for every task that a previous job owner may have
-// started, so that new work can not use quota that is already in use.
+// started, so that new work cannot use quota that is already in use.
 func (o *jobOwner) reserveUnreported(j *job) {
 	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
 	n, size := j.rec.maxActive(int(values.Task.Surge))
--- a/internal/job/manager.go
+++ b/internal/job/manager.go
@@ -52,7 +52,7 @@
 	Log        *logrus.Entry
 }
 
-// Manager manages the job owners of this process. It implements hold.Resident.
+// Manager manages the job owners of this process. It implements hold.Component.
 type Manager struct {
 	cfg     Config
 	metrics *metrics
@@ -103,10 +103,10 @@
 	}
 }
 
-// Name implements hold.Resident.
+// Name implements hold.Component.
 func (m *Manager) Name() string { return componentName }
 
-// Acquire implements hold.Resident. It starts the job owner, which reads the job records and asks
+// Acquire implements hold.Component. It starts the job owner, which reads the job records and asks
 // every holder for an inventory of their runs before it restarts any of them. It returns at once;
 // until the records are read, requests are refused with JobHomeRecovering.
 func (m *Manager) Acquire(_ context.Context, t hold.Acquisition) error {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// Release implements hold.Resident. It writes the changed records within the time limit of ctx and
+// Release implements hold.Component. It writes the changed records within the time limit of ctx and
 // stops the job owner. The next one gets the remaining state from the holders of hosts.
 func (m *Manager) Release(ctx context.Context, partition int) ([]byte, error) {
 	o := m.jobOwner(partition)
@@ -135,7 +135,7 @@
 	return nil, nil
 }
 
-// Drop implements hold.Resident.
+// Drop implements hold.Component.
 func (m *Manager) Drop(partition int) {
 	m.mu.Lock()
 	o := m.owners[partition]
--- a/internal/job/news.go
+++ b/internal/job/news.go
@@ -32,13 +32,13 @@
 	}
 	var reply taskmsg.RunReportsReply
 	now := time.Now()
-	for _, n := range reports.Runs {
-		switch o.applyReport(n, now) {
+	for _, report := range reports.Runs {
+		switch o.applyReport(report, now) {
 		case reportAcked:
-			reply.Acked = append(reply.Acked, n.Run)
+			reply.Acked = append(reply.Acked, report.Run)
 		case reportOrphan:
 			o.m.metrics.orphans.Inc()
-			reply.Orphans = append(reply.Orphans, n.Run)
+			reply.Orphans = append(reply.Orphans, report.Run)
 		}
 	}
 	o.wakeLoop()
@@ -46,34 +46,34 @@
 }
 
 // applyReport applies the reported state of one run.
-func (o *jobOwner) applyReport(n taskmsg.RunReport, now time.Time) reportOutcome {
-	j := o.jobs[n.Run.Task.Job]
-	index := n.Run.Task.Index
+func (o *jobOwner) applyReport(report taskmsg.RunReport, now time.Time) reportOutcome {
+	j := o.jobs[report.Run.Task.Job]
+	index := report.Run.Task.Index
 	switch {
 	case j == nil:
-		return unknownRunOutcome(n)
+		return unknownRunOutcome(report)
 	case j.rec.State.Final():
-		return o.applyToFinalJob(j, n)
+		return o.applyToFinalJob(j, report)
 	case index < 0 || index >= maxTasks:
-		return unknownRunOutcome(n)
+		return unknownRunOutcome(report)
 	case index >= len(j.tasks):
 		if !j.isService() || !o.recovering(j) {
-			return unknownRunOutcome(n)
+			return unknownRunOutcome(report)
 		}
 		// A replica above the configured number, from an update in progress.
 		j.tasks = append(j.tasks, make([]task, index+1-len(j.tasks))...)
-		return o.applyReport(n, now)
-	case n.State == taskmsg.RunRunning:
-		return o.applyRunning(j, index, n)
+		return o.applyReport(report, now)
+	case report.State == taskmsg.RunRunning:
+		return o.applyRunning(j, index, report)
 	default:
-		return o.applyEnd(j, index, n, now)
+		return o.applyEnd(j, index, report, now)
 	}
 }
 
-// unknownRunOutcome is the outcome for a run that the job owner does not know: a running one is
-// stopped, and an end needs no record.
-func unknownRunOutcome(n taskmsg.RunReport) reportOutcome {
-	if n.State == taskmsg.RunRunning {
+// unknownRunOutcome is the outcome for a run that belongs to no task of a job here: a running one
+// is stopped, and an end needs no record.
+func unknownRunOutcome(report taskmsg.RunReport) reportOutcome {
+	if report.State == taskmsg.RunRunning {
 		return reportOrphan
 	}
 	return reportAcked
@@ -81,28 +81,28 @@
 
 // applyToFinalJob is the outcome for a run of a job that has ended. The host may delete the end
 // record once the job's end is recorded.
-func (o *jobOwner) applyToFinalJob(j *job, n taskmsg.RunReport) reportOutcome {
-	if n.State != taskmsg.RunRunning && j.dirty {
+func (o *jobOwner) applyToFinalJob(j *job, report taskmsg.RunReport) reportOutcome {
+	if report.State != taskmsg.RunRunning && j.dirty {
 		return reportApplied
 	}
-	return unknownRunOutcome(n)
+	return unknownRunOutcome(report)
 }
 
 // applyRunning applies a report that a run is running. A run that this job owner did not order, or
 // that was reported as ended, must not be taken for the task's current one.
-func (o *jobOwner) applyRunning(j *job, index int, n taskmsg.RunReport) reportOutcome {
+func (o *jobOwner) applyRunning(j *job, index int, report taskmsg.RunReport) reportOutcome {
 	t := &j.tasks[index]
-	if t.active() && n.Run.Attempt == t.attempt {
-		if t.at == nil || n.Epoch >= t.epoch {
-			o.markRunning(j, index, o.location(n.Worker, n.Zone, n.Partition), n.Epoch)
+	if t.active() && report.Run.Attempt == t.attempt {
+		if t.at == nil || report.Epoch >= t.epoch {
+			o.markRunning(j, index, o.location(report.Worker, report.Zone, report.Partition), report.Epoch)
 			t.runningSince = time.Now()
 		}
 		return reportApplied
 	}
-	if !o.recovering(j) || t.state != taskPending || n.Run.Attempt <= t.attempt {
+	if !o.recovering(j) || t.state != taskPending || report.Run.Attempt <= t.attempt {
 		return reportOrphan
 	}
-	o.adopt(j, index, n)
+	o.adopt(j, index, report)
 	return reportApplied
 }
 
@@ -112,51 +112,51 @@
 func (o *jobOwner) recovering(j *job) bool { return j.inherited && o.phase != phaseReady }
 
 // adopt records a run that a previous job owner started as the task's current one.
-func (o *jobOwner) adopt(j *job, index int, n taskmsg.RunReport) {
-	j.tasks[index] = task{attempt: n.Run.Attempt, state: taskRequested}
+func (o *jobOwner) adopt(j *job, index int, report taskmsg.RunReport) {
+	j.tasks[index] = task{attempt: report.Run.Attempt, state: taskRequested}
 	j.active++
 	o.releaseUnreported(j, 1)
-	_, size := j.rec.specOfAttempt(n.Run.Attempt)
-	o.ledger.Restore(j.rec.Job.Team, j.ledgerAccount(n.Run.Attempt), size, 1)
-	o.markRunning(j, index, o.location(n.Worker, n.Zone, n.Partition), n.Epoch)
+	_, size := j.rec.specOfAttempt(report.Run.Attempt)
+	o.ledger.Restore(j.rec.Job.Team, j.ledgerAccount(report.Run.Attempt), size, 1)
+	o.markRunning(j, index, o.location(report.Worker, report.Zone, report.Partition), report.Epoch)
 }
 
 // applyEnd applies a report that a run has ended, once per attempt.
-func (o *jobOwner) applyEnd(j *job, index int, n taskmsg.RunReport, now time.Time) reportOutcome {
+func (o *jobOwner) applyEnd(j *job, index int, report taskmsg.RunReport, now time.Time) reportOutcome {
 	t := &j.tasks[index]
 	switch {
-	case t.active() && n.Run.Attempt == t.attempt:
+	case t.active() && report.Run.Attempt == t.attempt:
 		o.releaseTask(j, index)
-		o.handleEnd(j, index, n, now)
-	case o.recovering(j) && t.state == taskPending && n.Run.Attempt > t.attempt:
+		o.handleEnd(j, index, report, now)
+	case o.recovering(j) && t.state == taskPending && report.Run.Attempt > t.attempt:
 		// A run of a previous job owner, reported during recovery.
-		t.attempt = n.Run.Attempt
-		o.handleEnd(j, index, n, now)
-	case n.State == taskmsg.RunLost:
-		if why := o.updateAttribution(j, index, n); why != nil {
-			o.endJob(j, why, now)
+		t.attempt = report.Run.Attempt
+		o.handleEnd(j, index, report, now)
+	case report.State == taskmsg.RunLost:
+		if jobErr := o.updateAttribution(j, index, report); jobErr != nil {
+			o.endJob(j, jobErr, now)
 		}
 	}
 	o.finalizeIfDone(j, now)
-	return o.endOutcome(j, index, n)
+	return o.endOutcome(j, index, report)
 }
 
 // handleEnd decides what follows from the end of a task's current attempt.
-func (o *jobOwner) handleEnd(j *job, index int, n taskmsg.RunReport, now time.Time) {
-	j.tasks[index].wasPreempted = n.State == taskmsg.RunPreempted
+func (o *jobOwner) handleEnd(j *job, index int, report taskmsg.RunReport, now time.Time) {
+	j.tasks[index].wasPreempted = report.State == taskmsg.RunPreempted
 	switch {
-	case n.State == taskmsg.RunFinished && n.ExitCode == 0 && j.rec.Job.Kind != spec.KindService:
+	case report.State == taskmsg.RunFinished && report.ExitCode == 0 && j.rec.Job.Kind != spec.KindService:
 		o.markDone(j, index)
-	case n.State == taskmsg.RunFinished:
-		o.handleFailure(j, index, n, now)
-	case n.State == taskmsg.RunLost:
-		if why := o.recordHostLoss(j, index, n, now); why != nil {
-			o.endJob(j, why, now)
+	case report.State == taskmsg.RunFinished:
+		o.handleFailure(j, index, report, now)
+	case report.State == taskmsg.RunLost:
+		if jobErr := o.recordHostLoss(j, index, report, now); jobErr != nil {
+			o.endJob(j, jobErr, now)
 		}
-		o.runLost(j, index, lossReason(n), now)
-	case n.State == taskmsg.RunPreempted:
+		o.runLost(j, index, lossReason(report), now)
+	case report.State == taskmsg.RunPreempted:
 		o.m.metrics.preempted.Inc()
-		j.log.add(now, "preempted", "stopped on "+n.Worker+" to make room")
+		j.log.add(now, "preempted", "stopped on "+report.Worker+" to make room")
 		o.requeue(j, index, failureBackoffMin, now)
 	default:
 		o.requeue(j, index, 0, now)
@@ -164,23 +164,23 @@
 }
 
 // lossReason describes the evidence of a lost run, for the decision log.
-func lossReason(n taskmsg.RunReport) string {
-	switch n.LossEvidence() {
+func lossReason(report taskmsg.RunReport) string {
+	switch report.LossEvidence() {
 	case taskmsg.EvidenceCrash:
-		return "worker " + n.Worker + " has crashed"
+		return "worker " + report.Worker + " has crashed"
 	case taskmsg.EvidencePresent:
-		return "worker " + n.Worker + " has started again, and the run may have ended before"
+		return "worker " + report.Worker + " has started again, and the run may have ended before"
 	}
-	return "worker " + n.Worker + " is gone, or was cut off until the lease was over"
+	return "worker " + report.Worker + " is gone, or was cut off until the lease was over"
 }
 
 // endOutcome decides whether the host may delete the end record: every change of the job's record
 // that followed from the end must be in the store.
-func (o *jobOwner) endOutcome(j *job, index int, n taskmsg.RunReport) reportOutcome {
-	if n.State != taskmsg.RunFinished || !j.dirty {
+func (o *jobOwner) endOutcome(j *job, index int, report taskmsg.RunReport) reportOutcome {
+	if report.State != taskmsg.RunFinished || !j.dirty {
 		return reportAcked
 	}
-	if n.ExitCode == 0 && j.recorded.has(index) {
+	if report.ExitCode == 0 && j.recorded.has(index) {
 		return reportAcked
 	}
 	return reportApplied
--- a/internal/job/outage_test.go
+++ b/internal/job/outage_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestSubmitWhileStoreIsAway checks that a new job is refused at once and never recorded while the
-// store is known to be unavailable, for each kind of store failure, and that a job whose record was
-// unknown before stays so.
+// store has not replied for storeUnavailableAfter, for each kind of store failure, and that a job
+// whose record was unknown before stays so.
 func TestSubmitWhileStoreIsAway(t *testing.T) {
 	for name, faults := range map[string]memstore.Faults{
 		"refuses": {Refuse: true}, "hangs": {Hang: true}, "loses replies": {LoseAnswers: memstore.EveryCall},
@@ -20,8 +20,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				c, a, _ := twoPlacers(t, 2)
 				c.engine.SetFaults(faults)
-				doubt := batch(0, 2, time.Second)
-				_, before := a.submit(doubt)
+				uncertain := batch(0, 2, time.Second)
+				_, firstErr := a.submit(uncertain)
 				a.storeAge.Store(int64(storeUnavailableAfter + 1))
 				start := time.Now()
 				_, err := a.submit(batch(0, 2, time.Second))
@@ -30,9 +30,9 @@
 				c.is.Equal(e.Code, result.JobNotRecorded)
 				c.is.Equal(e.Ran, result.RanNo)
 				c.is.True(e.RetryAfter > 0)
-				_, again := a.submit(doubt)
-				if result.CodeOf(before) == result.JobRecordUnknown {
-					c.is.Equal(result.CodeOf(again), result.JobRecordUnknown)
+				_, retryErr := a.submit(uncertain)
+				if result.CodeOf(firstErr) == result.JobRecordUnknown {
+					c.is.Equal(result.CodeOf(retryErr), result.JobRecordUnknown)
 				}
 				a.storeAge.Store(0)
 				c.engine.SetFaults(memstore.Faults{})
--- a/internal/job/owner.go
+++ b/internal/job/owner.go
@@ -41,8 +41,8 @@
 	capacityPollInterval = 100 * time.Millisecond
 )
 
-// Rate limit of the replacement of lost tasks per job owner. The burst covers the tasks that an
-// ordinary host runs for one job owner.
+// Rate limit of the replacement of lost tasks per job owner. The burst admits the tasks that a
+// typical host runs for one job owner.
 const (
 	replacePerSecond     = 50
 	replaceBurst         = 128
@@ -247,7 +247,7 @@
 	p, ok := findPartition(o.m.cfg.Source.Table(), o.partition)
 	switch {
 	case !ok || p.Epoch < o.epoch:
-		return platform.Condition{}, platform.ErrUnavailable // the table does not show our own claim yet
+		return platform.Condition{}, platform.ErrUnavailable // the table does not contain our own claim yet
 	case p.Epoch > o.epoch:
 		return platform.Condition{}, errFenced
 	}
--- a/internal/job/place.go
+++ b/internal/job/place.go
@@ -163,9 +163,9 @@
 
 // recordHolderReply records a holder's reply; after a refusal or an error the next request of the
 // job to that holder is delayed.
-func (o *jobOwner) recordHolderReply(j *job, target holder, refused int, why *taskmsg.Refusal, err error, now time.Time) {
-	m := j.lastReply(target.member)
-	m.refusal, m.err = why, err
+func (o *jobOwner) recordHolderReply(j *job, target holder, refused int, refusal *taskmsg.Refusal, err error, now time.Time) {
+	last := j.lastReply(target.member)
+	last.refusal, last.err = refusal, err
 	if refused == 0 && err == nil {
 		o.clearRefusal(j, target)
 		return
--- a/internal/job/placer_test.go
+++ b/internal/job/placer_test.go
@@ -174,7 +174,7 @@
 	return call[jobmsg.Status](p, peer.KindJobCancel, jobmsg.CancelRequest{ID: id})
 }
 
-// batch returns a job of finite tasks of 1000 mCPU for the team of a partition.
+// batch returns a job of finite tasks of 1000 MilliCPU each for the team of a partition.
 func batch(partitionID, tasks int, run time.Duration) spec.Job {
 	return spec.Job{
 		ID: newID(), Team: teamOf(partitionID), Branch: testBranch, Kind: spec.KindBatch, Tasks: tasks,
@@ -199,7 +199,7 @@
 	}
 }
 
-// newID returns a UUIDv7 with the time of the bubble. uuid.NewV7 can not be used, as its time never
+// newID returns a UUIDv7 with the time of the bubble. uuid.NewV7 cannot be used, as its time never
 // goes back, which happens at the start of each bubble.
 func newID() string {
 	id := uuid.New()
--- a/internal/job/plan.go
+++ b/internal/job/plan.go
@@ -15,8 +15,8 @@
 // roundIntervalMax bounds the interval between two rounds.
 const roundIntervalMax = 2 * time.Second
 
-// plan is the part of the latest order of starts that has not been carried out, with the times of
-// the next decisions.
+// plan holds the picks of the latest round that have not been carried out, and the times of the
+// next decisions.
 type plan struct {
 	picks []fairshare.Pick
 	// next is the earliest time of the next round.
@@ -35,33 +35,33 @@
 		o.plan = plan{next: o.plan.next}
 		return
 	}
-	m := o.passState(table, now)
+	pass := o.passState(table, now)
 	for _, id := range o.plan.urgent {
 		if j := o.waiting[id]; j != nil && j.recordConfirmed {
-			o.planPick(m, fairshare.Pick{Job: id, Tasks: len(j.ready)})
+			o.planPick(pass, fairshare.Pick{Job: id, Tasks: len(j.ready)})
 		}
 	}
 	o.plan.urgent = o.plan.urgent[:0]
 	if len(o.plan.picks) == 0 && !now.Before(o.plan.next) {
-		o.startRound(m)
+		o.startRound(pass)
 	}
-	for len(o.plan.picks) > 0 && m.canCall() {
+	for len(o.plan.picks) > 0 && pass.canCall() {
 		pick := o.plan.picks[0]
 		o.plan.picks = o.plan.picks[1:]
-		o.planPick(m, pick)
+		o.planPick(pass, pick)
 	}
 }
 
 // startRound computes a new order of the waiting jobs.
-func (o *jobOwner) startRound(m *passState) {
-	began := time.Now()
-	o.plan.picks = mergePicks(o.pickTasks(m.holders, m.now))
-	interval := min(roundCostFactor*time.Since(began), roundIntervalMax)
-	o.plan.next = m.now.Add(interval)
+func (o *jobOwner) startRound(pass *passState) {
+	startedAt := time.Now()
+	o.plan.picks = mergePicks(o.pickTasks(pass.holders, pass.now))
+	interval := min(roundCostFactor*time.Since(startedAt), roundIntervalMax)
+	o.plan.next = pass.now.Add(interval)
 }
 
 // planPick starts tasks of one picked job.
-func (o *jobOwner) planPick(m *passState, pick fairshare.Pick) {
+func (o *jobOwner) planPick(pass *passState, pick fairshare.Pick) {
 	j := o.waiting[pick.Job]
 	if j == nil || !j.recordConfirmed {
 		return
@@ -69,11 +69,11 @@
 	values, ok := o.m.cfg.Values(j.rec.Job.Branch)
 	switch {
 	case !ok:
-		j.log.add(m.now, "waiting", "the settings have no branch "+j.rec.Job.Branch+" any more")
+		j.log.add(pass.now, "waiting", "the settings have no branch "+j.rec.Job.Branch+" any more")
 	case j.isGang() && j.gang.is(gangIdle):
-		o.planGang(j, values, m)
+		o.planGang(j, values, pass)
 	default:
-		o.planJob(j, values, m, pick.Tasks)
+		o.planJob(j, values, pass, pick.Tasks)
 	}
 }
 
@@ -104,9 +104,9 @@
 }
 
 // canCall reports whether any holder is below the limit of concurrent calls.
-func (m *passState) canCall() bool {
-	for _, target := range m.holders {
-		if m.o.callsInFlight[target.addr] < maxCallsPerHolder {
+func (pass *passState) canCall() bool {
+	for _, target := range pass.holders {
+		if pass.o.callsInFlight[target.addr] < maxCallsPerHolder {
 			return true
 		}
 	}
@@ -115,37 +115,37 @@
 
 // planJob starts up to n tasks of a job, within the quota and the free capacity that holders
 // report.
-func (o *jobOwner) planJob(j *job, values settings.Values, m *passState, n int) {
+func (o *jobOwner) planJob(j *job, values settings.Values, pass *passState, n int) {
 	class := taskClassOf(j)
-	if m.full[class] && !j.rec.Job.Urgent {
-		j.log.add(m.now, "waiting", reasonNoCapacity)
+	if pass.full[class] && !j.rec.Job.Urgent {
+		j.log.add(pass.now, "waiting", reasonNoCapacity)
 		return
 	}
 	n = o.ledger.MaxTasks(j.rec.Job.Team, values.Quota, j.rec.Job.Task.Size, min(n, len(j.ready)))
 	if n == 0 {
 		if len(j.ready) > 0 {
-			j.log.add(m.now, "waiting", reasonNoQuota)
+			j.log.add(pass.now, "waiting", reasonNoQuota)
 		}
 		return
 	}
-	candidates, preempt, full := o.candidates(j, m, n)
+	candidates, preempt, full := o.candidates(j, pass, n)
 	if full {
-		m.full[class] = true
+		pass.full[class] = true
 	}
 	if len(candidates) == 0 {
-		j.log.add(m.now, "waiting", reasonNoCapacity)
+		j.log.add(pass.now, "waiting", reasonNoCapacity)
 		return
 	}
 	distribute(n, candidates, values.Placement.Policy)
 	for _, s := range candidates {
 		if s.n > 0 {
-			o.requestStarts(j, values, s, preempt, m.now)
+			o.requestStarts(j, values, s, preempt, pass.now)
 		}
 	}
 	o.updateWaiting(j)
 }
 
-// Reasons to wait, as shown in the explanation.
+// Reasons to wait, as reported in the explanation.
 const (
 	reasonNoCapacity = "no holder has room"
 	reasonNoQuota    = "the team's quota is used up"
@@ -154,15 +154,15 @@
 // candidates returns the holders to ask now for up to n tasks. If none reports free capacity,
 // urgent work makes the holders preempt; for other work one holder is asked for one task at
 // intervals, as digests are only hints. Aged work has an interval of its own for such requests,
-// which make the holder reserve a host for it. full is true if no holder's digest shows free
+// which make the holder reserve a host for it. full is true if no holder's digest reports free
 // capacity.
-func (o *jobOwner) candidates(j *job, m *passState, n int) (out []share, preempt, full bool) {
+func (o *jobOwner) candidates(j *job, pass *passState, n int) (out []share, preempt, full bool) {
 	var fullHolders []share
 	full = true
-	for _, target := range m.holders {
-		freeSlots, feasible := o.freeSlots(j.rec.Job.Task, target, m.now)
+	for _, target := range pass.holders {
+		freeSlots, feasible := o.freeSlots(j.rec.Job.Task, target, pass.now)
 		full = full && freeSlots == 0
-		status := o.refusalStatus(j, target, m.now)
+		status := o.refusalStatus(j, target, pass.now)
 		if o.callsInFlight[target.addr] >= maxCallsPerHolder || status == backingOff {
 			continue
 		}
@@ -180,15 +180,15 @@
 			fullHolders[i].freeSlots = (n + len(fullHolders) - 1) / len(fullHolders)
 		}
 		return fullHolders, true, full
-	case j.aged(m.now):
-		if m.now.Before(o.nextAgedProbe) {
+	case j.aged(pass.now):
+		if pass.now.Before(o.nextAgedProbe) {
 			return nil, false, full
 		}
-		o.nextAgedProbe = m.now.Add(probeInterval)
+		o.nextAgedProbe = pass.now.Add(probeInterval)
 		return fullHolders[:1], false, full
-	case m.now.Before(o.nextProbe):
+	case pass.now.Before(o.nextProbe):
 		return nil, false, full
 	}
-	o.nextProbe = m.now.Add(probeInterval)
+	o.nextProbe = pass.now.Add(probeInterval)
 	return fullHolders[:1], false, full
 }
--- a/internal/job/policy_test.go
+++ b/internal/job/policy_test.go
@@ -21,16 +21,16 @@
 func TestUrgentWorkStartsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, b := twoPlacers(t, 2)
-		filler := batch(2, 64, time.Hour)
-		_, err := b.submit(filler)
+		background := batch(2, 64, time.Hour)
+		_, err := b.submit(background)
 		c.is.NoErr(err)
 		time.Sleep(20 * time.Second)
-		c.is.Equal(c.judge.Record(time.Now(), false).Running, 64)
+		c.is.Equal(c.checker.Record(time.Now(), false).Running, 64)
 		job := batch(0, 6, 10*time.Second)
 		job.Urgent = true
 		c.setBranch("storm", func(v *settings.Values) { v.Task.Priority = 100 })
 		job.Branch = "storm"
-		began := time.Now()
+		submittedAt := time.Now()
 		_, err = a.submit(job)
 		c.is.NoErr(err)
 		for {
@@ -39,13 +39,13 @@
 			if s.TaskCounts.Running == 6 {
 				break
 			}
-			if time.Since(began) > urgentStartLimit {
-				t.Fatalf("urgent job does not run completely after %s: %+v", time.Since(began), s)
+			if time.Since(submittedAt) > urgentStartLimit {
+				t.Fatalf("urgent job does not run completely after %s: %+v", time.Since(submittedAt), s)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		a.await(job.ID, jobmsg.StateFinished, 30*time.Second)
-		s, err := b.get(filler.ID)
+		s, err := b.get(background.ID)
 		c.is.NoErr(err)
 		c.is.Equal(s.TaskCounts.Failures, 0) // a preemption does not count as a failure
 		c.assertNoViolations()
@@ -88,7 +88,7 @@
 		var lateUsage, earlyUsage time.Duration
 		from := time.Now()
 		time.Sleep(96 * time.Second)
-		for task, places := range c.judge.Record(time.Now(), true).Tasks {
+		for task, places := range c.checker.Record(time.Now(), true).Tasks {
 			of := &earlyUsage
 			if strings.HasPrefix(task, late.ID) {
 				of = &lateUsage
@@ -210,12 +210,12 @@
 func TestAgedTaskGetsCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, a, _ := twoPlacers(t, 2)
-		var fillers []spec.Job
+		var smallJobs []spec.Job
 		for _, run := range []time.Duration{5 * time.Second, 7 * time.Second, 11 * time.Second} {
-			filler := batch(0, 1500, run)
-			_, err := a.submit(filler)
+			small := batch(0, 1500, run)
+			_, err := a.submit(small)
 			c.is.NoErr(err)
-			fillers = append(fillers, filler)
+			smallJobs = append(smallJobs, small)
 		}
 		time.Sleep(20 * time.Second)
 		large := batch(0, 1, 5*time.Second)
@@ -224,8 +224,8 @@
 		c.is.NoErr(err)
 		a.await(large.ID, jobmsg.StateFinished, 4*time.Minute)
 		waiting := 0
-		for _, filler := range fillers {
-			s, err := a.get(filler.ID)
+		for _, small := range smallJobs {
+			s, err := a.get(small.ID)
 			c.is.NoErr(err)
 			waiting += s.TaskCounts.Waiting
 		}
--- a/internal/job/queue.go
+++ b/internal/job/queue.go
@@ -136,12 +136,12 @@
 
 // requestedFrom returns the capacity requested from a holder since its digest last changed.
 func (o *jobOwner) requestedFrom(target holder, now time.Time) *requestedCapacity {
-	a := o.requested[target.member]
-	if a == nil || a.free != target.digest.Free || a.largest != target.digest.LargestFree || now.Sub(a.since) > requestedLifetime {
-		a = &requestedCapacity{free: target.digest.Free, largest: target.digest.LargestFree, since: now}
-		o.requested[target.member] = a
+	capacity := o.requested[target.member]
+	if capacity == nil || capacity.free != target.digest.Free || capacity.largest != target.digest.LargestFree || now.Sub(capacity.since) > requestedLifetime {
+		capacity = &requestedCapacity{free: target.digest.Free, largest: target.digest.LargestFree, since: now}
+		o.requested[target.member] = capacity
 	}
-	return a
+	return capacity
 }
 
 // freeSlots estimates how many tasks of a shape a holder can start, from its digest less the
--- a/internal/job/quota_test.go
+++ b/internal/job/quota_test.go
@@ -28,7 +28,7 @@
 		}
 		check := func(d time.Duration) {
 			for deadline := time.Now().Add(d); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
-				if n := c.judge.Record(time.Now(), false).Running; n > 10 {
+				if n := c.checker.Record(time.Now(), false).Running; n > 10 {
 					t.Fatalf("%d tasks run, the quota allows 10", n)
 				}
 			}
@@ -82,7 +82,7 @@
 				t.Errorf("%s: %v", tt.name, err)
 			}
 		}
-		c.is.Equal(c.judge.Starts(), 0)
+		c.is.Equal(c.checker.Starts(), 0)
 	})
 }
 
@@ -105,7 +105,7 @@
 		time.Sleep(5 * time.Minute)
 		_, err = a.submit(job) // deleted by now, and too old to count as new
 		c.is.Equal(result.CodeOf(err), result.JobIDTooOld)
-		c.is.Equal(c.judge.Starts(), 4)
+		c.is.Equal(c.checker.Starts(), 4)
 		records, _, err := c.store.List(t.Context(), "jobs/")
 		c.is.NoErr(err)
 		c.is.Equal(len(records), 0)
@@ -143,7 +143,7 @@
 				synctest.Wait()
 				c.clearFaults()
 				time.Sleep(time.Minute)
-				c.is.Equal(c.judge.Starts(), 0)
+				c.is.Equal(c.checker.Starts(), 0)
 				_, err = a.submit(batch(0, 4, time.Second))
 				c.is.Equal(result.CodeOf(err), result.AuthorityExpired)
 				c.is.Equal(result.From(err).Ran, result.RanNo)
@@ -187,9 +187,9 @@
 					ok = ok || s.Code == int(code)
 				}
 				c.is.True(ok)
-				starts := c.judge.Starts()
+				starts := c.checker.Starts()
 				time.Sleep(time.Minute)
-				c.is.Equal(c.judge.Starts(), starts)
+				c.is.Equal(c.checker.Starts(), starts)
 				c.assertNoViolations()
 			})
 		})
@@ -236,7 +236,7 @@
 				c.is.NoErr(err)
 				for range 100 {
 					used := int64(0)
-					for _, places := range c.judge.Record(time.Now(), true).Tasks {
+					for _, places := range c.checker.Record(time.Now(), true).Tasks {
 						for _, p := range places {
 							if !p.Ended {
 								used += p.Size.MilliCPU
--- a/internal/job/reconcile.go
+++ b/internal/job/reconcile.go
@@ -66,8 +66,8 @@
 			addrs[p.Addr] = true
 		}
 	}
-	for _, d := range o.unackedStarts {
-		addrs[d.target.addr] = true
+	for _, start := range o.unackedStarts {
+		addrs[start.target.addr] = true
 	}
 	if len(missing) == 0 {
 		o.finishRecovery(now)
@@ -146,14 +146,14 @@
 		return nil, nil
 	}
 	reported := make(map[worker.Attempt]bool, len(reply.Runs))
-	for _, n := range reply.Runs {
-		reported[n.Run] = true
-		switch o.applyReport(n, now) {
+	for _, report := range reply.Runs {
+		reported[report.Run] = true
+		switch o.applyReport(report, now) {
 		case reportAcked:
-			acked = append(acked, n.Run)
+			acked = append(acked, report.Run)
 		case reportOrphan:
 			o.m.metrics.orphans.Inc()
-			orphans = append(orphans, n.Run)
+			orphans = append(orphans, report.Run)
 		}
 	}
 	newer := map[int]uint64{}
@@ -177,9 +177,9 @@
 			if t.at == nil || !t.active() || t.epoch >= newer[t.at.partition] || reported[j.currentAttempt(i)] {
 				continue
 			}
-			why := "worker " + t.at.worker + " does not run it any more"
+			reason := "worker " + t.at.worker + " does not run it any more"
 			o.releaseTask(j, i)
-			o.runLost(j, i, why, now)
+			o.runLost(j, i, reason, now)
 		}
 		o.finalizeIfDone(j, now)
 	}
@@ -191,12 +191,12 @@
 func (o *jobOwner) resolveUnacked() {
 	table := o.m.cfg.Source.Table()
 	byAddr := o.unackedByAddr(table)
-	for addr, d := range byAddr {
-		if d.departed {
-			o.releaseUnacked(d.runs)
+	for addr, unacked := range byAddr {
+		if unacked.departed {
+			o.releaseUnacked(unacked.runs)
 			continue
 		}
-		reply, err := o.stopRuns(addr, d.runs, "the answer to its start was lost")
+		reply, err := o.stopRuns(addr, unacked.runs, "the answer to its start was lost")
 		if err == nil {
 			o.releaseUnacked(reply.Unknown)
 		}
@@ -225,13 +225,13 @@
 		present[p.Incarnation] = true
 	}
 	out := map[string]*memberUnacked{}
-	for run, d := range o.unackedStarts {
-		md := out[d.target.addr]
-		if md == nil {
-			md = &memberUnacked{departed: !present[d.target.incarnation]}
-			out[d.target.addr] = md
+	for run, start := range o.unackedStarts {
+		unacked := out[start.target.addr]
+		if unacked == nil {
+			unacked = &memberUnacked{departed: !present[start.target.incarnation]}
+			out[start.target.addr] = unacked
 		}
-		md.runs = append(md.runs, run)
+		unacked.runs = append(unacked.runs, run)
 	}
 	return out
 }
@@ -242,13 +242,13 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, run := range runs {
-		d := o.unackedStarts[run]
-		if d == nil {
+		start := o.unackedStarts[run]
+		if start == nil {
 			continue
 		}
-		j := o.jobs[d.job]
-		o.releaseTask(j, d.index)
-		o.requeue(j, d.index, 0, now)
+		j := o.jobs[start.job]
+		o.releaseTask(j, start.index)
+		o.requeue(j, start.index, 0, now)
 		o.finalizeIfDone(j, now)
 	}
 }
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -14,7 +14,7 @@
 )
 
 // record is what the store keeps of one job under jobs/<partition>/<id>. It holds what the hosts
-// can not report again: the specification, which tasks are finished, how often tasks failed, and
+// cannot report again: the specification, which tasks are finished, how often tasks failed, and
 // how the job ended.
 type record struct {
 	Job       spec.Job     `cbor:"1,keyasint"`
--- a/internal/job/refusal.go
+++ b/internal/job/refusal.go
@@ -6,7 +6,7 @@
 	"pulleyquay/internal/spec"
 )
 
-// taskClass is what the free capacity for a task depends on.
+// taskClass holds the properties of a task that determine which free capacity it can use.
 type taskClass struct {
 	size       spec.Resources
 	kind       string
@@ -17,21 +17,22 @@
 
 func taskClassOf(j *job) taskClass {
 	t := &j.rec.Job.Task
-	m := taskClass{size: t.Size, kind: t.AcceleratorKind, generation: t.MinGeneration}
+	class := taskClass{size: t.Size, kind: t.AcceleratorKind, generation: t.MinGeneration}
 	if len(t.Labels) > 0 {
-		m.job = j.id()
+		class.job = j.id()
 	}
-	return m
+	return class
 }
 
 // refusalKey is a task class at a holder. All jobs with tasks of a class back off from a holder
-// together; if each did so by itself, a team with many jobs would always have one that asks first.
+// together; if each did so separately, a team with many jobs would always have one whose backoff is
+// over.
 type refusalKey struct {
 	class  taskClass
 	member string
 }
 
-// refusal is the backoff of a task class from a holder.
+// refusal records that a holder refused tasks of a class, which back off from it.
 type refusal struct {
 	until   time.Time
 	backoff time.Duration
--- a/internal/job/resubmit_test.go
+++ b/internal/job/resubmit_test.go
@@ -11,7 +11,7 @@
 // TestResubmitAfterFailover submits a job again after the job owner was lost between the first
 // write and the reply. The next job owner has the record, but waited for the outcome of a first
 // write that only the previous one makes, so each retry ran into the caller's deadline (8 s) for as
-// long as the job lived.
+// long as the job was live.
 func TestResubmitAfterFailover(t *testing.T) {
 	for _, d := range []time.Duration{0, 200 * time.Millisecond, 30 * time.Second} {
 		t.Run(d.String(), func(t *testing.T) {
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -111,15 +111,15 @@
 	o.updateWaiting(j)
 }
 
-// surplusReplicas returns the replicas to stop: old ones as far as enough others run, then those
-// above the configured number.
+// surplusReplicas returns the replicas to stop: during a change, old ones as long as enough
+// replicas keep running; otherwise those above the configured number.
 func (j *job) surplusReplicas(r replicaCounts, want, surge int) []int {
 	if r.old > 0 {
-		least := want
+		minRunning := want
 		if surge == 0 {
-			least = want - 1 // without surge, an old replica stops before a new one starts
+			minRunning = want - 1 // without surge, an old replica stops before a new one starts
 		}
-		n := min(max(r.running-least, 0), len(r.oldRunning))
+		n := min(max(r.running-minRunning, 0), len(r.oldRunning))
 		return r.oldRunning[:n]
 	}
 	var out []int
--- a/internal/job/service_test.go
+++ b/internal/job/service_test.go
@@ -14,7 +14,7 @@
 	"pulleyquay/internal/worker/workersim"
 )
 
-// service returns a service with replicas of 1000 mCPU.
+// service returns a service with replicas of 1000 MilliCPU each.
 func service(partitionID, replicas int) spec.Job {
 	j := batch(partitionID, replicas, 0)
 	j.Kind = spec.KindService
@@ -72,15 +72,15 @@
 				a.awaitReplicas(job.ID, 9, 5*time.Second)
 				tt.disturb(c, a, b, a.worker(job.ID))
 				time.Sleep(2*failoverTime + time.Second)
-				b.livingOf(a).awaitReplicas(job.ID, 9, 10*time.Second)
+				b.preferAlive(a).awaitReplicas(job.ID, 9, 10*time.Second)
 				c.assertNoViolations()
 			})
 		})
 	}
 }
 
-// livingOf returns q if it is alive, else p.
-func (p *placer) livingOf(q *placer) *placer {
+// preferAlive returns q if it has not been killed, else p.
+func (p *placer) preferAlive(q *placer) *placer {
 	p.c.mu.Lock()
 	defer p.c.mu.Unlock()
 	if p.c.placer[q.name] == q {
@@ -116,10 +116,10 @@
 				_, err := a.submit(job)
 				c.is.NoErr(err)
 				a.awaitReplicas(job.ID, 6, 5*time.Second)
-				for _, h := range c.Hosts() { // slow hosts, so that the steps of the rollout can be told apart
+				for _, h := range c.Hosts() { // slow hosts, so that the steps of the rollout can be distinguished
 					c.sim.Worker(h.Addr).SetFaults(workersim.Faults{Delay: 150 * time.Millisecond})
 				}
-				starts := c.judge.Starts()
+				starts := c.checker.Starts()
 				next := job
 				tt.edit(&next)
 				s, err := a.update(next, 1)
@@ -129,7 +129,7 @@
 				c.is.NoErr(err)
 				c.is.Equal(s.Generation, 2)
 				for range 400 {
-					n := c.judge.Record(time.Now(), false).Running
+					n := c.checker.Record(time.Now(), false).Running
 					if n > tt.maxRunning || n < tt.minRunning {
 						t.Fatalf("%d replicas run, want %d to %d", n, tt.minRunning, tt.maxRunning)
 					}
@@ -137,7 +137,7 @@
 				}
 				a.awaitReplicas(job.ID, tt.replicas, 10*time.Second)
 				if tt.replaced {
-					c.is.Equal(c.judge.Starts()-starts, tt.replicas)
+					c.is.Equal(c.checker.Starts()-starts, tt.replicas)
 				}
 				c.is.Equal(a.jobs.jobOwner(0).ledger.Used(job.Team), next.Task.Size.Times(int64(tt.replicas)))
 				again, err := a.submit(job) // the first submission, repeated
--- a/internal/job/simulation_test.go
+++ b/internal/job/simulation_test.go
@@ -54,7 +54,7 @@
 	disturbed bool
 }
 
-// randomQuota bounds the CPU of each team in a random run, in mCPU.
+// randomQuota bounds the CPU of each team in a random run, in thousandths of a CPU (MilliCPU).
 const randomQuota = 16000
 
 func newSimulation(t *testing.T) *simulation {
@@ -97,7 +97,7 @@
 // do carries out one step.
 func (sn *simulation) do(s step) {
 	if !s.harmless() {
-		sn.judge.GangGrace = 5 * time.Minute // a partial gang can last as long as failovers do
+		sn.checker.GangGrace = 5 * time.Minute // a partial gang can last as long as failovers do
 	}
 	sn.disturbed = sn.disturbed || s.do == actWorkerFault
 	switch s.do {
@@ -194,7 +194,7 @@
 		if _, err := p.update(j, 0); err == nil {
 			sn.accepted[j.ID] = j
 		} else {
-			delete(sn.accepted, j.ID) // it is not known which of the two specifications is in force
+			delete(sn.accepted, j.ID) // either of the two specifications may be in force
 			sn.uncertain[j.ID] = j
 		}
 	}
--- a/internal/job/stop.go
+++ b/internal/job/stop.go
@@ -49,11 +49,11 @@
 // collectStops adds the runs of a job that have to stop to byAddr, the runs to stop by holder
 // address, and reports whether there are any.
 func (o *jobOwner) collectStops(j *job, addrs map[int]string, byAddr map[string][]worker.Attempt) bool {
-	whole := j.ending() || j.gang.is(gangStopping)
+	stopAll := j.ending() || j.gang.is(gangStopping)
 	found := false
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if whole && t.state == taskRunning {
+		if stopAll && t.state == taskRunning {
 			t.state = taskStopping
 			j.running--
 		}
@@ -68,8 +68,8 @@
 	return found
 }
 
-// sendStops sends one batch. A run that the current holder of its partition does not know no longer
-// runs, if the inventory of that partition is complete.
+// sendStops sends one batch. A run that the current holder of its partition reports as unknown no
+// longer runs, if the inventory of that partition is complete.
 func (o *jobOwner) sendStops(addr string, runs []worker.Attempt) {
 	reply, err := o.stopRuns(addr, runs, "the home of the job ends it")
 	if err != nil || len(reply.Unknown) == 0 {
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -70,7 +70,7 @@
 // admit finds the job, or validates it and adds it to the table. If created is true, the caller has
 // to write its record.
 func (o *jobOwner) admit(s spec.Job, now time.Time) (j *job, created bool, err error) {
-	values, known := o.m.cfg.Values(s.Branch)
+	values, branchExists := o.m.cfg.Values(s.Branch)
 	machineTypes, complete := o.m.machineTypes()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -89,7 +89,7 @@
 	if err := validate(s, now); err != nil {
 		return nil, false, err
 	}
-	if !known {
+	if !branchExists {
 		return nil, false, result.New(result.JobBranchUnknown, result.RanNo, "no branch %q in the settings", s.Branch).AtField("branch")
 	}
 	if err := checkQuota(s, values.Quota); err != nil {
@@ -109,8 +109,8 @@
 	return j, true, nil
 }
 
-// checkStore refuses requests that need the store while it is known to be unavailable. A write sent
-// at such a time would have an unknown outcome.
+// checkStore refuses requests that need the store when the last contact with it is too long ago. A
+// write sent at such a time would have an unknown outcome.
 func (m *Manager) checkStore() error {
 	if m.cfg.StoreAge == nil || m.cfg.StoreAge() <= storeUnavailableAfter {
 		return nil
--- a/internal/job/task.go
+++ b/internal/job/task.go
@@ -155,12 +155,12 @@
 
 // lastReply returns the last reply of a holder about the job.
 func (j *job) lastReply(member string) *holderReply {
-	m := j.holderReplies[member]
-	if m == nil {
-		m = &holderReply{}
-		j.holderReplies[member] = m
+	reply := j.holderReplies[member]
+	if reply == nil {
+		reply = &holderReply{}
+		j.holderReplies[member] = reply
 	}
-	return m
+	return reply
 }
 
 // promoteDelayed moves delayed tasks that are due to the ready ones.
--- a/internal/job/transition.go
+++ b/internal/job/transition.go
@@ -46,7 +46,7 @@
 	o.markUnplanned(j)
 }
 
-// clearLocation removes a task from the counts of running tasks.
+// clearLocation clears a task's host and removes the task from the counts of running tasks.
 func (o *jobOwner) clearLocation(j *job, t *task) {
 	if t.state == taskRunning {
 		j.running--
@@ -128,15 +128,15 @@
 
 // replaceLost requeues the lost tasks that the rate limit admits now.
 func (o *jobOwner) replaceLost(now time.Time) {
-	for _, l := range o.replaceThrottle.TakeDue(now) {
-		j := o.live[l.Task.Job]
+	for _, lost := range o.replaceThrottle.TakeDue(now) {
+		j := o.live[lost.Task.Job]
 		if j == nil || j.ending() {
 			continue
 		}
 		if j.isService() {
 			j.throttled--
 		}
-		o.requeue(j, l.Task.Index, j.crashBackoff(l.Task.Index), now)
+		o.requeue(j, lost.Task.Index, j.crashBackoff(lost.Task.Index), now)
 	}
 }
 
@@ -152,27 +152,27 @@
 // handleFailure counts a run that ended with an exit code other than zero. Finite work ends when a
 // task has failed as often as the branch allows, or when the job has failed on different hosts; a
 // service is restarted without limit, at growing intervals.
-func (o *jobOwner) handleFailure(j *job, index int, n taskmsg.RunReport, now time.Time) {
-	if !o.countFailure(j, index, n.Run.Attempt) {
+func (o *jobOwner) handleFailure(j *job, index int, report taskmsg.RunReport, now time.Time) {
+	if !o.countFailure(j, index, report.Run.Attempt) {
 		o.requeue(j, index, failureBackoff(j.rec.Failures[index]), now)
 		return
 	}
 	o.m.metrics.failures.Inc()
 	failureCount := j.rec.Failures[index]
-	healthErr := o.health.Failed(j.id(), n.Worker, now)
-	if why := o.failureError(j, index, n, healthErr); why != nil {
-		o.endJob(j, why, now)
+	healthErr := o.health.Failed(j.id(), report.Worker, now)
+	if jobErr := o.failureError(j, index, report, healthErr); jobErr != nil {
+		o.endJob(j, jobErr, now)
 		return
 	}
-	j.log.add(now, "failed", "a task ended with a failure on worker "+n.Worker)
+	j.log.add(now, "failed", "a task ended with a failure on worker "+report.Worker)
 	o.requeue(j, index, failureBackoff(failureCount), now)
 }
 
 // countFailure counts a failed run. It reports false if the run was counted before, by a previous
 // job owner or as part of a gang run in which other tasks failed too.
 func (o *jobOwner) countFailure(j *job, index, attempt int) bool {
-	whole := j.isGang() && !o.replacesGangTasks(j)
-	if attempt <= j.rec.LastFailedAttempt[index] || whole && attempt <= j.rec.LastFailedGangAttempt {
+	wholeGang := j.isGang() && !o.replacesGangTasks(j)
+	if attempt <= j.rec.LastFailedAttempt[index] || wholeGang && attempt <= j.rec.LastFailedGangAttempt {
 		return false
 	}
 	if j.rec.Failures == nil {
@@ -183,7 +183,7 @@
 	}
 	j.rec.Failures[index]++
 	j.rec.LastFailedAttempt[index] = attempt
-	if whole {
+	if wholeGang {
 		j.rec.LastFailedGangAttempt = o.lastGangAttempt(j)
 	}
 	o.markChanged(j)
@@ -204,13 +204,13 @@
 }
 
 // failureError returns the error that a failure ends the job with, or nil.
-func (o *jobOwner) failureError(j *job, index int, n taskmsg.RunReport, healthErr *result.Error) *result.Error {
+func (o *jobOwner) failureError(j *job, index int, report taskmsg.RunReport, healthErr *result.Error) *result.Error {
 	if j.isService() {
 		return nil
 	}
 	values, _ := o.m.cfg.Values(j.rec.Job.Branch)
 	if failures := j.rec.Failures[index]; values.Task.MaxAttempts > 0 && int64(failures) >= values.Task.MaxAttempts {
-		return result.New(result.JobTaskFailed, result.RanYes, "task %d failed %d times, last with exit code %d on worker %s", index, failures, n.ExitCode, n.Worker)
+		return result.New(result.JobTaskFailed, result.RanYes, "task %d failed %d times, last with exit code %d on worker %s", index, failures, report.ExitCode, report.Worker)
 	}
 	return healthErr
 }
@@ -226,18 +226,18 @@
 
 // endJob prevents all further starts of the job and stops its running tasks. The job becomes final
 // once no task runs.
-func (o *jobOwner) endJob(j *job, why *result.Error, now time.Time) {
+func (o *jobOwner) endJob(j *job, cause *result.Error, now time.Time) {
 	if j.ending() {
 		return
 	}
-	j.rec.Code, j.rec.Reason = why.Code, why.Detail
+	j.rec.Code, j.rec.Reason = cause.Code, cause.Detail
 	j.ready, j.delayed = nil, nil
 	o.updateWaiting(j)
 	o.replaceThrottle.Drop(j.id())
 	o.fireEvent(j, eventEnd)
 	o.markChanged(j)
 	o.stopping[j.id()] = j
-	j.log.add(now, "ending", why.Detail)
+	j.log.add(now, "ending", cause.Detail)
 	o.finalizeIfDone(j, now)
 }
 
--- a/internal/job/update.go
+++ b/internal/job/update.go
@@ -48,7 +48,7 @@
 // beginUpdate validates a change and returns the record to write, nil if the specification is
 // already in force. Until the write is complete no other write of the job starts.
 func (o *jobOwner) beginUpdate(j *job, req jobmsg.UpdateRequest, now time.Time) (*record, []byte, error) {
-	values, known := o.m.cfg.Values(req.Job.Branch)
+	values, branchExists := o.m.cfg.Values(req.Job.Branch)
 	machineTypes, complete := o.m.machineTypes()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -61,7 +61,7 @@
 	if req.Generation != 0 && req.Generation != j.rec.Generation {
 		return nil, nil, result.New(result.JobChanged, result.RanNo, "the job is at generation %d, not %d", j.rec.Generation, req.Generation).AtField("generation")
 	}
-	if !known {
+	if !branchExists {
 		return nil, nil, result.New(result.JobBranchUnknown, result.RanNo, "no branch %q in the settings", req.Job.Branch).AtField("branch")
 	}
 	if err := checkQuota(req.Job, values.Quota); err != nil {
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -106,11 +106,11 @@
 	if j.Kind == spec.KindGang {
 		need = need.Times(int64(j.Tasks))
 	}
-	over := q.Exceeds(need)
-	if over == "" {
+	excess := q.Exceeds(need)
+	if excess == "" {
 		return nil
 	}
-	return result.New(result.JobOverQuota, result.RanNo, "branch %s allows team %s less than it needs at once: %s", j.Branch, j.Team, over)
+	return result.New(result.JobOverQuota, result.RanNo, "branch %s allows team %s less than it needs at once: %s", j.Branch, j.Team, excess)
 }
 
 func codeLabel(c result.Code) string { return strconv.Itoa(int(c)) }
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -1,6 +1,6 @@
 // Package jobapi is the entry's HTTP interface for jobs. It is stateless: each call is forwarded
-// over the peer link to the owner of the team's jobs, or to all job owners if the team is not
-// known.
+// over the peer link to the owner of the team's jobs, or to all job owners if the request
+// names no team.
 package jobapi
 
 import (
@@ -67,27 +67,27 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 		defer cancel()
-		ans, err := fn(ctx, r)
+		resp, err := fn(ctx, r)
 		if err != nil {
 			problem.Write(w, result.From(err))
 			return
 		}
-		a.write(w, ans)
+		a.write(w, resp)
 	})
 }
 
-func (a *API) write(w http.ResponseWriter, ans response) {
-	body, err := json.Marshal(ans.body)
+func (a *API) write(w http.ResponseWriter, resp response) {
+	body, err := json.Marshal(resp.body)
 	if err != nil {
 		problem.Write(w, result.New(result.Internal, result.RanUnknown, "encode: %v", err))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)+1))
-	if ans.location != "" {
-		w.Header().Set("Location", ans.location)
+	if resp.location != "" {
+		w.Header().Set("Location", resp.location)
 	}
-	w.WriteHeader(ans.status)
+	w.WriteHeader(resp.status)
 	if _, err := w.Write(append(body, '\n')); err != nil {
 		a.log.WithError(err).Debug("failed to write response to caller")
 	}
@@ -110,7 +110,7 @@
 	return response{status: http.StatusCreated, location: "/v1/jobs/" + job.ID, body: status}, nil
 }
 
-// newID generates an identifier for a submitter who gave none, and who therefore can not retry the
+// newID generates an identifier for a submitter who gave none, and who therefore cannot retry the
 // call safely.
 func newID() (string, error) {
 	id, err := uuid.NewV7()
@@ -143,10 +143,10 @@
 	return job, nil
 }
 
-func decodeStrict(body []byte, into any) error {
+func decodeStrict(body []byte, dst any) error {
 	d := json.NewDecoder(strings.NewReader(string(body)))
 	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(dst); err != nil {
 		return badJSON(err)
 	}
 	if _, err := d.Token(); err != io.EOF {
--- a/internal/jobapi/owners.go
+++ b/internal/jobapi/owners.go
@@ -19,7 +19,7 @@
 const (
 	// retryPause is the delay before a job owner is looked up and called again.
 	retryPause = 200 * time.Millisecond
-	// maxParallelCalls bounds the concurrent calls to processes when the job owner is not known.
+	// maxParallelCalls bounds the concurrent calls to holders for a request that names no team.
 	maxParallelCalls = 16
 	// retryNoHolder is the retry delay returned while a partition has no holder.
 	retryNoHolder = 2 * time.Second
@@ -97,16 +97,16 @@
 
 // holders returns the addresses of all processes that hold partitions, in a fixed order, and
 // whether every partition has a holder.
-func (c ownerClient) holders() (addrs []string, all bool) {
+func (c ownerClient) holders() (addrs []string, allHeld bool) {
 	table := c.source.Table()
 	if table == nil {
 		return nil, false
 	}
 	seen := map[string]bool{}
-	all = len(table.Partitions) > 0
+	allHeld = len(table.Partitions) > 0
 	for _, p := range table.Partitions {
 		if p.Holder == "" {
-			all = false
+			allHeld = false
 			continue
 		}
 		if !seen[p.Addr] {
@@ -115,7 +115,7 @@
 		}
 	}
 	sort.Strings(addrs)
-	return addrs, all
+	return addrs, allHeld
 }
 
 func (c ownerClient) get(ctx context.Context, team string, req jobmsg.GetRequest) (jobmsg.GetReply, error) {
@@ -130,13 +130,13 @@
 // owner of the job replies with success.
 func callOwner[Resp any](ctx context.Context, c ownerClient, team string, kind peer.Kind, req any, id string) (Resp, error) {
 	var none Resp
-	addrs, all := c.holders()
+	addrs, allHeld := c.holders()
 	if team != "" {
 		addr, err := c.ownerAddr(team)
 		if err != nil {
 			return none, err
 		}
-		addrs, all = []string{addr}, true
+		addrs, allHeld = []string{addr}, true
 	}
 	replies, errs := callAll[Resp](ctx, c.peers, addrs, kind, req)
 	var failure error
@@ -151,7 +151,7 @@
 	if failure != nil {
 		return none, failure
 	}
-	if !all {
+	if !allHeld {
 		return none, result.New(result.JobHomeMoved, result.RanUnknown, "not every home is held at the moment, and those that are do not know job %q", id).WithRetryAfter(retryNoHolder)
 	}
 	return none, result.New(result.JobNotFound, result.RanUnknown, "no home knows job %q", id)
@@ -176,15 +176,15 @@
 // list merges the pages of all job owners. If one of them does not reply the whole list fails, as a
 // list with a gap would look complete.
 func (c ownerClient) list(ctx context.Context, req jobmsg.ListRequest) (jobmsg.ListReply, error) {
-	addrs, all := c.holders()
+	addrs, allHeld := c.holders()
 	if req.Team != "" {
 		addr, err := c.ownerAddr(req.Team)
 		if err != nil {
 			return jobmsg.ListReply{}, err
 		}
-		addrs, all = []string{addr}, true
+		addrs, allHeld = []string{addr}, true
 	}
-	if !all {
+	if !allHeld {
 		return jobmsg.ListReply{}, result.New(result.JobHomeMoved, result.RanNo, "not every home is held at the moment").WithRetryAfter(retryNoHolder)
 	}
 	replies, errs := callAll[jobmsg.ListReply](ctx, c.peers, addrs, peer.KindJobList, req)
--- a/internal/jobmsg/jobmsg.go
+++ b/internal/jobmsg/jobmsg.go
@@ -70,7 +70,7 @@
 	Explain *Explanation `cbor:"2,keyasint,omitempty"`
 }
 
-// ListRequest asks a process for the jobs of its job owners.
+// ListRequest asks for the jobs of all job owners of a process.
 type ListRequest struct {
 	// Team restricts the list; empty lists all teams.
 	Team string `cbor:"1,keyasint,omitempty"`
@@ -131,8 +131,8 @@
 	ByRule map[string]int `cbor:"5,keyasint,omitempty" json:"refused_by_rule,omitempty"`
 }
 
-// Explanation states why a job runs where it does, or what it waits for and what would free that,
-// as recorded by the job owner.
+// Explanation states why a job runs where it does, or what it waits for and what would end the
+// wait, as recorded by the job owner.
 type Explanation struct {
 	Placements []Placement `cbor:"1,keyasint" json:"sites"`
 	Waits      []Wait      `cbor:"2,keyasint" json:"waits"`
