--- a/internal/fleet/dump.go
+++ b/internal/fleet/dump.go
@@ -55,10 +55,10 @@
 	for _, r := range f.runs {
 		s.Runs[r.state.String()]++
 	}
-	for id, h := range f.jobOwners {
-		s.HomeEpochs[id] = h.epoch
-		if len(h.pending) > 0 {
-			s.PendingUpdates[id] = len(h.pending)
+	for id, o := range f.jobOwners {
+		s.HomeEpochs[id] = o.epoch
+		if len(o.pending) > 0 {
+			s.PendingUpdates[id] = len(o.pending)
 		}
 	}
 	return s
--- a/internal/fleet/evidence_test.go
+++ b/internal/fleet/evidence_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestWorkerWithoutIncarnation checks that no loss is reported as a crash if it is not known when
-// the worker's next incarnation started.
+// TestWorkerWithoutIncarnation checks that no loss is reported as a crash if the worker
+// does not report when its next incarnation started.
 func TestWorkerWithoutIncarnation(t *testing.T) {
 	runTestbed(t, 1, func(b *testbed) {
 		b.setFaults(workersim.Faults{OmitIncarnation: true})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -184,8 +184,8 @@
 	for _, w := range f.workers {
 		f.startDriver(w, now)
 	}
-	for id, h := range f.jobOwners {
-		f.startUpdateSender(id, h, now)
+	for id, o := range f.jobOwners {
+		f.startUpdateSender(id, o, now)
 	}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -352,11 +352,11 @@
 		for b.home.state(attempt("job", 0)) != taskmsg.RunLost {
 			time.Sleep(100 * time.Millisecond)
 		}
-		again, err := m.place(context.Background(), taskmsg.PlaceRequest{
+		second, err := m.place(context.Background(), taskmsg.PlaceRequest{
 			Home: taskmsg.Home{Partition: homePartition, Epoch: 1}, Shape: shapeOf("job", 1000, 0), Slots: []taskmsg.Slot{{Attempt: 2}},
 		})
 		b.is.NoErr(err)
-		b.is.Equal(count(again.Results, taskmsg.OutcomeStarted), 1)
+		b.is.Equal(count(second.Results, taskmsg.OutcomeStarted), 1)
 		time.Sleep(time.Minute)
 		b.is.Equal(b.running(), 1)
 		b.requireNoViolations()
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -32,7 +32,7 @@
 	return reply, err
 }
 
-func (f *Fleet) buildInventory(home int, held map[int]uint64, now time.Time) taskmsg.InventoryReply {
+func (f *Fleet) buildInventory(homePartition int, held map[int]uint64, now time.Time) taskmsg.InventoryReply {
 	f.updateComplete(now)
 	var reply taskmsg.InventoryReply
 	for _, p := range f.partitions {
@@ -42,7 +42,7 @@
 	}
 	slices.SortFunc(reply.Partitions, func(a, b taskmsg.WorkerPartition) int { return a.ID - b.ID })
 	for _, r := range f.runs {
-		if r.homePartition != home || r.state == runAcked || held[r.managedWorker.heldPartition.id] != r.managedWorker.heldPartition.epoch {
+		if r.homePartition != homePartition || r.state == runAcked || held[r.managedWorker.heldPartition.id] != r.managedWorker.heldPartition.epoch {
 			continue
 		}
 		state := taskmsg.RunRunning
--- a/internal/fleet/managedworker.go
+++ b/internal/fleet/managedworker.go
@@ -82,7 +82,7 @@
 	managedWorker *managedWorker
 	homePartition int
 	state         runState
-	// start is kept until the outcome of the start is known.
+	// start is the start to send; nil once its outcome is determined.
 	start *worker.Start
 	// startExpires is the reading of the worker's clock after which it refuses the
 	// unanswered order that contained the start.
--- a/internal/fleet/resident.go
+++ b/internal/fleet/resident.go
@@ -93,8 +93,8 @@
 	}
 	f.mu.Lock()
 	for id, epoch := range state.Homes {
-		h := f.jobOwner(id)
-		h.epoch = max(h.epoch, epoch)
+		o := f.jobOwner(id)
+		o.epoch = max(o.epoch, epoch)
 	}
 	f.dropPartition(acq.Partition)
 	if old := f.droppedPartitions[acq.Partition]; old.epoch == acq.Epoch {
@@ -196,9 +196,9 @@
 			state.Workers = append(state.Workers, w.name)
 		}
 	}
-	for id, h := range f.jobOwners {
-		if h.epoch > 0 {
-			state.Homes[id] = h.epoch
+	for id, o := range f.jobOwners {
+		if o.epoch > 0 {
+			state.Homes[id] = o.epoch
 		}
 	}
 	return state
--- a/internal/fleet/runs.go
+++ b/internal/fleet/runs.go
@@ -68,8 +68,8 @@
 }
 
 // trackRun records a run in this package; its capacity is recorded by the scheduler.
-func (f *Fleet) trackRun(w *managedWorker, id worker.Attempt, home int, state runState) *run {
-	r := &run{id: id, managedWorker: w, homePartition: home, state: state, startConfirmed: state == runRunning}
+func (f *Fleet) trackRun(w *managedWorker, id worker.Attempt, homePartition int, state runState) *run {
+	r := &run{id: id, managedWorker: w, homePartition: homePartition, state: state, startConfirmed: state == runRunning}
 	f.runs[id] = r
 	w.runs[id] = r
 	return r
--- a/internal/fleet/updates.go
+++ b/internal/fleet/updates.go
@@ -33,16 +33,16 @@
 }
 
 func (f *Fleet) jobOwner(id int) *jobOwner {
-	h := f.jobOwners[id]
-	if h == nil {
-		h = &jobOwner{pending: map[worker.Attempt]*run{}, backoff: backoff.ExponentialBackOff{
+	o := f.jobOwners[id]
+	if o == nil {
+		o = &jobOwner{pending: map[worker.Attempt]*run{}, backoff: backoff.ExponentialBackOff{
 			InitialInterval: updateRetry, Multiplier: backoff.DefaultMultiplier,
 			RandomizationFactor: backoff.DefaultRandomizationFactor, MaxInterval: updateRetryMax,
 		}}
-		h.backoff.Reset()
-		f.jobOwners[id] = h
+		o.backoff.Reset()
+		f.jobOwners[id] = o
 	}
-	return h
+	return o
 }
 
 // serveJobOwner runs fn under the mutex unless the requesting job owner is fenced. The table
@@ -65,12 +65,12 @@
 	if err := f.requireOwnClaims(table); err != nil {
 		return err
 	}
-	h := f.jobOwner(from.Partition)
-	h.epoch = max(h.epoch, tableEpoch(table, from.Partition))
-	if from.Epoch < h.epoch {
-		return result.New(result.HomeFenced, result.RanNo, "home partition %d: epoch %d is below %d", from.Partition, from.Epoch, h.epoch)
+	o := f.jobOwner(from.Partition)
+	o.epoch = max(o.epoch, tableEpoch(table, from.Partition))
+	if from.Epoch < o.epoch {
+		return result.New(result.HomeFenced, result.RanNo, "home partition %d: epoch %d is below %d", from.Partition, from.Epoch, o.epoch)
 	}
-	h.epoch = from.Epoch
+	o.epoch = from.Epoch
 	return nil
 }
 
@@ -113,41 +113,41 @@
 func (f *Fleet) queueUpdate(r *run, state taskmsg.RunState) {
 	r.update = state
 	r.reported = true
-	h := f.jobOwner(r.homePartition)
-	h.pending[r.id] = r
-	f.startUpdateSender(r.homePartition, h, time.Now())
+	o := f.jobOwner(r.homePartition)
+	o.pending[r.id] = r
+	f.startUpdateSender(r.homePartition, o, time.Now())
 }
 
 // dropUpdate discards a run's queued update.
 func (f *Fleet) dropUpdate(r *run) {
 	r.update = 0
-	if h := f.jobOwners[r.homePartition]; h != nil && h.pending[r.id] == r {
-		delete(h.pending, r.id)
+	if o := f.jobOwners[r.homePartition]; o != nil && o.pending[r.id] == r {
+		delete(o.pending, r.id)
 	}
 }
 
 // startUpdateSender starts a sender for the job owner if updates are pending and none runs.
-func (f *Fleet) startUpdateSender(id int, h *jobOwner, now time.Time) {
-	if h.busy || len(h.pending) == 0 || now.Before(h.retryAt) {
+func (f *Fleet) startUpdateSender(id int, o *jobOwner, now time.Time) {
+	if o.busy || len(o.pending) == 0 || now.Before(o.retryAt) {
 		return
 	}
-	h.busy = f.spawn(func() { f.sendUpdates(id, h) })
+	o.busy = f.spawn(func() { f.sendUpdates(id, o) })
 }
 
 // sendUpdates sends the pending updates of one job owner, one message at a time.
-func (f *Fleet) sendUpdates(id int, h *jobOwner) {
+func (f *Fleet) sendUpdates(id int, o *jobOwner) {
 	for {
 		f.mu.Lock()
-		if len(h.pending) == 0 || time.Now().Before(h.retryAt) || f.ctx.Err() != nil {
-			h.busy = false
+		if len(o.pending) == 0 || time.Now().Before(o.retryAt) || f.ctx.Err() != nil {
+			o.busy = false
 			f.mu.Unlock()
 			return
 		}
-		update, sent := f.composeUpdate(id, h)
+		update, sent := f.composeUpdate(id, o)
 		f.mu.Unlock()
 		reply, err := f.callJobOwner(id, update)
 		f.mu.Lock()
-		f.applyUpdateReply(h, sent, reply, err)
+		f.applyUpdateReply(o, sent, reply, err)
 		f.mu.Unlock()
 	}
 }
@@ -164,11 +164,11 @@
 	return s.run.update != s.state || s.run.lossEvidence() != s.lossEvidence
 }
 
-func (f *Fleet) composeUpdate(id int, h *jobOwner) (taskmsg.RunReports, []sentUpdate) {
-	n := min(len(h.pending), maxRunsPerUpdate)
+func (f *Fleet) composeUpdate(id int, o *jobOwner) (taskmsg.RunReports, []sentUpdate) {
+	n := min(len(o.pending), maxRunsPerUpdate)
 	update := taskmsg.RunReports{HomePartition: id, Runs: make([]taskmsg.RunReport, 0, n)}
 	sent := make([]sentUpdate, 0, n)
-	for _, r := range h.pending {
+	for _, r := range o.pending {
 		if len(sent) == n {
 			break
 		}
@@ -203,11 +203,11 @@
 
 // applyUpdateReply processes a job owner's reply. An update that reports a run as running
 // needs no acknowledgement; one that reports its end stays pending until acknowledged.
-func (f *Fleet) applyUpdateReply(h *jobOwner, sent []sentUpdate, reply taskmsg.RunReportsReply, err error) {
+func (f *Fleet) applyUpdateReply(o *jobOwner, sent []sentUpdate, reply taskmsg.RunReportsReply, err error) {
 	now := time.Now()
 	if err != nil {
 		f.metrics.updates.WithLabelValues("failed").Inc()
-		h.retryAt = now.Add(h.backoff.NextBackOff())
+		o.retryAt = now.Add(o.backoff.NextBackOff())
 		return
 	}
 	f.metrics.updates.WithLabelValues("ok").Inc()
@@ -215,7 +215,7 @@
 	orphans := attemptSet(reply.Orphans)
 	unacked := 0
 	for _, s := range sent {
-		if h.pending[s.run.id] != s.run || s.superseded() {
+		if o.pending[s.run.id] != s.run || s.superseded() {
 			continue // removed, or another update is pending
 		}
 		_, isAcked := acked[s.run.id]
@@ -233,11 +233,11 @@
 		}
 	}
 	if unacked > 0 {
-		h.retryAt = now.Add(h.backoff.NextBackOff())
+		o.retryAt = now.Add(o.backoff.NextBackOff())
 		return
 	}
-	h.backoff.Reset()
-	h.retryAt = time.Time{}
+	o.backoff.Reset()
+	o.retryAt = time.Time{}
 }
 
 // acknowledgeEnd lets the worker delete its record of an ended run with the next order.
--- a/internal/job/explain.go
+++ b/internal/job/explain.go
@@ -57,13 +57,13 @@
 	byWorker := map[string]*jobmsg.Placement{}
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.at == nil {
+		if t.host == nil {
 			continue
 		}
-		s := byWorker[t.at.worker]
+		s := byWorker[t.host.worker]
 		if s == nil {
-			s = &jobmsg.Placement{Worker: t.at.worker, Zone: t.at.zone, Partition: t.at.partition}
-			byWorker[t.at.worker] = s
+			s = &jobmsg.Placement{Worker: t.host.worker, Zone: t.host.zone, Partition: t.host.partition}
+			byWorker[t.host.worker] = s
 		}
 		s.Tasks = append(s.Tasks, i)
 	}
--- a/internal/job/gangtry.go
+++ b/internal/job/gangtry.go
@@ -15,8 +15,8 @@
 // time, and a holder that may have reserved more than it confirmed takes no further part until it
 // has confirmed a release.
 type gangTry struct {
-	o         *jobOwner
-	j         *job
+	owner     *jobOwner
+	job       *job
 	shape     taskmsg.Shape
 	slots     []taskmsg.Slot
 	startedAt time.Time
@@ -39,7 +39,7 @@
 }
 
 func newGangTry(o *jobOwner, j *job, shape taskmsg.Shape, slots []taskmsg.Slot, holders []holder, now time.Time) *gangTry {
-	t := &gangTry{o: o, j: j, shape: shape, slots: slots, unreserved: slots, startedAt: now, number: slots[0].Attempt, gather: j.beginGather(now)}
+	t := &gangTry{owner: o, job: j, shape: shape, slots: slots, unreserved: slots, startedAt: now, number: slots[0].Attempt, gather: j.beginGather(now)}
 	for _, target := range holders {
 		t.parts = append(t.parts, &gangPart{target: target})
 	}
@@ -64,9 +64,9 @@
 // abandoned reports whether the try must be abandoned because the job was ended or the job owner is
 // stopping.
 func (t *gangTry) abandoned() bool {
-	t.o.mu.Lock()
-	defer t.o.mu.Unlock()
-	return t.j.ending() || t.o.phase == phaseEnded || t.o.released
+	t.owner.mu.Lock()
+	defer t.owner.mu.Unlock()
+	return t.job.ending() || t.owner.phase == phaseEnded || t.owner.released
 }
 
 // reserveAll asks one holder after the other to reserve capacity for the unreserved slots and to
@@ -86,8 +86,8 @@
 	want := append(append([]taskmsg.Slot(nil), p.slots...), t.unreserved...)
 	requestedAt := time.Now()
 	var reply taskmsg.GangReserveReply
-	req := taskmsg.GangReserveRequest{Home: t.o.identity(), Shape: t.shape, Slots: want, ReservationMS: gangReservationTTL.Milliseconds(), AccumulateCapacity: t.gather, Try: t.number}
-	err := t.o.callHolder(p.target.addr, peer.KindGangReserve, gangCallTimeout, req, &reply)
+	req := taskmsg.GangReserveRequest{Home: t.owner.identity(), Shape: t.shape, Slots: want, ReservationMS: gangReservationTTL.Milliseconds(), AccumulateCapacity: t.gather, Try: t.number}
+	err := t.owner.callHolder(p.target.addr, peer.KindGangReserve, gangCallTimeout, req, &reply)
 	t.recordReply(p.target, reply.Refusal, err)
 	switch {
 	case err == nil:
@@ -102,16 +102,16 @@
 // releaseUnconfirmed makes a holder whose reply was lost release what it may have reserved.
 func (t *gangTry) releaseUnconfirmed(p *gangPart) bool {
 	var reply taskmsg.PlaceReply
-	req := taskmsg.GangFinishRequest{Home: t.o.identity(), Job: t.j.id(), Try: t.number}
-	p.unconfirmed = t.o.callHolder(p.target.addr, peer.KindGangEnd, gangCallTimeout, req, &reply) != nil
+	req := taskmsg.GangFinishRequest{Home: t.owner.identity(), Job: t.job.id(), Try: t.number}
+	p.unconfirmed = t.owner.callHolder(p.target.addr, peer.KindGangEnd, gangCallTimeout, req, &reply) != nil
 	return !p.unconfirmed
 }
 
 // recordReply records a holder's reply for the explanation.
 func (t *gangTry) recordReply(target holder, refusal *taskmsg.Refusal, err error) {
-	t.o.mu.Lock()
-	defer t.o.mu.Unlock()
-	last := t.j.lastReply(target.member)
+	t.owner.mu.Lock()
+	defer t.owner.mu.Unlock()
+	last := t.job.lastReply(target.member)
 	last.refusal, last.err = refusal, err
 }
 
@@ -132,7 +132,7 @@
 
 // release releases all reservations; no task of the gang has started.
 func (t *gangTry) release() {
-	o, j := t.o, t.j
+	o, j := t.owner, t.job
 	t.endAll(false)
 	o.m.metrics.gangs.WithLabelValues("released").Inc()
 	now := time.Now()
@@ -153,7 +153,7 @@
 // beginStart changes the gang's state to starting, unless a reservation may expire before the start
 // order arrives or the job was ended.
 func (t *gangTry) beginStart() bool {
-	o := t.o
+	o := t.owner
 	if o.checkAuthority() != nil {
 		return false
 	}
@@ -164,15 +164,15 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if t.j.ending() || o.phase == phaseEnded || o.released {
+	if t.job.ending() || o.phase == phaseEnded || o.released {
 		return false
 	}
-	return o.fireGangEvent(t.j, gangEventStart)
+	return o.fireGangEvent(t.job, gangEventStart)
 }
 
 // start orders every part to start, and stops the gang if any of its tasks did not start.
 func (t *gangTry) start() {
-	o, j := t.o, t.j
+	o, j := t.owner, t.job
 	replies, errs := t.endAll(true)
 	for i, p := range t.parts {
 		if errs[i] != nil && certainlyNotStarted(errs[i]) {
@@ -200,14 +200,14 @@
 // part are ordered to start.
 func (t *gangTry) endAll(start bool) ([]taskmsg.PlaceReply, []error) {
 	replies, errs := make([]taskmsg.PlaceReply, len(t.parts)), make([]error, len(t.parts))
-	req := taskmsg.GangFinishRequest{Home: t.o.identity(), Job: t.j.id(), Start: start, Try: t.number}
+	req := taskmsg.GangFinishRequest{Home: t.owner.identity(), Job: t.job.id(), Start: start, Try: t.number}
 	var wait sync.WaitGroup
 	for i, p := range t.parts {
 		if len(p.slots) == 0 && (start || !(p.unconfirmed || t.gather)) {
 			continue
 		}
 		wait.Go(func() {
-			errs[i] = t.o.callHolder(p.target.addr, peer.KindGangEnd, gangCallTimeout, req, &replies[i])
+			errs[i] = t.owner.callHolder(p.target.addr, peer.KindGangEnd, gangCallTimeout, req, &replies[i])
 		})
 	}
 	wait.Wait()
--- a/internal/job/gangtry_test.go
+++ b/internal/job/gangtry_test.go
@@ -64,7 +64,7 @@
 // lost. No two holders may have reserved the same slot in the end.
 func TestSlotsAreReservedOnce(t *testing.T) {
 	try, s := newScriptedTry(t, 6)
-	is := try.o.m.cfg.Source.(*cell).is
+	is := try.owner.m.cfg.Source.(*cell).is
 	s.capacity["a"], s.capacity["b"], s.lose["b"] = 2, 3, 1
 	is.True(!try.reserveAll())
 	s.capacity["a"] = 4 // two more than before
@@ -79,7 +79,7 @@
 // started.
 func TestExpiringReservationIsNotStarted(t *testing.T) {
 	try, s := newScriptedTry(t, 4)
-	is := try.o.m.cfg.Source.(*cell).is
+	is := try.owner.m.cfg.Source.(*cell).is
 	s.capacity["a"], s.capacity["b"] = 2, 2
 	is.True(try.reserveAll())
 	try.parts[0].reservedAt = time.Now().Add(-gangReservationTTL)
--- a/internal/job/load.go
+++ b/internal/job/load.go
@@ -71,7 +71,7 @@
 		j := newJob(rec)
 		j.revision, j.recordConfirmed = r.ModRevision, true
 		j.inherited = true
-		j.firstWriteDone = alreadyAnswered
+		j.firstWriteDone = alreadyWritten
 		if j.rec.State.Final() {
 			o.jobs[j.id()] = j
 			continue
@@ -85,9 +85,9 @@
 	return true
 }
 
-// alreadyAnswered is firstWriteDone of a job whose first write a previous job owner made. A caller
+// alreadyWritten is firstWriteDone of a job whose first write a previous job owner made. A caller
 // who submits the job again gets a reply at once instead of waiting until its deadline.
-var alreadyAnswered = func() chan struct{} {
+var alreadyWritten = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
--- a/internal/job/news.go
+++ b/internal/job/news.go
@@ -93,7 +93,7 @@
 func (o *jobOwner) applyRunning(j *job, index int, report taskmsg.RunReport) reportOutcome {
 	t := &j.tasks[index]
 	if t.active() && report.Run.Attempt == t.attempt {
-		if t.at == nil || report.Epoch >= t.epoch {
+		if t.host == nil || report.Epoch >= t.epoch {
 			o.markRunning(j, index, o.location(report.Worker, report.Zone, report.Partition), report.Epoch)
 			t.runningSince = time.Now()
 		}
--- a/internal/job/plan.go
+++ b/internal/job/plan.go
@@ -93,20 +93,20 @@
 // passState is the state of one scheduling pass: the holders, and the task classes for which no
 // holder has free capacity.
 type passState struct {
-	o       *jobOwner
+	owner   *jobOwner
 	now     time.Time
 	holders []holder
 	full    map[taskClass]bool
 }
 
 func (o *jobOwner) passState(table *view.Table, now time.Time) *passState {
-	return &passState{o: o, now: now, holders: o.m.holders(table, now), full: map[taskClass]bool{}}
+	return &passState{owner: o, now: now, holders: o.m.holders(table, now), full: map[taskClass]bool{}}
 }
 
 // canCall reports whether any holder is below the limit of concurrent calls.
 func (pass *passState) canCall() bool {
 	for _, target := range pass.holders {
-		if pass.o.callsInFlight[target.addr] < maxCallsPerHolder {
+		if pass.owner.callsInFlight[target.addr] < maxCallsPerHolder {
 			return true
 		}
 	}
--- a/internal/job/reconcile.go
+++ b/internal/job/reconcile.go
@@ -174,10 +174,10 @@
 	for _, j := range o.live {
 		for i := range j.tasks {
 			t := &j.tasks[i]
-			if t.at == nil || !t.active() || t.epoch >= newer[t.at.partition] || reported[j.currentAttempt(i)] {
+			if t.host == nil || !t.active() || t.epoch >= newer[t.host.partition] || reported[j.currentAttempt(i)] {
 				continue
 			}
-			reason := "worker " + t.at.worker + " does not run it any more"
+			reason := "worker " + t.host.worker + " does not run it any more"
 			o.releaseTask(j, i)
 			o.runLost(j, i, reason, now)
 		}
--- a/internal/job/refusal.go
+++ b/internal/job/refusal.go
@@ -36,8 +36,8 @@
 type refusal struct {
 	until   time.Time
 	backoff time.Duration
-	// free and largest are the holder's capacity at the time of the refusal, if known. The refusal
-	// no longer applies once they change.
+	// free and largest are the holder's capacity at the time of the refusal, zero without a digest.
+	// The refusal no longer applies once they change.
 	free, largest spec.Resources
 }
 
--- a/internal/job/stop.go
+++ b/internal/job/stop.go
@@ -57,11 +57,11 @@
 			t.state = taskStopping
 			j.running--
 		}
-		if t.state != taskStopping || t.at == nil {
+		if t.state != taskStopping || t.host == nil {
 			continue
 		}
 		found = true
-		if addr := addrs[t.at.partition]; addr != "" {
+		if addr := addrs[t.host.partition]; addr != "" {
 			byAddr[addr] = append(byAddr[addr], j.currentAttempt(i))
 		}
 	}
@@ -85,10 +85,10 @@
 			continue
 		}
 		t := &j.tasks[run.Task.Index]
-		if t.attempt != run.Attempt || !t.active() || t.at == nil {
+		if t.attempt != run.Attempt || !t.active() || t.host == nil {
 			continue
 		}
-		p, ok := findPartition(table, t.at.partition)
+		p, ok := findPartition(table, t.host.partition)
 		if !ok || p.Addr != addr || o.inventoryEpochs[p.ID] < p.Epoch {
 			continue
 		}
--- a/internal/job/task.go
+++ b/internal/job/task.go
@@ -33,7 +33,7 @@
 type task struct {
 	attempt      int // of the current run, or of the latest one while pending
 	epoch        uint64
-	at           *location // nil while unknown
+	host         *location // nil while unknown
 	state        taskState
 	wasPreempted bool // the latest attempt was preempted
 	// runningSince is when this job owner was informed that the current attempt runs; zero for an
--- a/internal/job/transition.go
+++ b/internal/job/transition.go
@@ -28,11 +28,11 @@
 }
 
 // markRunning records that the current attempt of a task runs on a host.
-func (o *jobOwner) markRunning(j *job, index int, at *location, epoch uint64) {
+func (o *jobOwner) markRunning(j *job, index int, host *location, epoch uint64) {
 	t := &j.tasks[index]
 	o.clearLocation(j, t)
-	t.at, t.epoch = at, epoch
-	j.zones[at.zone]++
+	t.host, t.epoch = host, epoch
+	j.zones[host.zone]++
 	if t.state != taskStopping {
 		t.state = taskRunning
 		j.running++
@@ -51,13 +51,13 @@
 	if t.state == taskRunning {
 		j.running--
 	}
-	if t.at == nil {
+	if t.host == nil {
 		return
 	}
-	if j.zones[t.at.zone]--; j.zones[t.at.zone] <= 0 {
-		delete(j.zones, t.at.zone)
+	if j.zones[t.host.zone]--; j.zones[t.host.zone] <= 0 {
+		delete(j.zones, t.host.zone)
 	}
-	t.at = nil
+	t.host = nil
 }
 
 // releaseTask is called when the current attempt of an active task certainly no longer runs. It
--- a/internal/jobapi/owners.go
+++ b/internal/jobapi/owners.go
@@ -129,12 +129,12 @@
 // callOwner calls the job owner of the team, or every holder if the team is not given. Only the
 // owner of the job replies with success.
 func callOwner[Resp any](ctx context.Context, c ownerClient, team string, kind peer.Kind, req any, id string) (Resp, error) {
-	var none Resp
+	var zero Resp
 	addrs, allHeld := c.holders()
 	if team != "" {
 		addr, err := c.ownerAddr(team)
 		if err != nil {
-			return none, err
+			return zero, err
 		}
 		addrs, allHeld = []string{addr}, true
 	}
@@ -149,12 +149,12 @@
 		}
 	}
 	if failure != nil {
-		return none, failure
+		return zero, failure
 	}
 	if !allHeld {
-		return none, result.New(result.JobHomeMoved, result.RanUnknown, "not every home is held at the moment, and those that are do not know job %q", id).WithRetryAfter(retryNoHolder)
+		return zero, result.New(result.JobHomeMoved, result.RanUnknown, "not every home is held at the moment, and those that are do not know job %q", id).WithRetryAfter(retryNoHolder)
 	}
-	return none, result.New(result.JobNotFound, result.RanUnknown, "no home knows job %q", id)
+	return zero, result.New(result.JobNotFound, result.RanUnknown, "no home knows job %q", id)
 }
 
 // callAll calls several processes in parallel and returns their replies in order.
