--- a/internal/crashloop/crashloop.go
+++ b/internal/crashloop/crashloop.go
@@ -4,12 +4,12 @@
 // A crash ends everything on its host, and most of the tasks there did not cause it. A single
 // crash is therefore weak evidence: the task is started again, apart from other tasks that ran
 // on that host. A second crash is stronger evidence if the task had just been started and no
-// task of another job was started after it. Otherwise the task is tried once more, on a host
+// task of another job was started after it. Otherwise the task is started once more, on a host
 // where nothing new is started beside it. Crashes at a time when hosts often fail for other
-// causes are recorded but count for little. Hosts that fail together with their whole rack are
+// causes are recorded but count for little. The failure of a host together with its whole rack is
 // not attributed to any task.
 //
-// The decision to fail a task is final, so it requires confirmed facts. A crash is proven when
+// The decision to fail a task is final, so it requires confirmed evidence. A crash is proven when
 // the run is known to have been on the host at the end of the host's incarnation. If the run
 // was observed on the host but may have ended unreported before the crash, the crash counts
 // only within a long series of crashes that together are very improbable. Crashes under runs
@@ -35,17 +35,17 @@
 	minProvenWithRecent = 2
 	// minProven proven crashes are enough in any case, unless they had another likely cause.
 	minProven = 3
-	// maxChance is the highest probability, for the crashes to be attributed to the task, that
-	// all these hosts failed spontaneously.
+	// maxChance is the highest probability that all these hosts failed spontaneously at which the
+	// crashes are attributed to the task.
 	maxChance = 1e-5
 	// minTotal crashes are enough even if each of them may have another cause, provided that
 	// enough of them are proven with a joint probability of at most maxChanceProven, or that
 	// all of them were observed on different machines with a joint probability of at most
-	// maxChanceSeen. This bounds the cost of a wrong guess at a cause. The users' limit is five
+	// maxChanceObserved. This bounds the cost of a wrong guess at a cause. The users' limit is five
 	// starts in total: three crashes and two more.
-	minTotal        = 5
-	maxChanceProven = 1e-3
-	maxChanceSeen   = 1e-6
+	minTotal          = 5
+	maxChanceProven   = 1e-3
+	maxChanceObserved = 1e-6
 	// quarantineAfter crashes put a task into quarantine: nothing new is started beside it.
 	quarantineAfter = 2
 )
@@ -78,7 +78,7 @@
 	// Machine is the address of the host, which stays the same across its incarnations.
 	Machine string `cbor:"10,keyasint,omitempty"`
 	// Proven is true if the run is known to have been on the host when the incarnation ended.
-	// Crashes stored before this field existed prove nothing.
+	// Crashes stored before this field existed are unproven.
 	Proven bool `cbor:"11,keyasint,omitempty"`
 }
 
@@ -161,9 +161,9 @@
 	Failed
 )
 
-// Reassess returns the history assessed again with a rate, per second, of spontaneous host
-// failures, where that rate gives a higher probability than before. When many hosts fail for
-// one cause, the first failure is assessed before the others are known.
+// Reassess returns the history assessed again at a rate of spontaneous failures per host and
+// second. A crash keeps its previous probability if that is higher. When many hosts fail for one
+// cause, the first failure is assessed before the others are known.
 func (h History) Reassess(rate float64) History {
 	out := slices.Clone(h)
 	for i := range out {
@@ -208,13 +208,13 @@
 
 // isConclusive reports whether the crashes are enough to fail the task.
 func (h History) isConclusive() bool {
-	proven, seen := tallyOf(h, Crash.isProven), tallyOf(h, Crash.Observed)
+	proven, observed := tallyOf(h, Crash.isProven), tallyOf(h, Crash.Observed)
 	if proven.chance <= maxChance && (proven.counted >= minProven || proven.counted >= minProvenWithRecent && proven.recent > 0) {
 		return true
 	}
 	enoughProven := proven.total >= minProven && proven.chanceTotal <= maxChanceProven
-	enoughSeen := len(seen.machines) >= minTotal && seen.chanceTotal <= maxChanceSeen
-	return len(h) >= minTotal && (enoughProven || enoughSeen)
+	enoughObserved := len(observed.machines) >= minTotal && observed.chanceTotal <= maxChanceObserved
+	return len(h) >= minTotal && (enoughProven || enoughObserved)
 }
 
 // tally summarises the crashes of one kind. Excused crashes are included only in total,
@@ -288,7 +288,7 @@
 	return fmt.Sprintf("%s under run %d (%s)", c.Host, c.Run, strings.Join(notes, ", "))
 }
 
-// Evidence is what is known of a run that was lost with its host.
+// Evidence describes a run that was lost with its host.
 type Evidence struct {
 	Run int
 	// Host is the name of the incarnation that ended, Machine its address.
@@ -304,11 +304,11 @@
 	// later.
 	LastStarted bool
 	// WithRack is true if the host failed together with its rack, presumably for one cause; see
-	// Excuse.
+	// ExcuseHost.
 	WithRack bool
 }
 
-func (e Evidence) ranMillis() int64 {
+func (e Evidence) runMillis() int64 {
 	if e.RunTimeUnknown {
 		return 0
 	}
@@ -333,7 +333,7 @@
 func Assess(e Evidence, rate float64) Crash {
 	chance := spontaneousFailureChance(e.RunTime, e.RunTimeUnknown, rate)
 	return Crash{
-		Run: e.Run, Host: e.Host, Machine: e.Machine, Chance: float32(chance), Unconfirmed: e.Unconfirmed, Proven: e.Proven, LegacyUnproven: !e.Proven, RunMillis: e.ranMillis(),
+		Run: e.Run, Host: e.Host, Machine: e.Machine, Chance: float32(chance), Unconfirmed: e.Unconfirmed, Proven: e.Proven, LegacyUnproven: !e.Proven, RunMillis: e.runMillis(),
 		JustStarted: e.LastStarted && !e.RunTimeUnknown && !e.Unconfirmed && e.RunTime <= maxRecentRunTime,
 		Excused:     e.WithRack && !e.Proven || chance >= minExcusedChance,
 	}
@@ -341,9 +341,9 @@
 
 // spontaneousFailureChance returns the probability that a host failed spontaneously during the
 // run time.
-func spontaneousFailureChance(ran time.Duration, unknown bool, rate float64) float64 {
+func spontaneousFailureChance(runTime time.Duration, unknown bool, rate float64) float64 {
 	if unknown {
-		ran = maxRecentRunTime
+		runTime = maxRecentRunTime
 	}
-	return rate * max(ran, minRunTime).Seconds()
+	return rate * max(runTime, minRunTime).Seconds()
 }
--- a/internal/crashloop/crashloop_test.go
+++ b/internal/crashloop/crashloop_test.go
@@ -75,9 +75,9 @@
 		return e
 	}
 	for name, tc := range map[string]struct {
-		e                Evidence
-		rate             float64
-		recent, excusing bool
+		e                    Evidence
+		rate                 float64
+		justStarted, excused bool
 	}{
 		"just started, the newest":            {base, lowRate, true, false},
 		"another job started since":           {modified(func(e *Evidence) { e.LastStarted = false }), lowRate, false, false},
@@ -97,7 +97,7 @@
 			if tc.e.RunTimeUnknown {
 				ran = 0
 			}
-			is.Equal(c, Crash{Run: 4, Host: "a", JustStarted: tc.recent, Excused: tc.excusing, Chance: c.Chance, RunMillis: ran, Proven: tc.e.Proven, LegacyUnproven: !tc.e.Proven})
+			is.Equal(c, Crash{Run: 4, Host: "a", JustStarted: tc.justStarted, Excused: tc.excused, Chance: c.Chance, RunMillis: ran, Proven: tc.e.Proven, LegacyUnproven: !tc.e.Proven})
 		})
 	}
 }
@@ -144,10 +144,10 @@
 	h := History{{Run: 1, Host: "a", JustStarted: true, Proven: true, Chance: 1e-4}, {Run: 2, Host: "b", Proven: true, Chance: 1e-4}, {Run: 3, Host: "c"}}
 	is.Equal(h.Suspicion(), Failed)
 	is.Equal(h.ExcuseHost("a").Suspicion(), Failed) // proven, so its machine had power and network
-	seen := History{{Run: 1, Host: "a", Chance: 1e-4}, {Run: 2, Host: "b", Chance: 1e-4}}
-	is.Equal(seen.Suspicion(), Quarantined)
-	is.Equal(seen.ExcuseHost("a").Suspicion(), Suspect)
-	is.Equal(seen.Suspicion(), Quarantined) // the original history is unchanged
+	unproven := History{{Run: 1, Host: "a", Chance: 1e-4}, {Run: 2, Host: "b", Chance: 1e-4}}
+	is.Equal(unproven.Suspicion(), Quarantined)
+	is.Equal(unproven.ExcuseHost("a").Suspicion(), Suspect)
+	is.Equal(unproven.Suspicion(), Quarantined) // the original history is unchanged
 	is.Equal(h.Suspicion(), Failed)
 	is.Equal(len(h.WithoutUnproven("a")), 3)
 	is.Equal(len(h.WithoutUnproven("c")), 2)
@@ -158,10 +158,10 @@
 func TestAtRate(t *testing.T) {
 	is := is.New(t)
 	h := History{{Run: 1, Host: "a", RunMillis: 100, Chance: 1e-4}, {Run: 2, Host: "b", RunMillis: 5000, Chance: 1e-2}, {Run: 3, Host: "c", Chance: 1e-3}}
-	often := h.Reassess(0.1)
-	is.True(often[0].Chance > 0.009 && !often[0].Excused)
-	is.True(often[1].Excused)
-	is.True(often[2].Excused) // its run time is unknown
+	reassessed := h.Reassess(0.1)
+	is.True(reassessed[0].Chance > 0.009 && !reassessed[0].Excused)
+	is.True(reassessed[1].Excused)
+	is.True(reassessed[2].Excused) // its run time is unknown
 	is.Equal(h.Reassess(1e-9), h)
 }
 
@@ -177,10 +177,10 @@
 		is.Equal(l.SpontaneousRate(50, 0, nil, at.Add(recentWindow+time.Second)), 3*alone)
 		is.Equal(l.SpontaneousRate(50, 2, nil, at.Add(recentWindow+time.Second)), max(5*alone, 2/(50*recentWindow.Seconds())))
 		is.Equal(l.SpontaneousRate(50, 0, nil, at), 2/(50*recentWindow.Seconds()))                                  // the recent window has the higher rate
-		is.Equal(l.SpontaneousRate(50, 0, History{{Run: 1, Host: "b"}}, at.Add(recentWindow+time.Second)), 2*alone) // failures under the assessed task do not count
+		is.Equal(l.SpontaneousRate(50, 0, History{{Run: 1, Host: "b"}}, at.Add(recentWindow+time.Second)), 2*alone) // failures in the assessed history do not count
 		l.MarkAttributed(History{{Run: 1, Host: "b"}})
 		is.Equal(l.SpontaneousRate(50, 0, nil, at.Add(recentWindow+time.Second)), 2*alone)
-		l.Expire(at.Add(lossRetention + time.Millisecond))
+		l.Expire(at.Add(failureRetention + time.Millisecond))
 		is.Equal(l.SpontaneousRate(50, 0, nil, at.Add(recentWindow+time.Second)), alone)
 	})
 	t.Run("rack failure", func(t *testing.T) {
--- a/internal/crashloop/losses.go
+++ b/internal/crashloop/losses.go
@@ -7,14 +7,14 @@
 
 // Time windows and limits for host failures.
 const (
-	// lossRetention is how long a host failure counts for the rate of spontaneous failures.
+	// failureRetention is how long a host failure counts for the rate of spontaneous failures.
 	// Over a longer time the rate is underestimated when hosts begin to fail, and jobs are
 	// failed that did not cause the crashes.
-	lossRetention = 20 * time.Second
+	failureRetention = 20 * time.Second
 	// recentWindow is the time for which the recent rate is calculated: about as long as a
 	// failed host is unavailable.
 	recentWindow = 4 * time.Second
-	// correlationWindow is the time within which hosts fail that have a common cause. The end
+	// correlationWindow is the time within which hosts fail for a common cause. The end
 	// of a host without power is detected only by a poll that waits for its time-out, so it is
 	// detected late.
 	correlationWindow = 3 * time.Second
@@ -26,23 +26,23 @@
 
 // HostFailures records the hosts that failed recently.
 type HostFailures struct {
-	lost []loss
+	failed []failure
 }
 
-type loss struct {
+type failure struct {
 	host, rack string
 	at         time.Time
-	// explained is true once a task was found to have caused the failure.
-	explained bool
+	// attributed is true once the failure is attributed to a task.
+	attributed bool
 }
 
 // Add records a host that failed and has been unresponsive since at. It reports whether the
 // failure was not recorded before.
 func (l *HostFailures) Add(host, rack string, at time.Time) bool {
-	if slices.ContainsFunc(l.lost, func(x loss) bool { return x.host == host }) {
+	if slices.ContainsFunc(l.failed, func(x failure) bool { return x.host == host }) {
 		return false
 	}
-	l.lost = append(l.lost, loss{host: host, rack: rack, at: at})
+	l.failed = append(l.failed, failure{host: host, rack: rack, at: at})
 	return true
 }
 
@@ -53,8 +53,8 @@
 // only the latest if there are many.
 func (l *HostFailures) Unattributed() []string {
 	var out []string
-	for _, x := range l.lost {
-		if !x.explained {
+	for _, x := range l.failed {
+		if !x.attributed {
 			out = append(out, x.host)
 		}
 	}
@@ -72,7 +72,7 @@
 // InRack lists the hosts of a rack that failed at about the given time.
 func (l *HostFailures) InRack(rack string, at time.Time) []string {
 	var out []string
-	for _, x := range l.lost {
+	for _, x := range l.failed {
 		if x.rack == rack && MayShareCause(x.at, at) {
 			out = append(out, x.host)
 		}
@@ -80,16 +80,16 @@
 	return out
 }
 
-// Expire drops failures that are older than lossRetention.
+// Expire drops failures that are older than failureRetention.
 func (l *HostFailures) Expire(now time.Time) {
-	l.lost = slices.DeleteFunc(l.lost, func(x loss) bool { return now.Sub(x.at) > lossRetention })
+	l.failed = slices.DeleteFunc(l.failed, func(x failure) bool { return now.Sub(x.at) > failureRetention })
 }
 
-// MarkAttributed marks the losses in a history as caused by tasks.
+// MarkAttributed marks the failures of the hosts in a history as attributed to a task.
 func (l *HostFailures) MarkAttributed(h History) {
-	for i := range l.lost {
-		if h.hasHost(l.lost[i].host) {
-			l.lost[i].explained = true
+	for i := range l.failed {
+		if h.hasHost(l.failed[i].host) {
+			l.failed[i].attributed = true
 		}
 	}
 }
@@ -98,11 +98,11 @@
 // retention time, or that over the recent window if it is higher. Hosts that are unresponsive
 // now count as failed. The rate over the whole time counts one failure more than observed,
 // since no failures in a small cell are little evidence. Failures attributed to a task, and
-// those in the history under, which is to be assessed with the rate, are not counted.
-func (l *HostFailures) SpontaneousRate(hosts, unresponsive int, under History, now time.Time) float64 {
+// those in the history that is to be assessed with the rate, are not counted.
+func (l *HostFailures) SpontaneousRate(hosts, unresponsive int, assessed History, now time.Time) float64 {
 	total, recent := 1+unresponsive, unresponsive
-	for _, x := range l.lost {
-		if x.explained || under.hasHost(x.host) {
+	for _, x := range l.failed {
+		if x.attributed || assessed.hasHost(x.host) {
 			continue
 		}
 		total++
@@ -110,7 +110,7 @@
 			recent++
 		}
 	}
-	whole := float64(total) / lossRetention.Seconds()
+	whole := float64(total) / failureRetention.Seconds()
 	return max(whole, float64(recent)/recentWindow.Seconds()) / float64(max(hosts, 1))
 }
 
@@ -122,7 +122,7 @@
 		return false
 	}
 	failed := 0
-	for _, x := range l.lost {
+	for _, x := range l.failed {
 		if x.rack == rack && x.host != host && MayShareCause(x.at, at) {
 			failed++
 		}
--- a/internal/fairshare/ledger.go
+++ b/internal/fairshare/ledger.go
@@ -31,7 +31,7 @@
 func NewLedger() *Ledger { return &Ledger{teams: map[string]*teamUsage{}} }
 
 // Reserve counts tasks of a job against the quota, all of them or none. It returns
-// QuotaExceeded if other jobs of the team have to end first, and QuotaUnset if the request is
+// QuotaExceeded if other jobs of the team have to end first, and QuotaTooSmall if the request is
 // larger than the whole quota.
 func (l *Ledger) Reserve(team, job string, quota Quota, size spec.Resources, tasks int) *result.Error {
 	need := size.Times(int64(tasks))
@@ -54,35 +54,35 @@
 // Restore counts tasks that are known to run, regardless of the quota: after a failover or
 // handover, or when a quota was lowered below the current usage.
 func (l *Ledger) Restore(team, job string, size spec.Resources, tasks int) {
-	a := l.teams[team]
-	if a == nil {
-		a = &teamUsage{jobs: map[string]*jobUsage{}}
-		l.teams[team] = a
+	t := l.teams[team]
+	if t == nil {
+		t = &teamUsage{jobs: map[string]*jobUsage{}}
+		l.teams[team] = t
 	}
-	h := a.jobs[job]
-	if h == nil {
-		h = &jobUsage{size: size}
-		a.jobs[job] = h
+	j := t.jobs[job]
+	if j == nil {
+		j = &jobUsage{size: size}
+		t.jobs[job] = j
 	}
-	h.tasks += tasks
-	a.used = a.used.Add(h.size.Times(int64(tasks)))
+	j.tasks += tasks
+	t.used = t.used.Add(j.size.Times(int64(tasks)))
 }
 
-// Release returns the quota of tasks of a job. The result is the number of tasks that the
-// ledger had counted; fewer than requested means that some were released twice.
+// Release frees the quota used by tasks of a job. It returns the number of tasks that the ledger
+// had counted; fewer than requested means that some were released twice.
 func (l *Ledger) Release(team, job string, tasks int) int {
-	a := l.teams[team]
-	if a == nil || a.jobs[job] == nil {
+	t := l.teams[team]
+	if t == nil || t.jobs[job] == nil {
 		return 0
 	}
-	h := a.jobs[job]
-	tasks = min(tasks, h.tasks)
-	h.tasks -= tasks
-	a.used = a.used.Sub(h.size.Times(int64(tasks)))
-	if h.tasks == 0 {
-		delete(a.jobs, job)
+	j := t.jobs[job]
+	tasks = min(tasks, j.tasks)
+	j.tasks -= tasks
+	t.used = t.used.Sub(j.size.Times(int64(tasks)))
+	if j.tasks == 0 {
+		delete(t.jobs, job)
 	}
-	if len(a.jobs) == 0 {
+	if len(t.jobs) == 0 {
 		delete(l.teams, team)
 	}
 	return tasks
@@ -90,8 +90,8 @@
 
 // Used returns the resources that a team uses.
 func (l *Ledger) Used(team string) spec.Resources {
-	if a := l.teams[team]; a != nil {
-		return a.used
+	if t := l.teams[team]; t != nil {
+		return t.used
 	}
 	return spec.Resources{}
 }
--- a/internal/fairshare/queue.go
+++ b/internal/fairshare/queue.go
@@ -19,7 +19,7 @@
 	Batch int
 }
 
-// DefaultConfig returns the settings of a home partition.
+// DefaultConfig returns the default settings of a home partition.
 func DefaultConfig() Config {
 	return Config{AgeAfter: 60 * time.Second, AgedEvery: 8, Batch: 64}
 }
--- a/internal/fairshare/quota.go
+++ b/internal/fairshare/quota.go
@@ -35,13 +35,13 @@
 // MaxTasks returns how many tasks of a size fit into the quota beside the used resources, at most
 // limit.
 func (q Quota) MaxTasks(used, size spec.Resources, limit int) int {
-	room := int64(limit)
+	tasks := int64(limit)
 	for _, d := range q.dimensions(used, size) {
 		if d.quota >= 0 && d.size > 0 {
-			room = min(room, max(0, d.quota-d.used)/d.size)
+			tasks = min(tasks, max(0, d.quota-d.used)/d.size)
 		}
 	}
-	return int(room)
+	return int(tasks)
 }
 
 // Exceeds names the resources in need that are above the quota, or returns "" if there are
--- a/internal/hold/cache_test.go
+++ b/internal/hold/cache_test.go
@@ -22,7 +22,7 @@
 	is := is.New(t)
 	m := newCache()
 	is.NoErr(m.apply(platform.Change{Record: partitionRecord("2", "2")}))
-	is.Equal(len(m.table().Partitions), 0) // the number is not known yet
+	is.Equal(len(m.table().Partitions), 0) // the number of partitions has not been read yet
 	is.NoErr(m.apply(platform.Change{Record: platform.Record{Key: countKey, ModRevision: 3, Value: []byte("4")}}))
 	want := []view.Partition{
 		{ID: 0}, {ID: 1}, {ID: 2, Holder: "a", Incarnation: "i", Addr: "x", Epoch: 7, ModRevision: 2}, {ID: 3},
--- a/internal/hold/config.go
+++ b/internal/hold/config.go
@@ -23,7 +23,7 @@
 	Term time.Duration
 	// ClockMargin is the largest difference in rate between two clocks, in per mille.
 	ClockMargin int64
-	// OutageLimit is the longest store outage during which authority can be extended.
+	// OutageLimit bounds how long authority can be extended without the store.
 	OutageLimit time.Duration
 	// Heartbeat is the interval of heartbeats between placers.
 	Heartbeat time.Duration
@@ -37,12 +37,12 @@
 	Spread time.Duration
 	// Partitions is the number of partitions of the cell.
 	Partitions int
-	// Seeds are addresses of placers from which to learn the members if the store is unavailable at
+	// Seeds are addresses of placers from which the members are read if the store is unavailable at
 	// the start.
 	Seeds []string
 }
 
-// DefaultConfig returns the settings of a process that is given no others.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		Term: 3 * time.Second, ClockMargin: 10, OutageLimit: time.Hour,
--- a/internal/hold/decide.go
+++ b/internal/hold/decide.go
@@ -18,7 +18,7 @@
 	stepFence         // the holder is dead: have its voter set fence it first
 	stepDrop          // the record names another holder: drop the partition
 	stepHandOver      // another member should hold it
-	stepRelease       // leaving with no member to hand over to
+	stepRelease       // this member is leaving and no other can hold the partition
 )
 
 // decisionInput is the state of the cell on which a decision is based.
@@ -89,9 +89,9 @@
 	return stepNone
 }
 
-// mayFence is the rule of the grace period: an unreachable holder may be fenced at once. A
-// reachable holder has only lost the store; it may be fenced once a majority is connected to the
-// store again and the holder has had a full term to register.
+// mayFence applies the grace period: an unreachable holder may be fenced at once. A reachable
+// holder has only lost the store; it may be fenced once a majority is connected to the store again
+// and the holder has had a full term to register.
 func mayFence(reachable, storeAvailable bool, unregistered, term time.Duration) bool {
 	return !reachable || (storeAvailable && unregistered > term)
 }
--- a/internal/hold/delegate.go
+++ b/internal/hold/delegate.go
@@ -40,7 +40,7 @@
 }
 
 // shouldRenewFor reports whether this process is the delegate of the member now: no heartbeat of
-// the member has arrived for a long time, a majority is not connected to the store, and the
+// the member has arrived for twice the Suspect time, a majority is not connected to the store, and the
 // member's voter record is known.
 func (k *Manager) shouldRenewFor(s right.MemberID) bool {
 	if s == k.memberID() || uptime.Since(k.started) < 2*k.config.Suspect || k.storeAvailable() {
@@ -87,13 +87,14 @@
 // declares runs lost meanwhile. The lock is held.
 func (k *Manager) renewsOwn(s *slot) bool { return s.resolving && !k.storeAvailable() }
 
-// notifyDelegate passes the list on if it has changed.
+// notifyDelegate passes the delegated partitions to the Delegate if they differ from last, and
+// returns them.
 func (k *Manager) notifyDelegate(last []view.Partition) []view.Partition {
-	now := k.delegated()
-	if k.delegate != nil && !slices.Equal(last, now) {
-		k.delegate.SetRenewals(now)
+	current := k.delegated()
+	if k.delegate != nil && !slices.Equal(last, current) {
+		k.delegate.SetRenewals(current)
 	}
-	return now
+	return current
 }
 
 // CheckRenewal returns the authority to renew task leases on the workers of a delegated partition.
--- a/internal/hold/dump.go
+++ b/internal/hold/dump.go
@@ -32,7 +32,7 @@
 	Done    bool          `json:"done"`
 }
 
-// SlotState is one partition that this process owns or has a step running for.
+// SlotState is one partition that this process owns or executes a step for.
 type SlotState struct {
 	ID      int    `json:"id"`
 	State   string `json:"state"`
--- a/internal/hold/fence.go
+++ b/internal/hold/fence.go
@@ -18,7 +18,7 @@
 	Session  uint64         `cbor:"2,keyasint"`
 }
 
-// fencing is the fence of one dead member's session. All partitions that this process wants from
+// fencing is the fence of one dead member's session. All partitions that this process claims from
 // that member share it. The Manager's lock guards it.
 type fencing struct {
 	voterRecord platform.Revision
@@ -26,7 +26,7 @@
 	running     bool
 }
 
-// fence starts or continues to ask the voter set of a dead holder. The lock is held.
+// fence starts or continues to fence a dead holder. The lock is held.
 func (k *Manager) fence(ctx context.Context, s right.MemberID) {
 	voterRecord := k.cache.voterRecords[s]
 	f := k.fencings[s]
@@ -63,11 +63,11 @@
 	k.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, k.config.Suspect)
 	defer cancel()
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, v := range pending {
-		asked.Add(1)
+		calls.Add(1)
 		go func() {
-			defer asked.Done()
+			defer calls.Done()
 			answer, err := k.callVoter(ctx, v, request)
 			if err != nil {
 				return
@@ -80,7 +80,7 @@
 			k.mu.Unlock()
 		}()
 	}
-	asked.Wait()
+	calls.Wait()
 	k.mu.Lock()
 	done := f.answers.Done(uptime.Now())
 	k.mu.Unlock()
@@ -98,7 +98,7 @@
 	return answer, err
 }
 
-// onFence gives this process's vote to a claimant.
+// onFence fences a member's session at the request of a claimant.
 func (k *Manager) onFence(_ context.Context, request FenceRequest) (right.FenceAnswer, error) {
 	now := uptime.Now()
 	k.mu.Lock()
--- a/internal/hold/handover.go
+++ b/internal/hold/handover.go
@@ -33,7 +33,7 @@
 	ID string `cbor:"6,keyasint"`
 }
 
-// HandOverReply reports whether the next holder has kept the states.
+// HandOverReply reports whether the next holder has stored the states.
 type HandOverReply struct {
 	Kept bool `cbor:"1,keyasint"`
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// resolveMove finds out whether the record has moved. It writes the record again with the old
+// resolveMove determines whether the record has moved. It writes the record again with the old
 // holder, which makes a delayed move fail; only after that does this process resume the partition.
 func (k *Manager) resolveMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
 	k.setResolving(s, true)
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// onHandOver keeps states that are sent in advance, or applies the moved record.
+// onHandOver stores states that are sent in advance, or applies the moved record.
 func (k *Manager) onHandOver(_ context.Context, msg HandOver) (HandOverReply, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/hold/heartbeats.go
+++ b/internal/hold/heartbeats.go
@@ -34,8 +34,9 @@
 	return uptime.Since(at)
 }
 
-// PromiseRequests implements heartbeat.Host. It requests promises as soon as renewals are overdue, well before
-// the store lease ends.
+// PromiseRequests implements heartbeat.Host. It requests promises for this member as soon as
+// its renewals are overdue, well before the store lease ends, and for the members whose delegate
+// it is.
 func (b *heartbeatHost) PromiseRequests() []heartbeat.PromiseRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,7 +66,8 @@
 	return k.session.State() != member.StateNotJoined && (!answers || k.storeAge() > k.config.maxRenewalAge())
 }
 
-// Urgent implements heartbeat.Host: the authority may expire within two heartbeats.
+// Urgent implements heartbeat.Host. It reports whether promises are needed and the authority may
+// expire within two heartbeat intervals.
 func (b *heartbeatHost) Urgent() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,8 +87,8 @@
 	return b.promise(uptime.Now(), ask)
 }
 
-// promise gives this process's vote unless a majority is connected to the store. Promises are not
-// needed then and would only delay a failover. The lock is held.
+// promise makes a promise unless a majority is connected to the store: promises are not needed then
+// and would only delay a failover. The lock is held.
 func (k *Manager) promise(now time.Time, ask heartbeat.PromiseRequest) bool {
 	if ask.Period > k.config.Term || k.storeAvailable() {
 		return false
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -15,16 +15,16 @@
 	Until     time.Time
 }
 
-// Authorizer is asked immediately before every order.
+// Authorizer grants the authority to act. It is called immediately before every order.
 type Authorizer interface {
-	// Check returns a grant, or a *result.Error with code NotHolder or RightLapsed if this process
-	// may not act for the partition now.
+	// Check returns a grant, or a *result.Error with code NotHolder or AuthorityExpired if this
+	// process may not act for the partition now.
 	Check(partition int) (Grant, error)
 	// Held lists the partitions that this process holds, in ascending order.
 	Held() []int
 }
 
-// Acquisition tells a component how this process acquired a partition.
+// Acquisition describes to a component how this process acquired a partition.
 type Acquisition struct {
 	Grant
 	// HandedOver is true if the previous holder released the partition gracefully; State is then
@@ -33,8 +33,8 @@
 	State      []byte
 	// NeverHeld is true if the partition has had no holder before.
 	NeverHeld bool
-	// AcquiredAt is the wall-clock time of the acquisition: idempotency keys created earlier that
-	// the new holder does not know have an unknown outcome.
+	// AcquiredAt is the wall-clock time of the acquisition. A request whose idempotency key was
+	// created earlier has an unknown outcome if the new holder has no record of the key.
 	AcquiredAt time.Time
 }
 
--- a/internal/hold/loops.go
+++ b/internal/hold/loops.go
@@ -54,10 +54,10 @@
 func (k *Manager) renewLoop(ctx context.Context) {
 	retry := k.newBackOff()
 	for ctx.Err() == nil {
-		begun := uptime.Now()
+		started := uptime.Now()
 		err := k.renewOnce(ctx)
 		// A slow reply has used up part of the term: renew earlier.
-		pause := max(k.config.Renew-uptime.Since(begun), k.config.Renew/8)
+		pause := max(k.config.Renew-uptime.Since(started), k.config.Renew/8)
 		if err != nil {
 			k.metrics.storeErrors.Inc()
 			pause = min(retry.NextBackOff(), k.config.BackoffMax)
@@ -169,13 +169,13 @@
 func (k *Manager) confirm(ctx context.Context) error {
 	var session uint64
 	k.session.WithAuthority(func(h *right.Authority) { session = h.Session() })
-	begun := k.session.Condition().ModRevision
+	sessionRevision := k.session.Condition().ModRevision
 	records, at, err := k.store.List(ctx, PartitionPrefix)
 	if err != nil {
 		return err
 	}
-	if at < begun {
-		return fmt.Errorf("%w: read of revision %d, the session began at %d", errStaleRead, at, begun)
+	if at < sessionRevision {
+		return fmt.Errorf("%w: read of revision %d, the session began at %d", errStaleRead, at, sessionRevision)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -209,9 +209,9 @@
 func (k *Manager) watchLoop(ctx context.Context, prefix string) {
 	retry := k.newBackOff()
 	for ctx.Err() == nil {
-		begun := uptime.Now()
+		started := uptime.Now()
 		err := k.listAndWatch(ctx, prefix)
-		if uptime.Since(begun) > k.config.Term {
+		if uptime.Since(started) > k.config.Term {
 			retry.Reset()
 		}
 		if err != nil && ctx.Err() == nil {
@@ -251,7 +251,7 @@
 	})
 }
 
-// publish makes the cached state visible and wakes the decision loop. The lock is held.
+// publish replaces the table with the cached state and wakes the decision loop. The lock is held.
 func (k *Manager) publish() {
 	k.cache.updateUnregistered(uptime.Now())
 	k.table.Store(k.cache.table())
--- a/internal/hold/manager.go
+++ b/internal/hold/manager.go
@@ -22,8 +22,7 @@
 // maxHandOvers is the number of concurrent handovers.
 const maxHandOvers = 8
 
-// Manager maintains this process's membership and partitions. It is the Authorizer that is asked
-// before every order.
+// Manager maintains this process's membership and partitions, and implements Authorizer.
 type Manager struct {
 	store      platform.Store
 	peers      peer.Caller
@@ -41,7 +40,7 @@
 	decideNow chan struct{} // wakes the decision loop
 	renewNow  chan struct{} // wakes the renewal loop
 	cancel    context.CancelFunc
-	loops     sync.WaitGroup // all loops
+	loops     sync.WaitGroup // the loops that Start runs
 	steps     sync.WaitGroup // running steps and fences
 	table     atomic.Pointer[view.Table]
 	// changes notifies those that wait for a newer table.
@@ -53,12 +52,12 @@
 	slots       []*slot
 	promises    *right.VoterState
 	fencings    map[right.MemberID]*fencing
-	unusedSince map[right.MemberID]time.Time // since when each unused voter record has been unused
+	unusedSince map[right.MemberID]time.Time // when each unused voter record became unused
 	renewals    map[right.MemberID]*delegateRenewal
 	leaving     bool
 	// confirmed is the store session in which the cached partitions were read.
 	confirmed uint64
-	notReady  []string // reasons besides members and settings
+	notReady  []string // reasons from checking the number of partitions and from joining
 }
 
 // New returns a Manager and registers its message handlers in the mux.
@@ -145,8 +144,8 @@
 }
 
 // Stop hands over every partition, leaves the cell and ends all loops. If ctx ends first, or the
-// store is unavailable, the remaining partitions are finished or dropped, and other members take
-// them over as those of a dead holder.
+// store is unavailable, the remaining partitions are released in place or dropped, and other members
+// acquire them like those of a dead holder.
 func (k *Manager) Stop(ctx context.Context) error {
 	k.mu.Lock()
 	k.leaving = true
@@ -176,15 +175,15 @@
 func (k *Manager) waitHandedOver(ctx context.Context) error {
 	tick := time.NewTicker(k.config.Heartbeat / 10)
 	defer tick.Stop()
-	reached := uptime.Now()
+	lastConnected := uptime.Now()
 	for {
 		if k.idle() {
 			return nil
 		}
-		if k.storeReached() {
-			reached = uptime.Now()
+		if k.storeConnected() {
+			lastConnected = uptime.Now()
 		}
-		if uptime.Since(reached) > k.config.Term {
+		if uptime.Since(lastConnected) > k.config.Term {
 			k.releaseInPlace(ctx)
 			return result.New(result.HandOverFailed, result.RanNo, "the store is not reached; finished without hand-over")
 		}
@@ -197,7 +196,7 @@
 	}
 }
 
-func (k *Manager) storeReached() bool {
+func (k *Manager) storeConnected() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.canMove()
@@ -256,15 +255,16 @@
 	return grant.onGoClock(now), nil
 }
 
-// onGoClock returns the grant with its end converted to the clock of its users. Inside this package
-// times come from a clock that counts suspensions of the machine: by the monotonic clock alone a
-// process that was suspended for seconds would continue to act beside its successor.
+// onGoClock returns the grant with its end converted to Go's monotonic clock, which the callers
+// read. Inside this package times come from a clock that counts suspensions of the machine: by the
+// monotonic clock alone a process that was suspended for seconds would continue to act beside its
+// successor.
 func (g Grant) onGoClock(now time.Time) Grant {
 	g.Until = time.Now().Add(g.Until.Sub(now))
 	return g
 }
 
-// currentGrant returns the grant for a slot on the clock of its users. The lock is held.
+// currentGrant returns the grant for a slot on Go's monotonic clock. The lock is held.
 func (k *Manager) currentGrant(s *slot) Grant {
 	now := uptime.Now()
 	return k.grant(now, s).onGoClock(now)
--- a/internal/hold/outage_test.go
+++ b/internal/hold/outage_test.go
@@ -64,7 +64,7 @@
 		is.Equal(grant.Epoch, delegate.Table().Partitions[dead[0]].Epoch)            // the dead holder's epoch
 		is.Equal(len(delegates["a"].delegated())*len(delegates["c"].delegated()), 0) // a single delegate
 		_, err = delegate.Check(dead[0])
-		is.Equal(result.CodeOf(err), result.NotHolder) // renewing is not holding
+		is.Equal(result.CodeOf(err), result.NotHolder) // a delegate does not hold the partition
 
 		c.engine.SetFaults(memstore.Faults{})
 		c.waitAllHeld(recoveryTerms * c.config.Term)
--- a/internal/hold/report.go
+++ b/internal/hold/report.go
@@ -10,21 +10,21 @@
 // record's revision is refused once the partition has another holder.
 func PartitionKey(id int) string { return partitionKey(id) }
 
-// SettingsRevisions returns the settings revision that each registered member has reported as in
+// AppliedRevisions returns the settings revision that each registered member has reported as in
 // force, including this process. A member that has not reported counts as having none.
 func (k *Manager) AppliedRevisions() map[string]int64 {
 	applied := map[string]int64{}
-	for _, m := range k.Table().Members {
-		applied[m.Name] = 0
-		if h, ok := k.heartbeats.Contact(m.Name); ok && h.Status.Member.Incarnation == m.Incarnation {
-			applied[m.Name] = h.Status.SettingsRevision
+	for _, member := range k.Table().Members {
+		applied[member.Name] = 0
+		if h, ok := k.heartbeats.Contact(member.Name); ok && h.Status.Member.Incarnation == member.Incarnation {
+			applied[member.Name] = h.Status.SettingsRevision
 		}
 	}
 	applied[k.Self().Name] = k.settings()
 	return applied
 }
 
-// StoreAvailable reports whether a majority of the members is connected to the store, according to
+// StoreUp reports whether a majority of the members is connected to the store, according to
 // their heartbeats.
 func (k *Manager) StoreUp() bool {
 	k.mu.Lock()
--- a/internal/hold/slot.go
+++ b/internal/hold/slot.go
@@ -30,7 +30,7 @@
 type slot struct {
 	id      int
 	machine *fsm.FSM
-	// record is the record under which the partition is held.
+	// record is the partition record that names this process as the holder.
 	record view.Partition
 	// session is the store session that last confirmed the record.
 	session uint64
@@ -38,7 +38,7 @@
 	busy bool
 	// cancel ends a running Acquire if the partition is lost meanwhile.
 	cancel context.CancelFunc
-	// receivedState is the state that the previous holder has sent in advance.
+	// receivedState is the state that the previous holder sent before it moved the record.
 	receivedState *HandOver
 	// resolving is true while the outcome of a handover is being resolved.
 	resolving bool
@@ -62,7 +62,7 @@
 // owned is true from the acquisition until the partition is dropped or handed over.
 func (s *slot) owned() bool { return s.machine.Current() != stateFree }
 
-// acts reports whether orders are allowed as far as this process knows.
+// acts reports whether the state allows orders. Their authority is checked separately.
 func (s *slot) acts() bool {
 	switch s.machine.Current() {
 	case stateAcquiring, stateHeld, stateReleasing:
--- a/internal/hold/steps.go
+++ b/internal/hold/steps.go
@@ -50,8 +50,8 @@
 	case stepAcquire:
 		run = func() { k.acquire(ctx, s, rec, false) }
 	case stepClaim:
-		recordRevision := k.cache.voterRecords[holderOf(rec)].Revision
-		run = func() { k.claim(ctx, s, rec, recordRevision) }
+		voterRecordRevision := k.cache.voterRecords[holderOf(rec)].Revision
+		run = func() { k.claim(ctx, s, rec, voterRecordRevision) }
 	case stepHandOver:
 		next := *k.cache.members[to].Member
 		nextMod := k.cache.members[to].Revision
@@ -125,7 +125,7 @@
 
 // claim writes this process into the record of a partition for which no process has authority: it
 // was never held, was released, or its holder is fenced.
-func (k *Manager) claim(ctx context.Context, s *slot, old view.Partition, recordRevision platform.Revision) {
+func (k *Manager) claim(ctx context.Context, s *slot, old view.Partition, voterRecordRevision platform.Revision) {
 	if !wait.For(ctx, rand.N(k.config.Spread+1)) {
 		return
 	}
@@ -143,7 +143,7 @@
 		}
 		conditions = append(conditions,
 			platform.Condition{Key: member.Key(old.Holder), ModRevision: holder},
-			platform.Condition{Key: member.VoterRecordKey(old.Holder, old.Incarnation), ModRevision: recordRevision})
+			platform.Condition{Key: member.VoterRecordKey(old.Holder, old.Incarnation), ModRevision: voterRecordRevision})
 	}
 	k.metrics.claims.Inc()
 	rec, err := k.writeRecord(ctx, record{Partition: next}, conditions)
@@ -187,7 +187,7 @@
 	return next.Partition, nil
 }
 
-// applyFound updates the cache with what a refused transaction found. The lock is held.
+// applyFound updates the cache with the records that a refused transaction returned. The lock is held.
 func (k *Manager) applyFound(conditions []platform.Condition, reply platform.TxnReply) {
 	found := map[string]bool{}
 	for _, rec := range reply.Found {
--- a/internal/hold/sweep.go
+++ b/internal/hold/sweep.go
@@ -20,8 +20,8 @@
 	unusedTerms = 10
 )
 
-// deleteUnusedRecords discards what is known of incarnations that have ended and hold nothing. One
-// member deletes their voter records from the store, so that these do not accumulate with every
+// deleteUnusedRecords discards the state of incarnations that have ended and hold no partition.
+// One member deletes their voter records from the store, so that these do not accumulate with every
 // start of a process.
 func (k *Manager) deleteUnusedRecords(ctx context.Context) error {
 	k.mu.Lock()
--- a/internal/hold/table_test.go
+++ b/internal/hold/table_test.go
@@ -153,7 +153,7 @@
 }
 
 // recoveryTerms is the number of terms that a repaired cell may take until every partition has a
-// holder that may act: the death of a member is known after one term, the vote of its replacement
+// holder that may act: the death of a member is detected after one term, the vote of its replacement
 // counts after another.
 const recoveryTerms = 5
 
--- a/internal/right/authority.go
+++ b/internal/right/authority.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// MarkFenced records that this process's own vote has been given to a claimant. No promise counts
-// any more in this session; authority that was already granted runs until its end.
+// MarkFenced records that this process has fenced its own session for a claimant. Promises no
+// longer count in this session; authority that was already granted runs until its end.
 func (h *Authority) MarkFenced() { h.fenced = true }
 
 // BeginVoterChange records that a change to next is about to be written. Call EndVoterChange once
@@ -74,8 +74,8 @@
 // EndVoterChange records which voter set the store has.
 func (h *Authority) EndVoterChange(e VoterSet) { h.voterSets = []VoterSet{e} }
 
-// MayChangeVoters is false while authority granted by promises may still be in use: a change of the
-// voter set has to wait until that has expired.
+// MayChangeVoters reports whether the voter set may be changed: the outcome of the last change is
+// known, and authority granted by promises has expired.
 func (h *Authority) MayChangeVoters(now time.Time) bool {
 	return len(h.voterSets) == 1 && !now.Before(h.grantedUntil) && !now.Before(h.previousUntil)
 }
@@ -91,8 +91,8 @@
 	return h.voterSets[0]
 }
 
-// Until returns the end of the authority over a partition that was confirmed in the given session.
-// The authority has expired if the end is not after now.
+// Until returns the end of the authority over a partition whose record was last confirmed in the
+// given session. The authority has expired if the end is not after now.
 func (h *Authority) Until(now time.Time, session uint64) time.Time {
 	switch {
 	case session == 0 || session > h.session:
@@ -151,7 +151,7 @@
 	for i, v := range e.Voters {
 		ends[i] = h.promised[v.Incarnation]
 	}
-	sort.Slice(ends, func(a, b int) bool { return ends[a].After(ends[b]) })
+	sort.Slice(ends, func(i, j int) bool { return ends[i].After(ends[j]) })
 	return ends[majority(len(ends))-1]
 }
 
--- a/internal/right/blocking_test.go
+++ b/internal/right/blocking_test.go
@@ -11,7 +11,7 @@
 	is := is.New(t)
 	for n := 1; n <= 16; n++ {
 		is.True(blockingSize(n)+majority(n) > n)    // both sets share a voter
-		is.True(blockingSize(n)+majority(n)-1 <= n) // a smaller set need not share one
+		is.True(blockingSize(n)+majority(n)-1 <= n) // a smaller set may share none
 	}
 }
 
--- a/internal/right/fence.go
+++ b/internal/right/fence.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// VoterSet returns the voters to ask.
+// VoterSet returns the voter set that is asked to fence the session.
 func (f *Fencing) VoterSet() VoterSet { return f.voterSet }
 
 // Pending lists the voters whose replies are still needed.
--- a/internal/right/model_test.go
+++ b/internal/right/model_test.go
@@ -92,7 +92,7 @@
 	violations    []string
 	trace         []string
 	granted       int // recorded uses; shows that the model was not idle
-	promised      int // uses based on promises
+	promised      int // uses of authority granted by promises
 	takenOver     int // claims of a dead holder's partition
 }
 
@@ -122,7 +122,7 @@
 	return &modelProc{
 		m: m, id: MemberID{Name: name, Incarnation: fmt.Sprintf("%04d", m.started)},
 		rate: modelRates[m.choose("rate", len(modelRates))], started: m.now,
-		holder: NewAuthority(m.times), promises: NewVoterState(), sent: map[int]time.Time{},
+		authority: NewAuthority(m.times), promises: NewVoterState(), sent: map[int]time.Time{},
 		owned: map[int]modelOwned{}, fencings: map[MemberID]*modelFencing{},
 		view: modelStore{members: map[string]modelMember{}, voterRecords: map[MemberID]modelVoterRecord{}},
 	}
--- a/internal/right/modelproc_test.go
+++ b/internal/right/modelproc_test.go
@@ -13,7 +13,7 @@
 	started time.Duration
 	dead    bool
 
-	holder         *Authority
+	authority      *Authority
 	promises       *VoterState
 	joined         bool
 	lease          int
@@ -66,15 +66,15 @@
 	if p.joined {
 		return
 	}
-	asked, voters := p.clock(), p.voters()
-	if old := p.holder.VoterSet(); old.Session > 0 {
+	requested, voters := p.clock(), p.voters()
+	if old := p.authority.VoterSet(); old.Session > 0 {
 		voters = old.Voters
 	}
 	voterRecordMod := p.voterRecordMod
 	m := p.m
 	m.lastLease++
 	lease := m.lastLease
-	p.sent[lease] = asked
+	p.sent[lease] = requested
 	m.sendToStore(func() {
 		voterRecord, known := m.store.voterRecords[p.id]
 		member, taken := m.store.members[p.id.Name]
@@ -83,7 +83,7 @@
 			p.reply(func() {
 				p.voterRecordMod, p.session = voterRecord.mod, voterRecord.Session
 				if taken && known && member.incarnation == p.id.Incarnation {
-					p.onJoined(voterRecord, member.mod, voterRecord.mod, asked)
+					p.onJoined(voterRecord, member.mod, voterRecord.mod, requested)
 				}
 			})
 			return
@@ -93,22 +93,22 @@
 		m.store.voterRecords[p.id] = voterRecord
 		m.store.members[p.id.Name] = modelMember{p.id.Incarnation, mod, lease, m.lease()}
 		m.logf("%v joined session %d voters %v", p.id, voterRecord.Session, voters)
-		p.reply(func() { p.onJoined(voterRecord, mod, mod, asked) })
+		p.reply(func() { p.onJoined(voterRecord, mod, mod, requested) })
 	})
 }
 
 func (p *modelProc) onJoined(voterRecord modelVoterRecord, memberMod, voterRecordMod int, _ time.Time) {
-	if voterRecord.Session < p.holder.Session() {
+	if voterRecord.Session < p.authority.Session() {
 		return // reply of an older session, received after a newer one
 	}
 	p.memberMod, p.voterRecordMod, p.joined = memberMod, voterRecordMod, true
 	p.lease, p.session = voterRecord.lease, voterRecord.Session
-	if p.holder.Session() != voterRecord.Session {
+	if p.authority.Session() != voterRecord.Session {
 		sent := p.sent[voterRecord.lease]
 		if p.m.injectedFault.countFromReply {
 			sent = p.clock()
 		}
-		p.holder.BeginSession(sent, voterRecord.VoterSet)
+		p.authority.BeginSession(sent, voterRecord.VoterSet)
 	}
 }
 
@@ -129,7 +129,7 @@
 			if m.injectedFault.countFromReply {
 				sent = p.clock()
 			}
-			p.holder.RecordRenewal(sent)
+			p.authority.RecordRenewal(sent)
 		})
 	})
 }
@@ -140,13 +140,13 @@
 	if !p.joined {
 		return
 	}
-	next := p.holder.VoterSet()
-	if !p.holder.VoterChangePending() {
-		if !p.holder.MayChangeVoters(p.clock()) {
+	next := p.authority.VoterSet()
+	if !p.authority.VoterChangePending() {
+		if !p.authority.MayChangeVoters(p.clock()) {
 			return
 		}
 		next.Voters = p.voters()
-		p.holder.BeginVoterChange(next)
+		p.authority.BeginVoterChange(next)
 	}
 	memberMod, voterRecordMod, lease := p.memberMod, p.voterRecordMod, p.lease
 	m.sendToStore(func() {
@@ -157,9 +157,9 @@
 			m.logf("%v has voters %v", p.id, next.Voters)
 		}
 		p.reply(func() {
-			if voterRecord.Session == p.holder.Session() && voterRecord.mod > p.voterRecordMod {
+			if voterRecord.Session == p.authority.Session() && voterRecord.mod > p.voterRecordMod {
 				p.voterRecordMod = voterRecord.mod
-				p.holder.EndVoterChange(voterRecord.VoterSet)
+				p.authority.EndVoterChange(voterRecord.VoterSet)
 			}
 		})
 	})
@@ -167,7 +167,7 @@
 
 // read takes a copy of the store and uses it to confirm the session.
 func (p *modelProc) read() {
-	m, session, sentMod := p.m, p.holder.Session(), p.memberMod
+	m, session, sentMod := p.m, p.authority.Session(), p.memberMod
 	m.sendToStore(func() {
 		state := m.store.copy()
 		p.reply(func() { p.onRead(state, session, sentMod) })
@@ -180,7 +180,7 @@
 	}
 	fresh := state.revision >= sentMod && session > 0
 	if p.m.injectedFault.skipConfirmation {
-		fresh, session = true, p.holder.Session()
+		fresh, session = true, p.authority.Session()
 	}
 	if fresh && session > p.confirmed {
 		p.confirmed = session
@@ -201,13 +201,13 @@
 
 // requestPromise asks a voter to promise to this process, and votes for itself.
 func (p *modelProc) requestPromise(v *modelProc) {
-	session, sent, m := p.holder.Session(), p.clock(), p.m
+	session, sent, m := p.authority.Session(), p.clock(), p.m
 	if session == 0 {
 		return
 	}
 	if v == p {
 		if p.promises.Ask(sent, p.id, session, m.times.Term) {
-			p.holder.RecordPromise(p.id.Incarnation, session, sent, m.times.Term)
+			p.authority.RecordPromise(p.id.Incarnation, session, sent, m.times.Term)
 		}
 		return
 	}
@@ -215,7 +215,7 @@
 		if v.dead || !v.promises.Ask(v.clock(), p.id, session, m.times.Term) {
 			return
 		}
-		p.reply(func() { p.holder.RecordPromise(v.id.Incarnation, session, sent, m.times.Term) })
+		p.reply(func() { p.authority.RecordPromise(v.id.Incarnation, session, sent, m.times.Term) })
 	})
 }
 
@@ -281,10 +281,10 @@
 	answer := FenceAnswer{Incarnation: p.id.Incarnation, Remaining: p.promises.Fence(now, s, session)}
 	answer.Age = (p.m.now - p.started) * time.Duration(p.rate) / 1000
 	if s == p.id {
-		if session >= p.holder.Session() {
-			p.holder.MarkFenced()
+		if session >= p.authority.Session() {
+			p.authority.MarkFenced()
 		}
-		answer.Remaining = max(answer.Remaining, p.holder.LatestEnd().Sub(now))
+		answer.Remaining = max(answer.Remaining, p.authority.LatestEnd().Sub(now))
 	}
 	return answer
 }
@@ -357,16 +357,16 @@
 	now := p.clock()
 	session := own.session
 	if p.m.injectedFault.skipConfirmation {
-		session = p.holder.Session()
+		session = p.authority.Session()
 	}
-	until := p.holder.Until(now, session)
+	until := p.authority.Until(now, session)
 	if !until.After(now) {
 		if p.m.injectedFault.ignoreExpiry {
 			p.m.recordUse(p, id, own.record.epoch, now.Add(1))
 		}
 		return
 	}
-	if until != p.holder.Lease() {
+	if until != p.authority.Lease() {
 		p.m.promised++
 	}
 	p.m.recordUse(p, id, own.record.epoch, until)
--- a/internal/right/right.go
+++ b/internal/right/right.go
@@ -1,13 +1,12 @@
-// Package right is the rule by which a member has authority to act for its partitions, as pure
-// functions of time: it reads no clock and sends nothing.
+// Package right implements the rule by which a member has authority to act for its partitions, as
+// pure functions of time: it reads no clock and sends nothing.
 //
 // A member acts under its store lease, counted from the time at which each renewal was sent. While
 // it can not reach the store, it acts under promises: a majority of its voter set has promised, for
 // a bounded time, not to let any other member take its partitions. A claimant first asks the same
 // voter set to fence the dead member. A voter's reply counts only once its promise has expired, and
 // the voter never promises to that session again. The fence is complete when the remaining voters
-// are no majority, thus only after the authority that it ends has expired. docs/HOLDING.md has the
-// proof.
+// are no majority; the authority that it ends has then expired. docs/HOLDING.md has the proof.
 package right
 
 import "time"
@@ -40,7 +39,7 @@
 type Times struct {
 	// Term is the time to live of the store lease and the length of a promise.
 	Term time.Duration
-	// ClockMargin is the largest difference in rate between two clocks, in per mille: twice the
+	// Margin is the largest difference in rate between two clocks, in per mille: twice the
 	// largest error of one clock.
 	Margin int64
 	// OutageLimit bounds how long authority may rest on promises alone. A claimant also waits this
--- a/internal/right/voter.go
+++ b/internal/right/voter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// VoterState is what one process has promised and fenced. It is lost with the process; a
-// replacement has another incarnation and another vote. Entries are kept for the lifetime of the
+// VoterState holds the promises and fences of one process. It is lost with the process; a
+// replacement has another incarnation and is another voter. Entries are kept for the lifetime of the
 // process: a copy of the store, which may lag, can not prove that a member has ended, and after a
 // forgotten fence a session could receive promises again. VoterState is not safe for concurrent
 // use.
@@ -19,7 +19,8 @@
 // NewVoterState returns the state of a voter that has made no promise.
 func NewVoterState() *VoterState { return &VoterState{byMember: map[MemberID]promise{}} }
 
-// Ask promises d from now on, or refuses because the session is fenced.
+// Ask makes a promise of length d from now to the session. It returns false if the session is
+// fenced.
 func (p *VoterState) Ask(now time.Time, s MemberID, session uint64, d time.Duration) bool {
 	entry := p.byMember[s]
 	if session <= entry.fenced {
--- a/internal/scheduler/cell.go
+++ b/internal/scheduler/cell.go
@@ -199,7 +199,7 @@
 	return true
 }
 
-// Commit turns a held run into a started one. It has no effect on a started run.
+// Commit marks a held run as started. It has no effect on a run that is already started.
 func (c *Cell) Commit(a worker.Attempt, now time.Time) error {
 	alloc, ok := c.runs[a]
 	if !ok {
--- a/internal/scheduler/cell_property_test.go
+++ b/internal/scheduler/cell_property_test.go
@@ -28,8 +28,8 @@
 	Run
 	worker  string
 	started time.Time
-	// covered is true once a report certainly includes the run.
-	covered bool
+	// reported is true once a report certainly includes the run.
+	reported bool
 	// adopted runs were already running when the worker was claimed.
 	adopted bool
 }
@@ -57,7 +57,7 @@
 			continue
 		}
 		declared = declared.Add(r.Size)
-		if !r.covered {
+		if !r.reported {
 			unreported = unreported.Add(r.Size)
 		}
 	}
@@ -73,7 +73,7 @@
 	m.observed[name] = usage
 	for _, r := range m.runs {
 		if r.worker == name && !r.Held && m.now.Sub(r.started) > m.cell.UsageLag {
-			r.covered = true
+			r.reported = true
 		}
 	}
 }
--- a/internal/scheduler/dedication.go
+++ b/internal/scheduler/dedication.go
@@ -14,7 +14,7 @@
 	// dedicationTimeout is how long a worker stays dedicated. Each further refusal of the job
 	// restarts the time-out.
 	dedicationTimeout = 2 * time.Minute
-	// workersPerDedicated bounds the dedicated workers to one in so many, plus one.
+	// workersPerDedicated bounds the dedicated workers: at most one per this many workers, plus one.
 	workersPerDedicated = 20
 	// maxDedicationCandidates is how many suitable workers are compared.
 	maxDedicationCandidates = 64
@@ -27,8 +27,8 @@
 }
 
 // dedicate chooses a worker for a refused request, unless the bound on dedicated workers is
-// reached. Only workers are eligible on which the job fits once all work but services has
-// ended; of these it chooses the one with the smallest shortage.
+// reached. A worker is eligible if the job fits there once everything except services has ended;
+// the eligible worker with the smallest shortage is chosen.
 func (c *Cell) dedicate(a *Request, now time.Time) {
 	if d, ok := c.dedicated[a.Shape.Job]; ok {
 		d.until = now.Add(dedicationTimeout)
@@ -48,8 +48,8 @@
 			continue
 		}
 		examined++
-		if m := shortage(a.size(), w); best == nil || m < smallest {
-			best, smallest = w, m
+		if missing := shortage(a.size(), w); best == nil || missing < smallest {
+			best, smallest = w, missing
 		}
 	}
 	if best == nil {
@@ -60,7 +60,7 @@
 	c.dedicated[a.Shape.Job] = dedicated{record: best, until: now.Add(dedicationTimeout)}
 }
 
-// endDedication makes the worker dedicated to a job available to other jobs.
+// endDedication makes the worker that is dedicated to a job available to other jobs.
 func (c *Cell) endDedication(job string) {
 	d, ok := c.dedicated[job]
 	if !ok {
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -219,8 +219,8 @@
 	return someMayFit
 }
 
-// levelSuffices reports whether every amount of level have is enough. have must not be lower
-// than the level of the request.
+// levelSuffices reports whether every amount at level have covers need, whose level is needLevel.
+// have must not be lower than needLevel.
 func levelSuffices(have, needLevel uint8, need int64) bool { return have > needLevel || need == 0 }
 
 // rule returns the rule that rejects all workers of the bucket for lack of resources, or "" if
--- a/internal/scheduler/never.go
+++ b/internal/scheduler/never.go
@@ -9,8 +9,8 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// Never reports whether no worker of the given machine types could run the task even if idle.
-// It returns a NeverFits error with the reason for each resource, or nil. It returns nil if no
+// Never returns a NeverFits error with the reason for each resource if the task fits on no worker
+// of the given machine types, not even on an idle one. It returns nil if it fits on one, or if no
 // machine types are known.
 func Never(machineTypes []taskmsg.Size, task *spec.Task) *result.Error {
 	if len(machineTypes) == 0 {
--- a/internal/scheduler/refusal.go
+++ b/internal/scheduler/refusal.go
@@ -17,10 +17,10 @@
 		}
 	}
 	unavailable := 0
-	for _, k := range s.cell.dedicated {
-		if k.record.Status == StatusReady {
-			count(rejectingRule(s.request, k.record), 1)
-			unavailable-- // in no bucket, but for another rule than its status
+	for _, d := range s.cell.dedicated {
+		if d.record.Status == StatusReady {
+			count(rejectingRule(s.request, d.record), 1)
+			unavailable-- // in no bucket, but not because of its status
 		}
 	}
 	for _, g := range s.cell.index.order {
@@ -29,8 +29,8 @@
 			count(rule, g.ready)
 			continue
 		}
-		for _, k := range g.buckets {
-			s.countBucketRejections(k, count)
+		for _, b := range g.buckets {
+			s.countBucketRejections(b, count)
 		}
 	}
 	count(RuleStatus, unavailable)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -19,7 +19,7 @@
 const (
 	StatusUnclaimed Status = iota // its inventory is unknown, so nothing is placed
 	StatusReady
-	StatusDraining   // draining
+	StatusDraining   // takes no new work, since it is about to leave
 	StatusExcluded   // excluded, since tasks of several jobs failed there; takes only probes
 	StatusOverloaded // observed usage above its size
 )
--- a/internal/scheduler/scores.go
+++ b/internal/scheduler/scores.go
@@ -103,9 +103,9 @@
 }
 
 // scoreAccelerators preserves workers with accelerators for tasks that need them, and among
-// these the workers with many for tasks that need many. Tasks without accelerators that are
-// placed there nevertheless prefer workers on which the free accelerators keep their fraction
-// of processors and memory.
+// these the workers with many for tasks that need many. A task without accelerators that is placed
+// there nevertheless prefers workers where the remaining fractions of processors and memory are
+// not below the fraction of free accelerators, so that these can still be used.
 func scoreAccelerators(a *Request, c *candidate) float64 {
 	have := c.size.Size.Accelerators
 	if have == 0 {
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -32,7 +32,7 @@
 // Victims chooses runs on one worker to be preempted for the request: strictly less urgent
 // ones, least urgent first, no replica of a service at its minimum, no task that was preempted
 // recently. It compares a limited number of suitable workers, starting at a random one, and
-// returns "" only after examining all workers. The caller confirms the choice with Preempted.
+// returns "" only after examining all workers. The caller confirms the choice with RecordPreemption.
 func (c *Cell) Victims(a Request) (string, []Run) {
 	var best *record
 	var bestRuns []Run
@@ -71,9 +71,9 @@
 	declared := w.declared
 	observed := w.observed.Add(w.unreported)
 	need := a.size()
-	services := map[string]int64{}
+	preempted := map[string]int64{} // replicas by job
 	for _, r := range c.preemptibleRuns(a, w) {
-		if !c.allowPreemption(&r, services) {
+		if !c.allowPreemption(&r, preempted) {
 			continue
 		}
 		declared = declared.Sub(r.Size)
