--- a/internal/crashloop/crashloop_test.go
+++ b/internal/crashloop/crashloop_test.go
@@ -11,12 +11,12 @@
 func TestStanding(t *testing.T) {
 	counted := Crash{Run: 1, Host: "a", Proven: true, Chance: 1e-3}
 	recent := Crash{Run: 2, Host: "b", Proven: true, JustStarted: true, Chance: 1e-3}
-	often := Crash{Run: 2, Host: "b", Proven: true, JustStarted: true, Chance: 0.03}
+	frequent := Crash{Run: 2, Host: "b", Proven: true, JustStarted: true, Chance: 0.03}
 	excused := Crash{Run: 3, Host: "c", Proven: true, Excused: true, Chance: 0.05}
 	likely := Crash{Run: 3, Host: "c", Proven: true, Excused: true, Chance: 0.5}
-	unseen := Crash{Run: 4, Host: "d", Unconfirmed: true, Chance: 1e-3}
-	seen := Crash{Run: 5, Host: "e", JustStarted: true, Chance: 1e-3}
-	many := func(n int, c Crash) History { return slices.Repeat(History{c}, n) }
+	unobserved := Crash{Run: 4, Host: "d", Unconfirmed: true, Chance: 1e-3}
+	unproven := Crash{Run: 5, Host: "e", JustStarted: true, Chance: 1e-3}
+	repeat := func(n int, c Crash) History { return slices.Repeat(History{c}, n) }
 	for name, tc := range map[string]struct {
 		h    History
 		want Suspicion
@@ -31,25 +31,25 @@
 		"two, one excused":                 {History{recent, excused}, Suspect},
 		"three":                            {History{counted, counted, counted}, Failed},
 		"three, one excused":               {History{counted, excused, counted}, Quarantined},
-		"two, hosts fail often":            {History{often, often}, Quarantined},
-		"three, hosts fail often":          {History{often, often, often}, Quarantined},
-		"four, hosts fail often":           {History{often, often, often, often}, Failed},
-		"four, excused":                    {many(4, excused), Unsuspected},
-		"five, excused":                    {many(5, excused), Failed},
-		"five, excused, likely":            {many(5, likely), Unsuspected},
-		"two, neither observed":            {History{unseen, unseen}, Quarantined},
-		"two, one not observed":            {History{recent, unseen}, Quarantined},
-		"three, two not observed":          {History{counted, unseen, unseen}, Quarantined},
-		"three, none observed":             {many(3, unseen), Quarantined},
-		"nine, none observed":              {many(9, unseen), Quarantined},
-		"five, excused, not observed":      {many(5, Crash{Unconfirmed: true, Excused: true, Chance: 0.05}), Unsuspected},
-		"two, one unproven":                {History{recent, seen}, Quarantined},
-		"four, unproven":                   {many(4, seen), Quarantined},
-		"five, unproven":                   {onMachines(5, seen), Failed},
-		"five, unproven, on four machines": {append(onMachines(4, seen), onMachines(1, seen)...), Quarantined},
+		"two, hosts fail often":            {History{frequent, frequent}, Quarantined},
+		"three, hosts fail often":          {History{frequent, frequent, frequent}, Quarantined},
+		"four, hosts fail often":           {History{frequent, frequent, frequent, frequent}, Failed},
+		"four, excused":                    {repeat(4, excused), Unsuspected},
+		"five, excused":                    {repeat(5, excused), Failed},
+		"five, excused, likely":            {repeat(5, likely), Unsuspected},
+		"two, neither observed":            {History{unobserved, unobserved}, Quarantined},
+		"two, one not observed":            {History{recent, unobserved}, Quarantined},
+		"three, two not observed":          {History{counted, unobserved, unobserved}, Quarantined},
+		"three, none observed":             {repeat(3, unobserved), Quarantined},
+		"nine, none observed":              {repeat(9, unobserved), Quarantined},
+		"five, excused, not observed":      {repeat(5, Crash{Unconfirmed: true, Excused: true, Chance: 0.05}), Unsuspected},
+		"two, one unproven":                {History{recent, unproven}, Quarantined},
+		"four, unproven":                   {repeat(4, unproven), Quarantined},
+		"five, unproven":                   {onMachines(5, unproven), Failed},
+		"five, unproven, on four machines": {append(onMachines(4, unproven), onMachines(1, unproven)...), Quarantined},
 		"five, unproven, hosts fail often": {onMachines(5, Crash{JustStarted: true, Chance: 0.1}), Quarantined},
-		"five, two unproven":               {History{counted, counted, excused, seen, seen}, Failed},
-		"stored by an earlier version":     {many(3, Crash{Run: 1, Host: "a", JustStarted: true, Chance: 1e-3}), Quarantined},
+		"five, two unproven":               {History{counted, counted, excused, unproven, unproven}, Failed},
+		"stored by an earlier version":     {repeat(3, Crash{Run: 1, Host: "a", JustStarted: true, Chance: 1e-3}), Quarantined},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is.New(t).Equal(tc.h.Suspicion(), tc.want)
--- a/internal/crashloop/losses.go
+++ b/internal/crashloop/losses.go
@@ -38,11 +38,11 @@
 
 // Add records a host that failed and has been unresponsive since at. It reports whether the
 // failure was not recorded before.
-func (l *HostFailures) Add(host, rack string, at time.Time) bool {
-	if slices.ContainsFunc(l.failed, func(x failure) bool { return x.host == host }) {
+func (f *HostFailures) Add(host, rack string, at time.Time) bool {
+	if slices.ContainsFunc(f.failed, func(x failure) bool { return x.host == host }) {
 		return false
 	}
-	l.failed = append(l.failed, failure{host: host, rack: rack, at: at})
+	f.failed = append(f.failed, failure{host: host, rack: rack, at: at})
 	return true
 }
 
@@ -51,9 +51,9 @@
 
 // Unattributed lists the hosts that failed recently and whose failure is not attributed to a task;
 // only the latest if there are many.
-func (l *HostFailures) Unattributed() []string {
+func (f *HostFailures) Unattributed() []string {
 	var out []string
-	for _, x := range l.failed {
+	for _, x := range f.failed {
 		if !x.attributed {
 			out = append(out, x.host)
 		}
@@ -63,16 +63,16 @@
 
 // Import adds the host failures that a previous holder recorded. Their time is taken to be
 // now, which is the latest possible.
-func (l *HostFailures) Import(names []string, now time.Time) {
+func (f *HostFailures) Import(names []string, now time.Time) {
 	for _, name := range names {
-		l.Add(name, "", now)
+		f.Add(name, "", now)
 	}
 }
 
 // InRack lists the hosts of a rack that failed at about the given time.
-func (l *HostFailures) InRack(rack string, at time.Time) []string {
+func (f *HostFailures) InRack(rack string, at time.Time) []string {
 	var out []string
-	for _, x := range l.failed {
+	for _, x := range f.failed {
 		if x.rack == rack && MayShareCause(x.at, at) {
 			out = append(out, x.host)
 		}
@@ -81,15 +81,15 @@
 }
 
 // Expire drops failures that are older than failureRetention.
-func (l *HostFailures) Expire(now time.Time) {
-	l.failed = slices.DeleteFunc(l.failed, func(x failure) bool { return now.Sub(x.at) > failureRetention })
+func (f *HostFailures) Expire(now time.Time) {
+	f.failed = slices.DeleteFunc(f.failed, func(x failure) bool { return now.Sub(x.at) > failureRetention })
 }
 
 // MarkAttributed marks the failures of the hosts in a history as attributed to a task.
-func (l *HostFailures) MarkAttributed(h History) {
-	for i := range l.failed {
-		if h.hasHost(l.failed[i].host) {
-			l.failed[i].attributed = true
+func (f *HostFailures) MarkAttributed(h History) {
+	for i := range f.failed {
+		if h.hasHost(f.failed[i].host) {
+			f.failed[i].attributed = true
 		}
 	}
 }
@@ -99,9 +99,9 @@
 // now count as failed. The rate over the whole time counts one failure more than observed,
 // since no failures in a small cell are little evidence. Failures attributed to a task, and
 // those in the history that is to be assessed with the rate, are not counted.
-func (l *HostFailures) SpontaneousRate(hosts, unresponsive int, assessed History, now time.Time) float64 {
+func (f *HostFailures) SpontaneousRate(hosts, unresponsive int, assessed History, now time.Time) float64 {
 	total, recent := 1+unresponsive, unresponsive
-	for _, x := range l.failed {
+	for _, x := range f.failed {
 		if x.attributed || assessed.hasHost(x.host) {
 			continue
 		}
@@ -117,12 +117,12 @@
 // RackFailed reports whether the host that failed at the given time failed with its whole rack.
 // present is the number of other hosts still in the rack, of which unresponsive stopped
 // answering at about that time.
-func (l *HostFailures) RackFailed(host, rack string, at time.Time, unresponsive, present int) bool {
+func (f *HostFailures) RackFailed(host, rack string, at time.Time, unresponsive, present int) bool {
 	if rack == "" || unresponsive < present {
 		return false
 	}
 	failed := 0
-	for _, x := range l.failed {
+	for _, x := range f.failed {
 		if x.rack == rack && x.host != host && MayShareCause(x.at, at) {
 			failed++
 		}
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -70,10 +70,10 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": func(t *rapid.T) {
 				job, n := jobs.Draw(t, "job"), rapid.IntRange(1, 12).Draw(t, "n")
-				room := l.MaxTasks("team", quota, size(job), n)
+				maxTasks := l.MaxTasks("team", quota, size(job), n)
 				err := l.Reserve("team", job, quota, size(job), n)
-				if (err == nil) != (room == n) {
-					t.Fatalf("Room returned %d of %d, but Reserve returned %v", room, n, err)
+				if (err == nil) != (maxTasks == n) {
+					t.Fatalf("MaxTasks returned %d of %d, but Reserve returned %v", maxTasks, n, err)
 				}
 				if err == nil {
 					held[job] += n
@@ -194,8 +194,8 @@
 	t.Fatal("the waiting job was not picked in 1000 rounds")
 }
 
-// TestGangsNeitherDeadlockNorStarve has gangs that each need every holder reserve them one by
-// one, with the steps of different gangs in random order.
+// TestGangsNeitherDeadlockNorStarve runs gangs that each reserve every holder, one holder at a time,
+// with the steps of different gangs in random order, and checks that all of them start.
 func TestGangsNeitherDeadlockNorStarve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holders := HolderOrder([]string{"c", "a", "b", "a"})
@@ -208,9 +208,9 @@
 		}
 		states := make([]state, gangs)
 		var now time.Duration
-		for left := gangs; left > 0; now += 10 * time.Millisecond {
+		for remaining := gangs; remaining > 0; now += 10 * time.Millisecond {
 			if now > 5*time.Minute {
-				t.Fatalf("%d gangs not started after %v: %+v", left, now, states)
+				t.Fatalf("%d gangs not started after %v: %+v", remaining, now, states)
 			}
 			first := rapid.IntRange(0, gangs-1).Draw(t, "first")
 			for i := range gangs {
@@ -233,7 +233,7 @@
 				owner[h] = g
 				if s.held++; s.held == len(holders) {
 					s.done = true
-					left--
+					remaining--
 					clear(owner) // the gang ran and ended
 				}
 			}
@@ -241,7 +241,7 @@
 	})
 }
 
-// BenchmarkRound measures the order of 1,024 tasks among the waiting jobs of 35 teams, up to
+// BenchmarkRound measures the ordering of 1,024 tasks among the waiting jobs of 35 teams, up to
 // the number of jobs that one of 16 partitions would own.
 func BenchmarkRound(b *testing.B) {
 	for _, jobs := range []int{10, 100, 1000, 10000} {
--- a/internal/hold/cache.go
+++ b/internal/hold/cache.go
@@ -46,118 +46,119 @@
 	}
 }
 
-// list applies all records under a prefix at a revision.
-func (m *cache) list(prefix string, records []platform.Record, at platform.Revision) error {
-	if !m.listed[prefix] {
-		m.dropAdopted(prefix)
+// applyList applies a complete list of the records under a prefix. Keys that are missing from it are
+// deleted at its revision.
+func (c *cache) applyList(prefix string, records []platform.Record, at platform.Revision) error {
+	if !c.listed[prefix] {
+		c.dropAdopted(prefix)
 	}
 	present := map[string]bool{}
 	for _, rec := range records {
 		present[rec.Key] = true
-		if err := m.apply(platform.Change{Record: rec}); err != nil {
+		if err := c.apply(platform.Change{Record: rec}); err != nil {
 			return err
 		}
 	}
-	for key := range m.revisions {
+	for key := range c.revisions {
 		if !strings.HasPrefix(key, prefix) || present[key] {
 			continue
 		}
-		if err := m.apply(platform.Change{Record: platform.Record{Key: key, ModRevision: at}, Deleted: true}); err != nil {
+		if err := c.apply(platform.Change{Record: platform.Record{Key: key, ModRevision: at}, Deleted: true}); err != nil {
 			return err
 		}
 	}
-	m.listed[prefix] = true
+	c.listed[prefix] = true
 	return nil
 }
 
 // apply applies the state of one key unless a newer one is known.
-func (m *cache) apply(c platform.Change) error {
-	if c.ModRevision <= m.revisions[c.Key] {
+func (c *cache) apply(change platform.Change) error {
+	if change.ModRevision <= c.revisions[change.Key] {
 		return nil
 	}
-	m.revisions[c.Key] = c.ModRevision
-	m.revision = max(m.revision, c.ModRevision)
-	if c.Deleted {
-		c.Value = nil
+	c.revisions[change.Key] = change.ModRevision
+	c.revision = max(c.revision, change.ModRevision)
+	if change.Deleted {
+		change.Value = nil
 	}
-	if strings.HasPrefix(c.Key, member.Prefix) {
-		return m.applyMember(c)
+	if strings.HasPrefix(change.Key, member.Prefix) {
+		return c.applyMember(change)
 	}
-	return m.applyPartition(c)
+	return c.applyPartition(change)
 }
 
-func (m *cache) applyMember(c platform.Change) error {
-	entry, err := member.Decode(c.Record)
+func (c *cache) applyMember(change platform.Change) error {
+	entry, err := member.Decode(change.Record)
 	if err != nil {
 		return err
 	}
 	if entry.IsVoterRecord() {
 		memberID := right.MemberID{Name: entry.Name, Incarnation: entry.Incarnation}
-		if c.Deleted {
-			delete(m.voterRecords, memberID)
+		if change.Deleted {
+			delete(c.voterRecords, memberID)
 			return nil
 		}
-		m.voterRecords[memberID] = entry
+		c.voterRecords[memberID] = entry
 		return nil
 	}
-	if c.Deleted {
-		delete(m.members, entry.Name)
+	if change.Deleted {
+		delete(c.members, entry.Name)
 		return nil
 	}
-	m.members[entry.Name] = entry
+	c.members[entry.Name] = entry
 	return nil
 }
 
-func (m *cache) applyPartition(c platform.Change) error {
-	if c.Key == countKey {
-		m.count = 0
-		if c.Deleted {
+func (c *cache) applyPartition(change platform.Change) error {
+	if change.Key == countKey {
+		c.count = 0
+		if change.Deleted {
 			return nil
 		}
-		return json.Unmarshal(c.Value, &m.count)
+		return json.Unmarshal(change.Value, &c.count)
 	}
-	id, err := strconv.Atoi(strings.TrimPrefix(c.Key, PartitionPrefix))
+	id, err := strconv.Atoi(strings.TrimPrefix(change.Key, PartitionPrefix))
 	if err != nil {
-		return fmt.Errorf("record %s: %w", c.Key, err)
+		return fmt.Errorf("record %s: %w", change.Key, err)
 	}
-	if c.Deleted {
-		delete(m.partitions, id)
+	if change.Deleted {
+		delete(c.partitions, id)
 		return nil
 	}
 	var rec record
-	if err := json.Unmarshal(c.Value, &rec); err != nil {
-		return fmt.Errorf("record %s: %w", c.Key, err)
+	if err := json.Unmarshal(change.Value, &rec); err != nil {
+		return fmt.Errorf("record %s: %w", change.Key, err)
 	}
-	rec.ModRevision = int64(c.ModRevision)
-	m.partitions[id], m.handOvers[id] = rec.Partition, rec.HandOver
+	rec.ModRevision = int64(change.ModRevision)
+	c.partitions[id], c.handOvers[id] = rec.Partition, rec.HandOver
 	return nil
 }
 
 // adopt applies a table received from a peer; it has no effect after the first list.
-func (m *cache) adopt(t *view.Table) {
-	if len(m.listed) > 0 || t.Revision <= int64(m.revision) {
+func (c *cache) adopt(t *view.Table) {
+	if len(c.listed) > 0 || t.Revision <= int64(c.revision) {
 		return
 	}
-	m.revision = platform.Revision(t.Revision)
+	c.revision = platform.Revision(t.Revision)
 	for _, member := range t.Members {
-		m.members[member.Name] = entryOf(member)
+		c.members[member.Name] = entryOf(member)
 	}
-	m.count = len(t.Partitions)
+	c.count = len(t.Partitions)
 	for _, p := range t.Partitions {
 		if p.Epoch > 0 {
-			m.partitions[p.ID] = p
+			c.partitions[p.ID] = p
 		}
 	}
 }
 
 // dropAdopted discards the part of a peer's table under a prefix before the store's own list
 // replaces it.
-func (m *cache) dropAdopted(prefix string) {
+func (c *cache) dropAdopted(prefix string) {
 	if prefix == member.Prefix {
-		maps.DeleteFunc(m.members, func(name string, _ member.Entry) bool { return m.revisions[member.Key(name)] == 0 })
+		maps.DeleteFunc(c.members, func(name string, _ member.Entry) bool { return c.revisions[member.Key(name)] == 0 })
 		return
 	}
-	maps.DeleteFunc(m.partitions, func(id int, _ view.Partition) bool { return m.revisions[partitionKey(id)] == 0 })
+	maps.DeleteFunc(c.partitions, func(id int, _ view.Partition) bool { return c.revisions[partitionKey(id)] == 0 })
 }
 
 func entryOf(m view.Member) member.Entry { return member.Entry{Name: m.Name, Member: &m} }
@@ -165,13 +166,13 @@
 // table returns a snapshot, sorted by name and by id. It contains all partitions of the cell or
 // none: unclaimed partitions have no holder and epoch zero. Readers derive home partitions from the
 // number of partitions.
-func (m *cache) table() *view.Table {
-	t := &view.Table{Revision: int64(m.revision)}
-	for _, e := range m.members {
+func (c *cache) table() *view.Table {
+	t := &view.Table{Revision: int64(c.revision)}
+	for _, e := range c.members {
 		t.Members = append(t.Members, *e.Member)
 	}
-	for id := range m.count {
-		p, known := m.partitions[id]
+	for id := range c.count {
+		p, known := c.partitions[id]
 		if !known {
 			p = view.Partition{ID: id}
 		}
@@ -182,15 +183,15 @@
 }
 
 // registered reports whether the member's key is in the store.
-func (m *cache) registered(s right.MemberID) bool {
-	e, ok := m.members[s.Name]
-	return ok && e.Member.Incarnation == s.Incarnation
+func (c *cache) registered(memberID right.MemberID) bool {
+	e, ok := c.members[memberID.Name]
+	return ok && e.Member.Incarnation == memberID.Incarnation
 }
 
 // remaining lists the members that are not leaving.
-func (m *cache) remaining() []string {
+func (c *cache) remaining() []string {
 	var out []string
-	for name, e := range m.members {
+	for name, e := range c.members {
 		if !e.Member.Leaving {
 			out = append(out, name)
 		}
@@ -199,9 +200,9 @@
 }
 
 // voters lists the members as voters, sorted by name.
-func (m *cache) voters() []right.Voter {
+func (c *cache) voters() []right.Voter {
 	var out []right.Voter
-	for _, e := range m.members {
+	for _, e := range c.members {
 		out = append(out, right.Voter{Name: e.Member.Name, Incarnation: e.Member.Incarnation, Addr: e.Member.Addr})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
@@ -209,22 +210,22 @@
 }
 
 // updateUnregistered records since when each holder has been without a member key.
-func (m *cache) updateUnregistered(now time.Time) {
+func (c *cache) updateUnregistered(now time.Time) {
 	holders := map[right.MemberID]bool{}
-	for _, p := range m.partitions {
-		s := holderOf(p)
-		if p.Holder != "" && !m.registered(s) {
-			holders[s] = true
+	for _, p := range c.partitions {
+		memberID := holderOf(p)
+		if p.Holder != "" && !c.registered(memberID) {
+			holders[memberID] = true
 		}
 	}
-	for s := range m.unregistered {
-		if !holders[s] {
-			delete(m.unregistered, s)
+	for memberID := range c.unregistered {
+		if !holders[memberID] {
+			delete(c.unregistered, memberID)
 		}
 	}
-	for s := range holders {
-		if _, known := m.unregistered[s]; !known {
-			m.unregistered[s] = now
+	for memberID := range holders {
+		if _, known := c.unregistered[memberID]; !known {
+			c.unregistered[memberID] = now
 		}
 	}
 }
--- a/internal/hold/cache_test.go
+++ b/internal/hold/cache_test.go
@@ -20,17 +20,17 @@
 // of keys and teams, so it must not change while the partitions of a cell are being claimed.
 func TestTableNamesAllPartitions(t *testing.T) {
 	is := is.New(t)
-	m := newCache()
-	is.NoErr(m.apply(platform.Change{Record: partitionRecord("2", "2")}))
-	is.Equal(len(m.table().Partitions), 0) // the number of partitions has not been read yet
-	is.NoErr(m.apply(platform.Change{Record: platform.Record{Key: countKey, ModRevision: 3, Value: []byte("4")}}))
+	c := newCache()
+	is.NoErr(c.apply(platform.Change{Record: partitionRecord("2", "2")}))
+	is.Equal(len(c.table().Partitions), 0) // the number of partitions has not been read yet
+	is.NoErr(c.apply(platform.Change{Record: platform.Record{Key: countKey, ModRevision: 3, Value: []byte("4")}}))
 	want := []view.Partition{
 		{ID: 0}, {ID: 1}, {ID: 2, Holder: "a", Incarnation: "i", Addr: "x", Epoch: 7, ModRevision: 2}, {ID: 3},
 	}
-	is.Equal(m.table().Partitions, want)
+	is.Equal(c.table().Partitions, want)
 
 	started := newCache() // receives the table from a peer while the store is unavailable
-	started.adopt(m.table())
+	started.adopt(c.table())
 	is.Equal(started.table().Partitions, want)
 	is.Equal(len(started.partitions), 1) // unclaimed ones are not treated as records
 }
--- a/internal/hold/cell_test.go
+++ b/internal/hold/cell_test.go
@@ -114,7 +114,7 @@
 	n := &node{name: name, addr: addr, client: c.engine.Client(name), gate: &gate{}}
 	n.store = &countingStore{Store: n.client, calls: map[string]int{}, gate: n.gate}
 	mux := peer.NewMux()
-	k, err := New(Deps{
+	m, err := New(Deps{
 		Store: n.store, Peers: c.net.caller(n.addr, n.gate), Mux: mux, Self: view.Member{Name: name, Addr: n.addr, Zone: "z"},
 		Config: c.config, Registry: prometheus.NewRegistry(), Log: logrus.NewEntry(log),
 		SettingsRevision: func() int64 { return 1 },
@@ -122,9 +122,9 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	n.Manager = k
-	n.component = &recorder{checker: c.checker, node: k.Self().Incarnation, states: map[int]string{}, acquired: map[int]Acquisition{}, releasedTimes: map[int]time.Time{}}
-	k.AddComponent(n.component)
+	n.Manager = m
+	n.component = &recorder{checker: c.checker, node: m.Self().Incarnation, states: map[int]string{}, acquired: map[int]Acquisition{}, releasedTimes: map[int]time.Time{}}
+	m.AddComponent(n.component)
 	c.net.set(n.addr, mux, n.gate)
 	return n
 }
--- a/internal/hold/checker_test.go
+++ b/internal/hold/checker_test.go
@@ -110,13 +110,13 @@
 func (r *recorder) Name() string { return "recorder" }
 
 // use obtains authority and records it, unless the partition is being released.
-func (r *recorder) use(k *Manager, id int) {
+func (r *recorder) use(m *Manager, id int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, has := r.states[id]; !has {
 		return
 	}
-	g, err := k.Check(id)
+	g, err := m.Check(id)
 	if r.ignoreExpiry.Load() && err != nil {
 		g, err = Grant{Partition: id, Epoch: r.acquired[id].Epoch, Until: time.Now().Add(useInterval)}, nil
 	}
--- a/internal/hold/decide.go
+++ b/internal/hold/decide.go
@@ -41,49 +41,49 @@
 
 // decide returns the next step for a partition and, for a handover, the next holder. known is false
 // if the store has no record of the partition.
-func (c decisionInput) decide(s *slot, rec view.Partition, known bool) (step, string) {
-	mine := known && holderOf(rec) == c.self
+func (in decisionInput) decide(s *slot, rec view.Partition, known bool) (step, string) {
+	mine := known && holderOf(rec) == in.self
 	if s.owned() {
 		if known && rec.ModRevision > s.record.ModRevision && (!mine || rec.Epoch != s.record.Epoch) {
 			return stepDrop, ""
 		}
-		return c.decideOwned(s)
+		return in.decideOwned(s)
 	}
-	if mine && c.registered(c.self) {
+	if mine && in.registered(in.self) {
 		return stepAcquire, ""
 	}
-	if mine || c.leaving || partition.Owner(s.id, c.eligible) != c.self.Name || !c.registered(c.self) {
+	if mine || in.leaving || partition.Owner(s.id, in.eligible) != in.self.Name || !in.registered(in.self) {
 		return stepNone, ""
 	}
-	return c.decideFree(rec, known), ""
+	return in.decideFree(rec, known), ""
 }
 
-func (c decisionInput) decideOwned(s *slot) (step, string) {
-	if s.machine.Current() != stateHeld || !c.canMove {
+func (in decisionInput) decideOwned(s *slot) (step, string) {
+	if s.machine.Current() != stateHeld || !in.canMove {
 		return stepNone, ""
 	}
-	owner := partition.Owner(s.id, c.eligible)
+	owner := partition.Owner(s.id, in.eligible)
 	switch {
-	case owner == c.self.Name:
+	case owner == in.self.Name:
 		return stepNone, ""
-	case owner == "" && c.leaving:
+	case owner == "" && in.leaving:
 		return stepRelease, ""
-	case owner != "" && c.reachable(owner):
+	case owner != "" && in.reachable(owner):
 		return stepHandOver, owner
 	}
 	return stepNone, ""
 }
 
-func (c decisionInput) decideFree(rec view.Partition, known bool) step {
+func (in decisionInput) decideFree(rec view.Partition, known bool) step {
 	holder := holderOf(rec)
 	switch {
 	case !known || rec.Holder == "":
 		return stepClaim
-	case c.registered(holder):
+	case in.registered(holder):
 		return stepNone
-	case c.fenced(holder):
+	case in.fenced(holder):
 		return stepClaim
-	case c.mayFence(holder):
+	case in.mayFence(holder):
 		return stepFence
 	}
 	return stepNone
--- a/internal/hold/delegate.go
+++ b/internal/hold/delegate.go
@@ -14,66 +14,66 @@
 // The authority to renew comes from promises of the dead member's voter set in that member's name,
 // so that the fence of a later claimant ends it too.
 type delegateRenewal struct {
-	right      *right.Authority
+	authority  *right.Authority
 	partitions []view.Partition
 }
 
 // updateRenewals determines for which dead members to renew task leases. The lock is held.
-func (k *Manager) updateRenewals() {
+func (m *Manager) updateRenewals() {
 	renewals := map[right.MemberID]*delegateRenewal{}
-	for _, p := range k.cache.partitions {
-		s := holderOf(p)
-		if p.Holder == "" || !k.shouldRenewFor(s) {
+	for _, p := range m.cache.partitions {
+		memberID := holderOf(p)
+		if p.Holder == "" || !m.shouldRenewFor(memberID) {
 			continue
 		}
-		c := renewals[s]
-		if c == nil {
-			c = k.renewalFor(s)
-			renewals[s] = c
+		r := renewals[memberID]
+		if r == nil {
+			r = m.renewalFor(memberID)
+			renewals[memberID] = r
 		}
-		c.partitions = append(c.partitions, p)
+		r.partitions = append(r.partitions, p)
 	}
-	for _, c := range renewals {
-		slices.SortFunc(c.partitions, func(a, b view.Partition) int { return a.ID - b.ID })
+	for _, r := range renewals {
+		slices.SortFunc(r.partitions, func(a, b view.Partition) int { return a.ID - b.ID })
 	}
-	k.renewals = renewals
+	m.renewals = renewals
 }
 
 // shouldRenewFor reports whether this process is the delegate of the member now: no heartbeat of
 // the member has arrived for twice the Suspect time, a majority is not connected to the store, and the
 // member's voter record is known.
-func (k *Manager) shouldRenewFor(s right.MemberID) bool {
-	if s == k.memberID() || uptime.Since(k.started) < 2*k.config.Suspect || k.storeAvailable() {
+func (m *Manager) shouldRenewFor(memberID right.MemberID) bool {
+	if memberID == m.memberID() || uptime.Since(m.started) < 2*m.config.Suspect || m.storeAvailable() {
 		return false
 	}
-	if k.heartbeatWithin(s, 2*k.config.Suspect) || k.cache.voterRecords[s].VoterRecord == nil {
+	if m.heartbeatWithin(memberID, 2*m.config.Suspect) || m.cache.voterRecords[memberID].VoterRecord == nil {
 		return false
 	}
-	return k.delegateFor(s.Name) == k.session.Self().Name
+	return m.delegateFor(memberID.Name) == m.session.Self().Name
 }
 
-func (k *Manager) renewalFor(s right.MemberID) *delegateRenewal {
-	voterSet := k.cache.voterRecords[s].VoterRecord.VoterSet
-	if old := k.renewals[s]; old != nil && old.right.Session() == voterSet.Session {
-		return &delegateRenewal{right: old.right}
+func (m *Manager) renewalFor(memberID right.MemberID) *delegateRenewal {
+	voterSet := m.cache.voterRecords[memberID].VoterRecord.VoterSet
+	if old := m.renewals[memberID]; old != nil && old.authority.Session() == voterSet.Session {
+		return &delegateRenewal{authority: old.authority}
 	}
 	lastRenewal := uptime.Now()
-	if h, ok := k.heartbeats.Contact(s.Name); ok && h.Status.StoreAge >= 0 {
+	if h, ok := m.heartbeats.Contact(memberID.Name); ok && h.Status.StoreAge >= 0 {
 		lastRenewal = h.ReceivedAt.Add(-h.Status.StoreAge)
 	}
-	return &delegateRenewal{right: right.NewDelegate(k.config.times(), voterSet, lastRenewal)}
+	return &delegateRenewal{authority: right.NewDelegate(m.config.times(), voterSet, lastRenewal)}
 }
 
 // delegated lists the partitions whose task leases the delegate has to renew, in ascending order.
-func (k *Manager) delegated() []view.Partition {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) delegated() []view.Partition {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var out []view.Partition
-	for _, c := range k.renewals {
-		out = append(out, c.partitions...)
+	for _, r := range m.renewals {
+		out = append(out, r.partitions...)
 	}
-	for _, s := range k.slots {
-		if k.renewsOwn(s) {
+	for _, s := range m.slots {
+		if m.renewsOwn(s) {
 			out = append(out, s.record)
 		}
 	}
@@ -85,33 +85,33 @@
 // but can not move, because the store became unavailable while the handover was written. The rule
 // is that of a delegate: only while a majority is not connected to the store, so that nobody
 // declares runs lost meanwhile. The lock is held.
-func (k *Manager) renewsOwn(s *slot) bool { return s.resolving && !k.storeAvailable() }
+func (m *Manager) renewsOwn(s *slot) bool { return s.resolving && !m.storeAvailable() }
 
 // notifyDelegate passes the delegated partitions to the Delegate if they differ from last, and
 // returns them.
-func (k *Manager) notifyDelegate(last []view.Partition) []view.Partition {
-	current := k.delegated()
-	if k.delegate != nil && !slices.Equal(last, current) {
-		k.delegate.SetRenewals(current)
+func (m *Manager) notifyDelegate(last []view.Partition) []view.Partition {
+	current := m.delegated()
+	if m.delegate != nil && !slices.Equal(last, current) {
+		m.delegate.SetRenewals(current)
 	}
 	return current
 }
 
 // CheckRenewal returns the authority to renew task leases on the workers of a delegated partition.
 // Orders carry the grant's epoch and its end, and may only renew.
-func (k *Manager) CheckRenewal(id int) (Grant, error) {
+func (m *Manager) CheckRenewal(id int) (Grant, error) {
 	now := uptime.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if id >= 0 && id < len(k.slots) && k.renewsOwn(k.slots[id]) {
-		return checkUnexpired(k.grant(now, k.slots[id]), now)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if id >= 0 && id < len(m.slots) && m.renewsOwn(m.slots[id]) {
+		return checkUnexpired(m.grant(now, m.slots[id]), now)
 	}
-	for _, c := range k.renewals {
-		for _, p := range c.partitions {
+	for _, r := range m.renewals {
+		for _, p := range r.partitions {
 			if p.ID != id {
 				continue
 			}
-			until := c.right.Until(now, c.right.Session())
+			until := r.authority.Until(now, r.authority.Session())
 			return checkUnexpired(Grant{Partition: id, Epoch: p.Epoch, Until: until}, now)
 		}
 	}
--- a/internal/hold/dump.go
+++ b/internal/hold/dump.go
@@ -48,31 +48,31 @@
 }
 
 // Dump returns the state for /debug/state.
-func (k *Manager) Dump() any {
-	notReady, delegated := k.NotReadyReasons(), k.delegated()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) Dump() any {
+	notReady, delegated := m.NotReadyReasons(), m.delegated()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := uptime.Now()
 	out := State{
-		Self: k.session.Self(), Membership: k.session.State(), NotReadyReasons: notReady,
-		StoreUp: k.storeAvailable(), StoreAgeMS: k.storeAge().Milliseconds(), Table: k.Table(),
+		Self: m.session.Self(), Membership: m.session.State(), NotReadyReasons: notReady,
+		StoreUp: m.storeAvailable(), StoreAgeMS: m.storeAge().Milliseconds(), Table: m.Table(),
 	}
-	k.session.WithAuthority(func(h *right.Authority) {
-		out.LeaseMS = h.Lease().Sub(now).Milliseconds()
-		out.VoterSet = h.VoterSet()
+	m.session.WithAuthority(func(a *right.Authority) {
+		out.LeaseMS = a.Lease().Sub(now).Milliseconds()
+		out.VoterSet = a.VoterSet()
 	})
-	for _, s := range k.slots {
+	for _, s := range m.slots {
 		if s.owned() || s.busy {
 			out.Slots = append(out.Slots, SlotState{
 				ID: s.id, State: s.machine.Current(), Epoch: s.record.Epoch, Busy: s.busy,
-				UntilMS: k.grant(now, s).Until.Sub(now).Milliseconds(),
+				UntilMS: m.grant(now, s).Until.Sub(now).Milliseconds(),
 			})
 		}
 	}
-	for s, f := range k.fencings {
-		out.Fencing = append(out.Fencing, FencingState{MemberID: s, Pending: f.answers.Pending(), Done: f.answers.Done(now)})
+	for memberID, f := range m.fencings {
+		out.Fencing = append(out.Fencing, FencingState{MemberID: memberID, Pending: f.answers.Pending(), Done: f.answers.Done(now)})
 	}
-	for _, h := range k.heartbeats.Contacts() {
+	for _, h := range m.heartbeats.Contacts() {
 		out.Contacts = append(out.Contacts, ContactState{Status: h.Status, AgeMS: now.Sub(h.ReceivedAt).Milliseconds()})
 	}
 	for _, p := range delegated {
--- a/internal/hold/fence.go
+++ b/internal/hold/fence.go
@@ -21,97 +21,97 @@
 // fencing is the fence of one dead member's session. All partitions that this process claims from
 // that member share it. The Manager's lock guards it.
 type fencing struct {
-	voterRecord platform.Revision
-	answers     *right.Fencing
-	running     bool
+	voterRecordRevision platform.Revision
+	answers             *right.Fencing
+	running             bool
 }
 
 // fence starts or continues to fence a dead holder. The lock is held.
-func (k *Manager) fence(ctx context.Context, s right.MemberID) {
-	voterRecord := k.cache.voterRecords[s]
-	f := k.fencings[s]
-	if f == nil || f.voterRecord != voterRecord.Revision {
+func (m *Manager) fence(ctx context.Context, memberID right.MemberID) {
+	voterRecord := m.cache.voterRecords[memberID]
+	f := m.fencings[memberID]
+	if f == nil || f.voterRecordRevision != voterRecord.Revision {
 		var voterSet right.VoterSet
 		if voterRecord.VoterRecord != nil {
 			voterSet = voterRecord.VoterRecord.VoterSet
 		}
-		f = &fencing{voterRecord: voterRecord.Revision, answers: right.NewFencing(k.config.times(), voterSet, uptime.Now())}
-		k.fencings[s] = f
-		k.log.WithField("member", s.Name).WithField("incarnation", s.Incarnation).Info("asking the voter set of a dead holder to fence it")
+		f = &fencing{voterRecordRevision: voterRecord.Revision, answers: right.NewFencing(m.config.times(), voterSet, uptime.Now())}
+		m.fencings[memberID] = f
+		m.log.WithField("member", memberID.Name).WithField("incarnation", memberID.Incarnation).Info("asking the voter set of a dead holder to fence it")
 	}
 	if f.running {
 		return
 	}
 	f.running = true
-	k.steps.Add(1)
+	m.steps.Add(1)
 	go func() {
-		defer k.steps.Done()
-		k.requestFence(ctx, s, f)
-		k.mu.Lock()
+		defer m.steps.Done()
+		m.requestFence(ctx, memberID, f)
+		m.mu.Lock()
 		f.running = false
-		k.mu.Unlock()
-		k.wakeDecide()
+		m.mu.Unlock()
+		m.wakeDecide()
 	}()
 }
 
 // requestFence asks every pending voter once. If the fence is still incomplete it then waits, so
 // that the next round does not follow immediately.
-func (k *Manager) requestFence(ctx context.Context, s right.MemberID, f *fencing) {
-	k.mu.Lock()
+func (m *Manager) requestFence(ctx context.Context, memberID right.MemberID, f *fencing) {
+	m.mu.Lock()
 	pending := f.answers.Pending()
-	request := FenceRequest{MemberID: s, Session: f.answers.VoterSet().Session}
-	k.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, k.config.Suspect)
+	request := FenceRequest{MemberID: memberID, Session: f.answers.VoterSet().Session}
+	m.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, m.config.Suspect)
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, v := range pending {
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
-			answer, err := k.callVoter(ctx, v, request)
+			answer, err := m.callVoter(ctx, v, request)
 			if err != nil {
 				return
 			}
-			k.mu.Lock()
+			m.mu.Lock()
 			f.answers.RecordAnswer(v, answer)
 			if f.answers.Done(uptime.Now()) {
 				cancel()
 			}
-			k.mu.Unlock()
+			m.mu.Unlock()
 		}()
 	}
 	calls.Wait()
-	k.mu.Lock()
+	m.mu.Lock()
 	done := f.answers.Done(uptime.Now())
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if !done {
-		wait.For(ctx, k.config.Heartbeat/4+rand.N(k.config.Heartbeat/4+1))
+		wait.For(ctx, m.config.Heartbeat/4+rand.N(m.config.Heartbeat/4+1))
 	}
 }
 
-func (k *Manager) callVoter(ctx context.Context, v right.Voter, request FenceRequest) (right.FenceAnswer, error) {
-	if v.Incarnation == k.memberID().Incarnation {
-		return k.onFence(ctx, request)
+func (m *Manager) callVoter(ctx context.Context, v right.Voter, request FenceRequest) (right.FenceAnswer, error) {
+	if v.Incarnation == m.memberID().Incarnation {
+		return m.onFence(ctx, request)
 	}
 	var answer right.FenceAnswer
-	err := k.peers.Call(ctx, v.Addr, peer.KindFence, request, &answer)
+	err := m.peers.Call(ctx, v.Addr, peer.KindFence, request, &answer)
 	return answer, err
 }
 
 // onFence fences a member's session at the request of a claimant.
-func (k *Manager) onFence(_ context.Context, request FenceRequest) (right.FenceAnswer, error) {
+func (m *Manager) onFence(_ context.Context, request FenceRequest) (right.FenceAnswer, error) {
 	now := uptime.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	self := k.memberID()
-	answer := right.FenceAnswer{Incarnation: self.Incarnation, Age: now.Sub(k.started)}
-	answer.Remaining = k.promises.Fence(now, request.MemberID, request.Session)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	self := m.memberID()
+	answer := right.FenceAnswer{Incarnation: self.Incarnation, Age: now.Sub(m.started)}
+	answer.Remaining = m.promises.Fence(now, request.MemberID, request.Session)
 	if request.MemberID == self {
-		k.session.WithAuthority(func(h *right.Authority) {
-			if request.Session >= h.Session() {
-				h.MarkFenced()
+		m.session.WithAuthority(func(a *right.Authority) {
+			if request.Session >= a.Session() {
+				a.MarkFenced()
 			}
-			answer.Remaining = max(answer.Remaining, h.LatestEnd().Sub(now))
+			answer.Remaining = max(answer.Remaining, a.LatestEnd().Sub(now))
 		})
 	}
 	return answer, nil
--- a/internal/hold/handover.go
+++ b/internal/hold/handover.go
@@ -40,29 +40,29 @@
 
 // handOver releases a partition and moves its record to next, or clears the holder if next has no
 // name. If the record does not move, this process resumes the partition.
-func (k *Manager) handOver(ctx context.Context, s *slot, next view.Member, nextMod platform.Revision) {
+func (m *Manager) handOver(ctx context.Context, s *slot, next view.Member, nextMod platform.Revision) {
 	select {
-	case k.handOverLimit <- struct{}{}:
-		defer func() { <-k.handOverLimit }()
+	case m.handOverLimit <- struct{}{}:
+		defer func() { <-m.handOverLimit }()
 	case <-ctx.Done():
 		return
 	}
-	k.mu.Lock()
+	m.mu.Lock()
 	s.event(eventRelease)
 	old := s.record
-	k.mu.Unlock()
-	states, graceful := k.releaseComponents(ctx, s.id)
-	k.mu.Lock()
+	m.mu.Unlock()
+	states, graceful := m.releaseComponents(ctx, s.id)
+	m.mu.Lock()
 	s.event(eventReleased)
-	k.mu.Unlock()
-	if !graceful && !k.waitForExpiry(ctx) {
+	m.mu.Unlock()
+	if !graceful && !m.waitForExpiry(ctx) {
 		return
 	}
 	moved := old
 	moved.Holder, moved.Incarnation, moved.Addr = next.Name, next.Incarnation, next.Addr
 	moved.Epoch++
 	conditions := []platform.Condition{
-		k.session.Condition(), {Key: partitionKey(s.id), ModRevision: platform.Revision(old.ModRevision)},
+		m.session.Condition(), {Key: partitionKey(s.id), ModRevision: platform.Revision(old.ModRevision)},
 	}
 	if next.Name != "" {
 		conditions = append(conditions, platform.Condition{Key: member.Key(next.Name), ModRevision: nextMod})
@@ -71,105 +71,105 @@
 	if next.Name != "" && graceful {
 		attempt = uuid.NewString()
 		msg := HandOver{Partition: moved.ID, Epoch: moved.Epoch, Incarnation: next.Incarnation, ID: attempt, States: states}
-		if err := k.sendStates(ctx, next, msg); err != nil {
-			k.log.WithError(err).WithFields(logFields(old)).Warn("next holder did not accept the state; resuming the partition")
-			k.resume(ctx, s, states)
+		if err := m.sendStates(ctx, next, msg); err != nil {
+			m.log.WithError(err).WithFields(logFields(old)).Warn("next holder did not accept the state; resuming the partition")
+			m.resume(ctx, s, states)
 			return
 		}
 	}
-	rec, err := k.writeRecord(ctx, record{Partition: moved, HandOver: attempt}, conditions)
+	rec, err := m.writeRecord(ctx, record{Partition: moved, HandOver: attempt}, conditions)
 	switch {
 	case err == nil:
-		k.completeHandOver(ctx, s, next, rec, attempt)
+		m.completeHandOver(ctx, s, next, rec, attempt)
 	case errors.Is(err, platform.ErrUnavailable):
-		k.resume(ctx, s, states)
+		m.resume(ctx, s, states)
 	default:
-		k.resolveMove(ctx, s, old, states)
+		m.resolveMove(ctx, s, old, states)
 	}
 }
 
 // completeHandOver ends a successful handover and notifies the next holder, which would otherwise
 // see the record only after the delay of its watch.
-func (k *Manager) completeHandOver(ctx context.Context, s *slot, next view.Member, rec view.Partition, attempt string) {
-	k.mu.Lock()
+func (m *Manager) completeHandOver(ctx context.Context, s *slot, next view.Member, rec view.Partition, attempt string) {
+	m.mu.Lock()
 	s.event(eventDrop)
-	k.mu.Unlock()
-	k.metrics.handOvers.Inc()
-	k.log.WithFields(logFields(rec)).Info("partition handed over")
+	m.mu.Unlock()
+	m.metrics.handOvers.Inc()
+	m.log.WithFields(logFields(rec)).Info("partition handed over")
 	if next.Name == "" {
 		return
 	}
 	msg := HandOver{Partition: rec.ID, Epoch: rec.Epoch, Incarnation: next.Incarnation, ID: attempt, Record: &rec}
 	var reply HandOverReply
-	if err := k.peers.Call(ctx, next.Addr, peer.KindStateTransfer, msg, &reply); err != nil {
-		k.log.WithError(err).Debug("next holder not notified of the handover; it observes the record through its watch")
+	if err := m.peers.Call(ctx, next.Addr, peer.KindStateTransfer, msg, &reply); err != nil {
+		m.log.WithError(err).Debug("next holder not notified of the handover; it observes the record through its watch")
 	}
 }
 
 // resolveMove determines whether the record has moved. It writes the record again with the old
 // holder, which makes a delayed move fail; only after that does this process resume the partition.
-func (k *Manager) resolveMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
-	k.setResolving(s, true)
-	defer k.setResolving(s, false)
-	retry := k.newBackOff()
+func (m *Manager) resolveMove(ctx context.Context, s *slot, old view.Partition, states map[string][]byte) {
+	m.setResolving(s, true)
+	defer m.setResolving(s, false)
+	retry := m.newBackOff()
 	for {
-		k.mu.Lock()
-		known := k.cache.partitions[s.id]
-		k.mu.Unlock()
+		m.mu.Lock()
+		known := m.cache.partitions[s.id]
+		m.mu.Unlock()
 		if known.ModRevision > old.ModRevision && (holderOf(known) != holderOf(old) || known.Epoch != old.Epoch) {
-			k.mu.Lock()
+			m.mu.Lock()
 			s.event(eventDrop)
-			k.mu.Unlock()
+			m.mu.Unlock()
 			return
 		}
 		conditions := []platform.Condition{
-			k.session.Condition(), {Key: partitionKey(s.id), ModRevision: platform.Revision(known.ModRevision)},
+			m.session.Condition(), {Key: partitionKey(s.id), ModRevision: platform.Revision(known.ModRevision)},
 		}
-		if rec, err := k.writeRecord(ctx, record{Partition: old}, conditions); err == nil {
-			k.mu.Lock()
+		if rec, err := m.writeRecord(ctx, record{Partition: old}, conditions); err == nil {
+			m.mu.Lock()
 			s.record = rec
-			k.mu.Unlock()
-			k.resume(ctx, s, states)
+			m.mu.Unlock()
+			m.resume(ctx, s, states)
 			return
 		}
-		if !wait.For(ctx, min(retry.NextBackOff(), k.config.BackoffMax)) {
+		if !wait.For(ctx, min(retry.NextBackOff(), m.config.BackoffMax)) {
 			return
 		}
 	}
 }
 
 // setResolving sets whether the outcome of a partition's move is being resolved.
-func (k *Manager) setResolving(s *slot, resolving bool) {
-	k.mu.Lock()
+func (m *Manager) setResolving(s *slot, resolving bool) {
+	m.mu.Lock()
 	s.resolving = resolving
-	k.mu.Unlock()
-	k.wakeDecide()
+	m.mu.Unlock()
+	m.wakeDecide()
 }
 
 // resume activates a released partition again with its own states.
-func (k *Manager) resume(ctx context.Context, s *slot, states map[string][]byte) {
-	k.mu.Lock()
+func (m *Manager) resume(ctx context.Context, s *slot, states map[string][]byte) {
+	m.mu.Lock()
 	s.event(eventResume)
-	k.mu.Unlock()
-	k.activate(ctx, s, states, true, false)
+	m.mu.Unlock()
+	m.activate(ctx, s, states, true, false)
 }
 
 // waitForExpiry waits until all authority granted so far has expired.
-func (k *Manager) waitForExpiry(ctx context.Context) bool {
+func (m *Manager) waitForExpiry(ctx context.Context) bool {
 	var until time.Time
-	k.session.WithAuthority(func(h *right.Authority) { until = h.LatestEnd() })
+	m.session.WithAuthority(func(a *right.Authority) { until = a.LatestEnd() })
 	return wait.For(ctx, uptime.Until(until))
 }
 
 // releaseComponents ends the components' work in order and collects their states. It returns
 // graceful as false if one of them could not finish: the next holder then gets no states and treats
 // the partition as that of a dead holder.
-func (k *Manager) releaseComponents(ctx context.Context, id int) (states map[string][]byte, graceful bool) {
+func (m *Manager) releaseComponents(ctx context.Context, id int) (states map[string][]byte, graceful bool) {
 	states, graceful = map[string][]byte{}, true
-	for _, r := range k.components {
+	for _, r := range m.components {
 		state, err := r.Release(ctx, id)
 		if err != nil {
-			k.log.WithError(err).WithField("resident", r.Name()).WithField("partition", id).Warn("component did not release the partition gracefully")
+			m.log.WithError(err).WithField("resident", r.Name()).WithField("partition", id).Warn("component did not release the partition gracefully")
 			graceful = false
 			continue
 		}
@@ -178,11 +178,11 @@
 	return states, graceful
 }
 
-func (k *Manager) sendStates(ctx context.Context, next view.Member, msg HandOver) error {
-	ctx, cancel := context.WithTimeout(ctx, k.config.Term)
+func (m *Manager) sendStates(ctx context.Context, next view.Member, msg HandOver) error {
+	ctx, cancel := context.WithTimeout(ctx, m.config.Term)
 	defer cancel()
 	var reply HandOverReply
-	if err := k.peers.Call(ctx, next.Addr, peer.KindStateTransfer, msg, &reply); err != nil {
+	if err := m.peers.Call(ctx, next.Addr, peer.KindStateTransfer, msg, &reply); err != nil {
 		return err
 	}
 	if !reply.Kept {
@@ -192,24 +192,24 @@
 }
 
 // onHandOver stores states that are sent in advance, or applies the moved record.
-func (k *Manager) onHandOver(_ context.Context, msg HandOver) (HandOverReply, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if msg.Incarnation != k.memberID().Incarnation {
+func (m *Manager) onHandOver(_ context.Context, msg HandOver) (HandOverReply, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if msg.Incarnation != m.memberID().Incarnation {
 		return HandOverReply{}, result.New(result.HandOverFailed, result.RanNo, "this is another process than the one meant")
 	}
-	if msg.Partition < 0 || msg.Partition >= len(k.slots) {
+	if msg.Partition < 0 || msg.Partition >= len(m.slots) {
 		return HandOverReply{}, result.New(result.PartitionCount, result.RanNo, "no partition %d here", msg.Partition)
 	}
-	if k.leaving && msg.Record == nil {
+	if m.leaving && msg.Record == nil {
 		return HandOverReply{}, result.New(result.Stopping, result.RanNo, "leaving")
 	}
 	if msg.Record != nil {
-		_ = k.cache.apply(record{Partition: *msg.Record, HandOver: msg.ID}.change())
-		k.publish()
+		_ = m.cache.apply(record{Partition: *msg.Record, HandOver: msg.ID}.change())
+		m.publish()
 		return HandOverReply{Kept: true}, nil
 	}
-	k.slots[msg.Partition].receivedState = &msg
+	m.slots[msg.Partition].receivedState = &msg
 	return HandOverReply{Kept: true}, nil
 }
 
--- a/internal/hold/loops.go
+++ b/internal/hold/loops.go
@@ -24,134 +24,134 @@
 // checkCount compares the configured number of partitions with the number in the store, and writes
 // it if there is none. If the store does not answer, the renewal loop repeats the check before the
 // first claim.
-func (k *Manager) checkCount(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, k.config.Term/2)
+func (m *Manager) checkCount(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, m.config.Term/2)
 	defer cancel()
-	reply, err := k.store.Commit(ctx, platform.Txn{
+	reply, err := m.store.Commit(ctx, platform.Txn{
 		If:   []platform.Condition{{Key: countKey}},
-		Then: []platform.Write{{Key: countKey, Value: []byte(strconv.Itoa(k.config.Partitions))}},
+		Then: []platform.Write{{Key: countKey, Value: []byte(strconv.Itoa(m.config.Partitions))}},
 	})
 	if err != nil {
-		k.setNotReady("number of partitions in the store not checked yet")
+		m.setNotReady("number of partitions in the store not checked yet")
 		return nil
 	}
 	for _, rec := range reply.Found {
-		if stored := string(rec.Value); stored != strconv.Itoa(k.config.Partitions) {
-			return result.New(result.PartitionCount, result.RanNo, "configured %d, the store holds %s", k.config.Partitions, stored)
+		if stored := string(rec.Value); stored != strconv.Itoa(m.config.Partitions) {
+			return result.New(result.PartitionCount, result.RanNo, "configured %d, the store holds %s", m.config.Partitions, stored)
 		}
 	}
-	k.setNotReady()
+	m.setNotReady()
 	return nil
 }
 
-func (k *Manager) setNotReady(notReady ...string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.notReady = notReady
+func (m *Manager) setNotReady(notReady ...string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.notReady = notReady
 }
 
 // renewLoop joins, renews the lease, updates the voter set and joins again if the lease is lost.
-func (k *Manager) renewLoop(ctx context.Context) {
-	retry := k.newBackOff()
+func (m *Manager) renewLoop(ctx context.Context) {
+	retry := m.newBackOff()
 	for ctx.Err() == nil {
 		started := uptime.Now()
-		err := k.renewOnce(ctx)
+		err := m.renewOnce(ctx)
 		// A slow reply has used up part of the term: renew earlier.
-		pause := max(k.config.Renew-uptime.Since(started), k.config.Renew/8)
+		pause := max(m.config.Renew-uptime.Since(started), m.config.Renew/8)
 		if err != nil {
-			k.metrics.storeErrors.Inc()
-			pause = min(retry.NextBackOff(), k.config.BackoffMax)
+			m.metrics.storeErrors.Inc()
+			pause = min(retry.NextBackOff(), m.config.BackoffMax)
 		} else {
 			retry.Reset()
 		}
 		select {
 		case <-ctx.Done():
-		case <-k.renewNow:
+		case <-m.renewNow:
 		case <-time.After(pause):
 		}
 	}
 }
 
-func (k *Manager) newBackOff() *backoff.ExponentialBackOff {
+func (m *Manager) newBackOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = k.config.Renew / 8
-	b.MaxInterval = k.config.BackoffMax
+	b.InitialInterval = m.config.Renew / 8
+	b.MaxInterval = m.config.BackoffMax
 	return b
 }
 
 // renewOnce makes the one or two calls that the membership needs now.
-func (k *Manager) renewOnce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, k.config.Term/2)
+func (m *Manager) renewOnce(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, m.config.Term/2)
 	defer cancel()
-	switch k.session.State() {
+	switch m.session.State() {
 	case member.StateJoined, member.StateLeaving:
-		if err := k.session.Renew(ctx); err != nil {
+		if err := m.session.Renew(ctx); err != nil {
 			if errors.Is(err, platform.ErrLeaseGone) {
-				return k.join(ctx)
+				return m.join(ctx)
 			}
 			return err
 		}
-		return k.maintainSession(ctx)
+		return m.maintainSession(ctx)
 	default:
-		return k.join(ctx)
+		return m.join(ctx)
 	}
 }
 
 // maintainSession does the remaining work of a renewed session: it confirms the partitions,
 // announces that this member is leaving, resolves an unknown outcome, or adds new members to the
 // voter set.
-func (k *Manager) maintainSession(ctx context.Context) error {
-	k.mu.Lock()
-	leaving, voters, confirmed := k.leaving, k.cache.voters(), k.confirmed
-	k.mu.Unlock()
+func (m *Manager) maintainSession(ctx context.Context) error {
+	m.mu.Lock()
+	leaving, voters, confirmed := m.leaving, m.cache.voters(), m.confirmedSession
+	m.mu.Unlock()
 	var session uint64
-	k.session.WithAuthority(func(h *right.Authority) { session = h.Session() })
+	m.session.WithAuthority(func(a *right.Authority) { session = a.Session() })
 	if confirmed != session {
-		return k.confirm(ctx)
+		return m.confirm(ctx)
 	}
-	if leaving && !k.session.Self().Leaving {
-		return k.session.SetLeaving(ctx)
+	if leaving && !m.session.Self().Leaving {
+		return m.session.SetLeaving(ctx)
 	}
-	if err := k.session.ResolveVoterChange(ctx); err != nil {
+	if err := m.session.ResolveVoterChange(ctx); err != nil {
 		return err
 	}
 	if len(voters) == 0 {
 		return nil
 	}
-	if err := k.session.SetVoters(ctx, voters); err != nil {
+	if err := m.session.SetVoters(ctx, voters); err != nil {
 		return err
 	}
-	return k.deleteUnusedRecords(ctx)
+	return m.deleteUnusedRecords(ctx)
 }
 
 // join creates the member key and confirms the partitions that this process still holds.
-func (k *Manager) join(ctx context.Context) error {
-	if k.cachedCount() != k.config.Partitions {
-		if err := k.checkCount(ctx); err != nil {
-			k.setNotReady(err.Error())
+func (m *Manager) join(ctx context.Context) error {
+	if m.cachedCount() != m.config.Partitions {
+		if err := m.checkCount(ctx); err != nil {
+			m.setNotReady(err.Error())
 			return err
 		}
 	}
-	self := k.session.Self()
-	k.mu.Lock()
-	voters := k.cache.voters()
-	k.mu.Unlock()
+	self := m.session.Self()
+	m.mu.Lock()
+	voters := m.cache.voters()
+	m.mu.Unlock()
 	voters = withVoter(voters, right.Voter{Name: self.Name, Incarnation: self.Incarnation, Addr: self.Addr})
-	if err := k.session.Join(ctx, voters); err != nil {
+	if err := m.session.Join(ctx, voters); err != nil {
 		if result.CodeOf(err) == result.NameTaken {
-			k.dropForTakenName(err)
+			m.dropForTakenName(err)
 		}
 		return err
 	}
-	k.setNotReady()
-	k.log.WithField("incarnation", self.Incarnation).Info("joined")
-	return k.confirm(ctx)
+	m.setNotReady()
+	m.log.WithField("incarnation", self.Incarnation).Info("joined")
+	return m.confirm(ctx)
 }
 
-func (k *Manager) cachedCount() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.cache.count
+func (m *Manager) cachedCount() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.cache.count
 }
 
 func withVoter(voters []right.Voter, self right.Voter) []right.Voter {
@@ -166,110 +166,110 @@
 
 // confirm reads the partitions after the start of a session: partitions with unchanged records stay
 // held in the new session.
-func (k *Manager) confirm(ctx context.Context) error {
+func (m *Manager) confirm(ctx context.Context) error {
 	var session uint64
-	k.session.WithAuthority(func(h *right.Authority) { session = h.Session() })
-	sessionRevision := k.session.Condition().ModRevision
-	records, at, err := k.store.List(ctx, PartitionPrefix)
+	m.session.WithAuthority(func(a *right.Authority) { session = a.Session() })
+	sessionRevision := m.session.Condition().ModRevision
+	records, at, err := m.store.List(ctx, PartitionPrefix)
 	if err != nil {
 		return err
 	}
 	if at < sessionRevision {
 		return fmt.Errorf("%w: read of revision %d, the session began at %d", errStaleRead, at, sessionRevision)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if err := k.cache.list(PartitionPrefix, records, at); err != nil {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err := m.cache.applyList(PartitionPrefix, records, at); err != nil {
 		return err
 	}
-	self := k.memberID()
-	for _, s := range k.slots {
-		rec, known := k.cache.partitions[s.id]
+	self := m.memberID()
+	for _, s := range m.slots {
+		rec, known := m.cache.partitions[s.id]
 		if s.owned() && known && holderOf(rec) == self && rec.Epoch == s.record.Epoch {
 			s.session = session
 		}
 	}
-	k.confirmed = session
-	k.publish()
+	m.confirmedSession = session
+	m.publish()
 	return nil
 }
 
 // dropForTakenName drops all partitions because another process has the name. The older process
 // keeps the name as long as it is registered; this one waits until it has ended.
-func (k *Manager) dropForTakenName(err error) {
-	if len(k.Held()) > 0 {
-		k.log.WithError(err).Error("another process is registered under this member's name; all partitions dropped")
+func (m *Manager) dropForTakenName(err error) {
+	if len(m.Held()) > 0 {
+		m.log.WithError(err).Error("another process is registered under this member's name; all partitions dropped")
 	}
-	k.setNotReady(err.Error())
-	k.dropAll()
+	m.setNotReady(err.Error())
+	m.dropAll()
 }
 
 // watchLoop keeps the cache of one prefix current: it lists the prefix, then watches from that
 // revision on.
-func (k *Manager) watchLoop(ctx context.Context, prefix string) {
-	retry := k.newBackOff()
+func (m *Manager) watchLoop(ctx context.Context, prefix string) {
+	retry := m.newBackOff()
 	for ctx.Err() == nil {
 		started := uptime.Now()
-		err := k.listAndWatch(ctx, prefix)
-		if uptime.Since(started) > k.config.Term {
+		err := m.listAndWatch(ctx, prefix)
+		if uptime.Since(started) > m.config.Term {
 			retry.Reset()
 		}
 		if err != nil && ctx.Err() == nil {
-			k.metrics.watchFailures.Inc()
+			m.metrics.watchFailures.Inc()
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(min(retry.NextBackOff(), k.config.BackoffMax)):
+		case <-time.After(min(retry.NextBackOff(), m.config.BackoffMax)):
 		}
 	}
 }
 
-func (k *Manager) listAndWatch(ctx context.Context, prefix string) error {
-	listCtx, cancel := context.WithTimeout(ctx, k.config.Term)
-	records, at, err := k.store.List(listCtx, prefix)
+func (m *Manager) listAndWatch(ctx context.Context, prefix string) error {
+	listCtx, cancel := context.WithTimeout(ctx, m.config.Term)
+	records, at, err := m.store.List(listCtx, prefix)
 	cancel()
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	err = k.cache.list(prefix, records, at)
-	k.publish()
-	k.mu.Unlock()
+	m.mu.Lock()
+	err = m.cache.applyList(prefix, records, at)
+	m.publish()
+	m.mu.Unlock()
 	if err != nil {
-		k.log.WithError(err).Error("store record can not be decoded")
+		m.log.WithError(err).Error("store record can not be decoded")
 		return err
 	}
-	return k.store.Watch(ctx, prefix, at, func(b platform.Batch) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		for _, c := range b.Changes {
-			if err := k.cache.apply(c); err != nil {
-				k.log.WithError(err).Error("store record can not be decoded")
+	return m.store.Watch(ctx, prefix, at, func(b platform.Batch) {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		for _, change := range b.Changes {
+			if err := m.cache.apply(change); err != nil {
+				m.log.WithError(err).Error("store record can not be decoded")
 			}
 		}
-		k.publish()
+		m.publish()
 	})
 }
 
 // publish replaces the table with the cached state and wakes the decision loop. The lock is held.
-func (k *Manager) publish() {
-	k.cache.updateUnregistered(uptime.Now())
-	k.table.Store(k.cache.table())
-	k.changes.Notify()
-	k.wakeDecide()
+func (m *Manager) publish() {
+	m.cache.updateUnregistered(uptime.Now())
+	m.table.Store(m.cache.table())
+	m.changes.Notify()
+	m.wakeDecide()
 }
 
 // decideLoop decides on every partition when something has changed, and at least once per heartbeat
 // interval.
-func (k *Manager) decideLoop(ctx context.Context) {
+func (m *Manager) decideLoop(ctx context.Context) {
 	var delegated []view.Partition
 	for ctx.Err() == nil {
-		k.decideAll(ctx)
-		delegated = k.notifyDelegate(delegated)
+		m.decideAll(ctx)
+		delegated = m.notifyDelegate(delegated)
 		select {
 		case <-ctx.Done():
-		case <-k.decideNow:
-		case <-time.After(k.config.Heartbeat/2 + rand.N(k.config.Heartbeat/2+1)):
+		case <-m.decideNow:
+		case <-time.After(m.config.Heartbeat/2 + rand.N(m.config.Heartbeat/2+1)):
 		}
 	}
 }
--- a/internal/hold/manager.go
+++ b/internal/hold/manager.go
@@ -55,9 +55,9 @@
 	unusedSince map[right.MemberID]time.Time // when each unused voter record became unused
 	renewals    map[right.MemberID]*delegateRenewal
 	leaving     bool
-	// confirmed is the store session in which the cached partitions were read.
-	confirmed uint64
-	notReady  []string // reasons from checking the number of partitions and from joining
+	// confirmedSession is the store session in which the cached partitions were read.
+	confirmedSession uint64
+	notReady         []string // reasons from checking the number of partitions and from joining
 }
 
 // New returns a Manager and registers its message handlers in the mux.
@@ -78,7 +78,7 @@
 	if d.SettingsRevision == nil {
 		d.SettingsRevision = func() int64 { return 0 }
 	}
-	k := &Manager{
+	m := &Manager{
 		store: d.Store, peers: d.Peers, config: d.Config, log: d.Log, settings: d.SettingsRevision,
 		metrics: newMetrics(d.Registry), session: member.NewSession(d.Store, d.Self, d.Config.times()),
 		decideNow: make(chan struct{}, 1), renewNow: make(chan struct{}, 1),
@@ -86,57 +86,57 @@
 		fencings: map[right.MemberID]*fencing{}, unusedSince: map[right.MemberID]time.Time{}, renewals: map[right.MemberID]*delegateRenewal{},
 	}
 	for id := range d.Config.Partitions {
-		k.slots = append(k.slots, newSlot(id))
+		m.slots = append(m.slots, newSlot(id))
 	}
-	k.table.Store(&view.Table{})
-	k.heartbeats = heartbeat.New(d.Peers, d.Mux, &heartbeatHost{k}, d.Config.Heartbeat, d.Registry)
-	peer.Handle(d.Mux, peer.KindStateTransfer, k.onHandOver)
-	peer.Handle(d.Mux, peer.KindFence, k.onFence)
-	return k, nil
+	m.table.Store(&view.Table{})
+	m.heartbeats = heartbeat.New(d.Peers, d.Mux, &heartbeatHost{m}, d.Config.Heartbeat, d.Registry)
+	peer.Handle(d.Mux, peer.KindStateTransfer, m.onHandOver)
+	peer.Handle(d.Mux, peer.KindFence, m.onFence)
+	return m, nil
 }
 
 // AddComponent adds a component; it must be called before Start. Partitions are released in the
 // order of the calls and acquired in reverse order.
-func (k *Manager) AddComponent(r Component) { k.components = append(k.components, r) }
+func (m *Manager) AddComponent(r Component) { m.components = append(m.components, r) }
 
 // SetDelegate sets the part of the placer that renews dead members' task leases; it must be called
 // before Start.
-func (k *Manager) SetDelegate(d Delegate) { k.delegate = d }
+func (m *Manager) SetDelegate(d Delegate) { m.delegate = d }
 
 // Provide adds a value to this process's heartbeats.
-func (k *Manager) Provide(name string, fn func() any) { k.heartbeats.Provide(name, fn) }
+func (m *Manager) Provide(name string, fn func() any) { m.heartbeats.Provide(name, fn) }
 
 // Extra decodes the value that a member last sent under the name. This process's own values are not
 // included.
-func (k *Manager) Extra(member, name string, into any) (age time.Duration, ok bool) {
-	return k.heartbeats.Extra(member, name, into)
+func (m *Manager) Extra(member, name string, into any) (age time.Duration, ok bool) {
+	return m.heartbeats.Extra(member, name, into)
 }
 
 // Self returns this process as a member.
-func (k *Manager) Self() view.Member { return k.session.Self() }
+func (m *Manager) Self() view.Member { return m.session.Self() }
 
 // Table returns the latest members and partitions. Its revision never decreases.
-func (k *Manager) Table() *view.Table { return k.table.Load() }
+func (m *Manager) Table() *view.Table { return m.table.Load() }
 
 // Changed returns a channel that is closed at the next change of the table.
-func (k *Manager) Changed() <-chan struct{} { return k.changes.Next() }
+func (m *Manager) Changed() <-chan struct{} { return m.changes.Next() }
 
 // Start checks the number of partitions if the store answers, and starts to join, send heartbeats
 // and claim. It returns at once; NotReadyReasons lists what is still missing.
-func (k *Manager) Start(ctx context.Context) error {
-	k.started = uptime.Now()
-	if err := k.checkCount(ctx); err != nil {
+func (m *Manager) Start(ctx context.Context) error {
+	m.started = uptime.Now()
+	if err := m.checkCount(ctx); err != nil {
 		return err
 	}
-	ctx, k.cancel = context.WithCancel(context.WithoutCancel(ctx))
+	ctx, m.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	for _, loop := range []func(context.Context){
-		k.renewLoop, k.decideLoop, k.heartbeats.Run,
-		func(ctx context.Context) { k.watchLoop(ctx, member.Prefix) },
-		func(ctx context.Context) { k.watchLoop(ctx, PartitionPrefix) },
+		m.renewLoop, m.decideLoop, m.heartbeats.Run,
+		func(ctx context.Context) { m.watchLoop(ctx, member.Prefix) },
+		func(ctx context.Context) { m.watchLoop(ctx, PartitionPrefix) },
 	} {
-		k.loops.Add(1)
+		m.loops.Add(1)
 		go func() {
-			defer k.loops.Done()
+			defer m.loops.Done()
 			loop(ctx)
 		}()
 	}
@@ -146,67 +146,67 @@
 // Stop hands over every partition, leaves the cell and ends all loops. If ctx ends first, or the
 // store is unavailable, the remaining partitions are released in place or dropped, and other members
 // acquire them like those of a dead holder.
-func (k *Manager) Stop(ctx context.Context) error {
-	k.mu.Lock()
-	k.leaving = true
-	k.mu.Unlock()
-	if k.cancel == nil {
+func (m *Manager) Stop(ctx context.Context) error {
+	m.mu.Lock()
+	m.leaving = true
+	m.mu.Unlock()
+	if m.cancel == nil {
 		return nil
 	}
-	k.wakeRenewal()
-	err := k.waitHandedOver(ctx)
-	k.cancel()
-	k.loops.Wait()
-	k.steps.Wait()
+	m.wakeRenewal()
+	err := m.waitHandedOver(ctx)
+	m.cancel()
+	m.loops.Wait()
+	m.steps.Wait()
 	if err != nil {
 		// The member key stays until its lease ends: orders already sent under it may still be in
 		// transit.
-		k.dropAll()
+		m.dropAll()
 		return err
 	}
-	leaveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), k.config.Term)
+	leaveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), m.config.Term)
 	defer cancel()
-	if leaveErr := k.session.Leave(leaveCtx); leaveErr != nil {
-		k.log.WithError(leaveErr).Warn("store did not confirm that this member has left")
+	if leaveErr := m.session.Leave(leaveCtx); leaveErr != nil {
+		m.log.WithError(leaveErr).Warn("store did not confirm that this member has left")
 	}
 	return nil
 }
 
-func (k *Manager) waitHandedOver(ctx context.Context) error {
-	tick := time.NewTicker(k.config.Heartbeat / 10)
+func (m *Manager) waitHandedOver(ctx context.Context) error {
+	tick := time.NewTicker(m.config.Heartbeat / 10)
 	defer tick.Stop()
 	lastConnected := uptime.Now()
 	for {
-		if k.idle() {
+		if m.idle() {
 			return nil
 		}
-		if k.storeConnected() {
+		if m.storeConnected() {
 			lastConnected = uptime.Now()
 		}
-		if uptime.Since(lastConnected) > k.config.Term {
-			k.releaseInPlace(ctx)
+		if uptime.Since(lastConnected) > m.config.Term {
+			m.releaseInPlace(ctx)
 			return result.New(result.HandOverFailed, result.RanNo, "the store is not reached; finished without hand-over")
 		}
-		k.wakeDecide()
+		m.wakeDecide()
 		select {
 		case <-ctx.Done():
-			return result.New(result.HandOverFailed, result.RanNo, "%d partitions were not handed over", len(k.Held()))
+			return result.New(result.HandOverFailed, result.RanNo, "%d partitions were not handed over", len(m.Held()))
 		case <-tick.C:
 		}
 	}
 }
 
-func (k *Manager) storeConnected() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.canMove()
+func (m *Manager) storeConnected() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.canMove()
 }
 
 // releaseInPlace lets the components finish the work in progress when a handover is not possible.
-func (k *Manager) releaseInPlace(ctx context.Context) {
+func (m *Manager) releaseInPlace(ctx context.Context) {
 	var finished sync.WaitGroup
-	k.mu.Lock()
-	for _, s := range k.slots {
+	m.mu.Lock()
+	for _, s := range m.slots {
 		if s.busy || s.machine.Current() != stateHeld {
 			continue
 		}
@@ -215,22 +215,22 @@
 		finished.Add(1)
 		go func() {
 			defer finished.Done()
-			k.releaseComponents(ctx, s.id)
-			k.mu.Lock()
+			m.releaseComponents(ctx, s.id)
+			m.mu.Lock()
 			s.event(eventReleased)
 			s.busy = false
-			k.mu.Unlock()
+			m.mu.Unlock()
 		}()
 	}
-	k.mu.Unlock()
+	m.mu.Unlock()
 	finished.Wait()
 }
 
 // idle reports whether this process owns no partition and has no step running.
-func (k *Manager) idle() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, s := range k.slots {
+func (m *Manager) idle() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, s := range m.slots {
 		if s.busy || s.owned() {
 			return false
 		}
@@ -239,17 +239,17 @@
 }
 
 // Check implements Authorizer.
-func (k *Manager) Check(id int) (Grant, error) {
+func (m *Manager) Check(id int) (Grant, error) {
 	now := uptime.Now()
-	k.mu.Lock()
-	if id < 0 || id >= len(k.slots) || !k.slots[id].acts() {
-		k.mu.Unlock()
+	m.mu.Lock()
+	if id < 0 || id >= len(m.slots) || !m.slots[id].acts() {
+		m.mu.Unlock()
 		return Grant{}, result.New(result.NotHolder, result.RanNo, "partition %d", id)
 	}
-	grant := k.grant(now, k.slots[id])
-	k.mu.Unlock()
+	grant := m.grant(now, m.slots[id])
+	m.mu.Unlock()
 	if !grant.Until.After(now) {
-		k.metrics.expired.Inc()
+		m.metrics.expired.Inc()
 		return Grant{}, result.New(result.AuthorityExpired, result.RanNo, "partition %d epoch %d", id, grant.Epoch)
 	}
 	return grant.onGoClock(now), nil
@@ -265,24 +265,24 @@
 }
 
 // currentGrant returns the grant for a slot on Go's monotonic clock. The lock is held.
-func (k *Manager) currentGrant(s *slot) Grant {
+func (m *Manager) currentGrant(s *slot) Grant {
 	now := uptime.Now()
-	return k.grant(now, s).onGoClock(now)
+	return m.grant(now, s).onGoClock(now)
 }
 
 // grant computes the authority over a slot's partition. The lock is held.
-func (k *Manager) grant(now time.Time, s *slot) Grant {
+func (m *Manager) grant(now time.Time, s *slot) Grant {
 	g := Grant{Partition: s.id, Epoch: s.record.Epoch}
-	k.session.WithAuthority(func(h *right.Authority) { g.Until = h.Until(now, s.session) })
+	m.session.WithAuthority(func(a *right.Authority) { g.Until = a.Until(now, s.session) })
 	return g
 }
 
 // Held implements Authorizer.
-func (k *Manager) Held() []int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) Held() []int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var out []int
-	for _, s := range k.slots {
+	for _, s := range m.slots {
 		if s.acts() {
 			out = append(out, s.id)
 		}
@@ -291,36 +291,36 @@
 }
 
 // NotReadyReasons lists what this process still lacks for full operation, for /readyz.
-func (k *Manager) NotReadyReasons() []string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := append([]string(nil), k.notReady...)
-	if len(k.cache.members) == 0 {
+func (m *Manager) NotReadyReasons() []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	out := append([]string(nil), m.notReady...)
+	if len(m.cache.members) == 0 {
 		out = append(out, "members: neither the store nor a seed has answered")
-	} else if len(k.cache.listed) < 2 {
+	} else if len(m.cache.listed) < 2 {
 		out = append(out, "the store's own list of members and partitions; those of a peer are in use")
 	}
-	if state := k.session.State(); state != member.StateJoined {
+	if state := m.session.State(); state != member.StateJoined {
 		out = append(out, "membership: "+state)
 	}
 	return out
 }
 
-func (k *Manager) wakeDecide() {
+func (m *Manager) wakeDecide() {
 	select {
-	case k.decideNow <- struct{}{}:
+	case m.decideNow <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Manager) wakeRenewal() {
+func (m *Manager) wakeRenewal() {
 	select {
-	case k.renewNow <- struct{}{}:
+	case m.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Manager) memberID() right.MemberID {
-	self := k.session.Self()
+func (m *Manager) memberID() right.MemberID {
+	self := m.session.Self()
 	return right.MemberID{Name: self.Name, Incarnation: self.Incarnation}
 }
--- a/internal/hold/measure_test.go
+++ b/internal/hold/measure_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// takeoverRuns is the number of kills from which the failover figures are taken.
-const takeoverRuns = 3
+// failoverRuns is the number of kills from which the failover figures are taken.
+const failoverRuns = 3
 
 func TestTakeoverOfAWholeHost(t *testing.T) {
 	tests := []struct{ members, partitions int }{{3, 64}, {7, 64}, {14, 64}, {7, 128}}
@@ -74,10 +74,10 @@
 			config.Partitions = tt.partitions
 			var first, all []time.Duration
 			calls, moved := 0, 0
-			for run := range takeoverRuns {
+			for run := range failoverRuns {
 				inBubble(t, config, func(c *testCell) {
 					startMeasured(c, tt.members)
-					time.Sleep(time.Duration(run) * c.config.Renew / takeoverRuns) // any moment between renewals
+					time.Sleep(time.Duration(run) * c.config.Renew / failoverRuns) // any moment between renewals
 					dead := c.nodes["m01"]
 					lost := dead.Held()
 					held := config.Partitions - len(lost)
@@ -95,7 +95,7 @@
 			slices.Sort(all)
 			t.Logf("first claim median %v worst %v, all median %v worst %v after the kill; %.1f store calls per failover of %.1f partitions",
 				first[len(first)/2], first[len(first)-1], all[len(all)/2], all[len(all)-1],
-				float64(calls)/takeoverRuns, float64(moved)/takeoverRuns)
+				float64(calls)/failoverRuns, float64(moved)/failoverRuns)
 			if worst := all[len(all)-1]; worst > config.Term+time.Second {
 				t.Errorf("failover took %v", worst)
 			}
@@ -139,7 +139,7 @@
 
 func TestReturnOfTheStore(t *testing.T) {
 	var back []time.Duration
-	for range takeoverRuns {
+	for range failoverRuns {
 		inBubble(t, DefaultConfig(), func(c *testCell) {
 			startMeasured(c, 7)
 			c.engine.SetFaults(memstore.Faults{Hang: true})
@@ -186,15 +186,15 @@
 	c := newTestCell(b, DefaultConfig())
 	n := c.build("a", "a:1")
 	host := &heartbeatHost{n.Manager}
-	beat := heartbeat.Request{Status: host.Status(), PromiseRequests: host.PromiseRequests()}
-	encoded, err := cbor.Marshal(beat)
+	request := heartbeat.Request{Status: host.Status(), PromiseRequests: host.PromiseRequests()}
+	encoded, err := cbor.Marshal(request)
 	if err != nil {
 		b.Fatal(err)
 	}
 	local := peer.Local{n.addr: c.net.muxes[n.addr]}
 	for b.Loop() {
 		var reply heartbeat.Reply
-		if err := local.Call(context.Background(), n.addr, peer.KindHeartbeat, beat, &reply); err != nil {
+		if err := local.Call(context.Background(), n.addr, peer.KindHeartbeat, request, &reply); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/hold/sweep.go
+++ b/internal/hold/sweep.go
@@ -23,36 +23,38 @@
 // deleteUnusedRecords discards the state of incarnations that have ended and hold no partition.
 // One member deletes their voter records from the store, so that these do not accumulate with every
 // start of a process.
-func (k *Manager) deleteUnusedRecords(ctx context.Context) error {
-	k.mu.Lock()
-	used := k.usedMembers()
+func (m *Manager) deleteUnusedRecords(ctx context.Context) error {
+	m.mu.Lock()
+	used := m.usedMembers()
 	now := uptime.Now()
-	for s := range k.cache.voterRecords {
-		if used[s] {
-			delete(k.unusedSince, s)
-		} else if _, known := k.unusedSince[s]; !known {
-			k.unusedSince[s] = now
+	for memberID := range m.cache.voterRecords {
+		if used[memberID] {
+			delete(m.unusedSince, memberID)
+		} else if _, known := m.unusedSince[memberID]; !known {
+			m.unusedSince[memberID] = now
 		}
 	}
-	maps.DeleteFunc(k.unusedSince, func(s right.MemberID, _ time.Time) bool { return k.cache.voterRecords[s].VoterRecord == nil })
-	maps.DeleteFunc(k.fencings, func(s right.MemberID, f *fencing) bool { return !used[s] && !f.running })
-	txn := k.deleteUnusedTxn(now)
-	k.mu.Unlock()
-	k.heartbeats.Forget(func(h heartbeat.Contact) bool { return now.Sub(h.ReceivedAt) > unusedTerms*k.config.Term })
+	maps.DeleteFunc(m.unusedSince, func(memberID right.MemberID, _ time.Time) bool {
+		return m.cache.voterRecords[memberID].VoterRecord == nil
+	})
+	maps.DeleteFunc(m.fencings, func(memberID right.MemberID, f *fencing) bool { return !used[memberID] && !f.running })
+	txn := m.deleteUnusedTxn(now)
+	m.mu.Unlock()
+	m.heartbeats.Forget(func(h heartbeat.Contact) bool { return now.Sub(h.ReceivedAt) > unusedTerms*m.config.Term })
 	if len(txn.Then) == 0 {
 		return nil
 	}
-	_, err := k.store.Commit(ctx, txn)
+	_, err := m.store.Commit(ctx, txn)
 	return err
 }
 
 // usedMembers are the incarnations that are registered or hold a partition. The lock is held.
-func (k *Manager) usedMembers() map[right.MemberID]bool {
-	used := map[right.MemberID]bool{k.memberID(): true}
-	for _, e := range k.cache.members {
+func (m *Manager) usedMembers() map[right.MemberID]bool {
+	used := map[right.MemberID]bool{m.memberID(): true}
+	for _, e := range m.cache.members {
 		used[right.MemberID{Name: e.Member.Name, Incarnation: e.Member.Incarnation}] = true
 	}
-	for _, p := range k.cache.partitions {
+	for _, p := range m.cache.partitions {
 		used[holderOf(p)] = true
 	}
 	return used
@@ -61,21 +63,21 @@
 // deleteUnusedTxn deletes voter records that have been unused for long, if this member is
 // responsible for it. Its conditions fail if one of their members has registered again, since that
 // writes the voter record. The lock is held.
-func (k *Manager) deleteUnusedTxn(now time.Time) platform.Txn {
+func (m *Manager) deleteUnusedTxn(now time.Time) platform.Txn {
 	var txn platform.Txn
-	remaining := k.cache.remaining()
-	if len(remaining) == 0 || slices.Min(remaining) != k.session.Self().Name {
+	remaining := m.cache.remaining()
+	if len(remaining) == 0 || slices.Min(remaining) != m.session.Self().Name {
 		return txn
 	}
-	for s, since := range k.unusedSince {
+	for memberID, since := range m.unusedSince {
 		if len(txn.Then) == maxRecordDeletes {
 			break
 		}
-		if now.Sub(since) < unusedTerms*k.config.Term {
+		if now.Sub(since) < unusedTerms*m.config.Term {
 			continue
 		}
-		key := member.VoterRecordKey(s.Name, s.Incarnation)
-		txn.If = append(txn.If, platform.Condition{Key: key, ModRevision: k.cache.voterRecords[s].Revision})
+		key := member.VoterRecordKey(memberID.Name, memberID.Incarnation)
+		txn.If = append(txn.If, platform.Condition{Key: key, ModRevision: m.cache.voterRecords[memberID].Revision})
 		txn.Then = append(txn.Then, platform.Write{Key: key, Delete: true})
 	}
 	return txn
--- a/internal/hold/table_test.go
+++ b/internal/hold/table_test.go
@@ -153,8 +153,8 @@
 }
 
 // recoveryTerms is the number of terms that a repaired cell may take until every partition has a
-// holder that may act: the death of a member is detected after one term, the vote of its replacement
-// counts after another.
+// holder that may act: the death of a member is detected after one term, and the fence reply of its
+// replacement counts after another.
 const recoveryTerms = 5
 
 func TestFaultsNeverMakeTwoHoldersAndCellRecovers(t *testing.T) {
--- a/internal/right/authority.go
+++ b/internal/right/authority.go
@@ -31,94 +31,94 @@
 
 // BeginSession records that the store has the member key and the voter set of a new session, under
 // a lease that was requested at sent.
-func (h *Authority) BeginSession(sent time.Time, e VoterSet) {
-	h.previousUntil = h.promisedUntil()
-	h.session = e.Session
-	h.voterSets = []VoterSet{e}
-	h.promised = map[string]time.Time{}
-	h.fenced = false
-	h.RecordRenewal(sent)
+func (a *Authority) BeginSession(sent time.Time, set VoterSet) {
+	a.previousUntil = a.promisedUntil()
+	a.session = set.Session
+	a.voterSets = []VoterSet{set}
+	a.promised = map[string]time.Time{}
+	a.fenced = false
+	a.RecordRenewal(sent)
 }
 
 // RecordRenewal records that the store has confirmed a lease renewal sent at sent.
-func (h *Authority) RecordRenewal(sent time.Time) {
-	if end := sent.Add(h.times.minusMargin(h.times.Term)); end.After(h.lease) {
-		h.lease = end
+func (a *Authority) RecordRenewal(sent time.Time) {
+	if end := sent.Add(a.times.minusMargin(a.times.Term)); end.After(a.lease) {
+		a.lease = end
 	}
-	if end := sent.Add(h.times.minusMargin(h.times.OutageLimit)); end.After(h.outageEnd) {
-		h.outageEnd = end
+	if end := sent.Add(a.times.minusMargin(a.times.OutageLimit)); end.After(a.outageEnd) {
+		a.outageEnd = end
 	}
 }
 
 // RecordPromise records that a voter has promised d in reply to a request sent at sent for the
 // given session.
-func (h *Authority) RecordPromise(voter string, session uint64, sent time.Time, d time.Duration) {
-	if session != h.session {
+func (a *Authority) RecordPromise(voter string, session uint64, sent time.Time, d time.Duration) {
+	if session != a.session {
 		return
 	}
-	if end := sent.Add(h.times.minusMargin(d)); end.After(h.promised[voter]) {
-		h.promised[voter] = end
+	if end := sent.Add(a.times.minusMargin(d)); end.After(a.promised[voter]) {
+		a.promised[voter] = end
 	}
 }
 
 // MarkFenced records that this process has fenced its own session for a claimant. Promises no
 // longer count in this session; authority that was already granted runs until its end.
-func (h *Authority) MarkFenced() { h.fenced = true }
+func (a *Authority) MarkFenced() { a.fenced = true }
 
 // BeginVoterChange records that a change to next is about to be written. Call EndVoterChange once
 // the outcome is known.
-func (h *Authority) BeginVoterChange(next VoterSet) {
-	h.voterSets = append(h.voterSets, next)
+func (a *Authority) BeginVoterChange(next VoterSet) {
+	a.voterSets = append(a.voterSets, next)
 }
 
 // EndVoterChange records which voter set the store has.
-func (h *Authority) EndVoterChange(e VoterSet) { h.voterSets = []VoterSet{e} }
+func (a *Authority) EndVoterChange(set VoterSet) { a.voterSets = []VoterSet{set} }
 
 // MayChangeVoters reports whether the voter set may be changed: the outcome of the last change is
 // known, and authority granted by promises has expired.
-func (h *Authority) MayChangeVoters(now time.Time) bool {
-	return len(h.voterSets) == 1 && !now.Before(h.grantedUntil) && !now.Before(h.previousUntil)
+func (a *Authority) MayChangeVoters(now time.Time) bool {
+	return len(a.voterSets) == 1 && !now.Before(a.grantedUntil) && !now.Before(a.previousUntil)
 }
 
 // Session returns the current session, zero before the first.
-func (h *Authority) Session() uint64 { return h.session }
+func (a *Authority) Session() uint64 { return a.session }
 
 // VoterSet returns the last voter set that is known to be in the store.
-func (h *Authority) VoterSet() VoterSet {
-	if len(h.voterSets) == 0 {
+func (a *Authority) VoterSet() VoterSet {
+	if len(a.voterSets) == 0 {
 		return VoterSet{}
 	}
-	return h.voterSets[0]
+	return a.voterSets[0]
 }
 
 // Until returns the end of the authority over a partition whose record was last confirmed in the
 // given session. The authority has expired if the end is not after now.
-func (h *Authority) Until(now time.Time, session uint64) time.Time {
+func (a *Authority) Until(now time.Time, session uint64) time.Time {
 	switch {
-	case session == 0 || session > h.session:
+	case session == 0 || session > a.session:
 		return time.Time{}
-	case session < h.session-1:
+	case session < a.session-1:
 		return time.Time{}
-	case session == h.session-1:
-		return h.previousUntil
+	case session == a.session-1:
+		return a.previousUntil
 	}
-	if h.lease.After(now) {
-		return h.lease
+	if a.lease.After(now) {
+		return a.lease
 	}
-	end := h.promisedUntil()
-	if end.After(now) && end.After(h.grantedUntil) {
-		h.grantedUntil = end
+	end := a.promisedUntil()
+	if end.After(now) && end.After(a.grantedUntil) {
+		a.grantedUntil = end
 	}
 	return end
 }
 
 // Lease returns the end of the authority by store lease.
-func (h *Authority) Lease() time.Time { return h.lease }
+func (a *Authority) Lease() time.Time { return a.lease }
 
 // LatestEnd returns the latest end of any authority that may be in use.
-func (h *Authority) LatestEnd() time.Time {
-	out := h.grantedUntil
-	for _, t := range []time.Time{h.lease, h.previousUntil} {
+func (a *Authority) LatestEnd() time.Time {
+	out := a.grantedUntil
+	for _, t := range []time.Time{a.lease, a.previousUntil} {
 		if t.After(out) {
 			out = t
 		}
@@ -127,13 +127,13 @@
 }
 
 // promisedUntil returns until when a majority of every voter set has promised.
-func (h *Authority) promisedUntil() time.Time {
-	if h.fenced || len(h.voterSets) == 0 {
+func (a *Authority) promisedUntil() time.Time {
+	if a.fenced || len(a.voterSets) == 0 {
 		return time.Time{}
 	}
-	end := h.outageEnd
-	for _, e := range h.voterSets {
-		if t := h.majorityUntil(e); t.Before(end) {
+	end := a.outageEnd
+	for _, set := range a.voterSets {
+		if t := a.majorityUntil(set); t.Before(end) {
 			end = t
 		}
 	}
@@ -143,27 +143,27 @@
 // majorityUntil returns until when a majority of the voter set has promised. The promise of a
 // single voter to itself does not count: if that process died, no other could confirm to a claimant
 // that the promise has expired.
-func (h *Authority) majorityUntil(e VoterSet) time.Time {
-	if len(e.Voters) < minVoters {
+func (a *Authority) majorityUntil(set VoterSet) time.Time {
+	if len(set.Voters) < minVoters {
 		return time.Time{}
 	}
-	ends := make([]time.Time, len(e.Voters))
-	for i, v := range e.Voters {
-		ends[i] = h.promised[v.Incarnation]
+	ends := make([]time.Time, len(set.Voters))
+	for i, v := range set.Voters {
+		ends[i] = a.promised[v.Incarnation]
 	}
 	sort.Slice(ends, func(i, j int) bool { return ends[i].After(ends[j]) })
 	return ends[majority(len(ends))-1]
 }
 
 // VoterChangePending reports whether the outcome of a change of the voter set is unknown.
-func (h *Authority) VoterChangePending() bool { return len(h.voterSets) > 1 }
+func (a *Authority) VoterChangePending() bool { return len(a.voterSets) > 1 }
 
 // NewDelegate returns the authority to renew task leases on behalf of a dead member. It rests on
 // promises of that member's voter set only and ends an outage limit after the member's last known
 // renewal.
-func NewDelegate(times Times, e VoterSet, renewed time.Time) *Authority {
-	h := NewAuthority(times)
-	h.session, h.voterSets = e.Session, []VoterSet{e}
-	h.outageEnd = renewed.Add(times.minusMargin(times.OutageLimit))
-	return h
+func NewDelegate(times Times, set VoterSet, renewed time.Time) *Authority {
+	a := NewAuthority(times)
+	a.session, a.voterSets = set.Session, []VoterSet{set}
+	a.outageEnd = renewed.Add(times.minusMargin(times.OutageLimit))
+	return a
 }
--- a/internal/right/fence.go
+++ b/internal/right/fence.go
@@ -23,9 +23,9 @@
 }
 
 // NewFencing starts fencing a session whose member key was first observed missing at since.
-func NewFencing(times Times, e VoterSet, since time.Time) *Fencing {
+func NewFencing(times Times, set VoterSet, since time.Time) *Fencing {
 	return &Fencing{
-		times: times, voterSet: e, since: since,
+		times: times, voterSet: set, since: since,
 		fenced: map[string]bool{}, resolved: map[string]bool{},
 	}
 }
--- a/internal/right/modelproc_test.go
+++ b/internal/right/modelproc_test.go
@@ -222,15 +222,15 @@
 // fence asks one voter of a dead holder's voter set to fence the holder.
 func (p *modelProc) fence(id int) {
 	m := p.m
-	s := p.view.partitions[id].holder
-	if s == (MemberID{}) || s == p.id || p.view.members[s.Name].incarnation == s.Incarnation {
+	member := p.view.partitions[id].holder
+	if member == (MemberID{}) || member == p.id || p.view.members[member.Name].incarnation == member.Incarnation {
 		return
 	}
-	voterRecord := p.view.voterRecords[s]
-	f := p.fencings[s]
+	voterRecord := p.view.voterRecords[member]
+	f := p.fencings[member]
 	if f == nil || f.voterRecord != voterRecord.mod {
 		f = &modelFencing{voterRecord.mod, NewFencing(m.times, voterRecord.VoterSet, p.clock())}
-		p.fencings[s] = f
+		p.fencings[member] = f
 	}
 	pending := f.fencing.Pending()
 	if len(pending) == 0 {
@@ -240,7 +240,7 @@
 	m.send(func() {
 		for _, v := range m.procs {
 			if v.id.Name == voter.Name {
-				answer := v.onFence(s, voterRecord.Session)
+				answer := v.onFence(member, voterRecord.Session)
 				p.reply(func() { f.fencing.RecordAnswer(voter, answer) })
 			}
 		}
@@ -276,11 +276,11 @@
 	p.setVoters()
 }
 
-func (p *modelProc) onFence(s MemberID, session uint64) FenceAnswer {
+func (p *modelProc) onFence(member MemberID, session uint64) FenceAnswer {
 	now := p.clock()
-	answer := FenceAnswer{Incarnation: p.id.Incarnation, Remaining: p.promises.Fence(now, s, session)}
+	answer := FenceAnswer{Incarnation: p.id.Incarnation, Remaining: p.promises.Fence(now, member, session)}
 	answer.Age = (p.m.now - p.started) * time.Duration(p.rate) / 1000
-	if s == p.id {
+	if member == p.id {
 		if session >= p.authority.Session() {
 			p.authority.MarkFenced()
 		}
@@ -326,12 +326,12 @@
 	})
 }
 
-func (p *modelProc) mayClaim(s MemberID) bool {
-	f := p.fencings[s]
+func (p *modelProc) mayClaim(member MemberID) bool {
+	f := p.fencings[member]
 	switch {
 	case p.m.injectedFault.skipFence:
 		return true
-	case f == nil || f.voterRecord != p.view.voterRecords[s].mod:
+	case f == nil || f.voterRecord != p.view.voterRecords[member].mod:
 		return false
 	case p.m.injectedFault.singleVoter:
 		return len(f.fencing.fenced) > 0
--- a/internal/right/right_test.go
+++ b/internal/right/right_test.go
@@ -16,22 +16,22 @@
 func at(ms int) time.Time { return baseTime.Add(time.Duration(ms) * time.Millisecond) }
 
 func voterSetOf(session uint64, names ...string) VoterSet {
-	e := VoterSet{Session: session}
+	set := VoterSet{Session: session}
 	for _, n := range names {
-		e.Voters = append(e.Voters, Voter{Name: n, Incarnation: n + "1", Addr: n})
+		set.Voters = append(set.Voters, Voter{Name: n, Incarnation: n + "1", Addr: n})
 	}
-	return e
+	return set
 }
 
 func TestLeaseIsCountedFromTheSendLessTheMargin(t *testing.T) {
 	is := is.New(t)
-	h := NewAuthority(testTimes)
-	is.True(h.Until(at(0), 0).IsZero())
-	h.BeginSession(at(0), voterSetOf(1, "a", "b", "c"))
-	is.Equal(h.Until(at(10), 1), at(2970))
-	h.RecordRenewal(at(500))
-	h.RecordRenewal(at(100)) // a delayed older reply does not shorten the authority
-	is.Equal(h.Until(at(600), 1), at(3470))
+	a := NewAuthority(testTimes)
+	is.True(a.Until(at(0), 0).IsZero())
+	a.BeginSession(at(0), voterSetOf(1, "a", "b", "c"))
+	is.Equal(a.Until(at(10), 1), at(2970))
+	a.RecordRenewal(at(500))
+	a.RecordRenewal(at(100)) // a delayed older reply does not shorten the authority
+	is.Equal(a.Until(at(600), 1), at(3470))
 }
 
 func TestPromisesCountByMajority(t *testing.T) {
@@ -54,75 +54,75 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			h := NewAuthority(testTimes)
-			h.BeginSession(at(0), voterSetOf(1, tt.voters...))
+			a := NewAuthority(testTimes)
+			a.BeginSession(at(0), voterSetOf(1, tt.voters...))
 			for _, v := range tt.promised {
-				h.RecordPromise(v, 1, at(10000), testTimes.Term)
+				a.RecordPromise(v, 1, at(10000), testTimes.Term)
 			}
-			is.Equal(h.Until(at(10010), 1), tt.until)
+			is.Equal(a.Until(at(10010), 1), tt.until)
 		})
 	}
 }
 
 func TestAuthorityThatNoLongerCounts(t *testing.T) {
-	promised := func(h *Authority, session uint64, from time.Time) {
-		h.RecordPromise("a1", session, from, testTimes.Term)
-		h.RecordPromise("b1", session, from, testTimes.Term)
+	promised := func(a *Authority, session uint64, from time.Time) {
+		a.RecordPromise("a1", session, from, testTimes.Term)
+		a.RecordPromise("b1", session, from, testTimes.Term)
 	}
 	tests := []struct {
 		name string
-		do   func(h *Authority)
+		do   func(a *Authority)
 		want time.Time
 	}{
-		{"promises to another session", func(h *Authority) { promised(h, 2, at(9000)) }, time.Time{}},
-		{"own vote given to a claimant", func(h *Authority) { promised(h, 1, at(9000)); h.MarkFenced() }, time.Time{}},
-		{"pending change needs both majorities", func(h *Authority) {
-			promised(h, 1, at(9000))
-			h.BeginVoterChange(voterSetOf(1, "a", "c", "d"))
+		{"promises to another session", func(a *Authority) { promised(a, 2, at(9000)) }, time.Time{}},
+		{"own vote given to a claimant", func(a *Authority) { promised(a, 1, at(9000)); a.MarkFenced() }, time.Time{}},
+		{"pending change needs both majorities", func(a *Authority) {
+			promised(a, 1, at(9000))
+			a.BeginVoterChange(voterSetOf(1, "a", "c", "d"))
 		}, time.Time{}},
-		{"change resolved to the old voter set", func(h *Authority) {
-			promised(h, 1, at(9000))
-			h.BeginVoterChange(voterSetOf(1, "a", "c", "d"))
-			h.EndVoterChange(voterSetOf(1, "a", "b", "c"))
+		{"change resolved to the old voter set", func(a *Authority) {
+			promised(a, 1, at(9000))
+			a.BeginVoterChange(voterSetOf(1, "a", "c", "d"))
+			a.EndVoterChange(voterSetOf(1, "a", "b", "c"))
 		}, at(11970)},
-		{"outage limit", func(h *Authority) { promised(h, 1, at(58000)) }, at(59400)},
+		{"outage limit", func(a *Authority) { promised(a, 1, at(58000)) }, at(59400)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			h := NewAuthority(testTimes)
-			h.BeginSession(at(0), voterSetOf(1, "a", "b", "c"))
-			tt.do(h)
-			is.Equal(h.Until(at(9010), 1), tt.want)
+			a := NewAuthority(testTimes)
+			a.BeginSession(at(0), voterSetOf(1, "a", "b", "c"))
+			tt.do(a)
+			is.Equal(a.Until(at(9010), 1), tt.want)
 		})
 	}
 }
 
 func TestPartitionOfThePreviousSessionKeepsItsPromisedEnd(t *testing.T) {
 	is := is.New(t)
-	h := NewAuthority(testTimes)
-	e := voterSetOf(1, "a", "b", "c")
-	h.BeginSession(at(0), e)
-	h.RecordPromise("a1", 1, at(9000), testTimes.Term)
-	h.RecordPromise("b1", 1, at(9000), testTimes.Term)
-	e.Session = 2
-	h.BeginSession(at(9500), e)
-	is.Equal(h.Until(at(9600), 1), at(11970)) // not confirmed yet: end of the promises
-	is.Equal(h.Until(at(9600), 2), at(12470)) // confirmed: end of the new lease
-	e.Session = 3
-	h.BeginSession(at(9700), e)
-	is.True(h.Until(at(9800), 1).IsZero())
+	a := NewAuthority(testTimes)
+	set := voterSetOf(1, "a", "b", "c")
+	a.BeginSession(at(0), set)
+	a.RecordPromise("a1", 1, at(9000), testTimes.Term)
+	a.RecordPromise("b1", 1, at(9000), testTimes.Term)
+	set.Session = 2
+	a.BeginSession(at(9500), set)
+	is.Equal(a.Until(at(9600), 1), at(11970)) // not confirmed yet: end of the promises
+	is.Equal(a.Until(at(9600), 2), at(12470)) // confirmed: end of the new lease
+	set.Session = 3
+	a.BeginSession(at(9700), set)
+	is.True(a.Until(at(9800), 1).IsZero())
 }
 
 // TestVoterSetChangeWaitsForPromisedAuthority shows why MayChangeVoters exists: two voters of the
 // new set complete a fence while authority that the old set promised is still valid.
 func TestVoterSetChangeWaitsForPromisedAuthority(t *testing.T) {
 	is := is.New(t)
-	h := NewAuthority(testTimes)
-	h.BeginSession(at(0), voterSetOf(1, "a", "d"))
-	h.RecordPromise("a1", 1, at(2960), testTimes.Term)
-	h.RecordPromise("d1", 1, at(2960), testTimes.Term)
-	until := h.Until(at(2980), 1)
+	a := NewAuthority(testTimes)
+	a.BeginSession(at(0), voterSetOf(1, "a", "d"))
+	a.RecordPromise("a1", 1, at(2960), testTimes.Term)
+	a.RecordPromise("d1", 1, at(2960), testTimes.Term)
+	until := a.Until(at(2980), 1)
 	is.Equal(until, at(5930)) // by promises: the lease has expired
 
 	next := voterSetOf(1, "a", "b", "c")
@@ -131,32 +131,32 @@
 	f.RecordAnswer(next.Voters[2], FenceAnswer{Incarnation: "c1"})
 	is.True(f.Done(at(3010))) // complete although until has not been reached
 
-	is.True(!h.MayChangeVoters(at(3000)))
-	is.True(!h.MayChangeVoters(at(5929)))
-	is.True(h.MayChangeVoters(at(5930)))
+	is.True(!a.MayChangeVoters(at(3000)))
+	is.True(!a.MayChangeVoters(at(5929)))
+	is.True(a.MayChangeVoters(at(5930)))
 }
 
 func TestVoterFencesAfterItsPromise(t *testing.T) {
 	is := is.New(t)
-	p := NewVoterState()
-	is.True(p.Ask(at(0), memberA, 1, testTimes.Term))
-	is.Equal(p.Fence(at(1000), memberA, 1), 2*time.Second)
-	is.True(!p.Ask(at(1001), memberA, 1, testTimes.Term)) // fenced
-	is.Equal(p.Fence(at(3000), memberA, 1), time.Duration(0))
-	is.True(p.Ask(at(3001), memberA, 2, testTimes.Term)) // a new session is not fenced
-	is.True(p.Fenced(memberA, 1))
-	is.True(!p.Fenced(memberA, 2))
+	v := NewVoterState()
+	is.True(v.Ask(at(0), memberA, 1, testTimes.Term))
+	is.Equal(v.Fence(at(1000), memberA, 1), 2*time.Second)
+	is.True(!v.Ask(at(1001), memberA, 1, testTimes.Term)) // fenced
+	is.Equal(v.Fence(at(3000), memberA, 1), time.Duration(0))
+	is.True(v.Ask(at(3001), memberA, 2, testTimes.Term)) // a new session is not fenced
+	is.True(v.Fenced(memberA, 1))
+	is.True(!v.Fenced(memberA, 2))
 }
 
 func TestFenceNeedsABlockingNumberOfVoters(t *testing.T) {
 	is := is.New(t)
 	needed := map[int]int{0: 0, 1: 0, 2: 1, 3: 2, 4: 2, 5: 3, 6: 3, 7: 4}
 	for n, want := range needed {
-		e := voterSetOf(1, []string{"a", "b", "c", "d", "e", "f", "g"}[:n]...)
-		f := NewFencing(testTimes, e, at(0))
+		set := voterSetOf(1, []string{"a", "b", "c", "d", "e", "f", "g"}[:n]...)
+		f := NewFencing(testTimes, set, at(0))
 		got := 0
 		for ; !f.Done(at(0)); got++ {
-			f.RecordAnswer(e.Voters[got], FenceAnswer{Incarnation: e.Voters[got].Incarnation})
+			f.RecordAnswer(set.Voters[got], FenceAnswer{Incarnation: set.Voters[got].Incarnation})
 		}
 		is.Equal(got, want)
 	}
@@ -183,11 +183,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			e := voterSetOf(1, "a", "b", "c")
-			f := NewFencing(testTimes, e, at(0))
+			set := voterSetOf(1, "a", "b", "c")
+			f := NewFencing(testTimes, set, at(0))
 			for i, a := range tt.answers {
 				if a.Incarnation != "" {
-					f.RecordAnswer(e.Voters[i], a)
+					f.RecordAnswer(set.Voters[i], a)
 				}
 			}
 			is.Equal(f.Done(at(0).Add(tt.after)), tt.want)
--- a/internal/right/voter.go
+++ b/internal/right/voter.go
@@ -21,28 +21,28 @@
 
 // Ask makes a promise of length d from now to the session. It returns false if the session is
 // fenced.
-func (p *VoterState) Ask(now time.Time, s MemberID, session uint64, d time.Duration) bool {
-	entry := p.byMember[s]
+func (v *VoterState) Ask(now time.Time, member MemberID, session uint64, d time.Duration) bool {
+	entry := v.byMember[member]
 	if session <= entry.fenced {
 		return false
 	}
 	if until := now.Add(d); until.After(entry.until) {
 		entry.until = until
 	}
-	p.byMember[s] = entry
+	v.byMember[member] = entry
 	return true
 }
 
 // Fence refuses all further promises to sessions up to the given one and returns the remaining time
 // of the promises already made.
-func (p *VoterState) Fence(now time.Time, s MemberID, session uint64) time.Duration {
-	entry := p.byMember[s]
+func (v *VoterState) Fence(now time.Time, member MemberID, session uint64) time.Duration {
+	entry := v.byMember[member]
 	entry.fenced = max(entry.fenced, session)
-	p.byMember[s] = entry
+	v.byMember[member] = entry
 	return max(0, entry.until.Sub(now))
 }
 
 // Fenced reports whether the session receives no more promises.
-func (p *VoterState) Fenced(s MemberID, session uint64) bool {
-	return session <= p.byMember[s].fenced
+func (v *VoterState) Fenced(member MemberID, session uint64) bool {
+	return session <= v.byMember[member].fenced
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -42,14 +42,14 @@
 	}
 	var out []Request
 	for i, s := range sizes {
-		a := requestFor(s)
-		a.Shape.Job = fmt.Sprint("job", i)
-		a.Shape.Policy.SpreadZones = i%3 == 0
-		a.Shape.RunningByZone = map[string]int{}
+		req := requestFor(s)
+		req.Shape.Job = fmt.Sprint("job", i)
+		req.Shape.Policy.SpreadZones = i%3 == 0
+		req.Shape.RunningByZone = map[string]int{}
 		if i%2 == 0 {
-			a.Shape.Policy.Name = settings.PolicyWaiting
+			req.Shape.Policy.Name = settings.PolicyWaiting
 		}
-		out = append(out, a)
+		out = append(out, req)
 	}
 	return out
 }
@@ -72,21 +72,21 @@
 	}
 	target := int64(n) * 64000 * 8 / 10
 	for used := int64(0); used < target; {
-		a := &l.requests[l.random.IntN(len(l.requests))]
-		if l.place(a, l.cell.Select) {
-			used += a.size().MilliCPU
+		req := &l.requests[l.random.IntN(len(l.requests))]
+		if l.place(req, l.cell.Select) {
+			used += req.size().MilliCPU
 		}
 	}
 	return l
 }
 
-func (l *loadedCell) place(a *Request, choose func(Request) (Choice, *taskmsg.Refusal)) bool {
-	choice, refusal := choose(*a)
+func (l *loadedCell) place(req *Request, choose func(Request) (Choice, *taskmsg.Refusal)) bool {
+	choice, refusal := choose(*req)
 	if refusal != nil {
 		return false
 	}
 	l.next++
-	r := NewRun(&a.Shape, 0, taskmsg.Slot{Index: l.next, Attempt: 1})
+	r := NewRun(&req.Shape, 0, taskmsg.Slot{Index: l.next, Attempt: 1})
 	if l.cell.Reserve(choice.Worker, r, start) != nil {
 		return false
 	}
@@ -113,7 +113,7 @@
 				l := newLoad(n)
 				choose := l.cell.Select
 				if method == "scan" {
-					choose = func(a Request) (Choice, *taskmsg.Refusal) { return l.cell.selectByScan(&a) }
+					choose = func(req Request) (Choice, *taskmsg.Refusal) { return l.cell.selectByScan(&req) }
 				}
 				h := hdrhistogram.New(1, int64(time.Second), 3)
 				b.ReportAllocs()
@@ -139,12 +139,12 @@
 			runs := make([]Run, batch)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				a := &l.requests[i%len(l.requests)]
+				req := &l.requests[i%len(l.requests)]
 				for j := range runs {
 					l.next++
-					runs[j] = NewRun(&a.Shape, 0, taskmsg.Slot{Index: l.next, Attempt: 1})
+					runs[j] = NewRun(&req.Shape, 0, taskmsg.Slot{Index: l.next, Attempt: 1})
 				}
-				placed, _ := l.cell.Place(*a, runs, start)
+				placed, _ := l.cell.Place(*req, runs, start)
 				for _, p := range placed {
 					l.cell.Unreserve(p.Attempt)
 				}
--- a/internal/scheduler/cell_property_test.go
+++ b/internal/scheduler/cell_property_test.go
@@ -206,9 +206,9 @@
 }
 
 func (m *model) preempt(t *rapid.T) {
-	a := requestFor(drawSize(t, "ask", 80))
-	a.Shape.Urgent = true
-	w, victims := m.cell.Victims(a)
+	req := requestFor(drawSize(t, "ask", 80))
+	req.Shape.Urgent = true
+	w, victims := m.cell.Victims(req)
 	if w == "" {
 		return
 	}
--- a/internal/scheduler/dedication.go
+++ b/internal/scheduler/dedication.go
@@ -29,10 +29,10 @@
 // dedicate chooses a worker for a refused request, unless the bound on dedicated workers is
 // reached. A worker is eligible if the job fits there once everything except services has ended;
 // the eligible worker with the smallest shortage is chosen.
-func (c *Cell) dedicate(a *Request, now time.Time) {
-	if d, ok := c.dedicated[a.Shape.Job]; ok {
+func (c *Cell) dedicate(req *Request, now time.Time) {
+	if d, ok := c.dedicated[req.Shape.Job]; ok {
 		d.until = now.Add(dedicationTimeout)
-		c.dedicated[a.Shape.Job] = d
+		c.dedicated[req.Shape.Job] = d
 		return
 	}
 	if len(c.dedicated) > len(c.order)/workersPerDedicated {
@@ -44,20 +44,20 @@
 	first := c.random.IntN(max(n, 1))
 	for i, examined := 0, 0; i < n && examined < maxDedicationCandidates; i++ {
 		w := c.order[(first+i)%n]
-		if w.dedicatedTo != "" || !fitsWhenIdle(a, w) || !a.size().Fits(w.Info.Size.Sub(w.serviceUsage())) {
+		if w.dedicatedTo != "" || !fitsWhenIdle(req, w) || !req.size().Fits(w.Info.Size.Sub(w.serviceUsage())) {
 			continue
 		}
 		examined++
-		if missing := shortage(a.size(), w); best == nil || missing < smallest {
+		if missing := shortage(req.size(), w); best == nil || missing < smallest {
 			best, smallest = w, missing
 		}
 	}
 	if best == nil {
 		return
 	}
-	best.dedicatedTo = a.Shape.Job
+	best.dedicatedTo = req.Shape.Job
 	best.reindex()
-	c.dedicated[a.Shape.Job] = dedicated{record: best, until: now.Add(dedicationTimeout)}
+	c.dedicated[req.Shape.Job] = dedicated{record: best, until: now.Add(dedicationTimeout)}
 }
 
 // endDedication makes the worker that is dedicated to a job available to other jobs.
--- a/internal/scheduler/digest.go
+++ b/internal/scheduler/digest.go
@@ -26,7 +26,7 @@
 func (x *index) machineTypes() []taskmsg.Size {
 	var out []taskmsg.Size
 	for _, g := range x.order {
-		out = addMachineType(out, g.size)
+		out = addMachineType(out, g.machineType)
 	}
 	return out
 }
--- a/internal/scheduler/filters.go
+++ b/internal/scheduler/filters.go
@@ -33,17 +33,17 @@
 	{RuleLabels, admitsLabels},
 }
 
-func admitsAcceleratorKind(a *Request, s *taskmsg.Size) bool {
-	t := &a.Shape.Task
+func admitsAcceleratorKind(req *Request, s *taskmsg.Size) bool {
+	t := &req.Shape.Task
 	return t.Size.Accelerators == 0 || t.AcceleratorKind == "" || t.AcceleratorKind == s.AcceleratorKind
 }
 
-func admitsGeneration(a *Request, s *taskmsg.Size) bool {
-	return s.Generation >= a.Shape.Task.MinGeneration
+func admitsGeneration(req *Request, s *taskmsg.Size) bool {
+	return s.Generation >= req.Shape.Task.MinGeneration
 }
 
-func admitsLabels(a *Request, s *taskmsg.Size) bool {
-	for name, value := range a.Shape.Task.Labels {
+func admitsLabels(req *Request, s *taskmsg.Size) bool {
+	for name, value := range req.Shape.Task.Labels {
 		if have, ok := s.Labels[name]; !ok || have != value {
 			return false
 		}
@@ -65,20 +65,20 @@
 	{RuleProcessors, admitsProcessors},
 }
 
-func admitsAvoid(a *Request, w *record) bool {
-	return !slices.Contains(a.Shape.Avoid, w.Info.Name)
+func admitsAvoid(req *Request, w *record) bool {
+	return !slices.Contains(req.Shape.Avoid, w.Info.Name)
 }
 
-func admitsAccelerators(a *Request, w *record) bool {
-	return a.size().Accelerators <= w.free().Accelerators
+func admitsAccelerators(req *Request, w *record) bool {
+	return req.size().Accelerators <= w.free().Accelerators
 }
 
-func admitsMemory(a *Request, w *record) bool {
-	return a.size().MemoryMiB <= w.free().MemoryMiB
+func admitsMemory(req *Request, w *record) bool {
+	return req.size().MemoryMiB <= w.free().MemoryMiB
 }
 
-func admitsProcessors(a *Request, w *record) bool {
-	return a.size().MilliCPU <= w.free().MilliCPU
+func admitsProcessors(req *Request, w *record) bool {
+	return req.size().MilliCPU <= w.free().MilliCPU
 }
 
 // machineTypeOf returns the properties of a worker that the hardware filters check.
@@ -88,12 +88,12 @@
 }
 
 // hardwareMatches reports whether every hardware filter admits the machine type.
-func hardwareMatches(a *Request, m *taskmsg.Size) bool { return rejectingHardwareRule(a, m) == "" }
+func hardwareMatches(req *Request, m *taskmsg.Size) bool { return rejectingHardwareRule(req, m) == "" }
 
 // rejectingHardwareRule returns the first hardware rule that rejects the machine type, or "".
-func rejectingHardwareRule(a *Request, m *taskmsg.Size) string {
+func rejectingHardwareRule(req *Request, m *taskmsg.Size) string {
 	for _, f := range hardwareFilters {
-		if !f.admits(a, m) {
+		if !f.admits(req, m) {
 			return f.rule
 		}
 	}
@@ -101,18 +101,18 @@
 }
 
 // rejectingRule returns the first rule that rejects the worker, or "".
-func rejectingRule(a *Request, w *record) string {
+func rejectingRule(req *Request, w *record) string {
 	if w.Status != StatusReady {
 		return RuleStatus
 	}
-	if w.dedicatedTo != "" && w.dedicatedTo != a.Shape.Job {
+	if w.dedicatedTo != "" && w.dedicatedTo != req.Shape.Job {
 		return RuleDedicated
 	}
-	if rule := rejectingHardwareRule(a, &w.group.size); rule != "" {
+	if rule := rejectingHardwareRule(req, &w.group.machineType); rule != "" {
 		return rule
 	}
 	for _, f := range capacityFilters {
-		if !f.admits(a, w) {
+		if !f.admits(req, w) {
 			return f.rule
 		}
 	}
--- a/internal/scheduler/filters_test.go
+++ b/internal/scheduler/filters_test.go
@@ -11,10 +11,10 @@
 		w := readyWorker("w", "a", resources(4000, 8000, 2))
 		w.Info.AcceleratorKind, w.Info.Generation = "a100", 3
 		w.Info.Labels = map[string]string{"disk": "fast"}
-		a := requestFor(resources(4000, 8000, 2))
-		a.Shape.Task.AcceleratorKind, a.Shape.Task.MinGeneration = "a100", 3
-		a.Shape.Task.Labels = map[string]string{"disk": "fast"}
-		return w, a
+		req := requestFor(resources(4000, 8000, 2))
+		req.Shape.Task.AcceleratorKind, req.Shape.Task.MinGeneration = "a100", 3
+		req.Shape.Task.Labels = map[string]string{"disk": "fast"}
+		return w, req
 	}
 	cases := []struct {
 		rule   string
@@ -23,24 +23,26 @@
 		{"", func(*Worker, *Request) {}},
 		{RuleStatus, func(w *Worker, _ *Request) { w.Status = StatusDraining }},
 		{RuleStatus, func(w *Worker, _ *Request) { w.Status = StatusUnclaimed }},
-		{RuleAvoid, func(_ *Worker, a *Request) { a.Shape.Avoid = []string{"x", "w"} }},
-		{RuleAcceleratorKind, func(_ *Worker, a *Request) { a.Shape.Task.AcceleratorKind = "h100" }},
-		{"", func(_ *Worker, a *Request) { a.Shape.Task.AcceleratorKind = "" }},
-		{"", func(_ *Worker, a *Request) { a.Shape.Task.AcceleratorKind, a.Shape.Task.Size.Accelerators = "h100", 0 }},
-		{RuleGeneration, func(_ *Worker, a *Request) { a.Shape.Task.MinGeneration = 4 }},
-		{RuleLabels, func(_ *Worker, a *Request) { a.Shape.Task.Labels = map[string]string{"disk": "slow"} }},
-		{RuleLabels, func(_ *Worker, a *Request) { a.Shape.Task.Labels = map[string]string{"net": ""} }},
-		{RuleProcessors, func(_ *Worker, a *Request) { a.Shape.Task.Size.MilliCPU++ }},
-		{RuleMemory, func(_ *Worker, a *Request) { a.Shape.Task.Size.MemoryMiB++ }},
-		{RuleAccelerators, func(_ *Worker, a *Request) { a.Shape.Task.Size.Accelerators++ }},
+		{RuleAvoid, func(_ *Worker, req *Request) { req.Shape.Avoid = []string{"x", "w"} }},
+		{RuleAcceleratorKind, func(_ *Worker, req *Request) { req.Shape.Task.AcceleratorKind = "h100" }},
+		{"", func(_ *Worker, req *Request) { req.Shape.Task.AcceleratorKind = "" }},
+		{"", func(_ *Worker, req *Request) {
+			req.Shape.Task.AcceleratorKind, req.Shape.Task.Size.Accelerators = "h100", 0
+		}},
+		{RuleGeneration, func(_ *Worker, req *Request) { req.Shape.Task.MinGeneration = 4 }},
+		{RuleLabels, func(_ *Worker, req *Request) { req.Shape.Task.Labels = map[string]string{"disk": "slow"} }},
+		{RuleLabels, func(_ *Worker, req *Request) { req.Shape.Task.Labels = map[string]string{"net": ""} }},
+		{RuleProcessors, func(_ *Worker, req *Request) { req.Shape.Task.Size.MilliCPU++ }},
+		{RuleMemory, func(_ *Worker, req *Request) { req.Shape.Task.Size.MemoryMiB++ }},
+		{RuleAccelerators, func(_ *Worker, req *Request) { req.Shape.Task.Size.Accelerators++ }},
 	}
 	for _, tt := range cases {
 		is := is.New(t)
-		w, a := base()
-		tt.change(&w, &a)
+		w, req := base()
+		tt.change(&w, &req)
 		c := NewCell(1)
 		c.Upsert(w)
-		choice, refusal := c.Select(a)
+		choice, refusal := c.Select(req)
 		if tt.rule == "" {
 			is.Equal(choice.Worker, "w")
 			continue
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -53,12 +53,12 @@
 // group is the workers of one machine type in one zone. Workers that are dedicated or not ready
 // are members but in no bucket.
 type group struct {
-	key     groupKey
-	size    taskmsg.Size // Workers is the number of members
-	zone    string
-	ready   int // number of members in buckets
-	byLevel map[levels]*bucket
-	buckets []*bucket // the non-empty buckets
+	key         groupKey
+	machineType taskmsg.Size // Workers is the number of members
+	zone        string
+	ready       int // number of members in buckets
+	byLevel     map[levels]*bucket
+	buckets     []*bucket // the non-empty buckets
 }
 
 // bucket is the ready workers of a group whose free resources have the same levels.
@@ -104,12 +104,12 @@
 	key := groupKeyOf(&w.Worker)
 	g := x.groups[key]
 	if g == nil {
-		g = &group{key: key, size: machineTypeOf(w), zone: w.Info.Zone, byLevel: map[levels]*bucket{}}
+		g = &group{key: key, machineType: machineTypeOf(w), zone: w.Info.Zone, byLevel: map[levels]*bucket{}}
 		x.groups[key] = g
 		pos, _ := slices.BinarySearchFunc(x.order, g, compareGroups)
 		x.order = slices.Insert(x.order, pos, g)
 	}
-	g.size.Workers++
+	g.machineType.Workers++
 	w.group = g
 	w.rack = rackOf(&w.Worker)
 	x.racks[w.rack] = append(x.racks[w.rack], w)
@@ -119,7 +119,7 @@
 func (x *index) removeWorker(w *record) {
 	w.removeFromBucket()
 	g := w.group
-	if g.size.Workers--; g.size.Workers == 0 {
+	if g.machineType.Workers--; g.machineType.Workers == 0 {
 		delete(x.groups, g.key)
 		x.order = slices.DeleteFunc(x.order, func(o *group) bool { return o == g })
 	}
@@ -197,8 +197,8 @@
 	}
 }
 
-// bucketFit is how many of a bucket's workers have room for a request, as far as their levels
-// show.
+// bucketFit is how many of a bucket's workers have room for a request, judging by their levels
+// alone.
 type bucketFit int
 
 const (
--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -41,21 +41,21 @@
 }
 
 func randomRequest(t *rapid.T) Request {
-	a := requestFor(resources(rapid.Int64Range(0, 1200).Draw(t, "cpu"), rapid.Int64Range(0, 1500).Draw(t, "mem"), rapid.Int64Range(0, 3).Draw(t, "acc")))
-	a.Shape.Task.AcceleratorKind = rapid.SampledFrom([]string{"", "", "x", "z"}).Draw(t, "ask-kind")
-	a.Shape.Task.MinGeneration = rapid.IntRange(0, 2).Draw(t, "ask-generation")
+	req := requestFor(resources(rapid.Int64Range(0, 1200).Draw(t, "cpu"), rapid.Int64Range(0, 1500).Draw(t, "mem"), rapid.Int64Range(0, 3).Draw(t, "acc")))
+	req.Shape.Task.AcceleratorKind = rapid.SampledFrom([]string{"", "", "x", "z"}).Draw(t, "ask-kind")
+	req.Shape.Task.MinGeneration = rapid.IntRange(0, 2).Draw(t, "ask-generation")
 	if rapid.IntRange(0, 3).Draw(t, "ask-label") == 0 {
-		a.Shape.Task.Labels = map[string]string{"disk": "fast"}
+		req.Shape.Task.Labels = map[string]string{"disk": "fast"}
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "avoids") {
-		a.Shape.Avoid = append(a.Shape.Avoid, workerName(rapid.IntRange(0, 20).Draw(t, "avoid")))
+		req.Shape.Avoid = append(req.Shape.Avoid, workerName(rapid.IntRange(0, 20).Draw(t, "avoid")))
 	}
-	a.Shape.Job = rapid.SampledFrom([]string{"job", "aged"}).Draw(t, "job")
-	a.Shape.Policy.SpreadZones = rapid.Bool().Draw(t, "spread-zones")
-	a.Shape.Policy.SpreadRacks = rapid.Bool().Draw(t, "spread-racks")
-	a.Shape.Policy.Name = rapid.SampledFrom([]string{settings.PolicyPacking, settings.PolicyWaiting}).Draw(t, "policy")
-	a.Shape.RunningByZone = map[string]int{"a": rapid.IntRange(0, 2).Draw(t, "in-a")}
-	return a
+	req.Shape.Job = rapid.SampledFrom([]string{"job", "aged"}).Draw(t, "job")
+	req.Shape.Policy.SpreadZones = rapid.Bool().Draw(t, "spread-zones")
+	req.Shape.Policy.SpreadRacks = rapid.Bool().Draw(t, "spread-racks")
+	req.Shape.Policy.Name = rapid.SampledFrom([]string{settings.PolicyPacking, settings.PolicyWaiting}).Draw(t, "policy")
+	req.Shape.RunningByZone = map[string]int{"a": rapid.IntRange(0, 2).Draw(t, "in-a")}
+	return req
 }
 
 // TestIndexFindsRoomIffScanDoes compares the index with a scan of all workers after random
@@ -70,8 +70,8 @@
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			changeCell(t, c, workers, i)
-			a := randomRequest(t)
-			compareWithScan(t, c, a)
+			req := randomRequest(t)
+			compareWithScan(t, c, req)
 			checkIndex(t, c)
 		}
 	})
@@ -82,9 +82,9 @@
 	size := resources(rapid.Int64Range(0, 700).Draw(t, "r-cpu"), rapid.Int64Range(0, 900).Draw(t, "r-mem"), rapid.Int64Range(0, 2).Draw(t, "r-acc"))
 	switch rapid.IntRange(0, 7).Draw(t, "change") {
 	case 7:
-		a := requestFor(resources(900, 900, 1))
-		a.Shape.Job, a.Shape.Aged = "aged", true
-		_, _ = c.Place(a, []Run{run("aged", i, a.size())}, start) // dedicates a worker if there is no room
+		req := requestFor(resources(900, 900, 1))
+		req.Shape.Job, req.Shape.Aged = "aged", true
+		_, _ = c.Place(req, []Run{run("aged", i, req.size())}, start) // dedicates a worker if there is no room
 	case 0:
 		c.Observe(workerName(w), size.Times(2), start)
 	case 1:
@@ -98,9 +98,9 @@
 	}
 }
 
-func compareWithScan(t *rapid.T, c *Cell, a Request) {
-	want, wantRefusal := c.selectByScan(&a)
-	got, refusal := c.Select(a)
+func compareWithScan(t *rapid.T, c *Cell, req Request) {
+	want, wantRefusal := c.selectByScan(&req)
+	got, refusal := c.Select(req)
 	if (refusal == nil) != (wantRefusal == nil) {
 		t.Fatalf("index returned %v %+v, scan %v %+v", got, refusal, want, wantRefusal)
 	}
@@ -110,7 +110,7 @@
 		}
 		return
 	}
-	if rule := rejectingRule(&a, c.workers[got.Worker]); rule != "" || got.Score > want.Score {
+	if rule := rejectingRule(&req, c.workers[got.Worker]); rule != "" || got.Score > want.Score {
 		t.Fatalf("index chose %v (rejected by %q), scan %v", got, rule, want)
 	}
 }
@@ -120,7 +120,7 @@
 func checkIndex(t *rapid.T, c *Cell) {
 	ready, members := 0, 0
 	for _, g := range c.index.order {
-		members += g.size.Workers
+		members += g.machineType.Workers
 		for pos, b := range g.buckets {
 			if b.pos != pos || g.byLevel[b.levels] != b || len(b.workers) == 0 {
 				t.Fatalf("bucket %v is empty or has a wrong position", b.levels)
--- a/internal/scheduler/refusal.go
+++ b/internal/scheduler/refusal.go
@@ -24,8 +24,8 @@
 		}
 	}
 	for _, g := range s.cell.index.order {
-		unavailable += g.size.Workers - g.ready
-		if rule := rejectingHardwareRule(s.request, &g.size); rule != "" {
+		unavailable += g.machineType.Workers - g.ready
+		if rule := rejectingHardwareRule(s.request, &g.machineType); rule != "" {
 			count(rule, g.ready)
 			continue
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -38,7 +38,7 @@
 }
 
 // size returns the declared resources of the task.
-func (a *Request) size() spec.Resources { return a.Shape.Task.Size }
+func (req *Request) size() spec.Resources { return req.Shape.Task.Size }
 
 // NewRun returns the run for one slot of a shape.
 func NewRun(shape *taskmsg.Shape, home int, slot taskmsg.Slot) Run {
--- a/internal/scheduler/scores.go
+++ b/internal/scheduler/scores.go
@@ -8,8 +8,8 @@
 
 // candidate is a possible placement of a task, as input of the scorers.
 type candidate struct {
-	size *taskmsg.Size
-	free spec.Resources
+	machineType *taskmsg.Size
+	free        spec.Resources
 	// zoneRuns is the number of the job's runs in this zone, zoneMin and zoneMax the fewest and
 	// the most of its runs in any one zone.
 	zoneRuns, zoneMin, zoneMax int
@@ -66,24 +66,24 @@
 )
 
 // totalScore returns the weighted sum of the scores of a candidate.
-func totalScore(scorers []scorer, a *Request, c *candidate) float64 {
+func totalScore(scorers []scorer, req *Request, c *candidate) float64 {
 	var sum float64
 	for i := range scorers {
-		sum += scorers[i].weight * scorers[i].score(a, c)
+		sum += scorers[i].weight * scorers[i].score(req, c)
 	}
 	return sum
 }
 
 // upperBound returns the highest totalScore that any worker of a group can have: fixed scorers
 // count with their score, the others with 1.
-func upperBound(scorers []scorer, a *Request, c *candidate) float64 {
+func upperBound(scorers []scorer, req *Request, c *candidate) float64 {
 	var sum float64
 	for i := range scorers {
 		score := 1.0
 		switch {
 		case scorers[i].fixed:
-			score = scorers[i].score(a, c)
-		case scorers[i].name == preserveAccelerators.name && a.size().Accelerators == 0 && c.size.Size.Accelerators > 0:
+			score = scorers[i].score(req, c)
+		case scorers[i].name == preserveAccelerators.name && req.size().Accelerators == 0 && c.machineType.Size.Accelerators > 0:
 			score = maxScoreNoAccelerators
 		}
 		sum += scorers[i].weight * score
@@ -95,8 +95,8 @@
 func scoreRacks(_ *Request, c *candidate) float64 { return 1 / float64(1+c.rackRuns) }
 
 // scoreZones prefers the zones with the fewest runs of the job.
-func scoreZones(a *Request, c *candidate) float64 {
-	if !a.Shape.Policy.SpreadZones || c.zoneMax == c.zoneMin {
+func scoreZones(req *Request, c *candidate) float64 {
+	if !req.Shape.Policy.SpreadZones || c.zoneMax == c.zoneMin {
 		return 1
 	}
 	return 1 - float64(c.zoneRuns-c.zoneMin)/float64(c.zoneMax-c.zoneMin)
@@ -106,16 +106,16 @@
 // these the workers with many for tasks that need many. A task without accelerators that is placed
 // there nevertheless prefers workers where the remaining fractions of processors and memory are
 // not below the fraction of free accelerators, so that these can still be used.
-func scoreAccelerators(a *Request, c *candidate) float64 {
-	have := c.size.Size.Accelerators
+func scoreAccelerators(req *Request, c *candidate) float64 {
+	have := c.machineType.Size.Accelerators
 	if have == 0 {
 		return 1
 	}
-	need := a.size().Accelerators
+	need := req.size().Accelerators
 	if need > 0 {
 		return 1 - fraction(c.free.Accelerators-need, have)
 	}
-	cpu, mem := remainingFractions(a, c)
+	cpu, mem := remainingFractions(req, c)
 	accelerators := fraction(c.free.Accelerators, have)
 	if accelerators == 0 {
 		return maxScoreNoAccelerators
@@ -124,33 +124,33 @@
 }
 
 // scoreBestFit prefers the candidate with the least resources left over.
-func scoreBestFit(a *Request, c *candidate) float64 {
-	cpu, mem := remainingFractions(a, c)
+func scoreBestFit(req *Request, c *candidate) float64 {
+	cpu, mem := remainingFractions(req, c)
 	return 1 - (cpu+mem)/2
 }
 
 // scoreLeastUsed prefers the candidate with the most left over of its scarcest resource.
-func scoreLeastUsed(a *Request, c *candidate) float64 {
-	cpu, mem := remainingFractions(a, c)
+func scoreLeastUsed(req *Request, c *candidate) float64 {
+	cpu, mem := remainingFractions(req, c)
 	return min(cpu, mem)
 }
 
 // scoreBalance prefers candidates where processors and memory are used up evenly.
-func scoreBalance(a *Request, c *candidate) float64 {
-	cpu, mem := remainingFractions(a, c)
+func scoreBalance(req *Request, c *candidate) float64 {
+	cpu, mem := remainingFractions(req, c)
 	return 1 - max(cpu-mem, mem-cpu)
 }
 
 // scoreGeneration preserves newer processors for tasks that request them.
-func scoreGeneration(a *Request, c *candidate) float64 {
-	return 1 / float64(1+max(0, c.size.Generation-a.Shape.Task.MinGeneration))
+func scoreGeneration(req *Request, c *candidate) float64 {
+	return 1 / float64(1+max(0, c.machineType.Generation-req.Shape.Task.MinGeneration))
 }
 
 // remainingFractions returns the fractions of processors and memory that are left over after
 // the placement.
-func remainingFractions(a *Request, c *candidate) (cpu, mem float64) {
-	left := c.free.Sub(a.size())
-	return fraction(left.MilliCPU, c.size.Size.MilliCPU), fraction(left.MemoryMiB, c.size.Size.MemoryMiB)
+func remainingFractions(req *Request, c *candidate) (cpu, mem float64) {
+	left := c.free.Sub(req.size())
+	return fraction(left.MilliCPU, c.machineType.Size.MilliCPU), fraction(left.MemoryMiB, c.machineType.Size.MemoryMiB)
 }
 
 // fraction returns part divided by whole, or zero if whole is zero.
--- a/internal/scheduler/scores_test.go
+++ b/internal/scheduler/scores_test.go
@@ -15,35 +15,35 @@
 	cases := []struct {
 		name          string
 		first, second spec.Resources // resources in use
-		change        func(a *Request, first, second *Worker)
+		change        func(req *Request, first, second *Worker)
 	}{
 		{"packing prefers the fuller worker", resources(0, 0, 0), resources(500, 500, 0), func(*Request, *Worker, *Worker) {}},
-		{"waiting prefers the emptier worker", resources(500, 500, 0), resources(0, 0, 0), func(a *Request, _, _ *Worker) {
-			a.Shape.Policy.Name = settings.PolicyWaiting
+		{"waiting prefers the emptier worker", resources(500, 500, 0), resources(0, 0, 0), func(req *Request, _, _ *Worker) {
+			req.Shape.Policy.Name = settings.PolicyWaiting
 		}},
 		{"balance before fit", resources(700, 100, 0), resources(0, 0, 0), func(*Request, *Worker, *Worker) {}},
 		{"accelerators are preserved", resources(500, 500, 0), resources(0, 0, 0), func(_ *Request, first, _ *Worker) { first.Info.Size.Accelerators = 8 }},
 		{"no accelerators needed, where most are in use", resources(0, 0, 0), resources(0, 0, 6), func(_ *Request, first, second *Worker) {
 			first.Info.Size.Accelerators, second.Info.Size.Accelerators = 8, 8
 		}},
-		{"few accelerators before many", resources(0, 0, 0), resources(0, 0, 6), func(a *Request, first, second *Worker) {
+		{"few accelerators before many", resources(0, 0, 0), resources(0, 0, 6), func(req *Request, first, second *Worker) {
 			first.Info.Size.Accelerators, second.Info.Size.Accelerators = 8, 8
-			a.Shape.Task.Size.Accelerators = 2
+			req.Shape.Task.Size.Accelerators = 2
 		}},
 		{"new processors are preserved", resources(0, 0, 0), resources(0, 0, 0), func(_ *Request, first, second *Worker) {
 			first.Info.Generation, second.Info.Generation = 3, 1
 		}},
-		{"zones before fit", resources(500, 500, 0), resources(0, 0, 0), func(a *Request, _, second *Worker) {
-			a.Shape.Policy.SpreadZones = true
-			a.Shape.RunningByZone = map[string]int{"a": 1}
+		{"zones before fit", resources(500, 500, 0), resources(0, 0, 0), func(req *Request, _, second *Worker) {
+			req.Shape.Policy.SpreadZones = true
+			req.Shape.RunningByZone = map[string]int{"a": 1}
 			second.Info.Zone = "b"
 		}},
-		{"fit if zones have equally many runs", resources(0, 0, 0), resources(500, 500, 0), func(a *Request, _, second *Worker) {
-			a.Shape.Policy.SpreadZones = true
-			a.Shape.RunningByZone = map[string]int{"a": 1, "b": 1}
+		{"fit if zones have equally many runs", resources(0, 0, 0), resources(500, 500, 0), func(req *Request, _, second *Worker) {
+			req.Shape.Policy.SpreadZones = true
+			req.Shape.RunningByZone = map[string]int{"a": 1, "b": 1}
 			second.Info.Zone = "b"
 		}},
-		{"racks before fit", resources(500, 500, 0), resources(0, 0, 0), func(a *Request, _, _ *Worker) { a.Shape.Policy.SpreadRacks = true }},
+		{"racks before fit", resources(500, 500, 0), resources(0, 0, 0), func(req *Request, _, _ *Worker) { req.Shape.Policy.SpreadRacks = true }},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -62,13 +62,13 @@
 	}
 }
 
-func byIndex(c *Cell, a Request) string {
-	choice, _ := c.Select(a)
+func byIndex(c *Cell, req Request) string {
+	choice, _ := c.Select(req)
 	return choice.Worker
 }
 
-func byScan(c *Cell, a Request) string {
-	choice, _ := c.selectByScan(&a)
+func byScan(c *Cell, req Request) string {
+	choice, _ := c.selectByScan(&req)
 	return choice.Worker
 }
 
@@ -80,19 +80,19 @@
 	for i := range 9 {
 		c.Upsert(readyWorker(workerName(i), string(rune('a'+i%3)), resources(1000, 1000, 0)))
 	}
-	a := requestFor(resources(100, 100, 0))
-	a.Shape.Policy.SpreadZones = true
-	a.Shape.RunningByZone = map[string]int{"a": 2}
+	req := requestFor(resources(100, 100, 0))
+	req.Shape.Policy.SpreadZones = true
+	req.Shape.RunningByZone = map[string]int{"a": 2}
 	var runs []Run
 	for i := range 7 {
-		runs = append(runs, run("job", i, a.size()))
+		runs = append(runs, run("job", i, req.size()))
 	}
-	placed, refusal := c.Place(a, runs, start)
+	placed, refusal := c.Place(req, runs, start)
 	is.True(refusal == nil)
 	zones := map[string]int{"a": 2}
 	for _, p := range placed {
 		zones[c.workers[p.Worker].Info.Zone]++
 	}
 	is.Equal(zones, map[string]int{"a": 3, "b": 3, "c": 3})
-	is.Equal(a.Shape.RunningByZone, map[string]int{"a": 2}) // the caller's map is not modified
+	is.Equal(req.Shape.RunningByZone, map[string]int{"a": 2}) // the caller's map is not modified
 }
--- a/internal/scheduler/select.go
+++ b/internal/scheduler/select.go
@@ -31,8 +31,8 @@
 
 // Select chooses the best worker for one task, or returns how many workers each rule rejected.
 // It does not allocate anything.
-func (c *Cell) Select(a Request) (Choice, *taskmsg.Refusal) {
-	s := c.newSearch(&a)
+func (c *Cell) Select(req Request) (Choice, *taskmsg.Refusal) {
+	s := c.newSearch(&req)
 	w, score := s.best()
 	if w == nil {
 		return Choice{}, s.refusal()
@@ -44,10 +44,10 @@
 // has room for one. The refusal is that of the first run that was not placed. A run that is
 // already allocated is skipped and missing from the result. If an aged job finds no room, a
 // worker is dedicated to it.
-func (c *Cell) Place(a Request, runs []Run, now time.Time) ([]Placement, *taskmsg.Refusal) {
-	a.Shape.RunningByZone = copyZones(a.Shape.RunningByZone)
+func (c *Cell) Place(req Request, runs []Run, now time.Time) ([]Placement, *taskmsg.Refusal) {
+	req.Shape.RunningByZone = copyZones(req.Shape.RunningByZone)
 	placed := make([]Placement, 0, len(runs))
-	s := c.newSearch(&a)
+	s := c.newSearch(&req)
 	for _, r := range runs {
 		if _, dup := c.runs[r.Attempt]; dup {
 			continue
@@ -55,8 +55,8 @@
 		w, score := s.best()
 		if w == nil {
 			refusal := s.refusal()
-			if a.Shape.Aged && !refusal.Never {
-				c.dedicate(&a, now)
+			if req.Shape.Aged && !refusal.Never {
+				c.dedicate(&req, now)
 			}
 			return placed, refusal
 		}
@@ -66,8 +66,8 @@
 		}
 		s.last, s.limit = w, maxCandidatesRepeat
 		placed = append(placed, Placement{Run: r, Choice: Choice{Worker: w.Info.Name, Score: score}})
-		a.Shape.RunningByZone[w.Info.Zone]++
-		if a.Shape.Policy.SpreadZones {
+		req.Shape.RunningByZone[w.Info.Zone]++
+		if req.Shape.Policy.SpreadZones {
 			s.rank()
 		}
 	}
@@ -111,15 +111,15 @@
 
 // newSearch reuses the memory of the previous search of the cell; there is at most one search
 // at a time.
-func (c *Cell) newSearch(a *Request) *search {
+func (c *Cell) newSearch(req *Request) *search {
 	s := &c.scratch
-	size := a.size()
+	size := req.size()
 	*s = search{
-		cell: c, request: a, size: size, levels: levelsOf(size), scorers: scorersOf(&a.Shape.Policy), limit: maxCandidates,
+		cell: c, request: req, size: size, levels: levelsOf(size), scorers: scorersOf(&req.Shape.Policy), limit: maxCandidates,
 		groups: s.groups[:0], deferred: s.deferred[:0],
 	}
 	for _, g := range c.index.order {
-		if g.ready > 0 && hardwareMatches(a, &g.size) {
+		if g.ready > 0 && hardwareMatches(req, &g.machineType) {
 			s.groups = append(s.groups, rankedGroup{group: g})
 		}
 	}
@@ -140,7 +140,7 @@
 
 // candidateIn returns what all candidates in a group have in common.
 func (s *search) candidateIn(g *group) candidate {
-	return candidate{size: &g.size, zoneRuns: s.request.Shape.RunningByZone[g.zone], zoneMin: s.minRuns, zoneMax: s.maxRuns}
+	return candidate{machineType: &g.machineType, zoneRuns: s.request.Shape.RunningByZone[g.zone], zoneMin: s.minRuns, zoneMax: s.maxRuns}
 }
 
 // zoneRange returns the fewest and the most runs of the job in any one zone.
@@ -255,14 +255,14 @@
 // fits.
 func (s *search) searchDeferred() (*record, float64) {
 	var c bestSoFar
-	for _, u := range s.deferred {
-		for _, w := range u.workers {
-			s.evaluate(w, u.group, &c)
+	for _, d := range s.deferred {
+		for _, w := range d.workers {
+			s.evaluate(w, d.group, &c)
 		}
 		if c.record != nil {
 			return c.record, c.score
 		}
-		u.recomputeMaxFree()
+		d.recomputeMaxFree()
 	}
 	return nil, 0
 }
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -33,14 +33,14 @@
 // ones, least urgent first, no replica of a service at its minimum, no task that was preempted
 // recently. It compares a limited number of suitable workers, starting at a random one, and
 // returns "" only after examining all workers. The caller confirms the choice with RecordPreemption.
-func (c *Cell) Victims(a Request) (string, []Run) {
+func (c *Cell) Victims(req Request) (string, []Run) {
 	var best *record
 	var bestRuns []Run
 	n := len(c.order)
 	first := c.random.IntN(max(n, 1))
 	for i, examined := 0, 0; i < n && examined < maxVictimCandidates; i++ {
 		w := c.order[(first+i)%n]
-		runs, ok := c.victimsOn(&a, w)
+		runs, ok := c.victimsOn(&req, w)
 		if !ok {
 			continue
 		}
@@ -64,15 +64,15 @@
 
 // victimsOn chooses victims on one worker; ok is false if no choice of victims makes enough
 // room.
-func (c *Cell) victimsOn(a *Request, w *record) (runs []Run, ok bool) {
-	if !fitsWhenIdle(a, w) {
+func (c *Cell) victimsOn(req *Request, w *record) (runs []Run, ok bool) {
+	if !fitsWhenIdle(req, w) {
 		return nil, false
 	}
 	declared := w.declared
 	observed := w.observed.Add(w.unreported)
-	need := a.size()
+	need := req.size()
 	preempted := map[string]int64{} // replicas by job
-	for _, r := range c.preemptibleRuns(a, w) {
+	for _, r := range c.preemptibleRuns(req, w) {
 		if !c.allowPreemption(&r, preempted) {
 			continue
 		}
@@ -87,17 +87,17 @@
 }
 
 // fitsWhenIdle reports whether the worker would admit the request if nothing ran on it.
-func fitsWhenIdle(a *Request, w *record) bool {
-	open := w.Status == StatusReady && (w.dedicatedTo == "" || w.dedicatedTo == a.Shape.Job)
-	return open && admitsAvoid(a, w) && hardwareMatches(a, &w.group.size) && a.size().Fits(w.Info.Size)
+func fitsWhenIdle(req *Request, w *record) bool {
+	open := w.Status == StatusReady && (w.dedicatedTo == "" || w.dedicatedTo == req.Shape.Job)
+	return open && admitsAvoid(req, w) && hardwareMatches(req, &w.group.machineType) && req.size().Fits(w.Info.Size)
 }
 
 // preemptibleRuns returns the runs on w that may be preempted for the request, least urgent
 // first.
-func (c *Cell) preemptibleRuns(a *Request, w *record) []Run {
+func (c *Cell) preemptibleRuns(req *Request, w *record) []Run {
 	var out []Run
 	for _, alloc := range w.runs {
-		if !alloc.Held && !alloc.PreemptionExempt && isPreemptible(&alloc.Run, a) && !c.recentVictims.tasks.Contains(alloc.Attempt.Task) {
+		if !alloc.Held && !alloc.PreemptionExempt && isPreemptible(&alloc.Run, req) && !c.recentVictims.tasks.Contains(alloc.Attempt.Task) {
 			out = append(out, alloc.Run)
 		}
 	}
@@ -120,11 +120,11 @@
 }
 
 // isPreemptible reports whether r is less urgent than the request.
-func isPreemptible(r *Run, a *Request) bool {
-	if r.Urgent != a.Shape.Urgent {
-		return a.Shape.Urgent
+func isPreemptible(r *Run, req *Request) bool {
+	if r.Urgent != req.Shape.Urgent {
+		return req.Shape.Urgent
 	}
-	return r.Priority < a.Shape.Policy.Priority
+	return r.Priority < req.Shape.Policy.Priority
 }
 
 // kindRank orders kinds by the cost of losing a run: a gang loses all its tasks.
