--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// bucketFit is how many of a bucket's workers have room for a request, judging by their levels
-// alone.
+// bucketFit is how many of a bucket's workers have room for a request, as far as the levels and
+// maxFree determine it.
 type bucketFit int
 
 const (
