--- a/cmd/pulley-node/connections.go
+++ b/cmd/pulley-node/connections.go
@@ -12,11 +12,11 @@
 )
 
 // minReconnectInterval is the least time between two renewals of all connections: lost
-// replies can't be told from a silent connection, and each renewal costs a request to
+// replies can't be distinguished from a silent connection, and each renewal costs a request to
 // every host in use.
 const minReconnectInterval = 2 * time.Second
 
-// connections renews the connections to the store, the hosts and the services when
+// connections reopens the connections to the store, the hosts and the services when
 // some are silent: a silent connection delivers no data and reports no error.
 type connections struct {
 	clients []resend.Reconnecter
--- a/cmd/pulley-node/load.go
+++ b/cmd/pulley-node/load.go
@@ -58,7 +58,7 @@
 	table   *holder.Table
 	log     *logrus.Entry
 
-	// The readings at the previous report.
+	// Time and counters at the previous report.
 	at     time.Time
 	cpu    time.Duration
 	counts map[string]traffic.CounterState
@@ -74,7 +74,7 @@
 	}
 }
 
-// report takes the readings and, if log is set, logs the load since the last call.
+// report reads the counters and, if log is set, logs the load since the last call.
 func (l *loadReporter) report(now time.Time, log bool) {
 	span, cpu := now.Sub(l.at).Seconds(), processorTime()
 	load := l.metrics.TakeLoad()
--- a/cmd/pulley-node/main.go
+++ b/cmd/pulley-node/main.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	d.SetPriorityFunc(lineWeight)
+	d.SetPriorityFunc(linePriority)
 	d.LogInBackground(os.Stdout)
 	n := newNode(s, d)
 	if err := n.start(context.Background()); err != nil {
--- a/cmd/pulley-node/node.go
+++ b/cmd/pulley-node/node.go
@@ -36,9 +36,9 @@
 // hostIdleTimeout is how long an unused connection to a host is kept open.
 const hostIdleTimeout = 8 * time.Second
 
-// idleDescriptorShare is the divisor of the descriptors for idle connections to hosts: with
-// thousands of hosts each host also has a poll pending, and one connection per host should
-// stay open for orders. With a sixth of 8,192 descriptors every second order to 3,000 hosts
+// idleDescriptorShare is the divisor that gives the share of file descriptors for idle
+// connections to hosts. With thousands of hosts each host has a poll pending, and one more
+// connection per host should stay open for orders. With a sixth of 8,192 descriptors every second order to 3,000 hosts
 // opened a connection, and a share of 0.65 of urgent work was in time (0.92 without a limit).
 const idleDescriptorShare = 2
 
--- a/cmd/pulley-node/settings.go
+++ b/cmd/pulley-node/settings.go
@@ -18,10 +18,10 @@
 	Listen   Listen `json:"listen"`
 	Store    Server `json:"store"`
 	// Policy is the service that decides which hosts may run a step; an empty
-	// address means that there is none.
+	// address means that there is no such service.
 	Policy OptionalServer `json:"policy"`
 	// Machines is the service that takes machines down for maintenance; an empty
-	// address means that there is none.
+	// address means that there is no such service.
 	Machines OptionalServer `json:"machines"`
 	// Processors is the processor time available to the process, in cores.
 	Processors float64 `json:"processors" validate:"gt=0"`
@@ -53,7 +53,7 @@
 	Address string `json:"address" validate:"required,hostname_port"`
 }
 
-// OptionalServer is the address of a platform service that a deployment may lack.
+// OptionalServer is the address of a platform service that not every deployment has.
 type OptionalServer struct {
 	Address string `json:"address" validate:"omitempty,hostname_port"`
 }
--- a/cmd/pulley-node/weights.go
+++ b/cmd/pulley-node/weights.go
@@ -10,9 +10,9 @@
 // msgJobEnded is the message of the line for a job's end.
 const msgJobEnded = "job ended"
 
-// lineWeights maps the messages of log lines that matter more than the Routine lines of
-// each start to their weight.
-var lineWeights = map[string]daemon.Priority{
+// linePriorities maps the messages of log lines above PriorityRoutine, which is that of the
+// lines of each start, to their priority.
+var linePriorities = map[string]daemon.Priority{
 	msgJobEnded:               daemon.PriorityFinal,
 	"crash held against task": daemon.PriorityFinal,
 	"crash taken back":        daemon.PriorityFinal,
@@ -50,12 +50,12 @@
 	"stopped":                                    daemon.PriorityFinal,
 }
 
-// lineWeight returns the weight of a log line. The end of a completed or cancelled job is
-// only Notable: its caller learns of it, and hundreds of such jobs may end at once. The reason
-// why a job has failed is only in the log.
-func lineWeight(entry *logrus.Entry) daemon.Priority {
+// linePriority returns the priority of a log line. The end of a completed or cancelled job is
+// only PriorityNotable: it is reported to the caller, and hundreds of such jobs may end at once.
+// The reason why a job has failed is only in the log.
+func linePriority(entry *logrus.Entry) daemon.Priority {
 	if entry.Message == msgJobEnded && (entry.Data["why"] == string(record.StateCompleted) || entry.Data["why"] == string(record.StateCancelled)) {
 		return daemon.PriorityNotable
 	}
-	return lineWeights[entry.Message]
+	return linePriorities[entry.Message]
 }
--- a/cmd/pulley-node/weights_test.go
+++ b/cmd/pulley-node/weights_test.go
@@ -29,13 +29,13 @@
 		"a holder":             {"partition claimed", "", daemon.PriorityFinal},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(lineWeight(&logrus.Entry{Message: tc.msg, Data: logrus.Fields{"why": tc.why}}), tc.want)
+			is.New(t).Equal(linePriority(&logrus.Entry{Message: tc.msg, Data: logrus.Fields{"why": tc.why}}), tc.want)
 		})
 	}
 }
 
 // TestWeighedLinesAreLogged guards against a message that is changed where it is logged but
-// not in lineWeights, and so silently loses its weight.
+// not in linePriorities, and so silently loses its priority.
 func TestWeighedLinesAreLogged(t *testing.T) {
 	is := is.New(t)
 	var source strings.Builder
@@ -50,7 +50,7 @@
 			return err
 		}))
 	}
-	for msg := range lineWeights {
+	for msg := range linePriorities {
 		if !strings.Contains(source.String(), strconv.Quote(msg)) {
 			t.Errorf("no source file logs the message %q", msg)
 		}
--- a/cmd/pulley-placer/config.go
+++ b/cmd/pulley-placer/config.go
@@ -64,7 +64,7 @@
 
 // Stop holds the time limits of a planned stop.
 type Stop struct {
-	// Announce is how long work goes on after the readiness check starts to fail.
+	// Announce is how long the process continues as before after the readiness check starts to fail.
 	Announce config.Duration `json:"announce" validate:"min=0"`
 	Limit    config.Duration `json:"limit" validate:"min=1000000000"`
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// holdConfig returns the keeper's configuration with the durations of the settings file.
+// holdConfig returns the hold manager's configuration with the durations of the settings file.
 func (s Settings) holdConfig() hold.Config {
 	c := hold.DefaultConfig()
 	c.Term = s.Holding.Term.Std()
--- a/cmd/pulley-placer/lookup.go
+++ b/cmd/pulley-placer/lookup.go
@@ -14,7 +14,7 @@
 type source struct{ p *placer }
 
 // Table implements view.Source.
-func (s source) Table() *view.Table { return s.p.keeper.Table() }
+func (s source) Table() *view.Table { return s.p.holdManager.Table() }
 
 // Settings implements view.Source.
 func (s source) Settings() *settings.Tree { return s.p.settings.Current() }
@@ -23,7 +23,7 @@
 // other member is known.
 func (p *placer) otherPlacers() []string {
 	var addrs []string
-	for _, m := range p.keeper.Table().Members {
+	for _, m := range p.holdManager.Table().Members {
 		if m.Addr != p.conf.Listen.Peer {
 			addrs = append(addrs, m.Addr)
 		}
@@ -56,9 +56,9 @@
 // capacityDigests returns the capacity digest of every live member including this one.
 func (p *placer) capacityDigests() map[string]taskmsg.Digest {
 	all := map[string]taskmsg.Digest{p.conf.Name: p.fleet.Digest()}
-	for _, m := range p.keeper.Table().Members {
+	for _, m := range p.holdManager.Table().Members {
 		var d taskmsg.Digest
-		if _, ok := p.keeper.Extra(m.Name, extraCapacity, &d); ok && m.Name != p.conf.Name {
+		if _, ok := p.holdManager.Extra(m.Name, extraCapacity, &d); ok && m.Name != p.conf.Name {
 			all[m.Name] = d
 		}
 	}
@@ -69,9 +69,9 @@
 // at the entries that get their settings from it. A revision of -1 means unknown.
 func (p *placer) settingsApplied() map[string]int64 {
 	all := map[string]int64{}
-	for _, m := range p.keeper.Table().Members {
+	for _, m := range p.holdManager.Table().Members {
 		revision := int64(-1)
-		if _, ok := p.keeper.Extra(m.Name, extraSettings, &revision); !ok {
+		if _, ok := p.holdManager.Extra(m.Name, extraSettings, &revision); !ok {
 			revision = -1
 		}
 		all[m.Name] = revision
@@ -83,19 +83,19 @@
 // collectsSettings reports whether this member deletes unreferenced settings. Only the
 // holder of the first partition does.
 func (p *placer) collectsSettings() bool {
-	_, err := p.keeper.Check(0)
+	_, err := p.holdManager.Check(0)
 	return err == nil
 }
 
 // remotes lists the other members with their free slots by service.
 func (p *placer) remotes() []dispatch.Remote {
 	var out []dispatch.Remote
-	for _, m := range p.keeper.Table().Members {
+	for _, m := range p.holdManager.Table().Members {
 		var free map[string]int
 		if m.Name == p.conf.Name || m.Leaving {
 			continue
 		}
-		if _, ok := p.keeper.Extra(m.Name, extraSlots, &free); ok {
+		if _, ok := p.holdManager.Extra(m.Name, extraSlots, &free); ok {
 			out = append(out, dispatch.Remote{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Free: free})
 		}
 	}
@@ -105,5 +105,5 @@
 // members handles peer.KindMembers: it returns this process's table of the cell and the
 // settings revisions in force.
 func (p *placer) members(context.Context, cellapi.MembersRequest) (cellapi.MembersReply, error) {
-	return cellapi.MembersReply{Table: p.keeper.Table(), Applied: p.settingsApplied()}, nil
+	return cellapi.MembersReply{Table: p.holdManager.Table(), Applied: p.settingsApplied()}, nil
 }
--- a/cmd/pulley-placer/placer.go
+++ b/cmd/pulley-placer/placer.go
@@ -32,7 +32,7 @@
 // The names of the values that placers attach to their heartbeats.
 const (
 	extraCapacity = "capacity" // taskmsg.Digest
-	extraSettings = "settings" // int64, settings.Keeper.AppliedRevision
+	extraSettings = "settings" // int64, settings.Manager.AppliedRevision
 	extraSlots    = "slots"    // map of service to free slots
 )
 
@@ -48,12 +48,12 @@
 	calls *budget.Store // the rate limiter under store, for the state dump
 	hosts *hostcache.Cache
 
-	settings *settings.Manager
-	keeper   *hold.Manager
-	fleet    *fleet.Fleet
-	jobs     *job.Manager
-	dispatch *dispatch.Dispatcher
-	requests *request.Home
+	settings    *settings.Manager
+	holdManager *hold.Manager
+	fleet       *fleet.Fleet
+	jobs        *job.Manager
+	dispatch    *dispatch.Dispatcher
+	requests    *request.Home
 
 	cancel context.CancelFunc
 }
@@ -68,7 +68,7 @@
 	list := hosthttp.New(s.HostList.Address)
 	p.hosts = hostcache.New(list, s.HostList.Interval.Std(), d.Reg, p.log)
 	p.addSettings()
-	if err := p.addKeeper(); err != nil {
+	if err := p.addHoldManager(); err != nil {
 		return nil, err
 	}
 	p.addWork()
@@ -106,15 +106,15 @@
 	p.settings = settings.NewManager(settings.ManagerConfig{
 		Store: p.store, Caller: p.node, Log: p.log, Metrics: p.daemon.Reg,
 		Peers:            p.otherPlacers,
-		MemberRevisions:  func() map[string]int64 { return p.keeper.AppliedRevisions() },
+		MemberRevisions:  func() map[string]int64 { return p.holdManager.AppliedRevisions() },
 		AppliedRevisions: p.settingsApplied,
 		IsCollector:      p.collectsSettings,
 	})
 }
 
-func (p *placer) addKeeper() error {
+func (p *placer) addHoldManager() error {
 	var err error
-	p.keeper, err = hold.New(hold.Deps{
+	p.holdManager, err = hold.New(hold.Deps{
 		Store: p.store, Peers: p.node, Mux: p.mux,
 		Self:   view.Member{Name: p.conf.Name, Addr: p.conf.Listen.Peer, Zone: p.conf.Zone},
 		Config: p.conf.holdConfig(), Registry: p.daemon.Reg, Log: p.log,
@@ -124,39 +124,39 @@
 }
 
 // addWork creates the components that have state per partition. They release a partition
-// in the order of AddResident: callers' requests first, workers last.
+// in the order of AddComponent: callers' requests first, workers last.
 func (p *placer) addWork() {
 	reg := p.daemon.Reg
 	p.dispatch = dispatch.New(dispatch.Config{
-		Hosts: p.hosts.Hosts, Settings: p.serviceValues, Remotes: p.remotes, Authorizer: p.keeper,
+		Hosts: p.hosts.Hosts, Settings: p.serviceValues, Remotes: p.remotes, Authorizer: p.holdManager,
 		Client: exechttp.New(httponce.Options{}), Peers: p.node,
 		Zone: p.conf.Zone, Partitions: p.conf.Holding.Partitions, Log: p.log, Metrics: reg,
 	})
 	p.requests = request.New(request.Config{
-		Authorizer: p.keeper, Dispatcher: p.dispatch, Settings: p.serviceValues, Log: p.log, Metrics: reg,
+		Authorizer: p.holdManager, Dispatcher: p.dispatch, Settings: p.serviceValues, Log: p.log, Metrics: reg,
 	})
 	p.jobs = job.New(job.Config{
-		Source: source{p}, Authorizer: p.keeper, Store: p.store, Peers: p.node,
+		Source: source{p}, Authorizer: p.holdManager, Store: p.store, Peers: p.node,
 		PartitionKey: hold.PartitionKey, Values: p.branchValues, Digests: p.capacityDigests,
-		StoreAge: p.keeper.StoreAge, Registerer: reg, Log: p.log,
+		StoreAge: p.holdManager.StoreAge, Registerer: reg, Log: p.log,
 	})
 	p.fleet = fleet.New(fleet.Config{
 		Name: p.conf.Name, Partitions: p.conf.Holding.Partitions, Lease: p.conf.Holding.TaskLease.Std(),
-		Hosts: p.hosts.Hosts, Authorizer: p.keeper, Client: workerhttp.NewClient(httponce.Options{IdleTimeout: p.conf.Holding.TaskLease.Std()}),
-		Peers: p.node, View: source{p}, Delegations: p.keeper, StoreUp: p.keeper.StoreUp,
+		Hosts: p.hosts.Hosts, Authorizer: p.holdManager, Client: workerhttp.NewClient(httponce.Options{IdleTimeout: p.conf.Holding.TaskLease.Std()}),
+		Peers: p.node, View: source{p}, Delegations: p.holdManager, StoreUp: p.holdManager.StoreUp,
 		Registerer: reg, Log: p.log,
 	})
-	p.keeper.SetDelegate(p.fleet)
+	p.holdManager.SetDelegate(p.fleet)
 	for _, r := range []hold.Component{p.requests, p.dispatch, p.jobs, p.fleet} {
-		p.keeper.AddComponent(r)
+		p.holdManager.AddComponent(r)
 	}
-	p.keeper.Provide(extraCapacity, func() any { return p.fleet.Digest() })
-	p.keeper.Provide(extraSettings, func() any { return p.settings.AppliedRevision() })
-	p.keeper.Provide(extraSlots, func() any { return p.dispatch.Free() })
+	p.holdManager.Provide(extraCapacity, func() any { return p.fleet.Digest() })
+	p.holdManager.Provide(extraSettings, func() any { return p.settings.AppliedRevision() })
+	p.holdManager.Provide(extraSlots, func() any { return p.dispatch.Free() })
 }
 
 func (p *placer) register() {
-	view.Serve(p.mux, p.keeper.Table, p.keeper.Changed)
+	view.Serve(p.mux, p.holdManager.Table, p.holdManager.Changed)
 	p.settings.Serve(p.mux)
 	p.fleet.Register(p.mux)
 	p.jobs.Register(p.mux)
@@ -168,12 +168,12 @@
 // observe adds the components to the state dump and to the readiness check.
 func (p *placer) observe() {
 	for name, dump := range map[string]func() any{
-		"peers": p.node.Dump, "store": p.calls.Dump, "holding": p.keeper.Dump, "workers": p.fleet.Dump, "jobs": p.jobs.Dump,
+		"peers": p.node.Dump, "store": p.calls.Dump, "holding": p.holdManager.Dump, "workers": p.fleet.Dump, "jobs": p.jobs.Dump,
 		"settings": p.settings.Dump,
 	} {
 		p.daemon.AddDump(name, dump)
 	}
-	p.daemon.AddReadinessCheck(p.keeper.NotReadyReasons)
+	p.daemon.AddReadinessCheck(p.holdManager.NotReadyReasons)
 	p.daemon.AddReadinessCheck(p.hosts.NotReadyReasons)
 	p.daemon.AddReadinessCheck(p.settingsUnreadyReasons)
 }
@@ -193,8 +193,8 @@
 	for _, run := range []func(context.Context){p.hosts.Run, p.settings.Run, p.fleet.Run, p.dispatch.Run} {
 		go run(ctx)
 	}
-	go p.calls.Follow(ctx, func() int { return len(p.keeper.Table().Members) })
-	return p.keeper.Start(ctx)
+	go p.calls.Follow(ctx, func() int { return len(p.holdManager.Table().Members) })
+	return p.holdManager.Start(ctx)
 }
 
 func (p *placer) serve(peers, admin net.Listener) {
@@ -207,7 +207,7 @@
 // peerDrainTimeout limits the draining of the peer links; peers answer in milliseconds.
 const peerDrainTimeout = 2 * time.Second
 
-// drainPeers waits until no request of a peer would be lost when the links close.
+// drainPeers waits until closing the links would lose no request of a peer.
 func (p *placer) drainPeers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, peerDrainTimeout)
 	defer cancel()
@@ -216,7 +216,7 @@
 
 // stop hands the partitions over with their work, then closes the peer links.
 func (p *placer) stop(ctx context.Context) error {
-	err := p.keeper.Stop(ctx)
+	err := p.holdManager.Stop(ctx)
 	p.drainPeers(ctx)
 	p.cancel()
 	p.jobs.Close()
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -17,7 +17,7 @@
 	// KeysRequired is true if calls need a key of one of the Accounts.
 	KeysRequired bool      `cbor:"5,keyasint,omitempty"`
 	Accounts     []Account `cbor:"6,keyasint,omitempty"`
-	// FormatVersion is the CurrentForm of the process that decoded the configuration.
+	// FormatVersion is the CurrentFormatVersion of the process that decoded the configuration.
 	FormatVersion int `cbor:"7,keyasint,omitempty"`
 
 	byHost   map[string][]*Queue // longest prefix first
@@ -52,8 +52,8 @@
 	Priority int `cbor:"1,keyasint,omitempty"`
 	// MaxAttempts is how often a task may fail before its job fails.
 	MaxAttempts int `cbor:"2,keyasint"`
-	// CriticalPathFactor and TargetMillis define a job's target completion time: Stretch times its critical path, plus
-	// TargetMillis.
+	// CriticalPathFactor and TargetMillis define a job's target completion time: CriticalPathFactor times its critical path,
+	// plus TargetMillis.
 	CriticalPathFactor float64 `cbor:"3,keyasint,omitempty"`
 	TargetMillis       int64   `cbor:"4,keyasint,omitempty"`
 	// PolicyQuery is set if a policy service decides which hosts may run a step.
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -84,12 +84,12 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	k := &Watcher{
+	w := &Watcher{
 		Store: store.Client("a"), Health: follow.NewHealth(nil), Peers: p, Log: log.WithField("test", t.Name()),
 		Key: key, Decode: decode,
 	}
-	k.Start(t.Context(), peer.NewMux())
-	return k
+	w.Start(t.Context(), peer.NewMux())
+	return w
 }
 
 func put(store *memstore.Engine, value string) {
@@ -104,36 +104,36 @@
 		store := memstore.New()
 		defer store.Close()
 		p := &peers{}
-		k := start(t, store, p)
-		is.Equal(len(k.NotReadyReasons()), 1)
+		w := start(t, store, p)
+		is.Equal(len(w.NotReadyReasons()), 1)
 		put(store, "3")
 		time.Sleep(time.Second)
-		is.Equal(k.Version(), int64(3))
-		is.Equal(len(k.NotReadyReasons()), 0)
+		is.Equal(w.Version(), int64(3))
+		is.Equal(len(w.NotReadyReasons()), 0)
 
 		put(store, "nonsense") // it can not be decoded: the previous version stays active
 		time.Sleep(time.Second)
-		is.Equal(k.Version(), int64(3))
+		is.Equal(w.Version(), int64(3))
 
 		store.Client("a").SetFaults(memstore.Faults{Refuse: true})
 		put(store, "7")
 		time.Sleep(time.Second)
-		is.Equal(k.Version(), int64(3))
+		is.Equal(w.Version(), int64(3))
 		p.newest = &Catalog{Version: 7, FormatVersion: CurrentFormatVersion}
-		k.FetchFrom("b:1") // a heartbeat has reported a newer version
+		w.FetchFrom("b:1") // a heartbeat has reported a newer version
 		time.Sleep(time.Second)
-		is.Equal(k.Version(), int64(7))
+		is.Equal(w.Version(), int64(7))
 
 		p.newest = &Catalog{Version: 5, FormatVersion: CurrentFormatVersion}
-		k.FetchFrom("b:1")
+		w.FetchFrom("b:1")
 		time.Sleep(time.Second)
-		is.Equal(k.Version(), int64(7))
+		is.Equal(w.Version(), int64(7))
 
 		store.Compact()
 		store.Client("a").SetFaults(memstore.Faults{})
 		put(store, "9")
 		time.Sleep(5 * time.Second)
-		is.Equal(k.Version(), int64(9))
+		is.Equal(w.Version(), int64(9))
 	})
 }
 
@@ -166,19 +166,19 @@
 	cases := map[string]struct {
 		faults  memstore.Faults
 		newest  *Catalog // the peers' catalog
-		gets    bool
+		wantNew bool
 		restart bool
 	}{
-		"connected":                                 {faults: healthy, gets: true},
-		"disconnected from the store":               {faults: refusing, newest: newest, gets: true},
+		"connected":                                 {faults: healthy, wantNew: true},
+		"disconnected from the store":               {faults: refusing, newest: newest, wantNew: true},
 		"disconnected from the store, peers behind": {faults: refusing, newest: previous},
 		"disconnected from both":                    {faults: refusing},
 		"peer of an older program version":          {faults: refusing, newest: incomplete},
-		"connected, peer behind":                    {faults: healthy, newest: previous, gets: true},
-		"restart":                                   {faults: healthy, gets: true, restart: true},
-		"restart, disconnected from the store":      {faults: refusing, newest: newest, gets: true, restart: true},
-		"restart, peers behind":                     {faults: healthy, newest: previous, gets: true, restart: true},
-		"restart, peer of an older program version": {faults: healthy, newest: incomplete, gets: true, restart: true},
+		"connected, peer behind":                    {faults: healthy, newest: previous, wantNew: true},
+		"restart":                                   {faults: healthy, wantNew: true, restart: true},
+		"restart, disconnected from the store":      {faults: refusing, newest: newest, wantNew: true, restart: true},
+		"restart, peers behind":                     {faults: healthy, newest: previous, wantNew: true, restart: true},
+		"restart, peer of an older program version": {faults: healthy, newest: incomplete, wantNew: true, restart: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -187,33 +187,33 @@
 				store := memstore.New()
 				defer store.Close()
 				p := &peers{}
-				k := startDecoding(t, store, p, keyedVersion)
+				w := startDecoding(t, store, p, keyedVersion)
 				put(store, before)
 				time.Sleep(time.Second)
-				is.True(k.Current().AccountOf("old") != nil)
-				is.True(k.Current().AccountOf("new") == nil)
+				is.True(w.Current().AccountOf("old") != nil)
+				is.True(w.Current().AccountOf("new") == nil)
 				if tc.restart {
-					k = startDecoding(t, store, p, keyedVersion)
+					w = startDecoding(t, store, p, keyedVersion)
 				}
 				store.Client("a").SetFaults(tc.faults)
 				put(store, after)
 				p.newest = tc.newest
 				for range 4 {
-					k.FetchFrom("b:1")
+					w.FetchFrom("b:1")
 					time.Sleep(bound / 4)
 				}
-				c := k.Current()
-				is.Equal(c.AccountOf("new") != nil, tc.gets)
-				is.Equal(c.AccountOf("old") == nil, tc.gets || c == nil)
+				c := w.Current()
+				is.Equal(c.AccountOf("new") != nil, tc.wantNew)
+				is.Equal(c.AccountOf("old") == nil, tc.wantNew || c == nil)
 				is.True(c == nil || c.AccountOf("kept") != nil) // an unchanged key stays valid in both versions
 				store.Client("a").SetFaults(healthy)
 				p.newest = previous
 				time.Sleep(2 * bound)
-				k.FetchFrom("b:1")
+				w.FetchFrom("b:1")
 				time.Sleep(time.Second)
-				is.True(k.Current().AccountOf("new") != nil)
-				is.True(k.Current().AccountOf("old") == nil)
-				is.Equal(k.Version(), int64(7))
+				is.True(w.Current().AccountOf("new") != nil)
+				is.True(w.Current().AccountOf("old") == nil)
+				is.Equal(w.Version(), int64(7))
 			})
 		})
 	}
--- a/internal/catalog/watcher.go
+++ b/internal/catalog/watcher.go
@@ -49,26 +49,26 @@
 }
 
 // OnChange registers a function that is called with each newer catalog, in order. Call it before Start.
-func (k *Watcher) OnChange(fn func(*Catalog)) { k.listeners = append(k.listeners, fn) }
+func (w *Watcher) OnChange(fn func(*Catalog)) { w.listeners = append(w.listeners, fn) }
 
 // Start registers the message handler and follows the store's catalog in the background until ctx ends.
-func (k *Watcher) Start(ctx context.Context, mux *peer.Mux) {
+func (w *Watcher) Start(ctx context.Context, mux *peer.Mux) {
 	peer.Handle(mux, peer.KindCatalog, func(_ context.Context, q Request) (Reply, error) {
-		if c := k.Current(); c != nil && c.Version > q.Newer {
+		if c := w.Current(); c != nil && c.Version > q.Newer {
 			return Reply{Catalog: c}, nil
 		}
 		return Reply{}, nil
 	})
 	f := follow.Follower{
-		Store: k.Store, Health: k.Health, Prefix: k.Key, Wait: longPollTimeout,
+		Store: w.Store, Health: w.Health, Prefix: w.Key, Wait: longPollTimeout,
 		List: func(records []platform.Record) {
 			for _, rec := range records {
-				k.processRecord(rec)
+				w.processRecord(rec)
 			}
 		},
 		Change: func(c platform.Change) {
 			if !c.Deleted {
-				k.processRecord(c.Record)
+				w.processRecord(c.Record)
 			}
 		},
 	}
@@ -76,67 +76,67 @@
 }
 
 // Current returns the active catalog, or nil before the first.
-func (k *Watcher) Current() *Catalog { return k.current.Load() }
+func (w *Watcher) Current() *Catalog { return w.current.Load() }
 
 // Version returns the version of the active catalog, -1 before the first.
-func (k *Watcher) Version() int64 {
-	if c := k.Current(); c != nil {
+func (w *Watcher) Version() int64 {
+	if c := w.Current(); c != nil {
 		return c.Version
 	}
 	return -1
 }
 
 // NotReadyReasons returns the reasons why the catalog isn't ready; none once a catalog is active.
-func (k *Watcher) NotReadyReasons() []string {
-	if k.Current() == nil {
+func (w *Watcher) NotReadyReasons() []string {
+	if w.Current() == nil {
 		return []string{"catalog: no configuration has been read yet"}
 	}
 	return nil
 }
 
-func (k *Watcher) processRecord(rec platform.Record) {
-	if rec.Key != k.Key {
+func (w *Watcher) processRecord(rec platform.Record) {
+	if rec.Key != w.Key {
 		return
 	}
-	c, err := k.Decode(rec)
+	c, err := w.Decode(rec)
 	if err != nil {
-		k.Log.WithError(err).WithField("code", result.ConfigValue).Error("configuration can not be decoded; the previous one stays in force")
+		w.Log.WithError(err).WithField("code", result.ConfigValue).Error("configuration can not be decoded; the previous one stays in force")
 		return
 	}
-	k.apply(c, "store")
+	w.apply(c, "store")
 }
 
 // apply activates a catalog if it is newer than the active one.
-func (k *Watcher) apply(c *Catalog, from string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if c.Version <= k.Version() {
+func (w *Watcher) apply(c *Catalog, from string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if c.Version <= w.Version() {
 		return
 	}
-	k.current.Store(c)
-	k.Log.WithFields(logrus.Fields{"version": c.Version, "queues": len(c.Queues), "from": from}).Info("configuration in force")
-	for _, fn := range k.listeners {
+	w.current.Store(c)
+	w.Log.WithFields(logrus.Fields{"version": c.Version, "queues": len(c.Queues), "from": from}).Info("configuration in force")
+	for _, fn := range w.listeners {
 		fn(c)
 	}
 }
 
 // FetchFrom fetches a newer catalog from a peer in the background. It does nothing while another fetch is in progress.
-func (k *Watcher) FetchFrom(addr string) {
-	if !k.fetching.CompareAndSwap(false, true) {
+func (w *Watcher) FetchFrom(addr string) {
+	if !w.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer k.fetching.Store(false)
+		defer w.fetching.Store(false)
 		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 		defer cancel()
 		var reply Reply
-		if err := k.Peers.Call(ctx, addr, peer.KindCatalog, Request{Newer: k.Version()}, &reply); err != nil || reply.Catalog == nil {
+		if err := w.Peers.Call(ctx, addr, peer.KindCatalog, Request{Newer: w.Version()}, &reply); err != nil || reply.Catalog == nil {
 			return // the next heartbeat triggers another fetch
 		}
 		if reply.Catalog.FormatVersion < CurrentFormatVersion {
 			return // decoded by an older program version, which omitted fields that it doesn't know
 		}
 		reply.Catalog.Index()
-		k.apply(reply.Catalog, addr)
+		w.apply(reply.Catalog, addr)
 	}()
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,41 +45,41 @@
 // names the field.
 type Checker interface{ Check() error }
 
-// Load decodes the file at path into into, which holds the defaults, and validates it. Every error is a *result.Error
+// Load decodes the file at path into target, which holds the defaults, and validates it. Every error is a *result.Error
 // with a code from 7000 to 7099.
-func Load(path string, into any) error {
+func Load(path string, target any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return result.New(result.ConfigUnreadable, result.RanNo, "%v", err)
 	}
-	return Parse(data, into)
+	return Parse(data, target)
 }
 
 // Parse is like Load but takes the file's content.
-func Parse(data []byte, into any) error {
+func Parse(data []byte, target any) error {
 	var raw any
 	if err := decodeOne(data, &raw); err != nil {
 		return result.New(result.ConfigUnreadable, result.RanNo, "%v", err)
 	}
-	if err := checkNames(raw, reflect.TypeOf(into), ""); err != nil {
+	if err := checkNames(raw, reflect.TypeOf(target), ""); err != nil {
 		return err
 	}
-	if err := decodeOne(data, into); err != nil {
+	if err := decodeOne(data, target); err != nil {
 		return typeError(err)
 	}
-	if err := checkRanges(into); err != nil {
+	if err := checkRanges(target); err != nil {
 		return err
 	}
-	if c, ok := into.(Checker); ok {
+	if c, ok := target.(Checker); ok {
 		return c.Check()
 	}
 	return nil
 }
 
 // decodeOne decodes one JSON value and refuses data after it.
-func decodeOne(data []byte, into any) error {
+func decodeOne(data []byte, target any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
-	if err := dec.Decode(into); err != nil {
+	if err := dec.Decode(target); err != nil {
 		return err
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
@@ -141,12 +141,12 @@
 	}
 	fields := jsonFields(t)
 	for name, value := range object {
-		where := strings.TrimPrefix(path+"."+name, ".")
+		fieldPath := strings.TrimPrefix(path+"."+name, ".")
 		ft, ok := fields[name]
 		if !ok {
-			return result.New(result.ConfigUnknownName, result.RanNo, "no such setting").AtField(where)
+			return result.New(result.ConfigUnknownName, result.RanNo, "no such setting").AtField(fieldPath)
 		}
-		if err := checkNames(value, ft, where); err != nil {
+		if err := checkNames(value, ft, fieldPath); err != nil {
 			return err
 		}
 	}
@@ -174,16 +174,16 @@
 	}
 }
 
-func checkRanges(into any) error {
+func checkRanges(target any) error {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 		return name
 	})
-	err := v.Struct(into)
-	var bad validator.ValidationErrors
-	if errors.As(err, &bad) {
-		first := bad[0]
+	err := v.Struct(target)
+	var violations validator.ValidationErrors
+	if errors.As(err, &violations) {
+		first := violations[0]
 		_, path, _ := strings.Cut(first.Namespace(), ".")
 		rule := strings.TrimSuffix(first.Tag()+"="+first.Param(), "=")
 		return result.New(result.ConfigValue, result.RanNo, "%v does not satisfy %q", first.Value(), rule).AtField(path)
--- a/internal/ctl/answers_test.go
+++ b/internal/ctl/answers_test.go
@@ -72,7 +72,7 @@
 				t.Fatal(errs)
 			}
 			for _, cell := range strings.Fields(out) {
-				is.True(cell != "-") // no column lacks its value
+				is.True(cell != "-") // every column has a value
 			}
 			is.Equal(strings.Count(strings.ReplaceAll(out, "\n\n", "\n"), "\n"), c.lines)
 		})
--- a/internal/ctl/call.go
+++ b/internal/ctl/call.go
@@ -61,7 +61,7 @@
 }
 
 // call sends one request to a service and writes the body of the response. A status of 400 or above
-// is an error, after the body was written.
+// is returned as an error after the body was written.
 func (a *app) call(service, path string, f callFlags) error {
 	r, key, err := a.callRequest(service, path, f)
 	if err != nil {
--- a/internal/ctl/report.go
+++ b/internal/ctl/report.go
@@ -88,7 +88,7 @@
 	return err
 }
 
-// quantiles are the ones that a report shows of each stage.
+// quantiles are the quantiles of each stage's duration in a report.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 func printReport(w io.Writer, queues []*report.Queue) error {
--- a/internal/ctl/root.go
+++ b/internal/ctl/root.go
@@ -17,10 +17,10 @@
 // Exit codes of pulleyctl.
 const (
 	ExitOK      = 0
-	ExitFailed  = 1 // failed, or done only in part
-	ExitUsage   = 2 // the command line is wrong, nothing was sent
+	ExitFailed  = 1 // failed, or partly done
+	ExitUsage   = 2 // the command line is invalid; nothing was sent
 	ExitRefused = 3 // refused, and certainly not run
-	ExitUnknown = 4 // it may or may not have run
+	ExitUnknown = 4 // may or may not have run
 )
 
 // EntryVariable is the environment variable with the default of --entry.
--- a/internal/ctl/set.go
+++ b/internal/ctl/set.go
@@ -112,8 +112,8 @@
 func parseAssignment(arg string) (assignment, error) {
 	name, value, ok := strings.Cut(arg, "=")
 	if !ok {
-		if bare, unset := strings.CutSuffix(arg, "-"); unset && strings.Contains(bare, ".") {
-			return assignment{name: bare}, nil
+		if unsetName, unset := strings.CutSuffix(arg, "-"); unset && strings.Contains(unsetName, ".") {
+			return assignment{name: unsetName}, nil
 		}
 		return assignment{}, usagef("%q is neither NAME=VALUE nor NAME-", arg)
 	}
@@ -127,8 +127,8 @@
 			return assignment{name, json.RawMessage(value)}, nil
 		}
 	}
-	word, err := json.Marshal(value)
-	return assignment{name, word}, err
+	quoted, err := json.Marshal(value)
+	return assignment{name, quoted}, err
 }
 
 // set reads the branches, applies the assignments and sends the result against the lowest revision
@@ -137,7 +137,7 @@
 	branches := map[string]json.RawMessage{}
 	lowest := int64(revisionUnset)
 	for _, change := range changes {
-		if _, twice := branches[change.path]; twice {
+		if _, repeated := branches[change.path]; repeated {
 			return usagef("branch %s is named twice", change.path)
 		}
 		current, found, err := a.readBranch(change.path)
--- a/internal/ctl/settings.go
+++ b/internal/ctl/settings.go
@@ -297,9 +297,9 @@
 	return cmd
 }
 
-// readFile adds the branches of a file to into. The file is parsed as strictly as by the placer, because
+// readFile adds the branches of a file to branches. The file is parsed as strictly as by the placer, because
 // a repeated name would otherwise be dropped here without an error.
-func (a *app) readFile(file string, into map[string]json.RawMessage) error {
+func (a *app) readFile(file string, branches map[string]json.RawMessage) error {
 	data, err := a.readInput(file)
 	if err != nil {
 		return err
@@ -309,14 +309,14 @@
 		return usagef("%s: %w", file, err)
 	}
 	for _, e := range edits {
-		if _, twice := into[e.Path]; twice {
+		if _, repeated := branches[e.Path]; repeated {
 			return usagef("%s: branch %s is in an earlier file too", file, e.Path)
 		}
 		raw, err := json.Marshal(e.Overrides)
 		if err != nil {
 			return err
 		}
-		into[e.Path] = raw
+		branches[e.Path] = raw
 	}
 	return nil
 }
--- a/internal/daemon/budget.go
+++ b/internal/daemon/budget.go
@@ -44,21 +44,21 @@
 // logs how many of which kind were dropped.
 type limiter struct {
 	logrus.Formatter
-	priorityOf func(*logrus.Entry) Priority // nil means Routine for all lines below warning
+	priorityOf func(*logrus.Entry) Priority // nil means PriorityRoutine for all lines below warning
 	buffer     *Lines                       // where the lines go; nil if they are written one by one
 
-	mu      sync.Mutex
-	second  time.Time
-	written [priorityCount]int
-	dropped [causeCount]map[string]int // counts by message
+	mu          sync.Mutex
+	windowStart time.Time
+	written     [priorityCount]int
+	dropped     [causeCount]map[string]int // counts by message
 }
 
 // Format implements logrus.Formatter. A dropped line adds nothing to the result.
-func (b *limiter) Format(entry *logrus.Entry) ([]byte, error) {
-	reports, admitted := b.admit(entry)
+func (l *limiter) Format(entry *logrus.Entry) ([]byte, error) {
+	reports, admitted := l.admit(entry)
 	var out []byte
 	for _, e := range reports {
-		line, err := b.Formatter.Format(e)
+		line, err := l.Formatter.Format(e)
 		if err != nil {
 			return nil, err
 		}
@@ -67,7 +67,7 @@
 	if !admitted {
 		return out, nil
 	}
-	line, err := b.Formatter.Format(entry)
+	line, err := l.Formatter.Format(entry)
 	if len(out) == 0 {
 		return line, err
 	}
@@ -76,70 +76,70 @@
 
 // admit reports whether a line is to be written, and returns the reports on dropped lines that are to
 // be written before it.
-func (b *limiter) admit(entry *logrus.Entry) (reports []*logrus.Entry, admitted bool) {
-	w := b.linePriority(entry)
-	buffered := b.buffer.size()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if entry.Time.Sub(b.second) >= time.Second {
-		b.second, b.written = entry.Time, [priorityCount]int{}
+func (l *limiter) admit(entry *logrus.Entry) (reports []*logrus.Entry, admitted bool) {
+	priority := l.linePriority(entry)
+	buffered := l.buffer.size()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if entry.Time.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.written = entry.Time, [priorityCount]int{}
 		if buffered < bufferLimits[PriorityFinal] {
-			reports = b.takeDropReports(entry)
+			reports = l.takeDropReports(entry)
 		}
 	}
 	switch {
-	case buffered >= bufferLimits[w]:
-		b.countDropped(entry, outputSlow)
+	case buffered >= bufferLimits[priority]:
+		l.countDropped(entry, outputSlow)
 		return reports, false
 	case entry.Level < logrus.InfoLevel:
 		return reports, true
-	case b.written[w] >= infoPerSecond:
-		b.countDropped(entry, overBudget)
+	case l.written[priority] >= infoPerSecond:
+		l.countDropped(entry, overBudget)
 		return reports, false
 	}
-	b.written[w]++
+	l.written[priority]++
 	return reports, true
 }
 
-// linePriority returns the priority of a line. Warnings and errors are Final.
-func (b *limiter) linePriority(entry *logrus.Entry) Priority {
+// linePriority returns the priority of a line. Warnings and errors have PriorityFinal.
+func (l *limiter) linePriority(entry *logrus.Entry) Priority {
 	if entry.Level < logrus.InfoLevel {
 		return PriorityFinal
 	}
-	if b.priorityOf == nil {
+	if l.priorityOf == nil {
 		return PriorityRoutine
 	}
-	return b.priorityOf(entry)
+	return l.priorityOf(entry)
 }
 
 // countDropped counts a dropped line.
-func (b *limiter) countDropped(entry *logrus.Entry, why cause) {
-	if b.dropped[why] == nil {
-		b.dropped[why] = map[string]int{}
+func (l *limiter) countDropped(entry *logrus.Entry, reason cause) {
+	if l.dropped[reason] == nil {
+		l.dropped[reason] = map[string]int{}
 	}
 	kind := entry.Message
-	if _, known := b.dropped[why][kind]; !known && len(b.dropped[why]) >= maxKinds {
+	if _, counted := l.dropped[reason][kind]; !counted && len(l.dropped[reason]) >= maxKinds {
 		kind = otherKinds
 	}
-	b.dropped[why][kind]++
+	l.dropped[reason][kind]++
 }
 
 // logDropped logs the dropped lines that have not been reported yet. It is called at the end of a
 // process.
-func (b *limiter) logDropped(like *logrus.Entry) {
-	b.mu.Lock()
-	reports := b.takeDropReports(like)
-	b.mu.Unlock()
+func (l *limiter) logDropped(template *logrus.Entry) {
+	l.mu.Lock()
+	reports := l.takeDropReports(template)
+	l.mu.Unlock()
 	for _, e := range reports {
 		e.Warn(e.Message)
 	}
 }
 
 // takeDropReports returns one log entry per cause with the counts of dropped lines, and resets the
-// counts. The entries name the process as the given one does.
-func (b *limiter) takeDropReports(like *logrus.Entry) []*logrus.Entry {
+// counts. The entries get their time and process fields from template.
+func (l *limiter) takeDropReports(template *logrus.Entry) []*logrus.Entry {
 	var out []*logrus.Entry
-	for why, kinds := range b.dropped {
+	for reason, kinds := range l.dropped {
 		if len(kinds) == 0 {
 			continue
 		}
@@ -148,13 +148,13 @@
 			lines += n
 		}
 		out = append(out, &logrus.Entry{
-			Logger: like.Logger, Time: like.Time, Level: logrus.WarnLevel, Message: msgDropped,
+			Logger: template.Logger, Time: template.Time, Level: logrus.WarnLevel, Message: msgDropped,
 			Data: logrus.Fields{
-				"lines": lines, "kinds": kinds, "why": cause(why).String(),
-				fieldName: like.Data[fieldName], fieldProcess: like.Data[fieldProcess],
+				"lines": lines, "kinds": kinds, "why": cause(reason).String(),
+				fieldName: template.Data[fieldName], fieldProcess: template.Data[fieldProcess],
 			},
 		})
-		b.dropped[why] = nil
+		l.dropped[reason] = nil
 	}
 	return out
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,8 +47,8 @@
 	buffer          *Lines // nil if lines are written one by one
 }
 
-// SetMemberName makes log lines carry the member's name in place of the program's, which follows from
-// the member.
+// SetMemberName puts the member's name into log lines in place of the program's, which the member's
+// name implies.
 func (d *Daemon) SetMemberName(member string) {
 	d.Log = d.Log.Logger.WithField(fieldName, member)
 }
@@ -84,14 +84,14 @@
 
 // AddQuery adds a query about one object, served as /debug/NAME?of=OBJECT. The errors of fn
 // are *result.Error. Call it before Admin.
-func (d *Daemon) AddQuery(name string, fn func(thing string) (any, error)) {
+func (d *Daemon) AddQuery(name string, fn func(object string) (any, error)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.queries[name] = fn
 }
 
-// AddReadinessCheck adds a check that lists what the process lacks. The process is ready if all
-// lists are empty and no planned stop has started.
+// AddReadinessCheck adds a check that lists reasons why the process is not ready. The process is
+// ready if all lists are empty and no planned stop has started.
 func (d *Daemon) AddReadinessCheck(fn func() []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -198,12 +198,12 @@
 }
 
 func serveQuery(w http.ResponseWriter, r *http.Request, fn func(string) (any, error)) {
-	answer, err := fn(r.URL.Query().Get("of"))
+	reply, err := fn(r.URL.Query().Get("of"))
 	if err != nil {
 		problem.Write(w, result.From(err))
 		return
 	}
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, reply)
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/internal/daemon/weight.go
+++ b/internal/daemon/weight.go
@@ -19,8 +19,8 @@
 	priorityCount // number of priorities
 )
 
-// SetPriorityFunc sets the function that returns a line's priority. Without one all lines are Routine.
-// Warnings and errors are Final in any case. Call it before anything is logged.
+// SetPriorityFunc sets the function that returns a line's priority. Without one all lines have
+// PriorityRoutine. Warnings and errors always have PriorityFinal. Call it before anything is logged.
 func (d *Daemon) SetPriorityFunc(priorityOf func(*logrus.Entry) Priority) {
 	d.limiter.priorityOf = priorityOf
 }
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -221,7 +221,7 @@
 
 // TestSilentLinkIsReplaced: an open link stops carrying data without a reset, while new
 // links work. Pings alone would detect this only after seconds, in which members would
-// take their holder for dead.
+// presume their holder dead.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -35,7 +35,7 @@
 
 	KindPlace       Kind = 40 // job owner to a holder of workers: place tasks
 	KindGangReserve Kind = 41
-	KindGangEnd     Kind = 42 // start or release a held gang
+	KindGangEnd     Kind = 42 // start or release a reserved gang
 	KindStopTasks   Kind = 43
 	KindTaskUpdates Kind = 44 // holder of workers to job owner: runs ended or lost
 	KindInventory   Kind = 45 // job owner to a holder: list the runs of a partition's jobs
--- a/internal/platform/budget/budget.go
+++ b/internal/platform/budget/budget.go
@@ -126,7 +126,7 @@
 	defer cancel()
 	start := time.Now()
 	if err := s.limiter(c).wait(ctx, c); err != nil {
-		s.metrics.done(call, outcomeOf(err), -1, err)
+		s.metrics.recordCall(call, outcomeOf(err), -1, err)
 		return zero, err
 	}
 	s.metrics.waited.WithLabelValues(string(c)).Observe(time.Since(start).Seconds())
@@ -137,7 +137,7 @@
 func callAndCount[T any](ctx context.Context, s *Store, call string, fn func(context.Context) (T, error)) (T, error) {
 	start := time.Now()
 	value, err := fn(ctx)
-	s.metrics.done(call, outcomeOfReply(value, err), time.Since(start), err)
+	s.metrics.recordCall(call, outcomeOfReply(value, err), time.Since(start), err)
 	return value, err
 }
 
@@ -215,7 +215,7 @@
 	}
 	defer func() { <-s.watches }()
 	if err := s.reads.wait(ctx, classRead); err != nil {
-		s.metrics.done(callWatch, outcomeOf(err), -1, err)
+		s.metrics.recordCall(callWatch, outcomeOf(err), -1, err)
 		return err
 	}
 	s.metrics.watches.Inc()
@@ -225,13 +225,13 @@
 	if ctx.Err() != nil {
 		outcome = resultEnded
 	}
-	s.metrics.done(callWatch, outcome, -1, err)
+	s.metrics.recordCall(callWatch, outcome, -1, err)
 	return err
 }
 
 // tooManyWatches refuses a watch beyond the limit.
 func (s *Store) tooManyWatches() error {
 	refusal := result.New(result.StoreBudget, result.RanNo, "more than %d watches", cap(s.watches))
-	s.metrics.done(callWatch, resultBudget, -1, refusal)
+	s.metrics.recordCall(callWatch, resultBudget, -1, refusal)
 	return fmt.Errorf("%w: %w", platform.ErrUnavailable, refusal)
 }
--- a/internal/platform/budget/limits.go
+++ b/internal/platform/budget/limits.go
@@ -35,13 +35,13 @@
 
 // limiter limits the rate of one class of calls.
 type limiter struct {
-	rate *rate.Limiter
-	all  float64 // calls per second of all processes together
+	rate  *rate.Limiter
+	total float64 // calls per second of all processes together
 }
 
-// newLimiter returns a limiter with the whole rate, until share is called.
-func newLimiter(all float64) *limiter {
-	return &limiter{rate: rate.NewLimiter(rate.Limit(all), burst(all)), all: all}
+// newLimiter returns a limiter with the total rate of all processes, until share is called.
+func newLimiter(total float64) *limiter {
+	return &limiter{rate: rate.NewLimiter(rate.Limit(total), burst(total)), total: total}
 }
 
 // burst is how many calls a process may make at once after an idle period: those of one second.
@@ -49,7 +49,7 @@
 
 // share sets the rate to an equal share among the processes.
 func (l *limiter) share(processes int) {
-	perProcess := l.all / float64(max(1, processes))
+	perProcess := l.total / float64(max(1, processes))
 	l.rate.SetLimit(rate.Limit(perProcess))
 	l.rate.SetBurst(burst(perProcess))
 }
--- a/internal/platform/budget/metrics.go
+++ b/internal/platform/budget/metrics.go
@@ -77,11 +77,11 @@
 	return m, nil
 }
 
-// done counts a finished call. A negative duration is not observed.
-func (m *metrics) done(call, outcome string, took time.Duration, err error) {
+// recordCall counts a finished call. A negative duration is not observed.
+func (m *metrics) recordCall(call, outcome string, duration time.Duration, err error) {
 	m.calls.WithLabelValues(call, outcome).Inc()
-	if took >= 0 {
-		m.seconds.WithLabelValues(call).Observe(took.Seconds())
+	if duration >= 0 {
+		m.seconds.WithLabelValues(call).Observe(duration.Seconds())
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,8 +94,8 @@
 	}
 }
 
-// outcomeOf returns the result that an error means. A call cancelled by its caller says nothing
-// about the store; a call whose deadline passed does.
+// outcomeOf returns the value of the label "result" for an error. A call cancelled by its caller is
+// no evidence of a store failure; a call whose deadline passed is.
 func outcomeOf(err error) string {
 	switch {
 	case errors.Is(err, context.Canceled):
--- a/internal/platform/confirm/confirm.go
+++ b/internal/platform/confirm/confirm.go
@@ -1,12 +1,12 @@
 // Package confirm determines the outcome of commits whose reply was lost.
 //
 // Every commit also writes a marker: a key that belongs to this process, holds a token unique to
-// the commit, and must be at the revision that the process knows. When a reply is lost, a second
+// the commit, and must be at the revision that the process last observed. When a reply is lost, a second
 // commit, the fence, overwrites the same marker under the same condition. If the fence is
 // applied, the first commit was not and never will be, however late it arrives. If the fence is
 // refused, the marker holds the first commit's token, so the first commit was applied, whatever
 // has been written to its keys since. Markers are attached to a lease: the fence can not be
-// applied after the lease, and with it possibly the first commit's marker, is gone.
+// applied once the lease, and with it possibly the first commit's marker, has ended.
 package confirm
 
 import (
@@ -34,7 +34,7 @@
 	DefaultLeaseSeconds = 3600
 	// maxAttempts is how often a commit is attempted if its marker is lost before it is applied.
 	maxAttempts = 3
-	// MaxOps is the maximum number of conditions or writes of a transaction, without the marker's.
+	// MaxOps is the maximum number of a caller's conditions, and also that of its writes: the marker needs one of each.
 	MaxOps = platform.MaxTxnOps - 1
 )
 
@@ -170,14 +170,14 @@
 }
 
 // leaseGone determines whether a commit failed for the markers' lease or for a lease of its own.
-// In doubt it does not attribute the failure to the caller's lease.
+// If it can not determine which, it does not attribute the failure to the caller's lease.
 func (s *Store) leaseGone(ctx context.Context, m *marker, txn platform.Txn, err error) error {
 	keepAliveErr := s.Store.KeepAlive(ctx, m.lease)
 	if keepAliveErr == nil {
 		s.markers.put(m)
 		return err
 	}
-	s.markers.forget(m.lease)
+	s.markers.discardLease(m.lease)
 	if errors.Is(keepAliveErr, platform.ErrLeaseGone) || !leased(txn) {
 		return errMarkerLost
 	}
--- a/internal/platform/confirm/confirm_test.go
+++ b/internal/platform/confirm/confirm_test.go
@@ -209,7 +209,7 @@
 }
 
 // TestLeaseInDoubt: the markers' lease is lost, and so is the reply that would show which lease it
-// was. A caller whose own lease may be valid must not be told that it is gone: a member would
+// was. A caller whose own lease may be valid must not get ErrLeaseGone for it: a member would
 // give up its partitions.
 func TestLeaseInDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -231,7 +231,7 @@
 		is.NoErr(err)
 		is.NoErr(engine.Client("observer").Revoke(t.Context(), 3))
 		_, err = s.Commit(t.Context(), put("not leased"))
-		is.NoErr(err) // only the markers' lease can be gone
+		is.NoErr(err) // only the markers' lease can have ended
 		is.Equal(value(is, engine), "not leased")
 	})
 }
--- a/internal/platform/confirm/marker.go
+++ b/internal/platform/confirm/marker.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// markers is the pool of markers; it has as many as there were concurrent commits.
+// markers is the pool of markers. It grows to the maximum number of concurrent commits.
 type markers struct {
 	store  platform.Store
 	prefix string
@@ -72,7 +72,7 @@
 	return &marker{key: fmt.Sprintf("%s%d", p.prefix, p.created), lease: lease}, nil
 }
 
-// put returns a marker to the pool; the marker's revision must be known.
+// put returns a marker to the pool; the marker's revision must be set.
 func (p *markers) put(m *marker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// forget discards a lease that is gone, and all its markers.
-func (p *markers) forget(lease platform.LeaseID) {
+// discardLease discards an ended lease and all its markers.
+func (p *markers) discardLease(lease platform.LeaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lease == lease {
@@ -113,7 +113,7 @@
 		case !errors.Is(err, platform.ErrLeaseGone) && age < 2*p.ttl/3:
 			return lease, nil
 		}
-		p.forget(lease)
+		p.discardLease(lease)
 	}
 	return p.grant(ctx)
 }
--- a/internal/platform/etcdhttp/client.go
+++ b/internal/platform/etcdhttp/client.go
@@ -113,7 +113,7 @@
 }
 
 // call makes one call within the timeout and decodes the reply.
-func (c *Client) call(ctx context.Context, path string, request any, reply headed) error {
+func (c *Client) call(ctx context.Context, path string, request any, reply replyWithHeader) error {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
 	body, err := json.Marshal(request)
@@ -168,7 +168,7 @@
 
 // decode decodes a whole reply. A reply without a header is not the service's, even if it is JSON
 // with status 200.
-func (c *Client) decode(response httponce.Answer, reply headed) error {
+func (c *Client) decode(response httponce.Answer, reply replyWithHeader) error {
 	if response.Status != http.StatusOK {
 		return refusal(response.Status, response.Body)
 	}
--- a/internal/platform/etcdhttp/wire.go
+++ b/internal/platform/etcdhttp/wire.go
@@ -30,8 +30,8 @@
 	Revision  platform.Revision `json:"revision,string,omitempty"`
 }
 
-// headed is a reply that has a header.
-type headed interface{ header() Header }
+// replyWithHeader is implemented by every reply.
+type replyWithHeader interface{ header() Header }
 
 func (r *RangeReply) header() Header       { return r.Header }
 func (r *TxnReply) header() Header         { return r.Header }
@@ -158,7 +158,7 @@
 }
 
 // LeaseReply is the reply to a grant, and to a renewal within KeepAliveMessage. A TTL of 0 means
-// that the lease is gone.
+// that the lease has ended.
 type LeaseReply struct {
 	Header Header           `json:"header"`
 	ID     platform.LeaseID `json:"ID,string,omitempty"`
--- a/internal/platform/failure.go
+++ b/internal/platform/failure.go
@@ -7,7 +7,7 @@
 )
 
 // Failure converts an error of a Store into a result with a code for a reply. Only
-// ErrUnavailable guarantees that nothing took effect; after an error of no known kind the
+// ErrUnavailable guarantees that nothing took effect; after an unrecognized error the
 // outcome is unknown. It returns nil for a nil error.
 func Failure(err error) *result.Error {
 	var coded *result.Error
--- a/internal/platform/follow/follow.go
+++ b/internal/platform/follow/follow.go
@@ -67,7 +67,7 @@
 	}
 	for {
 		batch, err := f.changes(ctx, at)
-		if errors.Is(err, errRenewed) {
+		if errors.Is(err, errRepeatPoll) {
 			continue
 		}
 		if err != nil {
@@ -90,33 +90,33 @@
 	listCtx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	records, at, err := f.Store.List(listCtx, f.Prefix)
-	f.note(ctx, err)
+	f.recordOutcome(ctx, err)
 	if err == nil {
 		f.List(records)
 	}
 	return at, err
 }
 
-// errRenewed is the cause for repeating a poll.
-var errRenewed = errors.New("open connections may have fallen silent")
+// errRepeatPoll is the cause for cancelling a poll and repeating it without a list.
+var errRepeatPoll = errors.New("open connections may have fallen silent")
 
-// errRestored is the cause for listing again.
-var errRestored = errors.New("the store answers again")
+// errStoreRestored is the cause for listing again after an outage.
+var errStoreRestored = errors.New("the store answers again")
 
 // changes makes one poll. The poll is cancelled when the store has replied to other calls after an
-// outage, or when connections have become silent: its own connection may deliver nothing any more.
+// outage, or when connections have become silent: the poll's own connection may no longer deliver anything.
 func (f *Follower) changes(ctx context.Context, after platform.Revision) (platform.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.Wait+changesSlack)
 	defer cancel()
 	ctx, cancelPoll := context.WithCancelCause(ctx)
 	defer cancelPoll(nil)
-	restored, renewed := f.Health.Restored(), f.Health.PollsRepeated()
+	restored, repeated := f.Health.Restored(), f.Health.PollsRepeated()
 	go func() {
 		select {
 		case <-restored:
-			cancelPoll(errRestored)
-		case <-renewed:
-			cancelPoll(errRenewed)
+			cancelPoll(errStoreRestored)
+		case <-repeated:
+			cancelPoll(errRepeatPoll)
 		case <-ctx.Done():
 		}
 	}()
@@ -125,14 +125,14 @@
 		// A failed poll is not recorded, as the store closes polls that wait. The list that follows
 		// shows whether the store replies.
 		f.Health.RecordCall(true, time.Now())
-	} else if cause := context.Cause(ctx); errors.Is(cause, errRenewed) {
+	} else if cause := context.Cause(ctx); errors.Is(cause, errRepeatPoll) {
 		err = cause
 	}
 	return batch, err
 }
 
-// note records the outcome of a call, unless the caller cancelled it.
-func (f *Follower) note(ctx context.Context, err error) {
+// recordOutcome records the outcome of a call, unless the caller cancelled it.
+func (f *Follower) recordOutcome(ctx context.Context, err error) {
 	if ctx.Err() == nil || err == nil {
 		f.Health.RecordCall(err == nil, time.Now())
 	}
--- a/internal/platform/follow/health.go
+++ b/internal/platform/follow/health.go
@@ -14,11 +14,10 @@
 	replied      time.Time // time of the last reply
 	failing      bool      // the last finished call got no reply
 	failingSince time.Time // start of the outage
-	// waitingSince is when the first call was sent after which no reply has arrived; zero if there is
-	// none.
-	waitingSince time.Time
-	restored     chan struct{}
-	renewed      chan struct{}
+	// waitingSince is when the first call since the last reply was sent; zero if there was none.
+	waitingSince  time.Time
+	restored      chan struct{}
+	pollsRepeated chan struct{}
 	// onChange is called when the store becomes unavailable or available.
 	onChange func(up bool, outage time.Duration)
 }
@@ -29,7 +28,7 @@
 	if onChange == nil {
 		onChange = func(bool, time.Duration) {}
 	}
-	return &Health{restored: make(chan struct{}), renewed: make(chan struct{}), onChange: onChange}
+	return &Health{restored: make(chan struct{}), pollsRepeated: make(chan struct{}), onChange: onChange}
 }
 
 // RecordCall records the outcome of a call that ended at now.
@@ -92,25 +91,24 @@
 	return max(now.Sub(h.failingSince), 1)
 }
 
-// Restored returns a channel that is closed when the store replies again after an outage.
+// Restored returns a channel that is closed when the store next replies after an outage.
 func (h *Health) Restored() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.restored
 }
 
-// RepeatPolls makes followers repeat their pending polls, as the connections of these may have become
-// silent.
+// RepeatPolls makes followers repeat their pending polls, whose connections may have become silent.
 func (h *Health) RepeatPolls() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	close(h.renewed)
-	h.renewed = make(chan struct{})
+	close(h.pollsRepeated)
+	h.pollsRepeated = make(chan struct{})
 }
 
-// PollsRepeated returns a channel that is closed at the next call of Renew.
+// PollsRepeated returns a channel that is closed at the next call of RepeatPolls.
 func (h *Health) PollsRepeated() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.renewed
+	return h.pollsRepeated
 }
--- a/internal/platform/groupcommit/group.go
+++ b/internal/platform/groupcommit/group.go
@@ -11,8 +11,8 @@
 	maxBytes = platform.MaxValueBytes
 )
 
-// forming is a group that is being filled with transactions.
-type forming struct {
+// groupBuilder is a group that is being filled with transactions.
+type groupBuilder struct {
 	group       []*waiter
 	expected    map[string]platform.Revision // revisions in the conditions, by key
 	writtenKeys map[string]struct{}
@@ -22,7 +22,7 @@
 // split returns the first transaction of the queue with all that fit into a group with it, and
 // the remaining transactions in their order.
 func split(queue []*waiter) (group, rest []*waiter) {
-	f := forming{expected: map[string]platform.Revision{}, writtenKeys: map[string]struct{}{}}
+	f := groupBuilder{expected: map[string]platform.Revision{}, writtenKeys: map[string]struct{}{}}
 	for _, w := range queue {
 		if len(f.group) > 0 && !f.fits(w.txn) {
 			rest = append(rest, w)
@@ -36,7 +36,7 @@
 // fits reports whether a transaction can join the group without changing the effect of any
 // member: it shares no written key with the group, its conditions agree with the group's, and
 // the group stays within the limits.
-func (f *forming) fits(txn platform.Txn) bool {
+func (f *groupBuilder) fits(txn platform.Txn) bool {
 	for _, c := range txn.If {
 		if revision, ok := f.expected[c.Key]; ok && revision != c.ModRevision {
 			return false
@@ -60,7 +60,7 @@
 }
 
 // add adds a transaction to the group.
-func (f *forming) add(w *waiter) {
+func (f *groupBuilder) add(w *waiter) {
 	f.group = append(f.group, w)
 	for _, c := range w.txn.If {
 		f.expected[c.Key] = c.ModRevision
--- a/internal/platform/groupcommit/groupcommit.go
+++ b/internal/platform/groupcommit/groupcommit.go
@@ -71,9 +71,9 @@
 
 // waiter is one transaction with its waiting caller.
 type waiter struct {
-	txn   platform.Txn
-	until time.Time    // deadline of the caller
-	done  chan outcome // buffered for the one result
+	txn      platform.Txn
+	deadline time.Time    // deadline of the caller
+	done     chan outcome // buffered for the one result
 }
 
 // outcome is the result of one transaction.
@@ -113,7 +113,7 @@
 		return platform.TxnReply{}, fmt.Errorf("%w: %w", platform.ErrUnavailable, err)
 	}
 	s.commits.Inc()
-	w := &waiter{txn: txn, until: s.until(ctx), done: make(chan outcome, 1)}
+	w := &waiter{txn: txn, deadline: s.callerDeadline(ctx), done: make(chan outcome, 1)}
 	s.enqueue(w)
 	select {
 	case o := <-w.done:
@@ -123,9 +123,9 @@
 	}
 }
 
-// until returns the deadline of ctx. Without one, the caller waits for its group to be sent and
+// callerDeadline returns the deadline of ctx. Without one, the caller waits for its group to be sent and
 // committed.
-func (s *Store) until(ctx context.Context) time.Time {
+func (s *Store) callerDeadline(ctx context.Context) time.Time {
 	if deadline, ok := ctx.Deadline(); ok {
 		return deadline
 	}
@@ -165,7 +165,7 @@
 	s.schedule()
 	s.mu.Unlock()
 
-	ctx, cancel := context.WithDeadline(context.Background(), s.deadline(group))
+	ctx, cancel := context.WithDeadline(context.Background(), s.groupDeadline(group))
 	defer cancel()
 	s.commitGroup(ctx, group)
 
@@ -175,12 +175,12 @@
 	s.schedule()
 }
 
-// deadline returns the latest deadline of the group's callers, at most CommitTime from now.
-func (s *Store) deadline(group []*waiter) time.Time {
+// groupDeadline returns the latest deadline of the group's callers, at most CommitTime from now.
+func (s *Store) groupDeadline(group []*waiter) time.Time {
 	var latest time.Time
 	for _, w := range group {
-		if w.until.After(latest) {
-			latest = w.until
+		if w.deadline.After(latest) {
+			latest = w.deadline
 		}
 	}
 	if limit := time.Now().Add(s.options.CommitTime); latest.After(limit) {
--- a/internal/platform/hosthttp/client.go
+++ b/internal/platform/hosthttp/client.go
@@ -20,8 +20,8 @@
 	Path = "/v1/hosts"
 	// DefaultTimeout is the time limit of one read.
 	DefaultTimeout = 3 * time.Second
-	// maxReply bounds the list, in bytes.
-	maxReply = 16 << 20
+	// maxReplyBytes is the maximum size of the list.
+	maxReplyBytes = 16 << 20
 )
 
 // Reply is the body of the list.
@@ -85,7 +85,7 @@
 
 // read decodes a new list and stores it with its ETag.
 func (c *Client) read(response *http.Response) ([]platform.Host, error) {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
 		return nil, unavailable(err)
 	}
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -9,7 +9,7 @@
 const (
 	// MaxValueBytes is the maximum size of one value.
 	MaxValueBytes = 1 << 20
-	// MaxTxnOps is the maximum number of conditions in one transaction, and separately of writes.
+	// MaxTxnOps is the maximum number of conditions of one transaction, and also that of its writes.
 	MaxTxnOps = 128
 )
 
--- a/internal/platform/memstore/faults.go
+++ b/internal/platform/memstore/faults.go
@@ -10,7 +10,7 @@
 const EveryCall = -1
 
 // Faults are the faults between clients and the store. The zero value is a healthy store. Counts are
-// of the next writes; All means every write.
+// of the next writes; EveryCall means every write.
 type Faults struct {
 	// Refuse fails calls before anything is sent, and ends watches.
 	Refuse bool `json:"refuse,omitempty"`
@@ -105,18 +105,18 @@
 func (c *Client) loseRequest() bool {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
-	return take(&c.faults.LoseRequests) || take(&c.engine.faults.LoseRequests)
+	return consume(&c.faults.LoseRequests) || consume(&c.engine.faults.LoseRequests)
 }
 
 // loseReply reports whether a write's reply is lost, and decrements the counted fault.
 func (c *Client) loseReply() bool {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
-	return take(&c.faults.LoseAnswers) || take(&c.engine.faults.LoseAnswers)
+	return consume(&c.faults.LoseAnswers) || consume(&c.engine.faults.LoseAnswers)
 }
 
-// take decrements a counted fault and reports whether it applies.
-func take(count *int) bool {
+// consume decrements a counted fault and reports whether it applies.
+func consume(count *int) bool {
 	if *count > 0 {
 		*count--
 		return true
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -135,7 +135,7 @@
 // Poller is a Store whose changes can also be read with long polls. Every method is one call.
 type Poller interface {
 	Store
-	// Get returns the record of one key; ok is false when there is none.
+	// Get returns the record of one key; ok is false if the key does not exist.
 	Get(ctx context.Context, key string) (rec Record, ok bool, err error)
 	// ListStale is List at a fraction of its cost; the result may be seconds old.
 	ListStale(ctx context.Context, prefix string) ([]Record, Revision, error)
--- a/internal/platform/platformtest/poller.go
+++ b/internal/platform/platformtest/poller.go
@@ -18,7 +18,7 @@
 	Compact func()
 }
 
-// TestPoller runs the contract of platform.Poller, except that of platform.Store.
+// TestPoller runs the contract of platform.Poller without the part of platform.Store.
 func TestPoller(t *testing.T, setup func(t *testing.T) PollerCase) {
 	tests := map[string]func(ctx context.Context, is *is.I, c PollerCase){
 		"get":                             getOne,
--- a/internal/platform/resend/latency.go
+++ b/internal/platform/resend/latency.go
@@ -7,8 +7,8 @@
 
 // Limits of the wait for a reply.
 const (
-	// minWait is several times the latency of an unloaded store (4 ms), and covers the time for which
-	// a process may be delayed for lack of processor time.
+	// minWait is several times the latency of an unloaded store (4 ms), and leaves time for delays of a
+	// process that waits for a processor.
 	minWait = 60 * time.Millisecond
 	// maxWait limits the wait while replies are slow.
 	maxWait = 2 * time.Second
--- a/internal/platform/resend/resend.go
+++ b/internal/platform/resend/resend.go
@@ -68,7 +68,7 @@
 // store never accepts the transaction, ErrUnavailable if the transaction certainly has no effect, and
 // ErrUnknownOutcome if it may have one, now or later. The latter two are returned when ctx ends, or
 // when giveUp, if not nil, returns true; its argument is whether a copy may have an effect.
-func (s *Sender) Commit(ctx context.Context, txn platform.Txn, giveUp func(inDoubt bool) bool) (Reply, error) {
+func (s *Sender) Commit(ctx context.Context, txn platform.Txn, giveUp func(mayHaveApplied bool) bool) (Reply, error) {
 	calls, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	c := copies{sender: s, ctx: ctx, calls: calls, txn: txn, gap: s.latency.Wait(), pause: failurePause, results: make(chan copyResult, maxCopies)}
 	if giveUp == nil {
@@ -117,12 +117,12 @@
 
 // copyResult is the outcome of one copy.
 type copyResult struct {
-	of    *flight
-	reply platform.TxnReply
-	err   error
+	flight *flight
+	reply  platform.TxnReply
+	err    error
 }
 
-func (c *copies) run(giveUp func(inDoubt bool) bool) (Reply, error) {
+func (c *copies) run(giveUp func(mayHaveApplied bool) bool) (Reply, error) {
 	c.send()
 	next := time.NewTimer(c.gap)
 	defer next.Stop()
@@ -185,14 +185,14 @@
 func (c *copies) process(a copyResult) (reply Reply, done bool, err error) {
 	now := time.Now()
 	oldest := c.inFlight[0]
-	if !c.remove(a.of) {
+	if !c.remove(a.flight) {
 		return Reply{}, false, nil // cancelled before
 	}
 	switch {
 	case a.err == nil:
 		c.sender.health.RecordCall(true, now)
-		c.sender.latency.Observe(now.Sub(a.of.sent))
-		c.overtaken = oldest != a.of
+		c.sender.latency.Observe(now.Sub(a.flight.sent))
+		c.overtaken = oldest != a.flight
 		return Reply{TxnReply: a.reply, Repeated: c.sent > 1}, true, nil
 	case errors.Is(a.err, platform.ErrRefused):
 		return Reply{}, true, a.err
@@ -214,9 +214,9 @@
 		select {
 		case a := <-c.results:
 			if a.err == nil {
-				c.sender.latency.Observe(time.Since(a.of.sent)) // read late, as this process is busy
+				c.sender.latency.Observe(time.Since(a.flight.sent)) // read late, as this process is busy
 			}
-			if a.of == oldest {
+			if a.flight == oldest {
 				return
 			}
 		case <-timer.C:
--- a/internal/platform/resend/resend_test.go
+++ b/internal/platform/resend/resend_test.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// TestOutcomes checks that the error of a transaction that was given up says correctly whether it may
+// TestOutcomes checks that the error of an abandoned transaction says correctly whether it may
 // have been applied.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
--- a/internal/settings/bench_test.go
+++ b/internal/settings/bench_test.go
@@ -119,12 +119,12 @@
 	perSize(b, func(b *testing.B, n int) {
 		engine := memstore.New()
 		store := &countingStore{Client: engine.Client("bench")}
-		k := NewManager(ManagerConfig{Store: store, Log: discardLog()})
+		m := NewManager(ManagerConfig{Store: store, Log: discardLog()})
 		ctx := context.Background()
-		if _, err := k.refresh(ctx); err != nil {
+		if _, err := m.refresh(ctx); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := k.Change(ctx, edit(0, string(fileOf(n)))); err != nil {
+		if _, err := m.Change(ctx, edit(0, string(fileOf(n)))); err != nil {
 			b.Fatal(err)
 		}
 		path := fmt.Sprintf("/g%d/t%d", (n-1)/100, n-1)
@@ -132,8 +132,8 @@
 		store.bytes.Store(0)
 		b.ReportAllocs()
 		for b.Loop() {
-			change := edit(k.Revision(), fmt.Sprintf(`{%q:{"task":{"priority":%d}}}`, path, k.Revision()%1000))
-			if _, err := k.Change(ctx, change); err != nil {
+			change := edit(m.Revision(), fmt.Sprintf(`{%q:{"task":{"priority":%d}}}`, path, m.Revision()%1000))
+			if _, err := m.Change(ctx, change); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -149,8 +149,8 @@
 		var calls int64
 		for b.Loop() {
 			store := &countingStore{Client: memstore.New().Client("bench")}
-			k := NewManager(ManagerConfig{Store: store, Log: discardLog()})
-			if _, err := k.Change(context.Background(), edit(0, file)); err != nil {
+			m := NewManager(ManagerConfig{Store: store, Log: discardLog()})
+			if _, err := m.Change(context.Background(), edit(0, file)); err != nil {
 				b.Fatal(err)
 			}
 			calls = store.calls.Load()
--- a/internal/settings/catchup.go
+++ b/internal/settings/catchup.go
@@ -100,43 +100,43 @@
 	}
 }
 
-// catchUpLoop queries peers whenever the process has no revision, or lacks one that is known to exist, for longer
+// catchUpLoop queries peers whenever the process has no revision, or is behind highestKnown, for longer
 // than the store's watch should take to deliver it.
-func (k *Manager) catchUpLoop(ctx context.Context) {
-	if k.cfg.Caller == nil {
+func (m *Manager) catchUpLoop(ctx context.Context) {
+	if m.cfg.Caller == nil {
 		return
 	}
 	for ctx.Err() == nil {
-		for _, revision := range k.cfg.MemberRevisions() {
-			k.replica.observe(revision)
+		for _, revision := range m.cfg.MemberRevisions() {
+			m.replica.observe(revision)
 		}
-		if k.replica.ready() == nil {
+		if m.replica.ready() == nil {
 			wait.For(ctx, revisionPollInterval)
 			continue
 		}
 		wait.For(ctx, catchUpDelay)
-		if k.replica.ready() != nil {
-			k.catchUp(ctx)
+		if m.replica.ready() != nil {
+			m.catchUp(ctx)
 		}
 	}
 }
 
 // catchUp fetches from each peer in turn until the replica is ready.
-func (k *Manager) catchUp(ctx context.Context) {
-	addrs := k.cfg.Peers()
-	if k.Current() == nil {
-		addrs = k.replica.rankByRevision(ctx, k.cfg.Caller, addrs)
+func (m *Manager) catchUp(ctx context.Context) {
+	addrs := m.cfg.Peers()
+	if m.Current() == nil {
+		addrs = m.replica.rankByRevision(ctx, m.cfg.Caller, addrs)
 	}
 	for _, addr := range addrs {
-		before := k.replica.revision()
-		if err := k.replica.fetchFrom(ctx, k.cfg.Caller, addr, FetchRequest{}); err != nil {
-			k.cfg.Log.WithError(err).WithField("peer", addr).Debug("settings: peer did not answer")
+		before := m.replica.revision()
+		if err := m.replica.fetchFrom(ctx, m.cfg.Caller, addr, FetchRequest{}); err != nil {
+			m.cfg.Log.WithError(err).WithField("peer", addr).Debug("settings: peer did not answer")
 			continue
 		}
-		if k.replica.revision() > before {
-			k.counters.learned.Inc()
+		if m.replica.revision() > before {
+			m.counters.fetchedFromPeers.Inc()
 		}
-		if k.replica.ready() == nil {
+		if m.replica.ready() == nil {
 			return
 		}
 	}
--- a/internal/settings/catchup_test.go
+++ b/internal/settings/catchup_test.go
@@ -15,26 +15,26 @@
 // A requester that has a recent tree is sent only the branches that changed since.
 func TestAnswerHoldsTheDifference(t *testing.T) {
 	inBubble(t, 1, 0, func(is *is.I, c *cell) {
-		k := c.managers[0]
+		m := c.managers[0]
 		_, err := c.change(0, largeChange())
 		is.NoErr(err)
-		previous := k.Current()
+		previous := m.Current()
 		_, err = c.change(0, `{"/b7":{"task":{"surge":5}}}`)
 		is.NoErr(err)
 
 		root := previous.RootHash()
-		is.Equal(len(k.replica.reply(FetchRequest{Have: 1, Root: root[:]}).Branches), 2) // the root and /b7
-		all := len(k.Current().Paths())
-		is.Equal(len(k.replica.reply(FetchRequest{Have: 1}).Branches), all)                         // without the root's hash
-		is.Equal(len(k.replica.reply(FetchRequest{Have: 1, Root: make([]byte, 32)}).Branches), all) // another root
-		is.Equal(len(k.replica.reply(FetchRequest{Have: -1, HeadOnly: true}).Branches), 0)
-		is.Equal(len(k.replica.reply(FetchRequest{Have: 2}).Head), 0) // nothing newer
+		is.Equal(len(m.replica.reply(FetchRequest{Have: 1, Root: root[:]}).Branches), 2) // the root and /b7
+		all := len(m.Current().Paths())
+		is.Equal(len(m.replica.reply(FetchRequest{Have: 1}).Branches), all)                         // without the root's hash
+		is.Equal(len(m.replica.reply(FetchRequest{Have: 1, Root: make([]byte, 32)}).Branches), all) // another root
+		is.Equal(len(m.replica.reply(FetchRequest{Have: -1, HeadOnly: true}).Branches), 0)
+		is.Equal(len(m.replica.reply(FetchRequest{Have: 2}).Head), 0) // nothing newer
 
 		for i := range int64(recentTrees) {
 			_, err = c.change(0, fmt.Sprintf(`{"/b7":{"task":{"surge":%d}}}`, i))
 			is.NoErr(err)
 		}
-		is.Equal(len(k.replica.reply(FetchRequest{Have: 1, Root: root[:]}).Branches), all) // too old
+		is.Equal(len(m.replica.reply(FetchRequest{Have: 1, Root: root[:]}).Branches), all) // too old
 	})
 }
 
--- a/internal/settings/cell_test.go
+++ b/internal/settings/cell_test.go
@@ -94,14 +94,14 @@
 func (c *cell) startWith(i int, store platform.Store) {
 	c.kill(i)
 	ctx, cancel := context.WithCancel(c.ctx)
-	k := NewManager(ManagerConfig{Store: store, Caller: c.network, Log: discardLog(),
+	m := NewManager(ManagerConfig{Store: store, Caller: c.network, Log: discardLog(),
 		Peers: func() []string { return c.addrs(i) }, AppliedRevisions: c.appliedRevisions})
-	c.recordApplied(k.OnApply, placerAddr(i))
+	c.recordApplied(m.OnApply, placerAddr(i))
 	mux := peer.NewMux()
-	k.Serve(mux)
-	c.managers[i], c.stops[i] = k, cancel
+	m.Serve(mux)
+	c.managers[i], c.stops[i] = m, cancel
 	c.network.connect(placerAddr(i), mux)
-	go k.Run(ctx)
+	go m.Run(ctx)
 }
 
 // recordApplied records the revisions that a process applies. Successive processes of one placer are recorded
@@ -159,9 +159,9 @@
 // appliedRevisions stands in for the revisions that heartbeats report.
 func (c *cell) appliedRevisions() map[string]int64 {
 	out := map[string]int64{}
-	for i, k := range c.managers {
+	for i, m := range c.managers {
 		if c.stops[i] != nil {
-			out[placerAddr(i)] = k.AppliedRevision()
+			out[placerAddr(i)] = m.AppliedRevision()
 		}
 	}
 	return out
@@ -169,10 +169,10 @@
 
 // heartbeat passes each live placer's revision to every other live placer once.
 func (c *cell) heartbeat() {
-	for i, k := range c.managers {
+	for i, m := range c.managers {
 		for j, other := range c.managers {
 			if i != j && c.stops[i] != nil && c.stops[j] != nil {
-				k.ObserveRevision(other.Revision())
+				m.ObserveRevision(other.Revision())
 			}
 		}
 	}
@@ -181,9 +181,9 @@
 // behind names the processes whose active revision isn't the given one.
 func (c *cell) behind(revision int64) []string {
 	var out []string
-	for i, k := range c.managers {
-		if c.stops[i] != nil && k.replica.revision() != revision {
-			out = append(out, fmt.Sprintf("%s at %d", placerAddr(i), k.replica.revision()))
+	for i, m := range c.managers {
+		if c.stops[i] != nil && m.replica.revision() != revision {
+			out = append(out, fmt.Sprintf("%s at %d", placerAddr(i), m.replica.revision()))
 		}
 	}
 	for i, f := range c.followers {
@@ -238,7 +238,7 @@
 	return c.managers[i].Change(c.ctx, edit(c.managers[i].replica.revision(), branches))
 }
 
-// settle is the time that a cell is given to learn its first revision.
+// settle is the time that a cell is given to apply its first revision.
 const settle = 2 * time.Second
 
 // inBubble runs fn in a synctest bubble with a cell whose processes are up to date. It fails if any process ever
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -59,33 +59,33 @@
 // Change makes an operator's change: it validates the change as a whole against the head and accepts it by one
 // compare-and-swap, or returns the reason for the refusal. After an error with ran: unknown
 // (SettingsOutcomeUnknown), sending the change again with the same id determines the outcome.
-func (k *Manager) Change(ctx context.Context, c Change) (Accepted, error) {
-	accepted, err := k.change(ctx, c)
+func (m *Manager) Change(ctx context.Context, c Change) (Accepted, error) {
+	accepted, err := m.change(ctx, c)
 	if err != nil {
-		k.counters.changes.WithLabelValues(strconv.Itoa(int(result.CodeOf(err)))).Inc()
+		m.counters.changes.WithLabelValues(strconv.Itoa(int(result.CodeOf(err)))).Inc()
 		return Accepted{}, err
 	}
-	k.counters.changes.WithLabelValues("0").Inc()
+	m.counters.changes.WithLabelValues("0").Inc()
 	if c.WaitMillis > 0 {
-		accepted.NotApplied = k.waitApplied(ctx, accepted.Revision, time.Duration(c.WaitMillis)*time.Millisecond)
+		accepted.NotApplied = m.waitApplied(ctx, accepted.Revision, time.Duration(c.WaitMillis)*time.Millisecond)
 	}
 	return accepted, nil
 }
 
-func (k *Manager) change(ctx context.Context, c Change) (Accepted, error) {
+func (m *Manager) change(ctx context.Context, c Change) (Accepted, error) {
 	p, err := prepare(c)
 	if err != nil {
 		return Accepted{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	a := attempt{k: k, p: p}
+	a := attempt{m: m, p: p}
 	return a.run(ctx)
 }
 
 // attempt is the processing of one change until it is accepted or refused.
 type attempt struct {
-	k *Manager
+	m *Manager
 	p prepared
 	// uncertain is true while the outcome of a swap that was sent is unknown. Such a swap can still take effect as
 	// long as the head has not moved.
@@ -125,8 +125,8 @@
 	return Accepted{}, a.withUncertainOutcome(result.New(result.SettingsContention, result.RanNo, "%d other changes came first", maxConflicts).WithRetryAfter(storeDownRetryAfter))
 }
 
-// withUncertainOutcome returns a refusal that doesn't cover earlier submissions of the same change: unless this
-// submission is the first, the change may already have been accepted.
+// withUncertainOutcome returns a refusal with an unknown outcome, unless the change was never submitted before and no
+// swap of it is uncertain: an earlier submission or swap may have been accepted.
 func (a *attempt) withUncertainOutcome(e *result.Error) error {
 	if a.p.First && !a.uncertain {
 		return e
@@ -149,19 +149,19 @@
 
 // syncHistory makes sure that the head's record and the history since the change's base are in memory.
 func (a *attempt) syncHistory(ctx context.Context) error {
-	k := a.k
-	s := k.replica.snapshot()
+	m := a.m
+	s := m.replica.snapshot()
 	if a.uncertain || s.tree == nil || s.tree.Revision < max(s.highestKnown, a.p.Base) || (s.mod == 0 && s.tree.Revision > 0) {
-		if _, err := k.refresh(ctx); err != nil {
+		if _, err := m.refresh(ctx); err != nil {
 			return &storeError{err}
 		}
-		s = k.replica.snapshot()
+		s = m.replica.snapshot()
 	}
 	from := max(a.p.Base+1, s.tree.Revision-HistoryLimit+1)
-	if _, ok := k.replica.historyRange(from, s.tree.Revision); ok {
+	if _, ok := m.replica.historyRange(from, s.tree.Revision); ok {
 		return nil
 	}
-	if err := k.loadHistory(ctx); err != nil {
+	if err := m.loadHistory(ctx); err != nil {
 		return &storeError{err}
 	}
 	return nil
@@ -170,8 +170,8 @@
 // tryOnce evaluates the change against the head and swaps the head. moved is true when another change was swapped
 // first.
 func (a *attempt) tryOnce(ctx context.Context) (accepted Accepted, moved bool, err error) {
-	k := a.k
-	s := k.replica.snapshot()
+	m := a.m
+	s := m.replica.snapshot()
 	if done, ok, err := a.findAccepted(s); ok || err != nil {
 		return done, false, err
 	}
@@ -183,19 +183,19 @@
 		moved, err = a.confirmRefusal(ctx, s, err)
 		return Accepted{}, moved, err
 	}
-	swap, err := k.swapTxn(ctx, s, head, fresh)
+	swap, err := m.swapTxn(ctx, s, head, fresh)
 	if err != nil {
 		return Accepted{}, false, err
 	}
-	reply, err := k.commit(ctx, swap)
+	reply, err := m.commit(ctx, swap)
 	if err != nil {
 		a.uncertain = a.uncertain || !errors.Is(err, platform.ErrUnavailable)
 		return Accepted{}, false, &storeError{err}
 	}
 	if !reply.Applied {
-		return Accepted{}, true, k.applyFoundHead(ctx, s, reply)
+		return Accepted{}, true, m.applyFoundHead(ctx, s, reply)
 	}
-	k.activateOwn(head, reply.Revision, root)
+	m.activateOwn(head, reply.Revision, root)
 	return Accepted{Revision: head.Revision, ChangeID: a.p.ID}, false, nil
 }
 
@@ -215,19 +215,19 @@
 	if isStoreError(refusal) {
 		return false, refusal
 	}
-	reply, err := a.k.commit(ctx, platform.Txn{If: []platform.Condition{{Key: headKey, ModRevision: s.mod}}})
+	reply, err := a.m.commit(ctx, platform.Txn{If: []platform.Condition{{Key: headKey, ModRevision: s.mod}}})
 	if err != nil {
 		return false, &storeError{err}
 	}
 	if reply.Applied {
 		return false, refusal
 	}
-	return true, a.k.applyFoundHead(ctx, s, reply)
+	return true, a.m.applyFoundHead(ctx, s, reply)
 }
 
 // findAccepted reports whether the change has already been accepted. It refuses a different change with the same id.
 func (a *attempt) findAccepted(s snapshot) (Accepted, bool, error) {
-	h, ok := a.k.replica.byChangeID(a.p.ID)
+	h, ok := a.m.replica.byChangeID(a.p.ID)
 	if !ok {
 		return Accepted{}, false, nil
 	}
@@ -248,7 +248,7 @@
 	case base < head-HistoryLimit:
 		return a.withUncertainOutcome(result.New(result.SettingsBaseTooOld, result.RanNo, "against revision %d, the head is %d and %d are kept", base, head, HistoryLimit).AtField("revision"))
 	}
-	since, complete := a.k.replica.historyRange(base+1, head)
+	since, complete := a.m.replica.historyRange(base+1, head)
 	if !complete {
 		return errHistoryGap
 	}
@@ -281,10 +281,10 @@
 func (a *attempt) newHead(ctx context.Context, s snapshot) (Head, *node, []*node, error) {
 	h := Head{
 		Revision: s.tree.Revision + 1, ChangeID: a.p.ID, Digest: a.p.digest,
-		By: a.p.By, Note: a.p.Note, At: a.k.cfg.Now().UTC(),
+		By: a.p.By, Note: a.p.Note, At: a.m.cfg.Now().UTC(),
 	}
 	if a.p.Rollback {
-		root, err := a.k.treeAt(ctx, a.p.RollbackTo)
+		root, err := a.m.treeAt(ctx, a.p.RollbackTo)
 		if err != nil {
 			return h, nil, nil, err
 		}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -24,31 +24,31 @@
 // colon and the setting's name.
 func check(path string, values *Values) error {
 	err := rules.Struct(values)
-	var faults validator.ValidationErrors
-	if err == nil || !errors.As(err, &faults) {
+	var violations validator.ValidationErrors
+	if err == nil || !errors.As(err, &violations) {
 		return err
 	}
-	first := faults[0]
+	first := violations[0]
 	name := strings.TrimPrefix(first.Namespace(), reflect.TypeFor[Values]().Name()+".")
 	return violationError(first, name).AtField(path + ":" + name)
 }
 
 // violationError returns the error for one violated rule.
-func violationError(fault validator.FieldError, name string) *result.Error {
+func violationError(violation validator.FieldError, name string) *result.Error {
 	group, _, _ := strings.Cut(name, ".")
-	switch fault.Tag() {
+	switch violation.Tag() {
 	case "ltefield", "gtefield":
 		bound := "at most"
-		if fault.Tag() == "gtefield" {
+		if violation.Tag() == "gtefield" {
 			bound = "at least"
 		}
 		return result.New(result.SettingsContradiction, result.RanNo, "%v, but must be %s %s.%s of the same branch",
-			fault.Value(), bound, group, jsonNameOfField(fault.Param()))
+			violation.Value(), bound, group, jsonNameOfField(violation.Param()))
 	case "oneof":
-		return result.New(result.SettingsOutOfRange, result.RanNo, "%q, but must be one of: %s", fault.Value(), fault.Param())
+		return result.New(result.SettingsOutOfRange, result.RanNo, "%q, but must be one of: %s", violation.Value(), violation.Param())
 	default:
 		return result.New(result.SettingsOutOfRange, result.RanNo, "%v, but %s is %s %s",
-			fault.Value(), fault.Tag(), fault.Param(), fieldByName[name].Unit)
+			violation.Value(), violation.Tag(), violation.Param(), fieldByName[name].Unit)
 	}
 }
 
--- a/internal/settings/collect.go
+++ b/internal/settings/collect.go
@@ -23,8 +23,8 @@
 const collectInterval = 10 * time.Minute
 
 // runCollector collects every collectInterval while Collector selects this member.
-func (k *Manager) runCollector(ctx context.Context) {
-	if k.cfg.IsCollector == nil {
+func (m *Manager) runCollector(ctx context.Context) {
+	if m.cfg.IsCollector == nil {
 		return
 	}
 	for {
@@ -32,13 +32,13 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !k.cfg.IsCollector() {
+		if !m.cfg.IsCollector() {
 			continue
 		}
-		if n, err := k.Collect(ctx); err != nil {
-			k.cfg.Log.WithError(err).Info("settings: collection ended early")
+		if n, err := m.Collect(ctx); err != nil {
+			m.cfg.Log.WithError(err).Info("settings: collection ended early")
 		} else if n > 0 {
-			k.cfg.Log.WithField("branches", n).Info("settings: unreferenced branches deleted")
+			m.cfg.Log.WithField("branches", n).Info("settings: unreferenced branches deleted")
 		}
 	}
 }
@@ -50,25 +50,25 @@
 // change swapped in the meantime makes the deletion fail, and a change swapped later contains its branches in the
 // swap itself. Branches written ahead of a large change's swap may be deleted; the deletion then also writes
 // settings/collected, on which that swap is conditional, so that the swap fails and the branches are written again.
-func (k *Manager) Collect(ctx context.Context) (int, error) {
-	heads, _, err := k.list(ctx, headKey)
+func (m *Manager) Collect(ctx context.Context) (int, error) {
+	heads, _, err := m.list(ctx, headKey)
 	if err != nil || len(heads) == 0 {
 		return 0, err
 	}
-	roots, err := k.retainedRoots(ctx, heads[0])
+	roots, err := m.retainedRoots(ctx, heads[0])
 	if err != nil {
 		return 0, err
 	}
 	stored := map[Hash]storedBranch{}
 	for shard := range shards {
-		if err := k.listShard(ctx, shard, stored); err != nil {
+		if err := m.listShard(ctx, shard, stored); err != nil {
 			return 0, err
 		}
 	}
 	if err := mark(stored, roots); err != nil {
 		return 0, err
 	}
-	return k.sweep(ctx, heads[0], stored)
+	return m.sweep(ctx, heads[0], stored)
 }
 
 // storedBranch is a stored branch with its mark.
@@ -79,12 +79,12 @@
 }
 
 // retainedRoots returns the roots of the head and of all revisions in the history.
-func (k *Manager) retainedRoots(ctx context.Context, head platform.Record) ([]Hash, error) {
+func (m *Manager) retainedRoots(ctx context.Context, head platform.Record) ([]Hash, error) {
 	last, err := decodeHead(head.Value)
 	if err != nil {
 		return nil, err
 	}
-	records, _, err := k.list(ctx, historyPrefix)
+	records, _, err := m.list(ctx, historyPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -107,8 +107,8 @@
 }
 
 // listShard adds the stored branches of one shard.
-func (k *Manager) listShard(ctx context.Context, shard int, into map[Hash]storedBranch) error {
-	records, _, err := k.list(ctx, fmt.Sprintf("%s%x", branchPrefix, shard))
+func (m *Manager) listShard(ctx context.Context, shard int, stored map[Hash]storedBranch) error {
+	records, _, err := m.list(ctx, fmt.Sprintf("%s%x", branchPrefix, shard))
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 		for _, below := range c.Children {
 			b.children = append(b.children, below)
 		}
-		into[hash] = b
+		stored[hash] = b
 	}
 	return nil
 }
@@ -156,7 +156,7 @@
 }
 
 // sweep deletes the branches that were not marked and returns how many were deleted.
-func (k *Manager) sweep(ctx context.Context, head platform.Record, stored map[Hash]storedBranch) (int, error) {
+func (m *Manager) sweep(ctx context.Context, head platform.Record, stored map[Hash]storedBranch) (int, error) {
 	var writes []platform.Write
 	for hash, b := range stored {
 		if !b.reached {
@@ -172,7 +172,7 @@
 			If:   []platform.Condition{{Key: headKey, ModRevision: head.ModRevision}},
 			Then: append(part[:len(part):len(part)], platform.Write{Key: collectedKey, Value: []byte("{}")}),
 		}
-		reply, err := k.commit(ctx, txn)
+		reply, err := m.commit(ctx, txn)
 		if err != nil {
 			return deleted, err
 		}
--- a/internal/settings/dump.go
+++ b/internal/settings/dump.go
@@ -22,9 +22,9 @@
 }
 
 // Dump returns the state of the Manager for /debug/state.
-func (k *Manager) Dump() any {
-	d := k.replica.dump()
-	d.Followers = k.followers.live(time.Now())
+func (m *Manager) Dump() any {
+	d := m.replica.dump()
+	d.Followers = m.followers.live(time.Now())
 	return d
 }
 
--- a/internal/settings/history.go
+++ b/internal/settings/history.go
@@ -8,8 +8,8 @@
 )
 
 // loadHistory reads the history from the store into memory.
-func (k *Manager) loadHistory(ctx context.Context) error {
-	records, _, err := k.list(ctx, historyPrefix)
+func (m *Manager) loadHistory(ctx context.Context) error {
+	records, _, err := m.list(ctx, historyPrefix)
 	if err != nil {
 		return err
 	}
@@ -19,24 +19,24 @@
 			heads = append(heads, h)
 		}
 	}
-	k.replica.addHistory(heads)
+	m.replica.addHistory(heads)
 	return nil
 }
 
 // History returns the retained revisions, newest first. If some of them aren't in memory and the store can't be
 // read, it fails with SettingsStoreDown.
-func (k *Manager) History(ctx context.Context) ([]Head, error) {
-	s := k.replica.snapshot()
+func (m *Manager) History(ctx context.Context) ([]Head, error) {
+	s := m.replica.snapshot()
 	if s.tree == nil {
 		return nil, result.New(result.NotReady, result.RanNo, "no settings learned yet")
 	}
 	from := s.tree.Revision - HistoryLimit + 1
-	heads, complete := k.replica.historyRange(from, s.tree.Revision)
+	heads, complete := m.replica.historyRange(from, s.tree.Revision)
 	if !complete {
-		if err := k.loadHistory(ctx); err != nil {
+		if err := m.loadHistory(ctx); err != nil {
 			return nil, result.New(result.SettingsStoreDown, result.RanNo, "%v", err).WithRetryAfter(storeDownRetryAfter)
 		}
-		heads = k.replica.cachedHistory(from, s.tree.Revision)
+		heads = m.replica.cachedHistory(from, s.tree.Revision)
 	}
 	slices.Reverse(heads)
 	return heads, nil
@@ -68,17 +68,17 @@
 }
 
 // treeAt returns the root node of a revision in the history, reading from the store what isn't in memory.
-func (k *Manager) treeAt(ctx context.Context, revision int64) (*node, error) {
+func (m *Manager) treeAt(ctx context.Context, revision int64) (*node, error) {
 	if revision == 0 {
 		return emptyRoot, nil
 	}
-	s := k.replica.snapshot()
-	heads := k.replica.cachedHistory(revision, revision)
+	s := m.replica.snapshot()
+	heads := m.replica.cachedHistory(revision, revision)
 	if len(heads) == 0 {
-		if err := k.loadHistory(ctx); err != nil {
+		if err := m.loadHistory(ctx); err != nil {
 			return nil, &storeError{err}
 		}
-		heads = k.replica.cachedHistory(revision, revision)
+		heads = m.replica.cachedHistory(revision, revision)
 	}
 	if len(heads) == 0 {
 		return nil, result.New(result.SettingsNoSuchRevision, result.RanNo,
@@ -91,7 +91,7 @@
 		if l.err != nil || root != nil {
 			return root, l.err
 		}
-		if err := k.fetch(ctx, l.missing, pool); err != nil {
+		if err := m.fetch(ctx, l.missing, pool); err != nil {
 			return nil, &storeError{err}
 		}
 	}
--- a/internal/settings/http_test.go
+++ b/internal/settings/http_test.go
@@ -21,16 +21,16 @@
 	server := httptest.NewServer(storehttp.Handler(engine))
 	t.Cleanup(server.Close)
 	ctx := t.Context() // canceled before the cleanups run
-	keeper := func(name string) *Manager {
+	newManager := func(name string) *Manager {
 		client, err := etcdhttp.New(etcdhttp.Options{Endpoints: []string{strings.TrimPrefix(server.URL, "http://")}, Name: name})
 		is.NoErr(err)
-		k := NewManager(ManagerConfig{Store: client, Log: discardLog()})
+		m := NewManager(ManagerConfig{Store: client, Log: discardLog()})
 		done := make(chan struct{})
-		go func() { defer close(done); k.Run(ctx) }()
+		go func() { defer close(done); m.Run(ctx) }()
 		t.Cleanup(func() { <-done; client.Close() })
-		return k
+		return m
 	}
-	a, b := keeper("a"), keeper("b")
+	a, b := newManager("a"), newManager("b")
 	waitFor(t, "both have revision 0", func() bool { return a.Revision() == 0 && b.Revision() == 0 })
 
 	_, err := a.Change(ctx, edit(0, `{"/a":{"executor":{"slots":3}}}`))
@@ -42,7 +42,7 @@
 	n, err := a.Collect(ctx)
 	is.NoErr(err)
 	is.Equal(n, 0)
-	c := keeper("c")
+	c := newManager("c")
 	waitFor(t, "a new process has revision 2", func() bool { return c.Revision() == 2 })
 	is.Equal(c.Current().RootHash(), a.Current().RootHash())
 }
--- a/internal/settings/manager.go
+++ b/internal/settings/manager.go
@@ -73,58 +73,58 @@
 	if cfg.AppliedRevisions == nil {
 		cfg.AppliedRevisions = func() map[string]int64 { return nil }
 	}
-	k := &Manager{cfg: cfg, replica: newReplica(), followers: newFollowers()}
-	k.counters = newCounters(cfg.Metrics, k.replica)
-	return k
+	m := &Manager{cfg: cfg, replica: newReplica(), followers: newFollowers()}
+	m.counters = newCounters(cfg.Metrics, m.replica)
+	return m
 }
 
 // Current returns the active tree, or nil before the first one was loaded.
-func (k *Manager) Current() *Tree { return k.replica.current.Load() }
+func (m *Manager) Current() *Tree { return m.replica.current.Load() }
 
 // Ready returns why the process can't act on settings yet, or nil.
-func (k *Manager) Ready() error { return k.replica.ready() }
+func (m *Manager) Ready() error { return m.replica.ready() }
 
 // OnApply registers a function that is called with each tree that becomes active, in order. Call it before Run; fn
 // must not block.
-func (k *Manager) OnApply(fn func(*Tree)) { k.replica.onApply = append(k.replica.onApply, fn) }
+func (m *Manager) OnApply(fn func(*Tree)) { m.replica.onApply = append(m.replica.onApply, fn) }
 
 // ObserveRevision records that the revision is active in another process, as that process's heartbeat reports. If
 // the watch lags behind it, the revision is fetched from peers.
-func (k *Manager) ObserveRevision(revision int64) { k.replica.observe(revision) }
+func (m *Manager) ObserveRevision(revision int64) { m.replica.observe(revision) }
 
 // Revision returns the active revision, -1 before the first.
-func (k *Manager) Revision() int64 { return k.replica.revision() }
+func (m *Manager) Revision() int64 { return m.replica.revision() }
 
 // AppliedRevision returns the lowest of the revisions active in this process and in the entries that poll it. A
 // change with a wait waits for this value. It must not be passed to ObserveRevision: a lagging entry would hide
 // from other placers a revision that this one has.
-func (k *Manager) AppliedRevision() int64 {
-	return k.followers.lowestRevision(k.replica.revision(), time.Now())
+func (m *Manager) AppliedRevision() int64 {
+	return m.followers.lowestRevision(m.replica.revision(), time.Now())
 }
 
 // Run loads the settings and follows the head until ctx ends.
-func (k *Manager) Run(ctx context.Context) {
+func (m *Manager) Run(ctx context.Context) {
 	var parts sync.WaitGroup
-	parts.Go(func() { k.catchUpLoop(ctx) })
-	parts.Go(func() { k.runCollector(ctx) })
-	k.followHead(ctx)
+	parts.Go(func() { m.catchUpLoop(ctx) })
+	parts.Go(func() { m.runCollector(ctx) })
+	m.followHead(ctx)
 	parts.Wait()
 }
 
 // followHead reads the head and watches for changes, repeatedly until ctx ends.
-func (k *Manager) followHead(ctx context.Context) {
+func (m *Manager) followHead(ctx context.Context) {
 	retryBackoff := newRetryBackoff()
 	for ctx.Err() == nil {
-		before := k.replica.revision()
-		rev, err := k.refresh(ctx)
+		before := m.replica.revision()
+		rev, err := m.refresh(ctx)
 		if err == nil {
-			err = k.watch(ctx, rev)
+			err = m.watch(ctx, rev)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		k.cfg.Log.WithError(err).Debug("settings: watch ended")
-		if k.replica.revision() > before {
+		m.cfg.Log.WithError(err).Debug("settings: watch ended")
+		if m.replica.revision() > before {
 			retryBackoff.Reset()
 		}
 		wait.For(ctx, retryBackoff.NextBackOff())
@@ -135,16 +135,16 @@
 var errSilent = errors.New("settings: the watch is silent")
 
 // watch processes the changes after rev until the watch ends or pollHead finds it silent.
-func (k *Manager) watch(ctx context.Context, rev platform.Revision) error {
+func (m *Manager) watch(ctx context.Context, rev platform.Revision) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		k.pollHead(ctx, cancel)
+		m.pollHead(ctx, cancel)
 	}()
-	err := k.cfg.Store.Watch(ctx, storePrefix, rev, func(b platform.Batch) { k.processBatch(ctx, b) })
-	k.counters.watches.Inc()
+	err := m.cfg.Store.Watch(ctx, storePrefix, rev, func(b platform.Batch) { m.processBatch(ctx, b) })
+	m.counters.watches.Inc()
 	cancel(nil)
 	<-done
 	return err
@@ -152,15 +152,15 @@
 
 // pollHead reads the head periodically. When a read returns a revision that the watch has not delivered, pollHead
 // cancels the watch, so that it is restarted.
-func (k *Manager) pollHead(ctx context.Context, cancelWatch context.CancelCauseFunc) {
+func (m *Manager) pollHead(ctx context.Context, cancelWatch context.CancelCauseFunc) {
 	for {
 		wait.For(ctx, headPollInterval)
 		if ctx.Err() != nil {
 			return
 		}
-		before := k.replica.revision()
-		_, err := k.refresh(ctx)
-		if err == nil && k.replica.revision() > before {
+		before := m.replica.revision()
+		_, err := m.refresh(ctx)
+		if err == nil && m.replica.revision() > before {
 			cancelWatch(errSilent)
 			return
 		}
@@ -168,28 +168,28 @@
 }
 
 // refresh reads the head from the store and activates it. It returns the store's revision from which to watch.
-func (k *Manager) refresh(ctx context.Context) (platform.Revision, error) {
-	records, rev, err := k.list(ctx, headKey)
-	if err == nil && k.Current() == nil {
-		records, err = k.verifyHead(ctx, records)
+func (m *Manager) refresh(ctx context.Context) (platform.Revision, error) {
+	records, rev, err := m.list(ctx, headKey)
+	if err == nil && m.Current() == nil {
+		records, err = m.verifyHead(ctx, records)
 	}
 	if err != nil {
 		return 0, err
 	}
 	if len(records) == 0 {
-		return rev, k.applyHead(ctx, Head{Root: emptyRoot.hash}, 0)
+		return rev, m.applyHead(ctx, Head{Root: emptyRoot.hash}, 0)
 	}
-	return rev, k.applyRecord(ctx, records[0])
+	return rev, m.applyRecord(ctx, records[0])
 }
 
 // verifyHead checks by a transaction without writes that the head that was read isn't stale, and returns the current
 // one. Only a starting process needs it: later, a stale head is recognized because it is lower than the active one.
-func (k *Manager) verifyHead(ctx context.Context, records []platform.Record) ([]platform.Record, error) {
+func (m *Manager) verifyHead(ctx context.Context, records []platform.Record) ([]platform.Record, error) {
 	present := platform.Condition{Key: headKey}
 	if len(records) > 0 {
 		present.ModRevision = records[0].ModRevision
 	}
-	reply, err := k.commit(ctx, platform.Txn{If: []platform.Condition{present}})
+	reply, err := m.commit(ctx, platform.Txn{If: []platform.Condition{present}})
 	if err != nil || reply.Applied {
 		return records, err
 	}
@@ -197,16 +197,16 @@
 }
 
 // list is one read with callTimeout.
-func (k *Manager) list(ctx context.Context, prefix string) ([]platform.Record, platform.Revision, error) {
+func (m *Manager) list(ctx context.Context, prefix string) ([]platform.Record, platform.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	k.counters.reads.Inc()
-	return k.cfg.Store.List(ctx, prefix)
+	m.counters.reads.Inc()
+	return m.cfg.Store.List(ctx, prefix)
 }
 
 // processBatch processes one batch of a watch. It processes branches before the head, since a head's branches are
 // usually in the same batch.
-func (k *Manager) processBatch(ctx context.Context, b platform.Batch) {
+func (m *Manager) processBatch(ctx context.Context, b platform.Batch) {
 	var head *platform.Record
 	for i := range b.Changes {
 		c := &b.Changes[i]
@@ -215,60 +215,60 @@
 		case c.Key == headKey:
 			head = &c.Record
 		default:
-			k.cacheRecord(c.Record)
+			m.cacheRecord(c.Record)
 		}
 	}
 	if head == nil {
 		return
 	}
-	if err := k.applyRecord(ctx, *head); err != nil {
-		k.cfg.Log.WithError(err).Warn("settings: head not applied yet")
+	if err := m.applyRecord(ctx, *head); err != nil {
+		m.cfg.Log.WithError(err).Warn("settings: head not applied yet")
 	}
 }
 
 // cacheRecord stores a watched branch or history entry in the replica.
-func (k *Manager) cacheRecord(r platform.Record) {
+func (m *Manager) cacheRecord(r platform.Record) {
 	if hash, ok := hashOfKey(r.Key); ok {
-		k.replica.addToPool(hash, r.Value)
+		m.replica.addToPool(hash, r.Value)
 		return
 	}
 	if h, ok := historyOf(r); ok {
-		k.replica.addHistory([]Head{h})
+		m.replica.addHistory([]Head{h})
 	}
 }
 
 // applyRecord activates the head in a record.
-func (k *Manager) applyRecord(ctx context.Context, r platform.Record) error {
+func (m *Manager) applyRecord(ctx context.Context, r platform.Record) error {
 	h, err := decodeHead(r.Value)
 	if err != nil {
 		return err
 	}
-	return k.applyHead(ctx, h, r.ModRevision)
+	return m.applyHead(ctx, h, r.ModRevision)
 }
 
 // applyHead activates a head after fetching its missing branches.
-func (k *Manager) applyHead(ctx context.Context, h Head, mod platform.Revision) error {
-	if h.Revision < k.replica.revision() {
-		k.counters.behind.Inc()
+func (m *Manager) applyHead(ctx context.Context, h Head, mod platform.Revision) error {
+	if h.Revision < m.replica.revision() {
+		m.counters.staleHeads.Inc()
 		return nil
 	}
-	k.replica.observe(h.Revision)
+	m.replica.observe(h.Revision)
 	pool := map[Hash][]byte{emptyRoot.hash: emptyRoot.encode()}
 	for {
-		missing, err := k.replica.apply(h, mod, pool)
+		missing, err := m.replica.apply(h, mod, pool)
 		if err != nil || len(missing) == 0 {
 			return err
 		}
-		if err := k.fetch(ctx, missing, pool); err != nil {
+		if err := m.fetch(ctx, missing, pool); err != nil {
 			return err
 		}
 	}
 }
 
 // fetch reads the missing branches from the store into pool.
-func (k *Manager) fetch(ctx context.Context, missing []Hash, pool map[Hash][]byte) error {
+func (m *Manager) fetch(ctx context.Context, missing []Hash, pool map[Hash][]byte) error {
 	if len(missing) >= bulkFetchThreshold {
-		records, _, err := k.list(ctx, branchPrefix)
+		records, _, err := m.list(ctx, branchPrefix)
 		if err != nil {
 			return err
 		}
@@ -280,7 +280,7 @@
 		return checkAllFound(missing, pool)
 	}
 	for _, hash := range missing {
-		records, _, err := k.list(ctx, branchKey(hash))
+		records, _, err := m.list(ctx, branchKey(hash))
 		if err != nil {
 			return err
 		}
--- a/internal/settings/manager_test.go
+++ b/internal/settings/manager_test.go
@@ -270,13 +270,13 @@
 // may have changed the same branches, so the change must not be accepted without them.
 func TestHistoryGapIsNotTreatedAsNoConflict(t *testing.T) {
 	inBubble(t, 1, 0, func(is *is.I, c *cell) {
-		k := c.managers[0]
-		_, err := k.replica.apply(Head{Revision: 3, Root: emptyRoot.hash}, 0, nil)
+		m := c.managers[0]
+		_, err := m.replica.apply(Head{Revision: 3, Root: emptyRoot.hash}, 0, nil)
 		is.NoErr(err)
 		p, err := prepare(edit(1, `{"/":{}}`))
 		is.NoErr(err)
-		a := attempt{k: k, p: p}
-		is.Equal(a.checkBase(k.replica.snapshot()), errHistoryGap)
+		a := attempt{m: m, p: p}
+		is.Equal(a.checkBase(m.replica.snapshot()), errHistoryGap)
 	})
 }
 
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -77,7 +77,7 @@
 	return n
 }
 
-// hashedNode returns a node whose hash is known. The caller must add the node's own stored size to bytes.
+// hashedNode returns a node with the given hash. The caller must add the node's own stored size to bytes.
 func hashedNode(hash Hash, o Overrides, children []link, inherited, effective *Values) *node {
 	n := &node{hash: hash, overrides: o, children: children, inherited: inherited, effective: effective}
 	for _, l := range children {
--- a/internal/settings/outage_test.go
+++ b/internal/settings/outage_test.go
@@ -52,8 +52,8 @@
 	})
 }
 
-// A process that starts in an outage and learns of a revision that no peer can provide isn't ready: with the older
-// one its settings would revert.
+// A process that starts in an outage and receives the number of a revision that no peer can provide isn't ready: with
+// the older one its settings would revert.
 func TestStartInAnOutageBehindWhatWasInForce(t *testing.T) {
 	inBubble(t, 3, 0, func(is *is.I, c *cell) {
 		c.client(1).SetFaults(memstore.Faults{Refuse: true})
@@ -92,8 +92,8 @@
 	})
 }
 
-// An entry learns from a placer that lags that a higher revision exists. It must fetch it from another placer, and
-// keep it when that placer stops.
+// A placer that lags reports to an entry that a higher revision exists. The entry must fetch that
+// revision from another placer, and keep it when that placer stops.
 func TestFollowerNeverGoesBack(t *testing.T) {
 	inBubble(t, 2, 1, func(is *is.I, c *cell) {
 		c.client(0).SetFaults(memstore.Faults{Hang: true})
--- a/internal/settings/random_test.go
+++ b/internal/settings/random_test.go
@@ -101,7 +101,7 @@
 func (r *run) checkTrees(i int) {
 	r.c.managers[i].replica.mu.Lock()
 	defer r.c.managers[i].replica.mu.Unlock()
-	k := r.c.managers[i]
+	m := r.c.managers[i]
 	seen := func(t *Tree) {
 		r.mu.Lock()
 		before := r.observed[t.Revision]
@@ -116,8 +116,8 @@
 			}
 		})
 	}
-	k.replica.onApply = append(k.replica.onApply, seen)
-	if t := k.Current(); t != nil {
+	m.replica.onApply = append(m.replica.onApply, seen)
+	if t := m.Current(); t != nil {
 		r.mu.Lock()
 		r.observed[t.Revision] = t
 		r.mu.Unlock()
@@ -129,9 +129,9 @@
 	r.mu.Lock()
 	r.sent[change.ID] = change
 	r.mu.Unlock()
-	k := r.c.managers[i]
+	m := r.c.managers[i]
 	r.wg.Go(func() {
-		got, err := k.Change(context.Background(), change)
+		got, err := m.Change(context.Background(), change)
 		o := outcome{accepted: got.Revision}
 		if err != nil {
 			o.ran = result.From(err).Ran
@@ -148,8 +148,8 @@
 }
 
 func (r *run) step(s planStep) {
-	c, k := r.c, r.c.managers[s.Who]
-	base := max(0, k.Revision()-int64(s.N%3))
+	c, m := r.c, r.c.managers[s.Who]
+	base := max(0, m.Revision()-int64(s.N%3))
 	switch s.Kind {
 	case stepChange:
 		r.send(s.Who, edit(base, planBranches[s.N%len(planBranches)]))
@@ -158,7 +158,7 @@
 			r.send(i, edit(max(0, c.managers[i].Revision()), planBranches[(s.N+5*i)%len(planBranches)]))
 		}
 	case stepRollback:
-		r.send(s.Who, Change{ID: newID(), First: true, Base: max(0, k.Revision()), Rollback: true, RollbackTo: max(0, k.Revision()-int64(s.N%5))})
+		r.send(s.Who, Change{ID: newID(), First: true, Base: max(0, m.Revision()), Rollback: true, RollbackTo: max(0, m.Revision()-int64(s.N%5))})
 	case stepFault:
 		c.client(s.Who).SetFaults(planFaults[s.N%len(planFaults)])
 	case stepOutage:
@@ -176,7 +176,7 @@
 	case stepHeartbeat:
 		c.heartbeat()
 	case stepCollect:
-		_, _ = k.Collect(c.ctx) // it may fail; checkReplay verifies that nothing referenced was deleted
+		_, _ = m.Collect(c.ctx) // it may fail; checkReplay verifies that nothing referenced was deleted
 	case stepRepeat:
 		r.repeat(s.Who)
 	}
--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -14,11 +14,11 @@
 	// recentTrees is the number of earlier trees kept so that a peer can be sent only the difference; trees share
 	// their unchanged nodes.
 	recentTrees = 8
-	// maxPoolBytes bounds the stored branches that are buffered until the head that names them arrives.
+	// maxPoolBytes bounds the stored branches that are buffered until the head that references them arrives.
 	maxPoolBytes = 8 << 20
 )
 
-// replica is this process's copy of the settings: the active tree and what is known of its history. The active
+// replica is this process's copy of the settings: the active tree and the part of its history in memory. The active
 // revision never decreases.
 type replica struct {
 	current atomic.Pointer[Tree]
@@ -87,11 +87,11 @@
 	return r.changed
 }
 
-// addToPool buffers the stored form of a branch for a head that will name it.
+// addToPool buffers the stored form of a branch for a head that will reference it.
 func (r *replica) addToPool(hash Hash, data []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, have := r.pool[hash]; have {
+	if _, buffered := r.pool[hash]; buffered {
 		return
 	}
 	if r.poolBytes+len(data) > maxPoolBytes {
@@ -106,8 +106,8 @@
 }
 
 // apply activates a head that is higher than the active one. It returns the hashes of missing branches, in which
-// case nothing has changed. A head that isn't higher is ignored without an error. A process refuses a first
-// revision that is lower than the highest one known.
+// case nothing has changed. A head that isn't higher is ignored without an error. A process without
+// an active revision refuses one that is lower than highestKnown.
 func (r *replica) apply(h Head, mod platform.Revision, pool map[Hash][]byte) (missing []Hash, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/settings/serve.go
+++ b/internal/settings/serve.go
@@ -14,11 +14,11 @@
 
 // Serve registers the handlers of KindSettings, KindSettingsChange and
 // KindSettingsHistory.
-func (k *Manager) Serve(mux *peer.Mux) {
-	peer.Handle(mux, peer.KindSettings, k.query)
-	peer.Handle(mux, peer.KindSettingsChange, k.Change)
+func (m *Manager) Serve(mux *peer.Mux) {
+	peer.Handle(mux, peer.KindSettings, m.query)
+	peer.Handle(mux, peer.KindSettingsChange, m.Change)
 	peer.Handle(mux, peer.KindSettingsHistory, func(ctx context.Context, _ HistoryRequest) (HistoryReply, error) {
-		heads, err := k.History(ctx)
+		heads, err := m.History(ctx)
 		if err != nil {
 			return HistoryReply{}, err
 		}
@@ -28,22 +28,22 @@
 }
 
 // query replies at once when a newer tree is active, else when one becomes active or the wait ends.
-func (k *Manager) query(ctx context.Context, query FetchRequest) (FetchReply, error) {
-	k.replica.observe(query.Have)
+func (m *Manager) query(ctx context.Context, query FetchRequest) (FetchReply, error) {
+	m.replica.observe(query.Have)
 	if query.Follower != "" && query.WaitMillis > 0 { // a follower that does not wait is querying all placers
-		k.followers.recordPoll(query.Follower, query.Have, time.Now())
+		m.followers.recordPoll(query.Follower, query.Have, time.Now())
 	}
 	timeout := time.NewTimer(min(maxWait, time.Duration(query.WaitMillis)*time.Millisecond))
 	defer timeout.Stop()
 	for {
-		changed := k.replica.changeSignal()
-		if reply := k.replica.reply(query); len(reply.Head) > 0 {
+		changed := m.replica.changeSignal()
+		if reply := m.replica.reply(query); len(reply.Head) > 0 {
 			return reply, nil
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			return k.replica.reply(query), nil
+			return m.replica.reply(query), nil
 		case <-ctx.Done():
 			return FetchReply{}, ctx.Err()
 		}
--- a/internal/settings/swap.go
+++ b/internal/settings/swap.go
@@ -20,17 +20,17 @@
 // swapTxn returns the transaction that moves the head. It contains the new branches. When they exceed the limits,
 // swapTxn writes them ahead, and the transaction is conditional on no collection since, which could have deleted
 // them as unreferenced.
-func (k *Manager) swapTxn(ctx context.Context, s snapshot, h Head, fresh []*node) (platform.Txn, error) {
+func (m *Manager) swapTxn(ctx context.Context, s snapshot, h Head, fresh []*node) (platform.Txn, error) {
 	writes := branchWrites(fresh)
 	for _, w := range writes[:min(len(writes), txnWrites)] {
 		if hash, ok := hashOfKey(w.Key); ok {
-			k.replica.addToPool(hash, w.Value) // needed to apply the head if the answer is lost
+			m.replica.addToPool(hash, w.Value) // needed to apply the head if the answer is lost
 		}
 	}
 	txn := platform.Txn{If: []platform.Condition{{Key: headKey, ModRevision: s.mod}}}
 	chunks := chunk(writes)
 	if len(chunks) > 1 {
-		guard, err := k.writeAhead(ctx, chunks)
+		guard, err := m.writeAhead(ctx, chunks)
 		if err != nil {
 			return txn, err
 		}
@@ -76,9 +76,9 @@
 
 // writeAhead stores branches that no head references yet. It returns the condition that guarantees that they have
 // not been collected.
-func (k *Manager) writeAhead(ctx context.Context, chunks [][]platform.Write) (platform.Condition, error) {
+func (m *Manager) writeAhead(ctx context.Context, chunks [][]platform.Write) (platform.Condition, error) {
 	guard := platform.Condition{Key: collectedKey}
-	records, _, err := k.list(ctx, collectedKey)
+	records, _, err := m.list(ctx, collectedKey)
 	if err != nil {
 		return guard, &storeError{err}
 	}
@@ -86,7 +86,7 @@
 		guard.ModRevision = records[0].ModRevision
 	}
 	for _, writes := range chunks {
-		if _, err := k.commit(ctx, platform.Txn{Then: writes}); err != nil {
+		if _, err := m.commit(ctx, platform.Txn{Then: writes}); err != nil {
 			return guard, &storeError{err}
 		}
 	}
@@ -94,15 +94,15 @@
 }
 
 // commit is one transaction with callTimeout.
-func (k *Manager) commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (m *Manager) commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	k.counters.writes.Inc()
-	return k.cfg.Store.Commit(ctx, txn)
+	m.counters.writes.Inc()
+	return m.cfg.Store.Commit(ctx, txn)
 }
 
 // applyFoundHead activates the head that was found by a failed swap.
-func (k *Manager) applyFoundHead(ctx context.Context, s snapshot, reply platform.TxnReply) error {
+func (m *Manager) applyFoundHead(ctx context.Context, s snapshot, reply platform.TxnReply) error {
 	i := slices.IndexFunc(reply.Found, func(r platform.Record) bool { return r.Key == headKey })
 	if i < 0 {
 		if s.mod != 0 {
@@ -117,8 +117,8 @@
 	if h.Revision < s.tree.Revision {
 		return storeBehind(s, h.Revision)
 	}
-	k.replica.addHistory([]Head{h}) // recognizes an own change even if its branches are missing
-	if err := k.applyRecord(ctx, reply.Found[i]); err != nil {
+	m.replica.addHistory([]Head{h}) // recognizes an own change even if its branches are missing
+	if err := m.applyRecord(ctx, reply.Found[i]); err != nil {
 		return &storeError{err}
 	}
 	return nil
@@ -130,8 +130,8 @@
 }
 
 // activateOwn activates the revision that this process has just made.
-func (k *Manager) activateOwn(h Head, mod platform.Revision, root *node) {
-	r := k.replica
+func (m *Manager) activateOwn(h Head, mod platform.Revision, root *node) {
+	r := m.replica
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if h.Revision > r.revision() {
@@ -144,12 +144,12 @@
 
 // waitApplied waits until every member has applied the revision, and returns the members that have not when the limit
 // is reached.
-func (k *Manager) waitApplied(ctx context.Context, revision int64, limit time.Duration) []string {
+func (m *Manager) waitApplied(ctx context.Context, revision int64, limit time.Duration) []string {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
 		var behind []string
-		for name, applied := range k.cfg.AppliedRevisions() {
+		for name, applied := range m.cfg.AppliedRevisions() {
 			if applied < revision {
 				behind = append(behind, name)
 			}
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -119,15 +119,15 @@
 		return nil, err
 	}
 	from := make([]string, len(fields))
-	at, here := t.rootNode(), Root
+	at, atPath := t.rootNode(), Root
 	for i := 0; ; i++ {
 		for _, item := range at.overrides.list {
-			from[item.field] = here
+			from[item.field] = atPath
 		}
 		if i == len(segments) {
 			break
 		}
-		at, here = at.child(segments[i]), child(here, segments[i])
+		at, atPath = at.child(segments[i]), child(atPath, segments[i])
 	}
 	out := make([]Explained, len(fields))
 	for i := range fields {
--- a/internal/spec/graph.go
+++ b/internal/spec/graph.go
@@ -50,7 +50,7 @@
 	EstimateMillis int64 `cbor:"3,keyasint,omitempty" json:"estimate_ms,omitempty"`
 	// After lists the indexes of earlier steps, all of whose tasks must be done before this step starts.
 	After []int `cbor:"4,keyasint,omitempty" json:"after,omitempty"`
-	// Gang tasks make progress only while all of them run; they end together.
+	// Gang is set if the tasks make progress only while all of them run; they end together.
 	Gang bool `cbor:"5,keyasint,omitempty" json:"gang,omitempty"`
 	// SameRack is set for gangs that run much slower when spread over several racks.
 	SameRack bool `cbor:"6,keyasint,omitempty" json:"same_rack,omitempty"`
--- a/internal/spec/spec.go
+++ b/internal/spec/spec.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// Resources is the resources that a worker offers or a task needs.
+// Resources are the resources that a worker offers or a task needs.
 type Resources struct {
 	MilliCPU     int64 `cbor:"1,keyasint,omitempty" json:"milli_cpu" validate:"min=0"`
 	MemoryMiB    int64 `cbor:"2,keyasint,omitempty" json:"memory_mib" validate:"min=0"`
@@ -54,7 +54,7 @@
 	return int(max(n, 0))
 }
 
-// Unbounded stands for a number without a bound.
+// Unbounded is the value of a count without a bound.
 const Unbounded = 1 << 20
 
 // IsZero reports whether every component is zero.
--- a/internal/taskmsg/taskmsg.go
+++ b/internal/taskmsg/taskmsg.go
@@ -27,7 +27,7 @@
 	// leases of all its runs together.
 	Priority int64 `cbor:"5,keyasint,omitempty"`
 	// Key 6 was an estimated size; see docs/PLACEMENT.md.
-	// MinReplicas is the minimum number of a service's replicas that preemption leaves.
+	// MinReplicas is the minimum number of a service's replicas that preemption leaves running.
 	MinReplicas int64 `cbor:"7,keyasint,omitempty"`
 }
 
@@ -69,7 +69,7 @@
 type Outcome int
 
 // The outcomes. A slot with OutcomeUnknown stays allocated at the holder, which reports
-// the run's state once a claim of the worker has shown it.
+// the run's state once a claim of the worker has determined it.
 const (
 	OutcomeStarted Outcome = 1
 	OutcomeRefused Outcome = 2 // definitely not started
@@ -170,9 +170,9 @@
 	Zone      string         `cbor:"5,keyasint,omitempty"`
 	Partition int            `cbor:"6,keyasint"`
 	Epoch     uint64         `cbor:"7,keyasint"`
-	// The next two fields encode the evidence about a lost run. Members of versions without
-	// the second field read the first alone; if it is set, they do not attribute the loss of
-	// the host to the run's task.
+	// EndUnconfirmed and WasPresent encode the evidence about a lost run. Members of versions
+	// without WasPresent read only EndUnconfirmed; if it is true, they do not attribute the loss
+	// of the host to the run's task.
 	EndUnconfirmed bool `cbor:"8,keyasint,omitempty"`
 	WasPresent     bool `cbor:"9,keyasint,omitempty"`
 }
