--- a/internal/engine/account.go
+++ b/internal/engine/account.go
@@ -11,8 +11,8 @@
 // The quota of a client account bounds what it has running at once on all hosts. Everything that may be
 // running counts, from the start order until the host has reported the end or can not run it any more:
 // unacknowledged starts, runs on unresponsive hosts, runs that are being stopped and, after a failover,
-// tasks that may run on hosts that have not reported. So incomplete knowledge of the holder never lets an
-// account exceed its quota.
+// tasks that may run on hosts that have not reported. So an account does not exceed its quota even while
+// the holder's state is incomplete.
 
 // account is the usage of a client account.
 type account struct {
@@ -22,8 +22,8 @@
 	// reported since the failover. Backfill tasks are counted per step.
 	used, unconfirmed   spec.Resources
 	unconfirmedBackfill map[*group]int64
-	// endedUsage and leftFillers are the sizes that jobs which the previous holder had just ended may still have
-	// running on such hosts.
+	// endedUsage and endedBackfill are the sizes of the tasks that may still run on such hosts for jobs that
+	// ended shortly before the failover.
 	endedUsage, endedBackfill spec.Resources
 	// withheld is the quota that is withheld in this scheduling pass for steps earlier in the queue.
 	withheld   spec.Resources
@@ -151,7 +151,7 @@
 		}
 		size := h.info.Size
 		if size.IsZero() {
-			size = unboundedCapacity // only its name is known
+			size = unboundedCapacity // known from the roster only, which has no sizes
 		}
 		e.unreported.capacity = e.unreported.capacity.Add(size).Min(unboundedCapacity)
 		e.unreported.sizes = append(e.unreported.sizes, size)
@@ -169,7 +169,7 @@
 		return g.waiting
 	}
 	if e.catalog == nil {
-		return 0 // the quota is not known yet
+		return 0 // no configuration, and so no quota, has been loaded yet
 	}
 	n := a.quota.MaxTasks(e.maxUsage(a).Add(a.withheld), g.step.Size, g.waiting)
 	if g.step.Gang && n < g.waiting {
@@ -199,7 +199,8 @@
 	e.withheldAccounts = e.withheldAccounts[:0]
 }
 
-// describeMissingQuota describes the quota that a step lacks to start any task; empty if it does not wait for quota.
+// describeMissingQuota describes the quota that a step lacks to start any task; it returns an empty string
+// if the step does not wait for quota.
 func (e *Engine) describeMissingQuota(g *group) string {
 	a := g.job.account
 	if a == nil || e.startableNow(g) > 0 {
--- a/internal/engine/ask.go
+++ b/internal/engine/ask.go
@@ -26,7 +26,7 @@
 	queryTimeoutSlack = 400 * time.Millisecond
 )
 
-// defaultPermittedShare is the assumed share of permitted hosts for a queue without any answer.
+// defaultPermittedShare is the assumed share of permitted hosts for a queue until its first answer.
 const defaultPermittedShare = 0.5
 
 // maxCompared bounds how many hosts with free capacity are compared by cost before a query:
@@ -34,18 +34,18 @@
 const maxCompared = 128
 
 // queryForTasks queries the policy service about hosts that have free capacity for waiting tasks.
-func (e *Engine) queryForTasks(g *group, c []*hostState, now time.Time) {
+func (e *Engine) queryForTasks(g *group, hosts []*hostState, now time.Time) {
 	size := g.step.Allocation()
 	if !size.Fits(e.poolOf(g.job.rec.Service).maxFree) || !e.mayQuery(g, now) {
 		return
 	}
 	var candidates []*hostState
 	first := 0
-	if len(c) > maxCompared {
-		first = e.rnd.IntN(len(c))
+	if len(hosts) > maxCompared {
+		first = e.rnd.IntN(len(hosts))
 	}
-	for i := range c {
-		h := c[(first+i)%len(c)]
+	for i := range hosts {
+		h := hosts[(first+i)%len(hosts)]
 		if len(candidates) == maxCompared {
 			break
 		}
@@ -81,7 +81,7 @@
 	want := n * querySlotFactor
 	for i, h := range candidates {
 		p := e.permittedShare(g)
-		if g.advice.known[h] {
+		if g.policy.permission[h] {
 			p = 1
 		}
 		want -= p * float64(g.slotsFor(h, h.free()))
@@ -99,33 +99,33 @@
 // slotsDueSoon reports whether the reserved slots of a gang will be free by the time the
 // policy service has answered. Until then, a query about other hosts may find slots sooner.
 func (e *Engine) slotsDueSoon(g *group, now time.Time) bool {
-	took := g.job.rec.Rules.PolicyQuery.QueryDuration(len(g.reserved))
-	return g.reservedFrom.Sub(now) <= took+ticketLeadTime
+	queryTime := g.job.rec.Rules.PolicyQuery.QueryDuration(len(g.reserved))
+	return g.reservedFrom.Sub(now) <= queryTime+ticketLeadTime
 }
 
-// requestTickets requests tickets for the hosts on which a gang has slots reserved, so that
-// they arrive when the slots become free, and for alternative hosts.
-func (e *Engine) requestTickets(g *group, good []*hostState, now time.Time) {
-	advice := g.job.rec.Rules.PolicyQuery
-	hosts := append(slices.Clone(g.reserved), e.alternativeHosts(g, good, now)...)
-	took := advice.QueryDuration(min(len(hosts), e.cfg.Tuning.MaxHostsPerQuery))
+// requestTickets requests tickets for alternative hosts and for the hosts on which a gang has
+// slots reserved, so that they arrive when these slots become free.
+func (e *Engine) requestTickets(g *group, permitted []*hostState, now time.Time) {
+	rules := g.job.rec.Rules.PolicyQuery
+	hosts := append(slices.Clone(g.reserved), e.alternativeHosts(g, permitted, now)...)
+	queryTime := rules.QueryDuration(min(len(hosts), e.cfg.Tuning.MaxHostsPerQuery))
 	if !e.queryInBatches(g, hosts, now) {
 		return
 	}
-	g.keepUntil = now.Add(took + advice.TicketTTL())
-	e.schedulePreemption(g, took, now)
+	g.keepUntil = now.Add(queryTime + rules.TicketTTL())
+	e.schedulePreemption(g, queryTime, now)
 }
 
 // alternativeHosts returns the permitted hosts without a reservation of the gang that will have
 // most free capacity for it when an answer arrives.
-func (e *Engine) alternativeHosts(g *group, good []*hostState, now time.Time) []*hostState {
+func (e *Engine) alternativeHosts(g *group, permitted []*hostState, now time.Time) []*hostState {
 	var all []hostSlots
-	took := g.job.rec.Rules.PolicyQuery.QueryDuration(e.cfg.Tuning.MaxHostsPerQuery)
-	for _, h := range good {
+	queryTime := g.job.rec.Rules.PolicyQuery.QueryDuration(e.cfg.Tuning.MaxHostsPerQuery)
+	for _, h := range permitted {
 		if slices.Contains(g.reserved, h) {
 			continue
 		}
-		if n := g.slotsFor(h, e.capacityAt(g, h, took, now)); n > 0 {
+		if n := g.slotsFor(h, e.capacityAt(g, h, queryTime, now)); n > 0 {
 			all = append(all, hostSlots{h, n})
 		}
 	}
@@ -142,21 +142,21 @@
 	return out
 }
 
-// queryForSlots queries about further hosts: as many as are expected to be needed for the
-// gang to have its slots on permitted hosts.
-func (e *Engine) queryForSlots(g *group, good, unknown []*hostState, now time.Time) {
-	room, roomIfEmpty := 0, 0
-	for _, h := range good {
-		roomIfEmpty += g.slotsFor(h, h.info.Size)
-		room += g.slotsFor(h, e.capacityFor(g, h, now))
+// queryForSlots queries about further hosts: as many as the gang is expected to need to have
+// all of its slots on permitted hosts.
+func (e *Engine) queryForSlots(g *group, permitted, unknown []*hostState, now time.Time) {
+	slots, slotsIfEmpty := 0, 0
+	for _, h := range permitted {
+		slotsIfEmpty += g.slotsFor(h, h.info.Size)
+		slots += g.slotsFor(h, e.capacityFor(g, h, now))
 	}
-	e.queryInBatches(g, e.hostsToQuery(g, unknown, room, roomIfEmpty, now), now)
+	e.queryInBatches(g, e.hostsToQuery(g, unknown, slots, slotsIfEmpty, now), now)
 }
 
 // knownPermitted returns the hosts that are known to be permitted for a step and that take work.
 func (e *Engine) knownPermitted(g *group, now time.Time) []*hostState {
-	out := make([]*hostState, 0, len(g.advice.permitted))
-	for _, h := range g.advice.permitted {
+	out := make([]*hostState, 0, len(g.policy.permitted))
+	for _, h := range g.policy.permitted {
 		if e.placeable(h, now) && rejectedBy(g, h) == "" {
 			out = append(out, h)
 		}
@@ -168,8 +168,8 @@
 // than the queries of the largest gangs name.
 const maxUnqueried = 2048
 
-// unqueriedHosts returns those of hosts that the policy service was never asked about for a
-// step.
+// unqueriedHosts returns those of hosts about which the policy service has not answered for
+// a step.
 func (e *Engine) unqueriedHosts(g *group, hosts []*hostState) []*hostState {
 	out := make([]*hostState, 0, min(len(hosts), maxUnqueried))
 	first := 0
@@ -178,7 +178,7 @@
 	}
 	for i := range hosts {
 		h := hosts[(first+i)%len(hosts)]
-		if _, known := g.advice.known[h]; !known && rejectedBy(g, h) == "" {
+		if _, known := g.policy.permission[h]; !known && rejectedBy(g, h) == "" {
 			out = append(out, h)
 		}
 		if len(out) == maxUnqueried {
@@ -195,7 +195,7 @@
 // hostsToQuery chooses the hosts of a query: first those with free capacity now, until the
 // gang can be expected to fit; then, if it would not fit on the permitted hosts even when
 // they are empty, those that could hold most of its members.
-func (e *Engine) hostsToQuery(g *group, unknown []*hostState, room, roomIfEmpty int, now time.Time) []*hostState {
+func (e *Engine) hostsToQuery(g *group, unknown []*hostState, slots, slotsIfEmpty int, now time.Time) []*hostState {
 	p := e.permittedShare(g)
 	take := func(slotsFor func(*hostState) int, want float64) (out, rest []*hostState) {
 		all := make([]hostSlots, 0, len(unknown))
@@ -213,30 +213,30 @@
 		}
 		return out, rest
 	}
-	first, rest := take(func(h *hostState) int { return g.slotsFor(h, e.capacityFor(g, h, now)) }, gangQuerySlotFactor*float64(g.waiting)-float64(room))
+	first, rest := take(func(h *hostState) int { return g.slotsFor(h, e.capacityFor(g, h, now)) }, gangQuerySlotFactor*float64(g.waiting)-float64(slots))
 	for _, h := range first {
-		roomIfEmpty += int(p * float64(g.slotsFor(h, h.info.Size)))
+		slotsIfEmpty += int(p * float64(g.slotsFor(h, h.info.Size)))
 	}
 	unknown = rest
-	more, _ := take(func(h *hostState) int { return g.slotsFor(h, h.info.Size) }, gangQuerySlotFactor*float64(g.waiting)-float64(roomIfEmpty))
+	more, _ := take(func(h *hostState) int { return g.slotsFor(h, h.info.Size) }, gangQuerySlotFactor*float64(g.waiting)-float64(slotsIfEmpty))
 	return append(first, more...)
 }
 
 // queryInBatches splits the hosts over queries through several members at the same time. It
 // reports whether it sent any.
-func (e *Engine) queryInBatches(g *group, hosts []*hostState, now time.Time) (asked bool) {
+func (e *Engine) queryInBatches(g *group, hosts []*hostState, now time.Time) (sent bool) {
 	for len(hosts) > 0 {
 		n := min(len(hosts), e.cfg.Tuning.MaxHostsPerQuery)
 		if !e.query(g, hosts[:n], now) {
-			return asked
+			return sent
 		}
-		asked = true
+		sent = true
 		hosts = hosts[n:]
 	}
-	return asked
+	return sent
 }
 
-// permittedShare returns the learned share of hosts that are permitted for steps of the queue.
+// permittedShare returns the estimated share of hosts that are permitted for steps of the queue.
 func (e *Engine) permittedShare(g *group) float64 {
 	if p, ok := e.permittedByQueue[g.job.rec.Queue]; ok {
 		return p
@@ -247,19 +247,19 @@
 // permittedShareWindow is about how many answers the moving average of the permitted share spans.
 const permittedShareWindow = 8
 
-// updatePermittedShare updates the permitted share with the answer to a query: good of asked
-// hosts are permitted.
-func (e *Engine) updatePermittedShare(g *group, good, asked int) {
-	if asked == 0 {
+// updatePermittedShare updates the permitted share with the answer to a query: permitted of
+// queried hosts are permitted.
+func (e *Engine) updatePermittedShare(g *group, permitted, queried int) {
+	if queried == 0 {
 		return
 	}
-	share := max(float64(good)/float64(asked), 1/float64(2*asked))
+	share := max(float64(permitted)/float64(queried), 1/float64(2*queried))
 	e.permittedByQueue[g.job.rec.Queue] = e.permittedShare(g) + (share-e.permittedShare(g))/permittedShareWindow
 }
 
 // mayQuery reports whether a query about a step may be sent now.
 func (e *Engine) mayQuery(g *group, now time.Time) bool {
-	return g.advice.openQueries == 0 && !now.Before(g.advice.nextQueryAt) && e.lanes.MayAssign(g.job.rec.Rules.PolicyQuery.QueryDuration(1), now)
+	return g.policy.openQueries == 0 && !now.Before(g.policy.nextQueryAt) && e.querySlots.MayAssign(g.job.rec.Rules.PolicyQuery.QueryDuration(1), now)
 }
 
 // query orders a query through a free query slot. It returns false if there are no hosts or no
@@ -268,8 +268,8 @@
 	if len(hosts) == 0 {
 		return false
 	}
-	took := g.job.rec.Rules.PolicyQuery.QueryDuration(len(hosts))
-	slot, answered, ok := e.lanes.Assign(took, now)
+	queryTime := g.job.rec.Rules.PolicyQuery.QueryDuration(len(hosts))
+	slot, answeredAt, ok := e.querySlots.Assign(queryTime, now)
 	if !ok {
 		return false
 	}
@@ -279,9 +279,9 @@
 	}
 	e.queryID++
 	e.queries[e.queryID] = q
-	g.advice.openQueries++
+	g.policy.openQueries++
 	e.out.Queries = append(e.out.Queries, QueryOrder{
-		ID: e.queryID, Member: slot, Step: g.id, Hosts: q.hosts, Timeout: answered.Sub(now) + queryTimeoutSlack,
+		ID: e.queryID, Member: slot, Step: g.id, Hosts: q.hosts, Timeout: answeredAt.Sub(now) + queryTimeoutSlack,
 	})
 	return true
 }
@@ -294,38 +294,38 @@
 		return
 	}
 	delete(e.queries, o.ID)
-	e.lanes.RecordReply(q.slot, err != nil, q.sentAt, now)
+	e.querySlots.RecordReply(q.slot, err != nil, q.sentAt, now)
 	g := q.group
-	g.advice.openQueries--
+	g.policy.openQueries--
 	if err != nil {
-		g.advice.nextQueryAt = now.Add(queryRetryDelay)
+		g.policy.nextQueryAt = now.Add(queryRetryDelay)
 		e.log(Event{What: "no advice", Job: g.job.id(), Step: g.id.String(), Why: err.Error()})
 		return
 	}
-	g.advice.nextQueryAt = now.Add(queryDelay)
-	g.advice.answers++
-	if g.advice.known == nil {
-		g.advice.known = map[*hostState]bool{}
-		g.advice.tickets = map[*hostState]ticket{}
+	g.policy.nextQueryAt = now.Add(queryDelay)
+	g.policy.answers++
+	if g.policy.permission == nil {
+		g.policy.permission = map[*hostState]bool{}
+		g.policy.tickets = map[*hostState]ticket{}
 	}
 	fresh, permitted := 0, 0
 	for _, id := range q.hosts {
 		if h := e.hosts[id]; h != nil {
-			if _, known := g.advice.known[h]; !known {
+			if _, known := g.policy.permission[h]; !known {
 				fresh++
 			}
-			if !g.advice.known[h] {
-				g.advice.known[h] = false
+			if !g.policy.permission[h] {
+				g.policy.permission[h] = false
 			}
 		}
 	}
 	for _, t := range a.Permitted {
 		if h := e.hosts[t.Host]; h != nil {
-			if !g.advice.known[h] {
-				g.advice.permitted = append(g.advice.permitted, h)
+			if !g.policy.permission[h] {
+				g.policy.permitted = append(g.policy.permitted, h)
 			}
-			g.advice.known[h] = true
-			g.advice.tickets[h] = ticket{text: t.Ticket, until: now.Add(a.ValidFor)}
+			g.policy.permission[h] = true
+			g.policy.tickets[h] = ticket{text: t.Ticket, until: now.Add(a.ValidFor)}
 			permitted++
 		}
 	}
--- a/internal/engine/capacity.go
+++ b/internal/engine/capacity.go
@@ -133,7 +133,7 @@
 		if left.Fits(h.info.Size) {
 			return
 		}
-		if r.group.step.LongRunning && !(e.hasCapacityElsewhere(r.group, h, now) && (r.percent < atWork || r.group.mayStopReplica(r))) {
+		if r.group.step.LongRunning && !(e.hasCapacityElsewhere(r.group, h, now) && (r.percent < readyPercent || r.group.mayStopReplica(r))) {
 			continue
 		}
 		left = left.Sub(r.size)
--- a/internal/engine/capacity_test.go
+++ b/internal/engine/capacity_test.go
@@ -68,7 +68,7 @@
 	w.run(600 * time.Millisecond)
 	w.checkInvariants()
 	t.Log(w.fleet.Checker().RefusedForCapacity(), "refusals")
-	is.Equal(w.shown["urgent"], record.StateCompleted)
+	is.Equal(w.reported["urgent"], record.StateCompleted)
 	is.True(w.fleet.Checker().RefusedForCapacity() <= 2)
 }
 
@@ -145,7 +145,7 @@
 	w.run(900 * time.Millisecond)
 	w.checkInvariants()
 	t.Log(starts, "attempts, the last after", delay)
-	is.Equal(w.shown["urgent"], record.StateCompleted)
+	is.Equal(w.reported["urgent"], record.StateCompleted)
 	is.True(starts <= 2)
 	is.True(delay < 100*time.Millisecond)
 }
--- a/internal/engine/commit.go
+++ b/internal/engine/commit.go
@@ -94,8 +94,8 @@
 	return b
 }
 
-// jobWrites returns the writes that bring the stored records of a job up to date. For a job that
-// has ended it replaces the record by a short one, without the graph.
+// jobWrites returns the writes that bring the stored records of a job up to date. The record of a job
+// that has ended is replaced by a short one without the graph.
 func (e *Engine) jobWrites(j *job, now time.Time) []platform.Write {
 	if !j.state.Final() {
 		j.storedProgress = true
--- a/internal/engine/crash.go
+++ b/internal/engine/crash.go
@@ -45,19 +45,19 @@
 	return out
 }
 
-// departing reports whether the host was told to leave; its end is then attributed to no task.
+// departing reports whether the host is leaving as planned; its end is then attributed to no task.
 func (h *hostState) departing() bool { return h.info.Draining || h.drained || h.cordoned }
 
-// ranFor returns how long the run had been on its host when the host was first missed after the start.
-// If calls were lost before the start as well, that is the time until now.
+// ranFor returns how long the run had been on its host when the host first failed to answer after the
+// start. If it had failed to answer before the start already, that is the time until now.
 func (r *run) ranFor(now time.Time) time.Duration {
-	missed := now
+	missedAt := now
 	for _, at := range []time.Time{r.placedOn.firstMissedAt, r.placedOn.endedBy, r.placedOn.unresponsiveSince, r.placedOn.unreachableSince} {
-		if at.After(r.orderedAt) && at.Before(missed) {
-			missed = at
+		if at.After(r.orderedAt) && at.Before(missedAt) {
+			missedAt = at
 		}
 	}
-	return missed.Sub(r.orderedAt)
+	return missedAt.Sub(r.orderedAt)
 }
 
 // newest reports whether no run of another job was started on the host as late as this one, and no run
@@ -82,7 +82,7 @@
 	}
 	if !h.claimed {
 		if h.inherited {
-			e.goneAtFailover++
+			e.terminatedAtFailover++
 			e.losses.Add(h.incarnationName(), h.info.Rack, now)
 			e.attributeToTasks(list, 0, now)
 			e.deferredDecisions = append(e.deferredDecisions, deferredDecision{now.Add(crashDecisionDelay), h.incarnationName(), list})
@@ -97,7 +97,7 @@
 		at = h.unresponsiveSince
 	}
 	together := e.rackFailedTogether(h, at, now)
-	silent := e.countUnreachable(h, now)
+	unreachable := e.countUnreachable(h, now)
 	e.losses.Add(h.incarnationName(), h.info.Rack, at)
 	if !h.terminated && len(list) > 0 {
 		e.presumedEnded[h.incarnationName()] = now
@@ -108,15 +108,15 @@
 	if together {
 		e.reviseCrashes(h.incarnationName(), crashloop.History.ExcuseHost)
 	}
-	e.attributeToTasks(list, silent, now)
+	e.attributeToTasks(list, unreachable, now)
 	e.failCrashingJobs(list, now)
 }
 
-// attributeToTasks attributes each crash in the list to its task as far as the evidence goes; silent is
+// attributeToTasks attributes each crash in the list to its task as far as the evidence goes; unreachable is
 // the number of other hosts that are unreachable at present.
-func (e *Engine) attributeToTasks(list []attribution, silent int, now time.Time) {
+func (e *Engine) attributeToTasks(list []attribution, unreachable int, now time.Time) {
 	for _, a := range list {
-		e.attributeToTask(a.run, a.evidence, silent, now)
+		e.attributeToTask(a.run, a.evidence, unreachable, now)
 	}
 }
 
@@ -134,22 +134,22 @@
 
 // rackFailedTogether reports whether the host's whole rack became unresponsive with it.
 func (e *Engine) rackFailedTogether(h *hostState, at, now time.Time) bool {
-	silent, present := 0, 0
+	unresponsive, present := 0, 0
 	for _, other := range e.hostsByID {
 		if other == h || other.info.Rack != h.info.Rack {
 			continue
 		}
 		present++
 		if other.unresponsiveFor(now) >= certainSilence && crashloop.MayShareCause(other.unresponsiveSince, at) {
-			silent++
+			unresponsive++
 		}
 	}
-	return e.losses.RackFailed(h.incarnationName(), h.info.Rack, at, silent, present)
+	return e.losses.RackFailed(h.incarnationName(), h.info.Rack, at, unresponsive, present)
 }
 
 // attributeToTask adds a crash to a task's history. The task is not started again before the history is
 // stored, because the next holder continues from it.
-func (e *Engine) attributeToTask(r host.Run, evidence crashloop.Evidence, silent int, now time.Time) {
+func (e *Engine) attributeToTask(r host.Run, evidence crashloop.Evidence, unreachable int, now time.Time) {
 	g := e.groupOf(r.Task)
 	if g == nil {
 		return
@@ -158,11 +158,11 @@
 	if t.state == taskDone || t.crashes.HasRun(r.No) {
 		return
 	}
-	under := append(slices.Clone(t.crashes), crashloop.Crash{Host: evidence.Host})
-	rate := e.losses.SpontaneousRate(len(e.hostsByID), silent, under, now)
+	crashes := append(slices.Clone(t.crashes), crashloop.Crash{Host: evidence.Host})
+	rate := e.losses.SpontaneousRate(len(e.hostsByID), unreachable, crashes, now)
 	c := crashloop.Assess(evidence, rate)
 	if c.Excused && g.step.LongRunning {
-		return // hosts crash under a service that runs for months: it is not failed for that
+		return // hosts crash under any service that runs for months, so it is not failed for that
 	}
 	t.crashes = t.crashes.Reassess(rate).Append(c)
 	g.updateSuspicion()
@@ -232,8 +232,8 @@
 	g.updateSuspicion()
 }
 
-// clearStableService clears the crash history of a long-running task that has run soundly for
-// crashloop.ProvenAfter: hosts crash under a service that runs for months.
+// clearStableService clears the crash history of a long-running task that has run for
+// crashloop.HistoryResetAfter without a crash: hosts crash under any service that runs for months.
 func (e *Engine) clearStableService(r *run, now time.Time) {
 	if !r.suspect || r.group == nil || !r.group.step.LongRunning || now.Sub(r.confirmedAt) < crashloop.HistoryResetAfter {
 		return
@@ -272,13 +272,13 @@
 	for _, c := range s.Crashed[i] {
 		e.presumedEnded[c.Host] = now
 	}
-	at, found := s.CurrentRuns[i]
-	h := e.hosts[host.ID(at.Host)]
+	current, found := s.CurrentRuns[i]
+	h := e.hosts[host.ID(current.Host)]
 	if !found || h == nil {
 		return
 	}
-	r := host.Run{Task: g.task(i), No: at.Run}
-	if !h.claimed && !slices.ContainsFunc(h.possibleRuns, func(may possibleRun) bool { return may.Run == r }) {
-		h.lastAttempts = append(h.lastAttempts, possibleRun{r, !at.Observed})
+	r := host.Run{Task: g.task(i), No: current.Run}
+	if !h.claimed && !slices.ContainsFunc(h.possibleRuns, func(p possibleRun) bool { return p.Run == r }) {
+		h.lastAttempts = append(h.lastAttempts, possibleRun{r, !current.Observed})
 	}
 }
--- a/internal/engine/crash_faults_test.go
+++ b/internal/engine/crash_faults_test.go
@@ -114,14 +114,14 @@
 func (c *faultResult) count(w *world) {
 	c.hostsCrashed += w.fleet.Checker().HostsCrashedByTasks()
 	for id := range w.jobs {
-		shown := w.shown[id]
+		reported := w.reported[id]
 		switch crashing := strings.HasPrefix(id, crashingJob); {
-		case crashing && shown != record.StateFailed:
+		case crashing && reported != record.StateFailed:
 			c.crashing++
 			c.notFailed++
 		case crashing:
 			c.crashing++
-		case shown == record.StateFailed:
+		case reported == record.StateFailed:
 			c.unrelated++
 			c.failedUnrelated++
 		default:
@@ -172,7 +172,7 @@
 
 // TestCrashingJobsWhoseRackFails guards against excusing crashes whose machines had power. Hosts of one
 // rack terminated one after the other, some crashed by tasks and some by themselves; once the whole rack
-// was gone, each of these crashes was excused as by a power failure, and tasks were started three times
+// had failed, each of these crashes was excused as by a power failure, and tasks were started three times
 // more after three hosts had crashed under them, each of which had refused connections.
 func TestCrashingJobsWhoseRackFails(t *testing.T) {
 	for _, seed := range []uint64{119, 139} {
--- a/internal/engine/crash_load_test.go
+++ b/internal/engine/crash_load_test.go
@@ -61,13 +61,13 @@
 		lost += l.w.fleet.Checker().HostsCrashed()
 		unrelated += len(l.w.jobs) - l.numCrashing
 		for id := range l.w.jobs {
-			switch shown := l.w.shown[id]; {
+			switch reported := l.w.reported[id]; {
 			case strings.HasPrefix(id, crashingJob):
-				is.New(t).Equal(shown, record.StateFailed)
-			case shown == record.StateFailed:
+				is.New(t).Equal(reported, record.StateFailed)
+			case reported == record.StateFailed:
 				failedUnrelated++
 			default:
-				is.New(t).Equal(shown, record.StateCompleted)
+				is.New(t).Equal(reported, record.StateCompleted)
 			}
 		}
 	}
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -16,7 +16,7 @@
 )
 
 // Jobs of one task each crash every host that starts the task, some ten milliseconds after the start.
-// The tests guard against a run that is lost with its host being taken for that host's fault alone: the
+// The tests guard against attributing the loss of a run to its host alone: the
 // task went back to the waiting ones within a millisecond of the loss, nothing was counted by the holder
 // or in the store, and of 48 hosts two were lost per second in the end, with all that ran there, while
 // urgent work was late.
@@ -62,8 +62,8 @@
 // unrelatedNotCompleted lists the jobs without crashing tasks that were not completed.
 func (w *world) unrelatedNotCompleted() (lost []string) {
 	for id := range w.jobs {
-		if !strings.HasPrefix(id, "culprit") && w.shown[id] != record.StateCompleted {
-			lost = append(lost, id+" "+string(w.shown[id]))
+		if !strings.HasPrefix(id, "culprit") && w.reported[id] != record.StateCompleted {
+			lost = append(lost, id+" "+string(w.reported[id]))
 		}
 	}
 	return lost
@@ -148,7 +148,7 @@
 	w.checkInvariants()
 	lost := w.fleet.Checker().HostsCrashed()
 	t.Logf("%d hosts lost", lost)
-	is.Equal(w.shown[tc.id+"0"], record.StateFailed)
+	is.Equal(w.reported[tc.id+"0"], record.StateFailed)
 	is.Equal(w.unrelatedNotCompleted(), nil)
 	is.True(lost <= tc.maxHostsLost)
 }
@@ -168,7 +168,7 @@
 	w.checkInvariants()
 	t.Logf("%d hosts lost to %d jobs", w.fleet.Checker().HostsCrashed(), jobs)
 	for i := range jobs {
-		is.Equal(w.shown[fmt.Sprint(crashingJob, i)], record.StateFailed)
+		is.Equal(w.reported[fmt.Sprint(crashingJob, i)], record.StateFailed)
 	}
 	is.Equal(w.unrelatedNotCompleted(), nil)
 	is.True(w.fleet.Checker().HostsCrashed() <= 3*jobs)
@@ -218,7 +218,7 @@
 			inject(w)
 			w.run(70 * time.Second)
 			w.checkInvariants()
-			is.Equal(w.shown["service"], record.StateRunning)
+			is.Equal(w.reported["service"], record.StateRunning)
 			w.engine.Cancel("service", w.now())
 			delete(w.jobs, "service")
 			is.Equal(w.unrelatedNotCompleted(), nil)
@@ -258,7 +258,7 @@
 			is.Equal(w.engine.jobs["a"].groups[0].suspicion, crashloop.Unsuspected)
 			w.run(70 * time.Second)
 			w.checkInvariants()
-			is.Equal(w.shown["a"], record.StateCompleted)
+			is.Equal(w.reported["a"], record.StateCompleted)
 		})
 	}
 }
@@ -279,7 +279,7 @@
 	w := crashWorld(t, 11, 16)
 	w.submit(crashingJob+"0", catalog.Rules{}, step(3, 6, 10, 640))
 	w.run(12 * time.Second)
-	is.Equal(w.shown[crashingJob+"0"], record.StateFailed)
+	is.Equal(w.reported[crashingJob+"0"], record.StateFailed)
 	starts := w.fleet.Checker().Starts()
 	rec, err := record.DecodeJob(w.store[record.JobKey(0, crashingJob+"0")])
 	is.NoErr(err)
@@ -297,8 +297,8 @@
 	w.checkInvariants()
 }
 
-// TestStableServiceIsCleared checks that a long-running task is cleared once it has run soundly for long
-// enough, and that the next holder knows.
+// TestStableServiceIsCleared checks that a long-running task is cleared once it has run long enough
+// without a crash, and that the next holder finds this in the store.
 func TestStableServiceIsCleared(t *testing.T) {
 	is := is.New(t)
 	w := crashWorld(t, 12, 8)
@@ -324,7 +324,7 @@
 }
 
 // TestOrdersToEndedIncarnations sends a job's first tasks to hosts that have just ended and restarted.
-// Their answers say nothing about the job. It guards against counting every task of one round as lost
+// Their answers are no evidence against the job. It guards against counting every task of one round as lost
 // with such a host, though none had started there: two hosts that restarted while disconnected were then
 // enough to fail a job.
 func TestOrdersToEndedIncarnations(t *testing.T) {
--- a/internal/engine/crash_ways_test.go
+++ b/internal/engine/crash_ways_test.go
@@ -51,7 +51,7 @@
 				w.checkInvariants()
 				t.Logf("seed %d: %d hosts lost to %d jobs", seed, w.fleet.Checker().HostsCrashedByTasks(), jobs)
 				for i := range jobs {
-					is.Equal(w.shown[fmt.Sprint(crashingJob, i)], record.StateFailed)
+					is.Equal(w.reported[fmt.Sprint(crashingJob, i)], record.StateFailed)
 				}
 				is.Equal(w.unrelatedNotCompleted(), nil)
 			}
--- a/internal/engine/decision.go
+++ b/internal/engine/decision.go
@@ -9,9 +9,9 @@
 	"pulleyquay/internal/result"
 )
 
-// confirmationWait is how long a quarantined task waits to learn whether the host that it was lost with
-// has crashed: a host is back after some seconds. Started again sooner, such a task may cost one more
-// host where answers get lost.
+// confirmationWait is how long a quarantined task waits for the confirmation that the host with which it
+// was lost has crashed: a crashed host is back after some seconds. If it started again sooner, it might
+// crash one more host where answers get lost.
 const confirmationWait = 3 * time.Second
 
 // awaitConfirmation delays the restart of quarantined tasks that were lost with an unresponsive host.
@@ -27,14 +27,14 @@
 
 // deferredDecision is the decision, due later, whether crashes fail the jobs of the listed tasks.
 type deferredDecision struct {
-	due  time.Time
-	life string // incarnation of a host found terminated at a failover; empty otherwise
-	list []attribution
+	due         time.Time
+	incarnation string // of a host found terminated at a failover; empty otherwise
+	list        []attribution
 }
 
-// Hosts found terminated at a failover were lost while no holder watched, and are found one by one.
-// Their crashes are counted at once, so that the next holder knows of them. No job is failed for them
-// before the other hosts are known: if at least minCommonCause of them and one in
+// Hosts found terminated at a failover ended while the partition had no holder, and are found one by
+// one. Their crashes are counted at once, so that they are stored for the next holder. No job is failed
+// for them before the state of the other hosts is known: if at least minCommonCause of them and one in
 // commonCauseDivisor terminated, they had one cause, such as power, and no task is held responsible.
 // Otherwise repeated power failures would fail jobs.
 const (
@@ -45,28 +45,28 @@
 
 // processDecisions decides about jobs whose tasks were lost while the partition changed hands.
 func (e *Engine) processDecisions(now time.Time) {
-	together := e.goneAtFailover >= max(minCommonCause, e.inheritedHosts/commonCauseDivisor)
+	together := e.terminatedAtFailover >= max(minCommonCause, e.inheritedHosts/commonCauseDivisor)
 	for len(e.deferredDecisions) > 0 && !now.Before(e.deferredDecisions[0].due) {
-		v := e.deferredDecisions[0]
+		d := e.deferredDecisions[0]
 		e.deferredDecisions = e.deferredDecisions[1:]
-		if together && v.life != "" {
-			e.reviseCrashes(v.life, crashloop.History.WithoutUnproven)
+		if together && d.incarnation != "" {
+			e.reviseCrashes(d.incarnation, crashloop.History.WithoutUnproven)
 		}
-		e.failCrashingJobs(v.list, now)
+		e.failCrashingJobs(d.list, now)
 	}
 }
 
-// scheduleDecision schedules the decision on a group that a previous holder had found to crash its hosts
-// when it was replaced.
+// scheduleDecision schedules the decision on a group that the previous holder had found to crash its
+// hosts, but whose job it had not failed yet.
 func (e *Engine) scheduleDecision(g *group, now time.Time) {
 	if g.suspicion != crashloop.Failed {
 		return
 	}
-	v := deferredDecision{due: now.Add(crashDecisionDelay)}
+	d := deferredDecision{due: now.Add(crashDecisionDelay)}
 	for i := range g.tasks {
-		v.list = append(v.list, attribution{run: host.Run{Task: g.task(i)}})
+		d.list = append(d.list, attribution{run: host.Run{Task: g.task(i)}})
 	}
-	e.deferredDecisions = append(e.deferredDecisions, v)
+	e.deferredDecisions = append(e.deferredDecisions, d)
 }
 
 // failCrashingJobs fails the jobs of those tasks whose crash histories suffice.
--- a/internal/engine/dump.go
+++ b/internal/engine/dump.go
@@ -85,8 +85,8 @@
 	// host has not even been reached.
 	SilentMillis    int64 `json:"silent_ms"`
 	UnreachedMillis int64 `json:"unreached_ms,omitempty"`
-	// LeaseOverMillis is the time until every lease there has expired; zero if they have, or if
-	// nothing is known of them.
+	// LeaseOverMillis is the time until every lease there has expired; zero if all have, or if
+	// the leases are not known.
 	LeaseOverMillis int64 `json:"lease_over_in_ms"`
 	// Runs counts the recorded runs, PossibleRuns the possible runs listed by the previous holder, and
 	// Unattributed the runs that were lost there while it is not known whether the host has crashed.
@@ -198,7 +198,7 @@
 	}
 	switch {
 	case h.knowsClock():
-		row.LeaseOverMillis = millisUntil(e.leaseOver(h), now)
+		row.LeaseOverMillis = millisUntil(e.leasesExpireAt(h), now)
 	case h.inherited:
 		row.LeaseOverMillis = millisUntil(e.reconcileDeadline, now)
 	}
@@ -207,9 +207,9 @@
 
 func (e *Engine) dumpDecisions(now time.Time) []DumpedDecision {
 	rows := []DumpedDecision{}
-	for _, v := range e.deferredDecisions {
-		row := DumpedDecision{DueMillis: v.due.Sub(now).Milliseconds(), Host: v.life, Tasks: []string{}, Count: len(v.list)}
-		for _, a := range v.list[:min(len(v.list), maxDumpTasks)] {
+	for _, d := range e.deferredDecisions {
+		row := DumpedDecision{DueMillis: d.due.Sub(now).Milliseconds(), Host: d.incarnation, Tasks: []string{}, Count: len(d.list)}
+		for _, a := range d.list[:min(len(d.list), maxDumpTasks)] {
 			row.Tasks = append(row.Tasks, a.run.Task.String())
 		}
 		rows = append(rows, row)
--- a/internal/engine/dump_account.go
+++ b/internal/engine/dump_account.go
@@ -96,7 +96,7 @@
 	return sum
 }
 
-// Explanation is the progress of a job and the reason for which its waiting steps wait.
+// Explanation is the progress of a job and the reasons why its steps wait.
 type Explanation struct {
 	Job     string       `json:"job"`
 	Account string       `json:"account,omitempty"`
@@ -116,11 +116,11 @@
 	Done    int `json:"done"`
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Why is the reason for which the waiting tasks wait.
+	// Why is the reason why the waiting tasks wait.
 	Why string `json:"why,omitempty"`
 }
 
-// Explain returns the progress of a job and the reasons for which its steps wait. The second
+// Explain returns the progress of a job and the reasons why its steps wait. The second
 // result is false when the job is not known.
 func (e *Engine) Explain(id string, now time.Time) (Explanation, bool) {
 	j := e.jobs[id]
--- a/internal/engine/dump_test.go
+++ b/internal/engine/dump_test.go
@@ -74,7 +74,7 @@
 	is.True(!silent[0].Reported)
 	is.True(silent[0].PossibleRuns > 0)
 	is.True(silent[0].LeaseOverMillis > 0)
-	w.engine.deferredDecisions = []deferredDecision{{due: w.now().Add(crashDecisionDelay), life: "h01", list: []attribution{{run: host.Run{Task: w.engine.jobs["a"].groups[0].task(3)}}}}}
+	w.engine.deferredDecisions = []deferredDecision{{due: w.now().Add(crashDecisionDelay), incarnation: "h01", list: []attribution{{run: host.Run{Task: w.engine.jobs["a"].groups[0].task(3)}}}}}
 	is.Equal(w.engine.Dump(w.now()).Decisions, []DumpedDecision{{DueMillis: 1000, Host: "h01", Tasks: []string{"a/0/0/3"}, Count: 1}})
 }
 
@@ -97,7 +97,7 @@
 		h.unresponsiveSince = w.now()
 	}
 	for range 2 * maxDumpRows {
-		e.deferredDecisions = append(e.deferredDecisions, deferredDecision{due: w.now(), life: "gone", list: list})
+		e.deferredDecisions = append(e.deferredDecisions, deferredDecision{due: w.now(), incarnation: "gone", list: list})
 	}
 	d := e.Dump(w.now())
 	is.Equal(len(d.Suspects), maxDumpRows)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -67,12 +67,13 @@
 	accounts map[string]*account
 	// withheldAccounts are the accounts with quota withheld in the current scheduling pass.
 	withheldAccounts []*account
-	// unreported are the hosts that have not reported since the failover, unowned is the size of all orphan
-	// runs.
+	// unreported are the hosts that have not reported since the failover, orphanUsage is the size of all
+	// orphan runs.
 	unreported  unreportedHosts
 	orphanUsage spec.Resources
-	jobs        map[string]*job
-	live        map[string]*job
+	// jobs are the jobs by id, until they expire; live are those of them that are not in a final state.
+	jobs map[string]*job
+	live map[string]*job
 	// ready holds the steps with tasks to start, in no order.
 	ready map[spec.StepID]*group
 	// queue holds the ready steps that are due, in scheduling order; incoming holds those that are not in
@@ -87,15 +88,16 @@
 	hostsByID []*hostState
 	// stopRequested are the runs for which a stop is requested.
 	stopRequested map[*run]struct{}
-	// capacityChanges is incremented whenever capacity comes free or hosts become usable, so that a step that found
-	// no capacity is retried only after the next change.
+	// capacityChanges is incremented whenever capacity comes free or hosts become usable, so that a step
+	// that found no capacity is retried only after the next change.
 	capacityChanges   uint64
 	sortedAt          time.Time // when the queue was last sorted
 	loadLoggedAt      time.Time // when the load of the cell was last logged
 	progressCheckedAt time.Time // when the runs were last checked for progress
 	expiredAt         time.Time // when hosts were last checked for missing answers
 	nextPollDue       time.Time // when the next host has to be polled
-	// reconciling is true after a failover until the runs of every host are known.
+	// reconciling is true after a failover until every inherited host has reported its runs, is closed in
+	// the roster, or can run nothing any more.
 	reconciling bool
 	// reconcileDeadline is when hosts that have not reported since the failover can run nothing any more.
 	reconcileDeadline time.Time
@@ -106,7 +108,7 @@
 	// now is the time of the current call, for the log.
 	now time.Time
 
-	lanes *advice.QuerySlots
+	querySlots *advice.QuerySlots
 	// runtimes estimates the run times of tasks, by queue.
 	runtimes *runtimes.Estimator
 	// permittedByQueue is the estimated share of hosts that the policy service permits for a step, by queue.
@@ -139,16 +141,16 @@
 	// tasks beside them, by image.
 	backfillOverloadShare map[string]int
 	reduction             capacityReduction // the largest recent capacity reduction
-	// losses are the incarnations of hosts that ended recently, exiles the presumed-ended ones that are
-	// attributed to tasks although the host may still answer, trials counts the hosts that are quarantined
-	// for a suspect job.
+	// losses are the incarnations of hosts that ended recently, presumedEnded those whose crashes are
+	// attributed to tasks although the host may still answer, with the time at which this holder
+	// attributed or loaded them; quarantines counts the hosts that take only starts of a quarantined job.
 	losses        crashloop.HostFailures
 	presumedEnded map[string]time.Time
 	quarantines   int
-	// deferredDecisions are deferred crash-loop decisions; foundGone counts the inherited hosts that were gone
-	// before this holder had reached them, out of inheritedHosts.
-	deferredDecisions              []deferredDecision
-	goneAtFailover, inheritedHosts int
+	// deferredDecisions are deferred crash-loop decisions; terminatedAtFailover counts those of the
+	// inheritedHosts that had terminated before this holder reached them.
+	deferredDecisions                    []deferredDecision
+	terminatedAtFailover, inheritedHosts int
 	// retryUnstored is true while the store lacks a run of a task that is suspected of host crashes.
 	retryUnstored bool
 	// upkeep plans maintenance rollouts; nil where the platform offers no orders to machines.
@@ -169,8 +171,9 @@
 	at time.Time
 }
 
-// New returns an engine without jobs or hosts. Unless it is the first holder of the partition, it starts
-// no earlier job before the failover is reconciled, or until settleBy.
+// New returns an engine without jobs or hosts. Unless its process is the first holder of the partition, it
+// starts no task of an earlier job before the hosts have been reconciled or the reconcile deadline has
+// passed; see Load.
 func New(cfg Config) *Engine {
 	return &Engine{
 		cfg:                   cfg,
@@ -187,7 +190,7 @@
 		permittedByQueue:      map[string]float64{},
 		throttlesOutdated:     map[*hostState]struct{}{},
 		backfillOverloadShare: map[string]int{},
-		lanes:                 advice.NewQuerySlots(),
+		querySlots:            advice.NewQuerySlots(),
 		runtimes:              runtimes.NewEstimator(),
 		orphanEndRecords:      map[string][]orphanEnd{},
 		claiming:              map[host.ID]struct{}{},
@@ -202,10 +205,10 @@
 type Orders struct {
 	Starts    []StartOrder    // Started
 	Stops     []StopOrder     // Stopped
-	Polls     []PollOrder     // Viewed
-	Queries   []QueryOrder    // Advised
-	Throttles []ThrottleOrder // Paced
-	// MachineOrders take machines down; see Upkept.
+	Polls     []PollOrder     // Polled
+	Queries   []QueryOrder    // PolicyAnswered
+	Throttles []ThrottleOrder // HandleThrottleResult
+	// MachineOrders take machines down; see HandleUpkeepResult.
 	MachineOrders []UpkeepOrder
 	// ListMachines requests the list of the platform's machines; see SetMachines.
 	ListMachines bool
@@ -284,14 +287,14 @@
 func (e *Engine) Hosts() int { return len(e.hostsByID) }
 
 // SetMembers sets the members through which the policy service can be queried.
-func (e *Engine) SetMembers(names []string) { e.lanes.SetMembers(names) }
+func (e *Engine) SetMembers(names []string) { e.querySlots.SetMembers(names) }
 
 // Next returns the orders that are due at now, and the time of the next call if nothing happens before.
 func (e *Engine) Next(now time.Time) (Orders, time.Time) {
 	e.now = now
 	e.out = Orders{Deposed: e.deposed}
 	if e.deposed {
-		return e.out, now.Add(restInterval)
+		return e.out, now.Add(maxNextInterval)
 	}
 	e.reconcile(now)
 	e.setReadyTimes(now)
@@ -310,12 +313,12 @@
 	return e.out, e.nextDue(now)
 }
 
-// restInterval is the longest time between two calls of Next.
-const restInterval = 100 * time.Millisecond
+// maxNextInterval is the longest time between two calls of Next.
+const maxNextInterval = 100 * time.Millisecond
 
 // nextDue returns when something becomes due by the passage of time alone.
 func (e *Engine) nextDue(now time.Time) time.Time {
-	next := now.Add(restInterval)
+	next := now.Add(maxNextInterval)
 	if e.nextPassAt.After(now) && e.nextPassAt.Before(next) {
 		next = e.nextPassAt
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -35,7 +35,7 @@
 	w.run(3 * time.Second)
 	w.checkInvariants()
 	is := is.New(t)
-	is.Equal(w.shown["a"], record.StateCompleted)
+	is.Equal(w.reported["a"], record.StateCompleted)
 	is.Equal(w.fleet.Checker().Starts(), 10)
 }
 
@@ -48,7 +48,7 @@
 	w.submit("a", catalog.Rules{}, step(5, 8, 8, 500), second, third)
 	w.run(5 * time.Second)
 	w.checkInvariants()
-	is.New(t).Equal(w.shown["a"], record.StateCompleted)
+	is.New(t).Equal(w.reported["a"], record.StateCompleted)
 }
 
 // TestGangStepEndsOnce guards against counting the end of each gang member as the end of its step: a job
@@ -63,13 +63,13 @@
 	w.run(4 * time.Second)
 	w.checkInvariants()
 	is := is.New(t)
-	is.Equal(w.shown["a"], record.StateCompleted)
+	is.Equal(w.reported["a"], record.StateCompleted)
 	is.Equal(w.fleet.Checker().Starts(), 10)
 }
 
 // TestFailureCountsOnce guards against counting a failure twice: a next holder receives a failure that the
-// previous holder had stored but the host had not been told to delete, and a job fails before a task has
-// used up its attempts.
+// previous holder had stored but not acknowledged to the host, and a job fails before a task has used up
+// its attempts.
 func TestFailureCountsOnce(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		t.Run(fmt.Sprint("gang ", gang), func(t *testing.T) {
@@ -84,10 +84,10 @@
 			for len(w.store["progress/0/a"]) == 0 {
 				w.run(time.Millisecond)
 			}
-			w.failOver() // before the hosts are told that the failure is stored
+			w.failOver() // before the failure is acknowledged to the hosts
 			w.run(6 * time.Second)
 			w.checkInvariants()
-			is.New(t).Equal(w.shown["a"], record.StateCompleted)
+			is.New(t).Equal(w.reported["a"], record.StateCompleted)
 		})
 	}
 }
@@ -103,7 +103,7 @@
 	w.run(9 * time.Second)
 	w.checkInvariants()
 	is := is.New(t)
-	is.Equal(w.shown["a"], record.StateCompleted)
+	is.Equal(w.reported["a"], record.StateCompleted)
 	is.Equal(w.fleet.Checker().Starts(), 6)
 }
 
@@ -114,8 +114,8 @@
 	w.run(20 * time.Second)
 	w.checkInvariants()
 	is := is.New(t)
-	is.Equal(w.shown["hopeless"], record.StateFailed)
-	is.Equal(w.shown["b"], record.StateCompleted)
+	is.Equal(w.reported["hopeless"], record.StateFailed)
+	is.Equal(w.reported["b"], record.StateCompleted)
 }
 
 func TestCancelStopsWhatRuns(t *testing.T) {
@@ -127,7 +127,7 @@
 	w.checkInvariants()
 	is := is.New(t)
 	is.True(known)
-	is.Equal(w.shown["a"], record.StateCancelled)
+	is.Equal(w.reported["a"], record.StateCancelled)
 	for _, h := range w.fleet.Hosts() {
 		is.Equal(len(h.Running()), 0)
 	}
@@ -162,11 +162,11 @@
 	w.submit("fresh", catalog.Rules{}, step(2, 4, 4, 300)) // submitted after the failover, so no other holder can have started it
 	w.run(2 * time.Second)
 	is := is.New(t)
-	is.Equal(w.shown["fresh"], record.StateCompleted)
+	is.Equal(w.reported["fresh"], record.StateCompleted)
 	is.Equal(w.fleet.Checker().Starts(), 14)
 	w.run(28 * time.Second)
 	w.checkInvariants()
-	is.Equal(w.shown["a"], record.StateCompleted)
+	is.Equal(w.reported["a"], record.StateCompleted)
 }
 
 // Each row injects one or more faults, which must violate no invariant and lose no job.
@@ -225,8 +225,8 @@
 				w.run(60 * time.Second)
 				w.checkInvariants()
 				for id := range w.jobs {
-					if !w.shown[id].Final() {
-						t.Errorf("seed %d: job %s is %s at the end: %s", seed, id, w.shown[id], w.describe(id))
+					if !w.reported[id].Final() {
+						t.Errorf("seed %d: job %s is %s at the end: %s", seed, id, w.reported[id], w.describe(id))
 					}
 				}
 			}
@@ -318,5 +318,5 @@
 	w.faults.lostRequest = 0
 	w.run(callTimeout + 300*time.Millisecond)
 	w.checkInvariants()
-	is.Equal(w.shown["a"], record.StateCompleted)
+	is.Equal(w.reported["a"], record.StateCompleted)
 }
--- a/internal/engine/estimate.go
+++ b/internal/engine/estimate.go
@@ -73,10 +73,10 @@
 	}
 }
 
-// atWork records whether a long-running task is ready.
-func (r *run) atWork(percent float64, now time.Time) {
+// observeReadiness records whether a long-running task is ready.
+func (r *run) observeReadiness(percent float64, now time.Time) {
 	r.percent = percent
-	if percent >= atWork {
+	if percent >= readyPercent {
 		r.progressAt = now
 	}
 }
@@ -89,7 +89,7 @@
 // observeRunTime records the run time of a completed run that started from the beginning and ran at full
 // speed.
 func (e *Engine) observeRunTime(r *run, now time.Time) {
-	if r.group == nil || r.confirmedAt.IsZero() || r.resumed || r.pace != pacing.Full {
+	if r.group == nil || r.confirmedAt.IsZero() || r.resumed || r.throttle != pacing.Full {
 		return
 	}
 	e.runtimes.AddSample(r.group.job.rec.Queue, r.group.step.Estimate(), now.Sub(r.confirmedAt))
--- a/internal/engine/evidence.go
+++ b/internal/engine/evidence.go
@@ -7,8 +7,8 @@
 )
 
 // A host's crash is evidence against a task only if the task's run was on the host when it ended.
-// Neither silence nor a broken connection shows that: runs that end on a disconnected host are not
-// reported, and the host may restart before the connection is back. But if a host has just reported the
+// Neither unanswered calls nor a broken connection prove that: runs that end on a disconnected host are
+// not reported, and the host may restart before the connection is back. But if a host has just reported the
 // run, and its machine now refuses connections because no process listens, then the run ended with the
 // host.
 
@@ -21,13 +21,13 @@
 	refusalWindow = time.Second
 )
 
-// clockOrigin is the earliest time at which a host's clock can have read zero, as known at a time: an
-// answer is never produced before its request was sent.
+// clockOrigin is the earliest time at which a host's clock can have read zero, by the answers received
+// until asOf: an answer is never produced before its request was sent.
 type clockOrigin struct{ at, asOf time.Time }
 
 // producedAt takes a reading of the host's clock from an answer to a request sent at sent, and returns
-// the earliest time at which the answer can have been produced. The answer may have arrived late, and
-// says nothing of the time since.
+// the earliest time at which the answer can have been produced. The answer may have arrived long
+// after it was produced, so its arrival is not that time.
 func (h *hostState) producedAt(clock host.Millis, sent, now time.Time, drift float64) time.Time {
 	if clock == 0 {
 		return sent
@@ -49,7 +49,7 @@
 		end = h.connBrokenAt
 	}
 	for _, r := range h.runs {
-		r.presentAtEnd = r.acknowledged && end.Sub(later(r.shown, h.viewProducedAt)) <= presenceWindow
+		r.presentAtEnd = r.acknowledged && end.Sub(later(r.reportedAt, h.viewProducedAt)) <= presenceWindow
 	}
 }
 
@@ -66,7 +66,7 @@
 }
 
 // attributeEnd attributes the certain end of a host to the runs that were present. It is stored at
-// once, because the next holder could not learn it any more. The decision to fail jobs waits until it is
+// once, because the next holder could not observe it any more. The decision to fail jobs waits until it is
 // known whether other hosts ended at the same time.
 func (e *Engine) attributeEnd(h *hostState, now time.Time) {
 	if !h.processEnded || h.endAttributed || !h.claimed || h.departing() {
--- a/internal/engine/evidence_test.go
+++ b/internal/engine/evidence_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	w.run(within)
 	w.checkInvariants()
-	if w.shown["job"] == record.StateFailed {
+	if w.reported["job"] == record.StateFailed {
 		t.Errorf("the job is reported as failed: %s", w.endReason("job"))
 	}
 	if t.Failed() && *searchLog {
@@ -193,7 +193,7 @@
 }
 
 // TestConnectionsBrokenAtDisconnect guards against a broken connection counting as the host's end. The
-// network reset the connections to a host and was down from then on. The host lived, its task was done,
+// network reset the connections to a host and was down from then on. The host stayed up, its task was done,
 // and it restarted while disconnected.
 func TestConnectionsBrokenAtDisconnect(t *testing.T) {
 	withBothIDs(t, func(t *testing.T, keepsID bool) {
@@ -219,7 +219,7 @@
 func TestStartsThatNeverArrived(t *testing.T) { startsThatNeverArrive(t, 320*time.Millisecond) }
 
 // TestStartsThatNeverArriveRightAfterView guards against the same where a view of the host came just
-// before: it says nothing of a start that it does not list.
+// before: such a view is no evidence about a start that it does not list.
 func TestStartsThatNeverArriveRightAfterView(t *testing.T) {
 	for at := time.Duration(0); at < 600*time.Millisecond; at += 25 * time.Millisecond {
 		startsThatNeverArrive(t, at)
@@ -277,7 +277,7 @@
 }
 
 // TestOneMachineRepeatedlyDisconnected guards against one machine that fails a job alone. The only
-// machine with room in a full cell was disconnected and restarted while disconnected, again and again,
+// machine with free capacity in a full cell was disconnected and restarted while disconnected, again and again,
 // so it was given the same tasks each time. Their leases were over before it terminated, yet three
 // incarnations of it counted as three confirmed crashes.
 func TestOneMachineRepeatedlyDisconnected(t *testing.T) {
--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -31,7 +31,7 @@
 func (e *Engine) logStart(g *group, tasks, hosts int, now time.Time) {
 	e.log(Event{
 		What: "step started", Job: g.job.id(), Step: g.id.String(), Age: now.Sub(g.readySince),
-		Why: fmt.Sprintf("%d tasks, on %d hosts, after %d answers of the policy service; %d wait", tasks, hosts, g.advice.answers, g.waiting),
+		Why: fmt.Sprintf("%d tasks, on %d hosts, after %d answers of the policy service; %d wait", tasks, hosts, g.policy.answers, g.waiting),
 	})
 }
 
@@ -39,7 +39,7 @@
 // free capacity the others have.
 func (e *Engine) waitReason(g *group, now time.Time) string {
 	refused := map[string]int{}
-	good, ticketed, room, reservedOn, roomIfEmpty := 0, 0, 0, 0, 0
+	permitted, ticketed, slots, reservedOn, slotsIfEmpty := 0, 0, 0, 0, 0
 	for _, h := range e.hostsByID {
 		rule := rejectedBy(g, h)
 		if !e.placeable(h, now) {
@@ -49,14 +49,14 @@
 			refused[rule]++
 			continue
 		}
-		if g.advice.known[h] {
-			good++
+		if g.policy.permission[h] {
+			permitted++
 		}
 		if e.hasPermission(g, h, now) {
 			ticketed++
 		}
-		roomIfEmpty += g.slotsFor(h, h.info.Size)
-		room += g.slotsFor(h, e.capacityFor(g, h, now))
+		slotsIfEmpty += g.slotsFor(h, h.info.Size)
+		slots += g.slotsFor(h, e.capacityFor(g, h, now))
 		if len(h.reserved) > 0 {
 			reservedOn++
 		}
@@ -70,7 +70,7 @@
 		return over
 	}
 	return fmt.Sprintf("wants %d places (%d cores, %d MiB, %d accelerators each, label %q); has room for %d, %d if empty; %d hosts good, %d ticketed, places reserved on %d, for it on %d, %d questions asked; refused by rule: %s; %s",
-		g.waiting, g.step.Size.MilliCPU/1000, g.step.Size.MemoryMiB, g.step.Size.Accelerators, g.step.Label, room, roomIfEmpty, good, ticketed, reservedOn, len(g.reserved), g.advice.openQueries, strings.Join(rules, ", "), g.describeRuns(e, now))
+		g.waiting, g.step.Size.MilliCPU/1000, g.step.Size.MemoryMiB, g.step.Size.Accelerators, g.step.Label, slots, slotsIfEmpty, permitted, ticketed, reservedOn, len(g.reserved), g.policy.openQueries, strings.Join(rules, ", "), g.describeRuns(e, now))
 }
 
 // describeRuns describes the recorded runs of a step: a gang starts only when there are none.
@@ -94,7 +94,7 @@
 	h := first.placedOn
 	return fmt.Sprintf("%d of it in the books, the oldest task %d, run %d on %s (%s, unwanted %t, known for %d ms; listed %t, life %d, silent for %d ms, lease over in %d ms)",
 		n, first.Task.Index, first.No, h.info.ID, first.state, first.stopRequested, now.Sub(first.confirmedAt).Milliseconds(),
-		h.listed, h.incarnation, h.unresponsiveFor(now).Milliseconds(), e.leaseOver(h).Sub(now).Milliseconds())
+		h.listed, h.incarnation, h.unresponsiveFor(now).Milliseconds(), e.leasesExpireAt(h).Sub(now).Milliseconds())
 }
 
 // loadLogInterval is the interval between two "cell load" lines of the log.
@@ -135,11 +135,11 @@
 			}
 		}
 	}
-	silentRuns, longest := 0, time.Duration(0)
+	unresponsiveRuns, longest := 0, time.Duration(0)
 	for _, h := range e.hostsByID {
 		if len(h.runs) > 0 && !h.unresponsiveSince.IsZero() {
-			silentRuns += len(h.runs)
-			longest = max(longest, e.leaseOver(h).Sub(now))
+			unresponsiveRuns += len(h.runs)
+			longest = max(longest, e.leasesExpireAt(h).Sub(now))
 		}
 	}
 	reserving := 0
@@ -159,7 +159,7 @@
 	}
 	sort.Strings(parts)
 	e.log(Event{What: "cell load", Why: fmt.Sprintf("%d of %d hosts take work; %s; %d steps have places reserved; %d questions asked; %d runs on silent hosts, the last lease over in %d ms",
-		placeable, len(e.hostsByID), strings.Join(parts, ", "), reserving, len(e.queries), silentRuns, longest.Milliseconds())})
+		placeable, len(e.hostsByID), strings.Join(parts, ", "), reserving, len(e.queries), unresponsiveRuns, longest.Milliseconds())})
 }
 
 // describe returns the queue's load as text for the log.
--- a/internal/engine/filters.go
+++ b/internal/engine/filters.go
@@ -12,8 +12,8 @@
 	{"label", func(g *group, h *hostState) bool { return g.step.Label == "" || h.info.HasLabel(g.step.Label) }},
 	{"size", func(g *group, h *hostState) bool { return g.step.Allocation().Fits(h.info.Size) }},
 	{"policy", func(g *group, h *hostState) bool {
-		good, known := g.advice.known[h]
-		return good || !known
+		permitted, known := g.policy.permission[h]
+		return permitted || !known
 	}},
 }
 
--- a/internal/engine/fleet_test.go
+++ b/internal/engine/fleet_test.go
@@ -198,7 +198,7 @@
 		}
 		value := min(0.3+0.7*j.weight/mean, 4)
 		total += value
-		if l.w.shown[id] != record.StateCompleted {
+		if l.w.reported[id] != record.StateCompleted {
 			continue
 		}
 		switch took := l.w.finalSince[id].Sub(j.at); {
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -36,7 +36,7 @@
 	placedOn *hostState
 	size     spec.Resources
 	state    runState
-	// A run with unwanted set is to be stopped; stopSentAt is when the stop was last sent.
+	// stopRequested is true if the run is to be stopped; stopSentAt is when the stop was last sent.
 	stopRequested bool
 	stopSentAt    time.Time
 	stopInFlight  bool // the answer to a stop call is to come
@@ -44,13 +44,13 @@
 	adopted       bool // started by a previous holder
 	suspect       bool // hosts have crashed under its task
 	acknowledged  bool // the host has acknowledged the start or reported the run
-	superseded    bool // superseded: its task has another run, or had a later one
+	superseded    bool // its task has another run, or had a later one
 	presentAtEnd  bool // on the host when the host ended; see evidence.go
 	// deadline is the start's deadline by the host's clock.
 	deadline host.Millis
-	// orderedAt is when the start was ordered, known when the host's answer or view last confirmed the state,
-	// shown the production time of the last answer that confirms the run.
-	orderedAt, confirmedAt, shown time.Time
+	// orderedAt is when the start was ordered, confirmedAt when the host's answer or view last confirmed the
+	// state, reportedAt the production time of the last answer that confirms the run.
+	orderedAt, confirmedAt, reportedAt time.Time
 
 	// percent is the completed share of the work at progressAt, when it last advanced; the first
 	// reported values are kept to compute the rate.
@@ -58,8 +58,8 @@
 	progressAt, firstAt   time.Time
 	gauge                 float64
 	checkpoint            string
-	pace                  int  // percent of its full speed that the run was given
-	pacing                bool // an order to change pace is in flight
+	throttle              int  // percent of its full speed at which the run may run
+	throttleInFlight      bool // an order to change throttle is in flight
 }
 
 // hostState is the state of one host and of the runs recorded on it.
@@ -69,7 +69,7 @@
 	incarnation      host.Incarnation // last reported, or taken from the roster; zero while not known
 	incarnationSince time.Time        // when it was first reported
 	pastIncarnations []host.Incarnation
-	endedBy          time.Time // latest time at which this incarnation can have ended; zero while it lives
+	endedBy          time.Time // latest time at which this incarnation can have ended; zero while it has not ended
 	drained          bool      // was draining before the next incarnation's entry replaced its entry
 	// listed is true while the host has an entry in the platform's list.
 	listed bool
@@ -85,13 +85,13 @@
 	leased host.Millis
 
 	endsProcessed   int64 // number of the last run end processed
-	endsAcked       int64 // number of the last run end stored, up to which the host may forget them
-	ackedEndsListed bool  // its last view listed ends that it had been told to forget
+	endsAcked       int64 // number of the last run end stored, up to which the host may delete them
+	ackedEndsListed bool  // its last view listed ends that had been acknowledged to it
 
 	orphanEnds []int64 // numbers of orphan ends (of unknown jobs), which the host has to keep
 
 	pollInFlight      bool      // a poll other than a probe is in flight
-	probe             bool      // an extra poll beside the one in flight is wanted
+	probe             bool      // a poll in addition to the one in flight is requested
 	presencePollsFrom time.Time // start of a suspect run from which presence polls are timed, zero when there are none
 	presencePolls     int       // presence polls made since
 	nextPollAt        time.Time
@@ -102,8 +102,8 @@
 	openInRoster bool
 	// closeInRoster is true while the host is unresponsive and therefore to be closed in the roster.
 	closeInRoster bool
-	// inherited is true if the host was in the previous holder's roster, inheritedShut if it was closed
-	// there; mayRun lists the runs that may be on it.
+	// inherited is true if the host was in the previous holder's roster, inheritedClosed if it was closed
+	// there; possibleRuns lists the runs that may be on it.
 	inherited, inheritedClosed  bool
 	possibleRuns                []possibleRun
 	lastAttempts                []possibleRun // suspect runs that the previous holder last started there
@@ -125,12 +125,12 @@
 
 	reserved []reservation // capacity reserved for gangs
 
-	governor  *pacing.Throttle // nil until serving tasks and fillers have shared the host
+	throttle  *pacing.Throttle // nil until serving tasks and backfill tasks have shared the host
 	departsAt time.Time        // earliest departure of a draining host
 	cordoned  bool             // cordoned: to be emptied for the maintenance of its machine
 
-	// capacity is how much of the host's size may be allocated, as last reported by the host; capacityReportedAt is
-	// the time of that report.
+	// capacity is how much of the host's size may be allocated, as last reported by the host;
+	// capacityReportedAt is the time of that report.
 	capacity           spec.Resources
 	capacityReportedAt time.Time
 	// refusedSize is the last size refused for lack of capacity, taken as valid until refusedUntil;
@@ -139,14 +139,14 @@
 	refusedUntil      time.Time
 	overCapacitySince time.Time
 
-	startedAt   time.Time // when a run was last started there, and of which job
+	startedAt   time.Time // when a run was last started there; startedJob is its job
 	startedJob  *job
-	suspectRuns int // runs there whose tasks have crashed hosts
+	suspectRuns int // runs there under whose tasks hosts have crashed
 	// Until quarantineUntil only starts of quarantinedJob are accepted there; see quarantine.go.
 	quarantinedJob  *job
 	quarantineUntil time.Time
-	// pendingAttributions are the runs lost when the host's lease was over, while it is not known whether the host
-	// has crashed.
+	// pendingAttributions are the runs lost when the host's lease was over, while it is not known whether the
+	// host has crashed.
 	pendingAttributions []attribution
 }
 
@@ -180,8 +180,8 @@
 // free returns the capacity that is not allocated.
 func (h *hostState) free() spec.Resources { return h.capacity.Sub(h.used) }
 
-// now estimates the present reading of the host's clock.
-func (h *hostState) now(now time.Time) host.Millis {
+// estimateClock estimates the present reading of the host's clock.
+func (h *hostState) estimateClock(now time.Time) host.Millis {
 	return h.clock + host.Millis(now.Sub(h.clockAt).Milliseconds())
 }
 
@@ -363,12 +363,12 @@
 
 // deadline returns the reading of the host's clock in d from now.
 func (h *hostState) deadline(now time.Time, d time.Duration) host.Millis {
-	return h.now(now) + host.Millis(d.Milliseconds())
+	return h.estimateClock(now) + host.Millis(d.Milliseconds())
 }
 
-// leaseOver returns when everything that this process has ever leased on the host is over, by the
-// slowest clock that the host may have.
-func (e *Engine) leaseOver(h *hostState) time.Time {
+// leasesExpireAt returns when everything that this process has ever leased on the host has expired, if
+// the host's clock runs as slowly as the drift allows.
+func (e *Engine) leasesExpireAt(h *hostState) time.Time {
 	if h.leased <= h.clock {
 		return h.clockAt
 	}
--- a/internal/engine/incarnation.go
+++ b/internal/engine/incarnation.go
@@ -11,7 +11,7 @@
 
 // A host that crashed may answer again under the same id without any memory of the time before. Its
 // state is then created anew, as for a host with another id: the numbers of its run ends, its clock and
-// the leases by that clock, its tickets and what was learned of it belong to the ended incarnation. A
+// the leases by that clock, its tickets and what was observed of it belong to the ended incarnation. A
 // view names the incarnation that produced it. An answer to an order carries only the clock, so a
 // reading that does not fit triggers an immediate poll.
 
@@ -54,7 +54,7 @@
 }
 
 // isPast reports whether an incarnation that answered a poll sent at sent had ended before the current
-// one was first seen.
+// one was first observed.
 func (h *hostState) isPast(incarnation host.Incarnation, sent time.Time) bool {
 	return slices.Contains(h.pastIncarnations, incarnation) || incarnation < h.incarnation && sent.Before(h.incarnationSince)
 }
@@ -66,7 +66,7 @@
 	e.log(Event{
 		What: "host in another life", Host: string(h.info.ID), Age: now.Sub(h.lastContact),
 		Why: fmt.Sprintf("incarnation started at %d, the previous one at %d; clock %d, expected %d, leased until %d; %d runs recorded, %d reported; ends processed up to %d, acknowledged up to %d, %d listed",
-			v.Incarnation, h.incarnation, v.Clock, h.now(now), h.leased, len(h.runs), len(v.Running), h.endsProcessed, h.endsAcked, len(v.Ended)),
+			v.Incarnation, h.incarnation, v.Clock, h.estimateClock(now), h.leased, len(h.runs), len(v.Running), h.endsProcessed, h.endsAcked, len(v.Ended)),
 	})
 	h.recordEndedBy(h.unresponsiveSince, v.Clock, now)
 	h.pendingAttributions = append(h.pendingAttributions, e.unacknowledgedStarts(h, v, now)...)
@@ -92,20 +92,20 @@
 // report. They move over to it because it may yet start them; but they may also have crashed the
 // previous incarnation, and would crash one host after another if nothing were attributed to them.
 func (e *Engine) unacknowledgedStarts(h *hostState, v host.View, now time.Time) []attribution {
-	shown := reportedRuns(v)
+	reported := reportedRuns(v)
 	return slices.DeleteFunc(e.attributions(h, now), func(a attribution) bool {
 		r := h.runs[a.run]
-		return r == nil || r.state != runUnacknowledged || shown[a.run]
+		return r == nil || r.state != runUnacknowledged || reported[a.run]
 	})
 }
 
 // detachSurvivors removes from an ended incarnation the runs that may be on the next one: those that it
 // reports, and those whose starts may have reached it since, or may yet.
 func (e *Engine) detachSurvivors(h *hostState, v host.View, sent time.Time) []*run {
-	shown := reportedRuns(v)
+	reported := reportedRuns(v)
 	var out []*run
 	for key, r := range h.runs {
-		if shown[key] || r.state == runOrdered || r.state == runUnacknowledged || !r.confirmedAt.Before(sent) {
+		if reported[key] || r.state == runOrdered || r.state == runUnacknowledged || !r.confirmedAt.Before(sent) {
 			out = append(out, r)
 		}
 	}
@@ -116,7 +116,7 @@
 }
 
 // attach adds a run to the current incarnation of its host. The run's deadline was by the previous
-// incarnation's clock, so it does not tell when the start can no longer take effect.
+// incarnation's clock, so it does not show when the start can no longer take effect.
 func (e *Engine) attach(h *hostState, r *run) {
 	r.deadline = noDeadline
 	h.addRun(r)
@@ -143,9 +143,9 @@
 
 // recordEndedBy records the latest time at which an incarnation can have ended: when the host became
 // unresponsive, and at the latest when the clock of the next incarnation started.
-func (h *hostState) recordEndedBy(silent time.Time, clock host.Millis, now time.Time) {
+func (h *hostState) recordEndedBy(unresponsiveSince time.Time, clock host.Millis, now time.Time) {
 	started := now.Add(-time.Duration(clock) * time.Millisecond)
-	for _, at := range []time.Time{silent, started} {
+	for _, at := range []time.Time{unresponsiveSince, started} {
 		if !at.IsZero() && at.After(h.incarnationSince) && (h.endedBy.IsZero() || at.Before(h.endedBy)) {
 			h.endedBy = at
 		}
@@ -158,14 +158,14 @@
 
 func (e *Engine) clockFits(h *hostState, c host.Millis, now time.Time) bool {
 	drift := time.Duration(float64(now.Sub(h.clockAt)) * e.cfg.Tuning.ClockDrift)
-	deviation := time.Duration(c-h.now(now)) * time.Millisecond
+	deviation := time.Duration(c-h.estimateClock(now)) * time.Millisecond
 	return deviation.Abs() <= maxClockError+drift
 }
 
 // recordReply takes the host's clock from the answer to an order; zero if the answer has none. The host
 // is polled at once if another incarnation seems to have answered.
 func (e *Engine) recordReply(h *hostState, c host.Millis, now time.Time) {
-	unresponsiveSince, expected := h.unresponsiveSince, h.now(now)
+	unresponsiveSince, expected := h.unresponsiveSince, h.estimateClock(now)
 	h.recordContact(now)
 	if c == 0 || e.updateClock(h, c, now) {
 		return
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -20,20 +20,20 @@
 	undoneGroups int      // groups that are not done
 	// started is true once any of its tasks has run.
 	started bool
-	// finalBatch is the batch that stores the final state: callers are told of a final state only once that
-	// batch is durable.
+	// finalBatch is the batch that stores the final state: a final state is reported to callers only once
+	// that batch is durable.
 	finalBatch uint64
 	// storedProgress is true while the store holds a progress record.
 	storedProgress bool
 	accepted       time.Time
 	urgency        urgency
 	urgencyAt      time.Time // when urgency was computed
-	// crashesUnsaved is true while crashes attributed to its tasks are not part of a batch; crashesIn is the
-	// last batch that held some.
+	// crashesUnsaved is true while crashes attributed to its tasks are not part of a batch; crashesBatch is
+	// the last batch that held some.
 	crashesUnsaved bool
 	crashesBatch   uint64
-	quarantinedOn  *hostState // host on which it is quarantined, valid only while that host's trialOf refers to this job
-	endReason      string     // reason of its end, where the state does not tell it
+	quarantinedOn  *hostState // host on which it is quarantined, valid only while that host's quarantinedJob is this job
+	endReason      string     // reason of its end, where the state does not give it
 }
 
 func (j *job) id() string { return j.rec.ID }
@@ -53,7 +53,8 @@
 	state taskState
 	run   int // number of the current or last run
 	cur   *run
-	// superseded counts the recorded superseded runs of the task. It does not start before they are gone.
+	// superseded counts the recorded superseded runs of the task. The task does not start before
+	// they have been removed.
 	superseded int
 	failed     []int // numbers of the failed runs
 	// crashes are the crashes of hosts that ran the task.
@@ -77,7 +78,7 @@
 	pendingDeps int       // preceding steps that are not done
 	tasks       []task
 	undone      int // tasks that are not done
-	// waiting counts the tasks in taskWaiting, leftOver the superseded runs that its tasks wait for.
+	// waiting counts the tasks in taskWaiting, superseded the superseded runs that its tasks wait for.
 	waiting, superseded int
 	// largeTasks is true when a host holds only a few of its tasks. It is valid once classified is set; see
 	// plan_large.go.
@@ -98,7 +99,7 @@
 	perHost map[*hostState]int
 	// suspicion is the highest crash suspicion of its tasks.
 	suspicion   crashloop.Suspicion
-	advice      policyState
+	policy      policyState
 	lastAttempt placementAttempt
 	ready       bool // in the engine's ready steps
 	queued      bool // in the engine's queue
@@ -123,7 +124,7 @@
 
 // policyState is what the policy service has replied for a step.
 type policyState struct {
-	known       map[*hostState]bool // false: the host may never run the step
+	permission  map[*hostState]bool // false: the host may never run the step
 	permitted   []*hostState        // hosts that may run the step
 	tickets     map[*hostState]ticket
 	openQueries int
--- a/internal/engine/large_test.go
+++ b/internal/engine/large_test.go
@@ -99,7 +99,7 @@
 			continue
 		}
 		all++
-		if l.w.shown[id] == record.StateCompleted && l.w.finalSince[id].Sub(at) <= l.target[id] {
+		if l.w.reported[id] == record.StateCompleted && l.w.finalSince[id].Sub(at) <= l.target[id] {
 			good++
 		}
 	}
--- a/internal/engine/lasting_end_test.go
+++ b/internal/engine/lasting_end_test.go
@@ -18,10 +18,10 @@
 func TestLateAnswerOfSupersededRunKeepsJobEnd(t *testing.T) {
 	late := map[string]func(e *Engine, r *run, now time.Time){
 		"its start is answered": func(e *Engine, r *run, now time.Time) {
-			e.Started(StartOrder{To: r.placedOn.info, Start: host.Start{Run: r.Run}}, host.Reply{Clock: r.placedOn.now(now)}, nil, now)
+			e.Started(StartOrder{To: r.placedOn.info, Start: host.Start{Run: r.Run}}, host.Reply{Clock: r.placedOn.estimateClock(now)}, nil, now)
 		},
 		"its host shows it": func(e *Engine, r *run, now time.Time) {
-			v := host.View{Incarnation: r.placedOn.incarnation, Clock: r.placedOn.now(now), Running: []host.Running{{Run: r.Run}}}
+			v := host.View{Incarnation: r.placedOn.incarnation, Clock: r.placedOn.estimateClock(now), Running: []host.Running{{Run: r.Run}}}
 			e.Polled(PollOrder{To: r.placedOn.info, Probe: true}, now, v, nil, now)
 		},
 	}
--- a/internal/engine/late_start_test.go
+++ b/internal/engine/late_start_test.go
@@ -19,7 +19,7 @@
 	restart        time.Duration // when the host ends
 	downtime       time.Duration // downtime of the host after that
 	arrives        time.Duration // when the start arrives at whichever host answers at the address
-	answered       time.Duration // when the sender's call fails; zero leaves that to the world
+	answered       time.Duration // when the sender's call fails; zero leaves that to the simulation
 }
 
 func (l lateStart) String() string {
@@ -27,7 +27,7 @@
 		l.keepsID, l.failover, l.secondFailover, l.restart, l.downtime, l.arrives)
 }
 
-// execute runs the job in a cell with room for it, and, for a gang, with one host more than needed.
+// execute runs the job in a cell with capacity for it, and, for a gang, with one host more than needed.
 func (l lateStart) execute(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed)
 	w.followsHosts, w.keepEvents = true, true
@@ -72,7 +72,7 @@
 }
 
 // stopTakes is the maximum duration of a stop: long for gangs, because a superseded run would otherwise
-// be gone before the next run is ready.
+// end before the next run is ready.
 func (l lateStart) stopTakes() time.Duration {
 	if l.gang {
 		return 900 * time.Millisecond
@@ -161,7 +161,7 @@
 		t.Errorf("%d starts of two tasks, want 4: each meets another incarnation once", starts)
 	}
 	if !w.fleet.Checker().JobDone("job") {
-		t.Errorf("the job is reported as %s: %s", w.shown["job"], w.describe("job"))
+		t.Errorf("the job is reported as %s: %s", w.reported["job"], w.describe("job"))
 	}
 }
 
@@ -184,6 +184,6 @@
 	w.submit("job", catalog.Rules{}, step(2, 6, 10, 500))
 	w.mustNotFail(t, 10*time.Second)
 	if !w.fleet.Checker().JobDone("job") {
-		t.Errorf("the job is reported as %s: %s", w.shown["job"], w.describe("job"))
+		t.Errorf("the job is reported as %s: %s", w.reported["job"], w.describe("job"))
 	}
 }
--- a/internal/engine/late_view_test.go
+++ b/internal/engine/late_view_test.go
@@ -62,7 +62,7 @@
 }
 
 // TestProducedAt checks that an answer is no older than its request, and as old as the readings of the
-// host's clock tell; readings of another incarnation's clock say nothing of this one's.
+// host's clock show; readings of another incarnation's clock are ignored.
 func TestProducedAt(t *testing.T) {
 	const drift = 0.02
 	at := func(ms int) time.Time { return simulationStart.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/engine/lost.go
+++ b/internal/engine/lost.go
@@ -9,7 +9,7 @@
 )
 
 // dropAbsentRuns drops runs that the host does not report: starts that have not taken effect and can not
-// any more, and runs that the host no longer knows.
+// any more, and runs that the host no longer has.
 func (e *Engine) dropAbsentRuns(h *hostState, v host.View, sent, now time.Time) {
 	if len(h.runs) == 0 {
 		return
@@ -18,7 +18,7 @@
 	for key, r := range h.runs {
 		if reported[key] || !certainlyAbsent(r, v.Clock, sent) {
 			if r.state == runUnacknowledged && !reported[key] && !sent.Before(r.confirmedAt) {
-				e.requestStop(r, "start not acknowledged and run not reported by the host") // the answer to the stop tells whether it is there
+				e.requestStop(r, "start not acknowledged and run not reported by the host") // the answer to the stop shows whether the host has the run
 			}
 			continue
 		}
@@ -83,8 +83,8 @@
 	}
 }
 
-// expireInterval is how often hosts are checked for unanswered calls: what follows from them is timed
-// in hundreds of milliseconds, and each check takes time for every host.
+// expireInterval is how often hosts are checked for unanswered calls: the reactions to them
+// are timed in hundreds of milliseconds, and each check takes time for every host.
 const expireInterval = 20 * time.Millisecond
 
 // expireHosts drops the runs of hosts that have been unresponsive until every lease there was over.
@@ -101,7 +101,7 @@
 		e.closeUnresponsive(h, now)
 		e.attributeEnd(h, now)
 		e.expireUnreported(h, now)
-		if h.unresponsiveSince.IsZero() || !h.claimed || now.Before(e.leaseOver(h)) {
+		if h.unresponsiveSince.IsZero() || !h.claimed || now.Before(e.leasesExpireAt(h)) {
 			continue
 		}
 		if len(h.runs) > 0 {
--- a/internal/engine/order_test.go
+++ b/internal/engine/order_test.go
@@ -79,7 +79,7 @@
 			urgent.Gang = gang
 			w.submit("crew-urgent", catalog.Rules{}, urgent)
 			w.run(3 * time.Second) // all tasks that were running have ended by then
-			is.True(w.shown["crew-urgent"].Final())
+			is.True(w.reported["crew-urgent"].Final())
 			w.checkInvariants()
 		})
 	}
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -23,7 +23,7 @@
 	t := &g.tasks[i]
 	r := &run{
 		Run: host.Run{Task: g.task(i), No: no}, group: g, account: g.job.account, size: g.step.Allocation(), state: runOrdered,
-		orderedAt: now, progressAt: now, resumed: checkpoint != "", pace: pacing.Full, deadline: h.deadline(now, e.cfg.Tuning.StartTTL),
+		orderedAt: now, progressAt: now, resumed: checkpoint != "", throttle: pacing.Full, deadline: h.deadline(now, e.cfg.Tuning.StartTTL),
 	}
 	h.leased = max(h.leased, r.deadline)
 	r.suspect = len(t.crashes) > 0
@@ -36,7 +36,7 @@
 	g.setState(i, taskActive)
 	e.out.Starts = append(e.out.Starts, StartOrder{To: h.info, Start: host.Start{
 		Run: r.Run, Incarnation: h.incarnation, Command: g.job.rec.Graph.Command, Deadline: r.deadline,
-		Checkpoint: checkpoint, Ticket: g.advice.tickets[h].text,
+		Checkpoint: checkpoint, Ticket: g.policy.tickets[h].text,
 	}})
 	if !h.pollInFlight {
 		h.nextPollAt = now // polls renew the lease of the run
@@ -71,7 +71,7 @@
 	e.recordReply(h, reply.Clock, now)
 	if reply.Refused == "" {
 		if r != nil && (r.state == runOrdered || r.state == runUnacknowledged) {
-			e.runs(r, h.producedAt(reply.Clock, r.orderedAt, now, e.cfg.Tuning.ClockDrift), now)
+			e.recordRunning(r, h.producedAt(reply.Clock, r.orderedAt, now, e.cfg.Tuning.ClockDrift), now)
 		}
 		return
 	}
@@ -136,7 +136,7 @@
 		e.fencedBy(h)
 	case host.RefusedTicket:
 		if r != nil && r.group != nil {
-			delete(r.group.advice.tickets, h)
+			delete(r.group.policy.tickets, h)
 		}
 	case host.RefusedUnhealthy:
 		e.exclude(h, now, "it reported itself unhealthy")
@@ -188,7 +188,7 @@
 			r.state, r.confirmedAt = runStopping, now
 			switch {
 			case unacknowledged && h.pollInFlight:
-				e.probe(h) // a poll waiting there is not answered by the end of a run that never began
+				e.probe(h) // a run that never began has no end that would answer the waiting poll
 			case !h.pollInFlight:
 				h.nextPollAt = now
 			}
--- a/internal/engine/orphans.go
+++ b/internal/engine/orphans.go
@@ -165,8 +165,8 @@
 func (e *Engine) makeCurrent(g *group, r *run) {
 	i := r.Task.Index
 	t := &g.tasks[i]
-	free := t.state == taskUnconfirmed || t.state == taskWaiting && (!g.step.Gang || !g.startedHere)
-	if t.cur != nil || !free || r.No < t.run {
+	adoptable := t.state == taskUnconfirmed || t.state == taskWaiting && (!g.step.Gang || !g.startedHere)
+	if t.cur != nil || !adoptable || r.No < t.run {
 		r.superseded = true
 		g.countSuperseded(r, 1)
 		e.requestStop(r, "its task has another or a later run, or is done")
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -12,7 +12,7 @@
 )
 
 // Backfill tasks use processor time that the other tasks of a host leave idle, and increase the response
-// times of serving tasks on the same host. Each host that runs both has a governor that decides at what
+// times of serving tasks on the same host. Each host that runs both has a throttle that decides at what
 // share of their speed the backfill tasks run.
 
 // throttleUnknown is the throttle of a run that a previous holder may have changed.
@@ -28,14 +28,14 @@
 // isBackfill reports whether the run is a backfill task.
 func (r *run) isBackfill() bool { return r.group != nil && r.group.step.Backfill }
 
-// atWork is the percentage that a long-running task reports once it is ready.
-const atWork = 100
+// readyPercent is the percentage that a long-running task reports once it is ready.
+const readyPercent = 100
 
 // worstTailRatio returns the highest ratio of a serving task's tail latency to its target on the host;
 // serving is false when no serving task is ready there.
 func (h *hostState) worstTailRatio() (worst float64, serving bool) {
 	for _, r := range h.runs {
-		if r.isServing() && r.percent >= atWork {
+		if r.isServing() && r.percent >= readyPercent {
 			serving = true
 			worst = max(worst, r.gauge/float64(r.group.step.TailLatencyTargetMillis))
 		}
@@ -53,25 +53,26 @@
 	return serving && backfill
 }
 
-// updateGovernor updates the governor with a host's measurements and adjusts the throttle of its backfill tasks.
-func (e *Engine) updateGovernor(h *hostState, now time.Time) {
-	if h.governor == nil {
+// updateThrottle updates the throttle of a host with its measurements and adjusts the speed of its backfill
+// tasks.
+func (e *Engine) updateThrottle(h *hostState, now time.Time) {
+	if h.throttle == nil {
 		if !h.mixesBackfill() {
 			return
 		}
-		h.governor = pacing.NewThrottle(e.cfg.Tuning.Pacing, e.initialBackfillShare(h))
+		h.throttle = pacing.NewThrottle(e.cfg.Tuning.Pacing, e.initialBackfillShare(h))
 	}
 	ratio, serving := h.worstTailRatio()
 	changed := false
 	if serving {
-		changed = h.governor.Observe(ratio, h.backfillCPUPercent(), now)
+		changed = h.throttle.Observe(ratio, h.backfillCPUPercent(), now)
 	} else if !h.mixesBackfill() {
-		changed = h.governor.LiftLimit(now)
+		changed = h.throttle.LiftLimit(now)
 	}
 	if changed {
 		e.recordOverloadShare(h)
 		e.log(Event{What: "fillers paced", Host: string(h.info.ID),
-			Why: fmt.Sprintf("to %d%% of its processors, tail latency at %.2f of its target", h.governor.Share(), ratio), Age: now.Sub(h.viewProducedAt)})
+			Why: fmt.Sprintf("to %d%% of its processors, tail latency at %.2f of its target", h.throttle.Share(), ratio), Age: now.Sub(h.viewProducedAt)})
 	}
 	e.scheduleThrottling(h)
 }
@@ -85,7 +86,7 @@
 	sum := int64(0)
 	for _, r := range h.runs {
 		if r.isBackfill() && r.state == runRunning {
-			sum += r.group.step.Size.MilliCPU * int64(max(r.pace, 0))
+			sum += r.group.step.Size.MilliCPU * int64(max(r.throttle, 0))
 		}
 	}
 	return int(sum / max(h.info.Size.MilliCPU, 1))
@@ -121,20 +122,20 @@
 }
 
 // throttleBackfill distributes the backfill share of a host's processors among its backfill tasks, in
-// order.
+// the order of backfillByProgress.
 func (e *Engine) throttleBackfill(h *hostState) {
 	budget := int64(spec.Unbounded) * pacing.Full
-	if h.governor != nil && h.governor.Share() < pacing.Full {
-		budget = h.info.Size.MilliCPU * int64(h.governor.Share())
+	if h.throttle != nil && h.throttle.Share() < pacing.Full {
+		budget = h.info.Size.MilliCPU * int64(h.throttle.Share())
 	}
 	for _, r := range h.backfillByProgress() {
 		size := max(r.group.step.Size.MilliCPU, 1)
 		percent := min(budget/size, pacing.Full)
 		budget -= percent * size
-		if r.pacing || r.pace == int(percent) || r.state != runRunning {
+		if r.throttleInFlight || r.throttle == int(percent) || r.state != runRunning {
 			continue
 		}
-		r.pacing = true
+		r.throttleInFlight = true
 		e.out.Throttles = append(e.out.Throttles, ThrottleOrder{To: h.info, Run: r.Run, Percent: int(percent)})
 	}
 }
@@ -148,12 +149,12 @@
 	}
 	r := h.runs[o.Run]
 	if r != nil {
-		r.pacing = false
+		r.throttleInFlight = false
 	}
 	if err != nil {
 		h.recordFailedCall(err, now)
 		if r != nil {
-			r.pace = throttleUnknown // the order may have been carried out
+			r.throttle = throttleUnknown // the order may have been carried out
 		}
 		e.scheduleThrottling(h) // without waiting for the next measurements half a second later
 		return
@@ -163,7 +164,7 @@
 	case reply.Refused == host.RefusedFenced:
 		e.fencedBy(h)
 	case r != nil && reply.Refused == "":
-		r.pace = o.Percent
+		r.throttle = o.Percent
 		r.progressAt = now // lack of progress while throttled does not count as a stall
 		e.scheduleThrottling(h)
 	}
@@ -173,7 +174,7 @@
 func (e *Engine) recordOverloadShare(h *hostState) {
 	for _, r := range h.runs {
 		if r.isBackfill() {
-			e.backfillOverloadShare[r.group.step.Image] = h.governor.ExcessiveShare()
+			e.backfillOverloadShare[r.group.step.Image] = h.throttle.ExcessiveShare()
 		}
 	}
 }
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -128,7 +128,7 @@
 // last failed attempt.
 func (e *Engine) retryNotDue(g *group, now time.Time) bool {
 	last := &g.lastAttempt
-	if last.at.IsZero() || g.advice.answers != last.answers {
+	if last.at.IsZero() || g.policy.answers != last.answers {
 		return false
 	}
 	since := now.Sub(last.at)
@@ -151,11 +151,11 @@
 	}
 	longest += time.Duration(rank) * backoffPerRank
 	backoff := min(max(2*g.lastAttempt.backoff, minBackoff), longest)
-	if g.advice.answers != g.lastAttempt.answers {
+	if g.policy.answers != g.lastAttempt.answers {
 		backoff = minBackoff
 	}
 	e.updateExpected(g)
-	g.lastAttempt = placementAttempt{at: now, backoff: backoff, capacityChanges: e.capacityChanges, answers: g.advice.answers}
+	g.lastAttempt = placementAttempt{at: now, backoff: backoff, capacityChanges: e.capacityChanges, answers: g.policy.answers}
 }
 
 // sortedQueue returns the steps that are due, sorted by the priority of the queue, then the urgency of the
@@ -282,11 +282,11 @@
 	if g.job.rec.Rules.PolicyQuery == nil {
 		return e.candidateHosts(g, hosts, now)
 	}
-	if len(g.advice.tickets) == 0 {
+	if len(g.policy.tickets) == 0 {
 		return nil
 	}
-	out := make([]*hostState, 0, len(g.advice.tickets))
-	for h := range g.advice.tickets {
+	out := make([]*hostState, 0, len(g.policy.tickets))
+	for h := range g.policy.tickets {
 		if e.hasPermission(g, h, now) && e.placeable(h, now) && rejectedBy(g, h) == "" && e.startAllowed(g, h, now) {
 			out = append(out, h)
 		}
@@ -336,7 +336,7 @@
 	if g.job.rec.Rules.PolicyQuery == nil {
 		return true
 	}
-	return now.Add(e.cfg.Tuning.TicketMargin).Before(g.advice.tickets[h].until)
+	return now.Add(e.cfg.Tuning.TicketMargin).Before(g.policy.tickets[h].until)
 }
 
 // slotsFor returns how many tasks of a step fit into the free capacity of a host.
--- a/internal/engine/plan_gang.go
+++ b/internal/engine/plan_gang.go
@@ -23,24 +23,24 @@
 		e.reserveGang(g, e.candidateHosts(g, hosts, now), now)
 		return
 	}
-	approved := e.knownPermitted(g, now)
-	mayReserve := e.reserveGang(g, approved, now)
+	permitted := e.knownPermitted(g, now)
+	mayReserve := e.reserveGang(g, permitted, now)
 	if !e.mayQuery(g, now) {
 		return
 	}
-	idle := e.lanes.HalfIdle(g.job.rec.Rules.PolicyQuery.QueryDuration(1), now)
+	idle := e.querySlots.HalfIdle(g.job.rec.Rules.PolicyQuery.QueryDuration(1), now)
 	switch {
 	case len(g.reserved) > 0 && e.slotsDueSoon(g, now):
-		e.requestTickets(g, approved, now)
-	case mayReserve && !g.hasEnoughPermitted(approved) || idle || g.advice.answers == 0:
+		e.requestTickets(g, permitted, now)
+	case mayReserve && !g.hasEnoughPermitted(permitted) || idle || g.policy.answers == 0:
 		// The permitted hosts that are known can not hold the gang, or the query slots are idle and other
 		// hosts may have capacity.
-		e.queryForSlots(g, approved, e.unqueriedHosts(g, hosts), now)
+		e.queryForSlots(g, permitted, e.unqueriedHosts(g, hosts), now)
 	}
 }
 
 // permittedHostsFactor is the ratio between the slots on the empty permitted hosts and the slots that the
-// gang needs, from which on the gang waits for these hosts and asks about no others.
+// gang needs, from which on the gang waits for these hosts and sends no query about others.
 const permittedHostsFactor = 3.0
 
 // hasEnoughPermitted reports whether the gang is likely to find capacity on the hosts known to be
--- a/internal/engine/plan_large.go
+++ b/internal/engine/plan_large.go
@@ -29,19 +29,19 @@
 		e.reserveLarge(g, e.candidateHosts(g, hosts, now), now)
 		return
 	}
-	approved := e.knownPermitted(g, now)
-	e.reserveLarge(g, approved, now)
+	permitted := e.knownPermitted(g, now)
+	e.reserveLarge(g, permitted, now)
 	if !e.mayQuery(g, now) {
 		return
 	}
-	if !g.hasEnoughPermitted(approved) {
+	if !g.hasEnoughPermitted(permitted) {
 		if unknown := e.unqueriedHosts(g, hosts); len(unknown) > 0 {
 			e.query(g, e.earliestHosts(g, unknown, now), now)
 			return
 		}
 	}
-	if len(g.reserved) > 0 && (e.slotsDueSoon(g, now) || e.lanes.HalfIdle(g.job.rec.Rules.PolicyQuery.QueryDuration(1), now)) {
-		e.requestTickets(g, approved, now)
+	if len(g.reserved) > 0 && (e.slotsDueSoon(g, now) || e.querySlots.HalfIdle(g.job.rec.Rules.PolicyQuery.QueryDuration(1), now)) {
+		e.requestTickets(g, permitted, now)
 	}
 }
 
--- a/internal/engine/preempt.go
+++ b/internal/engine/preempt.go
@@ -83,9 +83,9 @@
 
 // schedulePreemption schedules preemption on the hosts of a gang's reservation, for which tickets were just
 // requested, so that the capacity is free when the tickets arrive.
-func (e *Engine) schedulePreemption(g *group, took time.Duration, now time.Time) {
-	g.preemptAt = now.Add(max(took-e.cfg.Bounds.MaxStopTime, 0))
-	g.preemptedAt = now.Add(max(took, e.cfg.Bounds.MaxStopTime) + preemptMargin)
+func (e *Engine) schedulePreemption(g *group, queryTime time.Duration, now time.Time) {
+	g.preemptAt = now.Add(max(queryTime-e.cfg.Bounds.MaxStopTime, 0))
+	g.preemptedAt = now.Add(max(queryTime, e.cfg.Bounds.MaxStopTime) + preemptMargin)
 }
 
 // preemptScheduled carries out the scheduled preemption when it is due.
@@ -110,7 +110,7 @@
 	if g.job.rec.Rules.PolicyQuery == nil {
 		return true
 	}
-	return now.Add(e.cfg.Bounds.MaxStopTime + preemptMargin).Before(g.advice.tickets[h].until)
+	return now.Add(e.cfg.Bounds.MaxStopTime + preemptMargin).Before(g.policy.tickets[h].until)
 }
 
 // preemptOnHost preempts as many tasks on a host as the gang needs for its slots there, the largest first.
--- a/internal/engine/preempt_test.go
+++ b/internal/engine/preempt_test.go
@@ -56,7 +56,7 @@
 				w.run(60 * time.Second)
 				w.checkInvariants()
 				if tc.preempted {
-					is.Equal(w.shown["busy"], record.StateCompleted)
+					is.Equal(w.reported["busy"], record.StateCompleted)
 				}
 			})
 		}
@@ -76,7 +76,7 @@
 	}
 	w.run(60 * time.Second)
 	w.checkInvariants()
-	is.Equal(w.shown["busy"], record.StateCompleted)
+	is.Equal(w.reported["busy"], record.StateCompleted)
 	is.Equal(w.completed(), 41)
 	is.True(w.fleet.Checker().Starts() <= 40*6+32*(1+maxPreemptions))
 }
--- a/internal/engine/presence_poll.go
+++ b/internal/engine/presence_poll.go
@@ -27,8 +27,8 @@
 
 // presencePollOffsets are the times after the start of a suspect run at which its host is polled. The
 // first polls are close together because an answer may get lost and because tasks that crash their hosts
-// do so some ten milliseconds after they start; the later ones make a host that terminated silently be
-// missed sooner.
+// do so some ten milliseconds after they start; the later ones detect
+// sooner that a host has terminated silently.
 var presencePollOffsets = []time.Duration{2 * time.Millisecond, 4 * time.Millisecond, 6 * time.Millisecond, 8 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond}
 
 // presencePollInterval is the polling interval after those: an answer that is not held back gives the
--- a/internal/engine/presumed_test.go
+++ b/internal/engine/presumed_test.go
@@ -17,7 +17,7 @@
 // TestHostsThatStayDown guards against crashes that never count because the hosts stay down for minutes.
 // Each crash was only presumed, as no other incarnation had answered yet, so the task was started on one
 // host after another: it was started three times more after three hosts had crashed under it, and 22 of
-// 32 hosts were gone after three minutes with the job still running.
+// 32 hosts were lost after three minutes with the job still running.
 func TestHostsThatStayDown(t *testing.T) {
 	for name, powerLoss := range map[string]bool{"their machines stay up": false, "with their machines": true} {
 		t.Run(name, func(t *testing.T) {
@@ -27,7 +27,7 @@
 				w.submit(crashingJob, catalog.Rules{}, step(1, 6, 10, 640))
 				w.run(190 * time.Second)
 				w.checkInvariants()
-				t.Logf("%d hosts lost to it; reported as %s", w.fleet.Checker().HostsCrashedByTasks(), w.shown[crashingJob])
+				t.Logf("%d hosts lost to it; reported as %s", w.fleet.Checker().HostsCrashedByTasks(), w.reported[crashingJob])
 			})
 		})
 	}
@@ -35,8 +35,8 @@
 
 // TestReturnAtSameAddressAfterFailover guards against a crash that the next holder can not confirm. A
 // task crashed its hosts with their machines, which were back at their addresses after their entries had
-// gone. The holder had changed before that, and the next one had the crash from the store without the
-// host's address, so it took no answer there as confirmation and started the task again and again.
+// been removed. The holder had changed before that, and the next one read the crash from the store without
+// the host's address, so it took no answer there as confirmation and started the task again and again.
 func TestReturnAtSameAddressAfterFailover(t *testing.T) {
 	for name, changes := range map[string]bool{"one holder": false, "holders change": true} {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 			w.submit(crashingJob, catalog.Rules{}, step(1, 6, 10, 640))
 			w.run(150 * time.Second)
 			w.checkInvariants()
-			t.Logf("%d hosts lost to it; reported as %s", w.fleet.Checker().HostsCrashedByTasks(), w.shown[crashingJob])
+			t.Logf("%d hosts lost to it; reported as %s", w.fleet.Checker().HostsCrashedByTasks(), w.reported[crashingJob])
 		})
 	}
 }
@@ -83,7 +83,7 @@
 
 // TestStaleEntryAtSameAddress guards against a stale entry that is taken for a later incarnation. A host
 // crashed and restarted under another id at the same address, and its old entry stayed in the list for a
-// while. The next run's connections broke, and its host was disconnected for a moment and lived on. The
+// while. The next run's connections broke, and its host was disconnected for a moment without ending. The
 // list was read again meanwhile; the old entry had been dropped from the state and was taken for a later
 // incarnation at the address.
 func TestStaleEntryAtSameAddress(t *testing.T) {
@@ -98,8 +98,8 @@
 }
 
 // TestCrashesStoredByPreviousVersion guards against stored crashes that lack newer fields and count as
-// confirmed. An earlier version had stored two crashes under a task whose runs were over; it wrote
-// nothing of that, nor of hosts that may live. The missing fields were read as proof, and one more crash
+// confirmed. An earlier version had stored two crashes under a task whose runs were over; it stored
+// neither that nor whether a host might still be alive. The missing fields were read as proof, and one more crash
 // failed the job.
 func TestCrashesStoredByPreviousVersion(t *testing.T) {
 	testCrashesStoredByPreviousVersion(t, crashAfterAnswer)
@@ -127,7 +127,7 @@
 }
 
 // TestDoneWhileDecisionPending guards against a step that waits for ever. A previous holder had found
-// that a task crashes its hosts, and the next one learned that the task was done before the decision was
+// that a task crashes its hosts, and the next one observed that the task was done before the decision was
 // due. No decision falls on a task that is done, and the step kept the suspicion level of a crashing
 // task: its other task, under which one host had crashed, was never started again.
 func TestDoneWhileDecisionPending(t *testing.T) { testDoneWhileDecisionPending(t, false) }
@@ -155,13 +155,13 @@
 	w.failOver()
 	w.run(60 * time.Second)
 	w.checkInvariants()
-	if w.shown["job"] != record.StateCompleted {
-		t.Errorf("the job is reported as %s, its step's suspicion level is %d: %s", w.shown["job"], w.engine.jobs["job"].groups[0].suspicion, w.describe("job"))
+	if w.reported["job"] != record.StateCompleted {
+		t.Errorf("the job is reported as %s, its step's suspicion level is %d: %s", w.reported["job"], w.engine.jobs["job"].groups[0].suspicion, w.describe("job"))
 	}
 }
 
 // TestOwnConnectionsReset guards against crashes attributed when only the holder's own connections fail.
-// All of them were reset while all hosts lived and could be reached. A poll that breaks is repeated
+// All of them were reset while all hosts were up and reachable. A poll that breaks is repeated
 // after a quarter of a second, and a host whose connections broke was presumed crashed after a tenth:
 // crashes were attributed to all running tasks, stored, and retracted by the next view.
 func TestOwnConnectionsReset(t *testing.T) {
@@ -214,8 +214,9 @@
 }
 
 // TestBrokenConnectionsOfNextIncarnation is TestStaleEntryAtSameAddress in a cell in which two
-// terminated hosts are improbable: the one host with room crashes, and connections to its next
-// incarnation break while that lives. It guards against broken connections that count as its end.
+// terminated hosts are improbable: the one host with free capacity crashes, and connections to its
+// next incarnation break although that is still up. It guards against counting broken connections as its
+// end.
 func TestBrokenConnectionsOfNextIncarnation(t *testing.T) {
 	survives := func(w *world, h *hostsim.Host) {
 		w.after(20*time.Millisecond, func() { w.breakAndDisconnect(h) })
--- a/internal/engine/quota_test.go
+++ b/internal/engine/quota_test.go
@@ -238,7 +238,7 @@
 	w.run(150 * time.Second)
 	w.checkInvariants()
 	for id := range w.jobs {
-		if s := w.shown[id]; !s.Final() {
+		if s := w.reported[id]; !s.Final() {
 			t.Errorf("job %s still waits in an idle cell: %s", id, w.describe(id))
 		}
 	}
@@ -321,7 +321,7 @@
 	case 5, 6:
 		w.setQuota(accounts[w.rnd.IntN(len(accounts))], cores(24+w.rnd.Int64N(120)))
 	case 7:
-		for id, s := range w.shown {
+		for id, s := range w.reported {
 			if s == record.StateRunning {
 				w.deliver(w.engine, func() { w.engine.Cancel(id, w.now()) })
 				return
@@ -451,9 +451,9 @@
 	is.Equal(w.coresOf("crew"), int64(8))
 }
 
-// TestCancelledJobsAreBounded guards against unconfirmed work that counts for more than the unconfirmed
-// hosts can hold. Many jobs are cancelled within seconds, the holder changes, and one host does not
-// report. All former runs of these jobs counted until the host's lease expired: accounts stood at up to
+// TestCancelledJobsAreBounded guards against unconfirmed work that counts for more than the hosts that have
+// not reported can hold. Many jobs are cancelled within seconds, the holder changes, and one host does
+// not report. All former runs of these jobs counted until the host's lease expired: accounts stood at up to
 // 246% of their quotas and started nothing for nine seconds while nearly the whole cell was free.
 func TestCancelledJobsAreBounded(t *testing.T) {
 	is := is.New(t)
--- a/internal/engine/random_faults_test.go
+++ b/internal/engine/random_faults_test.go
@@ -51,8 +51,8 @@
 				for _, violation := range w.fleet.Checker().Violations() {
 					t.Errorf("seed %d: %s", seed, violation)
 				}
-				for id, shown := range w.shown {
-					if *searchLog && shown == record.StateFailed {
+				for id, reported := range w.reported {
+					if *searchLog && reported == record.StateFailed {
 						t.Logf("seed %d: job %s:\n%s", seed, id, w.logOf(id))
 					}
 				}
@@ -136,8 +136,8 @@
 // unfinished lists the jobs that are not final.
 func (w *world) unfinished() (left []string) {
 	for id := range w.jobs {
-		if !w.shown[id].Final() {
-			left = append(left, id+" "+string(w.shown[id]))
+		if !w.reported[id].Final() {
+			left = append(left, id+" "+string(w.reported[id]))
 		}
 	}
 	sort.Strings(left)
@@ -164,6 +164,6 @@
 		is.Equal(len(task.crashes), 1)
 		is.True(task.crashes[0].Unconfirmed)
 		w.mustNotFail(t, 20*time.Second)
-		is.Equal(w.shown["job"], record.StateCompleted)
+		is.Equal(w.reported["job"], record.StateCompleted)
 	})
 }
--- a/internal/engine/restart_test.go
+++ b/internal/engine/restart_test.go
@@ -19,12 +19,12 @@
 // A host that had crashed restarted two seconds later under the same id, without memory: its clock and
 // the numbers of its run ends started anew. The holder took it for the host that it knew. Run ends of
 // the new incarnation had lower numbers than the last one processed, so they were skipped, and the next
-// poll had the host forget them; the runs then were missing there and were started again though they
+// poll had the host delete them; the runs then were missing there and were started again though they
 // were done.
 //
 // The end of the leases on an unresponsive host was computed from the last deadline sent and the last
 // clock reading. With a deadline by the clock of an incarnation of minutes and a reading from one of
-// seconds it lay minutes ahead: what had run on such a host, terminated for good, was not given up. In
+// seconds it lay minutes ahead: what had run on such a host, terminated for good, was not taken for lost. In
 // one deployment gangs that had been accepted never ran, for 111 s, though most of the cell was free; of
 // the 438 hosts recorded for its 350, 57 counted as not placeable.
 
@@ -100,7 +100,7 @@
 				is.New(t).Equal(w.running("job"), s.Count)
 				return
 			}
-			is.New(t).Equal(w.shown["job"], record.StateCompleted)
+			is.New(t).Equal(w.reported["job"], record.StateCompleted)
 		})
 	}
 }
@@ -164,12 +164,12 @@
 	w.run(60 * time.Second)
 	w.checkInvariants()
 	is := is.New(t)
-	if w.shown["service"] != record.StateFailed {
+	if w.reported["service"] != record.StateFailed {
 		is.Equal(w.running("service"), 6)
 	}
 	delete(w.jobs, "service")
 	for id := range w.jobs { // a job is failed only if the checker saw hosts crash under it
-		is.True(w.shown[id].Final())
+		is.True(w.reported[id].Final())
 	}
 }
 
@@ -216,7 +216,7 @@
 	present := w.engine.hosts["h00"]
 	is.True(present != former)
 	runs := len(present.runs)
-	late := host.View{Incarnation: former.incarnation, Clock: former.now(w.now())}
+	late := host.View{Incarnation: former.incarnation, Clock: former.estimateClock(w.now())}
 	for _, sent := range []time.Time{asked, w.now()} {
 		w.engine.Polled(PollOrder{To: present.info}, sent, late, nil, w.now())
 		is.True(w.engine.hosts["h00"] == present)
@@ -224,5 +224,5 @@
 	}
 	w.run(10 * time.Second)
 	w.checkInvariants()
-	is.Equal(w.shown["job"], record.StateCompleted)
+	is.Equal(w.reported["job"], record.StateCompleted)
 }
--- a/internal/engine/retract_test.go
+++ b/internal/engine/retract_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestBrokenConnectionsAreNotCrashes checks that nothing is attributed to the tasks of a host whose
-// connections break while it lives and which is not heard for a while: not at that time, not by a next
+// connections break while it is up and which does not answer for a while: not at that time, not by a next
 // holder, and not when the host answers again.
 func TestBrokenConnectionsAreNotCrashes(t *testing.T) {
 	for name, change := range map[string]func(w *world){
--- a/internal/engine/roster.go
+++ b/internal/engine/roster.go
@@ -57,7 +57,7 @@
 	unconfirmed bool // the host never confirmed that the run had begun
 }
 
-// closeUnresponsive closes a host in the roster that has been unresponsive for SilentAfter.
+// closeUnresponsive closes a host in the roster that has been unresponsive for UnresponsiveAfter.
 func (e *Engine) closeUnresponsive(h *hostState, now time.Time) {
 	if h.closeInRoster || h.unresponsiveSince.IsZero() || now.Sub(h.unresponsiveSince) < e.cfg.Tuning.UnresponsiveAfter {
 		return
--- a/internal/engine/scores.go
+++ b/internal/engine/scores.go
@@ -61,7 +61,7 @@
 	maxSize spec.Resources
 }
 
-// poolOf is the pool of a service.
+// poolOf returns the pool of a service.
 func (e *Engine) poolOf(service string) *servicePool {
 	p := e.pools[service]
 	if p == nil {
--- a/internal/engine/services_test.go
+++ b/internal/engine/services_test.go
@@ -68,12 +68,12 @@
 	return n
 }
 
-// atWork counts the tasks of a job that the engine knows to be ready.
-func (w *world) atWork(job string) int {
+// readyTasks counts the tasks of a job that the engine knows to be ready.
+func (w *world) readyTasks(job string) int {
 	n := 0
 	for _, h := range w.engine.hosts {
 		for _, r := range h.runs {
-			if r.Task.Job == job && r.percent >= atWork && h.unresponsiveSince.IsZero() {
+			if r.Task.Job == job && r.percent >= readyPercent && h.unresponsiveSince.IsZero() {
 				n++
 			}
 		}
@@ -117,8 +117,8 @@
 			inject(w)
 			w.run(16 * time.Second)
 			w.checkInvariants()
-			is.Equal(w.atWork("web"), 8)
-			is.Equal(w.shown["web"].Final(), false)
+			is.Equal(w.readyTasks("web"), 8)
+			is.Equal(w.reported["web"].Final(), false)
 		})
 	}
 }
--- a/internal/engine/speed.go
+++ b/internal/engine/speed.go
@@ -41,7 +41,7 @@
 // observeSpeed compares the run time of a completed run with the tasks of its step that were done before.
 func (e *Engine) observeSpeed(r *run, now time.Time) {
 	g := r.group
-	if g == nil || g.step.Gang || r.confirmedAt.IsZero() || r.resumed || r.pace != pacing.Full || r.placedOn == nil {
+	if g == nil || g.step.Gang || r.confirmedAt.IsZero() || r.resumed || r.throttle != pacing.Full || r.placedOn == nil {
 		return
 	}
 	took := float64(now.Sub(r.confirmedAt))
--- a/internal/engine/takeover.go
+++ b/internal/engine/takeover.go
@@ -8,9 +8,9 @@
 
 // Load adds the stored jobs of the partition when this process has acquired it. Tasks
 // of live jobs may run on any host in the roster of the previous holder, so none is
-// started before each of these hosts has reported its runs, or before settleBy, when
-// every lease of earlier holders has expired. settleBy is zero for the first holder of
-// the partition. age returns how long ago a job was accepted or, if it is over, ended.
+// started before each of these hosts has reported its runs, or before reconcileDeadline, when
+// every lease of earlier holders has expired. reconcileDeadline is zero for the first holder
+// of the partition. age returns how long ago a job was accepted or, if it is over, ended.
 func (e *Engine) Load(jobs []*record.Job, progress map[string]*record.Progress, roster record.Roster, reconcileDeadline, now time.Time, age func(*record.Job) time.Duration) {
 	e.now = now
 	e.reconciling = !reconcileDeadline.IsZero()
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestSilentHostsDoNotHoldATakeoverUp: after a power loss of the whole cell, one host of
-// hundreds that had long been gone delayed every start for seconds. Only tasks that may run
+// hundreds that had terminated long before delayed every start for seconds. Only tasks that may run
 // on hosts that were unresponsive have to wait.
 func TestSilentHostsDoNotHoldATakeoverUp(t *testing.T) {
 	tests := map[string]func(w *world){
@@ -45,11 +45,11 @@
 			w.paused = false
 			w.failOver()
 			w.run(1500 * time.Millisecond)
-			is.Equal(w.shown["new"], record.StateCompleted)
+			is.Equal(w.reported["new"], record.StateCompleted)
 			w.checkInvariants()
 			w.run(150 * time.Second)
 			w.checkInvariants()
-			is.Equal(w.shown["wide"], record.StateCompleted)
+			is.Equal(w.reported["wide"], record.StateCompleted)
 		})
 	}
 }
@@ -79,7 +79,7 @@
 				w.host("h02").ReplaceIncarnation()
 				w.run(20 * time.Second)
 				w.checkInvariants()
-				is.Equal(w.shown["a"], record.StateCompleted)
+				is.Equal(w.reported["a"], record.StateCompleted)
 			})
 		}
 	}
@@ -117,7 +117,7 @@
 			}
 			w.run(30 * time.Second)
 			w.checkInvariants()
-			is.Equal(w.shown["a"], record.StateCompleted)
+			is.Equal(w.reported["a"], record.StateCompleted)
 		})
 	}
 }
@@ -125,7 +125,7 @@
 // TestJobFoundAfterItsRuns: a job was submitted during a failover and started by the
 // previous holder. The next holder, which had read the records just before, saw its runs
 // first and stopped them; once it found the record, it started the job again beside the
-// runs that were still stopping. Likewise it told hosts to forget runs that had ended,
+// runs that were still stopping. Likewise it acknowledged the end records of runs that had ended,
 // as no known job needed them.
 func TestJobFoundAfterItsRuns(t *testing.T) {
 	for _, after := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 1200 * time.Millisecond, 4 * time.Second} {
@@ -155,7 +155,7 @@
 				w.deliver(e, func() { e.Accept(rec, false, w.now(), w.now()) })
 				w.run(20 * time.Second)
 				w.checkInvariants()
-				is.Equal(w.shown["a"], record.StateCompleted)
+				is.Equal(w.reported["a"], record.StateCompleted)
 				if after < orphanGracePeriod || tc.works < orphanGracePeriod.Milliseconds() {
 					is.Equal(w.fleet.Checker().Starts(), 4) // no task was started twice
 				}
@@ -195,7 +195,7 @@
 	is.True(claimed >= 560)
 	w.run(30 * time.Second)
 	w.checkInvariants()
-	is.Equal(w.shown["a"], record.StateCompleted)
+	is.Equal(w.reported["a"], record.StateCompleted)
 	is.Equal(len(w.engine.claiming) <= 140, true)
 }
 
@@ -228,7 +228,7 @@
 			}
 			w.run(60 * time.Second)
 			w.checkInvariants()
-			is.Equal(w.shown["service"], record.StateRunning)
+			is.Equal(w.reported["service"], record.StateRunning)
 			delete(w.jobs, "service")
 			is.Equal(w.unrelatedNotCompleted(), nil)
 		})
--- a/internal/engine/tuning.go
+++ b/internal/engine/tuning.go
@@ -8,8 +8,8 @@
 
 // Tuning holds the engine's own time limits and weights.
 type Tuning struct {
-	// StartTTL is the time to live of a start order, which sets the start's deadline at the host. Orders
-	// that the network delivers seconds late are refused by it.
+	// StartTTL is the time to live of a start order, which sets the start's deadline at the host. The
+	// host refuses orders that arrive after it: the network may deliver an order seconds late.
 	StartTTL time.Duration
 	// PollWait is how long a host may delay the answer to a poll until a run ends.
 	PollWait time.Duration
@@ -26,11 +26,11 @@
 	// StallTimeout is how long a run may make no progress before it is restarted elsewhere.
 	StallTimeout time.Duration
 	// ExcludeAfter is the number of consecutive failures, of different jobs, after which a host is
-	// excluded from placement; SetAsideFor is the duration.
+	// excluded from placement; ExcludeFor is the duration.
 	ExcludeAfter int
 	ExcludeFor   time.Duration
-	// MaxHostsPerQuery is the maximum number of hosts in a policy query: more hosts take less query time each, but
-	// the answer comes later.
+	// MaxHostsPerQuery is the maximum number of hosts in a policy query: more hosts take less query time each,
+	// but the answer comes later.
 	MaxHostsPerQuery int
 	// TicketMargin is how long before its expiry a ticket is no longer used.
 	TicketMargin time.Duration
--- a/internal/engine/unreported_test.go
+++ b/internal/engine/unreported_test.go
@@ -76,7 +76,7 @@
 	if t.Failed() {
 		t.Log("\n" + w.logOf("job"))
 	}
-	is.New(t).Equal(w.shown["job"], record.StateCompleted)
+	is.New(t).Equal(w.reported["job"], record.StateCompleted)
 }
 
 // logOf returns the logged events of a job and of lost hosts.
@@ -136,7 +136,7 @@
 
 // TestPowerLossAndFailover guards against a start that the next holder takes for answered. A task under
 // which one host had crashed was sent to a host that had just lost power, and the partition changed
-// hands before the answer was missed. The next holder found that host terminated. It knew from the store
+// hands before the call timed out. The next holder found that host terminated. It knew from the store
 // where the task had been started, but not that the start was never answered, and counted the crash in
 // full, so two were enough.
 func TestPowerLossAndFailover(t *testing.T) {
@@ -171,7 +171,7 @@
 
 // TestHostsDisconnectedForLong guards against decisions before a host can answer again. Three hosts were
 // disconnected one after the other, from the store as well, with a long task on them. Its lease ended it
-// there; no host crashed, and all three lived on. Each was presumed crashed as its lease was over and
+// there; no host crashed, and all three stayed up. Each was presumed crashed as its lease was over and
 // its entry removed, and the job was failed before any of them could answer again in the same
 // incarnation, which would have retracted the crashes.
 func TestHostsDisconnectedForLong(t *testing.T) {
--- a/internal/engine/upkeep.go
+++ b/internal/engine/upkeep.go
@@ -22,13 +22,13 @@
 	}
 }
 
-// SetMachines handles the list of the platform's machines, which was requested at asked.
-func (e *Engine) SetMachines(machines []upkeep.Machine, err error, asked, now time.Time) {
+// SetMachines handles the list of the platform's machines, which was requested at requestedAt.
+func (e *Engine) SetMachines(machines []upkeep.Machine, err error, requestedAt, now time.Time) {
 	e.now = now
 	if err != nil {
-		e.log(Event{What: "machines not listed", Why: err.Error(), Age: now.Sub(asked)})
+		e.log(Event{What: "machines not listed", Why: err.Error(), Age: now.Sub(requestedAt)})
 	}
-	e.upkeep.UpdateMachines(machines, err, asked, now)
+	e.upkeep.UpdateMachines(machines, err, requestedAt, now)
 }
 
 // upkeepInterval is the time between two planning steps of the rollouts.
@@ -65,7 +65,7 @@
 	}
 	e.upkeep.RecordOutcome(o, out, err, hostDrainer{e, now}, now)
 	if h := e.hosts[o.Host]; h != nil && !h.pollInFlight {
-		h.nextPollAt = now // the poll shows whether the host is gone
+		h.nextPollAt = now // the poll shows whether the host has terminated
 	}
 }
 
@@ -77,7 +77,7 @@
 
 var _ upkeep.HostControl = hostDrainer{}
 
-// Drain implements upkeep.Cell.
+// Drain implements upkeep.HostControl.
 func (e hostDrainer) Drain(id host.ID) bool {
 	h := e.hosts[id]
 	if h == nil {
@@ -92,7 +92,7 @@
 	return len(h.runs) == 0
 }
 
-// Uncordon implements upkeep.Cell.
+// Uncordon implements upkeep.HostControl.
 func (e hostDrainer) Uncordon(id host.ID) {
 	if h := e.hosts[id]; h != nil && h.cordoned {
 		h.cordoned = false
@@ -100,7 +100,7 @@
 	}
 }
 
-// Load implements upkeep.Cell.
+// Load implements upkeep.HostControl.
 func (e hostDrainer) Load(id host.ID) int {
 	if h := e.hosts[id]; h != nil {
 		return len(h.runs)
@@ -108,7 +108,7 @@
 	return 0
 }
 
-// MayTerminate implements upkeep.Cell: it protects long-running tasks, whose absence is bounded, and gangs,
+// MayTerminate implements upkeep.HostControl: it protects long-running tasks, whose absence is bounded, and gangs,
 // which would lose much work.
 func (e hostDrainer) MayTerminate(id host.ID) bool {
 	h := e.hosts[id]
@@ -123,17 +123,17 @@
 	return true
 }
 
-// mayStopReplica reports whether a task of a long-running step that is ready on a healthy host may be stopped:
-// with the other absent tasks the step stays within its limit.
+// mayStopReplica reports whether a task of a long-running step that is ready on a responsive host may be
+// stopped without exceeding the step's limit of unavailable tasks.
 func (g *group) mayStopReplica(r *run) bool {
-	away := 0
+	unavailable := 0
 	for i := range g.tasks {
 		cur := g.tasks[i].cur
-		if cur != r && (cur == nil || cur.stopRequested || cur.percent < atWork || !cur.placedOn.unresponsiveSince.IsZero()) {
-			away++
+		if cur != r && (cur == nil || cur.stopRequested || cur.percent < readyPercent || !cur.placedOn.unresponsiveSince.IsZero()) {
+			unavailable++
 		}
 	}
-	return away < max(g.step.MaxUnavailable, 1)
+	return unavailable < max(g.step.MaxUnavailable, 1)
 }
 
 // rolloutsToStore returns the progress of rollouts that has to be stored.
--- a/internal/engine/upkeep_test.go
+++ b/internal/engine/upkeep_test.go
@@ -140,7 +140,7 @@
 			w.checkInvariants()
 			is.Equal(len(w.maintenanceStarted), 6)
 			is.Equal(string(w.store["state"]), "true")
-			is.Equal(w.atWork("web"), 10)
+			is.Equal(w.readyTasks("web"), 10)
 			is.Equal(w.completed(), 10)
 		})
 	}
--- a/internal/engine/view.go
+++ b/internal/engine/view.go
@@ -27,7 +27,7 @@
 		}
 		if !h.claimed {
 			if !h.listed && h.info.Addr == "" || len(e.claiming) >= maxClaiming {
-				continue // only its name is known, from the roster, or enough others are being claimed
+				continue // its address is not known yet, or enough other hosts are being claimed
 			}
 			e.claiming[h.info.ID] = struct{}{}
 		}
@@ -49,26 +49,26 @@
 // poll orders a poll of a host. The poll renews the host's lease while this process has
 // the authority for the partition.
 func (e *Engine) poll(h *hostState, now time.Time) {
-	l := host.Poll{AckedEnds: h.endsAcked, Incarnation: h.incarnation}
+	p := host.Poll{AckedEnds: h.endsAcked, Incarnation: h.incarnation}
 	if now.Before(e.authorityUntil) {
 		if h.knowsClock() && h.unresponsiveSince.IsZero() {
 			// No renewal for an unresponsive host: each one would postpone the time after
 			// which nothing can run there.
-			l.Lease = h.deadline(now, e.cfg.Bounds.MaxLease)
-			h.leased = max(h.leased, l.Lease)
+			p.Lease = h.deadline(now, e.cfg.Bounds.MaxLease)
+			h.leased = max(h.leased, p.Lease)
 		}
 		if h.claimed && len(h.runs) > 0 && h.unresponsiveSince.IsZero() && h.endsProcessed == h.endsAcked {
-			l.Wait = e.cfg.Tuning.PollWait
+			p.Wait = e.cfg.Tuning.PollWait
 			if h.mixesBackfill() {
-				l.Wait = sampleInterval
+				p.Wait = sampleInterval
 			}
 			if h.suspectRuns > 0 {
-				l.Wait = min(l.Wait, h.pollWait())
+				p.Wait = min(p.Wait, h.pollWait())
 			}
 		}
 	}
 	h.pollInFlight = true
-	e.out.Polls = append(e.out.Polls, PollOrder{To: h.info, Poll: l})
+	e.out.Polls = append(e.out.Polls, PollOrder{To: h.info, Poll: p})
 }
 
 // Polled handles the outcome of a poll that was sent at sent.
@@ -103,7 +103,7 @@
 		return
 	case v.Fenced:
 		e.fencedBy(h)
-		h.nextPollAt = now.Add(restInterval)
+		h.nextPollAt = now.Add(maxNextInterval)
 		return
 	}
 	if h = e.observeIncarnation(h, v, sent, now); h == nil {
@@ -129,7 +129,7 @@
 	ended := e.processEnds(h, v.Ended, now)
 	e.processRunning(h, v.Running, producedAt, now)
 	e.dropAbsentRuns(h, v, sent, now)
-	e.updateGovernor(h, now)
+	e.updateThrottle(h, now)
 	if first {
 		e.releasePossibleRuns(h, now)
 		e.log(Event{What: "host claimed", Host: string(id)})
@@ -173,8 +173,8 @@
 
 // relistsAcked reports whether a view lists end records that the poll should have acknowledged:
 // the poll was sent over a connection on which it was not certain which incarnation would answer.
-func relistsAcked(v host.View, seen int64) bool {
-	return len(v.Ended) > 0 && v.Ended[0].Number <= seen
+func relistsAcked(v host.View, acked int64) bool {
+	return len(v.Ended) > 0 && v.Ended[0].Number <= acked
 }
 
 // processEnds processes the end records that are new, and reports whether there were any.
@@ -214,16 +214,16 @@
 			r = e.adoptRun(h, row, now)
 		}
 		if r.state == runOrdered || r.state == runUnacknowledged {
-			e.runs(r, producedAt, now)
+			e.recordRunning(r, producedAt, now)
 		}
 		e.updateProgress(r, row, now)
 	}
 }
 
 // adoptRun records a run that is not recorded yet: one of a previous holder, or one of this
-// holder whose start was given up but arrived late. It is kept if its task has no run.
+// holder whose start was taken for lost but arrived late. It is kept if its task has no run.
 func (e *Engine) adoptRun(h *hostState, row host.Running, now time.Time) *run {
-	r := &run{Run: row.Run, state: runRunning, confirmedAt: now, orderedAt: now, progressAt: now, pace: throttleUnknown, adopted: true, acknowledged: true}
+	r := &run{Run: row.Run, state: runRunning, confirmedAt: now, orderedAt: now, progressAt: now, throttle: throttleUnknown, adopted: true, acknowledged: true}
 	g := e.groupOf(row.Task)
 	if g == nil {
 		if j := e.jobs[row.Task.Job]; j != nil {
@@ -255,7 +255,7 @@
 // updateProgress updates a run from its row in a view.
 func (e *Engine) updateProgress(r *run, row host.Running, now time.Time) {
 	if r.group != nil && r.group.step.LongRunning {
-		r.atWork(row.Percent, now)
+		r.observeReadiness(row.Percent, now)
 	} else {
 		r.observeProgress(row.Percent, now)
 	}
@@ -265,14 +265,14 @@
 	}
 }
 
-// runs records that a run is on its host, which reported it at shown.
-func (e *Engine) runs(r *run, shown, now time.Time) {
+// recordRunning records that a run is on its host, which reported it at reportedAt.
+func (e *Engine) recordRunning(r *run, reportedAt, now time.Time) {
 	if r.suspect && !r.acknowledged {
 		e.retryUnstored = true // the next holder has to know that the start was acknowledged
 		e.markDirty(r.group.job)
 	}
 	r.state, r.confirmedAt, r.progressAt, r.acknowledged = runRunning, now, now, true
-	r.shown = later(r.shown, shown)
+	r.reportedAt = later(r.reportedAt, reportedAt)
 	if r.isBackfill() {
 		e.scheduleThrottling(r.placedOn)
 	}
--- a/internal/engine/watch.go
+++ b/internal/engine/watch.go
@@ -56,7 +56,7 @@
 	switch {
 	case r.group.step.LongRunning:
 		return stalled > e.cfg.Tuning.MaxStartupTime
-	case r.isBackfill() && (r.pace != pacing.Full || r.group.step.Size.MilliCPU > r.placedOn.free().MilliCPU):
+	case r.isBackfill() && (r.throttle != pacing.Full || r.group.step.Size.MilliCPU > r.placedOn.free().MilliCPU):
 		return false // the backfill task is throttled, or the host has too few free processors for it
 	}
 	return stalled > e.cfg.Tuning.StallTimeout
--- a/internal/engine/world_calls_test.go
+++ b/internal/engine/world_calls_test.go
@@ -10,7 +10,7 @@
 	"pulleyquay/internal/platform"
 )
 
-// oneWay is how long a message takes, patience the time-out of a call.
+// oneWay is how long a message takes, callTimeout the time-out of a call.
 const (
 	oneWay      = time.Millisecond
 	callTimeout = 500 * time.Millisecond
@@ -22,13 +22,13 @@
 	if w.onStart != nil {
 		w.onStart(s)
 	}
-	sameLife := true // the intended incarnation was reached
+	sameIncarnation := true // the intended incarnation was reached
 	arrive := func(h *hostsim.Host) host.Reply {
-		sameLife = h.IsIncarnation(s.Start.Incarnation)
+		sameIncarnation = h.IsIncarnation(s.Start.Incarnation)
 		return h.Start(e.cfg.Epoch, s.Start)
 	}
 	w.call(s.To, arrive, func(r host.Reply, err error) {
-		if err == nil && !sameLife {
+		if err == nil && !sameIncarnation {
 			err = host.ErrOtherIncarnation
 		}
 		if err == nil && r.Refused == "" {
@@ -52,9 +52,9 @@
 		w.after(callTimeout, lost)
 		return
 	case w.rnd.Float64() < w.faults.delayedRequest:
-		life := h.Info().Incarnation
+		incarnation := h.Info().Incarnation
 		w.after(2*time.Second+time.Duration(w.rnd.IntN(10000))*time.Millisecond, func() {
-			if h.Reachable() && h.Info().Incarnation == life { // a process that ends drops its pending calls
+			if h.Reachable() && h.Info().Incarnation == incarnation { // a process that ends drops its pending calls
 				arrive(h)
 			}
 		})
--- a/internal/engine/world_test.go
+++ b/internal/engine/world_test.go
@@ -44,7 +44,7 @@
 	faults faults
 	bounds Bounds
 	// followsHosts makes the engine receive the platform's list of hosts periodically. While
-	// storeAway is set the store accepts no writes.
+	// storeUnavailable is set the store accepts no writes.
 	followsHosts, storeUnavailable bool
 	followedAt                     time.Time
 	// entries are the hosts' entries in the store; lastUnavailable is when the store was last
@@ -68,7 +68,7 @@
 	// recordAge is the age of job records at a failover, since their acceptance or end.
 	recordAge  time.Duration
 	checkedAt  time.Time
-	shown      map[string]record.State // the last state returned to a caller
+	reported   map[string]record.State // the last state returned to a caller
 	finalSince map[string]time.Time    // when a final state was first returned
 
 	// overTargetSince holds since when a serving task has exceeded its target; longestOver is the longest
@@ -147,7 +147,7 @@
 func newWorld(t testing.TB, seed uint64) *world {
 	w := &world{
 		t: t, rnd: rand.New(rand.NewPCG(seed, 1)), time: virtualTime{now: simulationStart},
-		store: map[string][]byte{}, jobs: map[string]*record.Job{}, shown: map[string]record.State{}, finalSince: map[string]time.Time{}, entries: map[host.ID]host.Info{},
+		store: map[string][]byte{}, jobs: map[string]*record.Job{}, reported: map[string]record.State{}, finalSince: map[string]time.Time{}, entries: map[host.ID]host.Info{},
 		queueOf: func(string) string { return "q" }, accountOf: func(string) string { return "" }, quotas: map[string]fairshare.Quota{}, bounds: testBounds, members: []string{"m1", "m2", "m3", "m4", "m5"}, permitted: func(spec.StepID, host.ID) bool { return true },
 	}
 	w.fleet = hostsim.NewFleet(&w.time)
@@ -417,7 +417,7 @@
 	w.recordTails()
 	for id := range w.jobs {
 		s, known := w.engine.State(id)
-		before := w.shown[id]
+		before := w.reported[id]
 		if !known || s == before {
 			continue
 		}
@@ -430,7 +430,7 @@
 		if s == record.StateFailed {
 			w.fleet.Checker().CheckFailedJob(id, w.endReason(id))
 		}
-		w.shown[id] = s
+		w.reported[id] = s
 		if s.Final() {
 			w.finalSince[id] = w.now()
 		}
@@ -449,8 +449,8 @@
 // completed returns the number of jobs reported as completed.
 func (w *world) completed() int {
 	n := 0
-	for _, shown := range w.shown {
-		if shown == record.StateCompleted {
+	for _, reported := range w.reported {
+		if reported == record.StateCompleted {
 			n++
 		}
 	}
@@ -470,7 +470,7 @@
 func (w *world) describe(id string) string {
 	var out strings.Builder
 	for _, g := range w.engine.jobs[id].groups {
-		fmt.Fprintf(&out, "%v needs %d left %d waiting %d ready %t asking %d;", g.id, g.pendingDeps, g.undone, g.waiting, !g.readySince.IsZero(), g.advice.openQueries)
+		fmt.Fprintf(&out, "%v needs %d left %d waiting %d ready %t asking %d;", g.id, g.pendingDeps, g.undone, g.waiting, !g.readySince.IsZero(), g.policy.openQueries)
 		for i := range g.tasks {
 			t := &g.tasks[i]
 			fmt.Fprintf(&out, " %d:%d", i, t.state)
