--- a/internal/engine/crash.go
+++ b/internal/engine/crash.go
@@ -15,7 +15,7 @@
 // gathers and stores the evidence and keeps suspected tasks apart.
 //
 // A crash is certain when the host's machine refuses connections, or when another incarnation answers at
-// its address. It is presumed when the host's lease is over and its entry has gone from the list. A host
+// its address. It is presumed when the host's lease is over and its entry is no longer listed. A host
 // that answers again in the same incarnation has the crashes attributed to its lost runs retracted.
 
 // attribution is a crash that may be attributed to a task, with its evidence.
--- a/internal/engine/fleet_test.go
+++ b/internal/engine/fleet_test.go
@@ -34,7 +34,7 @@
 	perSecond float64
 	steps     float64 // mean number per job
 	rules     catalog.Rules
-	good      uint32 // percent of hosts that the policy service permits
+	permitted uint32 // percent of hosts that the policy service permits
 
 	width, widthSpread, widthMost float64
 	cores, coresSpread, coresMost float64
@@ -48,19 +48,19 @@
 
 var fleetKinds = []fleetKind{
 	{
-		name: "review", perSecond: 5.42, steps: 1.2, good: 25, value: 11.8,
+		name: "review", perSecond: 5.42, steps: 1.2, permitted: 25, value: 11.8,
 		rules: catalog.Rules{Priority: 1, CriticalPathFactor: 2.2, TargetMillis: 1000, PolicyQuery: &catalog.PolicyQuery{DecideMillis: 600, PerHostMillis: 8.6, ValidMillis: 1500}},
 		width: 40, widthSpread: 0.8, widthMost: 240, cores: 18, coresSpread: 0.4, coresMost: 30, gib: 52, gibSpread: 0.5, gibMost: 100,
 		work: 6200, workSpread: 0.5, workMost: 16000, taskSpread: 0.15, estimateSpread: 0.5, gang: 1, checkpointing: 0.5,
 	},
 	{
-		name: "survey", perSecond: 11.2, steps: 1.5, good: 45, value: 3.56,
+		name: "survey", perSecond: 11.2, steps: 1.5, permitted: 45, value: 3.56,
 		rules: catalog.Rules{Priority: 2, CriticalPathFactor: 4, TargetMillis: 3000, PolicyQuery: &catalog.PolicyQuery{DecideMillis: 140, PerHostMillis: 2, ValidMillis: 1500}},
 		width: 50, widthSpread: 0.8, widthMost: 300, cores: 11, coresSpread: 0.45, coresMost: 33, gib: 31, gibSpread: 0.6, gibMost: 94,
 		work: 2200, workSpread: 0.5, workMost: 5400, taskSpread: 0.3, estimateSpread: 0.2, checkpointing: 0.8,
 	},
 	{
-		name: "ticket", perSecond: 142, steps: 1, good: 70, value: 0.394,
+		name: "ticket", perSecond: 142, steps: 1, permitted: 70, value: 0.394,
 		rules: catalog.Rules{CriticalPathFactor: 1.5, TargetMillis: 250, PolicyQuery: &catalog.PolicyQuery{DecideMillis: 11, PerHostMillis: 0.16, ValidMillis: 1500}},
 		width: 4.5, widthSpread: 0.8, widthMost: 27, cores: 16, coresSpread: 0.45, coresMost: 47, gib: 45, gibSpread: 0.6, gibMost: 130,
 		work: 800, workSpread: 0.5, workMost: 2000, taskSpread: 0.15, estimateSpread: 0.5, gang: 0.3,
@@ -109,7 +109,7 @@
 	w.permitted = func(step spec.StepID, h host.ID) bool {
 		f := fnv.New32a()
 		fmt.Fprint(f, step, h, seed)
-		return f.Sum32()%100 < l.jobs[step.Job].kind.good
+		return f.Sum32()%100 < l.jobs[step.Job].kind.permitted
 	}
 	w.queueOf = func(id string) string { return l.jobs[id].kind.name }
 	w.policyDelay = func(o QueryOrder) time.Duration {
--- a/internal/engine/large_test.go
+++ b/internal/engine/large_test.go
@@ -93,17 +93,17 @@
 // onTimeShare returns the share of the jobs of a kind that completed within the target duration of their
 // queue.
 func (l *accelLoad) onTimeShare(kind string) float64 {
-	good, all := 0, 0
+	onTime, all := 0, 0
 	for id, at := range l.submitted {
 		if !strings.HasPrefix(id, kind) {
 			continue
 		}
 		all++
 		if l.w.reported[id] == record.StateCompleted && l.w.finalSince[id].Sub(at) <= l.target[id] {
-			good++
+			onTime++
 		}
 	}
-	return float64(good) / float64(all)
+	return float64(onTime) / float64(all)
 }
 
 // TestHostsAreReservedForLargeTasks runs the accelerator load. It guards against large tasks that use
--- a/internal/engine/upkeep_test.go
+++ b/internal/engine/upkeep_test.go
@@ -70,8 +70,8 @@
 		w.maintenanceStarted[m.ID] = true
 		old := w.host(m.Host)
 		old.Decommission()
-		gone := m.Host
-		w.deliver(w.engine, func() { w.engine.DropHost(gone, w.now()) })
+		terminated := m.Host
+		w.deliver(w.engine, func() { w.engine.DropHost(terminated, w.now()) })
 		m.Up, m.InMaintenance = false, true
 		w.after(upkeepTakes, func() {
 			fresh := w.fleet.Add(1, "s", old.Info().Size)[0]
