--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -11,9 +11,9 @@
 // queuedRequest is a request in a service's queue.
 type queuedRequest = queue.Item[chan<- grant]
 
-// acquire waits for a grant to send w. It fails at once when the deadline can not be met; every
-// failure means that nothing was sent. A request that is repeated because another holder had no
-// free slot after all returns to its place in the queue (requeued).
+// acquire waits for a grant to send w. It fails at once when the deadline cannot be met; every
+// failure means that nothing was sent. A request that is retried because another holder had no
+// free slot after all returns to its former position in the queue (requeued).
 func (d *Dispatcher) acquire(ctx context.Context, p *pool, w Work, requeued *queuedRequest) (grant, *queuedRequest, *result.Error) {
 	g, it, ready, err := d.acquireOrEnqueue(p, w, requeued)
 	if err != nil && err.Code == result.NoExecutor {
@@ -34,7 +34,7 @@
 		return g, it, g.err
 	case <-ctx.Done():
 		d.cancelWait(p, it, ready)
-		return grant{}, nil, callerGoneError()
+		return grant{}, nil, callerDisconnectedError()
 	case <-timer.C:
 		d.cancelWait(p, it, ready)
 		return grant{}, nil, deadlineQueuedError(p)
@@ -204,7 +204,7 @@
 		"the queue for %s is full and this caller holds most of it", p.service).WithRetryAfter(d.drainTime(p, time.Now()))
 }
 
-func callerGoneError() *result.Error {
+func callerDisconnectedError() *result.Error {
 	return result.New(result.CallerDisconnected, result.RanNo, "the caller went away before dispatch")
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -58,7 +58,7 @@
 	Metrics    prometheus.Registerer
 }
 
-// Dispatcher is the hold.Resident that owns the executors of held partitions.
+// Dispatcher is the hold.Component that owns the executors of held partitions.
 type Dispatcher struct {
 	cfg     Config
 	metrics *metrics
@@ -85,7 +85,7 @@
 	// BeforeSend, when set, is called right before a byte may be sent. When it returns false, the
 	// request was cancelled and must not be sent.
 	BeforeSend func() bool
-	// NotSent, when set, is called when nothing was sent after a call of Begin.
+	// NotSent, when set, is called when nothing was sent after a call of BeforeSend.
 	NotSent func()
 }
 
@@ -202,11 +202,11 @@
 	return p.freeSlots(now)
 }
 
-func newPool(service string, order queue.Discipline) *pool {
+func newPool(service string, discipline queue.Discipline) *pool {
 	return &pool{
 		service:   service,
 		endpoints: map[string]*endpoint{},
-		queue:     queue.New[chan<- grant](0, order),
+		queue:     queue.New[chan<- grant](0, discipline),
 		budget:    retrybudget.New(),
 	}
 }
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -26,7 +26,7 @@
 
 const (
 	// failuresToEject is the number of consecutive failures after which an endpoint is ejected. It
-	// is above one, as a single bad request does not mean that the executor is bad.
+	// is above one, as a single bad request does not mean that the executor is faulty.
 	failuresToEject = 5
 	// maxFailureRate is the failure rate above which an endpoint is ejected.
 	maxFailureRate = 0.5
@@ -77,8 +77,8 @@
 	return h.machine.Event(context.Background(), event) == nil
 }
 
-// succeeded records a whole answer. It reports whether the endpoint has recovered with it.
-func (h *health) succeeded(took time.Duration) bool {
+// recordSuccess records a whole answer. It reports whether the endpoint has recovered with it.
+func (h *health) recordSuccess(took time.Duration) bool {
 	h.consecutiveNoAnswer = 0
 	h.failureRate -= h.failureRate / outcomeWeight
 	if h.mean == 0 {
@@ -107,15 +107,15 @@
 	faultStatus
 )
 
-// failed records a failure; others is the mean failure rate of the service's other endpoints. It
-// reports whether the failure has ejected the endpoint.
-func (h *health) failed(now time.Time, f fault, others float64) bool {
+// recordFailure records a failure; othersFailureRate is the mean failure rate of the service's
+// other endpoints. It reports whether the failure has ejected the endpoint.
+func (h *health) recordFailure(now time.Time, f fault, othersFailureRate float64) bool {
 	h.failureRate += (1 - h.failureRate) / outcomeWeight
 	eject := h.failureRate > maxFailureRate || h.machine.Current() == stateProbing
 	if f == faultNoAnswer {
 		h.consecutiveNoAnswer++
 		eject = eject || h.consecutiveNoAnswer >= failuresToEject
-	} else if others > outlierMaxOthersRate {
+	} else if othersFailureRate > outlierMaxOthersRate {
 		eject = false
 	}
 	if !eject || !h.fire(eventEject) {
@@ -127,10 +127,10 @@
 	return true
 }
 
-// limit is how many of its slots the endpoint may use now. others is the mean time at all endpoints
-// of the service; noneHealthy means that no endpoint is healthy, so that ejected ones are probed
-// without waiting.
-func (h *health) limit(slots int, others time.Duration, noneHealthy bool, now time.Time) int {
+// limit is how many of its slots the endpoint may use now. othersMean is the mean time at all
+// endpoints of the service; noneHealthy means that no endpoint is healthy, so that ejected ones are
+// probed without waiting.
+func (h *health) limit(slots int, othersMean time.Duration, noneHealthy bool, now time.Time) int {
 	switch h.machine.Current() {
 	case stateEjected:
 		if (now.Before(h.ejectedUntil) && !noneHealthy) || !h.fire(eventProbe) {
@@ -141,8 +141,8 @@
 	case stateProbing:
 		return 1
 	}
-	allowed := others*slowFactor + slowMargin
-	if h.mean <= allowed || others == 0 {
+	allowed := othersMean*slowFactor + slowMargin
+	if h.mean <= allowed || othersMean == 0 {
 		return slots
 	}
 	return max(1, int(int64(slots)*int64(allowed)/int64(h.mean)))
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -113,7 +113,7 @@
 }
 
 // updateHealthyCount counts the listed endpoints that are healthy. It is called after each change
-// of a state, so that limits need not look at every endpoint.
+// of a state, so that limits need not iterate over every endpoint.
 func (p *pool) updateHealthyCount() {
 	p.healthy = 0
 	for _, e := range p.endpoints {
@@ -238,7 +238,7 @@
 }
 
 // popQueued removes and returns the next request that meets its deadline if it takes the mean
-// service time, and answers those that can not.
+// service time, and answers those that cannot.
 func (d *Dispatcher) popQueued(p *pool, now time.Time) *queuedRequest {
 	it, expired := p.queue.Pop(now.Add(p.meanServiceTime))
 	for _, l := range expired {
--- a/internal/dispatch/queue/queue.go
+++ b/internal/dispatch/queue/queue.go
@@ -49,8 +49,8 @@
 }
 
 // New returns an empty queue of at most limit items.
-func New[T any](limit int, order Discipline) *Queue[T] {
-	return &Queue[T]{limit: limit, order: order, byCaller: map[string]*callerQueue[T]{}}
+func New[T any](limit int, discipline Discipline) *Queue[T] {
+	return &Queue[T]{limit: limit, order: discipline, byCaller: map[string]*callerQueue[T]{}}
 }
 
 // Len returns the number of queued items.
--- a/internal/dispatch/queue/queue_test.go
+++ b/internal/dispatch/queue/queue_test.go
@@ -85,7 +85,7 @@
 }
 
 // For any sequence of pushes, pops and removals, each item leaves the queue once and the length is
-// right.
+// correct.
 func TestQueueKeepsCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[string](rapid.IntRange(1, 20).Draw(t, "limit"), Discipline(rapid.IntRange(0, 2).Draw(t, "order")))
--- a/internal/dispatch/resident.go
+++ b/internal/dispatch/resident.go
@@ -15,7 +15,7 @@
 type heldPartition struct {
 	acquiredAt time.Time
 	// unclean: the previous holder may still have requests in flight, as it did not hand over or
-	// its state can not be read.
+	// its state cannot be read.
 	unclean bool
 	// busyUntil gives, by executor, until when slots that the previous holder could not free at the
 	// handover may be busy.
@@ -42,11 +42,11 @@
 	Leaving map[string]string `cbor:"2,keyasint,omitempty"`
 }
 
-// Name implements hold.Resident.
+// Name implements hold.Component.
 func (d *Dispatcher) Name() string { return "executors" }
 
-// Acquire implements hold.Resident. It returns at once; after a failover, executors get no requests
-// until the previous holder's longest dispatch is certainly over.
+// Acquire implements hold.Component. It returns at once; after a failover, executors get no
+// requests until the previous holder's longest dispatch is certainly over.
 func (d *Dispatcher) Acquire(_ context.Context, t hold.Acquisition) error {
 	now := time.Now()
 	part := &heldPartition{acquiredAt: now, unclean: !t.NeverHeld && !t.HandedOver}
@@ -71,7 +71,7 @@
 // releasePollInterval is how often a release checks whether its executors are idle.
 const releasePollInterval = 5 * time.Millisecond
 
-// Release implements hold.Resident. It waits until the partition's executors are idle; when ctx
+// Release implements hold.Component. It waits until the partition's executors are idle; when ctx
 // ends first, the state tells the next holder how long they may be busy.
 func (d *Dispatcher) Release(ctx context.Context, partition int) ([]byte, error) {
 	d.mu.Lock()
@@ -95,7 +95,7 @@
 	return d.finishRelease(partition)
 }
 
-// Drop implements hold.Resident.
+// Drop implements hold.Component.
 func (d *Dispatcher) Drop(partition int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -51,7 +51,7 @@
 		}
 		if w.BeforeSend != nil && !w.BeforeSend() {
 			d.returnGrant(p, g)
-			return executor.Answer{}, weakenRan(callerGoneError(), ran)
+			return executor.Answer{}, weakenRan(callerDisconnectedError(), ran)
 		}
 		answer, err := d.send(p, g, w, values)
 		if err == nil {
@@ -142,7 +142,7 @@
 	d.release(p, e)
 }
 
-// outcome is the outcome of a request at its executor.
+// outcome is the result of sending a request to an executor.
 type outcome struct {
 	answer executor.Answer
 	err    error
@@ -170,13 +170,13 @@
 	case o.failed() && o.timeoutCharged:
 		return // a request is charged once
 	case o.err != nil:
-		d.failed(p, e, faultNoAnswer)
+		d.recordFailure(p, e, faultNoAnswer)
 		return
 	case o.failed():
-		d.failed(p, e, faultStatus)
+		d.recordFailure(p, e, faultStatus)
 		return
 	}
-	if e.health.succeeded(o.took) {
+	if e.health.recordSuccess(o.took) {
 		p.updateHealthyCount()
 		d.cfg.Log.WithField("executor", e.host.Name).Info("executor recovered; no longer ejected")
 	}
@@ -188,9 +188,9 @@
 	return o.err != nil || o.answer.Status >= http.StatusInternalServerError
 }
 
-// failed counts a failure against an endpoint. The caller holds the lock.
-func (d *Dispatcher) failed(p *pool, e *endpoint, f fault) {
-	if e.health.failed(time.Now(), f, p.meanFailureRateExcept(e)) {
+// recordFailure counts a failure against an endpoint. The caller holds the lock.
+func (d *Dispatcher) recordFailure(p *pool, e *endpoint, f fault) {
+	if e.health.recordFailure(time.Now(), f, p.meanFailureRateExcept(e)) {
 		p.updateHealthyCount()
 		d.metrics.ejections.WithLabelValues(p.service).Inc()
 		d.cfg.Log.WithFields(logrus.Fields{"executor": e.host.Name, "until": e.health.ejectedUntil}).
@@ -200,7 +200,7 @@
 
 // overdueAfter is how long an executor may take before the request counts as a failure: to the
 // request's deadline, but no less than the service's default one, as callers with short deadlines
-// would make healthy executors look bad.
+// would make healthy executors appear faulty.
 func overdueAfter(w Work, values settings.Values) time.Duration {
 	usual := time.Duration(values.Request.DefaultDeadlineMS) * time.Millisecond
 	return max(time.Until(w.Deadline), usual)
@@ -212,7 +212,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !e.addrChanged(host) {
-		d.failed(p, e, faultNoAnswer)
+		d.recordFailure(p, e, faultNoAnswer)
 	}
 }
 
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -17,19 +17,19 @@
 
 // endToEnd returns a copy of the headers without those that belong to one connection.
 func endToEnd(h http.Header) http.Header {
-	out := make(http.Header, len(h))
+	kept := make(http.Header, len(h))
 	for name, values := range h {
-		out[name] = values
+		kept[name] = values
 	}
 	for _, field := range h["Connection"] {
 		for _, name := range strings.Split(field, ",") {
-			out.Del(strings.TrimSpace(name))
+			kept.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopByHop {
-		delete(out, name)
+		delete(kept, name)
 	}
-	return out
+	return kept
 }
 
 // writeAnswer writes an executor's answer to the caller.
@@ -48,7 +48,8 @@
 	}
 	w.WriteHeader(a.Status)
 	if method != http.MethodHead {
-		// The write fails only if the caller has gone; the error cannot be reported to anyone.
+		// The write fails only if the caller has disconnected; the error cannot be reported to
+		// anyone.
 		_, _ = w.Write(a.Body)
 	}
 }
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -18,8 +18,8 @@
 	"pulleyquay/internal/settings"
 )
 
-// splitPath returns the service, and the path with the query for the executor. The path keeps the
-// caller's escapes.
+// splitPath returns the service, and the path with the query for the executor. The path keeps
+// the caller's percent-encoding.
 func splitPath(u *url.URL) (service, path string, ok bool) {
 	rest, ok := strings.CutPrefix(u.EscapedPath(), Prefix)
 	if !ok {
@@ -132,7 +132,7 @@
 	return nil, result.New(result.CallerDisconnected, ranNotForwarded(r), "body: %v", err)
 }
 
-// readAll reads to the end. A known length avoids copies.
+// readAll reads to the end. With a known length it allocates the buffer once.
 func readAll(r io.Reader, length int64) ([]byte, error) {
 	if length <= 0 {
 		return io.ReadAll(r)
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -203,7 +203,7 @@
 }
 
 // responseMargin is the part of the deadline reserved for the home's reply: only the home can
-// tell that a request which waited until its deadline did not run.
+// state that a request that waited until its deadline did not run.
 const responseMargin = 10 * time.Millisecond
 
 // send sends the request to one placer.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -26,7 +26,7 @@
 	"pulleyquay/internal/wait"
 )
 
-// Time-outs and delays.
+// Timeouts and delays.
 const (
 	// holderTimeout bounds one call to the holder.
 	holderTimeout = 700 * time.Millisecond
@@ -69,7 +69,7 @@
 func (f *Front) Submit(ctx context.Context, by Caller, q *catalog.Queue, id string, g spec.Graph) error {
 	start := time.Now()
 	origin, err := f.submit(ctx, by, q, id, g)
-	f.Metrics.submit(start, err)
+	f.Metrics.observeSubmit(start, err)
 	f.logSubmit(by, q, id, origin, err, start)
 	return err
 }
@@ -126,8 +126,8 @@
 	return err
 }
 
-// State returns the state of a job. The source is the holder, or the store if the holder does not
-// know the job or cannot be reached.
+// State returns the state of a job. The source is the holder, or the store if the holder has no
+// record of the job or cannot be reached.
 func (f *Front) State(ctx context.Context, by Caller, q *catalog.Queue, id string) (record.State, error) {
 	reply, err := f.queryHolder(ctx, by, id, peer.KindJobState)
 	answered := err == nil
@@ -145,7 +145,7 @@
 		return rec.Ended, nil
 	}
 	if answered {
-		// The holder replied that it does not know the job. A holder that did not reply may be
+		// The holder replied that it has no record of the job. A holder that did not reply may be
 		// overloaded, and a repeated notification would add to its load.
 		f.notifier.enqueue(rec, f.partition(id), false, time.Now())
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -299,7 +299,7 @@
 }
 
 // TestStates: the state comes from the holder, or from the store if the holder is not reachable.
-// A job that neither knows is reported as unknown.
+// A job of which neither has a record is reported as unknown.
 func TestStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -31,7 +31,7 @@
 // Refused counts a call that was not served, by result code.
 func (m *Metrics) Refused(c result.Code) { m.refused.WithLabelValues(strconv.Itoa(int(c))).Inc() }
 
-func (m *Metrics) submit(start time.Time, err error) {
+func (m *Metrics) observeSubmit(start time.Time, err error) {
 	code := 0
 	if err != nil {
 		code = int(result.CodeOf(err))
--- a/internal/front/notifier.go
+++ b/internal/front/notifier.go
@@ -38,26 +38,26 @@
 
 // enqueue notifies the holder of a job in the background and retries until the holder replies or
 // notifyPeriod is over. fresh means that no holder can have been notified of the job yet.
-func (t *notifier) enqueue(rec *record.Job, partition int, fresh bool, accepted time.Time) {
-	t.mu.Lock()
-	full := t.pending >= maxPending
+func (n *notifier) enqueue(rec *record.Job, partition int, fresh bool, accepted time.Time) {
+	n.mu.Lock()
+	full := n.pending >= maxPending
 	if !full {
-		t.pending++
+		n.pending++
 	}
-	t.mu.Unlock()
+	n.mu.Unlock()
 	if full {
 		return
 	}
 	go func() {
 		defer func() {
-			t.mu.Lock()
-			t.pending--
-			t.mu.Unlock()
+			n.mu.Lock()
+			n.pending--
+			n.mu.Unlock()
 		}()
 		ctx, cancel := context.WithTimeout(context.Background(), notifyPeriod)
 		defer cancel()
 		for {
-			err := t.notify(ctx, rec, partition, fresh, time.Since(accepted))
+			err := n.notify(ctx, rec, partition, fresh, time.Since(accepted))
 			if err == nil {
 				return
 			}
@@ -69,28 +69,28 @@
 	}()
 }
 
-// notify sends one notification. The time-out is long because a holder under load replies late
+// notify sends one notification. The timeout is long because a holder under load replies late
 // and repeated notifications add to its load. The call is cancelled when the partition gets a new
 // holder.
-func (t *notifier) notify(ctx context.Context, rec *record.Job, partition int, fresh bool, age time.Duration) error {
-	h, ok := t.front.View.Holder(partition)
+func (n *notifier) notify(ctx context.Context, rec *record.Job, partition int, fresh bool, age time.Duration) error {
+	h, ok := n.front.View.Holder(partition)
 	if !ok {
 		return errNoHolder(partition)
 	}
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
-	go t.cancelOnNewHolder(ctx, cancel, h)
-	return t.front.Peers.Call(ctx, h.Addr, peer.KindJobAccepted, holder.JobAccepted{
+	go n.cancelOnNewHolder(ctx, cancel, h)
+	return n.front.Peers.Call(ctx, h.Addr, peer.KindJobAccepted, holder.JobAccepted{
 		Partition: partition, Job: *rec, Age: age, Fresh: fresh,
 	}, &holder.Empty{})
 }
 
 // cancelOnNewHolder cancels a call to a holder once its partition has a holder with a higher
 // epoch.
-func (t *notifier) cancelOnNewHolder(ctx context.Context, cancel context.CancelFunc, h ledger.Holder) {
+func (n *notifier) cancelOnNewHolder(ctx context.Context, cancel context.CancelFunc, h ledger.Holder) {
 	for {
-		changed := t.front.View.Changed()
-		if now, _ := t.front.View.Holder(h.Partition); now.Epoch > h.Epoch {
+		changed := n.front.View.Changed()
+		if now, _ := n.front.View.Holder(h.Partition); now.Epoch > h.Epoch {
 			cancel()
 			return
 		}
--- a/internal/front/owner_test.go
+++ b/internal/front/owner_test.go
@@ -24,7 +24,7 @@
 
 // TestJobsOfOtherAccountsAreUnknown: a job can be read and cancelled only with a key of its own
 // account, whether the holder, a holder of the previous version, or only the store answers. Other
-// accounts get JobUnknown, so that they do not learn that the job exists.
+// accounts get JobUnknown, so that the job's existence is not disclosed.
 func TestJobsOfOtherAccountsAreUnknown(t *testing.T) {
 	const id = "00000000000000aa"
 	crew, other, nobody := callerOf("crew", fairshare.Unlimited), callerOf("other", fairshare.Unlimited), Caller{}
--- a/internal/front/port.go
+++ b/internal/front/port.go
@@ -8,8 +8,8 @@
 	"pulleyquay/internal/spec"
 )
 
-// Caller identifies the client account of a request's key. Account is nil on a queue that
-// requires no key.
+// Caller identifies the client account to which a request's key belongs. Account is nil on a queue
+// that requires no key.
 type Caller struct {
 	Account *catalog.Account
 }
--- a/internal/front/store.go
+++ b/internal/front/store.go
@@ -21,8 +21,8 @@
 )
 
 // String returns the text for the log.
-func (m origin) String() string {
-	switch m {
+func (o origin) String() string {
+	switch o {
 	case originCreated:
 		return "stored"
 	case originUncertain:
@@ -43,8 +43,8 @@
 	return s.err != nil && result.From(s.err).Ran != result.RanNo
 }
 
-// storeJob stores a job and keeps its id while the outcome is unknown: a caller that submits it
-// again must not get the answer that the job is not accepted.
+// storeJob stores a job. If the outcome is unknown, it records the job as unresolved: a caller that
+// submits it again must not get the answer that the job is not accepted.
 func (f *Front) storeJob(ctx context.Context, rec record.Job) (origin, error) {
 	before := f.unresolvedJobs.contains(rec.ID, time.Now())
 	origin, err := f.storeWithFallback(ctx, rec, before)
--- a/internal/front/unresolved.go
+++ b/internal/front/unresolved.go
@@ -24,42 +24,42 @@
 }
 
 // add records that the outcome of storing a job is unknown.
-func (d *unresolvedJobs) add(id string, now time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.addedAt == nil {
-		d.addedAt = map[string]time.Time{}
+func (u *unresolvedJobs) add(id string, now time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.addedAt == nil {
+		u.addedAt = map[string]time.Time{}
 	}
-	d.expire(now)
-	if len(d.addedAt) < maxUnresolvedJobs {
-		d.addedAt[id] = now
+	u.expire(now)
+	if len(u.addedAt) < maxUnresolvedJobs {
+		u.addedAt[id] = now
 	}
 }
 
 // expire removes the entries that are older than unresolvedRetention.
-func (d *unresolvedJobs) expire(now time.Time) {
-	if now.Sub(d.lastExpiry) < unresolvedRetention {
+func (u *unresolvedJobs) expire(now time.Time) {
+	if now.Sub(u.lastExpiry) < unresolvedRetention {
 		return
 	}
-	d.lastExpiry = now
-	for id, at := range d.addedAt {
+	u.lastExpiry = now
+	for id, at := range u.addedAt {
 		if now.Sub(at) > unresolvedRetention {
-			delete(d.addedAt, id)
+			delete(u.addedAt, id)
 		}
 	}
 }
 
 // contains reports whether the outcome of storing a job is unknown.
-func (d *unresolvedJobs) contains(id string, now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	at, ok := d.addedAt[id]
+func (u *unresolvedJobs) contains(id string, now time.Time) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	at, ok := u.addedAt[id]
 	return ok && now.Sub(at) <= unresolvedRetention
 }
 
 // remove deletes a job after the store has answered for it.
-func (d *unresolvedJobs) remove(id string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.addedAt, id)
+func (u *unresolvedJobs) remove(id string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	delete(u.addedAt, id)
 }
--- a/internal/health/jobs.go
+++ b/internal/health/jobs.go
@@ -50,7 +50,7 @@
 }
 
 // ClearWorker removes a worker from every job's failures: the worker was excluded, so the failures
-// there are attributed to it.
+// there are attributed to the worker.
 func (j *Jobs) ClearWorker(worker string) {
 	for job, failed := range j.jobs {
 		delete(failed, worker)
--- a/internal/health/workers.go
+++ b/internal/health/workers.go
@@ -60,7 +60,7 @@
 	state State
 	// failed holds the last failure of each job since the last success.
 	failed map[string]time.Time
-	// probeAt is when an excluded worker may be probed; probeWait is the present backoff.
+	// probeAt is when an excluded worker may be probed; probeWait is the current backoff.
 	probeAt   time.Time
 	probeWait time.Duration
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -18,9 +18,9 @@
 // ID identifies a host. A host that crashed returns under the same id or another one.
 type ID string
 
-// Incarnation identifies one incarnation of a host: the Unix millisecond of its start, by the host's own
-// wall clock. Zero is an unknown incarnation. Values are compared for equality only, because the
-// wall clock may jump.
+// Incarnation identifies one run of a host's process by the Unix millisecond of its start, on the
+// host's own wall clock. Zero is an unknown incarnation. Values are compared for equality only,
+// because the wall clock may jump.
 type Incarnation int64
 
 // Millis is a reading of one host's own monotonic clock, in milliseconds. Readings of different
@@ -31,8 +31,8 @@
 type Info struct {
 	ID          ID
 	Incarnation Incarnation
-	// HeartbeatSeq increases each time the host sends this description. The content may be as old as the
-	// last increase.
+	// HeartbeatSeq increases each time the host sends this description. The content may be as old
+	// as the last increase.
 	HeartbeatSeq int64
 	Addr         string // host:port of its calls
 	Zone         string // availability zone
@@ -66,8 +66,8 @@
 // Start is an order to start a run.
 type Start struct {
 	Run
-	// Incarnation is the incarnation that has to start the run. Another incarnation under the same id
-	// starts with a new clock and without an epoch, so neither of them prevents it from carrying
+	// Incarnation is the incarnation that has to start the run. Another incarnation under the same
+	// id has a new clock and no epoch, so neither Deadline nor the epoch prevents it from carrying
 	// out a late start. Zero is for a host that does not report its incarnation.
 	Incarnation Incarnation
 	Command     string
@@ -84,7 +84,7 @@
 // Refusal is the reason why a host did not carry out a start.
 type Refusal string
 
-// The reasons of a host. In all of these cases nothing was started.
+// Reasons for a refusal. In all of these cases nothing was started.
 const (
 	RefusedFenced       Refusal = "fenced"    // it has received a higher epoch
 	RefusedSuperseded   Refusal = "old"       // a run with this number or a higher one was stopped or has ended there
@@ -95,7 +95,7 @@
 	RefusedInvalid      Refusal = "invalid"   // the host cannot interpret it
 )
 
-// Reply is the reply to a start, a stop or a throttle.
+// Reply is the host's reply to a start, stop or throttle order.
 type Reply struct {
 	// Clock is the host's clock at the time of the reply; zero if the host did not report it.
 	Clock Millis
@@ -105,9 +105,9 @@
 
 // Poll requests a view of what runs on a host. With a Lease it also renews the host's lease.
 type Poll struct {
-	// AckedEnds acknowledges the end records up to this number. The numbers belong to one incarnation:
-	// another one under the same id has end records of its own with the same numbers, which must
-	// not be acknowledged.
+	// AckedEnds acknowledges the end records up to this number. The numbers belong to one
+	// incarnation: another one under the same id has end records of its own with the same numbers,
+	// which must not be acknowledged.
 	AckedEnds   int64
 	Incarnation Incarnation
 	// Lease is the time, on the host's clock, until which everything on the host may run; zero
@@ -167,25 +167,25 @@
 	ErrNotSent          = errors.New("host: not reachable, nothing was sent")
 	ErrLost             = errors.New("host: request sent, no reply")
 	ErrOtherIncarnation = errors.New("host: another incarnation of the host replied")
-	// ErrConnectionBroken is an ErrLost whose connection broke before the reply. The process at the other
-	// end existed until then; a host that is disconnected or without power does not break
+	// ErrConnectionBroken is an ErrLost whose connection broke before the reply. The process at the
+	// other end existed until then; a host that is disconnected or without power does not break
 	// connections.
 	ErrConnectionBroken = fmt.Errorf("%w: connection broken", ErrLost)
-	// ErrConnectionRefused is an ErrNotSent for which the host's machine refused the connection, because
-	// the host's process is gone.
+	// ErrConnectionRefused is an ErrNotSent for which the host's machine refused the connection,
+	// because the host's process has ended.
 	ErrConnectionRefused = fmt.Errorf("%w: connection refused", ErrNotSent)
 )
 
 // Client makes calls to hosts. Each call is sent at most once.
 type Client interface {
-	// Start never lets an incarnation other than s.Incarnation start the run, unless that is
-	// zero.
+	// Start never lets an incarnation other than s.Incarnation start the run; a zero
+	// s.Incarnation allows any.
 	Start(ctx context.Context, to Info, epoch uint64, s Start) (Reply, error)
 	Stop(ctx context.Context, to Info, epoch uint64, r Run) (Reply, error)
-	// Poll never lets an incarnation other than l.Incarnation delete end records, unless that is
-	// zero. It may omit the acknowledgement if it is not certain of the incarnation; the host
-	// then reports the end records again.
-	Poll(ctx context.Context, to Info, epoch uint64, l Poll) (View, error)
-	// Throttle throttles a run to a percentage of its speed, 0 to 100.
+	// Poll never lets an incarnation other than p.Incarnation delete end records; a zero
+	// p.Incarnation allows any. It may omit the acknowledgement if it is not certain of the
+	// incarnation; the host then reports the end records again.
+	Poll(ctx context.Context, to Info, epoch uint64, p Poll) (View, error)
+	// Throttle limits a run to a percentage of its full speed, 0 to 100.
 	Throttle(ctx context.Context, to Info, epoch uint64, r Run, percent int) (Reply, error)
 }
--- a/internal/hostcall/poll.go
+++ b/internal/hostcall/poll.go
@@ -72,13 +72,13 @@
 
 // Poll implements host.Client. It polls again over a new connection when the open ones may have
 // become silent, or answers are lost.
-func (c *Caller) Poll(ctx context.Context, to host.Info, epoch uint64, l host.Poll) (host.View, error) {
+func (c *Caller) Poll(ctx context.Context, to host.Info, epoch uint64, p host.Poll) (host.View, error) {
 	inFlight := time.Duration(c.pollsInFlight.Add(1))
 	defer c.pollsInFlight.Add(-1)
 	for {
 		started := time.Now()
 		c.called.record(to.ID, started)
-		view, retry, err := c.pollOnce(ctx, to, epoch, l, started)
+		view, retry, err := c.pollOnce(ctx, to, epoch, p, started)
 		if retry && wait.Jittered(ctx, inFlight*repollSpread) {
 			continue
 		}
@@ -88,15 +88,15 @@
 }
 
 // pollOnce polls once. It reports whether the poll was cancelled to be repeated.
-func (c *Caller) pollOnce(ctx context.Context, to host.Info, epoch uint64, l host.Poll, now time.Time) (view host.View, retry bool, err error) {
+func (c *Caller) pollOnce(ctx context.Context, to host.Info, epoch uint64, p host.Poll, now time.Time) (view host.View, retry bool, err error) {
 	slack := pollSlack
 	lossy, repoll := c.lossTracker.recentLoss(now)
 	if lossy && c.mayRepeat() {
-		l.Wait = min(l.Wait, lossyPollWait)
+		p.Wait = min(p.Wait, lossyPollWait)
 		slack = lossyPollSlack
 	}
 	renewed := c.health.PollsRepeated()
-	ctx, cancel := context.WithTimeout(ctx, l.Wait+slack)
+	ctx, cancel := context.WithTimeout(ctx, p.Wait+slack)
 	defer cancel()
 	go func() {
 		select {
@@ -107,7 +107,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	view, err = c.hosts.Poll(ctx, to, epoch, l)
+	view, err = c.hosts.Poll(ctx, to, epoch, p)
 	return view, err != nil && (isClosed(renewed) || isClosed(repoll)), err
 }
 
--- a/internal/hostcall/poll_test.go
+++ b/internal/hostcall/poll_test.go
@@ -27,9 +27,9 @@
 	lastWait   atomic.Int64 // wait of the last poll, in nanoseconds
 }
 
-func (s *unresponsiveHosts) Poll(ctx context.Context, _ host.Info, _ uint64, l host.Poll) (host.View, error) {
+func (s *unresponsiveHosts) Poll(ctx context.Context, _ host.Info, _ uint64, p host.Poll) (host.View, error) {
 	s.polls.Add(1)
-	s.lastWait.Store(int64(l.Wait))
+	s.lastWait.Store(int64(p.Wait))
 	if !s.responsive.Load() {
 		<-ctx.Done()
 		return host.View{}, host.ErrLost
--- a/internal/hostcall/repeat.go
+++ b/internal/hostcall/repeat.go
@@ -11,7 +11,7 @@
 
 // A start or stop that is not answered in the usual time is sent again unchanged: a host identifies
 // it by the run's number and carries it out once, whichever copy arrives first. Without copies,
-// orders are lost or carried out seconds late, and a gang of which one start is in doubt has to
+// orders are lost or carried out seconds late, and a gang with one unacknowledged start has to
 // start again.
 
 // maxOrderCopies bounds the copies of one order; the delays between them double.
--- a/internal/hostcall/repeat_test.go
+++ b/internal/hostcall/repeat_test.go
@@ -30,7 +30,7 @@
 var noConnection = copyOutcome{after: time.Hour, unsent: true}
 
 // TestOrdersAreRepeated: without copies, a lost order is settled by a poll, a stop and another
-// poll, and a gang of which one start is in doubt has to start again.
+// poll, and a gang with one unacknowledged start has to start again.
 //
 // It also guards against a start being reported as lost while its connection is still being made,
 // to a host that has lost power. Nothing has been sent then, yet the run would count as one under
@@ -151,7 +151,7 @@
 			lossy, _ := c.lossTracker.recentLoss(time.Now())
 			is.True(!lossy) // hosts are not polled more often either
 		}
-		busy.Store(true) // as its timers would show
+		busy.Store(true) // in production, derived from late timers
 		expectSingleCopies()
 		busy.Store(false)
 		for i := range maxRepeatHosts + 1 {
--- a/internal/hostsim/calls.go
+++ b/internal/hostsim/calls.go
@@ -45,7 +45,7 @@
 		reply.Refused = host.RefusedPastDeadline
 		return reply
 	case s.No <= h.highestEnded[s.Task]:
-		h.grant(s.Deadline)
+		h.renewLease(s.Deadline)
 		reply.Refused = host.RefusedSuperseded
 		return reply
 	}
@@ -59,11 +59,11 @@
 		return reply
 	}
 	if h.lacksCapacity(rec.Graph.Steps[s.Task.Step]) {
-		h.grant(s.Deadline)
+		h.renewLease(s.Deadline)
 		reply.Refused = host.RefusedNoCapacity
 		return reply
 	}
-	h.grant(s.Deadline)
+	h.renewLease(s.Deadline)
 	r := &run{Run: s.Run, step: rec.Graph.Steps[s.Task.Step], speed: fullSpeed}
 	if s.Checkpoint != "" {
 		r.accrued = h.fleet.saved[s.Task]
@@ -82,20 +82,20 @@
 // TicketOf returns the ticket that the simulated policy service issues for a step on a host.
 func TicketOf(step spec.StepID, h host.ID) string { return step.String() + string(h) }
 
-// Throttle carries out a throttle that has arrived. It takes effect at once.
-func (h *Host) Throttle(epoch uint64, which host.Run, percent int) (reply host.Reply) {
-	h.withLock(func() { reply = h.setSpeed(epoch, which, percent) })
+// Throttle carries out a throttle order that has arrived. It takes effect immediately.
+func (h *Host) Throttle(epoch uint64, target host.Run, percent int) (reply host.Reply) {
+	h.withLock(func() { reply = h.setSpeed(epoch, target, percent) })
 	return reply
 }
 
-func (h *Host) setSpeed(epoch uint64, which host.Run, percent int) host.Reply {
+func (h *Host) setSpeed(epoch uint64, target host.Run, percent int) host.Reply {
 	reply := host.Reply{Clock: h.clock()}
 	if epoch < h.epoch {
 		reply.Refused = host.RefusedFenced
 		return reply
 	}
 	h.epoch = epoch
-	r := h.runs[which]
+	r := h.runs[target]
 	if r == nil {
 		reply.Refused = host.RefusedSuperseded
 		return reply
@@ -108,10 +108,10 @@
 	return reply
 }
 
-// tail returns the tail latency of a serving task in milliseconds: half of its target if it is
-// alone, and more the faster the backfill tasks on the host work.
-func (h *Host) tail(r *run) float64 {
-	ratio := baseTail
+// tailLatency returns the tail latency of a serving task in milliseconds: half of its target
+// if it is alone, and more the faster the backfill tasks on the host work.
+func (h *Host) tailLatency(r *run) float64 {
+	ratio := baseTailFraction
 	for _, other := range h.sorted() {
 		if other.step.Backfill {
 			ratio += h.fleet.BackfillImpact[other.step.Image] * float64(other.speed) / fullSpeed
@@ -120,9 +120,9 @@
 	return ratio * float64(r.step.TailLatencyTargetMillis)
 }
 
-// baseTail is the tail latency of a serving task without backfill tasks, as a fraction of its
-// target.
-const baseTail = 0.5
+// baseTailFraction is the tail latency of a serving task without backfill tasks, as a fraction of
+// its target.
+const baseTailFraction = 0.5
 
 func (h *Host) answerPolls() {
 	waitingPolls := h.waitingPolls
@@ -133,20 +133,20 @@
 }
 
 // Stop carries out a stop that has arrived.
-func (h *Host) Stop(epoch uint64, which host.Run) (reply host.Reply) {
-	h.withLock(func() { reply = h.stop(epoch, which) })
+func (h *Host) Stop(epoch uint64, target host.Run) (reply host.Reply) {
+	h.withLock(func() { reply = h.stop(epoch, target) })
 	return reply
 }
 
-func (h *Host) stop(epoch uint64, which host.Run) host.Reply {
+func (h *Host) stop(epoch uint64, target host.Run) host.Reply {
 	reply := host.Reply{Clock: h.clock()}
 	if epoch < h.epoch {
 		reply.Refused = host.RefusedFenced
 		return reply
 	}
 	h.epoch = epoch
-	h.highestEnded[which.Task] = max(h.highestEnded[which.Task], which.No)
-	r := h.runs[which]
+	h.highestEnded[target.Task] = max(h.highestEnded[target.Task], target.No)
+	r := h.runs[target]
 	if r == nil || r.stopping {
 		return reply
 	}
@@ -156,7 +156,7 @@
 	r.stopping = true
 	r.gen++
 	h.fleet.after(h.fleet.Bounds.MaxStopTime/2, func() {
-		if h.runs[which] == r && h.up {
+		if h.runs[target] == r && h.up {
 			h.end(r, host.EndStopped)
 		}
 	})
@@ -165,40 +165,40 @@
 
 // Poll carries out a poll that has arrived. The answer is delayed if the poll waits for an end
 // record.
-func (h *Host) Poll(epoch uint64, l host.Poll, answer func(host.View)) {
-	h.withLock(func() { h.poll(epoch, l, answer) })
+func (h *Host) Poll(epoch uint64, p host.Poll, answer func(host.View)) {
+	h.withLock(func() { h.poll(epoch, p, answer) })
 }
 
-func (h *Host) poll(epoch uint64, l host.Poll, answer func(host.View)) {
+func (h *Host) poll(epoch uint64, p host.Poll, answer func(host.View)) {
 	if epoch < h.epoch {
 		answer(host.View{Clock: h.clock(), Fenced: true})
 		return
 	}
 	h.epoch = epoch
-	if l.Lease > 0 {
-		h.grant(l.Lease)
+	if p.Lease > 0 {
+		h.renewLease(p.Lease)
 	}
-	if l.Incarnation == 0 || l.Incarnation == h.info.Incarnation { // as host.Client guarantees
-		h.forget(l.AckedEnds)
+	if p.Incarnation == 0 || p.Incarnation == h.info.Incarnation { // as host.Client guarantees
+		h.forget(p.AckedEnds)
 	}
-	if l.Wait == 0 || len(h.ends) > 0 {
+	if p.Wait == 0 || len(h.ends) > 0 {
 		answer(h.view())
 		return
 	}
-	done, incarnation := false, h.incarnations
+	done, incarnation := false, h.earlierIncarnations
 	once := func(v host.View) {
-		if !done && h.up && !h.link.disconnected && h.incarnations == incarnation { // an ended incarnation does not answer
+		if !done && h.up && !h.link.disconnected && h.earlierIncarnations == incarnation { // an ended incarnation does not answer
 			done = true
 			answer(v)
 		}
 	}
 	h.waitingPolls = append(h.waitingPolls, once)
-	h.fleet.after(l.Wait, func() { once(h.view()) })
+	h.fleet.after(p.Wait, func() { once(h.view()) })
 }
 
 // forget deletes acknowledged end records.
-func (h *Host) forget(seen int64) {
-	for len(h.ends) > 0 && h.ends[0].Number <= seen {
+func (h *Host) forget(acked int64) {
+	for len(h.ends) > 0 && h.ends[0].Number <= acked {
 		h.fleet.checker.recordAck(h.ends[0])
 		h.ends = h.ends[1:]
 	}
@@ -212,7 +212,7 @@
 	for _, r := range h.sorted() {
 		row := host.Running{Run: r.Run, Percent: h.percent(r), Gauge: float64(r.step.Size.MilliCPU)}
 		if r.step.TailLatencyTargetMillis > 0 {
-			row.Gauge = h.tail(r)
+			row.Gauge = h.tailLatency(r)
 		}
 		v.Running = append(v.Running, row)
 	}
@@ -240,13 +240,14 @@
 	return min(100, 100*float64(r.workDone(h.fleet.clock.Now()))/float64(took))
 }
 
-// TailLatencies returns the tail latency of each serving task on the host as a fraction of its target.
+// TailLatencies returns the tail latency of each serving task on the host as a fraction of its
+// target.
 func (h *Host) TailLatencies() map[host.Run]float64 {
 	out := map[host.Run]float64{}
 	h.withLock(func() {
 		for key, r := range h.runs {
 			if r.step.TailLatencyTargetMillis > 0 {
-				out[key] = h.tail(r) / float64(r.step.TailLatencyTargetMillis)
+				out[key] = h.tailLatency(r) / float64(r.step.TailLatencyTargetMillis)
 			}
 		}
 	})
--- a/internal/hostsim/capacity.go
+++ b/internal/hostsim/capacity.go
@@ -18,11 +18,11 @@
 }
 
 // Resize changes the host's capacity while it runs; the host reports the change after a delay.
-func (h *Host) Resize(size spec.Resources, saidAfter time.Duration) {
+func (h *Host) Resize(size spec.Resources, reportedAfter time.Duration) {
 	h.withLock(func() {
 		h.formerCapacities = append(h.formerCapacities, formerCapacity{h.size, h.fleet.clock.Now()})
 		h.size = size
-		h.fleet.after(saidAfter, func() {
+		h.fleet.after(reportedAfter, func() {
 			if h.size == size {
 				h.info.Size = size
 			}
@@ -66,8 +66,8 @@
 }
 
 // RefusedForCapacity returns the number of starts that hosts refused for lack of capacity.
-func (j *Checker) RefusedForCapacity() int {
-	j.fleet.mu.Lock()
-	defer j.fleet.mu.Unlock()
-	return j.refusedFull
+func (c *Checker) RefusedForCapacity() int {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
+	return c.refusedFull
 }
--- a/internal/hostsim/checker_test.go
+++ b/internal/hostsim/checker_test.go
@@ -22,28 +22,28 @@
 }
 
 func newTestFleet(change func(*spec.Step)) *testFleet {
-	tr := &testFleet{fleet: NewFleet(RealClock{})}
-	tr.hosts = tr.fleet.Add(8, "s", spec.Resources{MilliCPU: 64_000, MemoryMiB: 1 << 17})
+	f := &testFleet{fleet: NewFleet(RealClock{})}
+	f.hosts = f.fleet.Add(8, "s", spec.Resources{MilliCPU: 64_000, MemoryMiB: 1 << 17})
 	step := spec.Step{Count: 3, Size: spec.Resources{MilliCPU: 1000, MemoryMiB: 1000}, EstimateMillis: 1000}
 	if change != nil {
 		change(&step)
 	}
-	tr.fleet.AddJob(&record.Job{ID: "job", Rules: catalog.Rules{MaxAttempts: 2}, Graph: spec.Graph{Steps: []spec.Step{step}}})
-	return tr
+	f.fleet.AddJob(&record.Job{ID: "job", Rules: catalog.Rules{MaxAttempts: 2}, Graph: spec.Graph{Steps: []spec.Step{step}}})
+	return f
 }
 
 func taskNo(i int) spec.StepTask { return spec.StepTask{StepID: spec.StepID{Job: "job"}, Index: i} }
 
 // start starts a run of a task on a host under an epoch.
-func (tr *testFleet) start(epoch uint64, on, task, no int) {
-	tr.hosts[on].Start(epoch, host.Start{Run: host.Run{Task: taskNo(task), No: no}, Deadline: math.MaxInt64 / 4})
+func (f *testFleet) start(epoch uint64, on, task, no int) {
+	f.hosts[on].Start(epoch, host.Start{Run: host.Run{Task: taskNo(task), No: no}, Deadline: math.MaxInt64 / 4})
 }
 
 // crashUnder starts a run of a task on a host and then crashes the host.
-func (tr *testFleet) crashUnder(on, task, no int) {
-	tr.start(1, on, task, no)
+func (f *testFleet) crashUnder(on, task, no int) {
+	f.start(1, on, task, no)
 	time.Sleep(time.Millisecond)
-	tr.hosts[on].Restart()
+	f.hosts[on].Restart()
 }
 
 const reasonTask1 = "5212 job-crashes-hosts: task job/0/0/1: 2 hosts crashed under it: h00 under run 1, h01 under run 2"
@@ -54,114 +54,114 @@
 	gang := func(s *spec.Step) { s.Gang = true }
 	for name, tc := range map[string]struct {
 		change        func(*spec.Step)
-		setup         func(tr *testFleet)
-		why           string
+		setup         func(f *testFleet)
+		reason        string
 		wantViolation bool // the checker has to report the failed job as a violation
 	}{
 		"nothing has happened": {setup: func(*testFleet) {}, wantViolation: true},
 		"two hosts crashed under a task": {
-			setup: func(tr *testFleet) { tr.crashUnder(0, 1, 1); tr.crashUnder(1, 1, 2) }, why: reasonTask1,
+			setup: func(f *testFleet) { f.crashUnder(0, 1, 1); f.crashUnder(1, 1, 2) }, reason: reasonTask1,
 		},
 		"under another task than the named one": {
-			setup: func(tr *testFleet) { tr.crashUnder(0, 2, 1); tr.crashUnder(1, 2, 2); tr.crashUnder(2, 1, 1) }, why: reasonTask1, wantViolation: true,
+			setup: func(f *testFleet) { f.crashUnder(0, 2, 1); f.crashUnder(1, 2, 2); f.crashUnder(2, 1, 1) }, reason: reasonTask1, wantViolation: true,
 		},
 		"one host under each of two tasks": {
-			setup: func(tr *testFleet) { tr.crashUnder(0, 1, 1); tr.crashUnder(1, 2, 1) }, wantViolation: true,
+			setup: func(f *testFleet) { f.crashUnder(0, 1, 1); f.crashUnder(1, 2, 1) }, wantViolation: true,
 		},
 		"one host crashed with all tasks": {
-			setup: func(tr *testFleet) { tr.start(1, 0, 0, 1); tr.start(1, 0, 2, 1); tr.crashUnder(0, 1, 1) }, wantViolation: true,
+			setup: func(f *testFleet) { f.start(1, 0, 0, 1); f.start(1, 0, 2, 1); f.crashUnder(0, 1, 1) }, wantViolation: true,
 		},
 		"a run had ended before its host crashed": {
-			setup: func(tr *testFleet) {
-				tr.crashUnder(0, 1, 1)
-				tr.start(1, 1, 1, 2)
+			setup: func(f *testFleet) {
+				f.crashUnder(0, 1, 1)
+				f.start(1, 1, 1, 2)
 				time.Sleep(2 * time.Second)
-				tr.hosts[1].Restart()
-			}, why: reasonTask1, wantViolation: true,
+				f.hosts[1].Restart()
+			}, reason: reasonTask1, wantViolation: true,
 		},
 		"hosts crashed while disconnected": {
-			setup: func(tr *testFleet) {
-				tr.hosts[0].SetDisconnected(true)
-				tr.hosts[1].SetDisconnected(true)
-				tr.crashUnder(0, 1, 1)
-				tr.crashUnder(1, 1, 2)
-			}, why: reasonTask1,
+			setup: func(f *testFleet) {
+				f.hosts[0].SetDisconnected(true)
+				f.hosts[1].SetDisconnected(true)
+				f.crashUnder(0, 1, 1)
+				f.crashUnder(1, 1, 2)
+			}, reason: reasonTask1,
 		},
 		"hosts crashed for good": {
-			setup: func(tr *testFleet) {
+			setup: func(f *testFleet) {
 				for i := range 2 {
-					tr.start(1, i, 1, i+1)
-					tr.hosts[i].Crash()
+					f.start(1, i, 1, i+1)
+					f.hosts[i].Crash()
 				}
-			}, why: reasonTask1,
+			}, reason: reasonTask1,
 		},
 		"hosts left after a drain": {
-			setup: func(tr *testFleet) {
+			setup: func(f *testFleet) {
 				for i := range 2 {
-					tr.start(1, i, 1, i+1)
-					tr.hosts[i].Drain(0)
-					tr.hosts[i].Crash()
+					f.start(1, i, 1, i+1)
+					f.hosts[i].Drain(0)
+					f.hosts[i].Crash()
 				}
-			}, why: reasonTask1, wantViolation: true,
+			}, reason: reasonTask1, wantViolation: true,
 		},
 		"hosts were decommissioned": {
-			setup: func(tr *testFleet) {
+			setup: func(f *testFleet) {
 				for i := range 2 {
-					tr.start(1, i, 1, i+1)
-					tr.hosts[i].Decommission()
+					f.start(1, i, 1, i+1)
+					f.hosts[i].Decommission()
 				}
-			}, why: reasonTask1, wantViolation: true,
+			}, reason: reasonTask1, wantViolation: true,
 		},
 		"a task has failed as often as it may": {
-			setup: func(tr *testFleet) { tr.failRuns(1, 2) },
+			setup: func(f *testFleet) { f.failRuns(1, 2) },
 		},
 		"a task has failed once": {
-			setup: func(tr *testFleet) { tr.failRuns(1, 1) }, wantViolation: true,
+			setup: func(f *testFleet) { f.failRuns(1, 1) }, wantViolation: true,
 		},
 		"a task has failed once, and a host crashed under it": {
-			setup: func(tr *testFleet) { tr.failRuns(1, 1); tr.crashUnder(7, 1, 9) }, wantViolation: true,
+			setup: func(f *testFleet) { f.failRuns(1, 1); f.crashUnder(7, 1, 9) }, wantViolation: true,
 		},
 		"another task has failed than the named one": {
-			setup: func(tr *testFleet) { tr.failRuns(2, 2); tr.crashUnder(7, 1, 9) }, why: reasonTask1, wantViolation: true,
+			setup: func(f *testFleet) { f.failRuns(2, 2); f.crashUnder(7, 1, 9) }, reason: reasonTask1, wantViolation: true,
 		},
 		"two members of one run of a gang have failed": {
-			change: gang, setup: func(tr *testFleet) { tr.failGang(1) }, wantViolation: true,
+			change: gang, setup: func(f *testFleet) { f.failGang(1) }, wantViolation: true,
 		},
 		"two runs of a gang have failed": {
-			change: gang, setup: func(tr *testFleet) { tr.failGang(1); tr.failGang(2) },
+			change: gang, setup: func(f *testFleet) { f.failGang(1); f.failGang(2) },
 		},
 		"a long-running task has failed twice": {
-			change: func(s *spec.Step) { s.LongRunning = true }, setup: func(tr *testFleet) { tr.failRuns(1, 2) }, wantViolation: true,
+			change: func(s *spec.Step) { s.LongRunning = true }, setup: func(f *testFleet) { f.failRuns(1, 2) }, wantViolation: true,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tr := newTestFleet(tc.change)
-				tc.setup(tr)
-				before := len(tr.fleet.Checker().Violations())
-				tr.fleet.Checker().CheckFailedJob("job", tc.why)
-				is.New(t).Equal(len(tr.fleet.Checker().Violations()) > before, tc.wantViolation)
+				f := newTestFleet(tc.change)
+				tc.setup(f)
+				before := len(f.fleet.Checker().Violations())
+				f.fleet.Checker().CheckFailedJob("job", tc.reason)
+				is.New(t).Equal(len(f.fleet.Checker().Violations()) > before, tc.wantViolation)
 			})
 		})
 	}
 }
 
 // failRuns lets the given number of runs of a task be reported as failed, each on another host.
-func (tr *testFleet) failRuns(task, runs int) {
+func (f *testFleet) failRuns(task, runs int) {
 	for i := range runs {
-		h := tr.hosts[i]
-		tr.start(1, i, task, i+1)
+		h := f.hosts[i]
+		f.start(1, i, task, i+1)
 		h.withLock(func() { h.end(h.runs[host.Run{Task: taskNo(task), No: i + 1}], host.EndFailed) })
 	}
 }
 
 // failGang lets two members of one run of the gang be reported as failed.
-func (tr *testFleet) failGang(no int) {
+func (f *testFleet) failGang(no int) {
 	for i := range 3 {
-		tr.start(1, i, i, no)
+		f.start(1, i, i, no)
 	}
 	for i := range 2 {
-		h := tr.hosts[i]
+		h := f.hosts[i]
 		h.withLock(func() { h.end(h.runs[host.Run{Task: taskNo(i), No: no}], host.EndFailed) })
 	}
 }
@@ -177,35 +177,35 @@
 	}
 	for name, tc := range map[string]struct {
 		change            func(*spec.Step)
-		setup             func(tr *testFleet)
+		setup             func(f *testFleet)
 		starts            int
 		epoch, laterEpoch uint64 // of the first four starts, and of the others
 		wantViolation     bool
 	}{
 		"five starts":                      {starts: 5, epoch: 1, laterEpoch: 1},
 		"six starts":                       {starts: 6, epoch: 1, laterEpoch: 1, wantViolation: true},
-		"all hosts disconnected":           {starts: 6, epoch: 1, laterEpoch: 1, setup: func(tr *testFleet) { tr.disconnectAll() }, wantViolation: true},
+		"all hosts disconnected":           {starts: 6, epoch: 1, laterEpoch: 1, setup: func(f *testFleet) { f.disconnectAll() }, wantViolation: true},
 		"late orders of a previous holder": {starts: 6, epoch: 2, laterEpoch: 1, wantViolation: true},
 		"speculative copies":               {starts: 6, epoch: 1, laterEpoch: 1, change: speculative, wantViolation: true},
 		"late speculative copies":          {starts: 6, epoch: 2, laterEpoch: 1, change: speculative},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tr := newTestFleet(tc.change)
-				tr.fleet.CrashAfter = crashTask1
+				f := newTestFleet(tc.change)
+				f.fleet.CrashAfter = crashTask1
 				if tc.setup != nil {
-					tc.setup(tr)
+					tc.setup(f)
 				}
 				for i := range tc.starts {
 					epoch := tc.epoch
 					if i >= 4 {
 						epoch = tc.laterEpoch
 					}
-					tr.start(epoch, i, 1, i+1)
+					f.start(epoch, i, 1, i+1)
 					time.Sleep(100 * time.Millisecond)
 				}
-				is.New(t).Equal(strings.Contains(strings.Join(tr.fleet.Checker().Violations(), "\n"), "BUDGET"), tc.wantViolation)
-				is.New(t).Equal(tr.fleet.Checker().HostsCrashedByTasks(), tc.starts)
+				is.New(t).Equal(strings.Contains(strings.Join(f.fleet.Checker().Violations(), "\n"), "BUDGET"), tc.wantViolation)
+				is.New(t).Equal(f.fleet.Checker().HostsCrashedByTasks(), tc.starts)
 			})
 		})
 	}
@@ -213,26 +213,26 @@
 
 func speculative(s *spec.Step) { s.Speculative = true }
 
-func (tr *testFleet) disconnectAll() {
-	for _, h := range tr.hosts {
+func (f *testFleet) disconnectAll() {
+	for _, h := range f.hosts {
 		h.SetDisconnected(true)
 	}
 }
 
-// TestViolationListsStarts: the text of a violation states what became of each start.
+// TestViolationListsStarts: the text of a violation states the outcome of each start.
 func TestViolationListsStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		tr := newTestFleet(nil)
-		j := tr.fleet.Checker()
+		f := newTestFleet(nil)
+		j := f.fleet.Checker()
 		j.RecordOrder("h03", host.Run{Task: taskNo(1), No: 1})
 		j.RecordOrder("h00", host.Run{Task: taskNo(1), No: 2})
 		time.Sleep(time.Second)
-		tr.start(1, 0, 1, 2)
+		f.start(1, 0, 1, 2)
 		j.RecordReply("h00", host.Run{Task: taskNo(1), No: 2})
 		time.Sleep(100 * time.Millisecond)
-		tr.hosts[0].SetDisconnected(true)
-		tr.hosts[0].Restart()
+		f.hosts[0].SetDisconnected(true)
+		f.hosts[0].Restart()
 		j.CheckFailedJob("job", reasonTask1)
 		text := strings.Join(j.Violations(), "\n")
 		for _, part := range []string{
@@ -251,23 +251,23 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				tr := newTestFleet(nil)
-				tr.fleet.KeepID = keepsID
+				f := newTestFleet(nil)
+				f.fleet.KeepID = keepsID
 				reset := false
-				tr.hosts[0].OnReset(func() { reset = true })
-				tr.hosts[0].SetDisconnected(true)
-				tr.hosts[0].Restart()
-				is.True(!reset && !tr.hosts[0].Refusing()) // nothing reaches the caller
+				f.hosts[0].OnReset(func() { reset = true })
+				f.hosts[0].SetDisconnected(true)
+				f.hosts[0].Restart()
+				is.True(!reset && !f.hosts[0].Refusing()) // nothing reaches the caller
 				time.Sleep(restartDelay + time.Millisecond)
-				next := tr.hosts[0]
+				next := f.hosts[0]
 				if !keepsID {
-					next = tr.fleet.Host("h00.1")
+					next = f.fleet.Host("h00.1")
 				}
 				is.True(next.Listed() && !next.Reachable())
-				is.True(!tr.hosts[0].OtherIncarnation())
-				tr.hosts[0].SetDisconnected(false)
+				is.True(!f.hosts[0].OtherIncarnation())
+				f.hosts[0].SetDisconnected(false)
 				is.True(next.Reachable())
-				is.Equal(tr.hosts[0].OtherIncarnation(), !keepsID)
+				is.Equal(f.hosts[0].OtherIncarnation(), !keepsID)
 			})
 		})
 	}
--- a/internal/hostsim/crash.go
+++ b/internal/hostsim/crash.go
@@ -23,31 +23,31 @@
 	maxStartsAfterLimit = 3 // of a task with maxCrashes crashes: this one is a violation
 )
 
-// crash ends the host's incarnation, as a failure of its process or machine does. by is the run
+// crash ends the host's incarnation, as a failure of its process or machine does. cause is the run
 // that caused it, or nil.
-func (h *Host) crash(by *run) {
+func (h *Host) crash(cause *run) {
 	if !h.up {
 		return
 	}
-	h.fleet.checker.recordCrash(by)
-	f := fateCrashed
-	if h.info.Draining && by == nil {
-		f = fateLeft
+	h.fleet.checker.recordCrash(cause)
+	status := statusHostCrashed
+	if h.info.Draining && cause == nil {
+		status = statusHostLeft
 	}
-	h.endIncarnation(f)
+	h.endIncarnation(status)
 }
 
 // endIncarnation ends the host's incarnation and everything that runs on it.
-func (h *Host) endIncarnation(f fate) {
+func (h *Host) endIncarnation(status startStatus) {
 	for _, r := range h.sorted() {
-		h.fleet.checker.recordEnd(h, r, f)
+		h.fleet.checker.recordEnd(h, r, status)
 		if r.step.Gang {
 			h.breakGang(r)
 		}
 	}
 	h.up = false
 	h.runs = map[host.Run]*run{}
-	h.fleet.checker.incarnations[h.incarnationName()] = incarnationEnd{f, h.fleet.clock.Now()}
+	h.fleet.checker.endedIncarnations[h.incarnationName()] = incarnationEnd{status, h.fleet.clock.Now()}
 }
 
 // Restart crashes the host. Some seconds later another incarnation answers at its address and is
@@ -55,8 +55,8 @@
 // stays disconnected in its next incarnation, and resets no connections.
 func (h *Host) Restart() { h.withLock(func() { h.restart(nil) }) }
 
-// RestartAfterPowerLoss is the same for a power loss: no connections are reset, and no calls are refused
-// while the machine is off.
+// RestartAfterPowerLoss is the same for a power loss: no connections are reset, and no calls are
+// refused while the machine is off.
 func (h *Host) RestartAfterPowerLoss() {
 	h.withLock(func() {
 		if h.up {
@@ -67,11 +67,11 @@
 	})
 }
 
-func (h *Host) restart(by *run) {
+func (h *Host) restart(cause *run) {
 	if !h.up {
 		return
 	}
-	h.crash(by)
+	h.crash(cause)
 	h.refusing = true
 	if !h.link.disconnected {
 		for _, reset := range h.resetCallbacks {
@@ -88,9 +88,9 @@
 		h.replaced = true
 		h.fleet.add(h.nextIncarnation()).link = h.link
 	})
-	incarnation := h.incarnations
+	incarnation := h.earlierIncarnations
 	h.fleet.after(entryLifetime, func() {
-		if h.incarnations == incarnation {
+		if h.earlierIncarnations == incarnation {
 			h.listed = false
 		}
 	})
@@ -99,12 +99,12 @@
 // restartSameID starts the host's next incarnation under the same id. It keeps no state; its
 // clock and the numbers of its end records start anew.
 func (h *Host) restartSameID() {
-	h.incarnations++
+	h.earlierIncarnations++
 	h.up, h.listed = true, true
 	h.info.Draining, h.info.Remaining = false, 0
 	h.bootedAt, h.rate = h.fleet.clock.Now(), 1
 	h.info.Incarnation = host.Incarnation(h.bootedAt.UnixMilli())
-	h.epoch, h.lease, h.n = 0, 0, 0
+	h.epoch, h.lease, h.lastEndNumber = 0, 0, 0
 	h.highestEnded, h.ends, h.waitingPolls = map[spec.StepTask]int{}, nil, nil
 }
 
@@ -166,51 +166,51 @@
 	h.refusing = false
 }
 
-// recordCrash counts a crash of a host; by is the run that caused it, or nil.
-func (j *Checker) recordCrash(by *run) {
-	j.crashes++
-	if by != nil {
-		j.taskCrashes++
+// recordCrash counts a crash of a host; cause is the run that caused it, or nil.
+func (c *Checker) recordCrash(cause *run) {
+	c.crashes++
+	if cause != nil {
+		c.taskCrashes++
 	}
 }
 
 // CheckFailedJob checks a job that is reported as failed. A task of the job, or a gang, has to be
 // reported as failed as often as is allowed, or enough hosts have to have crashed while a run of
-// the same task was present and had not ended. why is the reason in the job's record; if it says
+// the same task was present and had not ended. reason is that in the job's record; if it states
 // that hosts crash under a task, the task has to be the one it names.
-func (j *Checker) CheckFailedJob(id, why string) {
-	j.fleet.mu.Lock()
-	defer j.fleet.mu.Unlock()
-	suspects := j.tasksOf(id)
-	if isCrashLoop(why) {
-		suspects = slices.DeleteFunc(suspects, func(t spec.StepTask) bool { return !namesTask(why, t) })
+func (c *Checker) CheckFailedJob(id, reason string) {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
+	suspects := c.tasksOf(id)
+	if isCrashLoop(reason) {
+		suspects = slices.DeleteFunc(suspects, func(t spec.StepTask) bool { return !namesTask(reason, t) })
 	}
 	worst := spec.StepTask{StepID: spec.StepID{Job: id}}
 	for i, t := range suspects {
-		if j.attemptsExhausted(t) || j.crashesUnder(t) >= minCrashes {
+		if c.attemptsExhausted(t) || c.crashesUnder(t) >= minCrashes {
 			return
 		}
-		if i == 0 || j.crashesUnder(t) > j.crashesUnder(worst) {
+		if i == 0 || c.crashesUnder(t) > c.crashesUnder(worst) {
 			worst = t
 		}
 	}
-	j.violationf("LOST job %s is reported as failed (%s), but at most %d hosts have crashed under task %v; its starts: %s",
-		id, why, j.crashesUnder(worst), worst, j.describeStarts(worst))
+	c.violationf("LOST job %s is reported as failed (%s), but at most %d hosts have crashed under task %v; its starts: %s",
+		id, reason, c.crashesUnder(worst), worst, c.describeStarts(worst))
 }
 
 // isCrashLoop reports whether the reason for a job's end is that hosts crashed under a task.
-func isCrashLoop(why string) bool {
-	return strings.HasPrefix(why, strconv.Itoa(int(result.JobCrashesHosts))+" ")
+func isCrashLoop(reason string) bool {
+	return strings.HasPrefix(reason, strconv.Itoa(int(result.JobCrashesHosts))+" ")
 }
 
 // namesTask reports whether the reason for a job's end names a task.
-func namesTask(why string, t spec.StepTask) bool {
-	return strings.Contains(why, "task "+t.String()+":")
+func namesTask(reason string, t spec.StepTask) bool {
+	return strings.Contains(reason, "task "+t.String()+":")
 }
 
 // tasksOf returns, in order, the tasks of a job that hosts were ordered to start.
-func (j *Checker) tasksOf(id string) (out []spec.StepTask) {
-	for t := range j.records {
+func (c *Checker) tasksOf(id string) (out []spec.StepTask) {
+	for t := range c.records {
 		if t.Job == id {
 			out = append(out, t)
 		}
@@ -223,44 +223,44 @@
 
 // attemptsExhausted reports whether a task, or its gang, was reported as failed as often as is
 // allowed. It is false for a long-running task, which may fail at any time.
-func (j *Checker) attemptsExhausted(t spec.StepTask) bool {
-	rec := j.fleet.jobs[t.Job]
+func (c *Checker) attemptsExhausted(t spec.StepTask) bool {
+	rec := c.fleet.jobs[t.Job]
 	if rec == nil || rec.Graph.Steps[t.Step].LongRunning {
 		return false
 	}
 	if rec.Graph.Steps[t.Step].Gang {
 		t.Index = 0
 	}
-	return len(j.listed[t]) >= rec.Rules.MaxAttempts
+	return len(c.reportedFailures[t]) >= rec.Rules.MaxAttempts
 }
 
 // checkCrashLimit checks the start of a task that crashes hosts. It makes no difference whether
 // anybody has observed the crashes, or the start. Late orders of a previous holder are allowed
 // for speculative tasks.
-func (j *Checker) checkCrashLimit(r *run, epoch uint64) {
-	j.epoch = max(j.epoch, epoch)
-	if j.fleet.CrashAfter == nil || j.fleet.CrashAfter(r.Task) <= 0 || r.step.Speculative && epoch < j.epoch {
+func (c *Checker) checkCrashLimit(r *run, epoch uint64) {
+	c.epoch = max(c.epoch, epoch)
+	if c.fleet.CrashAfter == nil || c.fleet.CrashAfter(r.Task) <= 0 || r.step.Speculative && epoch < c.epoch {
 		return
 	}
-	if j.crashesUnder(r.Task) < maxCrashes {
+	if c.crashesUnder(r.Task) < maxCrashes {
 		return
 	}
-	j.startsAfterLimit[r.Task]++
-	if j.startsAfterLimit[r.Task] == maxStartsAfterLimit {
-		j.violationf("BUDGET %v: started %d more times after %d hosts had crashed under its task; its starts: %s", r.Run, maxStartsAfterLimit, maxCrashes, j.describeStarts(r.Task))
+	c.startsAfterLimit[r.Task]++
+	if c.startsAfterLimit[r.Task] == maxStartsAfterLimit {
+		c.violationf("BUDGET %v: started %d more times after %d hosts had crashed under its task; its starts: %s", r.Run, maxStartsAfterLimit, maxCrashes, c.describeStarts(r.Task))
 	}
 }
 
 // HostsCrashed returns the number of incarnations of hosts that have ended in a crash.
-func (j *Checker) HostsCrashed() int {
-	j.fleet.mu.Lock()
-	defer j.fleet.mu.Unlock()
-	return j.crashes
+func (c *Checker) HostsCrashed() int {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
+	return c.crashes
 }
 
 // HostsCrashedByTasks returns the number of crashes that were caused by a task.
-func (j *Checker) HostsCrashedByTasks() int {
-	j.fleet.mu.Lock()
-	defer j.fleet.mu.Unlock()
-	return j.taskCrashes
+func (c *Checker) HostsCrashedByTasks() int {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
+	return c.taskCrashes
 }
--- a/internal/hostsim/fleet.go
+++ b/internal/hostsim/fleet.go
@@ -1,6 +1,6 @@
 // Package hostsim simulates the users' hosts for tests and the development stand-in: hosts keep
 // the highest epoch, kill everything when their lease expires, report end records until these are
-// acknowledged, and carry out every start. Judge checks the invariants of what runs.
+// acknowledged, and carry out every start. Checker checks the invariants of what runs.
 package hostsim
 
 import (
@@ -44,8 +44,8 @@
 	// SpreadOfWork is the additional work of the last member of a gang relative to the first, as
 	// a fraction of the step's estimate per member. Set it before use.
 	SpreadOfWork float64
-	// BackfillImpact is, for each image of backfill tasks, the increase in tail latency of the serving
-	// tasks on the same host at full speed, as a fraction of the target. Set it before use.
+	// BackfillImpact is, for each image of backfill tasks, the increase in tail latency of the
+	// serving tasks on the same host at full speed, as a fraction of the target. Set it before use.
 	BackfillImpact map[string]float64
 	// RunTime returns the run time of a task on a host of normal speed; nil uses the task's
 	// estimate. Set it before use.
@@ -57,13 +57,13 @@
 	// PowerLossCrashes makes crashes caused by tasks power losses: no connections are reset.
 	PowerLossCrashes bool
 
-	// KeepID makes crashed hosts start again under the same id, after BackAfter; zero is some
+	// KeepID makes crashed hosts start again under the same id, after RestartDelay; zero is some
 	// seconds. Set both before use.
 	KeepID       bool
 	RestartDelay time.Duration
 
-	// AcceptEarlierStarts makes hosts carry out starts that were sent to an earlier incarnation under the
-	// same id. Set it before use.
+	// AcceptEarlierStarts makes hosts carry out starts that were sent to an earlier incarnation
+	// under the same id. Set it before use.
 	AcceptEarlierStarts bool
 
 	// OmitIncarnation makes hosts omit their incarnation in their views.
--- a/internal/hostsim/host.go
+++ b/internal/hostsim/host.go
@@ -19,20 +19,20 @@
 	link             *link // to its machine
 	replaced         bool  // another incarnation answers at the address
 	// refusing hosts are between two incarnations: connections to their address are refused.
-	refusing     bool
-	incarnations int // earlier incarnations under the same id
-	bootedAt     time.Time
-	rate         float64 // of its clock
-	slow         float64 // factor on run times; zero is one
-	failTasks    bool    // every task fails
-	stalled      bool    // no task makes progress
-
-	epoch        uint64
-	lease        host.Millis
-	runs         map[host.Run]*run
-	highestEnded map[spec.StepTask]int // highest run that was stopped or ended here
-	ends         []host.End
-	n            int64
+	refusing            bool
+	earlierIncarnations int // under the same id
+	bootedAt            time.Time
+	rate                float64 // of its clock
+	slowdown            float64 // factor on run times; zero is one
+	failTasks           bool    // every task fails
+	stalled             bool    // no task makes progress
+
+	epoch         uint64
+	lease         host.Millis
+	runs          map[host.Run]*run
+	highestEnded  map[spec.StepTask]int // highest run that was stopped or ended here
+	ends          []host.End
+	lastEndNumber int64
 	// resetCallbacks are called when the process ends.
 	resetCallbacks []func()
 	// waitingPolls are polls that wait for an end record.
@@ -47,8 +47,8 @@
 	speed         int           // in percent of full speed
 	accrued       time.Duration // work done before speedSetAt
 	speedSetAt    time.Time
-	how           host.EndReason // how it ends by itself
-	gen           int            // invalidates scheduled ends
+	endReason     host.EndReason // with which it ends unless stopped
+	gen           int            // incremented to invalidate scheduled ends
 	stopping      bool
 	finished      bool // its work is done; a gang's member waits for the others
 	record        *startRecord
@@ -101,8 +101,8 @@
 // SetAddr changes the address of the host, before it is listed.
 func (h *Host) SetAddr(addr string) { h.withLock(func() { h.info.Addr = addr }) }
 
-// SetDisconnected disconnects the host and all later incarnations on its machine, or connects them again. The
-// host keeps running.
+// SetDisconnected disconnects the host and all later incarnations on its machine, or connects them
+// again. The host keeps running.
 func (h *Host) SetDisconnected(disconnected bool) {
 	h.withLock(func() { h.link.disconnected = disconnected })
 }
@@ -125,7 +125,7 @@
 }
 
 // SetSlowdown multiplies the run time of tasks that start from now on.
-func (h *Host) SetSlowdown(factor float64) { h.withLock(func() { h.slow = factor }) }
+func (h *Host) SetSlowdown(factor float64) { h.withLock(func() { h.slowdown = factor }) }
 
 // SetFailTasks sets whether every task that starts from now on fails.
 func (h *Host) SetFailTasks(failTasks bool) { h.withLock(func() { h.failTasks = failTasks }) }
@@ -141,7 +141,7 @@
 			h.fleet.checker.checkDisruption(h, r)
 		}
 		h.listed = false
-		h.endIncarnation(fateLeft)
+		h.endIncarnation(statusHostLeft)
 	})
 }
 
@@ -167,7 +167,7 @@
 	return other
 }
 
-// breakGang ends the members of a run on other hosts, because one of them is gone.
+// breakGang ends the members of a run on other hosts, because one of them has ended.
 func (h *Host) breakGang(r *run) {
 	r.stopping = true
 	for _, m := range h.members(r) {
@@ -181,8 +181,8 @@
 	return host.Millis(float64(h.fleet.clock.Now().Sub(h.bootedAt).Milliseconds()) * h.rate)
 }
 
-// grant renews the host's lease.
-func (h *Host) grant(until host.Millis) {
+// renewLease renews the host's lease.
+func (h *Host) renewLease(until host.Millis) {
 	h.expire()
 	h.lease = max(h.lease, min(until, h.clock()+host.Millis(h.fleet.Bounds.MaxLease.Milliseconds())))
 	wait := time.Duration(float64(h.lease-h.clock())/h.rate+1) * time.Millisecond
--- a/internal/hostsim/records.go
+++ b/internal/hostsim/records.go
@@ -9,20 +9,20 @@
 	"pulleyquay/internal/spec"
 )
 
-// fate is the state of a start, or how its run ended.
-type fate string
+// startStatus is the state of a start, or the way in which its run ended.
+type startStatus string
 
-// The fates that are not reasons of an end record.
+// Statuses other than the reason of an end record.
 const (
-	fateOrdered      fate = ""                     // the host has started nothing
-	fateRunning      fate = "still running"        // no end yet
-	fateCrashed      fate = "host crashed"         // while the run was present and had not ended
-	fateLeft         fate = "host left"            // after a drain, or by an order
-	fateRefused      fate = "refused as "          // followed by the host's reason
-	fateDisconnected      = ", while disconnected" // appended if nobody could observe it
+	statusOrdered      startStatus = ""                     // the host has started nothing
+	statusRunning      startStatus = "still running"        // no end yet
+	statusHostCrashed  startStatus = "host crashed"         // while the run was present and had not ended
+	statusHostLeft     startStatus = "host left"            // after a drain, or by an order
+	statusRefused      startStatus = "refused as "          // followed by the host's reason
+	disconnectedSuffix             = ", while disconnected" // appended if the host was disconnected, so that nobody could observe the end
 )
 
-// startRecord records what became of one start of a task.
+// startRecord records one start of a task and its outcome.
 type startRecord struct {
 	host.Run
 	incarnation string // of the host at the time of the order; updated when the start arrives
@@ -32,47 +32,47 @@
 	// answered and reported state whether the sender has received the reply, or a view that
 	// contains the run.
 	answered, reported bool
-	fate               fate
+	status             startStatus
 	hostDisconnected   bool // it ended while its host was disconnected
 }
 
 // RecordOrder records that a start is being sent to a host, for the text of violations.
-func (j *Checker) RecordOrder(to host.ID, r host.Run) {
-	j.fleet.mu.Lock()
-	defer j.fleet.mu.Unlock()
-	j.ordersRecorded = true
+func (c *Checker) RecordOrder(to host.ID, r host.Run) {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
+	c.ordersRecorded = true
 	incarnation := string(to)
-	if h := j.fleet.hosts[to]; h != nil {
+	if h := c.fleet.hosts[to]; h != nil {
 		incarnation = h.incarnationName()
 	}
-	j.add(&startRecord{Run: r, incarnation: incarnation, ordered: j.fleet.clock.Now()})
+	c.add(&startRecord{Run: r, incarnation: incarnation, ordered: c.fleet.clock.Now()})
 }
 
 // RecordReply records that the sender of a start has received the host's reply.
-func (j *Checker) RecordReply(by host.ID, r host.Run) {
-	j.fleet.mu.Lock()
-	defer j.fleet.mu.Unlock()
-	if rec := j.lastOf(r, by); rec != nil {
+func (c *Checker) RecordReply(by host.ID, r host.Run) {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
+	if rec := c.lastOf(r, by); rec != nil {
 		rec.answered = true
 	}
 }
 
 // RecordReported records that a view with these runs was received.
-func (j *Checker) RecordReported(by host.ID, rows []host.Running) {
-	j.fleet.mu.Lock()
-	defer j.fleet.mu.Unlock()
+func (c *Checker) RecordReported(by host.ID, rows []host.Running) {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
 	for _, row := range rows {
-		if rec := j.lastOf(row.Run, by); rec != nil {
+		if rec := c.lastOf(row.Run, by); rec != nil {
 			rec.reported = true
 		}
 	}
 }
 
-func (j *Checker) add(rec *startRecord) { j.records[rec.Task] = append(j.records[rec.Task], rec) }
+func (c *Checker) add(rec *startRecord) { c.records[rec.Task] = append(c.records[rec.Task], rec) }
 
 // lastOf returns the last record of a run on any incarnation of a host, or nil.
-func (j *Checker) lastOf(r host.Run, on host.ID) *startRecord {
-	of := j.records[r.Task]
+func (c *Checker) lastOf(r host.Run, on host.ID) *startRecord {
+	of := c.records[r.Task]
 	for i := len(of) - 1; i >= 0; i-- {
 		id, _, _ := strings.Cut(of[i].incarnation, "/")
 		if of[i].Run == r && id == string(on) {
@@ -84,20 +84,20 @@
 
 // recordArrival returns the record of a start that has arrived at a host: that of its order, if
 // the order was recorded and has no result yet, or a new one.
-func (j *Checker) recordArrival(h *Host, r host.Run) *startRecord {
-	rec := j.lastOf(r, h.info.ID)
-	if rec == nil || rec.fate != fateOrdered {
+func (c *Checker) recordArrival(h *Host, r host.Run) *startRecord {
+	rec := c.lastOf(r, h.info.ID)
+	if rec == nil || rec.status != statusOrdered {
 		rec = &startRecord{Run: r}
-		j.add(rec)
+		c.add(rec)
 	}
 	rec.incarnation = h.incarnationName()
 	return rec
 }
 
 // recordRefusal records why a host did not carry out a start.
-func (j *Checker) recordRefusal(h *Host, r host.Run, why host.Refusal) {
-	rec := j.recordArrival(h, r)
-	rec.fate, rec.endedAt = fateRefused+fate(why), j.fleet.clock.Now()
+func (c *Checker) recordRefusal(h *Host, r host.Run, refusal host.Refusal) {
+	rec := c.recordArrival(h, r)
+	rec.status, rec.endedAt = statusRefused+startStatus(refusal), c.fleet.clock.Now()
 }
 
 // incarnationName returns the name of one incarnation of a host.
@@ -105,73 +105,73 @@
 
 // crashesUnder counts the incarnations of hosts that crashed while a run of the task was present
 // and had not ended.
-func (j *Checker) crashesUnder(t spec.StepTask) int {
+func (c *Checker) crashesUnder(t spec.StepTask) int {
 	incarnations := map[string]bool{}
-	for _, rec := range j.records[t] {
-		if rec.fate == fateCrashed {
+	for _, rec := range c.records[t] {
+		if rec.status == statusHostCrashed {
 			incarnations[rec.incarnation] = true
 		}
 	}
 	return len(incarnations)
 }
 
-// describeStarts lists what became of each start of a task.
-func (j *Checker) describeStarts(t spec.StepTask) string {
-	if len(j.records[t]) == 0 {
+// describeStarts lists the outcome of each start of a task.
+func (c *Checker) describeStarts(t spec.StepTask) string {
+	if len(c.records[t]) == 0 {
 		return "never started"
 	}
-	parts := make([]string, 0, len(j.records[t]))
-	for _, rec := range j.records[t] {
-		text := j.describeStart(rec)
-		if rec.fate != fateCrashed {
-			text += j.describeIncarnation(rec.incarnation)
+	parts := make([]string, 0, len(c.records[t]))
+	for _, rec := range c.records[t] {
+		text := c.describeStart(rec)
+		if rec.status != statusHostCrashed {
+			text += c.describeIncarnation(rec.incarnation)
 		}
 		parts = append(parts, text)
 	}
 	return strings.Join(parts, "; ")
 }
 
-func (j *Checker) describeStart(rec *startRecord) string {
+func (c *Checker) describeStart(rec *startRecord) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "run %d on %s", rec.No, rec.incarnation)
 	if !rec.ordered.IsZero() {
-		fmt.Fprintf(&out, ", ordered at %v", rec.ordered.Sub(j.startedAt))
+		fmt.Fprintf(&out, ", ordered at %v", rec.ordered.Sub(c.startedAt))
 	}
 	switch {
-	case rec.fate == fateOrdered:
+	case rec.status == statusOrdered:
 		return out.String() + ", never arrived"
 	case rec.startedAt.IsZero():
-		fmt.Fprintf(&out, ", %s at %v", rec.fate, rec.endedAt.Sub(j.startedAt))
+		fmt.Fprintf(&out, ", %s at %v", rec.status, rec.endedAt.Sub(c.startedAt))
 		return out.String()
 	}
-	fmt.Fprintf(&out, ", began at %v", rec.startedAt.Sub(j.startedAt))
-	if j.ordersRecorded {
+	fmt.Fprintf(&out, ", began at %v", rec.startedAt.Sub(c.startedAt))
+	if c.ordersRecorded {
 		out.WriteString(replyState(rec))
 	}
-	if rec.fate == fateRunning {
-		return out.String() + ", " + string(fateRunning)
+	if rec.status == statusRunning {
+		return out.String() + ", " + string(statusRunning)
 	}
-	fmt.Fprintf(&out, ", %s at %v", rec.fate, rec.endedAt.Sub(j.startedAt))
+	fmt.Fprintf(&out, ", %s at %v", rec.status, rec.endedAt.Sub(c.startedAt))
 	if rec.hostDisconnected {
-		out.WriteString(fateDisconnected)
+		out.WriteString(disconnectedSuffix)
 	}
 	return out.String()
 }
 
 // incarnationEnd is how and when an incarnation of a host ended.
 type incarnationEnd struct {
-	fate fate
-	at   time.Time
+	status startStatus
+	at     time.Time
 }
 
 // describeIncarnation states whether an incarnation of a host has ended, for a run that did not
 // end with it.
-func (j *Checker) describeIncarnation(incarnation string) string {
-	end, over := j.incarnations[incarnation]
+func (c *Checker) describeIncarnation(incarnation string) string {
+	end, over := c.endedIncarnations[incarnation]
 	if !over {
 		return ", its host is up"
 	}
-	return fmt.Sprintf(", its %s at %v", end.fate, end.at.Sub(j.startedAt))
+	return fmt.Sprintf(", its %s at %v", end.status, end.at.Sub(c.startedAt))
 }
 
 func replyState(rec *startRecord) string {
--- a/internal/hostsim/work.go
+++ b/internal/hostsim/work.go
@@ -32,7 +32,7 @@
 }
 
 // beginGang starts the work when all members are present. A member that waits too long ends with
-// EndAlone.
+// host.EndGangTimeout.
 func (h *Host) beginGang(r *run) {
 	all := h.members(r)
 	if len(all) == r.step.Count {
@@ -58,8 +58,8 @@
 	if r.step.Gang {
 		took *= 1 + h.fleet.SpreadOfWork*float64(r.Task.Index)
 	}
-	if h.slow > 0 {
-		took *= h.slow
+	if h.slowdown > 0 {
+		took *= h.slowdown
 	}
 	return time.Duration(took)
 }
@@ -79,13 +79,13 @@
 // beginWork begins the work of a run.
 func (h *Host) beginWork(r *run) {
 	r.workStartedAt = h.fleet.clock.Now()
-	r.speedSetAt, r.speed, r.how = r.workStartedAt, fullSpeed, host.EndDone
+	r.speedSetAt, r.speed, r.endReason = r.workStartedAt, fullSpeed, host.EndDone
 	if h.stalled || r.step.LongRunning {
 		r.gen++
 		return
 	}
 	if h.failsNow(r) {
-		r.how = host.EndFailed
+		r.endReason = host.EndFailed
 	}
 	h.scheduleEnd(r)
 }
@@ -101,7 +101,7 @@
 		return
 	}
 	took := h.runTime(r)
-	if r.how == host.EndFailed {
+	if r.endReason == host.EndFailed {
 		took /= 2
 	}
 	h.fleet.after((took-r.accrued)*fullSpeed/time.Duration(r.speed), func() {
@@ -109,8 +109,8 @@
 			return
 		}
 		r.finished = true
-		if r.how == host.EndFailed || !r.step.Gang || h.gangFinished(r) {
-			h.finish(r, r.how)
+		if r.endReason == host.EndFailed || !r.step.Gang || h.gangFinished(r) {
+			h.finish(r, r.endReason)
 		}
 	})
 }
@@ -134,16 +134,16 @@
 	return len(all) == r.step.Count
 }
 
-// finish ends a run by itself, with its gang.
-func (h *Host) finish(r *run, how host.EndReason) {
+// finish ends a run for a reason of its own, together with its gang.
+func (h *Host) finish(r *run, reason host.EndReason) {
 	if !r.step.Gang {
-		h.end(r, how)
+		h.end(r, reason)
 		return
 	}
 	for _, m := range h.members(r) {
 		switch {
-		case how == host.EndDone || m.run == r:
-			m.on.end(m.run, how)
+		case reason == host.EndDone || m.run == r:
+			m.on.end(m.run, reason)
 		default:
 			m.on.end(m.run, host.EndGangBroken)
 		}
@@ -151,18 +151,18 @@
 }
 
 // end removes a run and adds its end record.
-func (h *Host) end(r *run, how host.EndReason) {
+func (h *Host) end(r *run, reason host.EndReason) {
 	delete(h.runs, r.Run)
 	h.highestEnded[r.Task] = max(h.highestEnded[r.Task], r.No)
-	h.n++
+	h.lastEndNumber++
 	checkpoint := ""
 	if r.step.Checkpointing {
 		checkpoint = "c"
 		h.fleet.saved[r.Task] = r.workDone(h.fleet.clock.Now())
 	}
-	h.ends = append(h.ends, host.End{Number: h.n, Run: r.Run, EndReason: how, Checkpoint: checkpoint})
-	h.fleet.checker.recordEnd(h, r, fate(how))
-	switch how {
+	h.ends = append(h.ends, host.End{Number: h.lastEndNumber, Run: r.Run, EndReason: reason, Checkpoint: checkpoint})
+	h.fleet.checker.recordEnd(h, r, startStatus(reason))
+	switch reason {
 	case host.EndDone:
 		h.fleet.checker.recordDone(r.Task)
 	case host.EndFailed:
--- a/internal/httponce/connection.go
+++ b/internal/httponce/connection.go
@@ -22,8 +22,8 @@
 // errHeaderTooLarge is the cause of a failure whose answer's header was over the limit.
 var errHeaderTooLarge = errors.New("answer's header larger than allowed")
 
-// errConnectionEnds is the error where a server closes the connection with the answer that set its
-// mark.
+// errConnectionEnds is the error if a server closes the connection after the answer that identified
+// it.
 var errConnectionEnds = errors.New("the connection ends before the request")
 
 // maxHeaderBytes bounds an answer's header.
@@ -40,7 +40,7 @@
 	opened    time.Time
 	idleSince time.Time
 	reused    bool
-	serverID  int64 // identifies the process at the other end; see Marked
+	serverID  int64 // identifies the process at the other end; see TrackedRequest
 }
 
 // reply is an answer and whether the connection ends with it.
@@ -60,7 +60,7 @@
 }
 
 // checkServer returns an error unless the connection leads to the process of the binding. A
-// connection without a known process first sends the binding's Ask.
+// connection without a known process first sends the binding's Probe.
 func (cn *connection) checkServer(ctx context.Context, binding *Binding) error {
 	if binding == nil {
 		return nil
@@ -100,7 +100,7 @@
 		req.Body = io.NopCloser(bytes.NewReader(body))
 	}
 	cn.conn.resetWritten()
-	// The end of ctx ends the connection: its reads and writes then fail.
+	// The end of ctx aborts the connection: its reads and writes then fail.
 	stop := context.AfterFunc(ctx, cn.conn.abort)
 	answer, err := cn.exchange(req, maxBody)
 	if !stop() && err == nil {
--- a/internal/httponce/httponce.go
+++ b/internal/httponce/httponce.go
@@ -40,7 +40,7 @@
 var ErrTooLarge = errors.New("answer larger than allowed")
 
 // ErrNoLength is the cause of a failure whose answer was to end with the connection: such an answer
-// can not be told from a truncated one.
+// cannot be distinguished from a truncated one.
 var ErrNoLength = errors.New("answer without a length")
 
 // errProtocolSwitched is the cause of a failure whose answer changed the protocol without a request
@@ -127,26 +127,26 @@
 	return c.DoTracked(ctx, addr, TrackedRequest{Request: req, Body: func(int64) []byte { return body }, MaxBody: maxBody})
 }
 
-// TrackedRequest is a request whose body depends on the connection over which it is sent. A connection ends
-// with the process at its other end, so what an answer on it has shown of that process (the mark)
-// holds for the next request on the same connection, and for no other.
+// TrackedRequest is a request whose body depends on the connection over which it is sent. A
+// connection ends with the process at its other end, so the server ID from an answer is valid for
+// later requests on the same connection, and on no other.
 type TrackedRequest struct {
 	Request *http.Request
-	// Body returns the request's body for a connection with the given mark. A new connection has no
-	// mark, which is zero.
-	Body func(mark int64) []byte
-	// ServerID returns the connection's mark from now on; nil keeps the present one.
+	// Body returns the request's body for a connection with the given server ID, which is zero for
+	// a new connection.
+	Body func(serverID int64) []byte
+	// ServerID extracts the connection's new server ID from an answer; nil keeps the present one.
 	ServerID func(Answer) int64
 	MaxBody  int64
-	// Binding, unless nil, restricts the request to connections with one mark.
+	// Binding, unless nil, restricts the request to connections to one process.
 	Binding *Binding
 }
 
-// Binding restricts a request to the process that a mark identifies.
+// Binding restricts a request to the process with the given server ID.
 type Binding struct {
 	ServerID int64
-	// Probe is sent first over a connection without a mark, and sets its mark. It must be harmless to
-	// any process that receives it.
+	// Probe is sent first over a connection without a server ID, and sets it. It must be harmless
+	// to any process that receives it.
 	Probe TrackedRequest
 }
 
--- a/internal/httponce/httponce_test.go
+++ b/internal/httponce/httponce_test.go
@@ -156,7 +156,7 @@
 	_, err = do(c, s.addr, "POST", "b")
 	var f *httponce.Failure
 	if errors.As(err, &f) {
-		is.True(f.Sent) // written before the close was seen: unknown, not replayed
+		is.True(f.Sent) // written before the close was detected: unknown, not replayed
 		is.Equal(s.seen.Load(), int64(1))
 		return
 	}
@@ -313,7 +313,7 @@
 	}
 	close(release)
 	calls.Wait()
-	for range 3 { // kept connections are used again, and counted right
+	for range 3 { // kept connections are reused, and the count stays correct
 		for _, s := range servers {
 			_, err := do(c, s.addr, http.MethodGet, "")
 			is.NoErr(err)
@@ -324,11 +324,11 @@
 		dialled += s.conns.Load()
 	}
 	is.True(dialled > 3)  // one was not kept
-	is.True(dialled <= 7) // the other two were
+	is.True(dialled <= 7) // the other two were kept
 }
 
-// TestMarksEndWithTheirConnections: the mark set by an answer is passed to the next request on the
-// same connection, and to none on a new one.
+// TestMarksEndWithTheirConnections: the server ID (mark) from an answer is passed to the next
+// request on the same connection, and to none on a new one.
 func TestMarksEndWithTheirConnections(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, func(n int64, c net.Conn, _ *http.Request) bool {
@@ -347,17 +347,17 @@
 			ServerID: func(httponce.Answer) int64 { return 10 + i },
 		})
 		is.NoErr(err)
-		time.Sleep(20 * time.Millisecond) // until the end of a connection is seen
+		time.Sleep(20 * time.Millisecond) // until the end of a connection is detected
 	}
 	is.Equal(marks, []int64{0, 10, 0, 12})
 }
 
 // TestBoundRequestsReachOneProcess guards against a request reaching the successor of the process
-// that it was meant for: it is sent only over connections with that process's mark.
+// that it was meant for: it is sent only over connections with that process's server ID.
 func TestBoundRequestsReachOneProcess(t *testing.T) {
 	for name, tc := range map[string]struct {
-		initial int64 // initial mark of the connections
-		current int64 // mark set by the answer to Ask
+		initial int64 // initial server ID of the connections
+		current int64 // server ID in the answer to Probe
 		want    int64
 		paths   string // paths of the requests that the server receives
 		err     error
--- a/internal/linkshard/batch.go
+++ b/internal/linkshard/batch.go
@@ -44,8 +44,8 @@
 	return b
 }
 
-// calls decodes a batch. An invalid reference in a row fails the whole batch.
-func (b *Batch) calls() ([]numberedCall, error) {
+// decode decodes a batch. An invalid reference in a row fails the whole batch.
+func (b *Batch) decode() ([]numberedCall, error) {
 	var out []numberedCall
 	var failed error
 	add := func(id uint64, index int, c Call, err error) {
@@ -85,7 +85,7 @@
 	return out, failed
 }
 
-// numberedOutcome is the outcome of a numbered call; isPoll tells whether that was a poll.
+// numberedOutcome is the outcome of a numbered call; isPoll reports whether that was a poll.
 type numberedOutcome struct {
 	id      uint64
 	isPoll  bool
@@ -116,8 +116,8 @@
 	return r
 }
 
-// outcomes decodes a report. An invalid reference in a row fails the whole report.
-func (r *Report) outcomes() ([]numberedOutcome, error) {
+// decode decodes a report. An invalid reference in a row fails the whole report.
+func (r *Report) decode() ([]numberedOutcome, error) {
 	out := make([]numberedOutcome, 0, len(r.Replies)+len(r.Views))
 	for _, row := range r.Replies {
 		out = append(out, numberedOutcome{id: row.ID, outcome: Outcome{
--- a/internal/linkshard/batch_test.go
+++ b/internal/linkshard/batch_test.go
@@ -53,7 +53,7 @@
 		is.New(t).NoErr(err)
 		var b Batch
 		is.New(t).NoErr(cbor.Unmarshal(data, &b))
-		got, err := b.calls()
+		got, err := b.decode()
 		is.New(t).NoErr(err)
 		is.New(t).Equal(len(got), len(calls))
 		for _, n := range got {
@@ -86,7 +86,7 @@
 		is.New(t).NoErr(err)
 		var r Report
 		is.New(t).NoErr(cbor.Unmarshal(data, &r))
-		got, err := r.outcomes()
+		got, err := r.decode()
 		is.New(t).NoErr(err)
 		is.New(t).Equal(len(got), len(list))
 		for _, f := range got {
@@ -107,13 +107,13 @@
 		"command": {Hosts: host, Starts: []startRow{{}}, Steps: step},
 		"below":   {Hosts: host, Throttles: []throttleRow{{Run: runRow{Step: -1}}}, Steps: step},
 	} {
-		_, err := b.calls()
+		_, err := b.decode()
 		if err == nil {
 			t.Error(name, "was accepted")
 		}
 	}
 	r := Report{Views: []viewRow{{Ended: []endRow{{Run: runRow{Step: 3}}}}}}
-	_, err := r.outcomes()
+	_, err := r.decode()
 	is.True(err != nil)
 }
 
@@ -152,7 +152,7 @@
 		if err := cbor.Unmarshal(reported, &r); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := r.outcomes(); err != nil {
+		if _, err := r.decode(); err != nil {
 			b.Fatal(err)
 		}
 		bytes = len(sent) + len(reported)
@@ -168,13 +168,13 @@
 	is := is.New(t)
 	b := newBatch([]numberedCall{{1, Call{To: host.Info{ID: "h1"}, Poll: &host.Poll{AckedEnds: 7, Incarnation: 5}}}})
 	b.PollIncarnations = nil
-	calls, err := b.calls()
+	calls, err := b.decode()
 	is.NoErr(err)
 	is.Equal(*calls[0].call.Poll, host.Poll{AckedEnds: 7})
 
 	r := newReport(0, 3, []numberedOutcome{{id: 1, isPoll: true, outcome: Outcome{View: host.View{Clock: 9, Incarnation: 5}}}})
 	r.ViewIncarnations = nil
-	list, err := r.outcomes()
+	list, err := r.decode()
 	is.NoErr(err)
 	is.Equal(list[0].outcome.View, host.View{Clock: 9})
 }
--- a/internal/linkshard/failure.go
+++ b/internal/linkshard/failure.go
@@ -76,7 +76,7 @@
 }
 
 // reroute queues a call for another shard, or ends it. The lock is held.
-func (r *Router) reroute(id uint64, p *pending) (endedCall, bool) {
+func (r *Router) reroute(id uint64, p *pendingCall) (endedCall, bool) {
 	s := r.shardFor(&p.call.To)
 	if p.routes >= maxRoutes || s == nil {
 		delete(r.calls, id)
@@ -128,8 +128,8 @@
 	})
 }
 
-// markUncertain changes an outcome that says that nothing was done to an unknown one, if another
-// shard may have made the call, or may still make it.
+// markUncertain changes an outcome that excludes any effect of the call to an unknown one, if
+// another shard may have made the call, or may still make it.
 func (o *Outcome) markUncertain(possiblySent bool) {
 	if !possiblySent {
 		return
--- a/internal/linkshard/linkshard.go
+++ b/internal/linkshard/linkshard.go
@@ -18,7 +18,7 @@
 	"pulleyquay/internal/host"
 )
 
-// Call is one call to a host. Exactly one of Start, Stop, Look and Pace is set.
+// Call is one call to a host. Exactly one of Start, Stop, Poll and Throttle is set.
 type Call struct {
 	To       host.Info
 	Start    *host.Start
@@ -37,7 +37,7 @@
 
 // Outcome is the outcome of a call.
 type Outcome struct {
-	// Reply is set for a start, a stop or a change of pace, View for a poll.
+	// Reply is set for a start, a stop or a throttle, View for a poll.
 	Reply host.Reply
 	View  host.View
 	Err   error
--- a/internal/linkshard/router.go
+++ b/internal/linkshard/router.go
@@ -29,14 +29,14 @@
 	// consecutive failure, up to maxDoublings times.
 	initialBackoff = 500 * time.Millisecond
 	maxDoublings   = 3
-	// orderTimeout is how long after its sending a start, stop or pace is given up: a shard waits
-	// for the host, and batches and reports are sent one at a time.
+	// orderTimeout is how long after its sending a start, stop or throttle is given up: a shard
+	// waits for the host, and batches and reports are sent one at a time.
 	orderTimeout = 700 * time.Millisecond
 	// pollSlack is the time that the answer to a poll may take in addition to twice the time that
 	// the host may hold it: a shard repeats a poll when its connections have become silent.
 	pollSlack = 900 * time.Millisecond
-	// busyGrace is how much longer a busy process waits for reports: less than the duration of a
-	// lease.
+	// busyGrace is the additional time that a busy process waits for reports: less than the
+	// duration of a lease.
 	busyGrace = 2500 * time.Millisecond
 	// expireInterval is how often timed-out calls are ended.
 	expireInterval = 50 * time.Millisecond
@@ -46,7 +46,7 @@
 	quietTimeout = time.Second
 	// maxHostsFactor limits the hosts for which routes are kept, as a multiple of the hosts in use.
 	maxHostsFactor = 4
-	// maxRoutes is how many shards one call is given to, one after the other.
+	// maxRoutes bounds the number of shards to which one call is given in turn.
 	maxRoutes = 3
 )
 
@@ -79,7 +79,7 @@
 
 	mu     sync.Mutex
 	lastID uint64
-	calls  map[uint64]*pending
+	calls  map[uint64]*pendingCall
 	shards map[string]*shard
 	// members are the shards that get calls now; selector chooses among them.
 	members    []Member
@@ -91,8 +91,8 @@
 	failedRoutes map[host.ID]int
 }
 
-// pending is a call that was given to a shard.
-type pending struct {
+// pendingCall is a call that was given to a shard.
+type pendingCall struct {
 	call        Call
 	shard       *shard
 	routes      int       // number of shards that it was given to
@@ -119,7 +119,7 @@
 // New returns a router for one holding. Run has to be called.
 func New(conf Config) *Router {
 	return &Router{
-		conf: conf, ctx: context.Background(), calls: map[uint64]*pending{}, shards: map[string]*shard{},
+		conf: conf, ctx: context.Background(), calls: map[uint64]*pendingCall{}, shards: map[string]*shard{},
 		routes: map[host.ID]*shard{}, failedRoutes: map[host.ID]int{},
 	}
 }
@@ -154,7 +154,7 @@
 			continue
 		}
 		r.lastID++
-		r.calls[r.lastID] = &pending{call: c, shard: s, routes: 1}
+		r.calls[r.lastID] = &pendingCall{call: c, shard: s, routes: 1}
 		r.enqueue(s, numberedCall{r.lastID, c})
 	}
 	r.mu.Unlock()
@@ -243,7 +243,7 @@
 }
 
 // recordSent records that the call is sent, and sets its deadline.
-func (p *pending) recordSent(now time.Time) {
+func (p *pendingCall) recordSent(now time.Time) {
 	if p.firstSentAt.IsZero() {
 		p.firstSentAt = now
 	}
@@ -255,7 +255,7 @@
 
 // endedCall is a call with its outcome.
 type endedCall struct {
-	call    *pending
+	call    *pendingCall
 	outcome Outcome
 }
 
@@ -268,7 +268,7 @@
 
 // Report processes the outcomes that a shard has received from hosts.
 func (r *Router) Report(report Report) error {
-	list, err := report.outcomes()
+	list, err := report.decode()
 	if err != nil {
 		return result.New(result.BadInput, result.RanNo, "%v", err)
 	}
@@ -281,7 +281,7 @@
 		}
 		delete(r.calls, f.id)
 		p.shard.failures, p.shard.lastContact = 0, time.Now()
-		r.recordReach(p.call.To.ID, f.outcome.Err)
+		r.rerouteIfUnreached(p.call.To.ID, f.outcome.Err)
 		done = append(done, endedCall{p, f.outcome})
 	}
 	r.mu.Unlock()
--- a/internal/linkshard/router_test.go
+++ b/internal/linkshard/router_test.go
@@ -147,8 +147,8 @@
 	return c.arrive(ctx, epoch)
 }
 
-func (c hostsFrom) Poll(ctx context.Context, _ host.Info, epoch uint64, l host.Poll) (host.View, error) {
-	time.Sleep(l.Wait)
+func (c hostsFrom) Poll(ctx context.Context, _ host.Info, epoch uint64, p host.Poll) (host.View, error) {
+	time.Sleep(p.Wait)
 	r, err := c.arrive(ctx, epoch)
 	return host.View{Clock: r.Clock, Fenced: r.Refused == host.RefusedFenced}, err
 }
@@ -229,7 +229,7 @@
 	return c
 }
 
-// count counts the calls that have exactly one outcome, for which the function returns true.
+// count counts the calls with exactly one outcome, if that satisfies the function.
 func (r *fixture) count(is func(Outcome) bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -317,7 +317,7 @@
 
 // TestUnsentBatchOfBusyHolder: guards against a busy holder, whose calls to shards are late because
 // it is busy, waiting for the outcomes of a batch that it never sent. Its starts then ended as
-// lost, and their runs were in doubt.
+// lost, and it was unknown whether their runs existed.
 func TestUnsentBatchOfBusyHolder(t *testing.T) {
 	const calls = 40
 	tests := map[string]struct {
@@ -437,8 +437,9 @@
 	})
 }
 
-// TestPollsCountFromTheirSending: a view's age counts from the holder's own sending of the poll,
-// however long the shard and its report took; a poll held at the host is reported in time.
+// TestPollsCountFromTheirSending: a view's age is measured from the time at which the holder sent
+// the poll, however long the shard and its report took; a poll held at the host is reported in
+// time.
 func TestPollsCountFromTheirSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/linkshard/server.go
+++ b/internal/linkshard/server.go
@@ -26,7 +26,7 @@
 	maxReportOutcomes = 512
 )
 
-// Server makes calls to hosts for the holders of other members.
+// Server makes calls to hosts for the holders on other members.
 type Server struct {
 	hosts host.Client
 	peers peer.Caller
@@ -52,7 +52,7 @@
 
 // handleBatch starts the calls of a batch and returns; their outcomes are reported later.
 func (s *Server) handleBatch(_ context.Context, b Batch) (Empty, error) {
-	calls, err := b.calls()
+	calls, err := b.decode()
 	if err != nil {
 		return Empty{}, result.New(result.BadInput, result.RanNo, "%v", err)
 	}
--- a/internal/linkshard/shards.go
+++ b/internal/linkshard/shards.go
@@ -19,7 +19,7 @@
 		return
 	}
 	r.selectedAt = now
-	r.pruneHosts()
+	r.pruneRoutes()
 	var members []Member
 	for _, m := range SelectShards(r.availableMembers(now), r.conf.Self, r.conf.Hosts()) {
 		members = append(members, m)
@@ -56,9 +56,9 @@
 	return out
 }
 
-// pruneHosts clears the routes, most of which belong to removed hosts, when there are too many. The
-// lock is held.
-func (r *Router) pruneHosts() {
+// pruneRoutes clears the routes, most of which belong to removed hosts, when there are too many.
+// The lock is held.
+func (r *Router) pruneRoutes() {
 	if limit := maxHostsFactor * (r.conf.Hosts() + 1); len(r.routes) > limit || len(r.failedRoutes) > limit {
 		clear(r.routes)
 		clear(r.failedRoutes)
@@ -155,9 +155,9 @@
 	return s
 }
 
-// recordReach reroutes a host to another shard if it was not reached: the path from this shard may
-// be disconnected. The lock is held.
-func (r *Router) recordReach(id host.ID, err error) {
+// rerouteIfUnreached reroutes a host to another shard if it was not reached: the path from this
+// shard may be disconnected. The lock is held.
+func (r *Router) rerouteIfUnreached(id host.ID, err error) {
 	switch failureOf(err) {
 	case failureNotSent, failureRefused, failureLost, failureBroken:
 		r.rerouteHost(id)
--- a/internal/request/flight.go
+++ b/internal/request/flight.go
@@ -162,9 +162,9 @@
 }
 
 // waitError is the error for a caller whose ctx has ended.
-func waitError(ctx context.Context, late result.Code, ran result.Ran) *result.Error {
+func waitError(ctx context.Context, timeoutCode result.Code, ran result.Ran) *result.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return result.New(late, ran, "no answer before the deadline")
+		return result.New(timeoutCode, ran, "no answer before the deadline")
 	}
 	return result.New(result.CallerDisconnected, ran, "the caller went away")
 }
--- a/internal/request/home.go
+++ b/internal/request/home.go
@@ -83,7 +83,7 @@
 	return h.serveKeyed(ctx, msg, work, values)
 }
 
-// ranBeforeLookup returns what is known of a request whose key has not been looked up.
+// ranBeforeLookup returns whether a request whose key has not been looked up may have run.
 func ranBeforeLookup(key uuid.UUID) result.Ran {
 	if key == uuid.Nil {
 		return result.RanNo
@@ -150,8 +150,8 @@
 	return rec.flight, nil
 }
 
-// errHomeMoved is the error if another process is the key's home, or will be. This process does
-// not know whether the request ran.
+// errHomeMoved is the error if the key's home is, or is about to be, another process. This process
+// cannot determine whether the request ran.
 func errHomeMoved(partition int, detail string) *result.Error {
 	return result.New(result.HomeMoved, result.RanUnknown, "partition %d: %s", partition, detail).
 		WithRetryAfter(movedRetryDelay)
--- a/internal/request/home_test.go
+++ b/internal/request/home_test.go
@@ -26,7 +26,7 @@
 // echo answers each request with its body and counts the requests.
 type echo struct {
 	count int
-	hold  chan struct{} // if set, answers wait until it is closed
+	block chan struct{} // if set, answers wait until it is closed
 }
 
 // Do implements Dispatcher.
@@ -35,8 +35,8 @@
 		return executor.Answer{}, result.New(result.CallerDisconnected, result.RanNo, "cancelled")
 	}
 	e.count++
-	if e.hold != nil {
-		<-e.hold
+	if e.block != nil {
+		<-e.block
 	}
 	return executor.Answer{Status: http.StatusOK, Body: w.Request.Body}, nil
 }
@@ -205,7 +205,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newFixture(t, hold.Acquisition{NeverHeld: true})
-		b.echo.hold = make(chan struct{})
+		b.echo.block = make(chan struct{})
 		got := make(chan string, 1)
 		go func() {
 			body, _ := b.serve(keyAt(time.Now(), 1), "answer")
@@ -213,7 +213,7 @@
 		}()
 		synctest.Wait()
 		b.Drop(0)
-		close(b.echo.hold)
+		close(b.echo.block)
 		is.Equal(<-got, "answer") // its caller still gets the answer
 		is.Equal(b.answerBytes, int64(0))
 	})
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -28,7 +28,7 @@
 	expiresAt   time.Time
 	flight      *flight          // set while the request waits or runs
 	answer      *executor.Answer // kept for retries
-	failure     *result.Error    // why the effect of the request is not known
+	failure     *result.Error    // why the effect of the request is unknown
 
 	older, newer *record // neighbours in the table, by arrival
 }
