--- a/internal/crashloop/crashloop.go
+++ b/internal/crashloop/crashloop.go
@@ -87,8 +87,8 @@
 
 func (c Crash) isProven() bool { return c.Proven }
 
-// maxCrashes bounds the crashes kept per task, so that the record of a job does not grow for as
-// long as the job exists.
+// maxCrashes bounds the crashes kept per task. Without this bound, the record of a job could grow
+// until the job ends.
 const maxCrashes = 16
 
 // Append returns the history with c appended. A history that gets too long loses the oldest of
@@ -125,8 +125,9 @@
 	return slices.ContainsFunc(h, func(c Crash) bool { return c.Run == run })
 }
 
-// HasMachine reports whether a host at the address of machine has crashed under the task. A further
-// loss on another machine is stronger evidence.
+// HasMachine reports whether the history contains a crash of a host at the given address, that is, a
+// crash while a run of the task was, or may have been, on that host. A further loss on another
+// machine is stronger evidence.
 func (h History) HasMachine(machine string) bool {
 	return slices.ContainsFunc(h, func(c Crash) bool { return c.Machine == machine })
 }
@@ -217,8 +218,8 @@
 	return len(h) >= minTotal && (enoughProven || enoughObserved)
 }
 
-// tally summarises the crashes of one kind. Excused crashes are included only in total,
-// chanceTotal and machines.
+// tally summarises the crashes of one kind. Excused crashes, which have a more likely cause than
+// the task, are included only in total, chanceTotal and machines.
 type tally struct {
 	total, counted, recent int
 	chance, chanceTotal    float64
--- a/internal/crashloop/losses.go
+++ b/internal/crashloop/losses.go
@@ -8,8 +8,9 @@
 // Time windows and limits for host failures.
 const (
 	// failureRetention is how long a host failure counts for the rate of spontaneous failures.
-	// Over a longer time the rate is underestimated when hosts begin to fail, and jobs are
-	// failed that did not cause the crashes.
+	// With a longer time, the calculated rate would be too low when hosts begin to fail. The
+	// crashes would then seem unlikely to be spontaneous and be blamed on tasks, and jobs that
+	// did not cause the crashes would be failed.
 	failureRetention = 20 * time.Second
 	// recentWindow is the time for which the recent rate is calculated: about as long as a
 	// failed host is unavailable.
--- a/internal/engine/capacity.go
+++ b/internal/engine/capacity.go
@@ -66,7 +66,8 @@
 	h.capacity = info.Size
 }
 
-// minRemainingShare returns the smallest share that remains of a size in any dimension.
+// minRemainingShare divides the size after a change by the size before it, for each resource, and returns
+// the smallest quotient, at most 1. A resource whose amount was zero before the change is left out.
 func minRemainingShare(before, after spec.Resources) float64 {
 	smallest := 1.0
 	for _, d := range [][2]int64{{before.MilliCPU, after.MilliCPU}, {before.MemoryMiB, after.MemoryMiB}, {before.Accelerators, after.Accelerators}} {
--- a/internal/engine/commit.go
+++ b/internal/engine/commit.go
@@ -16,7 +16,8 @@
 	// stored. The numbers are valid for one incarnation, so the key is its state and not the
 	// host's id.
 	pendingEnds map[*hostState]int64
-	// openInRoster are the hosts that the batch stores as open in the roster.
+	// openInRoster are the hosts that the batch stores as open in the roster, the stored list of the
+	// hosts that may have been given orders. Tasks are started only on open hosts; see roster.go.
 	openInRoster []*hostState
 }
 
--- a/internal/engine/incarnation.go
+++ b/internal/engine/incarnation.go
@@ -99,8 +99,9 @@
 	})
 }
 
-// detachSurvivors removes from an ended incarnation the runs that may be on the next one: those that it
-// reports, and those whose starts may have reached it since, or may yet.
+// detachSurvivors removes from an ended incarnation the runs that may be on the next one. They are the runs
+// that the next incarnation reports in v, and the runs whose starts may have reached the next incarnation
+// since the poll for v was sent, or may still reach it.
 func (e *Engine) detachSurvivors(h *hostState, v host.View, sent time.Time) []*run {
 	reported := reportedRuns(v)
 	var out []*run
--- a/internal/engine/plan_large.go
+++ b/internal/engine/plan_large.go
@@ -11,9 +11,10 @@
 // A large task is one of which a host holds very few. Small tasks refill a host long before it has
 // capacity for a large task, so that a large task that could only use what is free now would starve behind
 // later work. So it is treated like a gang of one: the hosts that may run it are determined early, a slot
-// is reserved from the moment it is expected to be free, and the ticket is obtained by then. A step of
-// large tasks needs no two slots at once and preempts nothing: preempting less urgent checkpointing tasks
-// would cost them as much as it gained. With reservations more such jobs meet the target of their queue.
+// is reserved from the moment it is expected to be free, and the ticket is obtained by then. The tasks of
+// a step of large tasks need not start together. The step preempts nothing: preempting less urgent
+// checkpointing tasks would cost those tasks as much as the step gained. With reservations more such jobs
+// meet the target of their queue.
 
 // maxLargePerHost is the number of tasks of a step on an empty host up to which they are large.
 const maxLargePerHost = 2
--- a/internal/engine/speed_test.go
+++ b/internal/engine/speed_test.go
@@ -11,9 +11,9 @@
 	"pulleyquay/internal/spec"
 )
 
-// TestUrgentWorkGoesToFastHosts: a third of the hosts take 1.3 times as long, without any information about
-// it. The test guards against urgent work, whose slack is half of its run time, being placed on them as on
-// the others; they should run work that can wait.
+// TestUrgentWorkGoesToFastHosts: a third of the hosts take 1.3 times as long, and the engine is not told
+// which. The test checks that the engine places little urgent work, whose slack is half of its run time, on
+// the slow hosts. The slow hosts should run work that can wait.
 func TestUrgentWorkGoesToFastHosts(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
--- a/internal/engine/upkeep_test.go
+++ b/internal/engine/upkeep_test.go
@@ -83,8 +83,8 @@
 	return upkeep.NotInRollout
 }
 
-// waves returns the stored progress of rollouts.
-func (w *world) waves() (out []upkeep.Progress) {
+// storedRollouts returns the stored progress of rollouts.
+func (w *world) storedRollouts() (out []upkeep.Progress) {
 	for key, value := range w.store {
 		if !strings.HasPrefix(key, "waves/") {
 			continue
--- a/internal/engine/world_test.go
+++ b/internal/engine/world_test.go
@@ -215,7 +215,7 @@
 		reconcileBy = w.now().Add(testReconcile)
 	}
 	jobs, progress, roster := w.stored()
-	w.engine.SetUpkeep(reconcileBy, w.waves())
+	w.engine.SetUpkeep(reconcileBy, w.storedRollouts())
 	w.engine.Load(jobs, progress, roster, reconcileBy, w.now(), func(*record.Job) time.Duration { return w.recordAge })
 	w.engine.SetHosts(w.listed(), w.now())
 	w.decide()
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -241,8 +241,8 @@
 	})
 }
 
-// BenchmarkRound measures the ordering of 1,024 tasks among the waiting jobs of 35 teams, up to
-// the number of jobs that one of 16 partitions would own.
+// BenchmarkRound measures the ordering of 1,024 tasks among the waiting jobs of 35 teams. The
+// largest number of waiting jobs is the number that one of 16 partitions would own.
 func BenchmarkRound(b *testing.B) {
 	for _, jobs := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(jobs, "-jobs"), func(b *testing.B) {
--- a/internal/fairshare/quota.go
+++ b/internal/fairshare/quota.go
@@ -44,7 +44,7 @@
 	return int(tasks)
 }
 
-// Exceeds names the resources in need that are above the quota, or returns "" if there are
+// Exceeds names the resources whose needed amount is above the quota, or returns "" if there are
 // none.
 func (q Quota) Exceeds(need spec.Resources) string {
 	var parts []string
@@ -67,7 +67,8 @@
 	return utilization
 }
 
-// DominantShare returns the largest fraction of any resource in total that is used.
+// DominantShare divides the used amount of each resource by its total amount and returns the
+// largest quotient.
 func DominantShare(used, total spec.Resources) float64 {
 	return max(fraction(used.MilliCPU, total.MilliCPU), fraction(used.MemoryMiB, total.MemoryMiB),
 		fraction(used.Accelerators, total.Accelerators))
--- a/internal/fleet/crash.go
+++ b/internal/fleet/crash.go
@@ -14,8 +14,9 @@
 // not reported, so a run that a new incarnation does not list may have ended before the restart.
 
 const (
-	// maxReplyAge is how recently a worker must have replied before an order is sent for a
-	// broken connection to count as broken during the order rather than before it.
+	// maxReplyAge is the maximum time from the last reply of a worker to the sending of an
+	// order. If the connection then breaks, it counts as broken during the order; after a
+	// longer time, it may have been broken before the order.
 	maxReplyAge = time.Second
 	// presenceWindow is the maximum time between the last confirmation of a run and the start
 	// of the worker's next incarnation for which the run counts as present at the end of the
--- a/internal/fleet/managedworker.go
+++ b/internal/fleet/managedworker.go
@@ -84,8 +84,8 @@
 	state         runState
 	// start is the start to send; nil once its outcome is determined.
 	start *worker.Start
-	// startExpires is the reading of the worker's clock after which it refuses the
-	// unanswered order that contained the start.
+	// startExpires is set if the order that contained the start was not answered. The
+	// worker refuses that order once the worker's clock is past startExpires.
 	startExpires worker.Millis
 	// waiters are the calls that wait for the outcome of the start.
 	waiters []*pendingCall
--- a/internal/fleet/resident.go
+++ b/internal/fleet/resident.go
@@ -59,7 +59,8 @@
 // handoverState is the state passed to the next holder in a planned handover.
 type handoverState struct {
 	// Complete is true when Workers contains every worker that may run something.
-	// It is false when the partition was not complete at this holder.
+	// It is false when this holder did not yet know every run that may be on a
+	// worker of the partition; see heldPartition.complete.
 	Complete bool     `json:"complete"`
 	Workers  []string `json:"workers"`
 	// Homes are the highest observed epochs of job owners, by home partition.
--- a/internal/fleet/runs.go
+++ b/internal/fleet/runs.go
@@ -173,8 +173,8 @@
 }
 
 // markMissing records that a run is no longer on its worker, whose present incarnation started at
-// startedAt. Its capacity there is free, but the job owner may start the task elsewhere only when
-// the run's lease has expired.
+// startedAt. The capacity that the run had on the worker is free, but the job owner may start the
+// task elsewhere only when the run's lease has expired.
 func (f *Fleet) markMissing(r *run, leasesEndBy, startedAt time.Time) {
 	f.resolveWaiters(r, taskmsg.OutcomeUnknown)
 	f.cell.Unreserve(r.id)
--- a/internal/hold/cache.go
+++ b/internal/hold/cache.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// dropAdopted discards the part of a peer's table under a prefix before the store's own list
-// replaces it.
+// dropAdopted discards the entries under a prefix that adopt has copied from a peer's table. The
+// first list of that prefix from the store then replaces these entries.
 func (c *cache) dropAdopted(prefix string) {
 	if prefix == member.Prefix {
 		maps.DeleteFunc(c.members, func(name string, _ member.Entry) bool { return c.revisions[member.Key(name)] == 0 })
--- a/internal/hold/delegate.go
+++ b/internal/hold/delegate.go
@@ -82,9 +82,9 @@
 }
 
 // renewsOwn reports whether this process renews the task leases of a partition that it has released
-// but can not move, because the store became unavailable while the handover was written. The rule
-// is that of a delegate: only while a majority is not connected to the store, so that nobody
-// declares runs lost meanwhile. The lock is held.
+// but can not move, because the store became unavailable while the handover was written. Like a
+// delegate, this process renews the leases only while a majority of the members is not connected
+// to the store. Nobody declares runs lost during that time. The lock is held.
 func (m *Manager) renewsOwn(s *slot) bool { return s.resolving && !m.storeAvailable() }
 
 // notifyDelegate passes the delegated partitions to the Delegate if they differ from last, and
--- a/internal/right/authority.go
+++ b/internal/right/authority.go
@@ -17,8 +17,8 @@
 	// change is unknown. Promises count only if they form a majority in each set.
 	voterSets []VoterSet
 	promised  map[string]time.Time // by incarnation
-	// previousUntil is the end of the promised authority of the previous session.
-	previousUntil time.Time
+	// previousPromisedUntil is the end of the promised authority of the previous session.
+	previousPromisedUntil time.Time
 	// grantedUntil is the latest end of authority granted on the basis of promises.
 	grantedUntil time.Time
 	fenced       bool
@@ -32,7 +32,7 @@
 // BeginSession records that the store has the member key and the voter set of a new session, under
 // a lease that was requested at sent.
 func (a *Authority) BeginSession(sent time.Time, set VoterSet) {
-	a.previousUntil = a.promisedUntil()
+	a.previousPromisedUntil = a.promisedUntil()
 	a.session = set.Session
 	a.voterSets = []VoterSet{set}
 	a.promised = map[string]time.Time{}
@@ -77,7 +77,7 @@
 // MayChangeVoters reports whether the voter set may be changed: the outcome of the last change is
 // known, and authority granted by promises has expired.
 func (a *Authority) MayChangeVoters(now time.Time) bool {
-	return len(a.voterSets) == 1 && !now.Before(a.grantedUntil) && !now.Before(a.previousUntil)
+	return len(a.voterSets) == 1 && !now.Before(a.grantedUntil) && !now.Before(a.previousPromisedUntil)
 }
 
 // Session returns the current session, zero before the first.
@@ -100,7 +100,7 @@
 	case session < a.session-1:
 		return time.Time{}
 	case session == a.session-1:
-		return a.previousUntil
+		return a.previousPromisedUntil
 	}
 	if a.lease.After(now) {
 		return a.lease
@@ -118,7 +118,7 @@
 // LatestEnd returns the latest end of any authority that may be in use.
 func (a *Authority) LatestEnd() time.Time {
 	out := a.grantedUntil
-	for _, t := range []time.Time{a.lease, a.previousUntil} {
+	for _, t := range []time.Time{a.lease, a.previousPromisedUntil} {
 		if t.After(out) {
 			out = t
 		}
--- a/internal/right/model_test.go
+++ b/internal/right/model_test.go
@@ -11,7 +11,8 @@
 // driven one random step at a time. It applies the rule of this package as hold.Manager does and
 // records every use of authority in true time.
 
-// injectedFault leaves out a part of the rule; the zero value applies the whole rule.
+// injectedFault leaves out a part of the rule of this package, by which a member has authority;
+// the zero value applies the whole rule.
 type injectedFault struct {
 	ignoreExpiry     bool // act without checking the end of the authority
 	countFromReply   bool // count the lease from the reply, not from the request
--- a/internal/right/modelproc_test.go
+++ b/internal/right/modelproc_test.go
@@ -294,13 +294,13 @@
 	if !p.joined || old.holder == p.id {
 		return
 	}
-	holderMod := 0
+	holderMemberMod := 0
 	if old.holder != (MemberID{}) {
 		if member, ok := p.view.members[old.holder.Name]; ok {
 			if member.incarnation == old.holder.Incarnation {
 				return
 			}
-			holderMod = member.mod
+			holderMemberMod = member.mod
 		}
 		if !p.mayClaim(old.holder) {
 			return
@@ -313,7 +313,7 @@
 		if me.mod != memberMod || me.incarnation != p.id.Incarnation || s.partitions[id].mod != old.mod {
 			return
 		}
-		if old.holder != (MemberID{}) && (s.members[old.holder.Name].mod != holderMod || s.voterRecords[old.holder].mod != voterRecordMod) {
+		if old.holder != (MemberID{}) && (s.members[old.holder.Name].mod != holderMemberMod || s.voterRecords[old.holder].mod != voterRecordMod) {
 			return
 		}
 		rec := modelRecord{p.id, old.epoch + 1, s.next()}
--- a/internal/right/right.go
+++ b/internal/right/right.go
@@ -52,7 +52,8 @@
 	return d - d*time.Duration(t.Margin)/1000
 }
 
-// plusMargin returns d as a waiting process has to count it.
+// plusMargin returns d lengthened by t.Margin. A process that has to wait for d by another clock
+// waits this long by its own clock, which may run faster than the other by up to t.Margin.
 func (t Times) plusMargin(d time.Duration) time.Duration {
 	return d + d*time.Duration(t.Margin)/1000
 }
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -61,7 +61,8 @@
 	buckets     []*bucket // the non-empty buckets
 }
 
-// bucket is the ready workers of a group whose free resources have the same levels.
+// bucket is a set of ready workers of one group: those whose free resources have the levels in the
+// field levels.
 type bucket struct {
 	levels  levels
 	workers []*record
--- a/internal/scheduler/never.go
+++ b/internal/scheduler/never.go
@@ -9,9 +9,9 @@
 	"pulleyquay/internal/taskmsg"
 )
 
-// Never returns a NeverFits error with the reason for each resource if the task fits on no worker
-// of the given machine types, not even on an idle one. It returns nil if it fits on one, or if no
-// machine types are known.
+// Never checks whether the task fits on an idle worker of at least one of the given machine types.
+// If the task fits on none, Never returns a NeverFits error with the reason for each resource. If
+// the task fits on one, or if no machine types are known, Never returns nil.
 func Never(machineTypes []taskmsg.Size, task *spec.Task) *result.Error {
 	if len(machineTypes) == 0 {
 		return nil
--- a/internal/scheduler/overload.go
+++ b/internal/scheduler/overload.go
@@ -11,7 +11,8 @@
 // overuse tracks a worker whose observed usage is above its size.
 type overuse struct {
 	since time.Time // zero if the last report was within the size
-	// excess is the part of the last report above the size.
+	// excess is the amount of each resource by which the last reported usage exceeds the
+	// worker's size.
 	excess spec.Resources
 }
 
--- a/internal/scheduler/refusal.go
+++ b/internal/scheduler/refusal.go
@@ -7,8 +7,8 @@
 )
 
 // refusal counts for each rule how many workers it rejected. A worker counts for the first rule
-// that rejects it. Single workers are examined only in buckets whose levels do not determine
-// the rule for all workers.
+// that rejects it. If the levels of a bucket show which rule rejects all its workers, the workers
+// are counted together; otherwise each worker of the bucket is examined.
 func (s *search) refusal() *taskmsg.Refusal {
 	r := &taskmsg.Refusal{Workers: len(s.cell.order), ByRule: map[string]int{}}
 	count := func(rule string, n int) {
--- a/internal/scheduler/select.go
+++ b/internal/scheduler/select.go
@@ -15,8 +15,9 @@
 	// shape, maxCandidatesRepeat for each further task in the same call.
 	maxCandidates       = 128
 	maxCandidatesRepeat = 32
-	// samplesInBucket is how many workers are sampled in a bucket of which only some may fit,
-	// before the bucket is deferred until all others have failed.
+	// samplesInBucket is the maximum number of workers sampled in a bucket in which only some of
+	// the workers may have room for the task. If none of the sampled workers has room, the bucket
+	// is deferred: all its workers are examined, but only if no bucket's sample has room.
 	samplesInBucket = 4
 	// samplesInBestBucket is how many more workers are evaluated in the bucket of the best
 	// candidate.
