--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -18,8 +18,8 @@
 	// call answered meanwhile, before the store counts as unavailable: long enough that a
 	// slow store still counts as available, and a small part of the callers' time-out.
 	UnresponsiveThreshold = 500 * time.Millisecond
-	// FailingThreshold is the same threshold for calls that the store refuses. They are
-	// retried for that long.
+	// FailingThreshold is how long calls to the store have to be refused or abandoned before the store
+	// counts as unavailable. Refused calls are retried for that long.
 	FailingThreshold = 300 * time.Millisecond
 	// RetryDelay is the delay after which a refused caller should retry: short enough for
 	// several retries within the caller's time-out. Callers refused at the same time
@@ -28,8 +28,8 @@
 )
 
 // MaxUnknownShare is the largest fraction of its time-out that a caller waits while the
-// outcome of its job is unknown: shorter outages and slow replies cause no error, and
-// more than half of the time-out is left for retries.
+// outcome of its job is unknown. Outages and slow replies that end within this time cause no
+// error, and the caller has more than half of its time-out left for retries.
 const MaxUnknownShare = 0.4
 
 // UnknownWaitLimit returns how long a caller with this time-out waits while the outcome of
--- a/internal/advice/lanes.go
+++ b/internal/advice/lanes.go
@@ -121,8 +121,8 @@
 // Division of the query slots: the first seventh serves short queries only, the slots up
 // to the first third serve medium queries too, and the others serve long queries.
 const (
-	shortDivisor  = 7
-	mediumDivisor = 3
+	shortDivisor         = 7
+	shortOrMediumDivisor = 3
 )
 
 // eligible returns the query slots for queries of the given duration, and their largest
@@ -130,11 +130,11 @@
 func (q *QuerySlots) eligible(duration time.Duration, now time.Time) ([]*querySlot, time.Duration) {
 	slots := q.usable(now)
 	n := len(slots)
-	if n < mediumDivisor {
+	if n < shortOrMediumDivisor {
 		return slots, longBacklog
 	}
 	shortOnly := max(n/shortDivisor, 1)
-	shortOrMedium := max(n/mediumDivisor, shortOnly)
+	shortOrMedium := max(n/shortOrMediumDivisor, shortOnly)
 	switch {
 	case duration <= shortQuery:
 		return slots[:shortOrMedium], shortBacklog
--- a/internal/advice/port.go
+++ b/internal/advice/port.go
@@ -30,7 +30,8 @@
 
 // Service is a client of the policy service.
 type Service interface {
-	// Query returns which of the hosts may run the step. The service takes the time
-	// given in the queue's settings to answer, after it has answered the queries that wait.
+	// Query returns which of the hosts may run the step. The service first answers
+	// the queries that already wait. Its answer then takes the time given in the rules of the job
+	// queue to which the step's job belongs (catalog.PolicyQuery).
 	Query(ctx context.Context, step spec.StepID, hosts []host.ID) (Reply, error)
 }
--- a/internal/cell/claimer.go
+++ b/internal/cell/claimer.go
@@ -93,69 +93,69 @@
 	peer.Handle(mux, peer.KindHolderStatus, c.onHolderStatus)
 	peer.Handle(mux, peer.KindHandover, c.onHandover)
 	go c.Lateness.Run(ctx)
-	for _, mon := range c.monitors {
-		c.running.Go(func() { c.monitor(ctx, mon) })
+	for _, monitor := range c.monitors {
+		c.running.Go(func() { c.monitor(ctx, monitor) })
 	}
 }
 
-func (mon *holderMonitor) isHeld() bool {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	return mon.held
+func (monitor *holderMonitor) isHeld() bool {
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	return monitor.held
 }
 
-func (mon *holderMonitor) isInContact(epoch uint64, limit time.Duration, now time.Time) bool {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	return mon.held || mon.epoch == epoch && now.Sub(mon.lastContact) < limit
+func (monitor *holderMonitor) isInContact(epoch uint64, limit time.Duration, now time.Time) bool {
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	return monitor.held || monitor.epoch == epoch && now.Sub(monitor.lastContact) < limit
 }
 
-func (mon *holderMonitor) invite(epoch uint64) {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	mon.invitedEpoch = epoch
+func (monitor *holderMonitor) invite(epoch uint64) {
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	monitor.invitedEpoch = epoch
 }
 
 // trackEpoch resets the monitor if the holder has changed. The new holder has the full silence
 // limit to reply to a heartbeat.
-func (mon *holderMonitor) trackEpoch(epoch uint64, now time.Time) {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	if mon.epoch != epoch {
-		mon.epoch, mon.lastContact, mon.chainChangedAt, mon.chainRevision = epoch, now, time.Time{}, 0
-		mon.refused, mon.replaced, mon.storeOutage = false, false, 0
+func (monitor *holderMonitor) trackEpoch(epoch uint64, now time.Time) {
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	if monitor.epoch != epoch {
+		monitor.epoch, monitor.lastContact, monitor.chainChangedAt, monitor.chainRevision = epoch, now, time.Time{}, 0
+		monitor.refused, monitor.replaced, monitor.storeOutage = false, false, 0
 	}
 }
 
 // monitor sends heartbeats to one partition's holder and claims the partition if the holder is
 // considered dead.
-func (c *Claimer) monitor(ctx context.Context, mon *holderMonitor) {
+func (c *Claimer) monitor(ctx context.Context, monitor *holderMonitor) {
 	for ctx.Err() == nil {
-		h, _ := c.View.Holder(mon.partition)
-		mon.trackEpoch(h.Epoch, time.Now())
+		h, _ := c.View.Holder(monitor.partition)
+		monitor.trackEpoch(h.Epoch, time.Now())
 		if c.Health.SinceLastReply(time.Now()) > time.Hour {
 			wait.For(ctx, MinHeartbeatInterval/4) // no information before the store's first reply
 			continue
 		}
 		if h.Epoch > 0 && h.Incarnation != c.Self.Incarnation {
-			go c.sendHeartbeat(ctx, mon, h)
+			go c.sendHeartbeat(ctx, monitor, h)
 		}
-		if c.isLeaving() || !c.isHolderDead(ctx, mon, c.evidence(mon, h)) {
-			c.waitForChange(ctx, mon, h.Epoch)
+		if c.isLeaving() || !c.isHolderDead(ctx, monitor, c.evidence(monitor, h)) {
+			c.waitForChange(ctx, monitor, h.Epoch)
 			continue
 		}
-		c.claim(ctx, mon, h)
+		c.claim(ctx, monitor, h)
 	}
 }
 
 // waitForChange waits until the next heartbeat is due, the holder has changed or a handover is
 // requested.
-func (c *Claimer) waitForChange(ctx context.Context, mon *holderMonitor, epoch uint64) {
+func (c *Claimer) waitForChange(ctx context.Context, monitor *holderMonitor, epoch uint64) {
 	timer := time.NewTimer(heartbeatInterval(c.View.Size()))
 	defer timer.Stop()
 	for {
 		changed := c.View.Changed()
-		if h, _ := c.View.Holder(mon.partition); h.Epoch != epoch || mon.isInvited(epoch) {
+		if h, _ := c.View.Holder(monitor.partition); h.Epoch != epoch || monitor.isInvited(epoch) {
 			return
 		}
 		select {
@@ -168,39 +168,39 @@
 	}
 }
 
-func (mon *holderMonitor) isInvited(epoch uint64) bool {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	return mon.invitedEpoch == epoch && epoch != 0
+func (monitor *holderMonitor) isInvited(epoch uint64) bool {
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	return monitor.invitedEpoch == epoch && epoch != 0
 }
 
 // sendHeartbeat sends one heartbeat and processes the reply. Heartbeats may overlap; each reply
 // is processed on arrival.
-func (c *Claimer) sendHeartbeat(ctx context.Context, mon *holderMonitor, h ledger.Holder) {
+func (c *Claimer) sendHeartbeat(ctx context.Context, monitor *holderMonitor, h ledger.Holder) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply HeartbeatReply
 	err := c.Peers.Call(ctx, h.Addr, peer.KindMemberHeartbeat, Heartbeat{
-		Partition: mon.partition, From: c.Self.Name, FromAddr: c.Self.Addr, Catalog: c.CatalogVersion(),
+		Partition: monitor.partition, From: c.Self.Name, FromAddr: c.Self.Addr, Catalog: c.CatalogVersion(),
 		Members: c.Health.FailingFor(time.Now()) > 0,
 	}, &reply)
 	if err == nil && reply.Incarnation == h.Incarnation {
 		c.applyReply(reply)
 	}
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	if mon.epoch != h.Epoch {
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	if monitor.epoch != h.Epoch {
 		return
 	}
 	switch {
 	case err != nil:
-		mon.refused = result.CodeOf(err) == result.PeerNotReached && ctx.Err() == nil
+		monitor.refused = result.CodeOf(err) == result.PeerNotReached && ctx.Err() == nil
 	case reply.Incarnation != h.Incarnation:
-		mon.replaced = true
+		monitor.replaced = true
 	default:
-		mon.refused, mon.storeOutage = false, reply.StoreOutage
+		monitor.refused, monitor.storeOutage = false, reply.StoreOutage
 		if reply.Holds {
-			mon.lastContact = time.Now()
+			monitor.lastContact = time.Now()
 		}
 	}
 }
--- a/internal/cell/evidence.go
+++ b/internal/cell/evidence.go
@@ -13,11 +13,11 @@
 )
 
 // evidence returns the evidence on a holder from heartbeats alone.
-func (c *Claimer) evidence(mon *holderMonitor, h ledger.Holder) Evidence {
+func (c *Claimer) evidence(monitor *holderMonitor, h ledger.Holder) Evidence {
 	now := time.Now()
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	e := Evidence{Holder: h, Silence: now.Sub(mon.lastContact), Limit: silenceLimit(c.View.Size()), Refused: mon.refused, Replaced: mon.replaced, HolderStoreOutage: mon.storeOutage}
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	e := Evidence{Holder: h, Silence: now.Sub(monitor.lastContact), Limit: silenceLimit(c.View.Size()), Refused: monitor.refused, Replaced: monitor.replaced, HolderStoreOutage: monitor.storeOutage}
 	if h.Epoch > 0 && h.Incarnation == c.Self.Incarnation {
 		e.Replaced = true // a claim of this process took effect after its time-out
 	}
@@ -29,22 +29,22 @@
 
 // isHolderDead reports whether the partition is to be claimed. It queries other members and
 // reads the holder's writes if heartbeats alone are not conclusive.
-func (c *Claimer) isHolderDead(ctx context.Context, mon *holderMonitor, e Evidence) bool {
-	if mon.isInvited(e.Holder.Epoch) || e.Dead() {
+func (c *Claimer) isHolderDead(ctx context.Context, monitor *holderMonitor, e Evidence) bool {
+	if monitor.isInvited(e.Holder.Epoch) || e.Dead() {
 		return true
 	}
 	if e.Silence < e.Limit && !e.Refused {
 		return false
 	}
-	c.queryMembers(ctx, mon, &e)
+	c.queryMembers(ctx, monitor, &e)
 	if !e.Dead() {
-		c.checkWrites(ctx, mon, &e)
+		c.checkWrites(ctx, monitor, &e)
 	}
 	if !e.Dead() {
 		return false
 	}
 	c.Log.WithFields(logrus.Fields{
-		"partition": mon.partition, "holder": e.Holder.Name, "epoch": e.Holder.Epoch, "silence_ms": e.Silence.Milliseconds(),
+		"partition": monitor.partition, "holder": e.Holder.Name, "epoch": e.Holder.Epoch, "silence_ms": e.Silence.Milliseconds(),
 		"refused": e.Refused, "agreeing": e.Agreeing, "others": e.Others, "stood_still_ms": e.WritesStalled.Milliseconds(),
 	}).Warn("holder taken for dead")
 	return true
@@ -52,7 +52,7 @@
 
 // queryMembers asks other members whether they are in contact with the holder and counts the
 // replies in e.
-func (c *Claimer) queryMembers(ctx context.Context, mon *holderMonitor, e *Evidence) {
+func (c *Claimer) queryMembers(ctx context.Context, monitor *holderMonitor, e *Evidence) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -61,7 +61,7 @@
 		e.Others++
 		calls.Go(func() {
 			var status HolderStatus
-			err := c.Peers.Call(ctx, m.Addr, peer.KindHolderStatus, HolderStatusRequest{mon.partition, e.Holder.Epoch}, &status)
+			err := c.Peers.Call(ctx, m.Addr, peer.KindHolderStatus, HolderStatusRequest{monitor.partition, e.Holder.Epoch}, &status)
 			if err != nil {
 				return
 			}
@@ -101,20 +101,20 @@
 
 // checkWrites determines from the store for how long the holder has not written. The result is
 // needed by members that cannot query others.
-func (c *Claimer) checkWrites(ctx context.Context, mon *holderMonitor, e *Evidence) {
+func (c *Claimer) checkWrites(ctx context.Context, monitor *holderMonitor, e *Evidence) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	rec, _, err := c.Store.Get(ctx, ledger.ChainKey(mon.partition))
+	rec, _, err := c.Store.Get(ctx, ledger.ChainKey(monitor.partition))
 	now := time.Now()
 	c.Health.RecordCall(err == nil, now)
 	if err != nil {
 		return
 	}
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	if rec.ModRevision != mon.chainRevision || mon.chainChangedAt.IsZero() || now.Sub(mon.chainReadAt) > stalledWritesThreshold {
-		mon.chainRevision, mon.chainChangedAt = rec.ModRevision, now
+	monitor.mu.Lock()
+	defer monitor.mu.Unlock()
+	if rec.ModRevision != monitor.chainRevision || monitor.chainChangedAt.IsZero() || now.Sub(monitor.chainReadAt) > stalledWritesThreshold {
+		monitor.chainRevision, monitor.chainChangedAt = rec.ModRevision, now
 	}
-	mon.chainReadAt = now
-	e.WritesStalled = now.Sub(mon.chainChangedAt)
+	monitor.chainReadAt = now
+	e.WritesStalled = now.Sub(monitor.chainChangedAt)
 }
--- a/internal/cell/heartbeat_test.go
+++ b/internal/cell/heartbeat_test.go
@@ -68,8 +68,8 @@
 				member.RecordCall(true, now.Add(-tc.memberAnsweredAgo))
 				reply, err := (&Claimer{View: NewView(), Health: holder, CatalogVersion: func() int64 { return 0 }, monitors: []*holderMonitor{{}}}).onHeartbeat(t.Context(), Heartbeat{})
 				is.NoErr(err)
-				mon := &holderMonitor{storeOutage: reply.StoreOutage, lastContact: now}
-				e := (&Claimer{View: NewView(), Health: member}).evidence(mon, ledger.Holder{Epoch: 3, Incarnation: "a-1"})
+				monitor := &holderMonitor{storeOutage: reply.StoreOutage, lastContact: now}
+				e := (&Claimer{View: NewView(), Health: member}).evidence(monitor, ledger.Holder{Epoch: 3, Incarnation: "a-1"})
 				is.Equal(e.Dead(), tc.storeOutage)
 			})
 		})
--- a/internal/cell/service.go
+++ b/internal/cell/service.go
@@ -36,7 +36,7 @@
 	lease platform.LeaseID
 }
 
-// Run follows the cell's records and renews the entry until ctx ends.
+// Run follows the cell's records and renews the record of this process until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	f := follow.Follower{
 		Store: s.Store, Health: s.Health, Prefix: Prefix, Wait: watchTimeout,
--- a/internal/cell/slow.go
+++ b/internal/cell/slow.go
@@ -27,12 +27,12 @@
 
 // handOverWhenSlow asks another member to claim a held partition once this process is slow.
 // The claim deposes this process, like any other claim.
-func (c *Claimer) handOverWhenSlow(ctx context.Context, mon *holderMonitor) {
+func (c *Claimer) handOverWhenSlow(ctx context.Context, monitor *holderMonitor) {
 	pause := minTenure
 	for wait.For(ctx, pause) {
 		pause = lateness.SampleInterval
 		if c.Lateness.Slow() {
-			c.handOverToFastest(ctx, mon)
+			c.handOverToFastest(ctx, monitor)
 			pause = lateness.SampleCount * lateness.SampleInterval
 		}
 	}
@@ -52,18 +52,18 @@
 }
 
 // handOverToFastest asks the member that replies first to claim a partition.
-func (c *Claimer) handOverToFastest(ctx context.Context, mon *holderMonitor) {
-	h, ok := c.View.Holder(mon.partition)
+func (c *Claimer) handOverToFastest(ctx context.Context, monitor *holderMonitor) {
+	h, ok := c.View.Holder(monitor.partition)
 	if !ok || h.Incarnation != c.Self.Incarnation {
 		return
 	}
-	m, ok := c.fastestResponder(ctx, mon.partition)
+	m, ok := c.fastestResponder(ctx, monitor.partition)
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	log := c.Log.WithFields(logrus.Fields{"partition": mon.partition, "epoch": h.Epoch, "to": m.Name})
+	log := c.Log.WithFields(logrus.Fields{"partition": monitor.partition, "epoch": h.Epoch, "to": m.Name})
 	if err := c.Peers.Call(ctx, m.Addr, peer.KindHandover, HandoverRequest{h, h.Revision}, &Empty{}); err != nil {
 		log.WithError(err).Warn("this process is slow, and nobody takes its partition")
 		return
--- a/internal/cell/slow_test.go
+++ b/internal/cell/slow_test.go
@@ -63,9 +63,9 @@
 		view.members[name] = Member{Name: name, Incarnation: name + "-1", Addr: name}
 	}
 	view.UpdateHolder(ledger.Holder{Epoch: 3, Name: "a", Incarnation: "a-1", Addr: "a"})
-	mon := &holderMonitor{}
-	c := &Claimer{Lateness: &lateness.Timers{}, Self: view.members["a"], View: view, Peers: others, Log: logrus.NewEntry(log), monitors: []*holderMonitor{mon}}
-	return c, mon
+	monitor := &holderMonitor{}
+	c := &Claimer{Lateness: &lateness.Timers{}, Self: view.members["a"], View: view, Peers: others, Log: logrus.NewEntry(log), monitors: []*holderMonitor{monitor}}
+	return c, monitor
 }
 
 // TestSlowHolderHandsItsPartitionOver guards against a holder that keeps its partition although
@@ -89,7 +89,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				others := &otherMembers{replyDelays: tc.replyDelays}
-				c, mon := slowClaimer(others)
+				c, monitor := slowClaimer(others)
 				c.Self.Cores = 0.8
 				for name, m := range c.View.members {
 					m.Cores = 0.8
@@ -101,7 +101,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				start := time.Now()
-				go c.handOverWhenSlow(ctx, mon)
+				go c.handOverWhenSlow(ctx, monitor)
 				if tc.slow {
 					simulateSlowHost(c.Lateness)
 				}
@@ -122,14 +122,14 @@
 // TestSlowProcessTakesNoPartition checks that a slow process refuses a handover request.
 func TestSlowProcessTakesNoPartition(t *testing.T) {
 	is := is.New(t)
-	c, mon := slowClaimer(&otherMembers{})
+	c, monitor := slowClaimer(&otherMembers{})
 	req := HandoverRequest{Holder: ledger.Holder{Epoch: 3, Name: "b", Incarnation: "b-1"}}
 	_, err := c.onHandover(t.Context(), req)
 	is.NoErr(err)
-	is.True(mon.isInvited(3))
+	is.True(monitor.isInvited(3))
 	simulateSlowHost(c.Lateness)
-	mon.invite(0)
+	monitor.invite(0)
 	_, err = c.onHandover(t.Context(), req)
 	is.True(errors.Is(err, &result.Error{Code: result.NotReady}))
-	is.True(!mon.isInvited(3))
+	is.True(!monitor.isInvited(3))
 }
--- a/internal/cell/succession.go
+++ b/internal/cell/succession.go
@@ -51,7 +51,8 @@
 	// HolderStoreOutage is the store outage that the holder reports.
 	HolderStoreOutage time.Duration
 	// Others is the number of queried members, which are neither this one nor the holder.
-	// Agreeing counts those without contact with the holder, InContact those with contact.
+	// Agreeing counts those that reply that they have no contact with the holder either, InContact
+	// those that reply that they have contact.
 	Others, Agreeing, InContact int
 	// WritesStalled is the time for which the holder has written nothing to the store; zero if
 	// unknown.
@@ -98,7 +99,7 @@
 }
 
 // strongerFactor is the ratio of processor time above which a holder hands its partition over
-// to a stronger member, as a handover interrupts service.
+// to a stronger member. The factor is well above one because a handover interrupts service.
 const strongerFactor = 1.5
 
 // Stronger returns the name of the best candidate with much more processor time than self, or
--- a/internal/cell/takeover.go
+++ b/internal/cell/takeover.go
@@ -14,16 +14,16 @@
 
 // claim claims a partition, after the election delay unless a handover was requested, and runs
 // it if the claim succeeds.
-func (c *Claimer) claim(ctx context.Context, mon *holderMonitor, previous ledger.Holder) {
+func (c *Claimer) claim(ctx context.Context, monitor *holderMonitor, previous ledger.Holder) {
 	if previous.Epoch == 0 {
 		wait.For(ctx, firstClaimDelay-time.Since(c.started))
 	}
-	if !mon.isInvited(previous.Epoch) && !c.waitClaimDelay(ctx, mon, previous) {
+	if !monitor.isInvited(previous.Epoch) && !c.waitClaimDelay(ctx, monitor, previous) {
 		return
 	}
 	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	l, current, err := ledger.Claim(claimCtx, c.Writes, previous, ledger.Holder{
-		Partition: mon.partition, Name: c.Self.Name, Incarnation: c.Self.Incarnation, Addr: c.Self.Addr,
+		Partition: monitor.partition, Name: c.Self.Name, Incarnation: c.Self.Incarnation, Addr: c.Self.Addr,
 	})
 	cancel()
 	switch {
@@ -36,18 +36,18 @@
 		return
 	}
 	c.View.UpdateHolder(current)
-	c.Log.WithFields(logrus.Fields{"partition": mon.partition, "epoch": current.Epoch, "from": previous.Name}).Info("partition claimed")
-	c.runPartition(ctx, mon, l, previous)
+	c.Log.WithFields(logrus.Fields{"partition": monitor.partition, "epoch": current.Epoch, "from": previous.Name}).Info("partition claimed")
+	c.runPartition(ctx, monitor, l, previous)
 }
 
 // waitClaimDelay waits for this member's election delay. It returns false if another member
 // has claimed the partition meanwhile or ctx has ended.
-func (c *Claimer) waitClaimDelay(ctx context.Context, mon *holderMonitor, previous ledger.Holder) bool {
+func (c *Claimer) waitClaimDelay(ctx context.Context, monitor *holderMonitor, previous ledger.Holder) bool {
 	ctx, cancel := context.WithTimeout(ctx, ClaimDelay(c.View.Members(time.Now()), previous.Name, c.Self))
 	defer cancel()
 	for {
 		changed := c.View.Changed()
-		if h, _ := c.View.Holder(mon.partition); h.Epoch != previous.Epoch {
+		if h, _ := c.View.Holder(monitor.partition); h.Epoch != previous.Epoch {
 			return false
 		}
 		select {
@@ -59,32 +59,32 @@
 }
 
 // runPartition runs a claimed partition until it is lost or handed over.
-func (c *Claimer) runPartition(ctx context.Context, mon *holderMonitor, l *ledger.Ledger, previous ledger.Holder) {
+func (c *Claimer) runPartition(ctx context.Context, monitor *holderMonitor, l *ledger.Ledger, previous ledger.Holder) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	mon.mu.Lock()
-	mon.held, mon.stop = true, cancel
-	mon.mu.Unlock()
+	monitor.mu.Lock()
+	monitor.held, monitor.stop = true, cancel
+	monitor.mu.Unlock()
 	go c.yieldToStronger(ctx, cancel)
-	go c.handOverWhenSlow(ctx, mon)
+	go c.handOverWhenSlow(ctx, monitor)
 	err := c.Hold(ctx, l, previous)
-	mon.mu.Lock()
-	mon.held, mon.stop = false, nil
-	mon.mu.Unlock()
+	monitor.mu.Lock()
+	monitor.held, monitor.stop = false, nil
+	monitor.mu.Unlock()
 	if ctx.Err() != nil {
-		c.handOverPartition(context.WithoutCancel(ctx), mon)
+		c.handOverPartition(context.WithoutCancel(ctx), monitor)
 	}
-	c.Log.WithError(err).WithFields(logrus.Fields{"partition": mon.partition, "epoch": l.Holder().Epoch}).Warn("partition not held any more")
+	c.Log.WithError(err).WithFields(logrus.Fields{"partition": monitor.partition, "epoch": l.Holder().Epoch}).Warn("partition not held any more")
 }
 
 // Leave stops claiming and hands all held partitions over. It returns when other members have
 // claimed them or ctx ends.
 func (c *Claimer) Leave(ctx context.Context) {
 	c.leaveOnce.Do(func() { close(c.leaving) })
-	for _, mon := range c.monitors {
-		mon.mu.Lock()
-		stop := mon.stop
-		mon.mu.Unlock()
+	for _, monitor := range c.monitors {
+		monitor.mu.Lock()
+		stop := monitor.stop
+		monitor.mu.Unlock()
 		if stop == nil {
 			continue
 		}
@@ -92,11 +92,11 @@
 	}
 	released := make(chan struct{})
 	go func() {
-		for _, mon := range c.monitors {
-			for mon.isHeld() {
+		for _, monitor := range c.monitors {
+			for monitor.isHeld() {
 				wait.For(ctx, MinHeartbeatInterval/20)
 			}
-			c.awaitSuccessor(ctx, mon)
+			c.awaitSuccessor(ctx, monitor)
 		}
 		close(released)
 	}()
@@ -107,10 +107,10 @@
 }
 
 // awaitSuccessor waits until another process is the holder of the partition or ctx ends.
-func (c *Claimer) awaitSuccessor(ctx context.Context, mon *holderMonitor) {
+func (c *Claimer) awaitSuccessor(ctx context.Context, monitor *holderMonitor) {
 	for ctx.Err() == nil {
 		changed := c.View.Changed()
-		if h, ok := c.View.Holder(mon.partition); !ok || h.Incarnation != c.Self.Incarnation {
+		if h, ok := c.View.Holder(monitor.partition); !ok || h.Incarnation != c.Self.Incarnation {
 			return
 		}
 		select {
@@ -140,8 +140,8 @@
 
 // handOverPartition asks the candidates, in order of preference, to claim a partition that this
 // process has stopped running, until one of them does.
-func (c *Claimer) handOverPartition(ctx context.Context, mon *holderMonitor) {
-	h, ok := c.View.Holder(mon.partition)
+func (c *Claimer) handOverPartition(ctx context.Context, monitor *holderMonitor) {
+	h, ok := c.View.Holder(monitor.partition)
 	if !ok || h.Incarnation != c.Self.Incarnation {
 		return
 	}
--- a/internal/cell/view.go
+++ b/internal/cell/view.go
@@ -132,7 +132,8 @@
 }
 
 // UpdateHolder records a holder read from the store or reported by a peer if its epoch is higher
-// than that of the known holder, or equal to it while the known revision is zero.
+// than that of the known holder. A holder of the same epoch is recorded only while the revision of
+// the known holder's record is unknown (zero).
 func (v *View) UpdateHolder(h ledger.Holder) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/heartbeat/service.go
+++ b/internal/heartbeat/service.go
@@ -59,9 +59,10 @@
 type Contact struct {
 	Status     Status    `json:"status"`
 	ReceivedAt time.Time `json:"at"`
-	extras     map[string]cbor.RawMessage
-	// extrasAt is when the extras were received. Only heartbeats contain extras, replies don't.
-	extrasAt time.Time
+	// extraValues are the last extra values received from the member, encoded, by name.
+	extraValues map[string]cbor.RawMessage
+	// extraValuesAt is when extraValues were received. Only heartbeats contain extra values, replies don't.
+	extraValuesAt time.Time
 }
 
 // New returns a service, and registers its handler for heartbeats in the mux and its metrics
@@ -90,11 +91,11 @@
 func (s *Service) Extra(member, name string, into any) (age time.Duration, ok bool) {
 	s.mu.Lock()
 	contact := s.contacts[member]
-	if contact == nil || contact.extras[name] == nil {
+	if contact == nil || contact.extraValues[name] == nil {
 		s.mu.Unlock()
 		return 0, false
 	}
-	encoded, at := contact.extras[name], contact.extrasAt
+	encoded, at := contact.extraValues[name], contact.extraValuesAt
 	s.mu.Unlock()
 	if err := cbor.Unmarshal(encoded, into); err != nil {
 		return 0, false
@@ -154,7 +155,7 @@
 	}
 }
 
-// sendRound sends one heartbeat to every target without an unanswered heartbeat.
+// sendRound sends one heartbeat to every target, except to targets whose previous heartbeat is still pending.
 func (s *Service) sendRound(ctx context.Context, calls *sync.WaitGroup) {
 	heartbeat := Request{Status: s.placer.Status(), Extras: s.extras(), PromiseRequests: s.placer.PromiseRequests(), WantTable: s.placer.WantTable()}
 	for _, addr := range s.placer.Targets() {
@@ -214,7 +215,7 @@
 	}
 	contact.Status, contact.ReceivedAt = status, uptime.Now()
 	if extras != nil {
-		contact.extras, contact.extrasAt = extras, contact.ReceivedAt
+		contact.extraValues, contact.extraValuesAt = extras, contact.ReceivedAt
 	}
 }
 
--- a/internal/holder/burst_test.go
+++ b/internal/holder/burst_test.go
@@ -332,7 +332,8 @@
 }
 
 // TestBurstOnABoundedHolder checks that, from five seconds after the end of a fault on, the
-// cell completes as many jobs in time as before it. The faults are a burst, a store outage,
+// cell completes as many jobs in time as before the fault. The holder is bounded by its link and
+// its processor time. The faults are a burst, a store outage,
 // and the loss of a third of the link shards or of the holder. A holder without link shards,
 // which makes all calls over its own link, completed none of the jobs submitted later than 5 s
 // after the burst.
@@ -391,8 +392,8 @@
 				time.AfterFunc(faultAt+faultDuration, func() { tc.end(c) })
 				c.submitJobs(submitFor, tc.rate)
 				time.Sleep(4 * time.Second)
-				before, during, after := c.servedShare(time.Second, faultAt-time.Second), c.servedShare(faultAt, faultAt+faultDuration), c.servedShare(faultAt+faultDuration+recoveryTime, submitFor)
-				t.Logf("completed in time: %.3f before the fault, %.3f during it, %.3f from %v after it", before, during, after, recoveryTime)
+				before, duringFault, after := c.servedShare(time.Second, faultAt-time.Second), c.servedShare(faultAt, faultAt+faultDuration), c.servedShare(faultAt+faultDuration+recoveryTime, submitFor)
+				t.Logf("completed in time: %.3f before the fault, %.3f during it, %.3f from %v after it", before, duringFault, after, recoveryTime)
 				c.stop()
 				c.store.Close()
 				time.Sleep(10 * time.Second) // pending calls and runs end
@@ -400,7 +401,7 @@
 					t.Error(violation)
 				}
 				is.True(before >= 0.95)
-				is.True(during >= tc.minServed)
+				is.True(duringFault >= tc.minServed)
 				is.True(after >= before-0.03)
 			})
 		})
--- a/internal/holder/metrics.go
+++ b/internal/holder/metrics.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Load summarizes the work of the holders of this process since it was last taken.
+// Load summarizes the work of the holders of this process since the previous call of TakeLoad.
 type Load struct {
 	// DecisionTime is the total duration of decisions.
 	DecisionTime time.Duration
--- a/internal/job/gangtry.go
+++ b/internal/job/gangtry.go
@@ -107,7 +107,7 @@
 	return !p.unconfirmed
 }
 
-// recordReply records a holder's reply for the explanation.
+// recordReply records a holder's reply for the explanation of why the job waits.
 func (t *gangTry) recordReply(target holder, refusal *taskmsg.Refusal, err error) {
 	t.owner.mu.Lock()
 	defer t.owner.mu.Unlock()
--- a/internal/job/load.go
+++ b/internal/job/load.go
@@ -102,8 +102,8 @@
 	o.ledger.Restore(j.rec.Job.Team, j.unreportedAccount(), size, n)
 }
 
-// releaseUnreported releases the quota charged for n tasks that have been reported by now.
-func (o *jobOwner) releaseUnreported(j *job, n int) {
+// releaseUnreportedQuota releases the quota charged for n tasks that have been reported by now.
+func (o *jobOwner) releaseUnreportedQuota(j *job, n int) {
 	n = min(n, j.unreported)
 	j.unreported -= n
 	o.ledger.Release(j.rec.Job.Team, j.unreportedAccount(), n)
--- a/internal/job/news.go
+++ b/internal/job/news.go
@@ -115,7 +115,7 @@
 func (o *jobOwner) adopt(j *job, index int, report taskmsg.RunReport) {
 	j.tasks[index] = task{attempt: report.Run.Attempt, state: taskRequested}
 	j.active++
-	o.releaseUnreported(j, 1)
+	o.releaseUnreportedQuota(j, 1)
 	_, size := j.rec.specOfAttempt(report.Run.Attempt)
 	o.ledger.Restore(j.rec.Job.Team, j.ledgerAccount(report.Run.Attempt), size, 1)
 	o.markRunning(j, index, o.location(report.Worker, report.Zone, report.Partition), report.Epoch)
--- a/internal/job/plan.go
+++ b/internal/job/plan.go
@@ -153,9 +153,9 @@
 
 // candidates returns the holders to ask now for up to n tasks. If none reports free capacity,
 // urgent work makes the holders preempt; for other work one holder is asked for one task at
-// intervals, as digests are only hints. Aged work has an interval of its own for such requests,
-// which make the holder reserve a host for it. full is true if no holder's digest reports free
-// capacity.
+// intervals, as digests (the capacity summaries of the holders) are only hints. Aged work, which has
+// waited long without a start, has an interval of its own for such requests, which make the holder
+// reserve a host for it. full is true if no holder's digest reports free capacity.
 func (o *jobOwner) candidates(j *job, pass *passState, n int) (out []share, preempt, full bool) {
 	var fullHolders []share
 	full = true
--- a/internal/job/reconcile.go
+++ b/internal/job/reconcile.go
@@ -98,7 +98,7 @@
 
 // resumeJob continues a job inherited from a previous job owner.
 func (o *jobOwner) resumeJob(j *job, now time.Time) {
-	o.releaseUnreported(j, j.unreported)
+	o.releaseUnreportedQuota(j, j.unreported)
 	j.log.add(now, "resumed", "every holder has told what runs")
 	if j.isGang() {
 		o.recoverGang(j, now)
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -15,8 +15,8 @@
 	Size        spec.Resources `cbor:"3,keyasint"`
 }
 
-// maxActive returns how many tasks of a job that a previous job owner started may run, and the
-// largest size of any.
+// maxActive returns how many tasks that a previous job owner started for this job may still run,
+// and the largest size of any of these tasks.
 func (r *record) maxActive(surge int) (int, spec.Resources) {
 	n, size := max(r.Job.Tasks, r.PeakReplicas)-r.Done.count(), r.Job.Task.Size
 	if r.Job.Kind == spec.KindService {
--- a/internal/job/transition.go
+++ b/internal/job/transition.go
@@ -258,7 +258,7 @@
 		return
 	}
 	j.rec.Ended = now.UnixMilli()
-	o.releaseUnreported(j, j.unreported)
+	o.releaseUnreportedQuota(j, j.unreported)
 	o.markChanged(j)
 	o.health.Forget(j.id())
 	delete(o.live, j.id())
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -19,8 +19,8 @@
 const (
 	maxTasks        = 100000
 	maxCommandBytes = 64 << 10
-	// retention is how long a job owner keeps an ended job. An unknown identifier older than half
-	// of it is refused, so that no identifier can be used twice.
+	// retention is how long a job owner keeps an ended job. An unknown identifier that was created
+	// more than half of this time ago is refused, so that no identifier can be used twice.
 	retention = time.Hour
 	// clockSkew is how far a submitter's clock may be ahead.
 	clockSkew = time.Minute
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -202,7 +202,7 @@
 	return response{status: http.StatusAccepted, body: status}, err
 }
 
-// page is one page of a list; Next is the value of the after parameter for the next page.
+// page is one page of a list; Next is the value of the parameter "after" for the next page.
 type page struct {
 	Jobs []jobmsg.Status `json:"jobs"`
 	Next string          `json:"next,omitempty"`
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -156,8 +156,8 @@
 
 // LastConfirmed returns the last time at which this process is known to have been the holder:
 // when the last transaction that took effect was sent. The duration of suspensions since then
-// is subtracted, as a holder that was suspended for longer than its authority lasts has been
-// replaced in the meantime and must not give any order.
+// is subtracted from the returned time, as a holder that was suspended for longer than its
+// authority lasts has been replaced in the meantime and must not give any order.
 func (l *Ledger) LastConfirmed() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/member/session.go
+++ b/internal/member/session.go
@@ -46,7 +46,7 @@
 	grantSent           map[platform.LeaseID]time.Time // when the request for each lease was sent
 	memberRevision      platform.Revision
 	voterRecordRevision platform.Revision
-	session             uint64
+	sessionNumber       uint64
 	lastRenewal         time.Time // when the last successful renewal was sent
 	storeFailing        bool      // the last call to the store was not answered
 }
@@ -81,7 +81,7 @@
 	}
 	s.mu.Lock()
 	s.grantSent[lease] = sent
-	voterRecord := VoterRecord{VoterSet: right.VoterSet{Session: s.session + 1, Voters: voters}, Lease: lease}
+	voterRecord := VoterRecord{VoterSet: right.VoterSet{Session: s.sessionNumber + 1, Voters: voters}, Lease: lease}
 	if current := s.authority.VoterSet(); current.Session > 0 {
 		// The voter set changes only under an active session.
 		voterRecord.Voters = current.Voters
@@ -138,7 +138,7 @@
 	s.mu.Lock()
 	s.voterRecordRevision = voterRecord.Revision
 	if voterRecord.VoterRecord != nil {
-		s.session = voterRecord.VoterRecord.Session
+		s.sessionNumber = voterRecord.VoterRecord.Session
 	}
 	s.mu.Unlock()
 	if member.Member == nil {
@@ -156,7 +156,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.memberRevision, s.voterRecordRevision = memberRevision, voterRecordRevision
-	s.lease, s.session = voterRecord.Lease, voterRecord.Session
+	s.lease, s.sessionNumber = voterRecord.Lease, voterRecord.Session
 	if s.authority.Session() != voterRecord.Session {
 		s.authority.BeginSession(s.grantSent[voterRecord.Lease], voterRecord.VoterSet)
 		s.lastRenewal = s.grantSent[voterRecord.Lease]
@@ -231,8 +231,8 @@
 // rewriteVoterRecord rewrites the voter record to determine which voter set the store holds.
 func (s *Session) rewriteVoterRecord(ctx context.Context) error {
 	key := VoterRecordKey(s.self.Name, s.self.Incarnation)
-	// Rewriting the voter record with its previous value decides the race with a delayed
-	// change: one of the two transactions fails its conditions.
+	// The transaction of the pending voter change may still take effect late. Both it and this rewrite
+	// require the voter record to be unmodified, so whichever the store applies first makes the other fail.
 	s.mu.Lock()
 	current := VoterRecord{VoterSet: s.authority.VoterSet(), Lease: s.lease}
 	txn := platform.Txn{If: s.sessionConditions(), Then: []platform.Write{{Key: key, Value: mustJSON(current)}}}
--- a/internal/member/session_test.go
+++ b/internal/member/session_test.go
@@ -19,10 +19,10 @@
 
 // fixture is a session with an in-memory store.
 type fixture struct {
-	engine  *memstore.Engine
-	client  *memstore.Client
-	commits *commitFaults
-	self    view.Member
+	memStore *memstore.Engine
+	client   *memstore.Client
+	commits  *commitFaults
+	self     view.Member
 	*Session
 }
 
@@ -40,8 +40,8 @@
 	return c.Client.Commit(ctx, txn)
 }
 
-func newFixture(engine *memstore.Engine, name, incarnation string) *fixture {
-	f := &fixture{engine: engine, client: engine.Client(incarnation), self: view.Member{Name: name, Incarnation: incarnation, Addr: name}}
+func newFixture(memStore *memstore.Engine, name, incarnation string) *fixture {
+	f := &fixture{memStore: memStore, client: memStore.Client(incarnation), self: view.Member{Name: name, Incarnation: incarnation, Addr: name}}
 	f.commits = &commitFaults{Client: f.client}
 	f.Session = NewSession(f.commits, f.self, testTimes)
 	return f
@@ -95,9 +95,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				engine := memstore.New()
-				defer engine.Close()
-				f := newFixture(engine, "a", "1")
+				memStore := memstore.New()
+				defer memStore.Close()
+				f := newFixture(memStore, "a", "1")
 				f.client.SetFaults(tt.joinFaults)
 				f.commits.loseReplies = tt.lostCommitReplies
 				voters := []right.Voter{f.voter()}
@@ -134,7 +134,7 @@
 
 // voterRecord reads the session's voter record from the store.
 func (f *fixture) voterRecord(t *testing.T, is *is.I) VoterRecord {
-	records, _, err := f.engine.Client("reader").List(t.Context(), VoterRecordKey(f.self.Name, f.self.Incarnation))
+	records, _, err := f.memStore.Client("reader").List(t.Context(), VoterRecordKey(f.self.Name, f.self.Incarnation))
 	is.NoErr(err)
 	is.Equal(len(records), 1)
 	entry, err := Decode(records[0])
@@ -145,9 +145,9 @@
 func TestNameBelongsToTheActiveProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		engine := memstore.New()
-		defer engine.Close()
-		older, later := newFixture(engine, "a", "1"), newFixture(engine, "a", "2")
+		memStore := memstore.New()
+		defer memStore.Close()
+		older, later := newFixture(memStore, "a", "1"), newFixture(memStore, "a", "2")
 		is.NoErr(older.Join(t.Context(), []right.Voter{older.voter()}))
 		err := later.Join(t.Context(), []right.Voter{later.voter()})
 		is.Equal(result.CodeOf(err), result.NameTaken)
@@ -160,9 +160,9 @@
 func TestSetLeavingIsStoredAndLeaveDeletesTheKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		engine := memstore.New()
-		defer engine.Close()
-		f := newFixture(engine, "a", "1")
+		memStore := memstore.New()
+		defer memStore.Close()
+		f := newFixture(memStore, "a", "1")
 		is.NoErr(f.Join(t.Context(), []right.Voter{f.voter()}))
 		is.NoErr(f.SetLeaving(t.Context()))
 		records, _, err := f.client.List(t.Context(), Prefix)
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -2,9 +2,9 @@
 // beside serving tasks, whose response times must stay below their targets.
 //
 // The input of a throttle is one figure: the worst ratio of tail response time to target
-// among the serving tasks of the host. The throttle reduces the share at once and by a
-// factor when the ratio approaches one, and raises it in steps, which are smaller and
-// less frequent from just below the share at which the tail was last too long. The
+// among the serving tasks of the host. When the ratio approaches one, the throttle
+// reduces the share at once and by a factor. It raises the share in steps. From just
+// below the share at which the tail was last too long, the steps are smaller and less frequent. The
 // interference of a backfill task is unknown beforehand and changes within seconds, so the
 // throttle makes no assumption about it.
 package pacing
@@ -28,15 +28,15 @@
 	// MinShare is the share, in percent, below which all backfill tasks are paused.
 	MinShare int
 	// FastStep and SlowStep are the increments of the share, in percent: FastStep up to the
-	// safe share, SlowStep beyond.
+	// safe share (see SafeFraction), SlowStep above it.
 	FastStep, SlowStep int
 	// SafeFraction is the safe share, as a fraction of the share at which the tail was last too long.
 	SafeFraction float64
 	// SettlingTime is the time until a change is visible in the figures: until the host has applied
 	// it, plus the period that a figure covers.
 	SettlingTime time.Duration
-	// RaiseInterval is the minimum interval between two increments up to the safe share, and
-	// ProbeInterval the one beyond it.
+	// RaiseInterval is the minimum interval between two increments up to the safe share,
+	// ProbeInterval the minimum interval above the safe share.
 	RaiseInterval, ProbeInterval time.Duration
 }
 
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// maxInterference is the longest uninterrupted time over the target because of backfill
-// tasks that the platform tolerates (its setting harm-ms).
+// maxInterference is how long, without interruption, the platform tolerates a response time over
+// the target that backfill tasks cause. The platform's setting for it is named harm-ms.
 const maxInterference = 4 * time.Second
 
 func TestGovernor(t *testing.T) {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -111,7 +111,8 @@
 // ProgressKey returns the key of a job's progress record.
 func ProgressKey(partition int, id string) string { return ProgressPrefix(partition) + id }
 
-// WavePrefix returns the key prefix of the progress records of maintenance rollouts.
+// WavePrefix returns the key prefix of the progress records of maintenance rollouts,
+// which the stored keys call waves.
 func WavePrefix(partition int) string { return "waves/" + strconv.Itoa(partition) + "/" }
 
 // WaveKey returns the key of the progress record of a rollout.
@@ -193,7 +194,8 @@
 	UnattributedFailures []string `cbor:"4,keyasint,omitempty"`
 }
 
-// RosterHost is a host in a roster.
+// RosterHost is a host in a Roster, the list of the hosts that may have received orders
+// from the holder of a partition.
 type RosterHost struct {
 	ID   string `cbor:"1,keyasint"`
 	Addr string `cbor:"2,keyasint"`
--- a/internal/upkeep/planner.go
+++ b/internal/upkeep/planner.go
@@ -99,8 +99,8 @@
 	nextListAt      time.Time
 }
 
-// NewPlanner returns a planner that gives no order before from. Stored is the progress
-// saved by previous holders.
+// NewPlanner returns a planner that gives its first order at the time from or later. The
+// progress in stored was saved by previous holders.
 func NewPlanner(from time.Time, stored []Progress) *Planner {
 	p := &Planner{from: from, rollouts: map[int64]*rolloutState{}, stored: map[int64]Progress{}, machines: map[MachineID]Machine{}}
 	for _, s := range stored {
@@ -161,8 +161,8 @@
 	return false
 }
 
-// Plan returns the machines to take down now, and whether the machines should be
-// listed.
+// Plan returns the machines to take down now, and whether the caller should request a new
+// list of the machines.
 func (p *Planner) Plan(cell HostControl, now time.Time) (orders []Order, list bool) {
 	if !p.Active() || now.Before(p.from) {
 		return nil, false
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -74,7 +74,7 @@
 		time.Sleep(3 * time.Second) // b was polled as well
 		is.Equal(f.Table().Revision, int64(5))
 
-		b.set(9) // the placer of the own host still has revision 5
+		b.set(9) // a, the placer on the follower's host, still has revision 5
 		synctest.Wait()
 		is.Equal(f.Table().Revision, int64(9)) // the open poll was answered at once
 		a.set(7)
