--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -127,10 +127,10 @@
 	return true
 }
 
-// limit is how many of its slots the endpoint may use now. othersMean is the mean time at all
-// endpoints of the service; noneHealthy means that no endpoint is healthy, so that ejected ones are
-// probed without waiting.
-func (h *health) limit(slots int, othersMean time.Duration, noneHealthy bool, now time.Time) int {
+// limit is how many of its slots the endpoint may use now. serviceMean is the mean time of a
+// request at all endpoints of the service; noneHealthy means that no endpoint is healthy, so
+// that ejected ones are probed without waiting.
+func (h *health) limit(slots int, serviceMean time.Duration, noneHealthy bool, now time.Time) int {
 	switch h.machine.Current() {
 	case stateEjected:
 		if (now.Before(h.ejectedUntil) && !noneHealthy) || !h.fire(eventProbe) {
@@ -141,8 +141,8 @@
 	case stateProbing:
 		return 1
 	}
-	allowed := othersMean*slowFactor + slowMargin
-	if h.mean <= allowed || othersMean == 0 {
+	allowed := serviceMean*slowFactor + slowMargin
+	if h.mean <= allowed || serviceMean == 0 {
 		return slots
 	}
 	return max(1, int(int64(slots)*int64(allowed)/int64(h.mean)))
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -60,10 +60,10 @@
 	})
 }
 
-// Guards against a request without an answer being charged to its executor twice: when the default
-// deadline had passed, and again when the request ended. Three such requests in a row then ejected
-// an executor, although five are required, and a request that was sent before an ejection could end
-// the probing after it.
+// Guards against charging an executor twice for one unanswered request: once when the default
+// deadline had passed, and again when the request ended. Three consecutive unanswered requests then
+// ejected an executor, although five are required. A request that was sent before an ejection could
+// also end the probing that followed this ejection.
 func TestMissingAnswerIsChargedOnce(t *testing.T) {
 	cases := map[string]struct {
 		requests int
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -36,7 +36,7 @@
 	budget   *retrybudget.Budget
 }
 
-// endpoint is one executor in a held partition.
+// endpoint is what this process records about one executor in a partition held here.
 type endpoint struct {
 	host      *platform.Host // replaced as a whole, never modified
 	partition int
--- a/internal/dispatch/remote.go
+++ b/internal/dispatch/remote.go
@@ -25,8 +25,9 @@
 	return grant{remote: r}
 }
 
-// applyRemotes applies what the other holders last reported. A report that has not changed is older
-// than their answers to this process and changes nothing.
+// applyRemotes applies what the other holders last reported. A report with the
+// same address and free slots as the last one is taken to be that same report. The holder's answers
+// to this process since then are newer, so the report changes nothing.
 func (d *Dispatcher) applyRemotes(reported []Remote, now time.Time) {
 	present := make(map[string]*remote, len(reported))
 	for _, t := range reported {
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -125,8 +125,8 @@
 	if err == nil {
 		return body, nil
 	}
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
+	var maxBytesErr *http.MaxBytesError
+	if errors.As(err, &maxBytesErr) {
 		return nil, tooLarge(limit)
 	}
 	return nil, result.New(result.CallerDisconnected, ranNotForwarded(r), "body: %v", err)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -107,7 +107,7 @@
 	if origin == originExisting {
 		return origin, f.checkOwner(ctx, by, id)
 	}
-	f.notifier.enqueue(&rec, f.partition(id), origin == originCreated, start)
+	f.notifier.enqueue(&rec, f.partition(id), origin == originThisCall, start)
 	return origin, nil
 }
 
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -65,7 +65,7 @@
 		if h.front == nil {
 			return result.New(result.PeerNotReached, result.RanNo, "unreachable")
 		}
-		m, err := h.front.storeForPeer(ctx, req.(StoreRequest).Job)
+		m, err := h.front.storeOnPeerRequest(ctx, req.(StoreRequest).Job)
 		if h.lostReplies > 0 {
 			h.lostReplies--
 			return result.New(result.PeerLost, result.RanUnknown, "lost")
@@ -176,7 +176,8 @@
 
 // TestUnknownOutcomeIsReportedEarly guards against holding callers until their deadline at the
 // start of an outage, when their jobs were already on the way to a store that stopped answering.
-// Callers that get the answer early retry by themselves, and the job stays one job.
+// Callers that learn early that the outcome is unknown retry by themselves with the same job ID, so
+// the job is stored only once.
 func TestUnknownOutcomeIsReportedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -39,7 +39,7 @@
 // Serve registers the handler that stores jobs for peers.
 func (f *Front) Serve(mux *peer.Mux) {
 	peer.Handle(mux, peer.KindStoreJob, func(ctx context.Context, q StoreRequest) (StoreReply, error) {
-		m, err := f.storeForPeer(ctx, q.Job)
+		m, err := f.storeOnPeerRequest(ctx, q.Job)
 		return StoreReply{Existed: m == originExisting, Uncertain: m == originUncertain}, err
 	})
 }
@@ -58,7 +58,7 @@
 		case err == nil && (reply.Existed || reply.Uncertain):
 			return originUncertain, nil
 		case err == nil:
-			return originCreated, nil
+			return originThisCall, nil
 		}
 		outcomeUnknown = outcomeUnknown || result.From(err).Ran != result.RanNo
 		if ctx.Err() != nil {
--- a/internal/front/store.go
+++ b/internal/front/store.go
@@ -15,15 +15,15 @@
 type origin int
 
 const (
-	originExisting origin = iota // the record existed before this call
-	originCreated
-	originUncertain // the record exists, and an earlier copy of this call may have created it
+	originExisting  origin = iota // the record existed before this call
+	originThisCall                // this call created the record
+	originUncertain               // the record exists, and an earlier copy of this call may have created it
 )
 
 // String returns the text for the log.
 func (o origin) String() string {
 	switch o {
-	case originCreated:
+	case originThisCall:
 		return "stored"
 	case originUncertain:
 		return "stored, after an answer of the store was lost"
@@ -112,8 +112,8 @@
 		max(o.UnansweredFor, o.FailingFor).Round(time.Millisecond)).WithRetryAfter(admission.RetryDelay)
 }
 
-// storeForPeer creates a job's record for a peer, if none exists.
-func (f *Front) storeForPeer(ctx context.Context, rec record.Job) (origin, error) {
+// storeOnPeerRequest creates a job's record, if none exists, at the request of a peer.
+func (f *Front) storeOnPeerRequest(ctx context.Context, rec record.Job) (origin, error) {
 	if f.storeUnavailable() {
 		return 0, f.errStoreUnavailable()
 	}
@@ -138,7 +138,7 @@
 	case err != nil:
 		return 0, f.errOutcomeUnknown()
 	case reply.Applied:
-		return originCreated, nil
+		return originThisCall, nil
 	case reply.Repeated:
 		return originUncertain, nil
 	}
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -17,7 +17,7 @@
 	cfg := DefaultConfig()
 	type step struct {
 		after time.Duration
-		do    string // job that fails, "ok" or "probe"
+		do    string // "ok" (a task succeeds), "probe" (asks if a probe is due) or the job whose task fails
 		want  State
 	}
 	cases := []struct {
--- a/internal/health/workers.go
+++ b/internal/health/workers.go
@@ -52,7 +52,7 @@
 // Workers tracks the workers of one holder. Only workers with recorded failures take memory.
 type Workers struct {
 	config  Config
-	machine *fsm.FSM // shared: set to a worker's state before each event
+	machine *fsm.FSM // all workers share the machine: it is set to a worker's state before each event
 	records map[string]*workerRecord
 }
 
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -74,8 +74,8 @@
 	// Deadline is a time on the host's clock: a start that arrives later is refused. A start also
 	// extends the host's lease to at least this time.
 	Deadline Millis
-	// Checkpoint is that of an earlier run from which to continue; empty starts from the
-	// beginning.
+	// Checkpoint is the checkpoint of an earlier run from which the new run continues. If it is
+	// empty, the new run starts from the beginning.
 	Checkpoint string
 	// Ticket permits the step on the host if a policy requires it.
 	Ticket string
@@ -125,7 +125,7 @@
 	// working.
 	Percent float64
 	// Gauge is an approximate value for the last half second: the tail latency in milliseconds
-	// for a serving task, the used milli-cores for another one.
+	// for a serving task, the used milli-cores for any other task.
 	Gauge float64
 }
 
--- a/internal/hostcall/poll.go
+++ b/internal/hostcall/poll.go
@@ -14,11 +14,13 @@
 	// pollSlack is the time that the answer to a poll may take in addition to the time that the
 	// host may hold it.
 	pollSlack = 500 * time.Millisecond
-	// lossyPollWait and lossyPollSlack replace the wait and the slack while answers of hosts are
-	// lost: the end of a task is received only with the next poll.
+	// While answers of hosts are lost, hosts may hold polls for at most lossyPollWait, and
+	// lossyPollSlack replaces pollSlack: if an answer that reports the end of a task is lost, the
+	// end is received only with the next poll.
 	lossyPollWait  = 400 * time.Millisecond
 	lossyPollSlack = 250 * time.Millisecond
-	// repollSpread is the time, for each poll in flight, over which repeated polls are spread.
+	// repollSpread, multiplied by the number of polls in flight, is the time over which repeated
+	// polls are spread.
 	repollSpread = time.Millisecond
 	// lossyPeriod is how long after a lost answer more losses are expected.
 	lossyPeriod = 3 * time.Second
--- a/internal/hostcall/poll_test.go
+++ b/internal/hostcall/poll_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestLossesExpire: after a time without losses polls have their full wait again, and polls are
-// repeated at most once in repollInterval.
+// TestLossesExpire: after lossyPeriod without losses, hosts may again hold polls for the whole time
+// that the caller allows. The polls in flight are repeated at most once in repollInterval.
 func TestLossesExpire(t *testing.T) {
 	is := is.New(t)
 	l := newLossTracker()
--- a/internal/hostcall/repeat.go
+++ b/internal/hostcall/repeat.go
@@ -24,8 +24,8 @@
 // cancelGrace bounds the wait for cancelled copies to end.
 const cancelGrace = 50 * time.Millisecond
 
-// order is one start or stop in flight.
-type order struct {
+// orderInFlight is one start or stop in flight.
+type orderInFlight struct {
 	ctx     context.Context // of the copies
 	cancel  context.CancelFunc
 	send    func(ctx context.Context) (host.Reply, error)
@@ -49,7 +49,7 @@
 func (c *Caller) sendCopies(ctx context.Context, to host.Info, send func(context.Context) (host.Reply, error)) (host.Reply, error) {
 	c.copies.Deposit(copyBudgetPercent)
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout+lateAnswerWait)
-	o := order{ctx: ctx, cancel: cancel, send: send, answers: make(chan copyResult, maxOrderCopies)}
+	o := orderInFlight{ctx: ctx, cancel: cancel, send: send, answers: make(chan copyResult, maxOrderCopies)}
 	reply, err := c.await(ctx, &o, to)
 	if err == nil && o.pending > 0 {
 		go c.awaitLateCopies(&o)
@@ -60,7 +60,7 @@
 }
 
 // await sends the copies and waits for the first answer that settles the order.
-func (c *Caller) await(ctx context.Context, o *order, to host.Info) (host.Reply, error) {
+func (c *Caller) await(ctx context.Context, o *orderInFlight, to host.Info) (host.Reply, error) {
 	timeout := time.NewTimer(orderTimeout)
 	defer timeout.Stop()
 	delay := c.answers.Wait()
@@ -120,7 +120,7 @@
 const lateAnswerWait = 150 * time.Millisecond
 
 // awaitLateCopies records a loss unless the copies still in flight are answered after all.
-func (c *Caller) awaitLateCopies(o *order) {
+func (c *Caller) awaitLateCopies(o *orderInFlight) {
 	defer o.cancel()
 	timer := time.NewTimer(lateAnswerWait)
 	defer timer.Stop()
@@ -143,7 +143,7 @@
 }
 
 // sendCopy sends one more copy.
-func (o *order) sendCopy() {
+func (o *orderInFlight) sendCopy() {
 	o.copies++
 	o.pending++
 	started := time.Now()
@@ -154,7 +154,7 @@
 }
 
 // settles records the end of a copy and reports whether it settles the order.
-func (o *order) settles(a copyResult) bool {
+func (o *orderInFlight) settles(a copyResult) bool {
 	o.pending--
 	switch {
 	case errors.Is(a.err, host.ErrOtherIncarnation):
@@ -174,7 +174,7 @@
 
 // outcome returns the outcome of an order that a copy has settled. Where that copy was not sent and
 // another one was refused, it is the refusal.
-func (o *order) outcome(a copyResult) (host.Reply, error) {
+func (o *orderInFlight) outcome(a copyResult) (host.Reply, error) {
 	if errors.Is(a.err, host.ErrNotSent) && o.refused.Refused != "" {
 		return o.refused, nil
 	}
@@ -184,7 +184,7 @@
 // abort cancels the copies in flight. An order whose copies all still waited for a connection was
 // not sent. If it were reported as lost, it would count as a run that may have been present when
 // its host turns out to have ended.
-func (o *order) abort() (host.Reply, error) {
+func (o *orderInFlight) abort() (host.Reply, error) {
 	o.cancel()
 	timer := time.NewTimer(cancelGrace)
 	defer timer.Stop()
@@ -201,8 +201,9 @@
 	return host.Reply{}, o.failure(fmt.Errorf("%w: no answer to %d copies", host.ErrLost, o.copies))
 }
 
-// failure returns the error of an order that no copy has settled.
-func (o *order) failure(last error) error {
+// failure returns the error of an order (a start or stop, sent in one or more copies) if no copy's
+// answer has determined the outcome of the order.
+func (o *orderInFlight) failure(last error) error {
 	if o.broken {
 		return fmt.Errorf("%w: %d copies", host.ErrConnectionBroken, o.copies)
 	}
--- a/internal/hostsim/checker.go
+++ b/internal/hostsim/checker.go
@@ -25,7 +25,7 @@
 	records        map[spec.StepTask][]*startRecord
 	ordersRecorded bool
 	// startsAfterLimit counts a task's starts after too many of its hosts have crashed, crashes
-	// all crashes of hosts, taskCrashes those caused by a task.
+	// counts all crashes of hosts, and taskCrashes counts the crashes caused by a task.
 	startsAfterLimit     map[spec.StepTask]int
 	crashes, taskCrashes int
 	// endedIncarnations holds the incarnations of hosts that have ended, by name.
--- a/internal/hostsim/crash.go
+++ b/internal/hostsim/crash.go
@@ -16,11 +16,15 @@
 // Times and limits for hosts that crash and start again, as on the users' platform: the entry of
 // the ended incarnation stays in the list for three heartbeats of 1.5 s.
 const (
-	restartDelay        = 3 * time.Second
-	entryLifetime       = 4500 * time.Millisecond
-	minCrashes          = 2 // under one task, until its job may be failed
-	maxCrashes          = 3 // under one task, before its starts are counted
-	maxStartsAfterLimit = 3 // of a task with maxCrashes crashes: this one is a violation
+	restartDelay  = 3 * time.Second
+	entryLifetime = 4500 * time.Millisecond
+	// minCrashes is how many hosts must have crashed while running a task before its job may be
+	// failed.
+	minCrashes = 2
+	// maxCrashes is how many hosts must have crashed while running a task before its further starts
+	// are counted. The start with number maxStartsAfterLimit in this count is a violation.
+	maxCrashes          = 3
+	maxStartsAfterLimit = 3
 )
 
 // crash ends the host's incarnation, as a failure of its process or machine does. cause is the run
--- a/internal/hostsim/fleet.go
+++ b/internal/hostsim/fleet.go
@@ -80,7 +80,8 @@
 	jobs  map[string]*record.Job
 	// saved is the amount of a task's work in its last checkpoint.
 	saved map[spec.StepTask]time.Duration
-	// failNext is the number of runs of first tasks that will fail.
+	// failNext is how many more runs will fail, counting only runs of the first task (index 0) of a
+	// step.
 	failNext int
 	// incarnations counts the incarnations that were started under a new id.
 	incarnations int
--- a/internal/httponce/connection.go
+++ b/internal/httponce/connection.go
@@ -23,7 +23,7 @@
 var errHeaderTooLarge = errors.New("answer's header larger than allowed")
 
 // errConnectionEnds is the error if a server closes the connection after the answer that identified
-// it.
+// the server.
 var errConnectionEnds = errors.New("the connection ends before the request")
 
 // maxHeaderBytes bounds an answer's header.
--- a/internal/httponce/httponce_test.go
+++ b/internal/httponce/httponce_test.go
@@ -337,19 +337,19 @@
 	})
 	client := httponce.New(httponce.Options{})
 	defer client.Close()
-	var marks []int64
+	var serverIDs []int64
 	for i := range int64(4) {
 		u, err := url.Parse("http://" + s.addr + "/")
 		is.NoErr(err)
 		_, err = client.DoTracked(t.Context(), s.addr, httponce.TrackedRequest{
 			Request:  &http.Request{Method: http.MethodPost, URL: u, Header: http.Header{}},
-			Body:     func(mark int64) []byte { marks = append(marks, mark); return []byte("x") },
+			Body:     func(id int64) []byte { serverIDs = append(serverIDs, id); return []byte("x") },
 			ServerID: func(httponce.Answer) int64 { return 10 + i },
 		})
 		is.NoErr(err)
 		time.Sleep(20 * time.Millisecond) // until the end of a connection is detected
 	}
-	is.Equal(marks, []int64{0, 10, 0, 12})
+	is.Equal(serverIDs, []int64{0, 10, 0, 12})
 }
 
 // TestBoundRequestsReachOneProcess guards against a request reaching the successor of the process
--- a/internal/linkshard/batch.go
+++ b/internal/linkshard/batch.go
@@ -116,7 +116,8 @@
 	return r
 }
 
-// decode decodes a report. An invalid reference in a row fails the whole report.
+// decode decodes a report. If any row contains an invalid reference, it returns an error and no
+// outcomes.
 func (r *Report) decode() ([]numberedOutcome, error) {
 	out := make([]numberedOutcome, 0, len(r.Replies)+len(r.Views))
 	for _, row := range r.Replies {
--- a/internal/linkshard/router.go
+++ b/internal/linkshard/router.go
@@ -110,8 +110,8 @@
 	lastBatch   time.Time // when a batch was last sent
 	lastContact time.Time // when a batch was last answered, or a report received
 	failures    int       // consecutive
-	// unresponsive shards get no calls until they have answered a probe; they are probed from
-	// probeAfter on, and probing is true meanwhile.
+	// An unresponsive shard gets no calls until it has answered a probe; it is probed from
+	// probeAfter on. probing is true while a probe is in progress.
 	unresponsive, probing bool
 	probeAfter            time.Time
 }
--- a/internal/linkshard/router_test.go
+++ b/internal/linkshard/router_test.go
@@ -244,9 +244,9 @@
 
 func done(o Outcome) bool { return o.Err == nil && o.Reply.Refused == "" }
 
-// TestShardFailures: a shard that stops, becomes unreachable or does not report delays its calls:
-// each has one outcome, is carried out at most once, and is never reported as not sent if it may
-// have been.
+// TestShardFailures: if a shard stops, becomes unreachable or does not report, its calls are delayed,
+// but each call has one outcome, is carried out at most once, and is never reported as not sent if it
+// may have been sent.
 func TestShardFailures(t *testing.T) {
 	const calls = 40
 	tests := map[string]struct {
@@ -287,9 +287,10 @@
 }
 
 // TestPollsSurviveShardFailure: guards against a shard's failure going unnoticed while all of its
-// polls are held at their hosts, as nothing more is sent to it then. Its hosts counted as
-// unresponsive shortly before their leases ended, though each would have answered; with the
-// additional time that a busy holder waits, leases ended.
+// polls are held at their hosts: nothing more is sent to the shard then, so nothing shows the failure.
+// As a result, the shard's hosts counted as unresponsive, though each would have answered, and only
+// shortly before their leases ended. With the additional time that a busy holder waits, that was too
+// late, and leases ended.
 func TestPollsSurviveShardFailure(t *testing.T) {
 	const polls = 40
 	for name, fault := range map[string]fault{"connections refused": notListening, "messages lost": blackhole, "no fault": noFault} {
--- a/internal/platform/confirm/confirm.go
+++ b/internal/platform/confirm/confirm.go
@@ -34,7 +34,8 @@
 	DefaultLeaseSeconds = 3600
 	// maxAttempts is how often a commit is attempted if its marker is lost before it is applied.
 	maxAttempts = 3
-	// MaxOps is the maximum number of a caller's conditions, and also that of its writes: the marker needs one of each.
+	// MaxOps is the maximum number of conditions in a caller's commit, and also the maximum number of
+	// writes in it: the marker needs one condition and one write.
 	MaxOps = platform.MaxTxnOps - 1
 )
 
--- a/internal/platform/groupcommit/groupcommit.go
+++ b/internal/platform/groupcommit/groupcommit.go
@@ -214,7 +214,7 @@
 		reply, err := s.Store.Commit(ctx, merge(group))
 		switch {
 		case err == nil && !reply.Applied:
-			group = s.completeRefused(ctx, group, reply)
+			group = s.resolveUnapplied(ctx, group, reply)
 			continue
 		case err != nil && len(group) > 1 && rejectedByContent(err):
 			half := len(group) / 2
@@ -234,9 +234,9 @@
 	return errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrLeaseGone)
 }
 
-// completeRefused delivers results to the transactions whose conditions failed, and returns the
-// others to be tried again.
-func (s *Store) completeRefused(ctx context.Context, group []*waiter, reply platform.TxnReply) []*waiter {
+// resolveUnapplied handles a group that was not applied: it delivers results to the transactions
+// whose conditions failed, and returns the others to be tried again.
+func (s *Store) resolveUnapplied(ctx context.Context, group []*waiter, reply platform.TxnReply) []*waiter {
 	current := make(map[string]platform.Record, len(reply.Found))
 	for _, r := range reply.Found {
 		current[r.Key] = r
--- a/internal/request/dump.go
+++ b/internal/request/dump.go
@@ -14,8 +14,8 @@
 // PartitionDump is the state of one partition.
 type PartitionDump struct {
 	Partition int `json:"partition"`
-	// UnknownUntil is the time up to which a key that is not in the table has an unknown outcome,
-	// by the time in the key.
+	// UnknownUntil applies to keys that are not in the table: the outcome of such a key is unknown
+	// if the time in the key is not after UnknownUntil.
 	UnknownUntil time.Time      `json:"unknown_until"`
 	Releasing    bool           `json:"releasing"`
 	InFlight     int            `json:"in_flight"`
--- a/internal/request/flight.go
+++ b/internal/request/flight.go
@@ -10,7 +10,7 @@
 	"pulleyquay/internal/result"
 )
 
-// phase is the progress of a flight.
+// phase is the progress of an in-flight request.
 type phase int
 
 const (
@@ -19,7 +19,7 @@
 	phaseCancelled              // nothing was sent, and nothing will be sent
 )
 
-// flight is one dispatch, shared by the callers that wait for it.
+// flight is an in-flight request: one dispatch, shared by the callers that wait for it.
 type flight struct {
 	cancel context.CancelFunc
 	// done is closed when answer and err are final.
--- a/internal/request/home.go
+++ b/internal/request/home.go
@@ -48,8 +48,8 @@
 
 // partitionState contains the keys of one held partition, by service.
 type partitionState struct {
-	// unknownUntil is the time up to which a key that is not in the table has an unknown outcome,
-	// by the time in the key.
+	// unknownUntil applies to keys that are not in the table: the outcome of such a key is unknown
+	// if the time in the key is not after unknownUntil.
 	unknownUntil time.Time
 	releasing    bool
 	dropped      bool // handed over or dropped: no more answers are kept
