--- a/cmd/pulley-node/connections.go
+++ b/cmd/pulley-node/connections.go
@@ -11,9 +11,9 @@
 	"pulleyquay/internal/platform/resend"
 )
 
-// minReconnectInterval is the least time between two renewals of all connections: lost
-// replies can't be distinguished from a silent connection, and each renewal costs a request to
-// every host in use.
+// minReconnectInterval is the shortest time between two calls of reconnectAll that reopen the
+// connections. The limit is needed because lost replies can't be distinguished from a silent
+// connection, and reopening costs a request to every host in use.
 const minReconnectInterval = 2 * time.Second
 
 // connections reopens the connections to the store, the hosts and the services when
--- a/cmd/pulley-node/events.go
+++ b/cmd/pulley-node/events.go
@@ -13,8 +13,8 @@
 	n.log.WithFields(eventFields(e)).Info(e.What)
 }
 
-// eventFields returns the log fields of an event without the empty ones. The step is
-// logged without the job's id if the event has a job, whose id is a field of its own.
+// eventFields returns the log fields of an event without the empty ones. If the event has a
+// job, the job's id is removed from the start of the step, because the field "job" contains it.
 func eventFields(e engine.Event) logrus.Fields {
 	fields := logrus.Fields{"epoch": e.Version}
 	for _, f := range [...]struct{ name, value string }{
--- a/cmd/pulley-node/settings.go
+++ b/cmd/pulley-node/settings.go
@@ -67,10 +67,10 @@
 	FarFactor       float64         `json:"far_factor" validate:"min=1"`
 	RestoreTakes    config.Duration `json:"restore_takes" validate:"min=0"`
 	CheckpointEvery config.Duration `json:"checkpoint_every" validate:"min=0"`
-	// Contact is how long a disturbed process counts as out of contact, Heartbeat the time
-	// between two writes of a host's entry. Their sum is how long after a capacity
-	// reduction starts may still be based on the previous capacity. Zero means that sizes
-	// never expire.
+	// Contact is how long a process counts as out of contact after a disturbance, and Heartbeat
+	// is the time between two writes of a host's entry. When the capacity of a host is reduced,
+	// starts may still be based on its previous capacity for the sum of the two durations. If
+	// the sum is zero, the reported sizes of hosts never expire.
 	Contact   config.Duration `json:"contact" validate:"min=0"`
 	Heartbeat config.Duration `json:"heartbeat" validate:"min=0"`
 	// DutyLease is how long after one process's order to a machine no other process may
--- a/internal/catalog/account.go
+++ b/internal/catalog/account.go
@@ -14,7 +14,7 @@
 // DigestOf returns the digest of a key.
 func DigestOf(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// String keeps the digest out of logs as well.
+// String returns a constant, so that a KeyDigest that is printed to a log doesn't show the digest.
 func (KeyDigest) String() string { return "(hidden)" }
 
 // Account is a client account, which owns jobs and keys and has a quota.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -99,8 +99,9 @@
 // unmarshaler is implemented by types that decode themselves, such as Duration.
 var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
 
-// checkNames compares the file with the type and refuses unknown names, and values that a type with its own
-// UnmarshalJSON doesn't accept. The JSON decoder's errors for these don't contain the path.
+// checkNames compares raw, a JSON value of the file, with t, the Go type that the value is decoded into. It
+// refuses names that t doesn't have. If t, or a type within t, has its own UnmarshalJSON, checkNames refuses
+// the values that this method doesn't accept. The JSON decoder's errors for both don't contain the path.
 func checkNames(raw any, t reflect.Type, path string) error {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
--- a/internal/ctl/logline.go
+++ b/internal/ctl/logline.go
@@ -69,8 +69,8 @@
 	return out, nil
 }
 
-// parseLine parses a log line. Text before the JSON object, such as a log collector adds, is ignored,
-// except that its last word is the name of the process if the object has none.
+// parseLine parses a log line. A log collector may add text before the JSON object. If the object has no
+// process name, the last word of that text is used as the name; the rest of the text is ignored.
 func parseLine(text string) (l logLine, ok bool) {
 	prefix, object, found := strings.Cut(text, "{")
 	if !found {
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// The output formats. Only the command codes accepts markdown.
+// The output formats. Only the command "codes" accepts outputMarkdown.
 const (
 	outputTable    = "table"
 	outputJSON     = "json"
--- a/internal/ctl/settings.go
+++ b/internal/ctl/settings.go
@@ -185,8 +185,8 @@
 	return u.Username
 }
 
-// intent returns the intent of a change. Flags that were not given are set: the revision to the one
-// read, the change id to a new UUIDv7.
+// intent returns the part of a change's request body that all kinds of changes have in common. Flags that
+// were not given are set: the revision to readRevision, the change id to a new UUIDv7.
 func (f *changeFlags) intent(readRevision int64) operatorapi.Intent {
 	if f.revision == revisionUnset {
 		f.revision = readRevision
--- a/internal/daemon/format.go
+++ b/internal/daemon/format.go
@@ -59,8 +59,9 @@
 	return append(l, '}', '\n'), nil
 }
 
-// sortedFields returns the names of the entry's fields that have a value, in fieldOrder: those before
-// the time, and those after it. It appends them to names, which must be empty.
+// sortedFields returns two lists with the names of the entry's fields that have a value, each sorted by
+// fieldOrder: leading holds the fields before the time, trailing those after it. Both lists are parts of
+// names, which must be empty and to which sortedFields appends.
 func sortedFields(entry *logrus.Entry, names []string) (leading, trailing []string) {
 	for name, v := range entry.Data {
 		if v != nil && v != "" {
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -10,7 +10,8 @@
 
 func splitLines(data []byte) []string { return strings.Split(string(data), "\n") }
 
-// standinSettings returns a scaled-down copy of both associations' hosts.
+// standinSettings returns the settings of the stand-in, whose hosts are a scaled-down copy of the hosts
+// of the two associations, lakeshore and regie, whose settings the demo loads.
 func (c *Cell) standinSettings() object {
 	lake := []string{"lake-a", "lake-b", "lake-c"}
 	regie := []string{"regie-a", "regie-b", "regie-c", "regie-d"}
--- a/internal/demo/steps.go
+++ b/internal/demo/steps.go
@@ -167,7 +167,8 @@
 	return fmt.Sprintf("%d responses, each with the body of its ticket", ticketCount), nil
 }
 
-// postTicket posts ticket i and checks that the response has the ticket's text.
+// postTicket posts inspection ticket i to the service lakeshore.ledger and checks that the response has the
+// ticket's text.
 func (r *run) postTicket(ctx context.Context, i int, key string) error {
 	text := fmt.Sprintf("gully %d", i)
 	got, err := callExpecting(ctx, http.StatusOK, "POST", r.entry(i), "/v1/services/lakeshore.ledger/tickets",
--- a/internal/judge/record.go
+++ b/internal/judge/record.go
@@ -25,7 +25,8 @@
 	Keys  map[string][]Execution `json:"keys,omitempty"`
 }
 
-// WorkerRecord is the record of one worker: its allocations and its last claim.
+// WorkerRecord is the record of one worker: its allocations, and the epoch and holder of the last claim that
+// the worker accepted.
 type WorkerRecord struct {
 	Size     spec.Resources `json:"size"`
 	Used     spec.Resources `json:"used"`
@@ -71,7 +72,7 @@
 		r.Workers[name] = WorkerRecord{w.size, w.used, w.peak, w.epoch, w.holder, w.overload}
 	}
 	for name, e := range j.executors {
-		r.Executors[name] = ExecutorRecord{e.executions, e.running, e.peak, e.open, e.peakOpen, e.lastAt}
+		r.Executors[name] = ExecutorRecord{e.executions, e.running, e.peakRunning, e.open, e.peakOpen, e.lastAt}
 	}
 	for job, g := range j.gangs {
 		r.Gangs[job] = GangRecord{g.tasks, g.first, len(g.running), g.peak}
--- a/internal/judge/requests.go
+++ b/internal/judge/requests.go
@@ -20,7 +20,7 @@
 	connections int
 	running     int
 	open        int
-	peak        int
+	peakRunning int
 	peakOpen    int
 	executions  int
 	leaving     bool
@@ -58,7 +58,7 @@
 	e.executions++
 	e.running++
 	e.lastAt = at
-	e.peak = max(e.peak, e.running)
+	e.peakRunning = max(e.peakRunning, e.running)
 	if e.running > e.slots {
 		j.addViolation(RuleSlots, name, at, "%d requests at once, %d slots", e.running, e.slots)
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -15,8 +15,8 @@
 
 const ms = time.Millisecond
 
-// exampleLog has jobs of two queues, of which one per second ends. Each job of "slow" takes a second
-// longer than the one before.
+// exampleLog has jobs of two queues. In each queue, one job ends per second. Each job of "slow" takes a
+// second longer than the job before it.
 func exampleLog() []Line {
 	var out []Line
 	for i := range 20 {
--- a/internal/settings/collect.go
+++ b/internal/settings/collect.go
@@ -71,7 +71,7 @@
 	return m.sweep(ctx, heads[0], stored)
 }
 
-// storedBranch is a stored branch with its mark.
+// storedBranch is a stored branch, with reached set once mark has found it to be reachable.
 type storedBranch struct {
 	children []Hash
 	mod      platform.Revision
--- a/internal/standin/hostlist/hostlist.go
+++ b/internal/standin/hostlist/hostlist.go
@@ -21,7 +21,7 @@
 	versions []version // oldest first; the last one is current
 }
 
-// version is the list as it was from a point in time on.
+// version is the content of the list from the time of one edit until the next edit.
 type version struct {
 	from  time.Time
 	hosts []platform.Host
@@ -30,7 +30,8 @@
 // New returns an empty list whose edits become visible after the lag.
 func New(lag time.Duration) *List { return &List{lag: lag} }
 
-// Hosts returns the list as it was one lag ago, sorted by name.
+// Hosts returns the hosts that readers see now, sorted by name: edits more recent than the lag, which is the
+// delay that New and SetLag set, are not visible yet.
 func (l *List) Hosts(context.Context) ([]platform.Host, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/taskmsg/taskmsg.go
+++ b/internal/taskmsg/taskmsg.go
@@ -27,6 +27,7 @@
 	// leases of all its runs together.
 	Priority int64 `cbor:"5,keyasint,omitempty"`
 	// Key 6 was an estimated size; see docs/PLACEMENT.md.
+
 	// MinReplicas is the minimum number of a service's replicas that preemption leaves running.
 	MinReplicas int64 `cbor:"7,keyasint,omitempty"`
 }
@@ -129,7 +130,7 @@
 	Home  Home   `cbor:"1,keyasint"`
 	Job   string `cbor:"2,keyasint"`
 	Start bool   `cbor:"3,keyasint"`
-	// Try is that of the reservation.
+	// Try is the Try of the GangReserveRequest that made the reservation.
 	Try int `cbor:"4,keyasint"`
 }
 
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,6 +1,7 @@
-// Package traffic counts what a process sends and receives, by purpose: calls to hosts,
-// the store, callers, messages between members. A link with too little bandwidth shows in
-// no other metric as such: the holder's calls are delayed, and with them all later steps.
+// Package traffic counts what a process sends and receives, by purpose: calls to hosts, calls
+// to the store, requests from callers, and messages between members. A link with too little
+// bandwidth shows in no other metric as such: the holder's calls are delayed, and with them all
+// later steps.
 package traffic
 
 import (
@@ -15,25 +16,25 @@
 // Counter counts the bytes and connections of one purpose. It is safe for concurrent use;
 // a nil Counter counts nothing.
 type Counter struct {
-	purpose string
-	in, out atomic.Int64 // bytes
-	units   atomic.Int64 // connections opened, or messages
-	open    atomic.Int64 // connections
+	purpose         string
+	in, out         atomic.Int64 // bytes
+	connsOrMessages atomic.Int64 // connections opened, or messages
+	open            atomic.Int64 // connections
 }
 
 // CountMessage counts one message, with the numbers of bytes received and sent.
 func (c *Counter) CountMessage(in, out int) {
 	c.AddReceived(in)
 	c.AddSent(out)
-	c.units.Add(1)
+	c.connsOrMessages.Add(1)
 }
 
-// ConnOpened counts a connection as open until Closed is called.
+// ConnOpened counts a connection as open until ConnClosed is called.
 func (c *Counter) ConnOpened() {
 	if c == nil {
 		return
 	}
-	c.units.Add(1)
+	c.connsOrMessages.Add(1)
 	c.open.Add(1)
 }
 
@@ -110,7 +111,7 @@
 	mu       sync.Mutex
 	counters map[string]*Counter
 
-	bytes, units, open *prometheus.Desc
+	bytes, connsOrMessages, open *prometheus.Desc
 }
 
 var _ prometheus.Collector = (*Meter)(nil)
@@ -118,10 +119,10 @@
 // NewMeter returns a meter without counters.
 func NewMeter() *Meter {
 	return &Meter{
-		counters: map[string]*Counter{},
-		bytes:    prometheus.NewDesc("pulleyquay_traffic_bytes_total", "Bytes received and sent, by purpose.", []string{"purpose", "direction"}, nil),
-		units:    prometheus.NewDesc("pulleyquay_traffic_units_total", "Connections opened or messages carried, by purpose.", []string{"purpose"}, nil),
-		open:     prometheus.NewDesc("pulleyquay_traffic_open_connections", "Connections that are open, by purpose.", []string{"purpose"}, nil),
+		counters:        map[string]*Counter{},
+		bytes:           prometheus.NewDesc("pulleyquay_traffic_bytes_total", "Bytes received and sent, by purpose.", []string{"purpose", "direction"}, nil),
+		connsOrMessages: prometheus.NewDesc("pulleyquay_traffic_units_total", "Connections opened or messages carried, by purpose.", []string{"purpose"}, nil),
+		open:            prometheus.NewDesc("pulleyquay_traffic_open_connections", "Connections that are open, by purpose.", []string{"purpose"}, nil),
 	}
 }
 
@@ -151,7 +152,7 @@
 	defer m.mu.Unlock()
 	out := make([]CounterState, 0, len(m.counters))
 	for _, c := range m.counters {
-		out = append(out, CounterState{c.purpose, c.in.Load(), c.out.Load(), c.units.Load(), c.open.Load()})
+		out = append(out, CounterState{c.purpose, c.in.Load(), c.out.Load(), c.connsOrMessages.Load(), c.open.Load()})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Purpose < out[b].Purpose })
 	return out
@@ -160,7 +161,7 @@
 // Describe implements prometheus.Collector.
 func (m *Meter) Describe(ch chan<- *prometheus.Desc) {
 	ch <- m.bytes
-	ch <- m.units
+	ch <- m.connsOrMessages
 	ch <- m.open
 }
 
@@ -169,7 +170,7 @@
 	for _, r := range m.Snapshot() {
 		ch <- prometheus.MustNewConstMetric(m.bytes, prometheus.CounterValue, float64(r.In), r.Purpose, "in")
 		ch <- prometheus.MustNewConstMetric(m.bytes, prometheus.CounterValue, float64(r.Out), r.Purpose, "out")
-		ch <- prometheus.MustNewConstMetric(m.units, prometheus.CounterValue, float64(r.Units), r.Purpose)
+		ch <- prometheus.MustNewConstMetric(m.connsOrMessages, prometheus.CounterValue, float64(r.Units), r.Purpose)
 		ch <- prometheus.MustNewConstMetric(m.open, prometheus.GaugeValue, float64(r.OpenConns), r.Purpose)
 	}
 }
--- a/internal/worker/workersim/worker.go
+++ b/internal/worker/workersim/worker.go
@@ -3,7 +3,8 @@
 // refused, runs have leases, and ended runs are kept until acknowledged.
 //
 // A simulated worker accepts more work than its size, as a real worker may. It reports
-// every start and end to the checker of package judge, which records the violation.
+// every start and end to the checker of package judge, which records a violation if the
+// worker runs more than its size.
 package workersim
 
 import (
--- a/test/e2e/harness/cell.go
+++ b/test/e2e/harness/cell.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// StartCell starts a stand-in with the groups and n entry hosts, waits until
-// all are ready, and creates the settings branches of the service and of batch jobs.
+// StartCell starts a stand-in with the given groups of workers and executors, and n entry hosts. It
+// waits until all entry hosts are ready, and creates the settings branches of the service and of batch jobs.
 func (b Binaries) StartCell(t *testing.T, n int, groups []standin.Group) *Cell {
 	t.Helper()
 	c := &Cell{Platform: b.StartPlatform(t, groups), t: t, http: &http.Client{Timeout: clientTimeout}}
--- a/test/e2e/placer_test.go
+++ b/test/e2e/placer_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestStoreOutage makes the store unavailable for ten terms and kills a holder
-// during the outage. Running tasks go on, a new job is refused as not run, and no
-// task runs on two workers after the outage.
+// TestStoreOutage makes the store unavailable for ten times harness.Term, the term of the
+// placers' leases, and kills a holder during the outage. Running tasks go on, a new job is
+// refused as not run, and no task runs on two workers after the outage.
 func TestStoreOutage(t *testing.T) {
 	is := is.New(t)
 	c := startCell(t)
